--- /dev/null
+++ b/internal/agent/stored_test.go
@@ -0,0 +1,86 @@
+package agent
+
+import (
+	"os"
+	"path/filepath"
+	"testing"
+	"time"
+
+	"github.com/google/go-cmp/cmp"
+	"github.com/google/go-cmp/cmp/cmpopts"
+	bolt "go.etcd.io/bbolt"
+
+	"onyxstream/internal/control"
+	"onyxstream/internal/fleet"
+)
+
+// The store in testdata was written by the release before the names in the code changed: operations outlive a release.
+
+// openFixture opens a copy: a store is written to as it is opened.
+func openFixture(t *testing.T) *Store {
+	t.Helper()
+	text, err := os.ReadFile("testdata/store-v1.db")
+	if err != nil {
+		t.Fatal(err)
+	}
+	path := filepath.Join(t.TempDir(), "store.db")
+	if err := os.WriteFile(path, text, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	s, err := OpenStore(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = s.Close() })
+	return s
+}
+
+// dump is all that stands in a store, by bucket and key.
+func dump(t *testing.T, s *Store) map[string]string {
+	t.Helper()
+	all := map[string]string{}
+	err := s.db.View(func(tx *bolt.Tx) error {
+		return tx.ForEach(func(bucket []byte, b *bolt.Bucket) error {
+			return b.ForEach(func(k, v []byte) error {
+				all[string(bucket)+"/"+string(k)] = string(v)
+				return nil
+			})
+		})
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return all
+}
+
+func TestStoredOperations_FromEarlierRelease_AreReadAndWrittenAlike(t *testing.T) {
+	s := openFixture(t)
+	ops, holds, fence, err := s.Load()
+	if err != nil {
+		t.Fatal(err)
+	}
+	op := fleet.Operation{Request: fleet.Request{ID: "op-1", Kind: control.HostDrain, Host: "host-a", Targets: []string{"n1", "n2"},
+		Options: fleet.Options{AtOnce: 2, Unavailable: 3, UnavailableZone: 1, EmptyZone: true, Within: 20 * time.Second, After: time.Second,
+			StepWithin: 40 * time.Second, Deadline: time.Hour, OnFailure: "abort"}}, Fence: 7, State: fleet.Paused, Why: "n2 is down",
+		Steps: map[string]*fleet.Step{"n1": {State: fleet.StepDone, Boot: "b1"}, "n2": {State: fleet.StepFailed, Why: "is down"}}, Spent: 90 * time.Second}
+	hold := fleet.Hold{Key: fleet.Key{Instance: "n1", Host: "host-a"}, Command: control.Command{Operation: "op-1", Fence: 7,
+		Kind: control.HostDrain, Host: "host-a", Within: 20 * time.Second, After: time.Second, Open: 2 * time.Second, Keep: true, Known: true}}
+	unexported := cmpopts.IgnoreUnexported(fleet.Operation{}, fleet.Step{})
+	if diff := cmp.Diff([]fleet.Operation{op}, ops, unexported); diff != "" {
+		t.Error(diff)
+	}
+	if diff := cmp.Diff([]fleet.Hold{hold}, holds); diff != "" || fence != 7 {
+		t.Errorf("fence %d, %s", fence, diff)
+	}
+	again, err := OpenStore(filepath.Join(t.TempDir(), "again.db"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer again.Close()
+	if err := again.Save(fleet.Change{Operations: ops, Holds: holds, Fence: fence}); err != nil {
+		t.Fatal(err)
+	}
+	if diff := cmp.Diff(dump(t, s), dump(t, again)); diff != "" {
+		t.Errorf("an earlier release would not read it: %s", diff)
+	}
+}
--- /dev/null
+++ b/internal/control/stored_test.go
@@ -0,0 +1,73 @@
+package control
+
+import (
+	"encoding/json"
+	"os"
+	"path/filepath"
+	"reflect"
+	"strconv"
+	"testing"
+
+	"github.com/google/go-cmp/cmp"
+)
+
+// The files in testdata were written by the release before the names in the code changed, with a value in every field:
+// instances, agents and command lines of two releases speak with each other.
+
+// fill gives every exported field of a value one of its own that is not zero.
+func fill(v reflect.Value, n *int) {
+	*n++
+	switch v.Kind() {
+	case reflect.Pointer:
+		v.Set(reflect.New(v.Type().Elem()))
+		fill(v.Elem(), n)
+	case reflect.Struct:
+		if v.Type().PkgPath() == "time" {
+			return
+		}
+		for i := range v.NumField() {
+			if v.Type().Field(i).IsExported() && v.Type().Field(i).Tag.Get("json") != "-" {
+				fill(v.Field(i), n)
+			}
+		}
+	case reflect.Slice:
+		v.Set(reflect.MakeSlice(v.Type(), 1, 1))
+		fill(v.Index(0), n)
+	case reflect.Bool:
+		v.SetBool(true)
+	case reflect.String:
+		v.SetString("v" + strconv.Itoa(*n))
+	case reflect.Uint8: // an enumeration: its first value but one
+		v.SetUint(1)
+	case reflect.Int, reflect.Int64:
+		v.SetInt(int64(*n))
+	case reflect.Uint64:
+		v.SetUint(uint64(*n))
+	case reflect.Float64:
+		v.SetFloat(float64(*n) + 0.5)
+	}
+}
+
+func TestMessages_OfEarlierRelease_AreReadAndWrittenAlike(t *testing.T) {
+	for name, into := range map[string]any{"command-v1.json": new(Command), "answer-v1.json": new(Answer), "status-v1.json": new(Status), "list-v1.json": new(Passed)} {
+		path := filepath.Join("testdata", name)
+		text, err := os.ReadFile(path)
+		if err != nil {
+			t.Fatal(err)
+		}
+		want := reflect.New(reflect.TypeOf(into).Elem())
+		n := 0
+		fill(want.Elem(), &n)
+		if err := json.Unmarshal(text, into); err != nil {
+			t.Errorf("%s: %v", name, err)
+			continue
+		}
+		if diff := cmp.Diff(want.Interface(), into); diff != "" {
+			t.Errorf("%s is read otherwise: %s", name, diff)
+		}
+		again, err := json.Marshal(into)
+		if diff := cmp.Diff(string(text), string(again)); diff != "" || err != nil {
+			t.Errorf("%s is written otherwise: %v, %s", name, err, diff)
+		}
+	}
+}
--- /dev/null
+++ b/internal/handover/stored_test.go
@@ -0,0 +1,103 @@
+package handover
+
+import (
+	"fmt"
+	"os"
+	"path/filepath"
+	"testing"
+	"time"
+
+	"github.com/google/go-cmp/cmp"
+)
+
+// The files in testdata were written by the release before the names in the code changed: another process of the node,
+// or the next one, may still be of that release.
+
+func readFixture(t *testing.T, name string) []byte {
+	t.Helper()
+	text, err := os.ReadFile(filepath.Join("testdata", name))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return text
+}
+
+func TestStoredDocument_FromEarlierRelease_IsReadAndWrittenAlike(t *testing.T) {
+	text := readFixture(t, "shared-v1.words")
+	got, err := Decode(text, "n1")
+	if err != nil {
+		t.Fatal(err)
+	}
+	at := time.Date(2026, 12, 1, 12, 0, 0, 123456789, time.UTC)
+	want := Document{Node: "n1", Serial: 4,
+		Words: []Word{{"host-a", false, at.Add(2 * time.Second), 3}, {"host-b", true, at.Add(time.Second), 2}},
+		Drain: Drain{On: true, By: at.Add(3 * time.Second), Shut: at.Add(time.Second), After: 1500 * time.Millisecond, Keep: true, Serial: 4,
+			ByBoot: 5*time.Hour + 3*time.Second, ShutBoot: 5*time.Hour + time.Second}}
+	if diff := cmp.Diff(want, got); diff != "" {
+		t.Error(diff)
+	}
+	again, err := got.Encode()
+	if diff := cmp.Diff(string(text), string(again)); diff != "" || err != nil {
+		t.Errorf("%v, an earlier release would not read it: %s", err, diff)
+	}
+}
+
+func TestStoredOffer_FromEarlierRelease_IsReadAndWrittenAlike(t *testing.T) {
+	text := readFixture(t, "handoff-v1.offer")
+	var got offer
+	if err := unseal(offerMagic, text, &got); err != nil {
+		t.Fatal(err)
+	}
+	want := offer{Node: "n1", PID: 4711, N: 7, Mark: 3, Connections: []Offered{
+		{Line: "OPEN id=c1 class=chat d=1000", Host: "host-a", Client: Socket{11, "127.0.0.1:40001"}, Peer: Socket{12, "127.0.0.1:9001"},
+			Partial: []byte("half a li"), Load: 2.5},
+		{Line: "OPEN id=c2 class=chat d=900", Host: "host-b", Client: Socket{13, "127.0.0.1:40002"}, Peer: Socket{14, "127.0.0.1:9002"}}},
+		Facts: []Fact{{"host-a", 1764590400000, 350 * time.Microsecond}}}
+	if diff := cmp.Diff(want, got); diff != "" {
+		t.Error(diff)
+	}
+	again, err := seal(offerMagic, got)
+	if diff := cmp.Diff(string(text), string(again)); diff != "" || err != nil {
+		t.Errorf("%v, an earlier release would not read it: %s", err, diff)
+	}
+}
+
+func TestStoredMark_FromEarlierRelease_IsReadAndWrittenAlike(t *testing.T) {
+	text := readFixture(t, "process-v1.alive")
+	want := Mark{Ready: true, Descriptors: 1234}
+	if got := parseMark(string(text)); got != want {
+		t.Errorf("%+v, want %+v", got, want)
+	}
+	s, err := Open(t.TempDir(), "n1")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer s.Close()
+	if err := s.Tell(want); err != nil {
+		t.Fatal(err)
+	}
+	again, err := os.ReadFile(s.own.Name())
+	if string(again) != string(text) || err != nil {
+		t.Errorf("%v, written as %q, want %q", err, again, text)
+	}
+}
+
+// The names of the files are part of the format: two processes of one node find each other by them.
+func TestStoredFileNames_AreThoseOfEarlierReleases(t *testing.T) {
+	dir := t.TempDir()
+	s, err := Open(dir, "n1")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer s.Close()
+	const base = "onyxstream-51ce9f3ef4b004a7"
+	got := []string{s.path(), s.own.Name(), s.offerName(4711, 7)}
+	want := []string{filepath.Join(dir, base+".words"), filepath.Join(dir, fmt.Sprintf("%s-%d.alive", base, os.Getpid())),
+		filepath.Join(dir, base+"-4711-7.offer")}
+	if diff := cmp.Diff(want, got); diff != "" {
+		t.Error(diff)
+	}
+	if _, err := os.Stat(filepath.Join(dir, base+".lock")); err != nil {
+		t.Error(err)
+	}
+}
--- /dev/null
+++ b/internal/load/stored_test.go
@@ -0,0 +1,82 @@
+package load
+
+import (
+	"errors"
+	"io"
+	"os"
+	"path/filepath"
+	"testing"
+	"time"
+
+	"github.com/google/go-cmp/cmp"
+)
+
+// The files in testdata were written by the release before the names in the code changed, the result with a value in every
+// field: results are compared with those of earlier releases, and traces are played again.
+
+func TestStoredResult_FromEarlierRelease_IsReadAndWrittenAlike(t *testing.T) {
+	r, err := ReadResult("testdata/result-v1.json")
+	if err != nil {
+		t.Fatal(err)
+	}
+	path := filepath.Join(t.TempDir(), "again.json")
+	if err := r.Write(path); err != nil {
+		t.Fatal(err)
+	}
+	want, err := os.ReadFile("testdata/result-v1.json")
+	if err != nil {
+		t.Fatal(err)
+	}
+	got, err := os.ReadFile(path)
+	if diff := cmp.Diff(string(want), string(got)); diff != "" || err != nil {
+		t.Errorf("%v, a key is lost or has another name: %s", err, diff)
+	}
+}
+
+func TestStoredTrace_FromEarlierRelease_IsReadAndWrittenAlike(t *testing.T) {
+	trace, err := OpenTrace("testdata/trace-v1.csv", 1)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var got []Request
+	for {
+		r, err := trace.Next()
+		if errors.Is(err, io.EOF) {
+			break
+		}
+		if err != nil {
+			t.Fatal(err)
+		}
+		got = append(got, r)
+	}
+	want := []Request{
+		{N: 0, At: time.Second, Class: "chat", Tenant: "acme", Zone: "z1", Key: "k1", Group: "g1", Life: time.Minute,
+			Message: 250 * time.Millisecond, Load: 1.5},
+		{N: 1, At: 1500 * time.Millisecond, Class: "chat", Tenant: "acme", Key: "k2", Life: 90 * time.Second},
+	}
+	if diff := cmp.Diff(want, got); diff != "" {
+		t.Error(diff)
+	}
+	want[1].Key = "" // a row without a key is read with one of its own
+	path := filepath.Join(t.TempDir(), "again.csv")
+	w, err := CreateTrace(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, r := range want {
+		if err := w.Write(r); err != nil {
+			t.Fatal(err)
+		}
+	}
+	if err := w.Close(); err != nil {
+		t.Fatal(err)
+	}
+	wantText, err := os.ReadFile("testdata/trace-v1.csv")
+	if err != nil {
+		t.Fatal(err)
+	}
+	gotText, err := os.ReadFile(path)
+	if diff := cmp.Diff(string(wantText), string(gotText)); diff != "" || err != nil {
+		t.Errorf("%v, %s", err, diff)
+	}
+}
