--- a/brain/api.go
+++ b/balancer/api.go
@@ -1,7 +1,7 @@
-// Package brain decides, for one balancer node, where long-lived connections
+// Package balancer decides, for one balancer node, where long-lived connections
 // go. It is a pure state machine: events in, actions out, with no I/O, no
 // clock and no goroutines. This file is its whole interface.
-package brain
+package balancer
 
 import "time"
 
--- a/brain/brain.go
+++ b/balancer/balancer.go
@@ -1,7 +1,7 @@
-package brain
+package balancer
 
 // The interface of this package is in api.go, what a node remembers in state.go. The decisions stand in
-// brain.go (requests, placement, events), pacing.go (rate of set-ups), fleet.go (servers) and table.go.
+// balancer.go (requests, placement, events), pacing.go (rate of set-ups), fleet.go (servers) and table.go.
 
 import (
 	"cmp"
--- a/brain/brain_test.go
+++ b/balancer/balancer_test.go
@@ -1,4 +1,4 @@
-package brain
+package balancer
 
 import (
 	"fmt"
--- a/cmd/onyxstream/agent_test.go
+++ b/cmd/onyxstream/agent_test.go
@@ -12,8 +12,8 @@
 	"testing"
 	"time"
 
-	"onyxstream/internal/stand"
-	"onyxstream/internal/stand/capacity"
+	"onyxstream/internal/fakeserver"
+	"onyxstream/internal/fakeserver/capacity"
 	"onyxstream/internal/wire"
 )
 
@@ -21,8 +21,8 @@
 // its node sent.
 type three struct {
 	dir, socket string
-	clock       *stand.Clock
-	ledgers     []*stand.Ledger
+	clock       *fakeserver.Clock
+	ledgers     []*fakeserver.Ledger
 	nodes       []*running
 	agent       *exec.Cmd
 	agentLog    *syncBuffer
@@ -30,12 +30,12 @@
 
 func newThree(t *testing.T) *three {
 	t.Helper()
-	f := &three{dir: t.TempDir(), clock: stand.NewClock(), agentLog: &syncBuffer{}}
+	f := &three{dir: t.TempDir(), clock: fakeserver.NewClock(), agentLog: &syncBuffer{}}
 	f.socket = filepath.Join(f.dir, "agent.sock")
 	inventory := ""
 	for i := range 3 {
-		ledger := stand.NewLedger(f.clock)
-		h, err := stand.NewHost(stand.HostConfig{ID: fmt.Sprint("h", i+1), Zone: "a",
+		ledger := fakeserver.NewLedger(f.clock)
+		h, err := fakeserver.NewHost(fakeserver.HostConfig{ID: fmt.Sprint("h", i+1), Zone: "a",
 			Spec: capacity.Spec{Cores: 8, Speed: 1, Load: 0.001, Setup: 0.001}}, f.clock, ledger)
 		if err != nil {
 			t.Fatal(err)
@@ -115,7 +115,7 @@
 func (f *three) lastNew(i int) (last time.Duration, n int) {
 	recs, _ := f.ledgers[i].Records()
 	for _, r := range recs {
-		if r.What == stand.Opened {
+		if r.What == fakeserver.Opened {
 			last, n = r.At, n+1
 		}
 	}
--- a/cmd/onyxstream/fakes_test.go
+++ b/cmd/onyxstream/fakes_test.go
@@ -18,9 +18,9 @@
 	"testing"
 	"time"
 
-	"onyxstream/internal/stand"
-	"onyxstream/internal/stand/capacity"
-	"onyxstream/internal/sysfault"
+	"onyxstream/internal/fakeserver"
+	"onyxstream/internal/fakeserver/capacity"
+	"onyxstream/internal/faultinject"
 	"onyxstream/internal/wire"
 )
 
@@ -30,7 +30,7 @@
 var program string
 
 func TestMain(m *testing.M) {
-	sysfault.RunLauncher()
+	faultinject.RunLauncher()
 	dir, err := os.MkdirTemp("", "onyxstream")
 	if err != nil {
 		panic(err)
@@ -55,20 +55,20 @@
 // host is a stand-in host that answers by script: UP unless told otherwise. After an UP it echoes lines, and obeys
 // those that begin with DO.
 type host struct {
-	*stand.Host
+	*fakeserver.Host
 	id     string
 	mu     sync.Mutex
 	reply  string
 	opened []string
 }
 
-var clock = stand.NewClock()
+var clock = fakeserver.NewClock()
 
 func newHost(t testing.TB, id string) *host {
 	t.Helper()
 	h := &host{id: id, reply: "UP from-" + id + "\r\n"}
 	var err error
-	h.Host, err = stand.NewHost(stand.HostConfig{ID: id, Zone: "a", Spec: capacity.Spec{Cores: 1, Speed: 1}, Obeys: true}, clock, nil)
+	h.Host, err = fakeserver.NewHost(fakeserver.HostConfig{ID: id, Zone: "a", Spec: capacity.Spec{Cores: 1, Speed: 1}, Obeys: true}, clock, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -108,13 +108,13 @@
 
 // registry is a stand-in discovery that says what a test gives it, word for word.
 type registry struct {
-	*stand.Discovery
+	*fakeserver.Discovery
 	addr string
 }
 
 func newRegistry(t testing.TB, first string) *registry {
 	t.Helper()
-	d, err := stand.NewDiscovery("", clock, nil, 0)
+	d, err := fakeserver.NewDiscovery("", clock, nil, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -126,9 +126,9 @@
 func (r *registry) tell(text string) { r.Tell(text) }
 
 func (r *registry) turn(down bool) {
-	mode := stand.Well
+	mode := fakeserver.Well
 	if down {
-		mode = stand.Busy
+		mode = fakeserver.Busy
 	}
 	r.Answer(mode)
 }
@@ -151,7 +151,7 @@
 	cmd    *exec.Cmd
 	log    *syncBuffer
 	done   chan error
-	faults *sysfault.Process // with options.faults
+	faults *faultinject.Process // with options.faults
 }
 
 type syncBuffer struct {
@@ -188,7 +188,7 @@
 	inherit  *os.File // the clients' listening socket, as descriptor 3
 	stderr   *os.File // where its log goes, nil for the test's own
 	// faults is what the node's system calls can be made to meet, nil for a process as usual.
-	faults *sysfault.Options
+	faults *faultinject.Options
 }
 
 const settingsText = `{"index":0,"groupSize":1,"zone":0,"zones":["a"],"registryMode":"ask",
@@ -259,7 +259,7 @@
 	}
 	var err error
 	if o.faults != nil {
-		p.faults, err = sysfault.Start(p.cmd, *o.faults)
+		p.faults, err = faultinject.Start(p.cmd, *o.faults)
 	} else {
 		err = p.cmd.Start()
 	}
--- a/cmd/onyxstream/load_test.go
+++ b/cmd/onyxstream/load_test.go
@@ -15,8 +15,8 @@
 	"testing"
 	"time"
 
-	"onyxstream/internal/load"
-	"onyxstream/internal/stand"
+	"onyxstream/internal/fakeserver"
+	"onyxstream/internal/loadtest"
 )
 
 const loadScenario = `
@@ -98,7 +98,7 @@
 	if errs != "" || !strings.Contains(out, "chat") {
 		t.Errorf("printed %q and, where no terminal is, %q", out, errs)
 	}
-	r, err := load.ReadResult(file("r.json"))
+	r, err := loadtest.ReadResult(file("r.json"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -109,7 +109,7 @@
 	// What clients and hosts counted must fit: each UP that a client was given is one that a host gave.
 	ups, ledger := int64(0), readLedger(t, file("ledger"))
 	for _, x := range ledger {
-		if x.What == stand.Up {
+		if x.What == fakeserver.Up {
 			ups++
 		}
 	}
@@ -130,7 +130,7 @@
 	}
 }
 
-func readLedger(t *testing.T, path string) (out []stand.Record) {
+func readLedger(t *testing.T, path string) (out []fakeserver.Record) {
 	t.Helper()
 	f, err := os.Open(path)
 	if err != nil {
@@ -143,7 +143,7 @@
 		t.Fatal(err)
 	}
 	for {
-		var r stand.Record
+		var r fakeserver.Record
 		if err := dec.Decode(&r); errors.Is(err, io.EOF) {
 			return out
 		} else if err != nil {
@@ -168,8 +168,8 @@
 	if status, _, errs := command(t, "load", "replay", first, "--speed", "3", "--scenario", path, "--record", second, "-o", result); status != 0 {
 		t.Fatalf("replay: exit %d: %s", status, errs)
 	}
-	rows := func(path string) (out []load.Request) {
-		tr, err := load.OpenTrace(path, 1)
+	rows := func(path string) (out []loadtest.Request) {
+		tr, err := loadtest.OpenTrace(path, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -193,7 +193,7 @@
 			t.Fatalf("row %d is replayed as %+v, was %+v", i, b[i], a[i])
 		}
 	}
-	if r, err := load.ReadResult(result); err != nil || r.Speed != 3 || r.Classes[0].Asked != int64(len(a)) {
+	if r, err := loadtest.ReadResult(result); err != nil || r.Speed != 3 || r.Classes[0].Asked != int64(len(a)) {
 		t.Errorf("result %+v, error %v", r, err)
 	}
 }
@@ -208,7 +208,7 @@
 			time.Sleep(3 * time.Second)
 			_ = c.Process.Signal(s)
 		})
-		r, err := load.ReadResult(result)
+		r, err := loadtest.ReadResult(result)
 		if status != 4 || err != nil || !r.Partial || len(r.Classes) == 0 || r.Classes[0].Asked == 0 {
 			t.Errorf("exit %d: %s; result %+v, error %v", status, errs, r, err)
 		}
@@ -295,7 +295,7 @@
 	if status != 0 {
 		t.Fatalf("exit %d: %s", status, errs)
 	}
-	r, err := load.ReadResult(result)
+	r, err := loadtest.ReadResult(result)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/onyxstream/main_test.go
+++ b/cmd/onyxstream/main_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"onyxstream/internal/stand"
+	"onyxstream/internal/fakeserver"
 	"onyxstream/internal/wire"
 )
 
@@ -219,7 +219,7 @@
 	reg := newRegistry(t, list(1, true, h.member("SERVING")))
 	p := start(t, options{known: list(1, true, h.member("SERVING"))}, reg.addr)
 	eventually(t, "the first watch", func() bool { return len(reg.called()) == 1 })
-	reg.Answer(stand.Mute)
+	reg.Answer(fakeserver.Mute)
 	eventually(t, "the node asks again", func() bool { return len(reg.called()) > 1 })
 	p.open(t, "").hears("UP ")
 }
@@ -238,15 +238,15 @@
 		} else {
 			go func() {
 				w := bufio.NewWriter(k.c)
-				for i := range stand.FloodLines {
-					_, _ = w.WriteString(stand.FloodLine(i))
+				for i := range fakeserver.FloodLines {
+					_, _ = w.WriteString(fakeserver.FloodLine(i))
 				}
 				_ = w.Flush()
 			}()
 		}
 		time.Sleep(300 * time.Millisecond) // long enough for all buffers to fill
-		for i := range stand.FloodLines {
-			if line, err := k.r.ReadString('\n'); err != nil || line != stand.FloodLine(i) {
+		for i := range fakeserver.FloodLines {
+			if line, err := k.r.ReadString('\n'); err != nil || line != fakeserver.FloodLine(i) {
 				t.Fatalf("%s, line %d: %.20q, error %v", way, i, line, err)
 			}
 		}
--- a/cmd/onyxstream/sysfault_test.go
+++ b/cmd/onyxstream/sysfault_test.go
@@ -14,7 +14,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"onyxstream/internal/sysfault"
+	"onyxstream/internal/faultinject"
 )
 
 // unanswered is a request that got none, or not one of the protocol's.
@@ -72,30 +72,30 @@
 	const clients, share = 8, 0.3
 	for _, c := range []struct {
 		name  string
-		rules []sysfault.Rule
+		rules []faultinject.Rule
 	}{
-		{"accept", []sysfault.Rule{{Call: sysfault.Accept, Share: share,
+		{"accept", []faultinject.Rule{{Call: faultinject.Accept, Share: share,
 			Errors: []unix.Errno{unix.ECONNABORTED, unix.ENFILE, unix.EMFILE, unix.ENOBUFS, unix.ENOMEM, unix.EPROTO, unix.EPERM, unix.EINTR}}}},
-		{"dial", []sysfault.Rule{{Call: sysfault.Socket, Share: share, Errors: []unix.Errno{unix.ENFILE, unix.EMFILE, unix.ENOBUFS, unix.ENOMEM}},
-			{Call: sysfault.Connect, Share: share,
+		{"dial", []faultinject.Rule{{Call: faultinject.Socket, Share: share, Errors: []unix.Errno{unix.ENFILE, unix.EMFILE, unix.ENOBUFS, unix.ENOMEM}},
+			{Call: faultinject.Connect, Share: share,
 				Errors: []unix.Errno{unix.EADDRNOTAVAIL, unix.ENETUNREACH, unix.EAGAIN, unix.EINTR, unix.EHOSTUNREACH, unix.ETIMEDOUT}}}},
-		{"wait", []sysfault.Rule{{Call: sysfault.Wait, Share: share, Errors: []unix.Errno{unix.EINTR}}}},
-		{"interrupted", []sysfault.Rule{{Call: sysfault.Read, Share: share, Errors: []unix.Errno{unix.EINTR}, OnSockets: true},
-			{Call: sysfault.Write, Share: share, Errors: []unix.Errno{unix.EINTR}, OnSockets: true}}},
-		{"short", []sysfault.Rule{{Call: sysfault.Read, Share: 0.7, Short: 3}, {Call: sysfault.Write, Share: 0.7, Short: 3}}},
-		{"read", []sysfault.Rule{{Call: sysfault.Read, Share: 0.05, Errors: []unix.Errno{unix.ENOBUFS, unix.ENOMEM}, OnSockets: true}}},
-		{"write", []sysfault.Rule{{Call: sysfault.Write, Share: 0.05, Errors: []unix.Errno{unix.ENOBUFS, unix.ENOMEM}, OnSockets: true}}},
+		{"wait", []faultinject.Rule{{Call: faultinject.Wait, Share: share, Errors: []unix.Errno{unix.EINTR}}}},
+		{"interrupted", []faultinject.Rule{{Call: faultinject.Read, Share: share, Errors: []unix.Errno{unix.EINTR}, OnSockets: true},
+			{Call: faultinject.Write, Share: share, Errors: []unix.Errno{unix.EINTR}, OnSockets: true}}},
+		{"short", []faultinject.Rule{{Call: faultinject.Read, Share: 0.7, Short: 3}, {Call: faultinject.Write, Share: 0.7, Short: 3}}},
+		{"read", []faultinject.Rule{{Call: faultinject.Read, Share: 0.05, Errors: []unix.Errno{unix.ENOBUFS, unix.ENOMEM}, OnSockets: true}}},
+		{"write", []faultinject.Rule{{Call: faultinject.Write, Share: 0.05, Errors: []unix.Errno{unix.ENOBUFS, unix.ENOMEM}, OnSockets: true}}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			h1, h2 := newHost(t, "h1"), newHost(t, "h2")
 			all := list(1, true, h1.member("SERVING"), h2.member("SERVING"))
 			reg := newRegistry(t, all)
-			calls := []sysfault.Call{}
+			calls := []faultinject.Call{}
 			for _, r := range c.rules {
 				calls = append(calls, r.Call)
 			}
-			p := start(t, options{known: all, faults: &sysfault.Options{Calls: calls, Seed: 1}}, reg.addr)
+			p := start(t, options{known: all, faults: &faultinject.Options{Calls: calls, Seed: 1}}, reg.addr)
 			p.faults.Fail(c.rules...)
 			answers, lost := p.load(clients, time.Second)
 			p.faults.Fail()
@@ -126,7 +126,7 @@
 	hangs.says("")
 	all := list(1, true, well.member("SERVING"), drains.member("SERVING"), hangs.member("SERVING"))
 	reg := newRegistry(t, all)
-	p := start(t, options{known: all, aim: 300, faults: &sysfault.Options{Clock: true}}, reg.addr)
+	p := start(t, options{known: all, aim: 300, faults: &faultinject.Options{Clock: true}}, reg.addr)
 	eventually(t, "the node watches", func() bool { return len(reg.called()) > 0 })
 	var stepping sync.WaitGroup
 	stepping.Go(func() {
@@ -177,19 +177,19 @@
 	t.Parallel()
 	h := newHost(t, "h1")
 	o, reg := inherited(t, h)
-	rules := []sysfault.Rule{{Call: sysfault.OpenAt, Share: 0.2, Errors: []unix.Errno{unix.EMFILE, unix.ENFILE, unix.EIO, unix.ENOMEM}},
-		{Call: sysfault.Rename, Share: 0.2, Errors: []unix.Errno{unix.ENOSPC, unix.EIO}},
-		{Call: sysfault.Read, Share: 0.05, Errors: []unix.Errno{unix.ENOMEM, unix.EINTR}, OnSockets: true},
-		{Call: sysfault.Write, Share: 0.05, Errors: []unix.Errno{unix.ENOBUFS, unix.EINTR}, OnSockets: true}}
-	calls := []sysfault.Call{sysfault.OpenAt, sysfault.Rename, sysfault.Read, sysfault.Write}
-	o.faults = &sysfault.Options{Calls: calls, Seed: 1}
+	rules := []faultinject.Rule{{Call: faultinject.OpenAt, Share: 0.2, Errors: []unix.Errno{unix.EMFILE, unix.ENFILE, unix.EIO, unix.ENOMEM}},
+		{Call: faultinject.Rename, Share: 0.2, Errors: []unix.Errno{unix.ENOSPC, unix.EIO}},
+		{Call: faultinject.Read, Share: 0.05, Errors: []unix.Errno{unix.ENOMEM, unix.EINTR}, OnSockets: true},
+		{Call: faultinject.Write, Share: 0.05, Errors: []unix.Errno{unix.ENOBUFS, unix.EINTR}, OnSockets: true}}
+	calls := []faultinject.Call{faultinject.OpenAt, faultinject.Rename, faultinject.Read, faultinject.Write}
+	o.faults = &faultinject.Options{Calls: calls, Seed: 1}
 	p := start(t, o, reg.addr)
 	var standing []*client
 	for range 40 { // more than one offer
 		standing = append(standing, p.open(t, ""))
 		standing[len(standing)-1].hears("UP ")
 	}
-	o.faults = &sysfault.Options{Calls: calls, Seed: 2}
+	o.faults = &faultinject.Options{Calls: calls, Seed: 2}
 	next := upgrade(t, o, reg.addr)
 	p.faults.Fail(rules...)
 	next.faults.Fail(rules...)
@@ -221,8 +221,8 @@
 	h := newHost(t, "h1")
 	all := list(1, true, h.member("SERVING"))
 	reg := newRegistry(t, all)
-	o := options{mode: "pass", known: all, manage: freeAddr(t), faults: &sysfault.Options{Calls: []sysfault.Call{sysfault.Socket},
-		Rules: []sysfault.Rule{{Call: sysfault.Socket, Share: 1, Errors: []unix.Errno{unix.ENFILE, unix.ENOBUFS, unix.ENOMEM}}}}}
+	o := options{mode: "pass", known: all, manage: freeAddr(t), faults: &faultinject.Options{Calls: []faultinject.Call{faultinject.Socket},
+		Rules: []faultinject.Rule{{Call: faultinject.Socket, Share: 1, Errors: []unix.Errno{unix.ENFILE, unix.ENOBUFS, unix.ENOMEM}}}}}
 	addr := freeAddr(t)
 	p := launchWith(t, config(t, addr, reg.addr, o), o)
 	p.addr = addr
@@ -254,9 +254,9 @@
 	t.Parallel()
 	a, b := newHost(t, "ha"), newHost(t, "hb")
 	old, reg := newRegistry(t, list(1, true, a.member("SERVING"))), newRegistry(t, list(1, true, b.member("SERVING")))
-	p := start(t, options{known: list(1, true, a.member("SERVING")), faults: &sysfault.Options{Calls: []sysfault.Call{sysfault.OpenAt}}}, old.addr)
+	p := start(t, options{known: list(1, true, a.member("SERVING")), faults: &faultinject.Options{Calls: []faultinject.Call{faultinject.OpenAt}}}, old.addr)
 	eventually(t, "the first watch", func() bool { return len(old.called()) == 1 })
-	p.faults.Fail(sysfault.Rule{Call: sysfault.OpenAt, Share: 1, Errors: []unix.Errno{unix.ENFILE}})
+	p.faults.Fail(faultinject.Rule{Call: faultinject.OpenAt, Share: 1, Errors: []unix.Errno{unix.ENFILE}})
 	p.hup(t, old.addr, reg.addr)
 	p.logs(t, "the configuration stays as it was")
 	p.faults.Fail()
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -15,7 +15,7 @@
 
 	"onyxstream/internal/control"
 	"onyxstream/internal/fleet"
-	"onyxstream/internal/keys"
+	"onyxstream/internal/pki"
 	"onyxstream/internal/syserr"
 	"onyxstream/internal/tomlfile"
 )
@@ -26,7 +26,7 @@
 	Store     string            `toml:"store"`     // the file of operations
 	Socket    string            `toml:"socket"`    // where the command line asks
 	Every     tomlfile.Duration `toml:"every"`     // how often each instance is asked; 1s where it is 0
-	Keys      *keys.Files       `toml:"keys"`      // for instances that are reached by TLS
+	Keys      *pki.Files        `toml:"keys"`      // for instances that are reached by TLS
 }
 
 // Check fills in defaults and says what is wrong.
@@ -87,7 +87,7 @@
 	cfg   Config
 	log   *zap.Logger
 	store *Store
-	keys  *keys.Keeper
+	keys  *pki.Keeper
 	begin time.Time
 	do    chan func()
 	done  chan struct{}
@@ -119,7 +119,7 @@
 		peers: map[string]*peer{}, watches: map[chan struct{}]bool{}, fleet: fleet.New(fleet.Usual(), rand.Uint64())}
 	var err error
 	if cfg.Keys != nil {
-		if a.keys, err = keys.Open(*cfg.Keys, func(err error) { log.Error("renewed keys can't be taken", zap.Error(err)) }); err != nil {
+		if a.keys, err = pki.Open(*cfg.Keys, func(err error) { log.Error("renewed keys can't be taken", zap.Error(err)) }); err != nil {
 			return nil, err
 		}
 	}
--- a/internal/agent/inventory_test.go
+++ b/internal/agent/inventory_test.go
@@ -6,7 +6,7 @@
 
 	"go.uber.org/zap"
 
-	"onyxstream/internal/sysfault"
+	"onyxstream/internal/faultinject"
 )
 
 // An inventory that can't be read as it is found to have changed is read at the next look. Its state was noted first, so
@@ -22,7 +22,7 @@
 	defer a.wg.Wait()
 	defer cancel()
 	r.inventory(t, r.instances[0])
-	if err := sysfault.WithDescriptors(0, func() { a.reread(ctx) }); err != nil {
+	if err := faultinject.WithDescriptors(0, func() { a.reread(ctx) }); err != nil {
 		t.Fatal(err)
 	}
 	if n := len(a.fleet.Views(a.now())); n != 2 {
--- a/internal/cli/keys.go
+++ b/internal/cli/keys.go
@@ -7,7 +7,7 @@
 
 	"github.com/spf13/cobra"
 
-	"onyxstream/internal/keys"
+	"onyxstream/internal/pki"
 )
 
 func keysCommand() *cobra.Command {
@@ -17,7 +17,7 @@
 	create := &cobra.Command{Use: "create", Short: "Make an authority in a folder", Args: cobra.NoArgs,
 		Example: "  onyxstream keys create --dir keys",
 		RunE: func(c *cobra.Command, _ []string) error {
-			if err := keys.Create(dir, name); err != nil {
+			if err := pki.Create(dir, name); err != nil {
 				return err
 			}
 			fmt.Fprintf(c.OutOrStdout(), "an authority is in %s; keep its key there, give its certificate to all\n", dir)
@@ -29,17 +29,17 @@
 		Example: "  onyxstream keys issue n1 --role instance --dir keys\n" +
 			"  onyxstream keys issue agent-1 --role operate --dir keys",
 		RunE: func(c *cobra.Command, args []string) error {
-			cert, err := keys.Issue(dir, args[0], role, valid)
+			cert, err := pki.Issue(dir, args[0], role, valid)
 			if err != nil {
 				return err
 			}
 			fmt.Fprintf(c.OutOrStdout(), "%s: role %s, valid until %s\n", args[0], role, cert.NotAfter.Format(time.DateOnly))
 			return nil
 		}}
-	issue.Flags().StringVar(&role, "role", keys.Look, "what the holder may do")
+	issue.Flags().StringVar(&role, "role", pki.Look, "what the holder may do")
 	renew := &cobra.Command{Use: "renew HOLDER", Short: "Issue a holder's certificate anew; running programs take it", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			cert, err := keys.Renew(dir, args[0], valid)
+			cert, err := pki.Renew(dir, args[0], valid)
 			if err != nil {
 				return err
 			}
@@ -48,7 +48,7 @@
 		}}
 	revoke := &cobra.Command{Use: "revoke HOLDER", Short: "Have a holder's certificate count no more, where the list is given", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			if err := keys.Revoke(dir, args[0]); err != nil {
+			if err := pki.Revoke(dir, args[0]); err != nil {
 				return err
 			}
 			fmt.Fprintf(c.OutOrStdout(), "%s is revoked in %s/revoked: give the file to all\n", args[0], dir)
@@ -56,18 +56,18 @@
 		}}
 	list := &cobra.Command{Use: "list", Short: "List the certificates of a folder", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			certs, revoked, err := keys.List(dir)
+			certs, revoked, err := pki.List(dir)
 			if err != nil {
 				return err
 			}
 			w := tabwriter.NewWriter(c.OutOrStdout(), 0, 0, 2, ' ', 0)
 			fmt.Fprintln(w, "HOLDER\tROLE\tVALID UNTIL\tREVOKED")
 			for _, x := range certs {
-				kind := keys.RoleOf(x)
+				kind := pki.RoleOf(x)
 				if x.IsCA {
 					kind = "authority"
 				}
-				fmt.Fprintf(w, "%s\t%s\t%s\t%v\n", x.Subject.CommonName, kind, x.NotAfter.Format(time.DateOnly), revoked[keys.Serial(x)])
+				fmt.Fprintf(w, "%s\t%s\t%s\t%v\n", x.Subject.CommonName, kind, x.NotAfter.Format(time.DateOnly), revoked[pki.Serial(x)])
 			}
 			return w.Flush()
 		}}
--- a/internal/cli/load.go
+++ b/internal/cli/load.go
@@ -16,8 +16,8 @@
 
 	"github.com/spf13/cobra"
 
-	"onyxstream/internal/load"
-	"onyxstream/internal/load/page"
+	"onyxstream/internal/loadtest"
+	"onyxstream/internal/loadtest/page"
 )
 
 func loadCommand() *cobra.Command {
@@ -71,11 +71,11 @@
 			"  onyxstream load run surge.toml --target 10.0.0.4:8081 --target 10.0.0.5:8081 -o after.json --repeat 5",
 		Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			s, text, err := load.ReadScenario(args[0])
+			s, text, err := loadtest.ReadScenario(args[0])
 			if err != nil {
 				return err
 			}
-			return f.play(c, s, text, load.PlayOptions{})
+			return f.play(c, s, text, loadtest.PlayOptions{})
 		},
 	}
 	f.add(c)
@@ -99,18 +99,18 @@
 			if !(speed > 0 && speed <= 1000) {
 				return usage(fmt.Errorf("--speed: %g is not above 0 and up to 1000", speed))
 			}
-			var s *load.Scenario
+			var s *loadtest.Scenario
 			var text []byte
 			var err error
 			if scenario != "" {
-				s, text, err = load.ReadScenario(scenario)
+				s, text, err = loadtest.ReadScenario(scenario)
 			} else {
-				s, err = load.Plain(args[0], deadline)
+				s, err = loadtest.Plain(args[0], deadline)
 			}
 			if err != nil {
 				return err
 			}
-			return f.play(c, s, text, load.PlayOptions{Trace: args[0], Speed: speed})
+			return f.play(c, s, text, loadtest.PlayOptions{Trace: args[0], Speed: speed})
 		},
 	}
 	f.add(c)
@@ -120,7 +120,7 @@
 	return c
 }
 
-func (f *runFlags) play(c *cobra.Command, s *load.Scenario, text []byte, o load.PlayOptions) (err error) {
+func (f *runFlags) play(c *cobra.Command, s *loadtest.Scenario, text []byte, o loadtest.PlayOptions) (err error) {
 	if f.repeat < 1 || f.repeat > 1000 {
 		return usage(fmt.Errorf("--repeat: %d is not between 1 and 1000", f.repeat))
 	}
@@ -155,7 +155,7 @@
 		o.Progress = progress(c.ErrOrStderr())
 	}
 	for i := range f.repeat {
-		r, err := load.Play(ctx, s, text, o)
+		r, err := loadtest.Play(ctx, s, text, o)
 		if o.Progress != nil {
 			fmt.Fprint(c.ErrOrStderr(), "\r\x1b[K")
 		}
@@ -184,7 +184,7 @@
 	return fmt.Sprintf("%s-%d%s", strings.TrimSuffix(path, ext), i+1, ext)
 }
 
-func (f *runFlags) write(c *cobra.Command, r *load.Result, i int) error {
+func (f *runFlags) write(c *cobra.Command, r *loadtest.Result, i int) error {
 	var errs []error
 	if f.out != "" {
 		errs = append(errs, r.Write(f.numbered(f.out, i)))
@@ -203,7 +203,7 @@
 	return errors.Join(append(errs, table(c.OutOrStdout(), r))...)
 }
 
-func writePage(path string, r *load.Result) error {
+func writePage(path string, r *loadtest.Result) error {
 	w, err := os.Create(path)
 	if err != nil {
 		return err
@@ -211,7 +211,7 @@
 	return errors.Join(page.Write(w, r), w.Close())
 }
 
-func writeHDR(path string, r *load.Result) error {
+func writeHDR(path string, r *loadtest.Result) error {
 	w, err := os.Create(path)
 	if err != nil {
 		return err
@@ -235,18 +235,18 @@
 }
 
 // progress prints one line over itself.
-func progress(w io.Writer) func(load.Progress) {
-	return func(p load.Progress) {
+func progress(w io.Writer) func(loadtest.Progress) {
+	return func(p loadtest.Progress) {
 		fmt.Fprintf(w, "\r\x1b[K%4.0f s  %d asked, %d served, %d refused, %d neither; %d open; %.2f ms late",
 			p.At.Seconds(), p.Asked, p.Served, p.Refused, p.Failed, p.Open, float64(p.Lateness.Microseconds())/1000)
 	}
 }
 
 // table prints what matters of a result.
-func table(out io.Writer, r *load.Result) error {
+func table(out io.Writer, r *loadtest.Result) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "class\tpath\tasked\tserved\trefused\tneither\tp50 ms\tp99 ms\tmax ms\tservice p99\tbroken\tmoved\t")
-	line := func(c *load.ClassResult) {
+	line := func(c *loadtest.ClassResult) {
 		s, lat := c.Outcomes["served"], c.Latency["served"]
 		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%d\t%.2f\t%.2f\t%.2f\t%.2f\t%d\t%d\t\n", c.Class, c.Path, c.Asked, s, c.Outcomes["refused"],
 			c.Asked-s-c.Outcomes["refused"], lat.P50, lat.P99, lat.Max, c.Service.P99, c.Broken, c.Moved)
@@ -285,7 +285,7 @@
 		Example: "  onyxstream load plot after.json -o after.html",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
-			r, err := load.ReadResult(args[0])
+			r, err := loadtest.ReadResult(args[0])
 			if err != nil {
 				return usage(err)
 			}
@@ -312,17 +312,17 @@
 			"  onyxstream load compare --base before-1.json,before-2.json,before-3.json --new after-1.json,after-2.json,after-3.json",
 		Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			var sides [2][]*load.Result
+			var sides [2][]*loadtest.Result
 			for i, files := range [][]string{base, next} {
 				for _, f := range files {
-					r, err := load.ReadResult(f)
+					r, err := loadtest.ReadResult(f)
 					if err != nil {
 						return usage(err)
 					}
 					sides[i] = append(sides[i], r)
 				}
 			}
-			diffs, err := load.Compare(sides[0], sides[1])
+			diffs, err := loadtest.Compare(sides[0], sides[1])
 			if err != nil {
 				return usage(err)
 			}
@@ -338,16 +338,16 @@
 	return c
 }
 
-func showCompared(out io.Writer, diffs []load.Difference, asJSON, all, check bool) error {
+func showCompared(out io.Writer, diffs []loadtest.Difference, asJSON, all, check bool) error {
 	worse := 0
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "class\tpath\tfigure\tbase\tnew\tnoise\tverdict\t")
 	shown := 0
 	for _, d := range diffs {
-		if d.Word == load.Worse {
+		if d.Word == loadtest.Worse {
 			worse++
 		}
-		if d.Word == load.Same && !all {
+		if d.Word == loadtest.Same && !all {
 			continue
 		}
 		shown++
--- a/internal/cli/record.go
+++ b/internal/cli/record.go
@@ -8,7 +8,7 @@
 
 	"github.com/spf13/cobra"
 
-	"onyxstream/internal/load"
+	"onyxstream/internal/loadtest"
 )
 
 func loadRecord() *cobra.Command {
@@ -26,7 +26,7 @@
 			}
 			ctx, stop := signal.NotifyContext(c.Context(), syscall.SIGINT, syscall.SIGTERM)
 			defer stop()
-			n, err := load.RecordLive(ctx, listen, target, out, func(addr string) {
+			n, err := loadtest.RecordLive(ctx, listen, target, out, func(addr string) {
 				fmt.Fprintln(c.ErrOrStderr(), "recording on", addr)
 			})
 			fmt.Fprintln(c.ErrOrStderr(), n, "requests recorded")
--- a/internal/cli/root.go
+++ b/internal/cli/root.go
@@ -12,7 +12,7 @@
 	"github.com/spf13/cobra"
 
 	"onyxstream/internal/lifecycle"
-	"onyxstream/internal/load"
+	"onyxstream/internal/loadtest"
 	"onyxstream/internal/tomlfile"
 )
 
@@ -80,7 +80,7 @@
 func code(err error) int {
 	var s *status
 	var file *tomlfile.Error
-	var trace *load.TraceError
+	var trace *loadtest.TraceError
 	switch {
 	case errors.As(err, &s):
 		return s.code
--- a/internal/cli/scale.go
+++ b/internal/cli/scale.go
@@ -15,7 +15,7 @@
 	"github.com/spf13/cobra"
 
 	"onyxstream/internal/lifecycle"
-	"onyxstream/internal/scale"
+	"onyxstream/internal/scaletest"
 	"onyxstream/internal/tomlfile"
 )
 
@@ -46,7 +46,7 @@
 		Example: "  onyxstream scale run examples/scale.toml\n  onyxstream scale run examples/scale.toml --json > scale.json",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			var s scale.Spec
+			var s scaletest.Spec
 			if _, err := tomlfile.Read(args[0], &s); err != nil {
 				return err
 			}
@@ -56,11 +56,11 @@
 			}
 			ctx, stop := signal.NotifyContext(c.Context(), syscall.SIGINT, syscall.SIGTERM)
 			defer stop()
-			opt := scale.Options{Program: program}
+			opt := scaletest.Options{Program: program}
 			if terminal(c.ErrOrStderr()) {
 				opt.Progress = func(text string) { fmt.Fprintln(c.ErrOrStderr(), text) }
 			}
-			result, failed := scale.Run(ctx, s, opt)
+			result, failed := scaletest.Run(ctx, s, opt)
 			if asJSON {
 				enc := json.NewEncoder(c.OutOrStdout())
 				enc.SetIndent("", "  ")
@@ -98,18 +98,18 @@
 			if err != nil {
 				return err
 			}
-			return scale.RunHollow(c.Context(), cfg, n, c.InOrStdin(), c.ErrOrStderr())
+			return scaletest.RunHollow(c.Context(), cfg, n, c.InOrStdin(), c.ErrOrStderr())
 		},
 	}
 }
 
-func printScale(out io.Writer, r scale.Result) error {
+func printScale(out io.Writer, r scaletest.Result) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "nodes\tkind\tphase\tbytes/s\tmessages/s\tcore %\tMB\tmedian\t99 in 100\tlast\tmissing\t")
 	for _, s := range r.Samples {
 		for _, p := range []struct {
 			name string
-			scale.Phase
+			scaletest.Phase
 		}{{"rest", s.Rest}, {"changes", s.Changes}, {"restart", s.Restart}} {
 			fmt.Fprintf(w, "%d\t%s\t%s\t%.0f\t%.2f\t%.3f\t%.2f\t%v\t%v\t%v\t%d\t\n", s.Nodes, s.Kind, p.name, p.BytesPerS, p.MessagesPerS,
 				100*p.Cores, s.MemoryMB, millis(p.Latency.Median), millis(p.Latency.P99), millis(p.Latency.Last), p.Latency.Missing)
--- a/internal/cli/stand.go
+++ b/internal/cli/stand.go
@@ -8,7 +8,7 @@
 
 	"github.com/spf13/cobra"
 
-	"onyxstream/internal/load"
+	"onyxstream/internal/loadtest"
 )
 
 func loadStand() *cobra.Command {
@@ -20,7 +20,7 @@
 		Example: "  onyxstream load stand examples/steady.toml",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			s, _, err := load.ReadScenario(args[0])
+			s, _, err := loadtest.ReadScenario(args[0])
 			if err != nil {
 				return err
 			}
@@ -33,7 +33,7 @@
 			}
 			ctx, stop := signal.NotifyContext(c.Context(), syscall.SIGINT, syscall.SIGTERM)
 			defer stop()
-			r, err := s.Start(ctx, load.PlayOptions{Program: program, NodeLog: c.ErrOrStderr()})
+			r, err := s.Start(ctx, loadtest.PlayOptions{Program: program, NodeLog: c.ErrOrStderr()})
 			if err != nil {
 				return err
 			}
--- a/internal/stand/host.go
+++ b/internal/fakeserver/host.go
@@ -1,4 +1,4 @@
-package stand
+package fakeserver
 
 import (
 	"fmt"
@@ -10,7 +10,7 @@
 	"sync/atomic"
 	"time"
 
-	"onyxstream/internal/stand/capacity"
+	"onyxstream/internal/fakeserver/capacity"
 	"onyxstream/internal/wire"
 )
 
--- a/internal/stand/hostfaults.go
+++ b/internal/fakeserver/hostfaults.go
@@ -1,4 +1,4 @@
-package stand
+package fakeserver
 
 import (
 	"fmt"
--- a/internal/stand/ledger.go
+++ b/internal/fakeserver/ledger.go
@@ -1,7 +1,7 @@
-// Package stand holds stand-ins for all that a node deals with, on loopback: hosts with a capacity, discovery, the
+// Package fakeserver holds stand-ins for all that a node deals with, on loopback: hosts with a capacity, discovery, the
 // front, and links that fail. They speak the real protocol, obey faults by command while they run, and keep ledgers
 // from which a run can be judged afterwards. Tests, the load generator and experiments use them.
-package stand
+package fakeserver
 
 import (
 	"bufio"
--- a/internal/stand/stand_test.go
+++ b/internal/fakeserver/stand_test.go
@@ -1,4 +1,4 @@
-package stand
+package fakeserver
 
 import (
 	"bufio"
@@ -14,7 +14,7 @@
 
 	"go.uber.org/goleak"
 
-	"onyxstream/internal/stand/capacity"
+	"onyxstream/internal/fakeserver/capacity"
 	"onyxstream/internal/wire"
 )
 
--- a/internal/sysfault/descriptors.go
+++ b/internal/faultinject/descriptors.go
@@ -1,4 +1,4 @@
-package sysfault
+package faultinject
 
 import (
 	"fmt"
@@ -11,16 +11,16 @@
 func WithDescriptors(more uint64, f func()) (err error) {
 	null, err := os.Open(os.DevNull)
 	if err != nil {
-		return fmt.Errorf("sysfault: %w", err)
+		return fmt.Errorf("faultinject: %w", err)
 	}
 	free := uint64(null.Fd())
 	_ = null.Close()
 	var was syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &was); err != nil {
-		return fmt.Errorf("sysfault: %w", err)
+		return fmt.Errorf("faultinject: %w", err)
 	}
 	if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &syscall.Rlimit{Cur: free + more, Max: was.Max}); err != nil {
-		return fmt.Errorf("sysfault: %w", err)
+		return fmt.Errorf("faultinject: %w", err)
 	}
 	defer func() { err = syscall.Setrlimit(syscall.RLIMIT_NOFILE, &was) }()
 	f()
--- a/internal/sysfault/sysfault.go
+++ b/internal/faultinject/faultinject.go
@@ -1,8 +1,8 @@
-// Package sysfault runs a real program whose system calls fail on command, and whose wall clock can be stepped. It is for
+// Package faultinject runs a real program whose system calls fail on command, and whose wall clock can be stepped. It is for
 // tests. The program is started by a launcher, which is the test's own binary: that sets a seccomp filter on itself, without
 // special rights, hands the filter's listener to the test, and becomes the program. The kernel asks the test about each
 // call that the filter names; the test lets it go on or has it fail. It needs Linux 5.19 or newer.
-package sysfault
+package faultinject
 
 import (
 	"errors"
@@ -70,10 +70,10 @@
 func Start(cmd *exec.Cmd, options Options) (*Process, error) {
 	pair, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_SEQPACKET|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
-		return nil, fmt.Errorf("sysfault: %w", err)
+		return nil, fmt.Errorf("faultinject: %w", err)
 	}
 	defer unix.Close(pair[0])
-	theirs := os.NewFile(uintptr(pair[1]), "sysfault")
+	theirs := os.NewFile(uintptr(pair[1]), "faultinject")
 	defer theirs.Close()
 	if err := prepare(cmd, theirs, options); err != nil {
 		return nil, err
@@ -85,7 +85,7 @@
 	listener, err := receive(pair[0])
 	if err != nil {
 		_ = cmd.Process.Kill()
-		return nil, fmt.Errorf("sysfault: the launcher set no filter: %w", err)
+		return nil, fmt.Errorf("faultinject: the launcher set no filter: %w", err)
 	}
 	p := &Process{listener: listener, rng: rand.New(rand.NewPCG(options.Seed, 0x73797366)), rules: options.Rules, injected: map[Call]int{}}
 	p.served.Go(p.serve)
--- a/internal/sysfault/sysfault_test.go
+++ b/internal/faultinject/faultinject_test.go
@@ -1,4 +1,4 @@
-package sysfault
+package faultinject
 
 import (
 	"bufio"
--- a/internal/sysfault/launcher.go
+++ b/internal/faultinject/launcher.go
@@ -1,4 +1,4 @@
-package sysfault
+package faultinject
 
 import (
 	"errors"
@@ -29,7 +29,7 @@
 func prepare(cmd *exec.Cmd, theirs *os.File, options Options) error {
 	launcher, err := os.Executable()
 	if err != nil {
-		return fmt.Errorf("sysfault: %w", err)
+		return fmt.Errorf("faultinject: %w", err)
 	}
 	calls := []string{}
 	for _, c := range options.Calls {
@@ -58,7 +58,7 @@
 		return
 	}
 	if err := launch(); err != nil {
-		fmt.Fprintln(os.Stderr, "sysfault:", err)
+		fmt.Fprintln(os.Stderr, "faultinject:", err)
 		os.Exit(1)
 	}
 }
@@ -159,16 +159,16 @@
 
 // clockLibrary builds the library, once a process. The files stay in the system's folder for temporary ones.
 var clockLibrary = sync.OnceValues(func() (string, error) {
-	dir, err := os.MkdirTemp("", "onyxstream-sysfault")
+	dir, err := os.MkdirTemp("", "onyxstream-faultinject")
 	if err != nil {
-		return "", fmt.Errorf("sysfault: %w", err)
+		return "", fmt.Errorf("faultinject: %w", err)
 	}
 	source, library := filepath.Join(dir, "hide.c"), filepath.Join(dir, "hide.so")
 	if err := os.WriteFile(source, []byte(hideVDSO), 0o600); err != nil {
-		return "", fmt.Errorf("sysfault: %w", err)
+		return "", fmt.Errorf("faultinject: %w", err)
 	}
 	if out, err := exec.Command("gcc", "-shared", "-fPIC", "-o", library, source).CombinedOutput(); err != nil {
-		return "", fmt.Errorf("sysfault: gcc: %w: %s", err, out)
+		return "", fmt.Errorf("faultinject: gcc: %w: %s", err, out)
 	}
 	return library, nil
 })
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -9,7 +9,7 @@
 	"math"
 	"time"
 
-	"onyxstream/brain"
+	"onyxstream/balancer"
 )
 
 // Rule names what was broken.
@@ -68,7 +68,7 @@
 	Draining      bool // the host drains, or is gone
 	ToldAt        time.Time
 	Grace         time.Duration
-	Effect        brain.Effect
+	Effect        balancer.Effect
 	Window        time.Duration
 	MayHaveRun    time.Time // when the first attempt was sent that may have run; zero for none
 	OthersOut     int       // further attempts of the request that were out
@@ -89,9 +89,9 @@
 		return broken
 	}
 	switch age := s.At.Sub(s.MayHaveRun); {
-	case s.Effect == brain.Unsafe:
+	case s.Effect == balancer.Unsafe:
 		found(RepeatedUnsafely, 0)
-	case s.Effect == brain.Keyed && age > s.Window:
+	case s.Effect == balancer.Keyed && age > s.Window:
 		found(RepeatedUnsafely, age-s.Window)
 	}
 	return broken
--- a/internal/invariant/invariant_test.go
+++ b/internal/invariant/invariant_test.go
@@ -7,7 +7,7 @@
 	"go.uber.org/zap"
 	"go.uber.org/zap/zaptest/observer"
 
-	"onyxstream/brain"
+	"onyxstream/balancer"
 )
 
 var begin = time.Date(2026, 12, 2, 9, 0, 0, 0, time.UTC)
@@ -46,12 +46,12 @@
 		{"past the grace", Send{At: after(grace + 1), Draining: true, ToldAt: begin, Grace: grace}, []Rule{SentToDrained}},
 		{"a host that stays", Send{At: after(time.Hour), ToldAt: begin, Grace: grace}, nil},
 		{"a safe repeat", Send{At: after(time.Hour), MayHaveRun: begin}, nil},
-		{"an unsafe repeat", Send{At: begin, Effect: brain.Unsafe, MayHaveRun: begin}, []Rule{RepeatedUnsafely}},
-		{"an unsafe one again that never ran", Send{At: begin, Effect: brain.Unsafe}, nil},
-		{"within the window", Send{At: after(window), Effect: brain.Keyed, Window: window, MayHaveRun: begin}, nil},
-		{"past the window", Send{At: after(window + 1), Effect: brain.Keyed, Window: window, MayHaveRun: begin}, []Rule{RepeatedUnsafely}},
+		{"an unsafe repeat", Send{At: begin, Effect: balancer.Unsafe, MayHaveRun: begin}, []Rule{RepeatedUnsafely}},
+		{"an unsafe one again that never ran", Send{At: begin, Effect: balancer.Unsafe}, nil},
+		{"within the window", Send{At: after(window), Effect: balancer.Keyed, Window: window, MayHaveRun: begin}, nil},
+		{"past the window", Send{At: after(window + 1), Effect: balancer.Keyed, Window: window, MayHaveRun: begin}, []Rule{RepeatedUnsafely}},
 		{"beside another", Send{At: begin, OthersOut: 1}, []Rule{SecondCopy}},
-		{"all at once", Send{At: after(time.Hour), Draining: true, ToldAt: begin, OthersOut: 1, Effect: brain.Unsafe, MayHaveRun: begin},
+		{"all at once", Send{At: after(time.Hour), Draining: true, ToldAt: begin, OthersOut: 1, Effect: balancer.Unsafe, MayHaveRun: begin},
 			[]Rule{SentToDrained, SecondCopy, RepeatedUnsafely}},
 	} {
 		if got := rulesOf(CheckSend(c.send)); !same(got, c.want) {
--- a/internal/lifecycle/accept.go
+++ b/internal/lifecycle/accept.go
@@ -9,7 +9,7 @@
 	"syscall"
 	"time"
 
-	"onyxstream/internal/driver"
+	"onyxstream/internal/proxy"
 )
 
 // acceptVar names the descriptor of the clients' listening socket where the platform holds that: each process of the
@@ -27,7 +27,7 @@
 func listen(ctx context.Context, addr string) (*listener, error) {
 	value := os.Getenv(acceptVar)
 	if value == "" {
-		l, err := driver.Listen(ctx, addr)
+		l, err := proxy.Listen(ctx, addr)
 		return &listener{l, false, make(chan struct{})}, err
 	}
 	l, err := inherit(value, addr)
@@ -94,7 +94,7 @@
 }
 
 // serve accepts clients until the listener is closed.
-func (l *listener) serve(ctx context.Context, d *driver.Driver) error {
+func (l *listener) serve(ctx context.Context, d *proxy.Driver) error {
 	defer close(l.over)
 	if !l.inherited {
 		return d.Serve(l)
--- a/internal/lifecycle/accept_test.go
+++ b/internal/lifecycle/accept_test.go
@@ -9,7 +9,7 @@
 
 	"go.uber.org/zap"
 
-	"onyxstream/internal/driver"
+	"onyxstream/internal/proxy"
 )
 
 // Once a node that ends has taken its last client, whoever comes is refused by the system: a connection that nobody takes
@@ -20,7 +20,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(l.Close)
-	d := driver.New(driver.Config{Sockets: 256}, zap.NewNop())
+	d := proxy.New(proxy.Config{Sockets: 256}, zap.NewNop())
 	go func() { _ = l.serve(t.Context(), d) }()
 	if !l.empty() {
 		t.Fatal("another process accepts from it")
--- a/internal/lifecycle/coldstart.go
+++ b/internal/lifecycle/coldstart.go
@@ -19,12 +19,12 @@
 	"go.uber.org/zap"
 	"golang.org/x/sync/errgroup"
 
-	"onyxstream/brain"
+	"onyxstream/balancer"
 	"onyxstream/internal/coldstart"
 	"onyxstream/internal/control"
 	"onyxstream/internal/ctxtime"
-	"onyxstream/internal/keys"
 	"onyxstream/internal/node"
+	"onyxstream/internal/pki"
 	"onyxstream/internal/tomlfile"
 	"onyxstream/internal/wire"
 )
@@ -32,10 +32,10 @@
 // ColdStart turns on how a node comes to its list of hosts where many start at once: calls to the list service are paced,
 // and, where it is named, a lasting folder keeps the list and others pass it on.
 type ColdStart struct {
-	Service string      `toml:"service"` // the name that all nodes know the list service by; its address where it is missing
-	Folder  string      `toml:"folder"`  // a lasting folder of this node's own; "" for none
-	Peers   []Other     `toml:"peer"`    // other nodes that may have the list sooner
-	Keys    *keys.Files `toml:"keys"`    // a certificate that may look, needed for those by host and port
+	Service string     `toml:"service"` // the name that all nodes know the list service by; its address where it is missing
+	Folder  string     `toml:"folder"`  // a lasting folder of this node's own; "" for none
+	Peers   []Other    `toml:"peer"`    // other nodes that may have the list sooner
+	Keys    *pki.Files `toml:"keys"`    // a certificate that may look, needed for those by host and port
 }
 
 // Other is another node's control listener.
@@ -110,7 +110,7 @@
 }
 
 // run starts what goes on beside the node: the folder is kept, and others are asked.
-func (c *ColdStart) run(ctx context.Context, g *errgroup.Group, n *node.Node, set brain.Settings, log *zap.Logger) {
+func (c *ColdStart) run(ctx context.Context, g *errgroup.Group, n *node.Node, set balancer.Settings, log *zap.Logger) {
 	g.Go(func() error {
 		c.keep(ctx, n, log)
 		return nil
@@ -176,10 +176,10 @@
 // pull asks others for their list, one after another, for as long as the node runs. One that brings something is asked
 // again; from one that does not, the call goes on to another, drawn anew.
 func (c *ColdStart) pull(ctx context.Context, n *node.Node, rng *rand.Rand, log *zap.Logger) error {
-	var own *keys.Keeper
+	var own *pki.Keeper
 	if c.Keys != nil {
-		open := func() (*keys.Keeper, error) {
-			return keys.Open(*c.Keys, func(err error) { log.Error("renewed keys can't be taken", zap.Error(err)) })
+		open := func() (*pki.Keeper, error) {
+			return pki.Open(*c.Keys, func(err error) { log.Error("renewed keys can't be taken", zap.Error(err)) })
 		}
 		var err error
 		if own, err = whileScarce(ctx, log, open); ctx.Err() != nil {
--- a/internal/lifecycle/folder_test.go
+++ b/internal/lifecycle/folder_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"onyxstream/internal/handover"
+	"onyxstream/internal/sharedstate"
 )
 
 // blockWrites has the writes of the shared document fail, as on a full disk, until it is called off.
@@ -95,7 +95,7 @@
 		t.Fatal(err)
 	}
 	unblock()
-	other := handover.Document{Node: "n1"}
+	other := sharedstate.Document{Node: "n1"}
 	if err := other.Say("h1", true, time.Now()); err != nil {
 		t.Fatal(err)
 	}
@@ -136,11 +136,11 @@
 			if err := os.Mkdir(before, 0o700); err != nil {
 				t.Fatal(err)
 			}
-			earlier, err := handover.Open(before, "n1")
+			earlier, err := sharedstate.Open(before, "n1")
 			if err != nil {
 				t.Fatal(err)
 			}
-			if err := earlier.Update(func(d *handover.Document) error { return d.Say("h1", false, time.Now().Add(c.written)) }); err != nil {
+			if err := earlier.Update(func(d *sharedstate.Document) error { return d.Say("h1", false, time.Now().Add(c.written)) }); err != nil {
 				t.Fatal(err)
 			}
 			earlier.Close()
--- a/internal/lifecycle/operated.go
+++ b/internal/lifecycle/operated.go
@@ -6,9 +6,9 @@
 	"time"
 
 	"onyxstream/internal/control"
-	"onyxstream/internal/driver"
 	"onyxstream/internal/management"
 	"onyxstream/internal/node"
+	"onyxstream/internal/proxy"
 )
 
 const (
@@ -21,7 +21,7 @@
 // operated is a node as the operators' line calls see it: the operations of the control listener, called by hand.
 type operated struct {
 	node   *node.Node
-	driver *driver.Driver
+	driver *proxy.Driver
 	shared *shared         // with other processes of the node
 	stop   context.Context // ends when the node is told to stop
 }
--- a/internal/lifecycle/operated_test.go
+++ b/internal/lifecycle/operated_test.go
@@ -8,10 +8,10 @@
 
 	"go.uber.org/zap"
 
-	"onyxstream/brain"
+	"onyxstream/balancer"
 	"onyxstream/internal/control"
-	"onyxstream/internal/driver"
 	"onyxstream/internal/node"
+	"onyxstream/internal/proxy"
 	"onyxstream/internal/settings"
 	"onyxstream/internal/wire"
 )
@@ -28,8 +28,8 @@
 	log := zap.NewNop()
 	cfg := Config{Name: "n1", Sockets: 256, MemoryMB: 64, Management: "127.0.0.1:1"}
 	t.Setenv("TMPDIR", dir)
-	d, y := driver.New(driver.Config{Sockets: 256, Classes: []string{"chat"}}, log), driver.NewDiscovery(log)
-	set := settings.Settings{Settings: brain.Settings{Classes: []brain.Class{{Deadline: time.Second}}}, ClassNames: []string{"chat"}}
+	d, y := proxy.New(proxy.Config{Sockets: 256, Classes: []string{"chat"}}, log), proxy.NewDiscovery(log)
+	set := settings.Settings{Settings: balancer.Settings{Classes: []balancer.Class{{Deadline: time.Second}}}, ClassNames: []string{"chat"}}
 	known := wire.Catalog{Complete: true, Members: []wire.Member{{ID: "h1", Addr: "127.0.0.1:1", Size: 1}}}
 	n := node.New(set, known, "127.0.0.1:1", outside{y, d}, log)
 	d.Attach(n)
@@ -72,7 +72,7 @@
 // A node that is told to stop hands over as soon as another process is there to take over, be it late.
 func TestASuccessorThatComesLate(t *testing.T) {
 	_, n := stuck(t)
-	d := driver.New(driver.Config{Sockets: 256}, zap.NewNop())
+	d := proxy.New(proxy.Config{Sockets: 256}, zap.NewNop())
 	asked, begin := 0, time.Now()
 	by := time.Now().Add(20 * time.Second)
 	if !drain(n, d, true, begin, by, func() bool { asked++; return asked == 5 }) || asked != 5 {
--- a/internal/lifecycle/own.go
+++ b/internal/lifecycle/own.go
@@ -14,10 +14,10 @@
 
 	"go.uber.org/zap"
 
-	"onyxstream/brain"
+	"onyxstream/balancer"
 	"onyxstream/internal/control"
-	"onyxstream/internal/keys"
 	"onyxstream/internal/node"
+	"onyxstream/internal/pki"
 	"onyxstream/internal/tomlfile"
 )
 
@@ -29,9 +29,9 @@
 
 // Control says where a node is told and asked by operators.
 type Control struct {
-	Socket string      `toml:"socket"` // a Unix socket; "" for none
-	Listen string      `toml:"listen"` // an address for TLS; "" for none
-	Keys   *keys.Files `toml:"keys"`   // needed with listen
+	Socket string     `toml:"socket"` // a Unix socket; "" for none
+	Listen string     `toml:"listen"` // an address for TLS; "" for none
+	Keys   *pki.Files `toml:"keys"`   // needed with listen
 }
 
 // ReadOwn reads the file. Errors are *tomlfile.Error.
@@ -91,15 +91,15 @@
 		out = append(out, l)
 	}
 	if c.Listen != "" {
-		k, err := keys.Open(*c.Keys, func(err error) { log.Error("renewed keys can't be taken", zap.Error(err)) })
+		k, err := pki.Open(*c.Keys, func(err error) { log.Error("renewed keys can't be taken", zap.Error(err)) })
 		if err != nil {
 			return out, err
 		}
 		l, err := control.Remote(c.Listen, conns, k.Server(), func(s *tls.ConnectionState) control.Role {
 			switch k.Role(s) {
-			case keys.Operate:
+			case pki.Operate:
 				return control.Operate
-			case keys.Look:
+			case pki.Look:
 				return control.Look
 			}
 			return control.Nobody
@@ -136,7 +136,7 @@
 	case c.node.Leaving():
 		s.State = control.Draining
 	}
-	states := map[brain.ServerState]string{brain.Live: "live", brain.Draining: "draining", brain.Gone: "gone"}
+	states := map[balancer.ServerState]string{balancer.Live: "live", balancer.Draining: "draining", balancer.Gone: "gone"}
 	if st, ok := c.node.Start(); ok {
 		s.List = &control.ListStatus{State: st.Part.String(), Source: string(st.Source), Age: st.Age.Seconds(), Calls: st.Calls,
 			Failed: st.Failed, Next: st.Next.Seconds()}
@@ -180,7 +180,7 @@
 	case control.Resume:
 		return c.node.Stay()
 	case control.HostDrain, control.HostResume:
-		return c.node.Word(brain.ServerID(cmd.Host), cmd.Kind == control.HostDrain, cmd.Known, cmp.Or(cmd.At, now))
+		return c.node.Word(balancer.ServerID(cmd.Host), cmd.Kind == control.HostDrain, cmd.Known, cmp.Or(cmd.At, now))
 	}
 	panic(fmt.Sprintf("a command of kind %q was let through", cmd.Kind))
 }
--- a/internal/lifecycle/pull_test.go
+++ b/internal/lifecycle/pull_test.go
@@ -10,8 +10,8 @@
 	"go.uber.org/zap"
 
 	"onyxstream/internal/coldstart"
-	"onyxstream/internal/keys"
-	"onyxstream/internal/sysfault"
+	"onyxstream/internal/faultinject"
+	"onyxstream/internal/pki"
 )
 
 // Asking others for their list must not end the node where its keys can't be read for a moment.
@@ -20,13 +20,13 @@
 	n.Cold(coldstart.New(coldstart.Config{Nodes: 2, AskWithin: time.Second, Service: "s"}, rand.New(rand.NewPCG(1, 2)), 0, coldstart.Nowhere,
 		coldstart.Offer{}), "s")
 	dir := t.TempDir()
-	if err := keys.Create(dir, "test"); err != nil {
+	if err := pki.Create(dir, "test"); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := keys.Issue(dir, "n1", keys.Look, time.Hour); err != nil {
+	if _, err := pki.Issue(dir, "n1", pki.Look, time.Hour); err != nil {
 		t.Fatal(err)
 	}
-	files := &keys.Files{Cert: filepath.Join(dir, "n1.crt"), Key: filepath.Join(dir, "n1.key"), Authority: filepath.Join(dir, "authority.crt")}
+	files := &pki.Files{Cert: filepath.Join(dir, "n1.crt"), Key: filepath.Join(dir, "n1.key"), Authority: filepath.Join(dir, "authority.crt")}
 	cold := &ColdStart{Keys: files, Peers: []Other{{Addr: "127.0.0.1:1", Name: "n2"}}}
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
@@ -35,7 +35,7 @@
 		go func() { done <- cold.pull(ctx, n, rand.New(rand.NewPCG(1, 2)), zap.NewNop()) }()
 		time.Sleep(150 * time.Millisecond)
 	}
-	if err := sysfault.WithDescriptors(0, limit); err != nil {
+	if err := faultinject.WithDescriptors(0, limit); err != nil {
 		t.Fatal(err)
 	}
 	select {
--- a/internal/lifecycle/run.go
+++ b/internal/lifecycle/run.go
@@ -16,13 +16,13 @@
 	"go.uber.org/zap/zapcore"
 	"golang.org/x/sync/errgroup"
 
-	"onyxstream/brain"
+	"onyxstream/balancer"
 	"onyxstream/internal/coldstart"
 	"onyxstream/internal/control"
-	"onyxstream/internal/driver"
 	"onyxstream/internal/logging"
 	"onyxstream/internal/management"
 	"onyxstream/internal/node"
+	"onyxstream/internal/proxy"
 )
 
 const (
@@ -39,8 +39,8 @@
 
 // outside gives the loop the sockets beside its connections.
 type outside struct {
-	*driver.Discovery
-	*driver.Driver
+	*proxy.Discovery
+	*proxy.Driver
 }
 
 // Run is a node's life, from its configuration to a signal to stop. own is the project's own configuration; its zero
@@ -64,7 +64,7 @@
 	debug.SetMemoryLimit(heap(cfg.MemoryMB))
 
 	conns := control.Conns(cfg.Sockets)
-	d, y := newDriver(cfg, own.Control.sockets(conns), log), driver.NewDiscovery(log)
+	d, y := newDriver(cfg, own.Control.sockets(conns), log), proxy.NewDiscovery(log)
 	cold := own.ColdStart
 	known, service := cfg.Known, ""
 	var start *coldstart.Start
@@ -92,7 +92,7 @@
 	}
 	var operators net.Listener
 	if cfg.Management != "" {
-		operators, err = whileScarce(stop, log, func() (net.Listener, error) { return driver.Listen(ctx, cfg.Management) })
+		operators, err = whileScarce(stop, log, func() (net.Listener, error) { return proxy.Listen(ctx, cfg.Management) })
 		if err != nil {
 			l.Close()
 			return fmt.Errorf("management: %w", err)
@@ -161,7 +161,7 @@
 // have come back; elsewhere every client is sent away, spread over the time there is so that the others don't get
 // them all at once.
 // Should another process of the node be there to take over, now or in the meantime, it returns true at once.
-func drain(n *node.Node, d *driver.Driver, pass bool, begin, by time.Time, successor func() bool) bool {
+func drain(n *node.Node, d *proxy.Driver, pass bool, begin, by time.Time, successor func() bool) bool {
 	moved := pass
 	for now := time.Now(); now.Before(by) && (now.Sub(begin) < noticed || n.Open()+int64(d.Owing()+d.Unheard()) > 0); now = time.Now() {
 		if successor() {
@@ -177,7 +177,7 @@
 }
 
 // lastMoment is when a node that is told to stop now is gone at the latest.
-func lastMoment(set brain.Settings) time.Time {
+func lastMoment(set balancer.Settings) time.Time {
 	longest := time.Duration(0)
 	for _, c := range set.Classes {
 		longest = max(longest, c.Deadline)
@@ -188,7 +188,7 @@
 // hand ends a process beside the one that takes over: what stands goes there, what is wanted is answered here and goes
 // there once it stands, and whoever was accepted is heard. Where nothing can be handed over, all are sent away, spread
 // over the time there is: no packet of theirs would find its way to another process.
-func hand(n *node.Node, d *driver.Driver, by time.Time, both *shared) {
+func hand(n *node.Node, d *proxy.Driver, by time.Time, both *shared) {
 	if both.give(n, by.Add(-5*early)); n.Open() > 0 {
 		n.MoveAll(by.Add(-2 * early))
 	}
@@ -198,7 +198,7 @@
 }
 
 // newDriver makes the driver of a node of which others than its clients take so many descriptors.
-func newDriver(cfg Config, others int, log *zap.Logger) *driver.Driver {
+func newDriver(cfg Config, others int, log *zap.Logger) *proxy.Driver {
 	patience := time.Second
 	if cfg.Management != "" {
 		others += management.Callers + 2 // the listener, and one just accepted
@@ -206,7 +206,7 @@
 	for _, c := range cfg.Settings.Classes {
 		patience = max(patience, c.Deadline)
 	}
-	return driver.New(driver.Config{Sockets: cfg.Sockets, ConnectTimeout: cfg.Settings.ConnectTimeout,
+	return proxy.New(proxy.Config{Sockets: cfg.Sockets, ConnectTimeout: cfg.Settings.ConnectTimeout,
 		AnswerSlack: cfg.Settings.AnswerSlack, Patience: patience, MaxRetryAfter: cfg.Settings.MaxRetryAfter,
 		Classes: cfg.Settings.ClassNames, Others: others}, log)
 }
--- a/internal/lifecycle/shared.go
+++ b/internal/lifecycle/shared.go
@@ -11,9 +11,9 @@
 	"go.uber.org/zap"
 
 	"onyxstream/internal/control"
-	"onyxstream/internal/driver"
-	"onyxstream/internal/handover"
 	"onyxstream/internal/node"
+	"onyxstream/internal/proxy"
+	"onyxstream/internal/sharedstate"
 )
 
 // lookAt is how often a process looks for what another one of its node was told: a word binds both within a second.
@@ -24,12 +24,12 @@
 type shared struct {
 	cfg      Config
 	node     *node.Node
-	driver   *driver.Driver
+	driver   *proxy.Driver
 	log      *zap.Logger
 	orders   *control.Server
-	folder   string                         // "" where nothing is shared
-	opened   atomic.Pointer[handover.Store] // nil while the folder can't be used
-	unopened bool                           // it could not be opened so far; open's own
+	folder   string                            // "" where nothing is shared
+	opened   atomic.Pointer[sharedstate.Store] // nil while the folder can't be used
+	unopened bool                              // it could not be opened so far; open's own
 
 	mu     sync.Mutex  // an order and what others were told are taken in one after the other
 	seen   uint64      // the document's changes that are in force here
@@ -41,7 +41,7 @@
 }
 
 // newShared opens the folder where operators can call the node or the platform may start it twice.
-func newShared(cfg Config, n *node.Node, d *driver.Driver, log *zap.Logger) *shared {
+func newShared(cfg Config, n *node.Node, d *proxy.Driver, log *zap.Logger) *shared {
 	s := &shared{cfg: cfg, node: n, driver: d, log: log}
 	s.alone.Store(true)
 	if cfg.Management == "" && os.Getenv(acceptVar) == "" {
@@ -58,14 +58,14 @@
 }
 
 // store is what is shared; nil where nothing can be, or not yet.
-func (s *shared) store() *handover.Store { return s.opened.Load() }
+func (s *shared) store() *sharedstate.Store { return s.opened.Load() }
 
 // open opens the folder, which may fail for a while: it is tried again until it can be used.
 func (s *shared) open() {
 	if s.folder == "" || s.store() != nil {
 		return
 	}
-	store, err := handover.Open(s.folder, s.cfg.Name)
+	store, err := sharedstate.Open(s.folder, s.cfg.Name)
 	if err == nil {
 		s.opened.Store(store)
 		return
@@ -140,7 +140,7 @@
 // share tells the others what this process holds and whether it takes over, and leaves them what they hold.
 func (s *shared) share() {
 	store := s.store()
-	s.note(store.Tell(handover.Mark{Ready: !s.ends.Load(), Descriptors: s.driver.Holds()}))
+	s.note(store.Tell(sharedstate.Mark{Ready: !s.ends.Load(), Descriptors: s.driver.Holds()}))
 	others, err := store.Others()
 	if s.note(err); err != nil {
 		return // as it was
@@ -183,17 +183,17 @@
 	if out {
 		c.Kind = control.HostDrain
 	}
-	return s.tell(c, id, func(d *handover.Document) error { return d.Say(id, out, now) })
+	return s.tell(c, id, func(d *sharedstate.Document) error { return d.Say(id, out, now) })
 }
 
 // leave drains the node or ends that, here and in the other processes.
 func (s *shared) leave(c control.Command) error {
-	drain := handover.Drain{}
+	drain := sharedstate.Drain{}
 	if c.Kind == control.Drain {
-		drain = handover.Now().Drain(c.Within, c.Open)
+		drain = sharedstate.Now().Drain(c.Within, c.Open)
 		drain.After, drain.Keep = c.After, c.Keep
 	}
-	return s.tell(c, nodeOrder, func(d *handover.Document) error {
+	return s.tell(c, nodeOrder, func(d *sharedstate.Document) error {
 		d.Leave(drain)
 		return nil
 	})
@@ -202,7 +202,7 @@
 // tell carries an order on a target out and puts it into the document, as one step of an order that is the same for all
 // processes: what others were told before is taken in first. An order that does not hold here is told to no one; one that
 // can't be written holds here, and is written once it can be.
-func (s *shared) tell(c control.Command, target string, change func(*handover.Document) error) error {
+func (s *shared) tell(c control.Command, target string, change func(*sharedstate.Document) error) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	store := s.store()
@@ -212,7 +212,7 @@
 	var refused error
 	var serial uint64
 	given := false
-	err := store.Update(func(d *handover.Document) error {
+	err := store.Update(func(d *sharedstate.Document) error {
 		s.take(*d)
 		given = true
 		if refused = s.orders.Order(c); refused != nil {
@@ -264,7 +264,7 @@
 }
 
 // take brings into force what this process has not taken in yet; mu is held.
-func (s *shared) take(d handover.Document) {
+func (s *shared) take(d sharedstate.Document) {
 	s.owed.settle(&d)
 	after := s.seen
 	s.seen, s.known = d.Serial, true
@@ -287,7 +287,7 @@
 	switch l := d.Drain; {
 	case l.Serial <= after || s.owed.supersedes(nodeOrder, l.Serial):
 	case l.On:
-		by, shut := l.Spans(handover.Now())
+		by, shut := l.Spans(sharedstate.Now())
 		order(control.Command{Kind: control.Drain, Within: max(by, 0), Open: max(shut, 0), After: l.After, Keep: l.Keep})
 	case s.node.Leaving():
 		order(control.Command{Kind: control.Resume})
--- a/internal/lifecycle/takeover.go
+++ b/internal/lifecycle/takeover.go
@@ -6,10 +6,10 @@
 
 	"go.uber.org/zap"
 
-	"onyxstream/brain"
-	"onyxstream/internal/driver"
-	"onyxstream/internal/handover"
+	"onyxstream/balancer"
 	"onyxstream/internal/node"
+	"onyxstream/internal/proxy"
+	"onyxstream/internal/sharedstate"
 )
 
 // offerAt is how often a process looks for connections that another one offers, while there is another one: their
@@ -20,12 +20,12 @@
 // system does not let one process reach into another, it gives up at the second try.
 func (s *shared) give(n *node.Node, by time.Time) {
 	given, refused := 0, 0
-	var facts []handover.Fact
+	var facts []sharedstate.Fact
 	for _, f := range n.Facts() {
-		facts = append(facts, handover.Fact{Host: string(f.Host), Since: f.Since, Best: f.Best})
+		facts = append(facts, sharedstate.Fact{Host: string(f.Host), Since: f.Since, Best: f.Best})
 	}
 	for time.Now().Before(by) && n.Open()+n.Owed() > 0 && s.ready() {
-		standing, done := s.driver.Park(handover.MostOffered)
+		standing, done := s.driver.Park(sharedstate.MostOffered)
 		if len(standing) == 0 {
 			time.Sleep(poll) // what is being brought up goes over once it stands
 			continue
@@ -51,11 +51,11 @@
 	s.log.Info("connections were handed over", zap.Int("given", given), zap.Int64("left", n.Open()))
 }
 
-func offers(standing []driver.Standing) (out []handover.Offered) {
+func offers(standing []proxy.Standing) (out []sharedstate.Offered) {
 	for _, c := range standing {
-		o := handover.Offered{Line: c.Line, Host: c.Host, Partial: c.Partial, Load: c.Load}
-		o.Client, _ = handover.SocketOf(c.Client) // one that is closed meanwhile has no descriptor, and is not taken
-		o.Peer, _ = handover.SocketOf(c.Peer)
+		o := sharedstate.Offered{Line: c.Line, Host: c.Host, Partial: c.Partial, Load: c.Load}
+		o.Client, _ = sharedstate.SocketOf(c.Client) // one that is closed meanwhile has no descriptor, and is not taken
+		o.Peer, _ = sharedstate.SocketOf(c.Peer)
 		out = append(out, o)
 	}
 	return out
@@ -79,12 +79,12 @@
 			if len(facts) > 0 {
 				learnt := make([]node.Fact, 0, len(facts))
 				for _, f := range facts {
-					learnt = append(learnt, node.Fact{Host: brain.ServerID(f.Host), Since: f.Since, Best: f.Best})
+					learnt = append(learnt, node.Fact{Host: balancer.ServerID(f.Host), Since: f.Since, Best: f.Best})
 				}
 				s.node.Learn(learnt)
 			}
 			for _, t := range all {
-				err := s.driver.Adopt(driver.Standing{Line: t.Line, Host: t.Host, Client: t.ClientConn, Peer: t.PeerConn,
+				err := s.driver.Adopt(proxy.Standing{Line: t.Line, Host: t.Host, Client: t.ClientConn, Peer: t.PeerConn,
 					Partial: t.Partial, Load: t.Load})
 				if err != nil {
 					s.log.Error("a connection that was taken over can't go on: its client is sent away", zap.Error(err))
--- a/internal/lifecycle/unwritten.go
+++ b/internal/lifecycle/unwritten.go
@@ -6,7 +6,7 @@
 
 	"go.uber.org/zap"
 
-	"onyxstream/internal/handover"
+	"onyxstream/internal/sharedstate"
 )
 
 // nodeOrder is the key of orders on the node itself; hosts have names.
@@ -19,7 +19,7 @@
 	after  uint64 // the document's changes that were known when it was given: a later one on the target goes before it
 	blind  bool   // the document had not been read then: after means nothing until settle has looked
 	given  time.Time
-	change func(*handover.Document) error
+	change func(*sharedstate.Document) error
 }
 
 // unwritten are such orders, one for each target: a later one takes the place of an earlier one. What is refused for
@@ -37,7 +37,7 @@
 
 // write puts the orders into a document, but for those whose target has had a later one from another process, and those
 // for which it has no room: they hold here, as where they are given.
-func (u unwritten) write(d *handover.Document) {
+func (u unwritten) write(d *sharedstate.Document) {
 	for _, o := range u {
 		if latest(d, o.target) <= o.after {
 			_ = o.change(d)
@@ -47,7 +47,7 @@
 
 // settle decides, for orders that were given before the document was ever read, whether what it says on their targets is
 // older: then they go before it. Drains carry no time of their own; this process's is what operators said last to it.
-func (u unwritten) settle(d *handover.Document) {
+func (u unwritten) settle(d *sharedstate.Document) {
 	for i, o := range u {
 		if !o.blind {
 			continue
@@ -65,8 +65,8 @@
 }
 
 // wordOn is the document's word on a host.
-func wordOn(d *handover.Document, host string) (w handover.Word, ok bool) {
-	i := slices.IndexFunc(d.Words, func(w handover.Word) bool { return w.Host == host })
+func wordOn(d *sharedstate.Document, host string) (w sharedstate.Word, ok bool) {
+	i := slices.IndexFunc(d.Words, func(w sharedstate.Word) bool { return w.Host == host })
 	if i < 0 {
 		return w, false
 	}
@@ -74,7 +74,7 @@
 }
 
 // latest is the document's last change on a target, 0 for none.
-func latest(d *handover.Document, target string) uint64 {
+func latest(d *sharedstate.Document, target string) uint64 {
 	if target == nodeOrder {
 		return d.Drain.Serial
 	}
@@ -91,7 +91,7 @@
 		return
 	}
 	var serial uint64
-	err := store.Update(func(d *handover.Document) error {
+	err := store.Update(func(d *sharedstate.Document) error {
 		s.take(*d)
 		s.owed.write(d)
 		serial = d.Serial
--- a/internal/load/page/page.go
+++ b/internal/loadtest/page/page.go
@@ -17,8 +17,8 @@
 	"gonum.org/v1/plot/vg/draw"
 	"gonum.org/v1/plot/vg/vgsvg"
 
-	"onyxstream/internal/load"
-	"onyxstream/internal/rig"
+	"onyxstream/internal/loadtest"
+	"onyxstream/internal/testcluster"
 )
 
 //go:embed page.html
@@ -45,11 +45,11 @@
 }
 
 // Write writes the page of a result.
-func Write(w io.Writer, r *load.Result) error {
+func Write(w io.Writer, r *loadtest.Result) error {
 	var plots []plotted
 	for _, p := range []struct {
 		title string
-		draw  func(*load.Result) (*plot.Plot, error)
+		draw  func(*loadtest.Result) (*plot.Plot, error)
 	}{
 		{"Latency of served requests, from the intended moment", percentiles},
 		{"Requests by what became of them", outcomes},
@@ -67,7 +67,7 @@
 		}
 		plots = append(plots, plotted{p.title, svg})
 	}
-	var all []load.ClassResult
+	var all []loadtest.ClassResult
 	for _, path := range r.Paths() {
 		c, err := r.All(path)
 		if err != nil {
@@ -126,7 +126,7 @@
 
 // percentiles draws each class's distribution against its share of requests, stretched towards the slow ones. The
 // time of the try alone is dashed: where it is under the line, who waits is hidden by it.
-func percentiles(r *load.Result) (*plot.Plot, error) {
+func percentiles(r *loadtest.Result) (*plot.Plot, error) {
 	p := newPlot("percentile", "ms")
 	p.Y.Scale, p.Y.Tick.Marker = plot.LogScale{}, plot.LogTicks{Prec: -1}
 	p.X.Tick.Marker = plot.ConstantTicks{{Value: 0, Label: "0"}, {Value: 1, Label: "90"}, {Value: 2, Label: "99"},
@@ -135,7 +135,7 @@
 	for i, c := range r.Classes {
 		for _, d := range []struct {
 			name   string
-			s      load.Summary
+			s      loadtest.Summary
 			dashed bool
 		}{{c.Class, c.Latency["served"], false}, {"", c.Service, true}} {
 			h, err := d.s.Histogram()
@@ -179,7 +179,7 @@
 	return nil
 }
 
-func series(r *load.Result, of func(s *load.Stretch) float64) (points plotter.XYs) {
+func series(r *loadtest.Result, of func(s *loadtest.Stretch) float64) (points plotter.XYs) {
 	last := len(r.Line) // behind the last request there is nothing to show
 	for last > 0 && r.Line[last-1].Intended+r.Line[last-1].Back+r.Line[last-1].Open == 0 {
 		last--
@@ -190,17 +190,17 @@
 	return points
 }
 
-func outcomes(r *load.Result) (*plot.Plot, error) {
+func outcomes(r *loadtest.Result) (*plot.Plot, error) {
 	p := newPlot("s", "requests a second")
-	rate := func(n int64, s *load.Stretch) float64 { return float64(n) / s.Width }
+	rate := func(n int64, s *loadtest.Stretch) float64 { return float64(n) / s.Width }
 	for i, l := range []struct {
 		name string
-		of   func(s *load.Stretch) float64
+		of   func(s *loadtest.Stretch) float64
 	}{
-		{"meant", func(s *load.Stretch) float64 { return rate(s.Intended, s) }},
-		{"served", func(s *load.Stretch) float64 { return rate(s.Outcomes["served"], s) }},
-		{"refused", func(s *load.Stretch) float64 { return rate(s.Outcomes["refused"], s) }},
-		{"neither", func(s *load.Stretch) float64 {
+		{"meant", func(s *loadtest.Stretch) float64 { return rate(s.Intended, s) }},
+		{"served", func(s *loadtest.Stretch) float64 { return rate(s.Outcomes["served"], s) }},
+		{"refused", func(s *loadtest.Stretch) float64 { return rate(s.Outcomes["refused"], s) }},
+		{"neither", func(s *loadtest.Stretch) float64 {
 			n := int64(0)
 			for k, v := range s.Outcomes {
 				if k != "served" && k != "refused" {
@@ -209,7 +209,7 @@
 			}
 			return rate(n, s)
 		}},
-		{"came again", func(s *load.Stretch) float64 { return rate(s.Back, s) }},
+		{"came again", func(s *loadtest.Stretch) float64 { return rate(s.Back, s) }},
 	} {
 		if err := add(p, l.name, i, i == 0, series(r, l.of)); err != nil {
 			return nil, err
@@ -218,12 +218,12 @@
 	return p, marks(p, r)
 }
 
-func overTime(r *load.Result) (*plot.Plot, error) {
+func overTime(r *loadtest.Result) (*plot.Plot, error) {
 	p := newPlot("s", "ms")
 	for i, l := range []struct {
 		name string
-		of   func(s *load.Stretch) float64
-	}{{"p50", func(s *load.Stretch) float64 { return s.P50 }}, {"p99", func(s *load.Stretch) float64 { return s.P99 }}} {
+		of   func(s *loadtest.Stretch) float64
+	}{{"p50", func(s *loadtest.Stretch) float64 { return s.P50 }}, {"p99", func(s *loadtest.Stretch) float64 { return s.P99 }}} {
 		if err := add(p, l.name, i, false, series(r, l.of)); err != nil {
 			return nil, err
 		}
@@ -231,25 +231,25 @@
 	return p, marks(p, r)
 }
 
-func standing(r *load.Result) (*plot.Plot, error) {
+func standing(r *loadtest.Result) (*plot.Plot, error) {
 	p := newPlot("s", "connections")
-	if err := add(p, "open", 0, false, series(r, func(s *load.Stretch) float64 { return float64(s.Open) })); err != nil {
+	if err := add(p, "open", 0, false, series(r, func(s *loadtest.Stretch) float64 { return float64(s.Open) })); err != nil {
 		return nil, err
 	}
 	return p, marks(p, r)
 }
 
 // start draws what the list service and the hosts saw from the moment at which the fleet was started.
-func start(r *load.Result) (*plot.Plot, error) {
+func start(r *loadtest.Result) (*plot.Plot, error) {
 	p := newPlot("s", "in 100 ms")
 	for i, l := range []struct {
 		name string
-		of   func(s *rig.Step) int
+		of   func(s *testcluster.Step) int
 	}{
-		{"calls to the list service", func(s *rig.Step) int { return s.Calls }},
-		{"of them turned away", func(s *rig.Step) int { return s.Turned }},
-		{"set-ups at all hosts", func(s *rig.Step) int { return s.SetUps }},
-		{"most at one host", func(s *rig.Step) int { return s.Most }},
+		{"calls to the list service", func(s *testcluster.Step) int { return s.Calls }},
+		{"of them turned away", func(s *testcluster.Step) int { return s.Turned }},
+		{"set-ups at all hosts", func(s *testcluster.Step) int { return s.SetUps }},
+		{"most at one host", func(s *testcluster.Step) int { return s.Most }},
 	} {
 		var points plotter.XYs
 		for k := range r.Start {
@@ -267,7 +267,7 @@
 const mostMarks = 40
 
 // marks draws what happened to the fleet as upright lines.
-func marks(p *plot.Plot, r *load.Result) error {
+func marks(p *plot.Plot, r *loadtest.Result) error {
 	top := p.Y.Max
 	p.Y.Min, p.Y.Max = 0, max(top, 1)*headroom
 	for i, m := range r.Marks {
--- a/internal/load/play.go
+++ b/internal/loadtest/play.go
@@ -1,4 +1,4 @@
-package load
+package loadtest
 
 import (
 	"context"
@@ -9,8 +9,8 @@
 	"sync"
 	"time"
 
-	"onyxstream/internal/rig"
-	"onyxstream/internal/stand"
+	"onyxstream/internal/fakeserver"
+	"onyxstream/internal/testcluster"
 	"onyxstream/internal/tomlfile"
 )
 
@@ -44,10 +44,10 @@
 }
 
 // wrong counts receipts that no host gave for that connection.
-func (r *receipts) wrong(recs []stand.Record) (n int64) {
+func (r *receipts) wrong(recs []fakeserver.Record) (n int64) {
 	given := map[string]bool{}
 	for _, x := range recs {
-		if x.What == stand.Up {
+		if x.What == fakeserver.Up {
 			given[x.ID+" "+x.Note] = true
 		}
 	}
@@ -80,7 +80,7 @@
 		}
 		cfg.Source, cfg.Length = t, time.Duration(float64(sum.Length)/o.Speed)
 	}
-	var r *rig.Rig
+	var r *testcluster.Rig
 	rec := &receipts{byID: map[string]string{}}
 	switch {
 	case len(o.Targets) > 0:
@@ -105,7 +105,7 @@
 		defer func() { err = errors.Join(err, finish()) }()
 	}
 	var began time.Duration
-	before := rig.Usage{}
+	before := testcluster.Usage{}
 	if r != nil {
 		cfg.Begin = func() {
 			began, before = r.Clock.Now(), r.Usage()
@@ -128,21 +128,21 @@
 		res.Nodes = &u
 		recs, lost := r.Ledger.Records()
 		res.told(recs, began)
-		list := rig.Counted(recs)
-		res.List, res.Start = &list, rig.Steps(recs, r.Launched())
+		list := testcluster.Counted(recs)
+		res.List, res.Start = &list, testcluster.Steps(recs, r.Launched())
 		if lost == 0 {
 			res.Wrong = rec.wrong(recs)
 		}
 		if o.Ledger != nil {
-			err = errors.Join(err, stand.WriteRecords(o.Ledger, r.Clock, recs, lost))
+			err = errors.Join(err, fakeserver.WriteRecords(o.Ledger, r.Clock, recs, lost))
 		}
 	}
 	return res, err
 }
 
 // Start starts the scenario's fleet.
-func (s *Scenario) Start(ctx context.Context, o PlayOptions) (*rig.Rig, error) {
-	return rig.Start(ctx, *s.Fleet, rig.Options{Program: o.Program, Log: o.NodeLog, Seed: s.Seed, Classes: s.classNames(),
+func (s *Scenario) Start(ctx context.Context, o PlayOptions) (*testcluster.Rig, error) {
+	return testcluster.Start(ctx, *s.Fleet, testcluster.Options{Program: o.Program, Log: o.NodeLog, Seed: s.Seed, Classes: s.classNames(),
 		Tenants: names(s.Tenants)})
 }
 
@@ -192,14 +192,14 @@
 }
 
 // told takes what the stand-ins saw into the result.
-func (r *Result) told(recs []stand.Record, began time.Duration) {
+func (r *Result) told(recs []fakeserver.Record, began time.Duration) {
 	at := map[string]int{}
 	for _, x := range recs {
 		switch {
-		case x.What == stand.Fault || x.What == stand.In || x.What == stand.Out:
+		case x.What == fakeserver.Fault || x.What == fakeserver.In || x.What == fakeserver.Out:
 			if x.At >= began {
 				r.Marks = append(r.Marks, Mark{(x.At - began).Seconds(), x.Who, strings.TrimSpace(x.Note + map[string]string{
-					stand.In: " is dealt clients", stand.Out: " is dealt none"}[x.What])})
+					fakeserver.In: " is dealt clients", fakeserver.Out: " is dealt none"}[x.What])})
 			}
 		case strings.HasPrefix(x.Who, "h"):
 			i, ok := at[x.Who]
--- a/internal/load/result.go
+++ b/internal/loadtest/result.go
@@ -1,4 +1,4 @@
-package load
+package loadtest
 
 import (
 	"encoding/json"
@@ -13,7 +13,7 @@
 
 	"github.com/google/renameio/v2"
 
-	"onyxstream/internal/rig"
+	"onyxstream/internal/testcluster"
 )
 
 // Result is what came of a run. It holds what it takes to play it again, and to compare it.
@@ -33,21 +33,21 @@
 	Behind   string    `json:"behind,omitempty"`
 	Why      string    `json:"why,omitempty"`
 
-	Lateness Summary        `json:"lateness"` // of the generator itself
-	Wake     Summary        `json:"wake"`     // how late it was woken when it slept: in every latency
-	Classes  []ClassResult  `json:"classes"`
-	Line     []Stretch      `json:"line"`
-	Marks    []Mark         `json:"marks,omitempty"`
-	Wrong    int64          `json:"wrong_receipts"` // that no host gave for that connection: never above 0
-	Nodes    *rig.Usage     `json:"nodes,omitempty"`
-	Hosts    []HostCount    `json:"hosts,omitempty"`
-	List     *rig.ListCount `json:"list,omitempty"`  // what the list service saw
-	Start    []rig.Step     `json:"start,omitempty"` // the start of the fleet, from before the load began
-	Self     rig.Usage      `json:"self"`            // the generator's process, with the stand-ins that run in it
+	Lateness Summary                `json:"lateness"` // of the generator itself
+	Wake     Summary                `json:"wake"`     // how late it was woken when it slept: in every latency
+	Classes  []ClassResult          `json:"classes"`
+	Line     []Stretch              `json:"line"`
+	Marks    []Mark                 `json:"marks,omitempty"`
+	Wrong    int64                  `json:"wrong_receipts"` // that no host gave for that connection: never above 0
+	Nodes    *testcluster.Usage     `json:"nodes,omitempty"`
+	Hosts    []HostCount            `json:"hosts,omitempty"`
+	List     *testcluster.ListCount `json:"list,omitempty"`  // what the list service saw
+	Start    []testcluster.Step     `json:"start,omitempty"` // the start of the fleet, from before the load began
+	Self     testcluster.Usage      `json:"self"`            // the generator's process, with the stand-ins that run in it
 }
 
 // self is what this process has taken so far.
-func self() (u rig.Usage) {
+func self() (u testcluster.Usage) {
 	var r syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &r) == nil {
 		u.CPU = time.Duration(r.Utime.Nano() + r.Stime.Nano())
--- a/internal/load/scenario.go
+++ b/internal/loadtest/scenario.go
@@ -1,32 +1,32 @@
-// Package load is an open-loop load generator for long-lived connections. What is meant to be sent, and when, is a
+// Package loadtest is an open-loop load generator for long-lived connections. What is meant to be sent, and when, is a
 // pure function of a scenario and a seed; the engine sends it then, whatever became of what was sent before, and
 // counts every latency from that moment.
-package load
+package loadtest
 
 import (
 	"time"
 
-	"onyxstream/internal/rig"
+	"onyxstream/internal/testcluster"
 	"onyxstream/internal/tomlfile"
 )
 
 // Scenario is a load and, where it has one, the fleet that it is put on.
 type Scenario struct {
-	Name     string          `toml:"name"`
-	Seed     uint64          `toml:"seed"`
-	Requests Requests        `toml:"requests"`
-	Phases   []Phase         `toml:"phase"`
-	Classes  []Class         `toml:"class"`
-	Tenants  []Share         `toml:"tenant"`
-	Zones    []Share         `toml:"zone"`
-	Keys     Draw            `toml:"keys"`
-	Groups   Draw            `toml:"groups"`
-	Clients  Clients         `toml:"clients"`
-	Waves    []Wave          `toml:"wave"`
-	Standing Standing        `toml:"standing"`
-	Limits   Limits          `toml:"limits"`
-	Fleet    *rig.Fleet      `toml:"fleet"`
-	Faults   []rig.FaultSpec `toml:"fault"`
+	Name     string                  `toml:"name"`
+	Seed     uint64                  `toml:"seed"`
+	Requests Requests                `toml:"requests"`
+	Phases   []Phase                 `toml:"phase"`
+	Classes  []Class                 `toml:"class"`
+	Tenants  []Share                 `toml:"tenant"`
+	Zones    []Share                 `toml:"zone"`
+	Keys     Draw                    `toml:"keys"`
+	Groups   Draw                    `toml:"groups"`
+	Clients  Clients                 `toml:"clients"`
+	Waves    []Wave                  `toml:"wave"`
+	Standing Standing                `toml:"standing"`
+	Limits   Limits                  `toml:"limits"`
+	Fleet    *testcluster.Fleet      `toml:"fleet"`
+	Faults   []testcluster.FaultSpec `toml:"fault"`
 }
 
 // Requests says how arrivals are spaced and sent.
@@ -150,9 +150,9 @@
 	return s.Fleet.CheckFaults(s.Faults)
 }
 
-func (s *Scenario) classNames() (out []rig.ClassSpec) {
+func (s *Scenario) classNames() (out []testcluster.ClassSpec) {
 	for _, c := range s.Classes {
-		out = append(out, rig.ClassSpec{Name: c.Name, Deadline: c.Deadline.D()})
+		out = append(out, testcluster.ClassSpec{Name: c.Name, Deadline: c.Deadline.D()})
 	}
 	return out
 }
--- a/internal/load/tap.go
+++ b/internal/loadtest/tap.go
@@ -1,4 +1,4 @@
-package load
+package loadtest
 
 import (
 	"bytes"
--- a/internal/node/ending.go
+++ b/internal/node/ending.go
@@ -5,7 +5,7 @@
 
 	"go.uber.org/zap"
 
-	"onyxstream/brain"
+	"onyxstream/balancer"
 )
 
 // A node that is told to stop is gone at a time that the platform sets, whatever patience its clients have: one who
@@ -48,7 +48,7 @@
 			after = c.SetupAim
 		}
 	}
-	n.decide(brain.Leave{On: true, By: n.now(), Shut: n.now(), After: after, Stay: true})
+	n.decide(balancer.Leave{On: true, By: n.now(), Shut: n.now(), After: after, Stay: true})
 	for id, r := range n.reqs {
 		if r.out && !r.up && !r.answered {
 			r.port.Cancel(r.attempts - 1)
@@ -59,12 +59,12 @@
 
 // closeUp answers a request that the module still holds back once the node has ended, as it may with what is mid-flow
 // and waits for its turn: no turn of it comes any more.
-func (n *Node) closeUp(id brain.RequestID, r *request) {
+func (n *Node) closeUp(id balancer.RequestID, r *request) {
 	if !n.ended || r == nil || r.answered || r.out || n.reqs[id] != r {
 		return
 	}
 	n.answer(r)
 	r.port.Fail()
-	n.decide(brain.ClientGone{ID: id})
+	n.decide(balancer.ClientGone{ID: id})
 	n.drop(id, r)
 }
--- a/internal/node/ending_test.go
+++ b/internal/node/ending_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"onyxstream/brain"
+	"onyxstream/balancer"
 	"onyxstream/internal/wire"
 )
 
@@ -26,7 +26,7 @@
 	n.conclude()
 	n.take(event{kind: evConnected, id: "dials"})
 	for _, id := range []string{"waits", "dials", "mid"} {
-		n.take(settled(id, 0, brain.Cancelled))
+		n.take(settled(id, 0, balancer.Cancelled))
 	}
 	late := arrive(t, n, "late")
 	for name, p := range map[string]*port{"waits": waits, "dials": dials, "mid": mid, "late": late} {
--- a/internal/node/events.go
+++ b/internal/node/events.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"onyxstream/brain"
+	"onyxstream/balancer"
 	"onyxstream/internal/coldstart"
 	"onyxstream/internal/wire"
 )
@@ -40,10 +40,10 @@
 
 type event struct {
 	kind    kind
-	id      brain.RequestID
+	id      balancer.RequestID
 	attempt int
 	took    time.Duration
-	outcome brain.Outcome
+	outcome balancer.Outcome
 	load    float64
 	port    ClientConn
 	opening *wire.Opening
@@ -74,7 +74,7 @@
 
 // Arrive tells of a client's first line; until is when the client stops waiting.
 func (n *Node) Arrive(o *wire.Opening, until time.Time, p ClientConn) {
-	n.post(event{kind: evArrive, id: brain.RequestID(o.ID), opening: o, until: until, port: p})
+	n.post(event{kind: evArrive, id: balancer.RequestID(o.ID), opening: o, until: until, port: p})
 }
 
 // Whatever a connection tells of its request, it tells with its own port: the id is the client's to choose, and a
@@ -82,38 +82,38 @@
 
 // Inherit tells of a connection that stood at its host before the run and is up there again; Resume came before.
 func (n *Node) Inherit(o *wire.Opening, p ClientConn) {
-	n.post(event{kind: evInherit, id: brain.RequestID(o.ID), opening: o, port: p})
+	n.post(event{kind: evInherit, id: balancer.RequestID(o.ID), opening: o, port: p})
 }
 
 // Connected asks whether an attempt whose connection has come up may still be written.
-func (n *Node) Connected(id brain.RequestID, p ClientConn, attempt int) {
+func (n *Node) Connected(id balancer.RequestID, p ClientConn, attempt int) {
 	n.post(event{kind: evConnected, id: id, port: p, attempt: attempt})
 }
 
 // Opened tells that a host has taken the connection.
-func (n *Node) Opened(id brain.RequestID, p ClientConn, attempt int, took time.Duration) {
+func (n *Node) Opened(id balancer.RequestID, p ClientConn, attempt int, took time.Duration) {
 	n.post(event{kind: evOpened, id: id, port: p, attempt: attempt, took: took})
 }
 
 // Settled tells how an attempt ended; its connection must be closed by then.
-func (n *Node) Settled(id brain.RequestID, p ClientConn, attempt int, took time.Duration, outcome brain.Outcome) {
+func (n *Node) Settled(id balancer.RequestID, p ClientConn, attempt int, took time.Duration, outcome balancer.Outcome) {
 	e := settledEvent(id, attempt, outcome)
 	e.took, e.port = took, p
 	n.post(e)
 }
 
-func settledEvent(id brain.RequestID, attempt int, outcome brain.Outcome) event {
+func settledEvent(id balancer.RequestID, attempt int, outcome balancer.Outcome) event {
 	return event{kind: evSettled, id: id, attempt: attempt, outcome: outcome}
 }
 
 // Load tells a connection's load.
-func (n *Node) Load(id brain.RequestID, p ClientConn, load float64) {
+func (n *Node) Load(id balancer.RequestID, p ClientConn, load float64) {
 	n.post(event{kind: evLoad, id: id, port: p, load: load})
 }
 
 // Gone tells that nothing more is owed to a client, and how many sends its connection has taken: a later one
 // is on its way to no one, and is settled here.
-func (n *Node) Gone(id brain.RequestID, p ClientConn, taken int) {
+func (n *Node) Gone(id balancer.RequestID, p ClientConn, taken int) {
 	n.post(event{kind: evGone, id: id, port: p, attempt: taken})
 }
 
@@ -127,7 +127,7 @@
 // known yet; false where its id is held already, or the loop has ended. Inherit or Gone must follow.
 func (n *Node) Resume(o *wire.Opening, p ClientConn) (addr string, ok bool) {
 	reply := make(chan place, 1)
-	n.post(event{kind: evResume, id: brain.RequestID(o.ID), opening: o, port: p, reply: reply})
+	n.post(event{kind: evResume, id: balancer.RequestID(o.ID), opening: o, port: p, reply: reply})
 	select {
 	case at := <-reply:
 		return at.addr, at.ok
@@ -160,8 +160,8 @@
 
 // Pinged tells what a message took at a host, or that no answer came in that time; below 0 where the host could
 // not be asked, which says nothing of its messages.
-func (n *Node) Pinged(id brain.ServerID, took time.Duration) {
-	n.post(event{kind: evPinged, id: brain.RequestID(id), took: took})
+func (n *Node) Pinged(id balancer.ServerID, took time.Duration) {
+	n.post(event{kind: evPinged, id: balancer.RequestID(id), took: took})
 }
 
 // MoveAll sends all clients away, spread evenly over the time there is.
--- a/internal/node/facts.go
+++ b/internal/node/facts.go
@@ -5,13 +5,13 @@
 	"slices"
 	"time"
 
-	"onyxstream/brain"
+	"onyxstream/balancer"
 )
 
 // Fact is what this node has learnt of a host that another process of it could learn only anew, and worse: the shortest
 // ping of a host is not seen while it is under load, and all later ones are held against it.
 type Fact struct {
-	Host  brain.ServerID
+	Host  balancer.ServerID
 	Since int64 // its start, as listed, Unix time in milliseconds
 	Best  time.Duration
 }
--- a/internal/node/guard.go
+++ b/internal/node/guard.go
@@ -7,7 +7,7 @@
 
 	"go.uber.org/zap"
 
-	"onyxstream/brain"
+	"onyxstream/balancer"
 	"onyxstream/internal/invariant"
 )
 
@@ -60,7 +60,7 @@
 	if r.on == nil {
 		return
 	}
-	s := invariant.Send{Request: string(e.id), Host: string(r.on.id), At: e.at, Draining: r.on.state != brain.Live, ToldAt: r.on.toldAt,
+	s := invariant.Send{Request: string(e.id), Host: string(r.on.id), At: e.at, Draining: r.on.state != balancer.Live, ToldAt: r.on.toldAt,
 		Grace: n.set.DrainGrace, MayHaveRun: r.mayHave}
 	if r.class >= 0 {
 		c := n.set.Classes[r.class]
@@ -114,7 +114,7 @@
 }
 
 // gaveUp notes why a request is refused or failed.
-func (n *Node) gaveUp(id brain.RequestID, r *request, refused bool, why brain.Reason) {
+func (n *Node) gaveUp(id balancer.RequestID, r *request, refused bool, why balancer.Reason) {
 	n.givenUp[why]++
 	n.log.Debug("a request is given up", zap.String("request", string(id)), zap.Bool("refused", refused), zap.String("why", string(why)),
 		zap.Int("attempts", r.attempts))
@@ -124,6 +124,6 @@
 func (n *Node) Monitor() *invariant.Monitor { return n.monitor }
 
 // Written tells of a line that was written to its end; at is just before its first byte.
-func (n *Node) Written(id brain.RequestID, p ClientConn, attempt int, at time.Time) {
+func (n *Node) Written(id balancer.RequestID, p ClientConn, attempt int, at time.Time) {
 	n.post(event{kind: evWritten, id: id, port: p, attempt: attempt, at: at})
 }
--- a/internal/node/guard_test.go
+++ b/internal/node/guard_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"onyxstream/brain"
+	"onyxstream/balancer"
 	"onyxstream/internal/invariant"
 	"onyxstream/internal/wire"
 )
@@ -24,10 +24,10 @@
 		{"the node has ended", func(n *Node, _ *request) { n.ended = true }, denyEnded},
 		{"the node drains", func(n *Node, _ *request) { n.shutAt = long }, denyDraining},
 		{"the node drains, mid-flow", func(n *Node, r *request) { n.shutAt, r.mid = long, true }, ""},
-		{"the host drains", func(_ *Node, r *request) { r.on.state, r.on.toldAt = brain.Draining, long }, denyHost},
-		{"the host has just begun to drain", func(_ *Node, r *request) { r.on.state, r.on.toldAt = brain.Draining, time.Now() }, ""},
+		{"the host drains", func(_ *Node, r *request) { r.on.state, r.on.toldAt = balancer.Draining, long }, denyHost},
+		{"the host has just begun to drain", func(_ *Node, r *request) { r.on.state, r.on.toldAt = balancer.Draining, time.Now() }, ""},
 		{"an unsafe one that may have run", func(n *Node, r *request) {
-			n.set.Classes[0].Effect, r.mayHave = brain.Unsafe, long
+			n.set.Classes[0].Effect, r.mayHave = balancer.Unsafe, long
 		}, denyRepeat},
 	} {
 		n, _, _ := held(t, entry("a", wire.Serving))
@@ -49,10 +49,10 @@
 	}{
 		{"a right one", func(*Node, *request) {}, nil},
 		{"to a drained host", func(n *Node, r *request) {
-			r.on.state, r.on.toldAt = brain.Gone, time.Now().Add(-n.set.DrainGrace-time.Millisecond)
+			r.on.state, r.on.toldAt = balancer.Gone, time.Now().Add(-n.set.DrainGrace-time.Millisecond)
 		}, map[invariant.Rule]uint64{invariant.SentToDrained: 1}},
 		{"a repeat", func(n *Node, r *request) {
-			n.set.Classes[0].Effect, r.mayHave = brain.Unsafe, time.Now()
+			n.set.Classes[0].Effect, r.mayHave = balancer.Unsafe, time.Now()
 		}, map[invariant.Rule]uint64{invariant.RepeatedUnsafely: 1}},
 		{"beside another", func(_ *Node, r *request) { r.attempts++ }, map[invariant.Rule]uint64{invariant.SecondCopy: 1}},
 	} {
@@ -78,7 +78,7 @@
 		want  bool
 	}{{"at once", 0, 0, true}, {"spread", 0, 200 * time.Millisecond, false}, {"warm", time.Hour, 0, false}} {
 		n, _, _ := held(t, entry("a", wire.Serving))
-		n.set.Tenants = []brain.Tenant{{Connections: 5}}
+		n.set.Tenants = []balancer.Tenant{{Connections: 5}}
 		n.set.WarmWithin = 10 * time.Second
 		arrive(t, n, "r")
 		r, now := n.reqs["r"], time.Now()
--- a/internal/node/list_test.go
+++ b/internal/node/list_test.go
@@ -8,18 +8,18 @@
 
 	"go.uber.org/zap"
 
-	"onyxstream/brain"
+	"onyxstream/balancer"
 	"onyxstream/internal/wire"
 )
 
 func TestCompleteListDropsWhatItLacks(t *testing.T) {
 	n, _, _ := held(t, entry("s1", wire.Serving), entry("s2", wire.Serving))
 	n.take(event{kind: evList, list: &wire.Catalog{Revision: 8, Complete: true, Members: []wire.Member{entry("s2", wire.Serving)}}})
-	if n.members["s1"].state != brain.Gone || n.members["s2"].state != brain.Live || n.revision != 8 {
+	if n.members["s1"].state != balancer.Gone || n.members["s2"].state != balancer.Live || n.revision != 8 {
 		t.Errorf("s1 %v, s2 %v, revision %d", n.members["s1"].state, n.members["s2"].state, n.revision)
 	}
 	n.members["s1"].toldAt = time.Now().Add(-2 * forgetAfter)
-	n.list(&wire.Catalog{Revision: 9}, brain.ListChange, false)
+	n.list(&wire.Catalog{Revision: 9}, balancer.ListChange, false)
 	if n.members["s1"] != nil {
 		t.Error("a host gone for long is kept")
 	}
@@ -44,7 +44,7 @@
 	w := &world{}
 	n := New(set, wire.Catalog{Revision: 7}, "d:1", w, zap.NewNop())
 	time.Sleep(time.Millisecond)
-	n.decide(brain.Timer{Token: "sweep"})
+	n.decide(balancer.Timer{Token: "sweep"})
 	if len(w.watches) != 1 || w.watches[0] != (Call{1, "d:1", 7}) {
 		t.Fatalf("watches %v, want one from version 7", w.watches)
 	}
@@ -75,7 +75,7 @@
 	serves("the-old-watch-has-ended")
 	// What the old one wrote was told and holds, its version does not.
 	n.take(event{kind: evList, call: 1, list: &wire.Catalog{Revision: 900, Members: []wire.Member{entry("s1", wire.Draining)}}})
-	if n.revision != Whole || n.members["s1"].state != brain.Draining {
+	if n.revision != Whole || n.members["s1"].state != balancer.Draining {
 		t.Errorf("revision %d, s1 %v", n.revision, n.members["s1"].state)
 	}
 	n.take(event{kind: evWatchFailed, call: 3})
@@ -89,7 +89,7 @@
 	if got := w.watches[len(w.watches)-1]; got != (Call{5, "d:3", 2}) {
 		t.Errorf("after the list asked %v", got)
 	}
-	if n.members["s2"].state != brain.Gone || n.members["s1"].state != brain.Live {
+	if n.members["s2"].state != balancer.Gone || n.members["s1"].state != balancer.Live {
 		t.Error("the whole list does not hold")
 	}
 	serves("with-the-new-list")
--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -6,17 +6,17 @@
 
 	"go.uber.org/zap"
 
-	"onyxstream/brain"
+	"onyxstream/balancer"
 	"onyxstream/internal/wire"
 )
 
 // member is a host as the node knows it.
 type member struct {
-	id     brain.ServerID
+	id     balancer.ServerID
 	addr   string
 	since  int64         // its last start, as listed
 	start  time.Duration // the same by the node's clock, as reckoned when it was told; 0 for long ago
-	state  brain.ServerState
+	state  balancer.ServerState
 	toldAt time.Time   // when it was told to drain or be gone
 	listed wire.Member // as the list has it
 	out    bool        // the list does not have it any more
@@ -25,39 +25,39 @@
 
 	// How messages fare there, see pulse.
 	took   []time.Duration
-	some   brain.RequestID // one of the connections that stand there, "" for none
-	pinged time.Time       // when the ping went out that has no answer yet
-	slow   bool            // the last note was over the bound
-	rest   bool            // no ping this second: one every other will do while it is well
-	best   time.Duration   // the shortest ping so far, 0 for none
-	doubt  time.Duration   // a slow ping that another is to confirm, 0 for none
-	pile   time.Duration   // what is reckoned to be piled up there
+	some   balancer.RequestID // one of the connections that stand there, "" for none
+	pinged time.Time          // when the ping went out that has no answer yet
+	slow   bool               // the last note was over the bound
+	rest   bool               // no ping this second: one every other will do while it is well
+	best   time.Duration      // the shortest ping so far, 0 for none
+	doubt  time.Duration      // a slow ping that another is to confirm, 0 for none
+	pile   time.Duration      // what is reckoned to be piled up there
 }
 
 const (
 	// turnMargin is for the connection's own turn on a busy core, between the loop's word and the first byte.
 	turnMargin = 20 * time.Millisecond
 	// graceMargin is what must be left of a grace: the whole process may be held up in between as well.
-	graceMargin = brain.MaxHoldUp + turnMargin
+	graceMargin = balancer.MaxHoldUp + turnMargin
 	// repeatMargin is the same at the end of the time in which repeats are dropped, which allows for hold-ups.
 	repeatMargin = turnMargin
 	// forgetAfter is how long a member that is gone keeps its address, for attempts under way.
 	forgetAfter = time.Minute
 )
 
-var states = map[wire.Phase]brain.ServerState{
-	wire.Serving: brain.Live, wire.Draining: brain.Draining, wire.Deleted: brain.Gone,
+var states = map[wire.Phase]balancer.ServerState{
+	wire.Serving: balancer.Live, wire.Draining: balancer.Draining, wire.Deleted: balancer.Gone,
 }
 
 // list takes in news of the hosts and tells the module; behind says that a later call to discovery was made.
-func (n *Node) list(c *wire.Catalog, kind brain.ListKind, behind bool) {
+func (n *Node) list(c *wire.Catalog, kind balancer.ListKind, behind bool) {
 	now := time.Now()
 	n.observeClock(now)
 	c = n.bounded(c)
-	ev := brain.ListEvent{Kind: kind, Version: c.Revision, Behind: behind, Servers: make([]brain.Server, 0, len(c.Members))}
-	named := make(map[brain.ServerID]bool, len(c.Members))
+	ev := balancer.ListEvent{Kind: kind, Version: c.Revision, Behind: behind, Servers: make([]balancer.Server, 0, len(c.Members))}
+	named := make(map[balancer.ServerID]bool, len(c.Members))
 	for _, e := range c.Members {
-		id := brain.ServerID(e.ID)
+		id := balancer.ServerID(e.ID)
 		named[id] = true
 		m := n.members[id]
 		if m == nil {
@@ -70,7 +70,7 @@
 		}
 		m.listed, m.out = e, e.Phase == wire.Deleted
 		m.tell(n.worded(id, states[e.Phase]), now)
-		s := brain.Server{ID: id, Zone: -1, Cell: e.Cell, State: m.state, Weight: e.Size,
+		s := balancer.Server{ID: id, Zone: -1, Cell: e.Cell, State: m.state, Weight: e.Size,
 			Since: max(m.start, n.returning[id], n.guessed), Guess: n.guessed > 0, Shun: n.unreachableFor(id)}
 		if z, ok := n.zones[e.Zone]; ok {
 			s.Zone = z
@@ -78,11 +78,11 @@
 		ev.Servers = append(ev.Servers, s)
 	}
 	for id, m := range n.members {
-		if (kind == brain.ListFull || kind == brain.ListCached) && !named[id] {
-			m.tell(brain.Gone, now)
+		if (kind == balancer.ListFull || kind == balancer.ListCached) && !named[id] {
+			m.tell(balancer.Gone, now)
 			m.out = true
 		}
-		if m.state == brain.Gone && now.Sub(m.toldAt) > forgetAfter {
+		if m.state == balancer.Gone && now.Sub(m.toldAt) > forgetAfter {
 			delete(n.members, id)
 		}
 	}
@@ -91,8 +91,8 @@
 }
 
 // tell notes a member's state; the grace runs from the first word that it leaves.
-func (m *member) tell(state brain.ServerState, now time.Time) {
-	if m.state == brain.Live && state != brain.Live {
+func (m *member) tell(state balancer.ServerState, now time.Time) {
+	if m.state == balancer.Live && state != balancer.Live {
 		m.toldAt = now
 	}
 	m.state = state
@@ -101,7 +101,7 @@
 // sendable reports whether the rules still let a line be sent to a member: the dial may have taken
 // longer than the grace had left.
 func (n *Node) sendable(m *member) bool {
-	return m.state == brain.Live || time.Since(m.toldAt) < n.set.DrainGrace-graceMargin
+	return m.state == balancer.Live || time.Since(m.toldAt) < n.set.DrainGrace-graceMargin
 }
 
 // repeatable reports whether an attempt may still be written where an earlier one may have run: the module chose it within
@@ -111,9 +111,9 @@
 		return true
 	}
 	switch c := n.set.Classes[r.class]; c.Effect {
-	case brain.Safe:
+	case balancer.Safe:
 		return true
-	case brain.Keyed:
+	case balancer.Keyed:
 		return time.Since(r.mayHave) < c.Window-repeatMargin
 	}
 	return false
@@ -190,7 +190,7 @@
 // is piled up. Elsewhere the middle one of the second's messages counts: one that met a hiccup of this
 // machine is no news of the host.
 func (n *Node) measure(now time.Time) {
-	var ids []brain.ServerID // of hosts at which clients stand: of a large fleet they are few
+	var ids []balancer.ServerID // of hosts at which clients stand: of a large fleet they are few
 	for id, m := range n.members {
 		if m.some != "" {
 			ids = append(ids, id)
@@ -286,7 +286,7 @@
 func (n *Node) note(m *member, took time.Duration) {
 	was := m.slow
 	if m.slow = took > n.slowFrom; (m.slow || was) && m.some != "" {
-		n.decide(brain.SlowNote{ID: m.some, Message: took})
+		n.decide(balancer.SlowNote{ID: m.some, Message: took})
 	}
 }
 
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -12,7 +12,7 @@
 
 	"go.uber.org/zap"
 
-	"onyxstream/brain"
+	"onyxstream/balancer"
 	"onyxstream/internal/invariant"
 	"onyxstream/internal/settings"
 	"onyxstream/internal/wire"
@@ -32,7 +32,7 @@
 // Attempt is what a connection needs to know of a send.
 type Attempt struct {
 	N       int
-	Host    brain.ServerID
+	Host    balancer.ServerID
 	Addr    string
 	Timeout time.Duration
 }
@@ -46,8 +46,8 @@
 
 // Effects is what the loop needs of the sockets beside its ports. None of it may block.
 type Effects interface {
-	Watch(Call)                               // ask discovery for the list, and follow it
-	Ping(id brain.ServerID, addr string) bool // time a message at a host; false where none is sent
+	Watch(Call)                                  // ask discovery for the list, and follow it
+	Ping(id balancer.ServerID, addr string) bool // time a message at a host; false where none is sent
 }
 
 // Call is a question to discovery that lasts: for what changed after a version, or for the whole list where
@@ -64,7 +64,7 @@
 // Node is the memory of one node.
 type Node struct {
 	set     settings.Settings
-	brain   *brain.Brain
+	brain   *balancer.Brain
 	outside Effects
 	log     *zap.Logger
 	monitor *invariant.Monitor
@@ -72,9 +72,9 @@
 	events  chan event
 	done    chan struct{}
 
-	queue   []brain.Event // not yet handled by the module
-	reqs    map[brain.RequestID]*request
-	members map[brain.ServerID]*member
+	queue   []balancer.Event // not yet handled by the module
+	reqs    map[balancer.RequestID]*request
+	members map[balancer.ServerID]*member
 	classes map[string]int
 	tenants map[string]int
 	zones   map[string]int
@@ -96,15 +96,15 @@
 	ending
 
 	owed, open atomic.Int64
-	givenUp    map[brain.Reason]int // requests that were refused or failed, by why; the loop's own
+	givenUp    map[balancer.Reason]int // requests that were refused or failed, by why; the loop's own
 }
 
 // New makes a node that knows its settings, the list as it was last held, and where to ask for it.
 func New(set settings.Settings, known wire.Catalog, discovery string, outside Effects, log *zap.Logger) *Node {
-	n := &Node{set: set, brain: brain.New(set.Settings), outside: outside, log: log, monitor: invariant.NewMonitor(log), base: time.Now(), discovery: discovery,
+	n := &Node{set: set, brain: balancer.New(set.Settings), outside: outside, log: log, monitor: invariant.NewMonitor(log), base: time.Now(), discovery: discovery,
 		events: make(chan event, 1024), done: make(chan struct{}),
-		reqs: map[brain.RequestID]*request{}, givenUp: map[brain.Reason]int{}, members: map[brain.ServerID]*member{},
-		orders: orders{overrides: map[brain.ServerID]bool{}, returning: map[brain.ServerID]time.Duration{}}, starting: starting{empty: make(chan struct{}), dead: map[string]time.Time{}},
+		reqs: map[balancer.RequestID]*request{}, givenUp: map[balancer.Reason]int{}, members: map[balancer.ServerID]*member{},
+		orders: orders{overrides: map[balancer.ServerID]bool{}, returning: map[balancer.ServerID]time.Duration{}}, starting: starting{empty: make(chan struct{}), dead: map[string]time.Time{}},
 		classes: index(set.ClassNames), tenants: index(set.TenantNames), zones: index(set.ZoneNames)}
 	// The simulator tells of messages that take over a third of the shortest aim, so the module expects that.
 	for _, c := range set.Classes {
@@ -112,7 +112,7 @@
 			n.slowFrom = from
 		}
 	}
-	n.list(&known, brain.ListCached, false)
+	n.list(&known, balancer.ListCached, false)
 	n.revision = known.Revision
 	return n
 }
@@ -163,7 +163,7 @@
 		}
 		now := n.now() // one reading: timers set meanwhile wait for the next turn
 		for token, due := n.timers.next(now); due; token, due = n.timers.next(now) {
-			n.guard(func() { n.decide(brain.Timer{Token: token}) })
+			n.guard(func() { n.decide(balancer.Timer{Token: token}) })
 		}
 		if n.callIn() == 0 {
 			n.guard(n.ask)
@@ -217,9 +217,9 @@
 func (n *Node) takeList(e event) {
 	switch e.kind {
 	case evList:
-		kind := brain.ListChange
+		kind := balancer.ListChange
 		if e.list.Complete {
-			kind = brain.ListFull
+			kind = balancer.ListFull
 		}
 		n.list(e.list, kind, e.call != n.call)
 		if e.call == n.call { // a version of the discovery that was left means nothing to the one that is followed
@@ -246,19 +246,19 @@
 			return
 		}
 		if n.set.AskList {
-			n.decide(brain.ListEvent{Kind: brain.ListFailed, Version: n.revision})
+			n.decide(balancer.ListEvent{Kind: balancer.ListFailed, Version: n.revision})
 			return
 		}
 		n.watching, n.watchAt = false, time.Now().Add(rewatch(n.set.Index))
 	case evPinged:
-		if m := n.members[brain.ServerID(e.id)]; m != nil {
+		if m := n.members[balancer.ServerID(e.id)]; m != nil {
 			n.pinged(m, e.took)
 		}
 	}
 }
 
 // decide hands an event to the module and carries out its actions, and those of what follows from them.
-func (n *Node) decide(ev brain.Event) {
+func (n *Node) decide(ev balancer.Event) {
 	n.queue = append(n.queue, ev)
 	for i := 0; i < len(n.queue); i++ {
 		for _, a := range n.brain.Handle(n.now(), n.queue[i]) {
@@ -269,41 +269,41 @@
 	n.queue = n.queue[:0]
 }
 
-func (n *Node) act(a brain.Action) {
+func (n *Node) act(a balancer.Action) {
 	switch a := a.(type) {
-	case brain.Send:
+	case balancer.Send:
 		n.send(a)
-	case brain.Refuse:
+	case balancer.Refuse:
 		if r := n.reqs[a.ID]; r != nil && !r.answered {
 			n.answer(r)
 			n.gaveUp(a.ID, r, true, a.Why)
 			r.port.Refuse(a.RetryAfter)
 			n.drop(a.ID, r)
 		}
-	case brain.Fail:
+	case balancer.Fail:
 		if r := n.reqs[a.ID]; r != nil && !r.answered {
 			n.answer(r)
 			n.gaveUp(a.ID, r, false, a.Why)
 			r.port.Fail()
 			n.drop(a.ID, r)
 		}
-	case brain.Cancel:
+	case balancer.Cancel:
 		if r := n.reqs[a.ID]; r != nil && r.out && !r.up {
 			r.port.Cancel(a.Attempt)
 		}
-	case brain.Move:
+	case balancer.Move:
 		if r := n.reqs[a.ID]; r != nil {
 			n.move(r)
 		}
-	case brain.Wake:
+	case balancer.Wake:
 		n.timers.add(a.At, a.Token)
-	case brain.Watch:
+	case balancer.Watch:
 		if n.start != nil { // it paces the calls; the module wishes for one
 			n.ask()
 			return
 		}
 		n.watch()
-	case brain.Log:
+	case balancer.Log:
 		n.log.Info(a.Text)
 	}
 }
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -12,7 +12,7 @@
 	"go.uber.org/zap"
 	"go.uber.org/zap/zaptest/observer"
 
-	"onyxstream/brain"
+	"onyxstream/balancer"
 	"onyxstream/internal/settings"
 	"onyxstream/internal/wire"
 )
@@ -59,13 +59,13 @@
 // world records what the loop asks of the sockets beside its connections.
 type world struct {
 	watches []Call
-	pings   []brain.ServerID
+	pings   []balancer.ServerID
 	full    bool // no ping is sent any more
 }
 
 func (w *world) Watch(c Call) { w.watches = append(w.watches, c) }
 
-func (w *world) Ping(id brain.ServerID, _ string) bool {
+func (w *world) Ping(id balancer.ServerID, _ string) bool {
 	if w.full {
 		return false
 	}
@@ -75,10 +75,10 @@
 
 func testSettings() settings.Settings {
 	return settings.Settings{
-		Settings: brain.Settings{GroupSize: 1, AskList: true, MaxAttempts: 4, MayCancel: true, MaxRetryAfter: time.Second,
+		Settings: balancer.Settings{GroupSize: 1, AskList: true, MaxAttempts: 4, MayCancel: true, MaxRetryAfter: time.Second,
 			DrainGrace: 400 * time.Millisecond, WarmWithin: time.Second, ColdShare: 0.5, FallMultiple: 4,
 			FallWindow: time.Second, AskWithin: 10 * time.Second,
-			Classes: []brain.Class{{SetupAim: 300 * time.Millisecond, Deadline: 2 * time.Second,
+			Classes: []balancer.Class{{SetupAim: 300 * time.Millisecond, Deadline: 2 * time.Second,
 				MessageAim: 60 * time.Millisecond, Worth: 1}}},
 		ClassNames: []string{"chat"}, TenantNames: []string{"acme"}, ZoneNames: []string{"a", "b"}, Groups: true,
 	}
@@ -109,17 +109,17 @@
 func arrive(t *testing.T, n *Node, id string) *port {
 	t.Helper()
 	p := &port{}
-	n.take(event{kind: evArrive, id: brain.RequestID(id), opening: opening(t, "OPEN "+id+" key c=chat,t=acme,d=2000"),
+	n.take(event{kind: evArrive, id: balancer.RequestID(id), opening: opening(t, "OPEN "+id+" key c=chat,t=acme,d=2000"),
 		until: time.Now().Add(2 * time.Second), port: p})
 	return p
 }
 
-func settled(id string, n int, o brain.Outcome) event {
-	return event{kind: evSettled, id: brain.RequestID(id), attempt: n, outcome: o, took: time.Millisecond}
+func settled(id string, n int, o balancer.Outcome) event {
+	return event{kind: evSettled, id: balancer.RequestID(id), attempt: n, outcome: o, took: time.Millisecond}
 }
 
 func opened(id string, n int) event {
-	return event{kind: evOpened, id: brain.RequestID(id), attempt: n, took: time.Millisecond}
+	return event{kind: evOpened, id: balancer.RequestID(id), attempt: n, took: time.Millisecond}
 }
 
 func TestServeAndEnd(t *testing.T) {
@@ -134,7 +134,7 @@
 		t.Fatalf("%s; %d owed, %d open", p.heard(), n.Owed(), n.Open())
 	}
 	n.take(event{kind: evLoad, id: "r", load: 5})
-	n.take(settled("r", 0, brain.Served))
+	n.take(settled("r", 0, balancer.Served))
 	if n.Open() != 0 || len(n.reqs) != 0 {
 		t.Errorf("%d open, %d requests kept", n.Open(), len(n.reqs))
 	}
@@ -143,11 +143,11 @@
 func TestFailoverThenRefusedAtOnce(t *testing.T) {
 	n, _, _ := held(t, entry("s1", wire.Serving), entry("s2", wire.Serving))
 	p := arrive(t, n, "r")
-	n.take(settled("r", 0, brain.NoConnect))
+	n.take(settled("r", 0, balancer.NoConnect))
 	if len(p.sent) != 2 || p.sent[0].Addr == p.sent[1].Addr {
 		t.Fatalf("sent to %v", p.sent)
 	}
-	n.take(settled("r", 1, brain.Full))
+	n.take(settled("r", 1, balancer.Full))
 	if !strings.HasSuffix(p.heard(), "refuse true") || n.Owed() != 0 || len(n.reqs) != 0 {
 		t.Errorf("%s; %d owed, %d kept", p.heard(), n.Owed(), len(n.reqs))
 	}
@@ -157,12 +157,12 @@
 func TestLateAndDoubledEventsDoNothing(t *testing.T) {
 	n, _, _ := held(t, entry("s1", wire.Serving), entry("s2", wire.Serving))
 	p := arrive(t, n, "r")
-	n.take(settled("r", 0, brain.Errored))
+	n.take(settled("r", 0, balancer.Errored))
 	said := p.heard()
-	n.take(settled("r", 0, brain.Errored))
+	n.take(settled("r", 0, balancer.Errored))
 	n.take(opened("r", 0))
-	n.take(settled("r", 7, brain.Full))
-	n.take(settled("other", 0, brain.Full))
+	n.take(settled("r", 7, balancer.Full))
+	n.take(settled("other", 0, balancer.Full))
 	n.take(event{kind: evLoad, id: "r", load: 1})
 	if p.heard() != said {
 		t.Errorf("then also %s", p.heard())
@@ -184,7 +184,7 @@
 	if !strings.HasSuffix(p.heard(), "cancel 0") || n.Owed() != 0 || len(n.reqs) != 1 {
 		t.Fatalf("%s; %d owed, %d kept", p.heard(), n.Owed(), len(n.reqs))
 	}
-	n.take(settled("r", 0, brain.Cancelled))
+	n.take(settled("r", 0, balancer.Cancelled))
 	if len(n.reqs) != 0 || strings.Contains(p.heard(), "refuse") {
 		t.Errorf("%s; %d kept", p.heard(), len(n.reqs))
 	}
@@ -200,7 +200,7 @@
 func TestNothingIsWrittenAfterTheDrainsGrace(t *testing.T) {
 	n, _, _ := held(t, entry("s1", wire.Serving))
 	p := arrive(t, n, "r")
-	n.list(&wire.Catalog{Revision: 8, Members: []wire.Member{entry("s1", wire.Draining)}}, brain.ListChange, false)
+	n.list(&wire.Catalog{Revision: 8, Members: []wire.Member{entry("s1", wire.Draining)}}, balancer.ListChange, false)
 	n.take(event{kind: evConnected, id: "r"})
 	if !strings.HasSuffix(p.heard(), "go 0 true") {
 		t.Fatalf("within the grace: %s", p.heard())
@@ -211,11 +211,11 @@
 		t.Fatalf("after the grace: %s", p.heard())
 	}
 	// Being told again, or that it is gone, does not start another grace.
-	n.list(&wire.Catalog{Revision: 9, Members: []wire.Member{entry("s1", wire.Deleted)}}, brain.ListChange, false)
+	n.list(&wire.Catalog{Revision: 9, Members: []wire.Member{entry("s1", wire.Deleted)}}, balancer.ListChange, false)
 	if n.sendable(n.members["s1"]) {
 		t.Error("a second notice gives a second grace")
 	}
-	n.list(&wire.Catalog{Revision: 10, Members: []wire.Member{entry("s1", wire.Serving)}}, brain.ListChange, false)
+	n.list(&wire.Catalog{Revision: 10, Members: []wire.Member{entry("s1", wire.Serving)}}, balancer.ListChange, false)
 	if !n.sendable(n.members["s1"]) {
 		t.Error("a host called back gets nothing")
 	}
@@ -233,7 +233,7 @@
 func TestMidFlowAndGroupReachTheModule(t *testing.T) {
 	n, _, _ := held(t)
 	a := n.arrival(opening(t, "OPEN r key c=chat,t=acme,g=grp,mid=1,again=1,r=1"), time.Second)
-	want := brain.Arrival{ID: "r", Key: "key", Group: "grp", Left: time.Second, MidFlow: true, Again: true, Retry: true}
+	want := balancer.Arrival{ID: "r", Key: "key", Group: "grp", Left: time.Second, MidFlow: true, Again: true, Retry: true}
 	if a != want {
 		t.Errorf("%+v, want %+v", a, want)
 	}
@@ -246,7 +246,7 @@
 func TestInheritedConnectionsAreCountedAndEnd(t *testing.T) {
 	n, _, _ := held(t, entry("s1", wire.Serving))
 	for i, host := range []string{"s1", "unlisted"} {
-		id := brain.RequestID(fmt.Sprint("r", i))
+		id := balancer.RequestID(fmt.Sprint("r", i))
 		at := event{kind: evResume, id: id, opening: opening(t, "OPEN "+string(id)+" key c=chat,at="+host), port: &port{}, reply: make(chan place, 1)}
 		n.take(at)
 		if got := <-at.reply; !got.ok || (got.addr != "") != (host == "s1") {
@@ -257,7 +257,7 @@
 		if n.Open() != 1 || n.Owed() != 0 {
 			t.Errorf("at %s: %d open, %d owed", host, n.Open(), n.Owed())
 		}
-		n.take(settled(string(id), 0, brain.Served))
+		n.take(settled(string(id), 0, balancer.Served))
 		if n.Open() != 0 || len(n.reqs) != 0 {
 			t.Errorf("at %s: %d open, %d kept after the end", host, n.Open(), len(n.reqs))
 		}
@@ -281,7 +281,7 @@
 			t.Error("it may be taken up beside the first")
 		}
 		for _, e := range []event{{kind: evGone}, {kind: evConnected}, {kind: evOpened, took: time.Hour}, {kind: evLoad, load: 5},
-			{kind: evInherit, opening: at.opening}, {kind: evSettled, outcome: brain.Reset}} {
+			{kind: evInherit, opening: at.opening}, {kind: evSettled, outcome: balancer.Reset}} {
 			e.id, e.port = "r", second
 			n.take(e)
 		}
@@ -295,7 +295,7 @@
 	if n.Owed() != 0 || n.Open() != 1 {
 		t.Errorf("%d owed, %d open", n.Owed(), n.Open())
 	}
-	n.take(event{kind: evSettled, id: "r", port: first, outcome: brain.Served})
+	n.take(event{kind: evSettled, id: "r", port: first, outcome: balancer.Served})
 	if n.Open() != 0 || len(n.reqs) != 0 {
 		t.Errorf("%d open, %d kept after the end", n.Open(), len(n.reqs))
 	}
@@ -374,7 +374,7 @@
 		all.Add(1)
 		go func() {
 			defer all.Done()
-			id := brain.RequestID(fmt.Sprint(i))
+			id := balancer.RequestID(fmt.Sprint(i))
 			o := opening(t, fmt.Sprintf("OPEN %d key%d c=chat,d=2000", i, i))
 			p := &port{}
 			n.Arrive(o, time.Now().Add(2*time.Second), p)
@@ -382,7 +382,7 @@
 			n.Opened(id, p, 0, time.Millisecond)
 			n.Load(id, p, float64(i))
 			n.Listed(1, &wire.Catalog{Revision: int64(i), Members: []wire.Member{entry(fmt.Sprint("n", i%5), wire.Serving)}})
-			n.Settled(id, p, 0, time.Millisecond, brain.Served)
+			n.Settled(id, p, 0, time.Millisecond, balancer.Served)
 		}()
 	}
 	all.Wait()
@@ -406,15 +406,15 @@
 func TestNoRepeatIsWrittenPastItsWindow(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		effect brain.Effect
-		first  brain.Outcome
+		effect balancer.Effect
+		first  balancer.Outcome
 		past   bool // the window is over as the second dial comes up
 		want   string
 	}{
-		{"in time", brain.Keyed, brain.NoAnswer, false, "go 1 true"},
-		{"late", brain.Keyed, brain.NoAnswer, true, "go 1 false"},
-		{"late, but the first never ran", brain.Keyed, brain.NoConnect, true, "go 1 true"},
-		{"late, of a safe class", brain.Safe, brain.NoAnswer, true, "go 1 true"},
+		{"in time", balancer.Keyed, balancer.NoAnswer, false, "go 1 true"},
+		{"late", balancer.Keyed, balancer.NoAnswer, true, "go 1 false"},
+		{"late, but the first never ran", balancer.Keyed, balancer.NoConnect, true, "go 1 true"},
+		{"late, of a safe class", balancer.Safe, balancer.NoAnswer, true, "go 1 true"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			window := time.Hour
--- a/internal/node/orders.go
+++ b/internal/node/orders.go
@@ -11,7 +11,7 @@
 
 	"go.uber.org/zap"
 
-	"onyxstream/brain"
+	"onyxstream/balancer"
 	"onyxstream/internal/wire"
 )
 
@@ -22,9 +22,9 @@
 type orders struct {
 	leaving   atomic.Bool // the node drains: it is not ready
 	shutAt    time.Time   // from when on it takes nothing new; zero while it does not drain
-	overrides map[brain.ServerID]bool
+	overrides map[balancer.ServerID]bool
 
-	returning map[brain.ServerID]time.Duration // when hosts were called back, by the node's clock
+	returning map[balancer.ServerID]time.Duration // when hosts were called back, by the node's clock
 
 	// What holds now, for whoever asks without waiting for the loop.
 	targets, avoided atomic.Int64
@@ -71,8 +71,8 @@
 // yet is held to it when it comes; with known that is an error. A host is taken to have been restarted at the time at
 // which it is called back, or zero for not: whoever takes one out does so for that, and the list tells of it only later.
 // It returns once the loop has taken it in.
-func (n *Node) Word(id brain.ServerID, drains, known bool, at time.Time) error {
-	return n.wait(event{kind: evWord, id: brain.RequestID(id), attempt: flag(drains), must: known, until: at})
+func (n *Node) Word(id balancer.ServerID, drains, known bool, at time.Time) error {
+	return n.wait(event{kind: evWord, id: balancer.RequestID(id), attempt: flag(drains), must: known, until: at})
 }
 
 func flag(on bool) int {
@@ -106,8 +106,8 @@
 
 // HostView is a host as the loop knows it.
 type HostView struct {
-	ID    brain.ServerID
-	State brain.ServerState
+	ID    balancer.ServerID
+	State balancer.ServerState
 	Word  bool
 	Open  int // connections that stand there through this node
 }
@@ -115,8 +115,8 @@
 // View is how the node is.
 type View struct {
 	Revision int64
-	Hosts    []HostView           // by id
-	GivenUp  map[brain.Reason]int // requests that were refused or failed, by why
+	Hosts    []HostView              // by id
+	GivenUp  map[balancer.Reason]int // requests that were refused or failed, by why
 }
 
 // View asks the loop how things stand; empty once it has ended.
@@ -140,21 +140,21 @@
 		}
 		n.leaving.Store(e.away != nil)
 		if n.shutAt = (time.Time{}); e.away == nil {
-			n.decide(brain.Leave{})
+			n.decide(balancer.Leave{})
 		} else {
 			n.shutAt = e.away.Shut
-			n.decide(brain.Leave{On: true, By: n.at(e.away.By), Shut: n.at(e.away.Shut), After: e.away.After,
+			n.decide(balancer.Leave{On: true, By: n.at(e.away.By), Shut: n.at(e.away.Shut), After: e.away.After,
 				Stay: e.away.Keep && n.set.Pass})
 		}
 		e.verdict <- nil
 	case evWord:
-		e.verdict <- n.word(brain.ServerID(e.id), e.attempt == 1, e.must, e.until)
+		e.verdict <- n.word(balancer.ServerID(e.id), e.attempt == 1, e.must, e.until)
 	case evView:
 		e.view <- n.view() // has room
 	}
 }
 
-func (n *Node) word(id brain.ServerID, drains, known bool, at time.Time) error {
+func (n *Node) word(id balancer.ServerID, drains, known bool, at time.Time) error {
 	m, was := n.members[id], n.overrides[id]
 	switch {
 	case known && m == nil && !was:
@@ -170,14 +170,14 @@
 			n.called(id, at)
 		}
 	}
-	if m != nil && m.state != brain.Gone {
-		n.list(&wire.Catalog{Revision: n.revision, Members: []wire.Member{m.listed}}, brain.ListAside, false)
+	if m != nil && m.state != balancer.Gone {
+		n.list(&wire.Catalog{Revision: n.revision, Members: []wire.Member{m.listed}}, balancer.ListAside, false)
 	}
 	return nil
 }
 
 // called notes that a host was called back; what is long past is forgotten.
-func (n *Node) called(id brain.ServerID, at time.Time) {
+func (n *Node) called(id balancer.ServerID, at time.Time) {
 	now := time.Now()
 	n.observeClock(now)
 	for other, back := range n.returning {
@@ -198,7 +198,7 @@
 			continue
 		}
 		listed++
-		if m.state != brain.Live || n.brain.Avoids(id) {
+		if m.state != balancer.Live || n.brain.Avoids(id) {
 			avoided++
 		}
 	}
@@ -207,9 +207,9 @@
 }
 
 // worded is the state that holds for a member: the list's, or what an operator says of it.
-func (n *Node) worded(id brain.ServerID, listed brain.ServerState) brain.ServerState {
-	if listed == brain.Live && n.overrides[id] {
-		return brain.Draining
+func (n *Node) worded(id balancer.ServerID, listed balancer.ServerState) balancer.ServerState {
+	if listed == balancer.Live && n.overrides[id] {
+		return balancer.Draining
 	}
 	return listed
 }
@@ -221,7 +221,7 @@
 
 func (n *Node) view() View {
 	v := View{Revision: n.revision, GivenUp: maps.Clone(n.givenUp)}
-	open := map[brain.ServerID]int{}
+	open := map[balancer.ServerID]int{}
 	for _, r := range n.reqs {
 		if r.up && r.out {
 			open[r.on.id]++
--- a/internal/node/orders_test.go
+++ b/internal/node/orders_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"onyxstream/brain"
+	"onyxstream/balancer"
 	"onyxstream/internal/wire"
 )
 
@@ -20,7 +20,7 @@
 	}
 	deadline := n.now() + n.set.AskWithin
 	for now := n.now(); now < deadline && len(w.watches) == 0; now += 200 * time.Millisecond {
-		for _, a := range n.brain.Handle(now, brain.Timer{Token: "sweep"}) {
+		for _, a := range n.brain.Handle(now, balancer.Timer{Token: "sweep"}) {
 			n.act(a)
 		}
 	}
@@ -46,7 +46,7 @@
 			t.Errorf("out %v: called back at %d, want %d", step.out, n.returning["a"], step.want)
 		}
 	}
-	if n.overrides["a"] || n.members["a"].state != brain.Live {
+	if n.overrides["a"] || n.members["a"].state != balancer.Live {
 		t.Error("two words out need one back")
 	}
 	if err := n.word("nobody", false, true, at); err != ErrUnknown {
@@ -55,8 +55,8 @@
 	if err := n.word("later", true, false, at); err != nil || !n.overrides["later"] {
 		t.Errorf("an id that is listed only later: %v", err)
 	}
-	n.list(&wire.Catalog{Revision: 8, Members: []wire.Member{entry("later", wire.Serving)}}, brain.ListChange, false)
-	if n.members["later"].state != brain.Draining {
+	n.list(&wire.Catalog{Revision: 8, Members: []wire.Member{entry("later", wire.Serving)}}, balancer.ListChange, false)
+	if n.members["later"].state != balancer.Draining {
 		t.Error("it is used when it comes")
 	}
 	if n.tally(); n.targets.Load() != 3 || n.avoided.Load() != 1 {
@@ -85,10 +85,10 @@
 	gone := entry("a", wire.Deleted)
 	for _, c := range []struct {
 		m    wire.Member
-		kind brain.ListKind
-	}{{again, brain.ListChange}, {gone, brain.ListChange}, {again, brain.ListChange}, {again, brain.ListFull}} {
-		n.list(&wire.Catalog{Revision: n.revision + 1, Complete: c.kind == brain.ListFull, Members: []wire.Member{c.m}}, c.kind, false)
-		if n.members["a"].state == brain.Live {
+		kind balancer.ListKind
+	}{{again, balancer.ListChange}, {gone, balancer.ListChange}, {again, balancer.ListChange}, {again, balancer.ListFull}} {
+		n.list(&wire.Catalog{Revision: n.revision + 1, Complete: c.kind == balancer.ListFull, Members: []wire.Member{c.m}}, c.kind, false)
+		if n.members["a"].state == balancer.Live {
 			t.Errorf("with %+v it is used", c.m)
 		}
 	}
--- a/internal/node/pings_test.go
+++ b/internal/node/pings_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"onyxstream/brain"
+	"onyxstream/balancer"
 	"onyxstream/internal/wire"
 )
 
@@ -84,7 +84,7 @@
 	if len(w.pings) != 1 || w.pings[0] != on.id {
 		t.Fatalf("pings %v with a first connection, want one to its host", w.pings)
 	}
-	n.take(event{kind: evPinged, id: brain.RequestID(on.id), took: 80 * time.Millisecond})
+	n.take(event{kind: evPinged, id: balancer.RequestID(on.id), took: 80 * time.Millisecond})
 	w.pings = nil
 	p.pulse = MessageStats{Answered: 1, Took: time.Millisecond}
 	now := time.Now()
@@ -99,7 +99,7 @@
 		t.Fatalf("pings %v in two seconds, want one to the host where a client stands", w.pings)
 	}
 	pinged := func(took time.Duration) {
-		n.take(event{kind: evPinged, id: brain.RequestID(on.id), took: took})
+		n.take(event{kind: evPinged, id: balancer.RequestID(on.id), took: took})
 	}
 	// A host far away takes long to answer at its best too.
 	pinged(70 * time.Millisecond)
@@ -152,7 +152,7 @@
 	if !on.slow {
 		t.Error("a ping without an answer is no news")
 	}
-	n.list(&wire.Catalog{Members: []wire.Member{{ID: string(on.id), UpSince: 5, Size: 1}}}, brain.ListChange, false)
+	n.list(&wire.Catalog{Members: []wire.Member{{ID: string(on.id), UpSince: 5, Size: 1}}}, balancer.ListChange, false)
 	if on.best != 0 {
 		t.Error("a host that has restarted is measured by what it was")
 	}
--- a/internal/node/requests.go
+++ b/internal/node/requests.go
@@ -5,7 +5,7 @@
 
 	"go.uber.org/zap"
 
-	"onyxstream/brain"
+	"onyxstream/balancer"
 	"onyxstream/internal/invariant"
 	"onyxstream/internal/wire"
 )
@@ -53,7 +53,7 @@
 			n.open.Add(1)
 			n.answer(r)
 			n.meet(r.on)
-			n.decide(brain.Opened{ID: e.id, Attempt: e.attempt, Server: r.on.id, Took: e.took})
+			n.decide(balancer.Opened{ID: e.id, Attempt: e.attempt, Server: r.on.id, Took: e.took})
 			if n.ended && !n.set.Pass { // it came up just before it was withdrawn
 				n.move(r)
 			}
@@ -64,14 +64,14 @@
 		}
 	case evLoad:
 		if r != nil && r.up {
-			n.decide(brain.LoadNote{ID: e.id, Load: e.load})
+			n.decide(balancer.LoadNote{ID: e.id, Load: e.load})
 		}
 	case evGone:
 		if r != nil && !r.up {
 			n.answer(r)
-			n.decide(brain.ClientGone{ID: e.id})
+			n.decide(balancer.ClientGone{ID: e.id})
 			if r.out && r.attempts > e.attempt {
-				n.settle(settledEvent(e.id, r.attempts-1, brain.NeverPassed), r)
+				n.settle(settledEvent(e.id, r.attempts-1, balancer.NeverPassed), r)
 			}
 			n.drop(e.id, r)
 		}
@@ -85,7 +85,7 @@
 		n.reqs[e.id] = r
 	}
 	at := place{ok: r.port == e.port}
-	if m := n.members[brain.ServerID(e.opening.At)]; m != nil {
+	if m := n.members[balancer.ServerID(e.opening.At)]; m != nil {
 		at.addr = m.addr
 	}
 	e.reply <- at // has room
@@ -94,14 +94,14 @@
 // inherit notes that such a connection is up at its host again.
 func (n *Node) inherit(e event, r *request) {
 	a := n.arrival(e.opening, 0)
-	id := brain.ServerID(e.opening.At)
+	id := balancer.ServerID(e.opening.At)
 	m := n.members[id]
 	if m == nil { // a host that the list has forgotten still has its clients
-		m = &member{id: id, state: brain.Gone}
+		m = &member{id: id, state: balancer.Gone}
 	}
 	r.on, r.attempts, r.out, r.up = m, 1, true, true
 	n.open.Add(1)
-	n.decide(brain.Inherited{Arrival: a, Server: id})
+	n.decide(balancer.Inherited{Arrival: a, Server: id})
 }
 
 func (n *Node) arrive(e event, r *request) {
@@ -122,8 +122,8 @@
 }
 
 // arrival puts a client's line in the module's terms; the class is -1 where the settings lack it.
-func (n *Node) arrival(o *wire.Opening, left time.Duration) brain.Arrival {
-	a := brain.Arrival{ID: brain.RequestID(o.ID), Class: -1, Tenant: -1, Key: o.Key, Left: left, Load: o.Load,
+func (n *Node) arrival(o *wire.Opening, left time.Duration) balancer.Arrival {
+	a := balancer.Arrival{ID: balancer.RequestID(o.ID), Class: -1, Tenant: -1, Key: o.Key, Left: left, Load: o.Load,
 		Retry: o.Retry, MidFlow: o.Mid, Again: o.Again}
 	if i, ok := n.classes[o.Class]; ok {
 		a.Class = i
@@ -142,14 +142,14 @@
 	if r.mayHave.IsZero() && !e.outcome.ProvesUnrun() {
 		r.mayHave = r.sentAt
 	}
-	if e.outcome == brain.NoConnect || e.outcome == brain.Reset && !r.up {
+	if e.outcome == balancer.NoConnect || e.outcome == balancer.Reset && !r.up {
 		n.unreached(r.on)
 	}
 	final := r.up || r.answered
 	if r.up {
 		n.open.Add(-1)
 	}
-	n.decide(brain.Settled{ID: e.id, Attempt: e.attempt, Server: r.on.id, Took: e.took, Outcome: e.outcome, Final: final})
+	n.decide(balancer.Settled{ID: e.id, Attempt: e.attempt, Server: r.on.id, Took: e.took, Outcome: e.outcome, Final: final})
 	n.drop(e.id, r)
 }
 
@@ -162,7 +162,7 @@
 }
 
 // drop frees a request that has its answer and no attempt out.
-func (n *Node) drop(id brain.RequestID, r *request) {
+func (n *Node) drop(id balancer.RequestID, r *request) {
 	if r.answered && !r.out && n.reqs[id] == r {
 		delete(n.reqs, id)
 	}
@@ -170,11 +170,11 @@
 
 // send starts an attempt. One that can't be made is settled at once, as the module waits for exactly
 // one outcome of each.
-func (n *Node) send(a brain.Send) {
+func (n *Node) send(a balancer.Send) {
 	r := n.reqs[a.ID]
 	if r == nil || r.answered {
-		n.queue = append(n.queue, brain.Settled{ID: a.ID, Attempt: attemptOf(r), Server: a.Server,
-			Outcome: brain.NeverPassed, Final: true})
+		n.queue = append(n.queue, balancer.Settled{ID: a.ID, Attempt: attemptOf(r), Server: a.Server,
+			Outcome: balancer.NeverPassed, Final: true})
 		return
 	}
 	if r.out {
@@ -184,7 +184,7 @@
 	at := r.attempts
 	r.attempts++
 	if m == nil || m.addr == "" || n.ended {
-		n.queue = append(n.queue, brain.Settled{ID: a.ID, Attempt: at, Server: a.Server, Outcome: brain.NeverPassed})
+		n.queue = append(n.queue, balancer.Settled{ID: a.ID, Attempt: at, Server: a.Server, Outcome: balancer.NeverPassed})
 		return
 	}
 	r.on, r.out, r.sentAt = m, true, time.Now()
--- a/internal/node/sizes.go
+++ b/internal/node/sizes.go
@@ -6,7 +6,7 @@
 
 	"go.uber.org/zap"
 
-	"onyxstream/brain"
+	"onyxstream/balancer"
 	"onyxstream/internal/wire"
 )
 
@@ -16,7 +16,7 @@
 
 // MostHosts is how many hosts a list may have in so much memory.
 func MostHosts(memoryMB int) int {
-	return sort.Search(1<<20, func(n int) bool { return brain.Footprint(n+1) > memoryMB<<20/memoryPart })
+	return sort.Search(1<<20, func(n int) bool { return balancer.Footprint(n+1) > memoryMB<<20/memoryPart })
 }
 
 // CheckSize says whether a list fits into so much memory.
@@ -44,7 +44,7 @@
 	}
 	held := make([]wire.Member, 0, len(c.Members))
 	for _, e := range c.Members {
-		switch m := n.members[brain.ServerID(e.ID)]; {
+		switch m := n.members[balancer.ServerID(e.ID)]; {
 		case m != nil && !m.out:
 			held = append(held, e)
 		case e.Phase != wire.Deleted:
--- a/internal/node/sizes_bench_test.go
+++ b/internal/node/sizes_bench_test.go
@@ -7,7 +7,7 @@
 
 	"go.uber.org/zap"
 
-	"onyxstream/brain"
+	"onyxstream/balancer"
 	"onyxstream/internal/wire"
 )
 
@@ -24,7 +24,7 @@
 				}
 				for range 5 { // sweeps of the module
 					at += time.Second / 5
-					node.brain.Handle(at, brain.Timer{Token: "sweep"})
+					node.brain.Handle(at, balancer.Timer{Token: "sweep"})
 				}
 			}
 		})
--- a/internal/node/sizes_test.go
+++ b/internal/node/sizes_test.go
@@ -5,7 +5,7 @@
 	"slices"
 	"testing"
 
-	"onyxstream/brain"
+	"onyxstream/balancer"
 	"onyxstream/internal/wire"
 )
 
@@ -22,15 +22,15 @@
 func TestAListTooLargeForTheMemoryIsNotTaken(t *testing.T) {
 	n, _, logs := held(t)
 	n.Bound(64)
-	n.list(&wire.Catalog{Revision: 1, Complete: true, Members: hosts(3200, wire.Serving)}, brain.ListFull, false)
+	n.list(&wire.Catalog{Revision: 1, Complete: true, Members: hosts(3200, wire.Serving)}, balancer.ListFull, false)
 	if len(n.members) != 3200 || logs.Len() != 0 {
 		t.Fatalf("%d hosts are held; %v", len(n.members), logs.All())
 	}
 	large := append([]wire.Member{entry("s00000", wire.Draining)}, hosts(9000, wire.Serving)[2:]...) // s00001 is gone
-	n.list(&wire.Catalog{Revision: 2, Complete: true, Members: large}, brain.ListFull, false)
-	if len(n.members) != 3200 || n.members["s00000"].state != brain.Draining || n.members["s00001"].state != brain.Gone ||
-		n.members["s00002"].state != brain.Live {
-		t.Errorf("%d hosts; the first are %+v", len(n.members), []brain.ServerState{n.members["s00000"].state,
+	n.list(&wire.Catalog{Revision: 2, Complete: true, Members: large}, balancer.ListFull, false)
+	if len(n.members) != 3200 || n.members["s00000"].state != balancer.Draining || n.members["s00001"].state != balancer.Gone ||
+		n.members["s00002"].state != balancer.Live {
+		t.Errorf("%d hosts; the first are %+v", len(n.members), []balancer.ServerState{n.members["s00000"].state,
 			n.members["s00001"].state, n.members["s00002"].state})
 	}
 	lines := logs.FilterMessage("a list is too large: no new host of it is taken").All()
@@ -38,7 +38,7 @@
 		t.Errorf("logged %v", lines)
 	}
 	// Changes add up to too many as well.
-	n.list(&wire.Catalog{Revision: 3, Members: slices.Concat(hosts(2, wire.Draining), hosts(9000, wire.Serving)[3200:])}, brain.ListChange, false)
+	n.list(&wire.Catalog{Revision: 3, Members: slices.Concat(hosts(2, wire.Draining), hosts(9000, wire.Serving)[3200:])}, balancer.ListChange, false)
 	if n.members["s03250"] != nil {
 		t.Error("a change brought too many hosts")
 	}
--- a/internal/node/starting.go
+++ b/internal/node/starting.go
@@ -8,7 +8,7 @@
 
 	"go.uber.org/zap"
 
-	"onyxstream/brain"
+	"onyxstream/balancer"
 	"onyxstream/internal/coldstart"
 	"onyxstream/internal/wire"
 )
@@ -69,7 +69,7 @@
 	n.service.Store(&service)
 	if n.start.State(n.now()).Part == coldstart.Old {
 		n.guessed = n.at(n.base)
-		n.list(n.whole(), brain.ListCached, false)
+		n.list(n.whole(), balancer.ListCached, false)
 	}
 	n.publish(n.whole())
 	n.step()
@@ -197,7 +197,7 @@
 		held := n.keepDrains(p.List)
 		n.log.Info("a list was passed on", zap.String("from", p.From), zap.Int64("revision", p.Offer.Revision),
 			zap.Duration("age", p.Offer.Age), zap.Int("hosts", len(p.List.Members)), zap.Int("drains kept", held))
-		n.list(p.List, brain.ListFull, false)
+		n.list(p.List, balancer.ListFull, false)
 		n.revision = p.Offer.Revision
 		if held > 0 { // the service is to say whether they are over
 			n.doubt = true
@@ -237,7 +237,7 @@
 func (n *Node) heardDead(all []Dead) {
 	span, ev := n.shunFor(), wire.Catalog{Revision: n.revision}
 	for _, d := range all {
-		m, left := n.members[brain.ServerID(d.ID)], span-time.Since(d.At)
+		m, left := n.members[balancer.ServerID(d.ID)], span-time.Since(d.At)
 		at, known := n.dead[d.ID]
 		if known && !d.At.After(at) || m == nil || m.out || left <= 0 || n.guessed == 0 || len(n.dead) >= mostDead {
 			continue
@@ -246,13 +246,13 @@
 		ev.Members = append(ev.Members, m.listed)
 	}
 	if len(ev.Members) > 0 {
-		n.list(&ev, brain.ListChange, false)
+		n.list(&ev, balancer.ListChange, false)
 		n.publish(nil)
 	}
 }
 
 // unreachableFor is for how long a host is still to get nothing new because another node found it dead.
-func (n *Node) unreachableFor(id brain.ServerID) time.Duration {
+func (n *Node) unreachableFor(id balancer.ServerID) time.Duration {
 	if at, ok := n.dead[string(id)]; ok {
 		return max(n.shunFor()-time.Since(at), 0)
 	}
@@ -278,7 +278,7 @@
 	if n.guessed > 0 {
 		n.guessed = 0
 		clear(n.dead)
-		n.list(n.whole(), brain.ListFull, false)
+		n.list(n.whole(), balancer.ListFull, false)
 	}
 }
 
@@ -287,7 +287,7 @@
 func (n *Node) keepDrains(list *wire.Catalog) (held int) {
 	list.Members = slices.Clone(list.Members)
 	for i, e := range list.Members {
-		m := n.members[brain.ServerID(e.ID)]
+		m := n.members[balancer.ServerID(e.ID)]
 		if m != nil && !m.out && m.listed.Phase == wire.Draining && e.Phase == wire.Serving && e.UpSince <= m.since {
 			list.Members[i].Phase = wire.Draining
 			held++
--- a/internal/node/starting_test.go
+++ b/internal/node/starting_test.go
@@ -8,7 +8,7 @@
 
 	"go.uber.org/zap"
 
-	"onyxstream/brain"
+	"onyxstream/balancer"
 	"onyxstream/internal/coldstart"
 	"onyxstream/internal/settings"
 	"onyxstream/internal/wire"
@@ -17,12 +17,12 @@
 // asked is an outside that notes the calls to discovery.
 type asked struct{ calls chan Call }
 
-func (a *asked) Watch(c Call)                     { a.calls <- c }
-func (a *asked) Ping(brain.ServerID, string) bool { return true }
+func (a *asked) Watch(c Call)                        { a.calls <- c }
+func (a *asked) Ping(balancer.ServerID, string) bool { return true }
 
 func starts(t *testing.T, cold bool) (*Node, *asked) {
 	t.Helper()
-	set := settings.Settings{Settings: brain.Settings{AskList: true, AskWithin: 2 * time.Second, GroupSize: 1}}
+	set := settings.Settings{Settings: balancer.Settings{AskList: true, AskWithin: 2 * time.Second, GroupSize: 1}}
 	out := &asked{make(chan Call, 64)}
 	n := New(set, wire.Catalog{}, "disco", out, zap.NewNop())
 	if cold {
@@ -73,7 +73,7 @@
 		List: &wire.Catalog{Revision: 6, Complete: true, Members: []wire.Member{h1}}}) {
 		t.Fatal("the newer list is of no use")
 	}
-	if v := n.View(); len(v.Hosts) != 1 || v.Hosts[0].State != brain.Draining {
+	if v := n.View(); len(v.Hosts) != 1 || v.Hosts[0].State != balancer.Draining {
 		t.Errorf("the drain is lifted: %+v", v.Hosts)
 	}
 	if m := n.Holding().List; m.Revision != 6 || m.Members[0].Phase != wire.Serving {
--- a/internal/node/startspread_test.go
+++ b/internal/node/startspread_test.go
@@ -11,7 +11,7 @@
 
 	"go.uber.org/zap"
 
-	"onyxstream/brain"
+	"onyxstream/balancer"
 	"onyxstream/internal/coldstart"
 	"onyxstream/internal/settings"
 	"onyxstream/internal/wire"
@@ -32,7 +32,7 @@
 	}
 }
 
-func (callTimes) Ping(brain.ServerID, string) bool { return true }
+func (callTimes) Ping(balancer.ServerID, string) bool { return true }
 
 // Calls to the list service that nodes started in one instant spread over a time are made when they are due. They were made
 // at the next turn of each node's ticker, and all tickers had begun together: what was drawn apart came in bursts.
@@ -45,7 +45,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		out := callTimes{&mu, &at, time.Now()}
 		for i := range nodes {
-			set := settings.Settings{Settings: brain.Settings{AskList: true, AskWithin: 3 * time.Second, GroupSize: nodes, Index: i}}
+			set := settings.Settings{Settings: balancer.Settings{AskList: true, AskWithin: 3 * time.Second, GroupSize: nodes, Index: i}}
 			n := New(set, wire.Catalog{}, "disco", out, zap.NewNop())
 			n.Cold(coldstart.New(coldstart.Config{Nodes: nodes, Index: i, AskWithin: set.AskWithin, Service: "s"},
 				rand.New(rand.NewPCG(7, uint64(i))), n.now(), coldstart.Nowhere, coldstart.Offer{}), "s")
--- a/internal/node/wallclock_test.go
+++ b/internal/node/wallclock_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"onyxstream/brain"
+	"onyxstream/balancer"
 	"onyxstream/internal/wire"
 )
 
@@ -45,7 +45,7 @@
 	const heldUp = 150 * time.Millisecond
 	n, _, _ := held(t, entry("a", wire.Serving))
 	m := n.members["a"]
-	m.state = brain.Draining
+	m.state = balancer.Draining
 	for _, grace := range []time.Duration{50 * time.Millisecond, 100 * time.Millisecond, 400 * time.Millisecond, 2 * time.Second} {
 		n.set.DrainGrace = grace
 		m.toldAt = time.Now().Add(heldUp - grace) // a write after the hold-up comes just past the grace
--- a/internal/node/watch_test.go
+++ b/internal/node/watch_test.go
@@ -57,7 +57,7 @@
 				n.WatchFailed(second.N, 0)
 				n.Listed(first.N, &wire.Catalog{Revision: 9, Complete: complete, Members: []wire.Member{entry("s1", wire.Serving), entry("s2", wire.Serving)}})
 				n.WatchFailed(first.N, 0)
-				time.Sleep(3 * time.Second) // brain.AskAgain and WatchAgain are shorter
+				time.Sleep(3 * time.Second) // balancer.AskAgain and WatchAgain are shorter
 				synctest.Wait()
 				if third, now := a.last(); now <= calls || third.Addr != "new:1" || third.After != Whole {
 					t.Errorf("asked for %v, complete %v: after 3 s the last of %d calls is %+v, the one refused was the %dth", ask, complete, now, third, calls)
--- a/internal/keys/files.go
+++ b/internal/pki/files.go
@@ -1,4 +1,4 @@
-package keys
+package pki
 
 import (
 	"bufio"
--- a/internal/keys/keys.go
+++ b/internal/pki/keys.go
@@ -1,7 +1,7 @@
-// Package keys is a small authority of the project's own: who may speak to control listeners, and as what. An
+// Package pki is a small authority of the project's own: who may speak to control listeners, and as what. An
 // authority signs certificates for instances, agents and people; a certificate names its holder and one role. This
 // file is pure: it makes and judges certificates. files.go keeps them on disk and takes renewed ones.
-package keys
+package pki
 
 import (
 	"crypto/ecdsa"
--- a/internal/driver/attempt.go
+++ b/internal/proxy/attempt.go
@@ -1,4 +1,4 @@
-package driver
+package proxy
 
 import (
 	"context"
@@ -7,7 +7,7 @@
 	"net"
 	"time"
 
-	"onyxstream/brain"
+	"onyxstream/balancer"
 	"onyxstream/internal/node"
 	"onyxstream/internal/syserr"
 	"onyxstream/internal/wire"
@@ -50,24 +50,24 @@
 )
 
 // Outcome puts the error in the module's terms.
-func (e *AttemptError) Outcome() brain.Outcome {
+func (e *AttemptError) Outcome() balancer.Outcome {
 	switch {
 	case e.Stage == Asking, e.Stage < Awaiting && errors.Is(e.Err, errWithdrawn), e.Stage < Awaiting && isLocal(e.Err):
-		return brain.NeverPassed // not the host's fault, and it never had the last byte
+		return balancer.NeverPassed // not the host's fault, and it never had the last byte
 	case errors.Is(e.Err, errWithdrawn):
-		return brain.Cancelled
+		return balancer.Cancelled
 	case e.Stage < Awaiting:
-		return brain.NoConnect
+		return balancer.NoConnect
 	case errors.Is(e.Err, errFull):
-		return brain.Full
+		return balancer.Full
 	case errors.Is(e.Err, errMoved):
-		return brain.Cancelled
+		return balancer.Cancelled
 	case e.Stage == Answering:
-		return brain.Errored
+		return balancer.Errored
 	case timedOut(e.Err):
-		return brain.NoAnswer
+		return balancer.NoAnswer
 	}
-	return brain.Reset
+	return balancer.Reset
 }
 
 // isLocal reports whether a dial or a write failed for want of something on this machine: that says nothing of the host.
--- a/internal/driver/attempt_test.go
+++ b/internal/proxy/attempt_test.go
@@ -1,4 +1,4 @@
-package driver
+package proxy
 
 import (
 	"bufio"
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"onyxstream/brain"
+	"onyxstream/balancer"
 	"onyxstream/internal/node"
 	"onyxstream/internal/wire"
 )
@@ -82,25 +82,25 @@
 	for _, c := range []struct {
 		name, addr string
 		stage      Stage
-		want       brain.Outcome
+		want       balancer.Outcome
 	}{
-		{"refused", refusing(t), Dialing, brain.NoConnect},
-		{"turned away", answering(t, "BUSY\r\n"), Answering, brain.Full},
-		{"an error", answering(t, "ERR\r\n"), Answering, brain.Errored},
-		{"sent away", answering(t, "MOVE\r\n"), Answering, brain.Cancelled},
-		{"ended before it was up", answering(t, "BYE\r\n"), Answering, brain.Errored},
-		{"no receipt", answering(t, "UP\r\n"), Answering, brain.Errored},
-		{"garbage", answering(t, "HTTP/1.1 400 Bad Request\r\n"), Answering, brain.Errored},
-		{"a line with no end", answering(t, long), Answering, brain.Errored},
-		{"half an answer", answering(t, "UP r-1"), Awaiting, brain.NoAnswer},
-		{"nothing", answering(t, ""), Awaiting, brain.NoAnswer},
+		{"refused", refusing(t), Dialing, balancer.NoConnect},
+		{"turned away", answering(t, "BUSY\r\n"), Answering, balancer.Full},
+		{"an error", answering(t, "ERR\r\n"), Answering, balancer.Errored},
+		{"sent away", answering(t, "MOVE\r\n"), Answering, balancer.Cancelled},
+		{"ended before it was up", answering(t, "BYE\r\n"), Answering, balancer.Errored},
+		{"no receipt", answering(t, "UP\r\n"), Answering, balancer.Errored},
+		{"garbage", answering(t, "HTTP/1.1 400 Bad Request\r\n"), Answering, balancer.Errored},
+		{"a line with no end", answering(t, long), Answering, balancer.Errored},
+		{"half an answer", answering(t, "UP r-1"), Awaiting, balancer.NoAnswer},
+		{"nothing", answering(t, ""), Awaiting, balancer.NoAnswer},
 		{"ended without an answer", host(t, func(c *net.TCPConn) {
 			_, _ = bufio.NewReader(c).ReadString('\n')
-		}), Awaiting, brain.Reset},
+		}), Awaiting, balancer.Reset},
 		{"broken without an answer", host(t, func(c *net.TCPConn) {
 			_, _ = bufio.NewReader(c).ReadString('\n')
 			_ = c.SetLinger(0)
-		}), Awaiting, brain.Reset},
+		}), Awaiting, balancer.Reset},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var in wire.Inbox
@@ -155,7 +155,7 @@
 	})
 	var in wire.Inbox
 	_, _, failed := attempt(context.Background(), node.Attempt{Addr: addr, Timeout: time.Second}, opening(t, hello), permitted(time.Second, func() error { return errTooLate }), &in)
-	if failed == nil || failed.Stage != Asking || failed.Outcome() != brain.NeverPassed || !errors.Is(failed, errTooLate) {
+	if failed == nil || failed.Stage != Asking || failed.Outcome() != balancer.NeverPassed || !errors.Is(failed, errTooLate) {
 		t.Errorf("ended with %v", failed)
 	}
 	if n := <-got; n != 0 {
@@ -175,7 +175,7 @@
 	var in wire.Inbox
 	defer in.Free()
 	_, _, failed := attempt(ctx, node.Attempt{Addr: addr, Timeout: time.Minute}, opening(t, hello), permitted(time.Second, may), &in)
-	if failed == nil || failed.Outcome() != brain.Cancelled {
+	if failed == nil || failed.Outcome() != balancer.Cancelled {
 		t.Errorf("ended with %v", failed)
 	}
 	<-closed // the host saw the end
--- a/internal/driver/closing.go
+++ b/internal/proxy/closing.go
@@ -1,4 +1,4 @@
-package driver
+package proxy
 
 import (
 	"io"
--- a/internal/driver/conn.go
+++ b/internal/proxy/conn.go
@@ -1,4 +1,4 @@
-package driver
+package proxy
 
 import (
 	"container/list"
@@ -12,7 +12,7 @@
 
 	"go.uber.org/zap"
 
-	"onyxstream/brain"
+	"onyxstream/balancer"
 	"onyxstream/internal/node"
 	"onyxstream/internal/wire"
 )
@@ -35,7 +35,7 @@
 	d      *Driver
 	client *net.TCPConn
 	open   wire.Opening
-	id     brain.RequestID
+	id     balancer.RequestID
 
 	cmds    chan command
 	verdict chan bool     // the loop's answer to Connected
@@ -186,7 +186,7 @@
 		return
 	}
 	until := time.Now().Add(c.open.Wait - waited(c.client))
-	c.id = brain.RequestID(c.open.ID)
+	c.id = balancer.RequestID(c.open.ID)
 	defer c.checkEnd(until)
 	switch within, still := c.d.admit(c); {
 	case !still:
--- a/internal/driver/discovery.go
+++ b/internal/proxy/discovery.go
@@ -1,4 +1,4 @@
-package driver
+package proxy
 
 import (
 	"context"
@@ -15,7 +15,7 @@
 
 // What discovery has counts as told toldWithin after it had it and could be reached, whatever failed before. A watch that
 // falls silent is given up after beatWait; a call that is under way as discovery comes back may be lost, and is given up
-// after callWait. From there the next call is made within brain.AskAgain, or node.WatchAgain where the list need not be
+// after callWait. From there the next call is made within balancer.AskAgain, or node.WatchAgain where the list need not be
 // asked for, and what is left of toldWithin is for its answer.
 const (
 	toldWithin = 6 * time.Second
--- a/internal/driver/driver.go
+++ b/internal/proxy/driver.go
@@ -1,6 +1,6 @@
-// Package driver does the reading and writing: it accepts clients, dials hosts, relays between them
+// Package proxy does the reading and writing: it accepts clients, dials hosts, relays between them
 // and follows discovery. What the bytes mean is package wire's, what is done about it package node's.
-package driver
+package proxy
 
 import (
 	"container/list"
@@ -15,7 +15,7 @@
 
 	"go.uber.org/zap"
 
-	"onyxstream/brain"
+	"onyxstream/balancer"
 	"onyxstream/internal/node"
 	"onyxstream/internal/wire"
 )
@@ -63,7 +63,7 @@
 	early   *list.List // of *conn: those that hold one, the one that has had its turn for longest first
 	closed  bool
 	ending  chan struct{} // closed once it ends: who is owed an answer gets it now
-	pingers map[brain.ServerID]*pinger
+	pingers map[balancer.ServerID]*pinger
 	wg      sync.WaitGroup // of probes and pingers
 	clients sync.WaitGroup
 }
@@ -72,7 +72,7 @@
 func New(cfg Config, log *zap.Logger) *Driver {
 	cfg.Sockets -= cfg.Others
 	return &Driver{cfg: cfg, log: log, figures: newFigures(cfg.Classes), early: list.New(), conns: map[*conn]struct{}{},
-		ending: make(chan struct{}), pingers: map[brain.ServerID]*pinger{}}
+		ending: make(chan struct{}), pingers: map[balancer.ServerID]*pinger{}}
 }
 
 // Attach names the node that decides.
--- a/internal/driver/driver_test.go
+++ b/internal/proxy/driver_test.go
@@ -1,4 +1,4 @@
-package driver
+package proxy
 
 import (
 	"bufio"
@@ -15,7 +15,7 @@
 	"go.uber.org/zap"
 	"go.uber.org/zap/zapcore"
 
-	"onyxstream/brain"
+	"onyxstream/balancer"
 	"onyxstream/internal/node"
 	"onyxstream/internal/settings"
 	"onyxstream/internal/wire"
@@ -41,8 +41,8 @@
 	d, y := New(Config{Sockets: 256, ConnectTimeout: time.Second, AnswerSlack: 10 * time.Millisecond, Patience: time.Second,
 		Classes: []string{"chat"}}, log),
 		NewDiscovery(log)
-	set := settings.Settings{Settings: brain.Settings{GroupSize: 1, MaxAttempts: 3, MayCancel: true, AskList: true,
-		AskWithin: time.Hour, DrainGrace: time.Second, Classes: []brain.Class{{SetupAim: 5 * time.Second, Deadline: 5 * time.Second, Worth: 1}}},
+	set := settings.Settings{Settings: balancer.Settings{GroupSize: 1, MaxAttempts: 3, MayCancel: true, AskList: true,
+		AskWithin: time.Hour, DrainGrace: time.Second, Classes: []balancer.Class{{SetupAim: 5 * time.Second, Deadline: 5 * time.Second, Worth: 1}}},
 		ClassNames: []string{"chat"}}
 	change(&set)
 	known := wire.Catalog{Complete: true}
--- a/internal/driver/faults_test.go
+++ b/internal/proxy/faults_test.go
@@ -1,4 +1,4 @@
-package driver
+package proxy
 
 import (
 	"fmt"
@@ -12,7 +12,7 @@
 
 	"go.uber.org/zap"
 
-	"onyxstream/brain"
+	"onyxstream/balancer"
 	"onyxstream/internal/wire"
 )
 
@@ -96,18 +96,18 @@
 func TestAttemptError_LocalFailure_BlamesNoHost(t *testing.T) {
 	for _, c := range []struct {
 		errno syscall.Errno
-		want  brain.Outcome
+		want  balancer.Outcome
 	}{
-		{syscall.EMFILE, brain.NeverPassed},
-		{syscall.ENFILE, brain.NeverPassed},
-		{syscall.ENOBUFS, brain.NeverPassed},
-		{syscall.ENOMEM, brain.NeverPassed},
-		{syscall.EADDRNOTAVAIL, brain.NeverPassed},
-		{syscall.EADDRINUSE, brain.NeverPassed},
-		{syscall.ECONNREFUSED, brain.NoConnect},
-		{syscall.EHOSTUNREACH, brain.NoConnect},
-		{syscall.ENETUNREACH, brain.NoConnect},
-		{syscall.ETIMEDOUT, brain.NoConnect},
+		{syscall.EMFILE, balancer.NeverPassed},
+		{syscall.ENFILE, balancer.NeverPassed},
+		{syscall.ENOBUFS, balancer.NeverPassed},
+		{syscall.ENOMEM, balancer.NeverPassed},
+		{syscall.EADDRNOTAVAIL, balancer.NeverPassed},
+		{syscall.EADDRINUSE, balancer.NeverPassed},
+		{syscall.ECONNREFUSED, balancer.NoConnect},
+		{syscall.EHOSTUNREACH, balancer.NoConnect},
+		{syscall.ENETUNREACH, balancer.NoConnect},
+		{syscall.ETIMEDOUT, balancer.NoConnect},
 	} {
 		for _, failed := range []*AttemptError{
 			{Dialing, &net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError("socket", c.errno)}},
--- a/internal/driver/park.go
+++ b/internal/proxy/park.go
@@ -1,4 +1,4 @@
-package driver
+package proxy
 
 import (
 	"errors"
@@ -8,13 +8,13 @@
 
 	"go.uber.org/zap"
 
-	"onyxstream/brain"
+	"onyxstream/balancer"
 	"onyxstream/internal/wire"
 )
 
 // Connections that stand can go from one process of the node to the next without a break: here they are brought to rest
 // between two lines, and here a process takes up what another one has brought to rest. How the sockets get from one to
-// the other is package handover's.
+// the other is package sharedstate's.
 
 // Standing is a connection that stands, at rest: what a process needs to go on with it.
 type Standing struct {
@@ -158,7 +158,7 @@
 // there: nothing may be said on them, nor set.
 func (c *conn) handOver(host *net.TCPConn, attempt int, start time.Time) {
 	_ = host.Close()
-	c.d.node.Settled(c.id, c, attempt, time.Since(start), brain.Cancelled)
+	c.d.node.Settled(c.id, c, attempt, time.Since(start), balancer.Cancelled)
 }
 
 var errGone = errors.New("the driver ends")
@@ -181,7 +181,7 @@
 	}
 	open.At = s.Host
 	c := d.newConn(s.Client, time.Now())
-	c.open, c.id, c.on, c.host = open, brain.RequestID(open.ID), s.Host, s.Peer
+	c.open, c.id, c.on, c.host = open, balancer.RequestID(open.ID), s.Host, s.Peer
 	c.counted.Store(true) // by the process that brought it up
 	close(c.up)
 	d.mu.Lock()
@@ -205,7 +205,7 @@
 			c.d.log.Error("a connection failed badly", zap.Any("panic", p), zap.Stack("stack"))
 			c.abort()
 			if told {
-				c.d.node.Settled(c.id, c, 0, 0, brain.Reset)
+				c.d.node.Settled(c.id, c, 0, 0, balancer.Reset)
 			}
 		}
 	}()
--- a/internal/driver/peers_test.go
+++ b/internal/proxy/peers_test.go
@@ -1,4 +1,4 @@
-package driver
+package proxy
 
 // Peers that the tests of crossing events hold, and what is asked of their sockets.
 
--- a/internal/driver/ping.go
+++ b/internal/proxy/ping.go
@@ -1,4 +1,4 @@
-package driver
+package proxy
 
 import (
 	"io"
@@ -7,7 +7,7 @@
 
 	"go.uber.org/zap"
 
-	"onyxstream/brain"
+	"onyxstream/balancer"
 	"onyxstream/internal/wire"
 )
 
@@ -27,7 +27,7 @@
 
 // Ping times a message at a host, and tells the node; false where it does not, as there is no descriptor for it. It does
 // not block: while one is under way there, that one tells.
-func (d *Driver) Ping(id brain.ServerID, addr string) bool {
+func (d *Driver) Ping(id balancer.ServerID, addr string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.closed {
@@ -59,7 +59,7 @@
 }
 
 // ping is the life of a pinger.
-func (d *Driver) ping(id brain.ServerID, p *pinger) {
+func (d *Driver) ping(id balancer.ServerID, p *pinger) {
 	var c net.Conn
 	var in wire.Inbox
 	leave := func() {
@@ -111,7 +111,7 @@
 
 // retire takes a pinger out; one that was asked just now goes on, unless it must not: a question that nobody answers would
 // pass for a host that does not.
-func (d *Driver) retire(id brain.ServerID, p *pinger, must bool) bool {
+func (d *Driver) retire(id balancer.ServerID, p *pinger, must bool) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if len(p.asks) > 0 && !must {
--- a/internal/driver/push_test.go
+++ b/internal/proxy/push_test.go
@@ -1,4 +1,4 @@
-package driver
+package proxy
 
 import (
 	"bufio"
@@ -11,9 +11,9 @@
 
 	"go.uber.org/zap"
 
-	"onyxstream/brain"
+	"onyxstream/balancer"
+	"onyxstream/internal/fakeserver"
 	"onyxstream/internal/settings"
-	"onyxstream/internal/stand"
 	"onyxstream/internal/wire"
 )
 
@@ -32,8 +32,8 @@
 		})
 		members[i] = wire.Member{ID: fmt.Sprint("h", i), Addr: addr, Size: 1}
 	}
-	clock := stand.NewClock()
-	d, err := stand.NewDiscovery("", clock, stand.NewLedger(clock), 7, members[:]...)
+	clock := fakeserver.NewClock()
+	d, err := fakeserver.NewDiscovery("", clock, fakeserver.NewLedger(clock), 7, members[:]...)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -56,7 +56,7 @@
 		t.Helper()
 		waitFor(t, what, func() bool {
 			v := r.n.View().Hosts
-			return len(v) == 2 && v[1-one].State == brain.Draining && v[one].State == brain.Live
+			return len(v) == 2 && v[1-one].State == balancer.Draining && v[one].State == balancer.Live
 		})
 		time.Sleep(grace)
 		if at := round(); at[1-one] != 0 || at[one] != 16 {
@@ -68,13 +68,13 @@
 	d.Set(members[0])
 	only("the first host drains", 1)
 
-	d.Answer(stand.Mute)
+	d.Answer(fakeserver.Mute)
 	members[0].Phase, members[1].Phase = wire.Serving, wire.Draining
 	d.Set(members[0])
 	d.Set(members[1])
 	if at := round(); at[1] != 16 {
 		t.Errorf("while discovery is silent: asked %v of 16", at)
 	}
-	d.Answer(stand.Well)
+	d.Answer(fakeserver.Well)
 	only("what was missed is taken up", 0)
 }
--- a/internal/driver/relay.go
+++ b/internal/proxy/relay.go
@@ -1,4 +1,4 @@
-package driver
+package proxy
 
 import (
 	"errors"
@@ -8,7 +8,7 @@
 
 	"go.uber.org/zap"
 
-	"onyxstream/brain"
+	"onyxstream/balancer"
 	"onyxstream/internal/wire"
 )
 
@@ -64,13 +64,13 @@
 
 // part ends both sides after the relay has: err is what ended it.
 func (c *conn) part(host *net.TCPConn, r *wire.Relay, err error, stuck bool, attempt int, start time.Time) {
-	outcome := brain.Reset
+	outcome := balancer.Reset
 	left, moved := c.leftFIN.Load() || c.leftRST.Load(), c.moving.Load() // as it ended: a word that comes now is too late
 	switch {
 	case r.Last() == wire.AnswerBye:
-		outcome = brain.Served
+		outcome = balancer.Served
 	case r.Last() == wire.AnswerMove || left || moved:
-		outcome = brain.Cancelled
+		outcome = balancer.Cancelled
 	}
 	if c.leftRST.Load() {
 		reset(host)
--- a/internal/driver/request.go
+++ b/internal/proxy/request.go
@@ -1,4 +1,4 @@
-package driver
+package proxy
 
 import (
 	"context"
@@ -9,7 +9,7 @@
 
 	"go.uber.org/zap"
 
-	"onyxstream/brain"
+	"onyxstream/balancer"
 	"onyxstream/internal/node"
 	"onyxstream/internal/wire"
 )
@@ -38,7 +38,7 @@
 			c.d.node.Gone(c.id, c, taken)
 		}
 		if out > 0 {
-			c.d.node.Settled(c.id, c, taken-1, 0, brain.Reset)
+			c.d.node.Settled(c.id, c, taken-1, 0, balancer.Reset)
 		}
 		c.mu.Lock()
 		spoke := c.spoke
--- a/internal/driver/resume.go
+++ b/internal/proxy/resume.go
@@ -1,11 +1,11 @@
-package driver
+package proxy
 
 import (
 	"time"
 
 	"go.uber.org/zap"
 
-	"onyxstream/brain"
+	"onyxstream/balancer"
 	"onyxstream/internal/node"
 	"onyxstream/internal/wire"
 )
@@ -54,7 +54,7 @@
 		in.Free()
 		c.d.log.Info("a connection could not be taken up", zap.String("host", c.open.At), zap.Error(failed))
 		switch failed.Outcome() {
-		case brain.NoConnect, brain.NeverPassed: // pause tells whether the client has left
+		case balancer.NoConnect, balancer.NeverPassed: // pause tells whether the client has left
 		default:
 			return false
 		}
--- a/internal/driver/watch_test.go
+++ b/internal/proxy/watch_test.go
@@ -1,4 +1,4 @@
-package driver
+package proxy
 
 import (
 	"bufio"
@@ -12,7 +12,7 @@
 
 	"go.uber.org/zap"
 
-	"onyxstream/brain"
+	"onyxstream/balancer"
 	"onyxstream/internal/node"
 	"onyxstream/internal/settings"
 )
@@ -22,8 +22,8 @@
 func TestWhatDiscoveryHasIsAskedForInTime(t *testing.T) {
 	const answer = 400 * time.Millisecond
 	for what, longest := range map[string]time.Duration{
-		"asked, a watch falls silent": beatWait + brain.AskAgain, "asked, a call is lost": callWait + brain.AskAgain,
-		"asked, a call is refused":   2 * brain.AskAgain,
+		"asked, a watch falls silent": beatWait + balancer.AskAgain, "asked, a call is lost": callWait + balancer.AskAgain,
+		"asked, a call is refused":   2 * balancer.AskAgain,
 		"told, a watch falls silent": beatWait + node.WatchAgain, "told, a call is lost": callWait + node.WatchAgain,
 	} {
 		if longest+answer > toldWithin {
--- a/internal/scale/hollow.go
+++ b/internal/scaletest/hollow.go
@@ -1,4 +1,4 @@
-package scale
+package scaletest
 
 import (
 	"bufio"
@@ -11,21 +11,21 @@
 	"go.uber.org/zap/zapcore"
 	"golang.org/x/sync/errgroup"
 
-	"onyxstream/brain"
-	"onyxstream/internal/driver"
+	"onyxstream/balancer"
 	"onyxstream/internal/lifecycle"
 	"onyxstream/internal/logging"
 	"onyxstream/internal/node"
+	"onyxstream/internal/proxy"
 )
 
 // restartCommand is a line on a hollow process's standard input: so many of its nodes start anew at once.
 const restartCommand = "restart"
 
 // sockets gives a hollow node's loop the list service, and no hosts to ping.
-type sockets struct{ *driver.Discovery }
+type sockets struct{ *proxy.Discovery }
 
 // Ping sends none.
-func (sockets) Ping(brain.ServerID, string) bool { return false }
+func (sockets) Ping(balancer.ServerID, string) bool { return false }
 
 // hollow is one hollow node over its starts.
 type hollow struct {
@@ -67,7 +67,7 @@
 	set.Index, set.GroupSize = i, n
 	set.Seed += uint64(i)
 	log := logger.With(zap.String("node", fmt.Sprint("n", i+1)))
-	follower := driver.NewDiscovery(log)
+	follower := proxy.NewDiscovery(log)
 	loop := node.New(set, cfg.Known, cfg.Discovery, sockets{follower}, log)
 	follower.Attach(loop)
 	h := &hollow{index: i, done: make(chan struct{})}
--- a/internal/scale/process.go
+++ b/internal/scaletest/process.go
@@ -1,4 +1,4 @@
-package scale
+package scaletest
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 	"syscall"
 	"time"
 
-	"onyxstream/internal/rig"
+	"onyxstream/internal/testcluster"
 )
 
 // hollowProcess is a process that runs hollow nodes.
@@ -37,7 +37,7 @@
 	return &hollowProcess{cmd, commands, nodes}, nil
 }
 
-func (p *hollowProcess) usage() rig.Usage { return rig.ProcessUsage(p.cmd.Process.Pid) }
+func (p *hollowProcess) usage() testcluster.Usage { return testcluster.ProcessUsage(p.cmd.Process.Pid) }
 
 // memoryMB is one node's part of the process's memory.
 func (p *hollowProcess) memoryMB() float64 { return p.usage().PeakMB / float64(p.nodes) }
--- a/internal/scale/run.go
+++ b/internal/scaletest/run.go
@@ -1,4 +1,4 @@
-package scale
+package scaletest
 
 import (
 	"context"
@@ -10,7 +10,7 @@
 	"syscall"
 	"time"
 
-	"onyxstream/internal/rig"
+	"onyxstream/internal/testcluster"
 	"onyxstream/internal/wire"
 )
 
@@ -122,7 +122,7 @@
 
 // population is a fleet that runs.
 type population interface {
-	usage() rig.Usage // of all its processes, memory of the largest
+	usage() testcluster.Usage // of all its processes, memory of the largest
 	memoryMB() float64
 	restart(n int) error
 	close()
@@ -187,7 +187,7 @@
 // meter measures phases of one fleet.
 type meter struct {
 	spec  Spec
-	rig   *rig.Rig
+	rig   *testcluster.Rig
 	fleet population
 	nodes int
 	got   *receipts
@@ -256,14 +256,14 @@
 }
 
 // fleetOf is what a fleet of n nodes deals with. Nothing is sent to its hosts.
-func fleetOf(s Spec, n int) (rig.Fleet, rig.Options, error) {
-	f := rig.Fleet{Nodes: n, Hosts: s.Hosts, List: rig.List{Push: true}}
-	opt := rig.Options{Seed: s.Seed, Classes: []rig.ClassSpec{{Name: "chat", Deadline: 3 * time.Second}}, Tenants: []string{"acme"}, Debug: true}
+func fleetOf(s Spec, n int) (testcluster.Fleet, testcluster.Options, error) {
+	f := testcluster.Fleet{Nodes: n, Hosts: s.Hosts, List: testcluster.List{Push: true}}
+	opt := testcluster.Options{Seed: s.Seed, Classes: []testcluster.ClassSpec{{Name: "chat", Deadline: 3 * time.Second}}, Tenants: []string{"acme"}, Debug: true}
 	return f, opt, f.Check(opt.Classes, opt.Tenants)
 }
 
 // start starts a fleet; what was started is returned beside an error too.
-func start(s Spec, kind Kind, n int, opt Options, log io.Writer) (*rig.Rig, population, error) {
+func start(s Spec, kind Kind, n int, opt Options, log io.Writer) (*testcluster.Rig, population, error) {
 	configured := n
 	if kind == Hollow {
 		configured = 1 // they share one configuration but for their places
@@ -273,7 +273,7 @@
 		return nil, nil, err
 	}
 	o.Program, o.Log = opt.Program, log
-	r, err := rig.Prepare(f, o)
+	r, err := testcluster.Prepare(f, o)
 	if err != nil {
 		return r, nil, err
 	}
@@ -289,19 +289,19 @@
 
 // processes are real nodes.
 type processes struct {
-	rig *rig.Rig
+	rig *testcluster.Rig
 	n   int
 }
 
-func (p *processes) usage() rig.Usage  { return p.rig.Usage() }
-func (p *processes) memoryMB() float64 { return p.rig.Usage().PeakMB }
-func (p *processes) close()            {}
+func (p *processes) usage() testcluster.Usage { return p.rig.Usage() }
+func (p *processes) memoryMB() float64        { return p.rig.Usage().PeakMB }
+func (p *processes) close()                   {}
 
 // restart kills the first n nodes and starts them anew.
 func (p *processes) restart(n int) error {
 	var errs []error
 	for i := range n {
-		end, err := p.rig.Begin(rig.FaultSpec{What: "kill", On: fmt.Sprint("n", i+1)})
+		end, err := p.rig.Begin(testcluster.FaultSpec{What: "kill", On: fmt.Sprint("n", i+1)})
 		if errs = append(errs, err); err == nil && end != nil {
 			errs = append(errs, end())
 		}
--- a/internal/scale/scale_test.go
+++ b/internal/scaletest/scale_test.go
@@ -1,4 +1,4 @@
-package scale
+package scaletest
 
 import (
 	"context"
--- a/internal/scale/spec.go
+++ b/internal/scaletest/spec.go
@@ -1,7 +1,7 @@
-// Package scale measures what following the list of hosts costs a fleet of many sizes, and reckons from the samples what
+// Package scaletest measures what following the list of hosts costs a fleet of many sizes, and reckons from the samples what
 // it costs at a target size. Hollow nodes, many in a process, run the real loop, the real protocol of the list and the
 // real decision module without clients; beside them real processes are measured in the same way, and the two compared.
-package scale
+package scaletest
 
 import (
 	"time"
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -10,7 +10,7 @@
 	"strconv"
 	"time"
 
-	"onyxstream/brain"
+	"onyxstream/balancer"
 )
 
 // ms is a time in milliseconds.
@@ -70,13 +70,13 @@
 	} `json:"rules"`
 }
 
-var effects = map[string]brain.Effect{"": brain.Safe, "safe": brain.Safe, "keyed": brain.Keyed, "unsafe": brain.Unsafe}
+var effects = map[string]balancer.Effect{"": balancer.Safe, "safe": balancer.Safe, "keyed": balancer.Keyed, "unsafe": balancer.Unsafe}
 
-var scopes = map[string]brain.Scope{"": brain.ScopeAll, "all": brain.ScopeAll, "zone": brain.ScopeZone, "cell": brain.ScopeCell}
+var scopes = map[string]balancer.Scope{"": balancer.ScopeAll, "all": balancer.ScopeAll, "zone": balancer.ScopeZone, "cell": balancer.ScopeCell}
 
 // Settings is what the object says: the module's part, and what the node itself needs to speak for it.
 type Settings struct {
-	brain.Settings
+	balancer.Settings
 	// The names of classes, tenants and zones, in the order of the module's indices.
 	ClassNames, TenantNames, ZoneNames []string
 	Groups                             bool          // connections of a group share work on a server
@@ -121,7 +121,7 @@
 	}
 	s := Settings{ZoneNames: f.Zones, Groups: f.Domain.Groups, TellsDelay: f.Domain.TellsDelay, ConnectTimeout: f.Limits.ConnectTimeout.duration(),
 		AnswerSlack: f.Rules.AnswerSlack.duration()}
-	s.Settings = brain.Settings{
+	s.Settings = balancer.Settings{
 		Seed: seed, Index: f.Index, GroupSize: f.GroupSize, Zone: f.Zone,
 		OverShareWorth: f.OverShareWorth,
 		Pass:           f.Domain.Mode == "pass", AskList: f.RegistryMode == "ask",
@@ -185,7 +185,7 @@
 		if !ok {
 			return s, at(name+"group", fmt.Errorf("unknown word %q", l.Group))
 		}
-		c := brain.Class{SetupAim: l.Aim.duration(), Deadline: l.Deadline.duration(), Worth: l.Worth,
+		c := balancer.Class{SetupAim: l.Aim.duration(), Deadline: l.Deadline.duration(), Worth: l.Worth,
 			Effect: effect, Scope: scope, Window: l.Window.duration()}
 		if i < len(f.Domain.MessageAim) {
 			c.MessageAim = f.Domain.MessageAim[i].duration()
@@ -194,7 +194,7 @@
 		s.ClassNames = append(s.ClassNames, l.Name)
 	}
 	for i, c := range f.Customers {
-		var t brain.Tenant
+		var t balancer.Tenant
 		if i < len(f.Domain.TenantOpen) {
 			t.Connections = f.Domain.TenantOpen[i]
 		}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -9,7 +9,7 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"onyxstream/brain"
+	"onyxstream/balancer"
 )
 
 const whole = `{"index":1,"groupSize":3,"zone":2,"zones":["a","b","c"],"registryMode":"ask","unheardOf":{"x":[1]},
@@ -26,8 +26,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	class := brain.Class{SetupAim: 300 * time.Millisecond, Deadline: 1800500 * time.Microsecond, MessageAim: 50 * time.Millisecond,
-		Worth: 3, Effect: brain.Keyed, Scope: brain.ScopeZone, Window: 5 * time.Second}
+	class := balancer.Class{SetupAim: 300 * time.Millisecond, Deadline: 1800500 * time.Microsecond, MessageAim: 50 * time.Millisecond,
+		Worth: 3, Effect: balancer.Keyed, Scope: balancer.ScopeZone, Window: 5 * time.Second}
 	switch {
 	case s.Seed != 7 || s.Index != 1 || s.GroupSize != 3 || s.Zone != 2 || s.OverShareWorth != 0.1:
 		t.Errorf("place: %+v", s)
@@ -35,7 +35,7 @@
 		t.Errorf("what is allowed: %+v", s)
 	case len(s.Classes) != 1 || s.Classes[0] != class:
 		t.Errorf("classes %+v", s.Classes)
-	case !slices.Equal(s.Tenants, []brain.Tenant{{Connections: 48}, {}}):
+	case !slices.Equal(s.Tenants, []balancer.Tenant{{Connections: 48}, {}}):
 		t.Errorf("tenants %+v", s.Tenants)
 	case !slices.Equal(s.ClassNames, []string{"chat"}) || !slices.Equal(s.TenantNames, []string{"acme", "other"}) ||
 		!slices.Equal(s.ZoneNames, []string{"a", "b", "c"}):
@@ -79,8 +79,8 @@
 	}{
 		{`"deadline":1800.5,`, ``, func(s Settings) bool { return s.Classes[0].Deadline == 0 }},
 		{`"aim":300,`, ``, func(s Settings) bool { return s.Classes[0].SetupAim == 0 }},
-		{`"window":5000,`, ``, func(s Settings) bool { return s.Classes[0].Effect == brain.Keyed && s.Classes[0].Window == 0 }},
-		{`"semantics":"keyed",`, ``, func(s Settings) bool { return s.Classes[0].Effect == brain.Safe }},
+		{`"window":5000,`, ``, func(s Settings) bool { return s.Classes[0].Effect == balancer.Keyed && s.Classes[0].Window == 0 }},
+		{`"semantics":"keyed",`, ``, func(s Settings) bool { return s.Classes[0].Effect == balancer.Safe }},
 		{`"maxAttempts":5`, `"maxAttempts":0`, func(s Settings) bool { return s.MaxAttempts == 0 }},
 		{`"maxRetryAfter":2000`, `"maxRetryAfter":0`, func(s Settings) bool { return s.MaxRetryAfter == 0 }},
 		{`"tenantQuotaConnections":[48]`, `"tenantQuotaConnections":[]`, func(s Settings) bool { return len(s.Tenants) == 2 && s.Tenants[0].Connections == 0 }},
--- a/internal/handover/document.go
+++ b/internal/sharedstate/document.go
@@ -1,7 +1,7 @@
-// Package handover is what the processes of one node share while one takes over from another: the words of operators,
+// Package sharedstate is what the processes of one node share while one takes over from another: the words of operators,
 // which hold for the node and not for a process, and that each of them is there. This file is the pure part, the
 // document; store.go keeps it in the folder that the processes share.
-package handover
+package sharedstate
 
 import (
 	"bytes"
--- a/internal/handover/unreadable_test.go
+++ b/internal/sharedstate/unreadable_test.go
@@ -1,4 +1,4 @@
-package handover
+package sharedstate
 
 import (
 	"os"
@@ -6,13 +6,13 @@
 	"testing"
 	"time"
 
-	"onyxstream/internal/sysfault"
+	"onyxstream/internal/faultinject"
 )
 
 // withDescriptors runs f while this process may open only so many more descriptors at a time.
 func withDescriptors(t *testing.T, more uint64, f func()) {
 	t.Helper()
-	if err := sysfault.WithDescriptors(more, f); err != nil {
+	if err := faultinject.WithDescriptors(more, f); err != nil {
 		t.Fatal(err)
 	}
 }
--- a/internal/simwire/codec.go
+++ b/internal/simadapter/codec.go
@@ -1,6 +1,6 @@
-// Package simwire speaks the simulator's wire: it reads batches of events, hands them to the
+// Package simadapter speaks the simulator's wire: it reads batches of events, hands them to the
 // decision module's instances and writes back their actions. It decides nothing.
-package simwire
+package simadapter
 
 import (
 	"errors"
@@ -11,7 +11,7 @@
 
 	"github.com/go-faster/jx"
 
-	"onyxstream/brain"
+	"onyxstream/balancer"
 )
 
 // field marks one field of an event as seen.
@@ -61,31 +61,31 @@
 	"lapsed":      fID,
 }
 
-var outcomes = map[string]brain.Outcome{
-	"served": brain.Served, "server_error": brain.Errored, "turned_away": brain.Full,
-	"no_answer": brain.NoAnswer, "no_connection": brain.NoConnect, "connection_lost": brain.Reset,
-	"called_off": brain.Cancelled, "not_sent": brain.NeverPassed,
+var outcomes = map[string]balancer.Outcome{
+	"served": balancer.Served, "server_error": balancer.Errored, "turned_away": balancer.Full,
+	"no_answer": balancer.NoAnswer, "no_connection": balancer.NoConnect, "connection_lost": balancer.Reset,
+	"called_off": balancer.Cancelled, "not_sent": balancer.NeverPassed,
 }
 
-var states = map[string]brain.ServerState{"live": brain.Live, "quiescing": brain.Draining, "dead": brain.Gone}
+var states = map[string]balancer.ServerState{"live": balancer.Live, "quiescing": balancer.Draining, "dead": balancer.Gone}
 
-var listKinds = map[string]brain.ListKind{
-	"update": brain.ListChange, "replace": brain.ListFull, "restored": brain.ListCached, "unavailable": brain.ListFailed,
+var listKinds = map[string]balancer.ListKind{
+	"update": balancer.ListChange, "replace": balancer.ListFull, "restored": balancer.ListCached, "unavailable": balancer.ListFailed,
 }
 
 // event is one event of the wire with the fields of all kinds side by side.
 type event struct {
 	seen                            field
 	id, entity, room, handle, mode  string
-	host                            brain.ServerID
-	result                          brain.Outcome
+	host                            balancer.ServerID
+	result                          balancer.Outcome
 	lane, billing, trial, kind, src int
 	serial                          int64
 	buffer                          int
 	remaining, timeTaken            time.Duration
 	expected, value                 float64
 	retry, stray, again, last       bool
-	rows                            []brain.Server
+	rows                            []balancer.Server
 	seed                            uint64
 	facts, content                  []byte
 }
@@ -120,7 +120,7 @@
 }
 
 // decode reads the object of one event. names interns host names.
-func (e *event) decode(d *jx.Decoder, names map[string]brain.ServerID) error {
+func (e *event) decode(d *jx.Decoder, names map[string]balancer.ServerID) error {
 	*e = event{}
 	return d.ObjBytes(func(d *jx.Decoder, key []byte) error {
 		if d.Next() == jx.Null {
@@ -245,7 +245,7 @@
 	return v, err
 }
 
-func intern(d *jx.Decoder, names map[string]brain.ServerID) (brain.ServerID, error) {
+func intern(d *jx.Decoder, names map[string]balancer.ServerID) (balancer.ServerID, error) {
 	b, err := d.StrBytes()
 	if err != nil {
 		return "", err
@@ -254,12 +254,12 @@
 		return s, nil
 	}
 	s := string(b)
-	names[s] = brain.ServerID(s)
-	return brain.ServerID(s), nil
+	names[s] = balancer.ServerID(s)
+	return balancer.ServerID(s), nil
 }
 
-func decodeRow(d *jx.Decoder, names map[string]brain.ServerID) (brain.Server, error) {
-	row := brain.Server{Weight: 1}
+func decodeRow(d *jx.Decoder, names map[string]balancer.ServerID) (balancer.Server, error) {
+	row := balancer.Server{Weight: 1}
 	named, stated := false, false
 	err := d.ObjBytes(func(d *jx.Decoder, key []byte) error {
 		if d.Next() == jx.Null {
@@ -299,47 +299,47 @@
 func millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
 // encode writes one action.
-func encode(w *jx.Encoder, a brain.Action) {
+func encode(w *jx.Encoder, a balancer.Action) {
 	w.ObjStart()
 	switch a := a.(type) {
-	case brain.Send:
+	case balancer.Send:
 		w.FieldStart("transmit")
 		w.ObjStart()
 		str(w, "id", string(a.ID))
 		str(w, "host", string(a.Server))
 		num(w, "cap", millis(a.Timeout))
-	case brain.Refuse:
+	case balancer.Refuse:
 		w.FieldStart("notNow")
 		w.ObjStart()
 		str(w, "id", string(a.ID))
 		if a.RetryAfter > 0 {
 			num(w, "pause", millis(a.RetryAfter))
 		}
-	case brain.Fail:
+	case balancer.Fail:
 		w.FieldStart("endFailed")
 		w.ObjStart()
 		str(w, "id", string(a.ID))
-	case brain.Cancel:
+	case balancer.Cancel:
 		w.FieldStart("abandon")
 		w.ObjStart()
 		str(w, "id", string(a.ID))
 		w.FieldStart("trial")
 		w.Int(a.Attempt)
-	case brain.Move:
+	case balancer.Move:
 		w.FieldStart("redirect")
 		w.ObjStart()
 		str(w, "id", string(a.ID))
-	case brain.Wake:
+	case balancer.Wake:
 		w.FieldStart("arm")
 		w.ObjStart()
 		num(w, "instant", millis(a.At))
 		str(w, "handle", a.Token)
-	case brain.Watch:
+	case balancer.Watch:
 		w.FieldStart("keepInformed")
 		w.ObjStart()
 		w.FieldStart("active")
 		w.Bool(true)
-	case brain.Log:
+	case balancer.Log:
 		w.FieldStart("sayLog")
 		w.ObjStart()
 		str(w, "noteText", a.Text)
--- a/internal/simwire/host.go
+++ b/internal/simadapter/host.go
@@ -1,4 +1,4 @@
-package simwire
+package simadapter
 
 import (
 	"bufio"
@@ -10,7 +10,7 @@
 
 	"github.com/go-faster/jx"
 
-	"onyxstream/brain"
+	"onyxstream/balancer"
 	"onyxstream/internal/settings"
 )
 
@@ -19,9 +19,9 @@
 
 // host keeps the instances of one process and the lists that the wire numbers.
 type host struct {
-	instances map[int]*brain.Brain
-	names     map[string]brain.ServerID
-	lists     [lists][]brain.Server
+	instances map[int]*balancer.Brain
+	names     map[string]balancer.ServerID
+	lists     [lists][]balancer.Server
 	dec       jx.Decoder
 	reply     jx.Encoder
 	now       time.Duration
@@ -32,7 +32,7 @@
 // Serve answers batches until the input ends. The error of a malformed line names its serial, the
 // field and the reason; no reply is written to such a line.
 func Serve(in io.Reader, out io.Writer) error {
-	h := &host{instances: map[int]*brain.Brain{}, names: map[string]brain.ServerID{}}
+	h := &host{instances: map[int]*balancer.Brain{}, names: map[string]balancer.ServerID{}}
 	r := bufio.NewReaderSize(in, 1<<20)
 	w := bufio.NewWriterSize(out, 1<<16)
 	var line []byte
@@ -210,7 +210,7 @@
 		if err != nil {
 			return err
 		}
-		h.instances[inst] = brain.New(s.Settings)
+		h.instances[inst] = balancer.New(s.Settings)
 		return nil
 	case "shutdown":
 		delete(h.instances, inst)
@@ -235,10 +235,10 @@
 }
 
 // translate turns the event in h.ev into the module's own; nil where the module has no use for it.
-func (h *host) translate(name string) (brain.Event, error) {
+func (h *host) translate(name string) (balancer.Event, error) {
 	e := &h.ev
-	id := brain.RequestID(e.id)
-	arrival := brain.Arrival{ID: id, Class: e.lane, Tenant: e.billing, Key: e.entity, Group: e.room, Left: e.remaining,
+	id := balancer.RequestID(e.id)
+	arrival := balancer.Arrival{ID: id, Class: e.lane, Tenant: e.billing, Key: e.entity, Group: e.room, Left: e.remaining,
 		Load: e.expected, Retry: e.retry, MidFlow: e.stray, Again: e.again}
 	switch name {
 	case "fleet":
@@ -246,8 +246,8 @@
 		if !ok {
 			return nil, at("mode", fmt.Errorf("unknown word %q", e.mode))
 		}
-		ev := brain.ListEvent{Kind: kind, Version: e.serial}
-		if kind != brain.ListFailed {
+		ev := balancer.ListEvent{Kind: kind, Version: e.serial}
+		if kind != balancer.ListFailed {
 			if e.seen&fBuffer == 0 || e.buffer < 0 || e.buffer >= lists {
 				return nil, at("buffer", errors.New("not a list's number"))
 			}
@@ -257,36 +257,36 @@
 	case "arrival":
 		return arrival, nil
 	case "inherited":
-		return brain.Inherited{Arrival: arrival, Server: e.host}, nil
+		return balancer.Inherited{Arrival: arrival, Server: e.host}, nil
 	case "deadlineHit":
-		return brain.Timer{Token: e.handle}, nil
+		return balancer.Timer{Token: e.handle}, nil
 	case "opened":
-		return brain.Opened{ID: id, Attempt: e.trial, Server: e.host, Took: e.timeTaken}, nil
+		return balancer.Opened{ID: id, Attempt: e.trial, Server: e.host, Took: e.timeTaken}, nil
 	case "settled":
-		return brain.Settled{ID: id, Attempt: e.trial, Server: e.host, Took: e.timeTaken,
+		return balancer.Settled{ID: id, Attempt: e.trial, Server: e.host, Took: e.timeTaken,
 			Outcome: e.result, Final: e.last}, nil
 	case "pong":
 		return nil, nil // nothing is probed
 	case "heartbeat":
 		if e.kind == 1 {
-			return brain.LoadNote{ID: id, Load: e.value}, nil
+			return balancer.LoadNote{ID: id, Load: e.value}, nil
 		}
 		if e.kind == 2 {
-			return brain.SlowNote{ID: id, Message: time.Duration(e.value * float64(time.Millisecond))}, nil
+			return balancer.SlowNote{ID: id, Message: time.Duration(e.value * float64(time.Millisecond))}, nil
 		}
 		return nil, nil // a kind of note that came later than this code
 	case "inbox":
-		return brain.PeerMessage{From: e.src, Data: e.content}, nil
+		return balancer.PeerMessage{From: e.src, Data: e.content}, nil
 	case "lapsed":
-		return brain.ClientGone{ID: id}, nil
+		return balancer.ClientGone{ID: id}, nil
 	}
 	return nil, nil
 }
 
 // run lets an instance decide. A failure inside the module is told as a fault with its cause.
-func (h *host) run(inst int, b *brain.Brain, ev brain.Event) {
+func (h *host) run(inst int, b *balancer.Brain, ev balancer.Event) {
 	var fault string
-	actions := func() (out []brain.Action) {
+	actions := func() (out []balancer.Action) {
 		defer func() {
 			if p := recover(); p != nil {
 				fault = fmt.Sprintf("the decision code failed: %v", p)
--- a/internal/simwire/host_test.go
+++ b/internal/simadapter/host_test.go
@@ -1,4 +1,4 @@
-package simwire
+package simadapter
 
 import (
 	"bytes"
--- a/internal/soak/client.go
+++ b/internal/soaktest/client.go
@@ -1,4 +1,4 @@
-package soak
+package soaktest
 
 import (
 	"bufio"
@@ -13,8 +13,8 @@
 	"time"
 
 	"onyxstream/internal/ctxtime"
-	"onyxstream/internal/rig"
-	"onyxstream/internal/stand"
+	"onyxstream/internal/fakeserver"
+	"onyxstream/internal/testcluster"
 )
 
 // manner is how a client behaves.
@@ -73,9 +73,9 @@
 // session is a client's connections, one after another.
 type session struct {
 	client
-	rig  *rig.Rig
-	deal func() (stand.Node, bool) // the front's choice
-	keys func() string             // a fresh name for a connection in the ledger
+	rig  *testcluster.Rig
+	deal func() (fakeserver.Node, bool) // the front's choice
+	keys func() string                  // a fresh name for a connection in the ledger
 }
 
 // run is the whole life of a client. Where packets pass through, one whose node ended goes on mid-flow by way of another.
@@ -101,11 +101,11 @@
 }
 
 func (c *connection) note(what, text string) {
-	c.rig.Ledger.Add(stand.Record{Who: clientPrefix + c.node, What: what, ID: c.id, Key: c.key, Class: c.class, Note: text})
+	c.rig.Ledger.Add(fakeserver.Record{Who: clientPrefix + c.node, What: what, ID: c.id, Key: c.key, Class: c.class, Note: text})
 }
 
 // come makes one connection, and reports whether it stood and was broken by the node's side.
-func (s *session) come(ctx context.Context, node stand.Node, mid bool) (stood bool) {
+func (s *session) come(ctx context.Context, node fakeserver.Node, mid bool) (stood bool) {
 	any, err := (&net.Dialer{Timeout: time.Second}).DialContext(ctx, "tcp", node.Addr)
 	if err != nil {
 		return false // a node that is not there takes nothing on
@@ -126,7 +126,7 @@
 		if _, err := io.WriteString(c, line+"\r\n"); err != nil {
 			return false
 		}
-		c.note(stand.Asked, s.patience.String())
+		c.note(fakeserver.Asked, s.patience.String())
 	}
 	return c.wait(ctx)
 }
@@ -155,7 +155,7 @@
 		return false
 	case floodsMid:
 		say(line + strings.Repeat("M of a client that goes\r\n", floodSize/25))
-		c.note(stand.Asked, c.patience.String())
+		c.note(fakeserver.Asked, c.patience.String())
 		ctxtime.Sleep(ctx, c.pause)
 		c.leave()
 		return false
@@ -172,7 +172,7 @@
 	if !say(line) {
 		return false
 	}
-	c.note(stand.Asked, c.patience.String())
+	c.note(fakeserver.Asked, c.patience.String())
 	if c.manner == leaves || c.manner == resets {
 		ctxtime.Sleep(ctx, c.pause)
 		c.leave()
@@ -187,7 +187,7 @@
 		_ = t.SetLinger(0)
 	}
 	_ = c.Close()
-	c.note(stand.Left, "")
+	c.note(fakeserver.Left, "")
 }
 
 // hearsPong reads the answer to PING, and nothing behind it.
@@ -223,13 +223,13 @@
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return false // the judge sees that nothing came
 	case c.manner == rests && errors.Is(err, io.EOF) && time.Since(asked) < crossing:
-		c.note(stand.Left, "the node had ended it") // its FIN was there before the request
+		c.note(fakeserver.Left, "the node had ended it") // its FIN was there before the request
 		return false
 	default:
-		c.note(stand.Broken, err.Error()+text)
+		c.note(fakeserver.Broken, err.Error()+text)
 		return false
 	}
-	c.note(stand.Heard, strings.TrimRight(text, "\r\n"))
+	c.note(fakeserver.Heard, strings.TrimRight(text, "\r\n"))
 	if !strings.HasPrefix(text, "UP ") {
 		return false
 	}
@@ -239,15 +239,15 @@
 		text, err := in.ReadString('\n')
 		switch {
 		case err == nil && text == "MOVE\r\n":
-			c.note(stand.Moved, "")
+			c.note(fakeserver.Moved, "")
 			return false
 		case err == nil:
 			ctxtime.Sleep(ctx, lineEvery)
 		case !errors.Is(err, os.ErrDeadlineExceeded):
-			c.note(stand.Broken, err.Error()+text)
+			c.note(fakeserver.Broken, err.Error()+text)
 			return !errors.Is(err, io.EOF)
 		}
 	}
-	c.note(stand.Left, "")
+	c.note(fakeserver.Left, "")
 	return false
 }
--- a/internal/soak/judge.go
+++ b/internal/soaktest/judge.go
@@ -1,4 +1,4 @@
-package soak
+package soaktest
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"strings"
 	"time"
 
-	"onyxstream/internal/stand"
+	"onyxstream/internal/fakeserver"
 )
 
 // Limits are the rules' figures, with what the way to a ledger may take.
@@ -63,7 +63,7 @@
 }
 
 // Judge finds what the records of a run break.
-func Judge(recs []stand.Record, limits Limits, facts Facts) Verdict {
+func Judge(recs []fakeserver.Record, limits Limits, facts Facts) Verdict {
 	v := Verdict{}
 	fates, receipts, kills := gather(recs)
 	for _, f := range fates {
@@ -77,31 +77,31 @@
 }
 
 // gather sorts the records of clients by connection, those of hosts' receipts, and those of kills by node.
-func gather(recs []stand.Record) (fates []*fate, receipts map[string]bool, kills map[string][]time.Duration) {
+func gather(recs []fakeserver.Record) (fates []*fate, receipts map[string]bool, kills map[string][]time.Duration) {
 	receipts, kills = map[string]bool{}, map[string][]time.Duration{}
 	open := map[string]*fate{}
 	for _, r := range recs {
 		node, client := strings.CutPrefix(r.Who, clientPrefix)
 		f := open[r.Key]
 		switch {
-		case r.What == stand.Fault && (r.Note == "kill" || r.Note == "lose"):
+		case r.What == fakeserver.Fault && (r.Note == "kill" || r.Note == "lose"):
 			kills[r.Who] = append(kills[r.Who], r.At)
-		case !client && r.What == stand.Up:
+		case !client && r.What == fakeserver.Up:
 			receipts[r.ID+" "+r.Note] = true
 		case !client:
-		case r.What == stand.Asked:
+		case r.What == fakeserver.Asked:
 			patience, _ := time.ParseDuration(r.Note)
 			f = &fate{id: r.ID, node: node, asked: r.At, patience: patience}
 			open[r.Key] = f
 			fates = append(fates, f)
 		case f == nil:
-		case r.What == stand.Heard:
+		case r.What == fakeserver.Heard:
 			if f.answers = append(f.answers, r.Note); len(f.answers) == 1 {
 				f.heard = r.At
 			}
-		case r.What == stand.Left:
+		case r.What == fakeserver.Left:
 			f.left = r.At
-		case r.What == stand.Broken:
+		case r.What == fakeserver.Broken:
 			f.broken = r.At
 		}
 	}
@@ -146,7 +146,7 @@
 }
 
 // leavers finds lines that began for clients that had left. A request of the same id that came later is another one.
-func (v *Verdict) leavers(recs []stand.Record, fates []*fate, limits Limits, facts Facts) {
+func (v *Verdict) leavers(recs []fakeserver.Record, fates []*fate, limits Limits, facts Facts) {
 	left, last := map[string]time.Duration{}, map[string]time.Duration{}
 	for _, f := range fates {
 		if last[f.id] = max(last[f.id], f.asked); f.left > 0 && len(f.answers) == 0 {
@@ -155,29 +155,29 @@
 	}
 	for _, r := range recs {
 		at, ok := left[r.ID]
-		if r.What == stand.Opened && ok && !facts.Delayed[r.Who] && at > last[r.ID] && r.At > at+limits.Left+limits.Ledger {
+		if r.What == fakeserver.Opened && ok && !facts.Delayed[r.Who] && at > last[r.ID] && r.At > at+limits.Left+limits.Ledger {
 			v.wrong("%s: it began at %s at %v, its client left at %v", r.ID, r.Who, r.At, at)
 		}
 	}
 }
 
 // drains finds lines to hosts that drain for good, past the time at which every node counts as told, and the grace.
-func (v *Verdict) drains(recs []stand.Record, limits Limits, facts Facts) {
+func (v *Verdict) drains(recs []fakeserver.Record, limits Limits, facts Facts) {
 	since := map[string]time.Duration{}
 	for _, r := range recs {
 		switch at, ok := since[r.Who]; {
-		case r.What == stand.Fault && r.Note == "drains":
+		case r.What == fakeserver.Fault && r.Note == "drains":
 			since[r.Who] = ToldBy(r.At, limits.Told, facts.Unreachable)
-		case r.What == stand.Opened && ok && !facts.Delayed[r.Who] && r.At > at+limits.DrainGrace+limits.Ledger:
+		case r.What == fakeserver.Opened && ok && !facts.Delayed[r.Who] && r.At > at+limits.DrainGrace+limits.Ledger:
 			v.wrong("%s: it began at %s at %v, which drains, and all count as told at %v", r.ID, r.Who, r.At, at)
 		}
 	}
 }
 
 // falls finds hosts in slow start that all nodes together pushed over.
-func (v *Verdict) falls(recs []stand.Record) {
+func (v *Verdict) falls(recs []fakeserver.Record) {
 	for _, r := range recs {
-		if r.What == stand.Fault && r.Note == "fell over" {
+		if r.What == fakeserver.Fault && r.Note == "fell over" {
 			v.wrong("%s: it was pushed over at %v", r.Who, r.At)
 		}
 	}
@@ -198,15 +198,15 @@
 }
 
 // repeats finds requests that may not be repeated and were, though an earlier host may have run them.
-func (v *Verdict) repeats(recs []stand.Record, facts Facts) {
+func (v *Verdict) repeats(recs []fakeserver.Record, facts Facts) {
 	type place struct{ host, id string }
 	first, refused := map[string]string{}, map[place]bool{}
 	for _, r := range recs {
 		switch {
 		case strings.HasPrefix(r.Who, clientPrefix) || !facts.Unsafe[r.Class]:
-		case r.What == stand.Refused:
+		case r.What == fakeserver.Refused:
 			refused[place{r.Who, r.ID}] = true
-		case r.What == stand.Opened && !strings.Contains(r.Note, "mid"):
+		case r.What == fakeserver.Opened && !strings.Contains(r.Note, "mid"):
 			if was, ok := first[r.ID]; ok && !refused[place{was, r.ID}] {
 				v.wrong("%s: it was sent to %s, may have run, and was sent to %s", r.ID, was, r.Who)
 			}
--- a/internal/soak/judge_test.go
+++ b/internal/soaktest/judge_test.go
@@ -1,23 +1,23 @@
-package soak
+package soaktest
 
 import (
 	"strings"
 	"testing"
 	"time"
 
-	"onyxstream/internal/stand"
+	"onyxstream/internal/fakeserver"
 )
 
 const ms = time.Millisecond
 
 // book is a ledger that a test writes.
-type book []stand.Record
+type book []fakeserver.Record
 
 func (b *book) add(at time.Duration, who, what, id, note string) {
-	*b = append(*b, stand.Record{At: at, Who: who, What: what, ID: id, Key: id, Class: "order", Note: note})
+	*b = append(*b, fakeserver.Record{At: at, Who: who, What: what, ID: id, Key: id, Class: "order", Note: note})
 }
 
-func (b *book) asked(id string) { b.add(0, "c-n1", stand.Asked, id, "1s") }
+func (b *book) asked(id string) { b.add(0, "c-n1", fakeserver.Asked, id, "1s") }
 
 // Each way in which a request can come to a wrong end is found, and what is allowed is not.
 func TestJudge_EachRule(t *testing.T) {
@@ -31,71 +31,71 @@
 	}{
 		{"served", Facts{}, func(b *book) {
 			b.asked("a")
-			b.add(5*ms, "h1", stand.Up, "a", "h1-1")
-			b.add(6*ms, "c-n1", stand.Heard, "a", "UP h1-1")
-			b.add(9*ms, "c-n1", stand.Heard, "a", "M a line")
+			b.add(5*ms, "h1", fakeserver.Up, "a", "h1-1")
+			b.add(6*ms, "c-n1", fakeserver.Heard, "a", "UP h1-1")
+			b.add(9*ms, "c-n1", fakeserver.Heard, "a", "M a line")
 		}, ""},
-		{"refused", Facts{}, func(b *book) { b.asked("a"); b.add(ms, "c-n1", stand.Heard, "a", "BUSY 5") }, ""},
-		{"no answer", Facts{}, func(b *book) { b.asked("a"); b.add(ms, "c-n1", stand.Broken, "a", "EOF") }, "no whole answer"},
-		{"left first", Facts{}, func(b *book) { b.asked("a"); b.add(ms, "c-n1", stand.Left, "a", "") }, ""},
+		{"refused", Facts{}, func(b *book) { b.asked("a"); b.add(ms, "c-n1", fakeserver.Heard, "a", "BUSY 5") }, ""},
+		{"no answer", Facts{}, func(b *book) { b.asked("a"); b.add(ms, "c-n1", fakeserver.Broken, "a", "EOF") }, "no whole answer"},
+		{"left first", Facts{}, func(b *book) { b.asked("a"); b.add(ms, "c-n1", fakeserver.Left, "a", "") }, ""},
 		{"its node was killed", Facts{}, func(b *book) {
 			b.asked("a")
-			b.add(ms, "n1", stand.Fault, "", "kill")
-			b.add(2*ms, "c-n1", stand.Broken, "a", "reset")
+			b.add(ms, "n1", fakeserver.Fault, "", "kill")
+			b.add(2*ms, "c-n1", fakeserver.Broken, "a", "reset")
 		}, ""},
 		{"another node was killed", Facts{}, func(b *book) {
 			b.asked("a")
-			b.add(ms, "n2", stand.Fault, "", "kill")
-			b.add(2*ms, "c-n1", stand.Broken, "a", "reset")
+			b.add(ms, "n2", fakeserver.Fault, "", "kill")
+			b.add(2*ms, "c-n1", fakeserver.Broken, "a", "reset")
 		}, "no whole answer"},
 		{"shut in a crowd", Facts{Crowded: map[string][]Span{"n1": {{0, time.Second}}}}, func(b *book) {
 			b.asked("a")
-			b.add(ms, "c-n1", stand.Broken, "a", "reset")
+			b.add(ms, "c-n1", fakeserver.Broken, "a", "reset")
 		}, ""},
 		{"silent in a crowd", Facts{Crowded: map[string][]Span{"n1": {{0, time.Second}}}}, func(b *book) { b.asked("a") }, "no whole answer"},
-		{"late", Facts{}, func(b *book) { b.asked("a"); b.add(late, "c-n1", stand.Heard, "a", "ERR") }, "only at"},
+		{"late", Facts{}, func(b *book) { b.asked("a"); b.add(late, "c-n1", fakeserver.Heard, "a", "ERR") }, "only at"},
 		{"twice", Facts{}, func(b *book) {
 			b.asked("a")
-			b.add(ms, "c-n1", stand.Heard, "a", "BUSY")
-			b.add(ms, "c-n1", stand.Heard, "a", "ERR")
+			b.add(ms, "c-n1", fakeserver.Heard, "a", "BUSY")
+			b.add(ms, "c-n1", fakeserver.Heard, "a", "ERR")
 		}, "more answers than one"},
-		{"made up", Facts{}, func(b *book) { b.asked("a"); b.add(ms, "c-n1", stand.Heard, "a", "UP h1-1") }, "no host's answer"},
+		{"made up", Facts{}, func(b *book) { b.asked("a"); b.add(ms, "c-n1", fakeserver.Heard, "a", "UP h1-1") }, "no host's answer"},
 		{"begun for a leaver", Facts{}, func(b *book) {
 			b.asked("a")
-			b.add(ms, "c-n1", stand.Left, "a", "")
-			b.add(time.Second, "h1", stand.Opened, "a", "")
+			b.add(ms, "c-n1", fakeserver.Left, "a", "")
+			b.add(time.Second, "h1", fakeserver.Opened, "a", "")
 		}, "its client left"},
 		{"begun before it left", Facts{}, func(b *book) {
 			b.asked("a")
-			b.add(ms, "h1", stand.Opened, "a", "")
-			b.add(2*ms, "c-n1", stand.Left, "a", "")
+			b.add(ms, "h1", fakeserver.Opened, "a", "")
+			b.add(2*ms, "c-n1", fakeserver.Left, "a", "")
 		}, ""},
 		{"read late by a host that hung", Facts{Delayed: map[string]bool{"h1": true}}, func(b *book) {
 			b.asked("a")
-			b.add(ms, "c-n1", stand.Left, "a", "")
-			b.add(time.Second, "h1", stand.Opened, "a", "")
+			b.add(ms, "c-n1", fakeserver.Left, "a", "")
+			b.add(time.Second, "h1", fakeserver.Opened, "a", "")
 		}, ""},
 		{"sent to a drained host", Facts{}, func(b *book) {
-			b.add(0, "h1", stand.Fault, "", "drains")
-			b.add(Usual.Told+Usual.DrainGrace+Usual.Ledger+ms, "h1", stand.Opened, "a", "")
+			b.add(0, "h1", fakeserver.Fault, "", "drains")
+			b.add(Usual.Told+Usual.DrainGrace+Usual.Ledger+ms, "h1", fakeserver.Opened, "a", "")
 		}, "which drains"},
 		{"sent while not all are told", Facts{Unreachable: []Span{{time.Second, 2 * time.Second}}}, func(b *book) {
-			b.add(0, "h1", stand.Fault, "", "drains")
-			b.add(Usual.Told+Usual.DrainGrace+Usual.Ledger+ms, "h1", stand.Opened, "a", "")
+			b.add(0, "h1", fakeserver.Fault, "", "drains")
+			b.add(Usual.Told+Usual.DrainGrace+Usual.Ledger+ms, "h1", fakeserver.Opened, "a", "")
 		}, ""},
-		{"pushed over", Facts{}, func(b *book) { b.add(0, "h1", stand.Fault, "", "fell over") }, "pushed over"},
+		{"pushed over", Facts{}, func(b *book) { b.add(0, "h1", fakeserver.Fault, "", "fell over") }, "pushed over"},
 		{"repeated", unsafe, func(b *book) {
-			b.add(0, "h1", stand.Opened, "a", "")
-			b.add(time.Second, "h2", stand.Opened, "a", "")
+			b.add(0, "h1", fakeserver.Opened, "a", "")
+			b.add(time.Second, "h2", fakeserver.Opened, "a", "")
 		}, "may have run"},
 		{"repeated as it never ran", unsafe, func(b *book) {
-			b.add(0, "h1", stand.Opened, "a", "")
-			b.add(ms, "h1", stand.Refused, "a", "full")
-			b.add(time.Second, "h2", stand.Opened, "a", "")
+			b.add(0, "h1", fakeserver.Opened, "a", "")
+			b.add(ms, "h1", fakeserver.Refused, "a", "full")
+			b.add(time.Second, "h2", fakeserver.Opened, "a", "")
 		}, ""},
 		{"a safe repeat", Facts{}, func(b *book) {
-			b.add(0, "h1", stand.Opened, "a", "")
-			b.add(time.Second, "h2", stand.Opened, "a", "")
+			b.add(0, "h1", fakeserver.Opened, "a", "")
+			b.add(time.Second, "h2", fakeserver.Opened, "a", "")
 		}, ""},
 	} {
 		var b book
--- a/internal/soak/plan.go
+++ b/internal/soaktest/plan.go
@@ -1,14 +1,14 @@
-// Package soak plays troubles drawn from a seed on a fleet of real processes, two or three at a time, and judges from the
+// Package soaktest plays troubles drawn from a seed on a fleet of real processes, two or three at a time, and judges from the
 // ledgers of clients, hosts and the list service, and from the nodes' own checks, whether the rules held. plan.go and
-// judge.go are pure; run.go and client.go start processes and open sockets, through package rig.
-package soak
+// judge.go are pure; run.go and client.go start processes and open sockets, through package testcluster.
+package soaktest
 
 import (
 	"fmt"
 	"math/rand/v2"
 	"time"
 
-	"onyxstream/internal/rig"
+	"onyxstream/internal/testcluster"
 	"onyxstream/internal/tomlfile"
 )
 
@@ -24,7 +24,7 @@
 	Mode    string // "pass" or "proxy", as the settings call it
 	Push    bool   // the list comes unasked
 	Length  time.Duration
-	Faults  []rig.FaultSpec
+	Faults  []testcluster.FaultSpec
 	Reloads []Reload
 	Crowds  []Crowd
 	Calls   []CallFault
@@ -101,7 +101,7 @@
 }
 
 func (d *drawer) fault(at, length time.Duration, what, on string, by float64, over time.Duration) {
-	d.plan.Faults = append(d.plan.Faults, rig.FaultSpec{At: tomlfile.Duration(at), For: tomlfile.Duration(length), What: what, On: on, By: by,
+	d.plan.Faults = append(d.plan.Faults, testcluster.FaultSpec{At: tomlfile.Duration(at), For: tomlfile.Duration(length), What: what, On: on, By: by,
 		Over: tomlfile.Duration(over)})
 }
 
--- a/internal/soak/run.go
+++ b/internal/soaktest/run.go
@@ -1,4 +1,4 @@
-package soak
+package soaktest
 
 import (
 	"bytes"
@@ -14,10 +14,10 @@
 	"time"
 
 	"onyxstream/internal/ctxtime"
+	"onyxstream/internal/fakeserver"
+	"onyxstream/internal/faultinject"
 	"onyxstream/internal/invariant"
-	"onyxstream/internal/rig"
-	"onyxstream/internal/stand"
-	"onyxstream/internal/sysfault"
+	"onyxstream/internal/testcluster"
 	"onyxstream/internal/tomlfile"
 )
 
@@ -37,7 +37,7 @@
 	CallsFailed int
 	ClockSteps  int    // that nodes have noticed
 	Log         []byte // all that the nodes wrote
-	Records     []stand.Record
+	Records     []fakeserver.Record
 }
 
 // Broken lists all that speaks against the nodes.
@@ -46,7 +46,7 @@
 }
 
 // classes are what clients of a run ask for.
-var classes = []rig.ClassSpec{
+var classes = []testcluster.ClassSpec{
 	{Name: "chat", Deadline: 2 * time.Second},
 	{Name: "feed", Deadline: 1200 * time.Millisecond, Semantics: "keyed", Window: 800 * time.Millisecond},
 	{Name: "order", Deadline: 1500 * time.Millisecond, Semantics: "unsafe"},
@@ -54,12 +54,12 @@
 }
 
 // fleet is what a plan is played on.
-func fleet(p Plan, s Shape) rig.Fleet {
-	return rig.Fleet{Nodes: s.Nodes, Hosts: s.Hosts, Mode: p.Mode, Links: true, Park: tomlfile.Duration(time.Second), Sockets: 256, MemoryMB: 64,
-		Host: rig.Host{Cores: 4, Load: 0.001, Setup: tomlfile.Duration(2 * time.Millisecond), Cold: 0.4, Warm: tomlfile.Duration(3 * time.Second),
+func fleet(p Plan, s Shape) testcluster.Fleet {
+	return testcluster.Fleet{Nodes: s.Nodes, Hosts: s.Hosts, Mode: p.Mode, Links: true, Park: tomlfile.Duration(time.Second), Sockets: 256, MemoryMB: 64,
+		Host: testcluster.Host{Cores: 4, Load: 0.001, Setup: tomlfile.Duration(2 * time.Millisecond), Cold: 0.4, Warm: tomlfile.Duration(3 * time.Second),
 			Fall: 4, FallIn: tomlfile.Duration(time.Second)},
 		Quota: float64(s.Nodes * 20), FrontNotice: tomlfile.Duration(300 * time.Millisecond),
-		List: rig.List{Cost: tomlfile.Duration(time.Millisecond), Push: p.Push, Links: true, AskWithin: tomlfile.Duration(3 * time.Second)}}
+		List: testcluster.List{Cost: tomlfile.Duration(time.Millisecond), Push: p.Push, Links: true, AskWithin: tomlfile.Duration(3 * time.Second)}}
 }
 
 // Play plays a plan and judges it. The error says that the run itself failed: it is no verdict on the nodes but where one
@@ -73,8 +73,8 @@
 		return nil, fmt.Errorf("seed %d: %w", p.Seed, err)
 	}
 	log := &logBuffer{}
-	calls := &faulty{seed: p.Seed, now: map[string]*sysfault.Process{}}
-	r, err := rig.Start(ctx, f, rig.Options{Program: cfg.Program, Log: log, Debug: cfg.Debug, Seed: p.Seed, Classes: classes, Tenants: []string{"acme"},
+	calls := &faulty{seed: p.Seed, now: map[string]*faultinject.Process{}}
+	r, err := testcluster.Start(ctx, f, testcluster.Options{Program: cfg.Program, Log: log, Debug: cfg.Debug, Seed: p.Seed, Classes: classes, Tenants: []string{"acme"},
 		Starter: calls.start})
 	if err != nil {
 		return nil, err
@@ -127,7 +127,7 @@
 // run is a plan that plays.
 type run struct {
 	plan Plan
-	rig  *rig.Rig
+	rig  *testcluster.Rig
 	ctx  context.Context
 	wg   sync.WaitGroup
 
@@ -216,7 +216,7 @@
 
 // deal is the front's choice for a client. The front of the stand-ins deals for as long as a node answers PING; the
 // platform's has noticed sooner.
-func (x *run) deal() (node stand.Node, ok bool) {
+func (x *run) deal() (node fakeserver.Node, ok bool) {
 	at := x.rig.Clock.Now() - x.begin
 	for range maxDeals {
 		if node, ok = x.rig.Front.Pick(""); !ok || !x.plan.ending(node.Name, at) {
--- a/internal/soak/soak_test.go
+++ b/internal/soaktest/soak_test.go
@@ -1,4 +1,4 @@
-package soak
+package soaktest
 
 import (
 	"fmt"
@@ -13,12 +13,12 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"onyxstream/internal/stand"
-	"onyxstream/internal/sysfault"
+	"onyxstream/internal/fakeserver"
+	"onyxstream/internal/faultinject"
 )
 
 func TestMain(m *testing.M) {
-	sysfault.RunLauncher()
+	faultinject.RunLauncher()
 	os.Exit(m.Run())
 }
 
@@ -84,7 +84,7 @@
 func keep(t *testing.T, folder string, seed int, plan Plan, report *Report) {
 	t.Helper()
 	var ledger strings.Builder
-	if err := stand.WriteRecords(&ledger, stand.NewClock(), report.Records, 0); err != nil {
+	if err := fakeserver.WriteRecords(&ledger, fakeserver.NewClock(), report.Records, 0); err != nil {
 		t.Fatal(err)
 	}
 	var told strings.Builder
