--- a/internal/soak/sysfaults.go
+++ b/internal/soaktest/sysfaults.go
@@ -1,4 +1,4 @@
-package soak
+package soaktest
 
 import (
 	"os/exec"
@@ -8,32 +8,32 @@
 	"golang.org/x/sys/unix"
 
 	"onyxstream/internal/ctxtime"
-	"onyxstream/internal/sysfault"
+	"onyxstream/internal/faultinject"
 )
 
 // CallFault is a time in which system calls of a node fail, or its wall clock is another.
 type CallFault struct {
 	At, For time.Duration
 	Node    string
-	Rules   []sysfault.Rule
+	Rules   []faultinject.Rule
 	Step    time.Duration // of the wall clock, which stays stepped until another one
 }
 
 // callFaults are what the system's documents allow a node's calls for a moment.
-var callFaults = [][]sysfault.Rule{
-	{{Call: sysfault.Accept, Share: 0.5, Errors: []unix.Errno{unix.ECONNABORTED, unix.ENFILE, unix.EMFILE, unix.ENOBUFS, unix.EPROTO}}},
-	{{Call: sysfault.Socket, Share: 0.5, Errors: []unix.Errno{unix.ENFILE, unix.EMFILE, unix.ENOBUFS}}},
-	{{Call: sysfault.Connect, Share: 0.5, Errors: []unix.Errno{unix.EADDRNOTAVAIL, unix.ENETUNREACH, unix.EAGAIN}}},
-	{{Call: sysfault.Read, Share: 0.1, Errors: []unix.Errno{unix.ENOMEM, unix.ENOBUFS, unix.EINTR}, OnSockets: true},
-		{Call: sysfault.Write, Share: 0.1, Errors: []unix.Errno{unix.ENOMEM, unix.ENOBUFS, unix.EINTR}, OnSockets: true}},
-	{{Call: sysfault.Read, Share: 0.7, Short: 5}, {Call: sysfault.Write, Share: 0.7, Short: 5}},
+var callFaults = [][]faultinject.Rule{
+	{{Call: faultinject.Accept, Share: 0.5, Errors: []unix.Errno{unix.ECONNABORTED, unix.ENFILE, unix.EMFILE, unix.ENOBUFS, unix.EPROTO}}},
+	{{Call: faultinject.Socket, Share: 0.5, Errors: []unix.Errno{unix.ENFILE, unix.EMFILE, unix.ENOBUFS}}},
+	{{Call: faultinject.Connect, Share: 0.5, Errors: []unix.Errno{unix.EADDRNOTAVAIL, unix.ENETUNREACH, unix.EAGAIN}}},
+	{{Call: faultinject.Read, Share: 0.1, Errors: []unix.Errno{unix.ENOMEM, unix.ENOBUFS, unix.EINTR}, OnSockets: true},
+		{Call: faultinject.Write, Share: 0.1, Errors: []unix.Errno{unix.ENOMEM, unix.ENOBUFS, unix.EINTR}, OnSockets: true}},
+	{{Call: faultinject.Read, Share: 0.7, Short: 5}, {Call: faultinject.Write, Share: 0.7, Short: 5}},
 }
 
 // clockSteps are how far a node's wall clock may be from the machine's.
 var clockSteps = []time.Duration{time.Hour, -time.Hour, 5 * time.Second, -5 * time.Second, 0}
 
 // trapped are the calls that nodes are started to be asked for.
-var trapped = []sysfault.Call{sysfault.Accept, sysfault.Socket, sysfault.Connect, sysfault.Read, sysfault.Write}
+var trapped = []faultinject.Call{faultinject.Accept, faultinject.Socket, faultinject.Connect, faultinject.Read, faultinject.Write}
 
 // calls has system calls of one to three nodes fail for a while.
 func (d *drawer) calls(at time.Duration) {
@@ -59,11 +59,11 @@
 	seed uint64
 
 	mu  sync.Mutex
-	now map[string]*sysfault.Process
+	now map[string]*faultinject.Process
 }
 
 func (f *faulty) start(name string, cmd *exec.Cmd) error {
-	p, err := sysfault.Start(cmd, sysfault.Options{Calls: trapped, Clock: true, Seed: f.seed})
+	p, err := faultinject.Start(cmd, faultinject.Options{Calls: trapped, Clock: true, Seed: f.seed})
 	if err != nil {
 		return err
 	}
@@ -73,7 +73,7 @@
 	return nil
 }
 
-func (f *faulty) process(name string) *sysfault.Process {
+func (f *faulty) process(name string) *faultinject.Process {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.now[name]
--- a/internal/rig/answers.go
+++ b/internal/testcluster/answers.go
@@ -1,11 +1,11 @@
-package rig
+package testcluster
 
 import (
 	"fmt"
 	"strings"
 	"time"
 
-	"onyxstream/internal/stand"
+	"onyxstream/internal/fakeserver"
 )
 
 // Taken is the fate of the requests that clients wrote whole to nodes, by the ledgers of clients and hosts alone.
@@ -25,7 +25,7 @@
 // answer. What a node cut off that stood, without MOVE, is wrong where cut says so. Records of clients carry the id of
 // their request: Asked with the patience as the note, Heard with each whole line, and at last Left, Moved or Broken. A
 // request without any of these last ones is taken to have been left without an answer.
-func Answers(recs []stand.Record, cut bool) (t Taken) {
+func Answers(recs []fakeserver.Record, cut bool) (t Taken) {
 	type fate struct {
 		asked, heard time.Duration
 		patience     time.Duration
@@ -38,19 +38,19 @@
 		client := strings.HasPrefix(r.Who, clientPrefix)
 		f := all[r.ID]
 		switch {
-		case !client && r.What == stand.Up:
+		case !client && r.What == fakeserver.Up:
 			receipts[r.ID+" "+r.Note] = r.Who
 		case !client:
-		case r.What == stand.Asked:
+		case r.What == fakeserver.Asked:
 			patience, _ := time.ParseDuration(r.Note)
 			all[r.ID] = &fate{asked: r.At, patience: patience}
 			order = append(order, r.ID)
 		case f == nil:
-		case r.What == stand.Heard && len(f.answers) == 0:
+		case r.What == fakeserver.Heard && len(f.answers) == 0:
 			f.heard, f.answers = r.At, []string{r.Note}
-		case r.What == stand.Heard:
+		case r.What == fakeserver.Heard:
 			f.answers = append(f.answers, r.Note)
-		case r.What == stand.Broken:
+		case r.What == fakeserver.Broken:
 			f.broken = true
 		}
 	}
--- a/internal/rig/bench_test.go
+++ b/internal/testcluster/bench_test.go
@@ -1,4 +1,4 @@
-package rig
+package testcluster
 
 import (
 	"bufio"
@@ -16,7 +16,7 @@
 // BenchmarkRelay measures lines there and back through one node and directly at the same host, in turns, with 16
 // connections that each keep 64 lines on the way: the ratio counts, the figures are the machine's.
 //
-//	go test -run '^$' -bench Relay ./internal/rig
+//	go test -run '^$' -bench Relay ./internal/testcluster
 func BenchmarkRelay(b *testing.B) {
 	program := filepath.Join(b.TempDir(), "onyxstream")
 	if out, err := exec.Command("go", "build", "-o", program, "onyxstream/cmd/onyxstream").CombinedOutput(); err != nil {
--- a/internal/rig/coldstart_test.go
+++ b/internal/testcluster/coldstart_test.go
@@ -1,4 +1,4 @@
-package rig
+package testcluster
 
 import (
 	"context"
@@ -13,7 +13,7 @@
 
 	"onyxstream/internal/control"
 	"onyxstream/internal/ctxtime"
-	"onyxstream/internal/stand"
+	"onyxstream/internal/fakeserver"
 	"onyxstream/internal/tomlfile"
 )
 
@@ -121,7 +121,7 @@
 	}
 	r := prepare(t, f)
 	if down > 0 {
-		r.Discovery.Answer(stand.Resets)
+		r.Discovery.Answer(fakeserver.Resets)
 	}
 	began := r.Clock.Now()
 	if err := r.Launch(); err != nil {
@@ -133,13 +133,13 @@
 	if down > 0 {
 		go func() {
 			ctxtime.Sleep(ctx, down)
-			r.Discovery.Answer(stand.Well)
+			r.Discovery.Answer(fakeserver.Well)
 		}()
 	}
 	all := knocks(ctx, r, n, 5, time.Second, down+40*time.Second)
 	recs, _ := r.Ledger.Records()
 	c := Counted(recs)
-	asked := Times(recs, "discovery", stand.Asked)
+	asked := Times(recs, "discovery", fakeserver.Asked)
 	var up []time.Duration
 	refused, noAdvice, failed, served, longest := 0, 0, 0, 0, time.Duration(0)
 	for _, k := range all {
@@ -157,7 +157,7 @@
 			if h.State().Fell {
 				fell++
 			}
-			times := Times(recs, h.ID(), stand.Opened)
+			times := Times(recs, h.ID(), fakeserver.Opened)
 			most = max(most, Most(times, 100*time.Millisecond))
 			if len(times) > 1 {
 				mean += float64(len(times)) / (times[len(times)-1] - times[0]).Seconds() / 10 / float64(f.Hosts)
--- a/internal/rig/faults.go
+++ b/internal/testcluster/faults.go
@@ -1,4 +1,4 @@
-package rig
+package testcluster
 
 import (
 	"context"
@@ -11,7 +11,7 @@
 	"time"
 
 	"onyxstream/internal/ctxtime"
-	"onyxstream/internal/stand"
+	"onyxstream/internal/fakeserver"
 	"onyxstream/internal/wire"
 )
 
@@ -130,7 +130,7 @@
 }
 
 func (r *Rig) mark(who, text string) {
-	r.Ledger.Add(stand.Record{Who: who, What: stand.Fault, Note: text})
+	r.Ledger.Add(fakeserver.Record{Who: who, What: fakeserver.Fault, Note: text})
 }
 
 func (r *Rig) hostFault(x FaultSpec, i int) (func() error, error) {
@@ -231,12 +231,12 @@
 		d.Restart(1)
 		return nil
 	}
-	d.Answer(map[string]stand.Mode{"busy": stand.Busy, "reset": stand.Resets, "mute": stand.Mute}[x.What])
-	return func() error { d.Answer(stand.Well); return nil }
+	d.Answer(map[string]fakeserver.Mode{"busy": fakeserver.Busy, "reset": fakeserver.Resets, "mute": fakeserver.Mute}[x.What])
+	return func() error { d.Answer(fakeserver.Well); return nil }
 }
 
 // linksOf are the links that a fault on links means.
-func (r *Rig) linksOf(t target) (out []*stand.Link) {
+func (r *Rig) linksOf(t target) (out []*fakeserver.Link) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	switch t.of {
@@ -257,34 +257,34 @@
 func (r *Rig) linkFault(x FaultSpec, t target) func() error {
 	all := r.linksOf(t)
 	r.mark(t.name, x.What)
-	each := func(f func(*stand.Link)) func() {
+	each := func(f func(*fakeserver.Link)) func() {
 		return func() {
 			for _, k := range all {
 				f(k)
 			}
 		}
 	}
-	silent := func(w stand.Way, on bool) func(*stand.Link) {
-		return func(k *stand.Link) { k.Set(w, func(s *stand.LinkState) { s.Silent = on }) }
+	silent := func(w fakeserver.Way, on bool) func(*fakeserver.Link) {
+		return func(k *fakeserver.Link) { k.Set(w, func(s *fakeserver.LinkState) { s.Silent = on }) }
 	}
-	var begin, end func(*stand.Link)
+	var begin, end func(*fakeserver.Link)
 	switch x.What {
 	case "silence":
-		begin, end = silent(stand.BothWays, true), silent(stand.BothWays, false)
+		begin, end = silent(fakeserver.BothWays, true), silent(fakeserver.BothWays, false)
 	case "deaf": // one way alone: what the other side says does not come back
-		begin, end = silent(stand.Inward, true), silent(stand.BothWays, false)
+		begin, end = silent(fakeserver.Inward, true), silent(fakeserver.BothWays, false)
 	case "mute": // the other way: what is said does not get there
-		begin, end = silent(stand.Outward, true), silent(stand.BothWays, false)
+		begin, end = silent(fakeserver.Outward, true), silent(fakeserver.BothWays, false)
 	case "stall":
-		begin, end = func(k *stand.Link) { k.Stall(true) }, func(k *stand.Link) { k.Stall(false) }
+		begin, end = func(k *fakeserver.Link) { k.Stall(true) }, func(k *fakeserver.Link) { k.Stall(false) }
 	case "delay":
-		begin, end = func(k *stand.Link) { k.Delay(x.Over.D()) }, func(k *stand.Link) { k.Delay(0) }
+		begin, end = func(k *fakeserver.Link) { k.Delay(x.Over.D()) }, func(k *fakeserver.Link) { k.Delay(0) }
 	case "limit":
-		begin, end = func(k *stand.Link) { k.Limit(int64(x.By)) }, func(k *stand.Link) { k.Limit(0) }
+		begin, end = func(k *fakeserver.Link) { k.Limit(int64(x.By)) }, func(k *fakeserver.Link) { k.Limit(0) }
 	case "refuse":
-		begin, end = func(k *stand.Link) { k.Refuse(true); k.Reset() }, func(k *stand.Link) { k.Refuse(false) }
+		begin, end = func(k *fakeserver.Link) { k.Refuse(true); k.Reset() }, func(k *fakeserver.Link) { k.Refuse(false) }
 	case "reset":
-		each((*stand.Link).Reset)()
+		each((*fakeserver.Link).Reset)()
 		return nil
 	}
 	each(begin)()
--- a/internal/rig/fleet.go
+++ b/internal/testcluster/fleet.go
@@ -1,13 +1,13 @@
-// Package rig plays a fleet on one machine: real nodes as processes of their own, and stand-ins for all they deal
+// Package testcluster plays a fleet on one machine: real nodes as processes of their own, and stand-ins for all they deal
 // with, with a time line of faults. It is what the load generator and experiments put load on.
-package rig
+package testcluster
 
 import (
 	"fmt"
 	"strings"
 	"time"
 
-	"onyxstream/internal/stand/capacity"
+	"onyxstream/internal/fakeserver/capacity"
 	"onyxstream/internal/tomlfile"
 )
 
--- a/internal/rig/judge.go
+++ b/internal/testcluster/judge.go
@@ -1,16 +1,16 @@
-package rig
+package testcluster
 
 import (
 	"slices"
 	"time"
 
-	"onyxstream/internal/stand"
+	"onyxstream/internal/fakeserver"
 )
 
 // Judges over ledgers: what stand-ins and links saw on the rig's one clock, never what processes say of themselves.
 
 // Times picks the times of one's records of a kind, in order.
-func Times(recs []stand.Record, who, what string) (out []time.Duration) {
+func Times(recs []fakeserver.Record, who, what string) (out []time.Duration) {
 	for _, r := range recs {
 		if r.What == what && r.Who == who {
 			out = append(out, r.At)
@@ -51,9 +51,9 @@
 }
 
 // Counted judges the calls to the list service.
-func Counted(recs []stand.Record) ListCount {
-	asked := Times(recs, "discovery", stand.Asked)
-	return ListCount{Calls: len(asked), Told: len(Times(recs, "discovery", stand.Told)), Turned: len(Times(recs, "discovery", stand.Turned)),
+func Counted(recs []fakeserver.Record) ListCount {
+	asked := Times(recs, "discovery", fakeserver.Asked)
+	return ListCount{Calls: len(asked), Told: len(Times(recs, "discovery", fakeserver.Told)), Turned: len(Times(recs, "discovery", fakeserver.Turned)),
 		Most: Most(asked, 100*time.Millisecond)}
 }
 
@@ -73,14 +73,14 @@
 )
 
 // Steps counts what the list service and the hosts saw of a start, step by step, to the last step with anything in it.
-func Steps(recs []stand.Record, launched time.Duration) (out []Step) {
+func Steps(recs []fakeserver.Record, launched time.Duration) (out []Step) {
 	at := map[int]map[string]int{}
 	for _, x := range recs {
 		i := int((x.At - launched) / stepWidth)
 		if x.At < launched || i >= mostSteps {
 			continue
 		}
-		call, turned, host := x.Who == "discovery" && x.What == stand.Asked, x.Who == "discovery" && x.What == stand.Turned, x.What == stand.Opened
+		call, turned, host := x.Who == "discovery" && x.What == fakeserver.Asked, x.Who == "discovery" && x.What == fakeserver.Turned, x.What == fakeserver.Opened
 		if !call && !turned && !host {
 			continue
 		}
@@ -104,9 +104,9 @@
 }
 
 // Burst is the largest number of set-ups at one host within a span, and which host that was.
-func Burst(recs []stand.Record, hosts []string, span time.Duration) (most int, host string) {
+func Burst(recs []fakeserver.Record, hosts []string, span time.Duration) (most int, host string) {
 	for _, h := range hosts {
-		if n := Most(Times(recs, h, stand.Opened), span); n > most {
+		if n := Most(Times(recs, h, fakeserver.Opened), span); n > most {
 			most, host = n, h
 		}
 	}
--- a/internal/rig/judge_test.go
+++ b/internal/testcluster/judge_test.go
@@ -1,26 +1,26 @@
-package rig
+package testcluster
 
 import (
 	"testing"
 	"time"
 
-	"onyxstream/internal/stand"
+	"onyxstream/internal/fakeserver"
 )
 
 // A judge that can't fail shows nothing: each is given what it must tell apart.
 func TestJudgesTellLedgersApart(t *testing.T) {
 	const ms = time.Millisecond
-	at := func(who, what string, times ...time.Duration) (out []stand.Record) {
+	at := func(who, what string, times ...time.Duration) (out []fakeserver.Record) {
 		for _, x := range times {
-			out = append(out, stand.Record{At: x, Who: who, What: what})
+			out = append(out, fakeserver.Record{At: x, Who: who, What: what})
 		}
 		return out
 	}
-	var recs []stand.Record
-	recs = append(recs, at("h1", stand.Opened, 0, 40*ms, 200*ms)...)
-	recs = append(recs, at("h10", stand.Opened, 10*ms, 20*ms, 99*ms, 100*ms, 109*ms)...) // once taken for h1's
-	recs = append(recs, at("discovery", stand.Asked, 0, 99*ms, 100*ms)...)
-	recs = append(recs, at("discovery", stand.Turned, 150*ms)...)
+	var recs []fakeserver.Record
+	recs = append(recs, at("h1", fakeserver.Opened, 0, 40*ms, 200*ms)...)
+	recs = append(recs, at("h10", fakeserver.Opened, 10*ms, 20*ms, 99*ms, 100*ms, 109*ms)...) // once taken for h1's
+	recs = append(recs, at("discovery", fakeserver.Asked, 0, 99*ms, 100*ms)...)
+	recs = append(recs, at("discovery", fakeserver.Turned, 150*ms)...)
 	if n, host := Burst(recs, []string{"h1", "h10"}, 100*ms); n != 5 || host != "h10" {
 		t.Errorf("the burst is %d at %s", n, host)
 	}
@@ -30,7 +30,7 @@
 	if c := Counted(recs); c != (ListCount{Calls: 3, Turned: 1, Most: 2}) {
 		t.Errorf("the list service is counted as %+v", c)
 	}
-	if n := Within(Times(recs, "h10", stand.Opened), 20*ms, 100*ms); n != 2 {
+	if n := Within(Times(recs, "h10", fakeserver.Opened), 20*ms, 100*ms); n != 2 {
 		t.Errorf("%d within", n)
 	}
 	steps := Steps(recs, 50*ms)
--- a/internal/rig/knock.go
+++ b/internal/testcluster/knock.go
@@ -1,4 +1,4 @@
-package rig
+package testcluster
 
 import (
 	"bufio"
@@ -10,7 +10,7 @@
 	"time"
 
 	"onyxstream/internal/ctxtime"
-	"onyxstream/internal/stand"
+	"onyxstream/internal/fakeserver"
 )
 
 // Knock is what became of one client that came to one node until it was served. Times are of the rig's clock.
@@ -68,7 +68,7 @@
 		line, err := bufio.NewReaderSize(c, 256).ReadString('\n')
 		k.Longest = max(k.Longest, r.Clock.Now()-began)
 		line = strings.TrimRight(line, "\r\n")
-		r.Ledger.Add(stand.Record{Who: name, What: stand.Heard, Note: line})
+		r.Ledger.Add(fakeserver.Record{Who: name, What: fakeserver.Heard, Note: line})
 		if k.Last = line; err != nil {
 			k.Last += err.Error()
 		}
@@ -93,7 +93,7 @@
 		default:
 			k.Failed++
 			if ctx.Err() == nil {
-				r.Ledger.Add(stand.Record{Who: name, What: stand.Failed, Note: k.Last})
+				r.Ledger.Add(fakeserver.Record{Who: name, What: fakeserver.Failed, Note: k.Last})
 			}
 			_ = c.Close()
 			ctxtime.Sleep(ctx, knockAgain)
--- a/internal/rig/make.go
+++ b/internal/testcluster/make.go
@@ -1,4 +1,4 @@
-package rig
+package testcluster
 
 import (
 	"cmp"
@@ -12,8 +12,8 @@
 	"syscall"
 	"time"
 
-	"onyxstream/internal/keys"
-	"onyxstream/internal/stand"
+	"onyxstream/internal/fakeserver"
+	"onyxstream/internal/pki"
 	"onyxstream/internal/wire"
 )
 
@@ -82,7 +82,7 @@
 	p.config = filepath.Join(r.dir, p.name+".json")
 	r.nodes = append(r.nodes, p)
 	if f.List.Links {
-		k, err := stand.NewLinkAt("127.0.0.1:0", r.Discovery.Addr(), p.name+">list", r.Ledger)
+		k, err := fakeserver.NewLinkAt("127.0.0.1:0", r.Discovery.Addr(), p.name+">list", r.Ledger)
 		if err != nil {
 			return err
 		}
@@ -121,7 +121,7 @@
 func (r *Rig) own(p *process, more string) error {
 	text := fmt.Sprintf("[control]\nsocket = %q\n", r.socket(p.name))
 	if p.control != "" {
-		if _, err := keys.Issue(r.keys(), p.name, keys.Instance, time.Hour); err != nil {
+		if _, err := pki.Issue(r.keys(), p.name, pki.Instance, time.Hour); err != nil {
 			return err
 		}
 		text += fmt.Sprintf("listen = %q\n[control.keys]\n%s", p.control, r.keyFiles(p.name))
@@ -160,14 +160,14 @@
 func (r *Rig) link(from, to *process) (addr string, err error) {
 	name := from.name + ">" + to.name
 	if to.control != "" && from.args[0] == "node" {
-		k, err := stand.NewLinkAt("127.0.0.1:0", to.control, name, r.Ledger)
+		k, err := fakeserver.NewLinkAt("127.0.0.1:0", to.control, name, r.Ledger)
 		if err != nil {
 			return "", err
 		}
 		r.between = append(r.between, k)
 		return k.Addr(), nil
 	}
-	k, err := stand.NewLinkAt("unix:"+filepath.Join(r.dir, strings.Replace(name, ">", "-", 1)+".l"), "unix:"+r.socket(to.name), name, r.Ledger)
+	k, err := fakeserver.NewLinkAt("unix:"+filepath.Join(r.dir, strings.Replace(name, ">", "-", 1)+".l"), "unix:"+r.socket(to.name), name, r.Ledger)
 	if err != nil {
 		return "", err
 	}
--- a/internal/rig/rig.go
+++ b/internal/testcluster/rig.go
@@ -1,4 +1,4 @@
-package rig
+package testcluster
 
 import (
 	"context"
@@ -12,9 +12,9 @@
 	"sync/atomic"
 	"time"
 
-	"onyxstream/internal/keys"
-	"onyxstream/internal/stand"
-	"onyxstream/internal/stand/capacity"
+	"onyxstream/internal/fakeserver"
+	"onyxstream/internal/fakeserver/capacity"
+	"onyxstream/internal/pki"
 	"onyxstream/internal/wire"
 )
 
@@ -32,26 +32,26 @@
 
 // Rig is a fleet that runs.
 type Rig struct {
-	Clock     *stand.Clock
-	Ledger    *stand.Ledger
-	Discovery *stand.Discovery
-	Front     *stand.Front
+	Clock     *fakeserver.Clock
+	Ledger    *fakeserver.Ledger
+	Discovery *fakeserver.Discovery
+	Front     *fakeserver.Front
 
 	number    int // among those of this process
 	launched  time.Duration
 	fleet     Fleet
 	opt       Options
-	store     *stand.SharedStore
+	store     *fakeserver.SharedStore
 	dir       string
 	nodes     []*process
 	agents    []*process
-	listLinks []*stand.Link // of each node
-	between   []*stand.Link // of a process to a node's control listener, named "n1>n2" and "a1>n2"
+	listLinks []*fakeserver.Link // of each node
+	between   []*fakeserver.Link // of a process to a node's control listener, named "n1>n2" and "a1>n2"
 	faults
 
 	mu     sync.Mutex // guards what grows while it runs
-	hosts  []*stand.Host
-	links  []*stand.Link
+	hosts  []*fakeserver.Host
+	links  []*fakeserver.Link
 	dealt  int
 	closed bool
 }
@@ -79,9 +79,9 @@
 
 // Prepare makes all that processes deal with, and their files, and starts none of them: a test may set the stage first.
 func Prepare(f Fleet, opt Options) (r *Rig, err error) {
-	clock := stand.NewClock()
-	r = &Rig{Clock: clock, Ledger: stand.NewLedger(clock), fleet: f, opt: opt, number: int(rigs.Add(1)),
-		store: stand.NewStore(capacity.Store{Latency: f.Store.Latency.D(), Rate: f.Store.Rate})}
+	clock := fakeserver.NewClock()
+	r = &Rig{Clock: clock, Ledger: fakeserver.NewLedger(clock), fleet: f, opt: opt, number: int(rigs.Add(1)),
+		store: fakeserver.NewStore(capacity.Store{Latency: f.Store.Latency.D(), Rate: f.Store.Rate})}
 	defer func() {
 		if err != nil {
 			r.Close()
@@ -95,18 +95,18 @@
 		}
 		members = append(members, r.member(h, wire.Serving))
 	}
-	if r.Discovery, err = stand.NewDiscovery("", clock, r.Ledger, 1, members...); err != nil {
+	if r.Discovery, err = fakeserver.NewDiscovery("", clock, r.Ledger, 1, members...); err != nil {
 		return nil, err
 	}
-	r.Discovery.Bears(stand.Load{Cost: f.List.Cost.D(), Wait: f.List.Wait.D(), Queue: f.List.Queue, After: f.List.After})
+	r.Discovery.Bears(fakeserver.Load{Cost: f.List.Cost.D(), Wait: f.List.Wait.D(), Queue: f.List.Queue, After: f.List.After})
 	if r.dir, err = os.MkdirTemp("", "onyxstream-rig"); err != nil {
 		return nil, err
 	}
 	if f.keys() {
-		if err := keys.Create(r.keys(), "rig"); err != nil {
+		if err := pki.Create(r.keys(), "rig"); err != nil {
 			return nil, err
 		}
-		if _, err := keys.Issue(r.keys(), looker, keys.Look, time.Hour); err != nil {
+		if _, err := pki.Issue(r.keys(), looker, pki.Look, time.Hour); err != nil {
 			return nil, err
 		}
 	}
@@ -151,13 +151,13 @@
 
 // Launch starts all processes at once, as far as one machine can.
 func (r *Rig) Launch() error {
-	var front []stand.Node
+	var front []fakeserver.Node
 	all := append(append([]*process(nil), r.nodes...), r.agents...)
 	errs := make([]error, len(all))
 	r.launched = r.Clock.Now()
 	if down := r.fleet.List.Down.D(); down > 0 {
-		r.Discovery.Answer(stand.Resets)
-		r.after(down, func() { r.Discovery.Answer(stand.Well) })
+		r.Discovery.Answer(fakeserver.Resets)
+		r.after(down, func() { r.Discovery.Answer(fakeserver.Well) })
 	}
 	var wg sync.WaitGroup
 	for i, p := range all {
@@ -165,9 +165,9 @@
 	}
 	wg.Wait()
 	for _, p := range r.nodes {
-		front = append(front, stand.Node{Name: p.name, Addr: p.addr, Zone: p.zone})
+		front = append(front, fakeserver.Node{Name: p.name, Addr: p.addr, Zone: p.zone})
 	}
-	r.Front = stand.NewFront(r.Ledger, r.fleet.FrontNotice.D(), front...)
+	r.Front = fakeserver.NewFront(r.Ledger, r.fleet.FrontNotice.D(), front...)
 	return errors.Join(errs...)
 }
 
@@ -192,11 +192,11 @@
 	return err
 }
 
-func (r *Rig) addHost(cold bool) (*stand.Host, error) {
+func (r *Rig) addHost(cold bool) (*fakeserver.Host, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	i := len(r.hosts)
-	h, err := stand.NewHost(stand.HostConfig{ID: fmt.Sprint("h", i+1), Zone: r.fleet.Zones[i%len(r.fleet.Zones)],
+	h, err := fakeserver.NewHost(fakeserver.HostConfig{ID: fmt.Sprint("h", i+1), Zone: r.fleet.Zones[i%len(r.fleet.Zones)],
 		Spec: r.fleet.spec(i), Store: r.store, Seed: r.opt.Seed + uint64(i), Cold: cold, Loads: r.fleet.Loads,
 		Park: r.fleet.Park.D()}, r.Clock, r.Ledger)
 	if err != nil {
@@ -206,7 +206,7 @@
 	if !r.fleet.Links {
 		return h, nil
 	}
-	k, err := stand.NewLinkAt("127.0.0.1:0", h.Addr(), "link-"+h.ID(), r.Ledger)
+	k, err := fakeserver.NewLinkAt("127.0.0.1:0", h.Addr(), "link-"+h.ID(), r.Ledger)
 	if err != nil {
 		return nil, err
 	}
@@ -215,10 +215,10 @@
 }
 
 // Member is a host's entry in the list, at the address where nodes reach it.
-func (r *Rig) Member(h *stand.Host, phase wire.Phase) wire.Member { return r.member(h, phase) }
+func (r *Rig) Member(h *fakeserver.Host, phase wire.Phase) wire.Member { return r.member(h, phase) }
 
 // member is a host's entry in the list: its link's address where it has one.
-func (r *Rig) member(h *stand.Host, phase wire.Phase) wire.Member {
+func (r *Rig) member(h *fakeserver.Host, phase wire.Phase) wire.Member {
 	m := h.Member(phase)
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -231,10 +231,10 @@
 }
 
 // Hosts are the stand-in hosts, those that were added last.
-func (r *Rig) Hosts() []*stand.Host {
+func (r *Rig) Hosts() []*fakeserver.Host {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return append([]*stand.Host(nil), r.hosts...)
+	return append([]*fakeserver.Host(nil), r.hosts...)
 }
 
 // ErrNoNode says that the front has no node to deal a client to.
@@ -308,7 +308,7 @@
 		wg.Go(p.kill)
 	}
 	wg.Wait()
-	for _, k := range append(append(append([]*stand.Link(nil), r.links...), r.listLinks...), r.between...) {
+	for _, k := range append(append(append([]*fakeserver.Link(nil), r.links...), r.listLinks...), r.between...) {
 		wg.Go(k.Close)
 	}
 	wg.Wait()
--- a/internal/rig/rolling.go
+++ b/internal/testcluster/rolling.go
@@ -1,4 +1,4 @@
-package rig
+package testcluster
 
 import (
 	"bufio"
@@ -15,7 +15,7 @@
 	"time"
 
 	"onyxstream/internal/ctxtime"
-	"onyxstream/internal/stand"
+	"onyxstream/internal/fakeserver"
 	"onyxstream/internal/tomlfile"
 )
 
@@ -143,7 +143,7 @@
 	}
 	ready, cancel := context.WithTimeout(ctx, readyWithin)
 	defer cancel()
-	for stand.Ping(ready, p.addr, time.Second) != nil {
+	for fakeserver.Ping(ready, p.addr, time.Second) != nil {
 		if !ctxtime.Sleep(ready, 20*time.Millisecond) {
 			return fmt.Errorf("%s does not come back: %w", p.name, ready.Err())
 		}
@@ -161,7 +161,7 @@
 	}
 	defer c.Close()
 	note := func(what, text string) {
-		r.Ledger.Add(stand.Record{Who: clientPrefix + r.nodes[i].name, What: what, ID: a.id, Note: text})
+		r.Ledger.Add(fakeserver.Record{Who: clientPrefix + r.nodes[i].name, What: what, ID: a.id, Note: text})
 	}
 	line := fmt.Sprintf("OPEN %s key%s c=%s,t=%s,d=%d", a.id, a.id, r.opt.Classes[0].Name, r.opt.Tenants[0], a.patience.Milliseconds())
 	if a.again {
@@ -177,7 +177,7 @@
 	if _, err := io.WriteString(c, line); err != nil {
 		return
 	}
-	note(stand.Asked, a.patience.String())
+	note(fakeserver.Asked, a.patience.String())
 	in := bufio.NewReader(c)
 	_ = c.SetReadDeadline(time.Now().Add(a.patience + 2*lateBy))
 	up := false
@@ -185,20 +185,20 @@
 		text, err := in.ReadString('\n')
 		switch {
 		case err == nil && up && text == "MOVE\r\n":
-			note(stand.Moved, "")
+			note(fakeserver.Moved, "")
 			return
 		case err == nil && text == "\r\n":
 		case err == nil:
-			note(stand.Heard, strings.TrimRight(text, "\r\n"))
+			note(fakeserver.Heard, strings.TrimRight(text, "\r\n"))
 			if !up {
 				up = strings.HasPrefix(text, "UP ")
 				_ = c.SetReadDeadline(time.Now().Add(a.stay))
 			}
 		case errors.Is(err, os.ErrDeadlineExceeded):
-			note(stand.Left, text)
+			note(fakeserver.Left, text)
 			return
 		default:
-			note(stand.Broken, err.Error()+text)
+			note(fakeserver.Broken, err.Error()+text)
 			return
 		}
 	}
--- a/internal/rig/rolling_test.go
+++ b/internal/testcluster/rolling_test.go
@@ -1,4 +1,4 @@
-package rig
+package testcluster
 
 import (
 	"os"
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"onyxstream/internal/stand"
+	"onyxstream/internal/fakeserver"
 	"onyxstream/internal/tomlfile"
 )
 
@@ -68,26 +68,26 @@
 // Each way in which a request can come to a wrong end is told from those that are right.
 func TestAnswersTellsRequestsApart(t *testing.T) {
 	const ms = time.Millisecond
-	var recs []stand.Record
+	var recs []fakeserver.Record
 	add := func(at time.Duration, who, what, id, note string) {
-		recs = append(recs, stand.Record{At: at, Who: who, What: what, ID: id, Note: note})
+		recs = append(recs, fakeserver.Record{At: at, Who: who, What: what, ID: id, Note: note})
 	}
 	for _, id := range []string{"served", "busy", "none", "late", "twice", "foreign", "cut", "moved"} {
-		add(0, "c-n1", stand.Asked, id, "1s")
+		add(0, "c-n1", fakeserver.Asked, id, "1s")
 	}
 	for _, id := range []string{"served", "cut", "moved"} {
-		add(5*ms, "h1", stand.Up, id, id+"-1")
-		add(6*ms, "c-n1", stand.Heard, id, "UP "+id+"-1")
+		add(5*ms, "h1", fakeserver.Up, id, id+"-1")
+		add(6*ms, "c-n1", fakeserver.Heard, id, "UP "+id+"-1")
 	}
-	add(7*ms, "c-n1", stand.Heard, "busy", "BUSY 5")
-	add(8*ms, "c-n1", stand.Broken, "busy", "EOF")
-	add(9*ms, "c-n1", stand.Broken, "none", "reset")
-	add(9*ms, "c-n1", stand.Heard, "twice", "BUSY")
-	add(9*ms, "c-n1", stand.Heard, "twice", "ERR")
-	add(9*ms, "c-n1", stand.Heard, "foreign", "UP served-1")
-	add(20*ms, "c-n1", stand.Broken, "cut", "EOF")
-	add(20*ms, "c-n1", stand.Moved, "moved", "")
-	add(1000*ms+lateBy+ms, "c-n1", stand.Heard, "late", "BUSY")
+	add(7*ms, "c-n1", fakeserver.Heard, "busy", "BUSY 5")
+	add(8*ms, "c-n1", fakeserver.Broken, "busy", "EOF")
+	add(9*ms, "c-n1", fakeserver.Broken, "none", "reset")
+	add(9*ms, "c-n1", fakeserver.Heard, "twice", "BUSY")
+	add(9*ms, "c-n1", fakeserver.Heard, "twice", "ERR")
+	add(9*ms, "c-n1", fakeserver.Heard, "foreign", "UP served-1")
+	add(20*ms, "c-n1", fakeserver.Broken, "cut", "EOF")
+	add(20*ms, "c-n1", fakeserver.Moved, "moved", "")
+	add(1000*ms+lateBy+ms, "c-n1", fakeserver.Heard, "late", "BUSY")
 	got := Answers(recs, true)
 	if got.Asked != 8 || got.Served != 4 || got.Refused != 3 || len(got.Wrong) != 5 {
 		t.Errorf("judged as %+v", got)
--- a/internal/rig/starthelp_test.go
+++ b/internal/testcluster/starthelp_test.go
@@ -1,4 +1,4 @@
-package rig
+package testcluster
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"onyxstream/internal/stand"
+	"onyxstream/internal/fakeserver"
 	"onyxstream/internal/tomlfile"
 )
 
@@ -58,7 +58,7 @@
 	recs, _ := r.Ledger.Records()
 	by = map[string]int{}
 	for _, x := range recs {
-		if node, ok := strings.CutSuffix(x.Who, ">list"); ok && x.What == stand.Dialled {
+		if node, ok := strings.CutSuffix(x.Who, ">list"); ok && x.What == fakeserver.Dialled {
 			by[node]++
 		}
 	}
@@ -70,7 +70,7 @@
 	recs, _ := r.Ledger.Records()
 	out := map[string]int{}
 	for _, x := range recs {
-		if x.What == stand.Opened && x.At >= from {
+		if x.What == fakeserver.Opened && x.At >= from {
 			out[x.Who]++
 		}
 	}
