--- a/balancer/api.go
+++ b/balancer/api.go
@@ -11,23 +11,23 @@
 	RequestID string
 )
 
-// AskAgain is the longest time between the end of a call to the server list that failed, or of a watch, and the wish for the
+// MaxRepollDelay is the longest time between the end of a call to the server list that failed, or of a watch, and the wish for the
 // next one (Watch), whatever failed before and however many nodes there are; where the call took less than AskAgain, twice
 // that less what it took. What the list has is to be known 6 s after it could be reached, of which 3 s may go into a call
 // that is lost just then; one that was refused at once leaves more, and many nodes need it so as not to come together.
-const AskAgain = 2500 * time.Millisecond
+const MaxRepollDelay = 2500 * time.Millisecond
 
-// MaxHoldUp is how long a node may be held up between reading its clock and writing. The grace of a drain covers it.
-const MaxHoldUp = 150 * time.Millisecond
+// MaxSchedulingDelay is how long a node may be held up between reading its clock and writing. The grace of a drain covers it.
+const MaxSchedulingDelay = 150 * time.Millisecond
 
 // Effect says how safely a request of a class may be repeated.
 type Effect uint8
 
 // The effects a class can have.
 const (
-	Safe   Effect = iota // may be repeated without restriction
-	Keyed                // repeats are dropped by a group of servers for a time
-	Unsafe               // must not run twice
+	Idempotent      Effect = iota // may be repeated without restriction
+	IdempotentByKey               // repeats are dropped by a group of servers for a time
+	NonIdempotent                 // must not run twice
 )
 
 // Scope names the servers that drop repeats of a keyed request.
@@ -42,46 +42,46 @@
 
 // Class is one kind of request.
 type Class struct {
-	SetupAim   time.Duration // wanted time until the connection stands
-	Deadline   time.Duration // a client's whole patience
-	MessageAim time.Duration // wanted time of a message; 0 where unknown
-	Worth      float64
-	Effect     Effect
-	Scope      Scope         // keyed only
-	Window     time.Duration // keyed only: how long repeats are dropped
+	SetupLatencyObjective   time.Duration // wanted time until the connection stands
+	Deadline                time.Duration // a client's whole patience
+	MessageLatencyObjective time.Duration // wanted time of a message; 0 where unknown
+	PriorityWeight          float64
+	Effect                  Effect
+	Scope                   Scope         // keyed only
+	IdempotencyWindow       time.Duration // keyed only: how long repeats are dropped
 }
 
 // Settings is what a node is told at its start.
 type Settings struct {
-	Seed           uint64
-	Index          int // this node among its peers
-	GroupSize      int // how many nodes there are
-	Zone           int
-	Classes        []Class
-	Tenants        []Tenant
-	OverShareWorth float64 // worth of a request of a tenant over its share, as a part of its class's
-	Pass           bool    // packets pass through: arrivals may be mid-flow
-	AskList        bool    // the server list answers only when asked
+	Seed            uint64
+	NodeIndex       int // this node among its peers
+	NodeCount       int // how many nodes there are
+	Zone            int
+	Classes         []Class
+	Tenants         []Tenant
+	OverQuotaWeight float64 // worth of a request of a tenant over its share, as a part of its class's
+	PassThrough     bool    // packets pass through: arrivals may be mid-flow
+	PollList        bool    // the server list answers only when asked
 
 	MaxAttempts   int // 0 for no limit
 	MayCancel     bool
 	MayProbe      bool
-	MayTell       bool
+	MayNotify     bool
 	MaxRetryAfter time.Duration // the longest that a client stays away; 0 where it can't be told
 
-	DrainGrace   time.Duration // nothing new to a draining server after it
-	ColdShare    float64       // a started server's first share of capacity
-	WarmWithin   time.Duration // by when it has all of it
-	FallMultiple float64       // work over present capacity that breaks it
-	FallWindow   time.Duration // when it lasts this long
-	AskWithin    time.Duration // longest time between questions to the list
-	CrossPrice   float64       // cost of a request that crosses zones, as a part of one's worth; 0 for none
-	Zones        int           // how many zones there are; 0 where unknown
+	DrainGrace        time.Duration // nothing new to a draining server after it
+	SlowStartFraction float64       // a started server's first share of capacity
+	SlowStartDuration time.Duration // by when it has all of it
+	CollapseMultiple  float64       // work over present capacity that breaks it
+	CollapseWindow    time.Duration // when it lasts this long
+	PollInterval      time.Duration // longest time between questions to the list
+	CrossZoneCost     float64       // cost of a request that crosses zones, as a part of one's worth; 0 for none
+	Zones             int           // how many zones there are; 0 where unknown
 }
 
 // Tenant is a customer with a share of the service.
 type Tenant struct {
-	Connections float64 // open connections over all nodes within its share; 0 where unknown
+	ConnectionQuota float64 // open connections over all nodes within its share; 0 where unknown
 }
 
 // ServerState is what the list says of a server.
@@ -91,19 +91,19 @@
 const (
 	Live ServerState = iota
 	Draining
-	Gone
+	Removed
 )
 
 // Server is one entry of the server list.
 type Server struct {
-	ID     ServerID
-	Zone   int
-	Cell   int
-	State  ServerState
-	Weight float64       // listed size against others'
-	Since  time.Duration // clock time of its last start; 0 for long ago
-	Guess  bool          // Since is a guess, as the list is old; a later list tells
-	Shun   time.Duration // for how long it gets nothing new, as other nodes could not connect to it; 0 for not
+	ID           ServerID
+	Zone         int
+	Cell         int
+	State        ServerState
+	Weight       float64       // listed size against others'
+	StartedAt    time.Duration // clock time of its last start; 0 for long ago
+	AssumedStart bool          // Since is a guess, as the list is old; a later list tells
+	EjectFor     time.Duration // for how long it gets nothing new, as other nodes could not connect to it; 0 for not
 }
 
 // Event is one thing that happened to the node.
@@ -114,34 +114,34 @@
 
 // The kinds of list events.
 const (
-	ListChange ListKind = iota // changed entries only
-	ListFull                   // the complete list
-	ListCached                 // the complete list as last held, maybe old
-	ListFailed                 // a question failed or the watch broke
-	ListAside                  // changed entries from another source: they tell nothing of the questions to the list
+	ListDelta    ListKind = iota // changed entries only
+	ListSnapshot                 // the complete list
+	ListCached                   // the complete list as last held, maybe old
+	ListFailed                   // a question failed or the watch broke
+	ListOverride                 // changed entries from another source: they tell nothing of the questions to the list
 )
 
 // The events.
 type (
 	// ListEvent carries news of the servers.
 	ListEvent struct {
-		Kind    ListKind
-		Version int64
-		Servers []Server
-		Behind  bool // of a call behind which another was made: it tells nothing of that one, which may have failed
+		Kind       ListKind
+		Revision   int64
+		Servers    []Server
+		Superseded bool // of a call behind which another was made: it tells nothing of that one, which may have failed
 	}
 	// Arrival is a new request, owed exactly one final answer.
 	Arrival struct {
-		ID      RequestID
-		Class   int
-		Tenant  int
-		Key     string // the client
-		Group   string // its connections share work on a server; "" for none
-		Left    time.Duration
-		Load    float64 // expected load, 0 where unknown
-		Retry   bool
-		MidFlow bool // packets of a connection open elsewhere
-		Again   bool // back after a break or a move
+		ID        RequestID
+		Class     int
+		Tenant    int
+		Key       string // the client
+		Group     string // its connections share work on a server; "" for none
+		TimeLeft  time.Duration
+		Load      float64 // expected load, 0 where unknown
+		Retry     bool
+		MidFlow   bool // packets of a connection open elsewhere
+		Reconnect bool // back after a break or a move
 	}
 	// Inherited is a connection open through this node at its start.
 	Inherited struct {
@@ -150,15 +150,15 @@
 	}
 	// Timer is a Wake that has fallen due.
 	Timer struct{ Token string }
-	// Opened says that the connection stands.
-	Opened struct {
+	// Established says that the connection stands.
+	Established struct {
 		ID      RequestID
 		Attempt int
 		Server  ServerID
 		Took    time.Duration
 	}
-	// Settled says how an attempt ended.
-	Settled struct {
+	// AttemptEnded says how an attempt ended.
+	AttemptEnded struct {
 		ID      RequestID
 		Attempt int
 		Server  ServerID
@@ -166,45 +166,45 @@
 		Outcome Outcome
 		Final   bool // the request is concluded, now or before
 	}
-	// LoadNote gives the load of an open connection, in work a second.
-	LoadNote struct {
+	// LoadReport gives the load of an open connection, in work a second.
+	LoadReport struct {
 		ID   RequestID
 		Load float64
 	}
-	// SlowNote gives the time a message takes at a connection's server.
-	SlowNote struct {
+	// LatencyReport gives the time a message takes at a connection's server.
+	LatencyReport struct {
 		ID      RequestID
-		Message time.Duration
+		Latency time.Duration
 	}
 	// PeerMessage comes from another node.
 	PeerMessage struct {
 		From int
 		Data []byte
 	}
-	// Leave says that the node itself drains, or no more: nothing new is taken in from a time on, and what stands is sent
+	// Drain says that the node itself drains, or no more: nothing new is taken in from a time on, and what stands is sent
 	// away.
-	Leave struct {
-		On    bool
-		By    time.Duration // clock time by which all of it is to be gone
-		Shut  time.Duration // clock time from which nothing new is taken
-		After time.Duration // when those who are turned away may come again
-		Stay  bool          // what stands stays: it goes on by way of other nodes
+	Drain struct {
+		Active          bool
+		Deadline        time.Duration // clock time by which all of it is to be gone
+		AdmissionCutoff time.Duration // clock time from which nothing new is taken
+		RetryAfter      time.Duration // when those who are turned away may come again
+		KeepConnections bool          // what stands stays: it goes on by way of other nodes
 	}
-	// ClientGone ends a request: nothing more is owed for it.
-	ClientGone struct{ ID RequestID }
+	// ClientDisconnected ends a request: nothing more is owed for it.
+	ClientDisconnected struct{ ID RequestID }
 )
 
-func (ListEvent) event()   {}
-func (Arrival) event()     {}
-func (Inherited) event()   {}
-func (Timer) event()       {}
-func (Opened) event()      {}
-func (Settled) event()     {}
-func (LoadNote) event()    {}
-func (SlowNote) event()    {}
-func (PeerMessage) event() {}
-func (Leave) event()       {}
-func (ClientGone) event()  {}
+func (ListEvent) event()          {}
+func (Arrival) event()            {}
+func (Inherited) event()          {}
+func (Timer) event()              {}
+func (Established) event()        {}
+func (AttemptEnded) event()       {}
+func (LoadReport) event()         {}
+func (LatencyReport) event()      {}
+func (PeerMessage) event()        {}
+func (Drain) event()              {}
+func (ClientDisconnected) event() {}
 
 // Outcome is the end of an attempt or a probe.
 type Outcome uint8
@@ -213,16 +213,16 @@
 const (
 	Served Outcome = iota
 	Errored
-	Full        // turned away unseen
-	NoAnswer    // nothing came in time
-	NoConnect   // no connection in time
-	Reset       // the connection broke
-	Cancelled   // withdrawn, or the client left
-	NeverPassed // not sent at all
+	Rejected        // turned away unseen
+	ResponseTimeout // nothing came in time
+	ConnectFailed   // no connection in time
+	ConnectionReset // the connection broke
+	Cancelled       // withdrawn, or the client left
+	NotSent         // not sent at all
 )
 
-// ProvesUnrun reports whether the outcome proves that the attempt never ran.
-func (o Outcome) ProvesUnrun() bool { return o == Full || o == NoConnect || o == NeverPassed }
+// ProvesNotExecuted reports whether the outcome proves that the attempt never ran.
+func (o Outcome) ProvesNotExecuted() bool { return o == Rejected || o == ConnectFailed || o == NotSent }
 
 // Reason is why a request was given up, for logs and figures.
 type Reason string
@@ -248,40 +248,40 @@
 		Server  ServerID
 		Timeout time.Duration
 	}
-	// Refuse is a final answer: trying again is harmless.
-	Refuse struct {
+	// Reject is a final answer: trying again is harmless.
+	Reject struct {
 		ID         RequestID
 		RetryAfter time.Duration // 0 for no advice
-		Why        Reason
+		Reason     Reason
 	}
 	// Fail is a final answer that promises nothing.
 	Fail struct {
-		ID  RequestID
-		Why Reason
+		ID     RequestID
+		Reason Reason
 	}
 	// Cancel withdraws an attempt.
 	Cancel struct {
 		ID      RequestID
 		Attempt int
 	}
-	// Move asks the client of an open connection to come again.
-	Move struct{ ID RequestID }
-	// Wake asks for a Timer event at a time.
-	Wake struct {
+	// Migrate asks the client of an open connection to come again.
+	Migrate struct{ ID RequestID }
+	// SetTimer asks for a Timer event at a time.
+	SetTimer struct {
 		At    time.Duration
 		Token string
 	}
-	// Watch asks the server list for changes from now on.
-	Watch struct{}
+	// WatchList asks the server list for changes from now on.
+	WatchList struct{}
 	// Log adds a line to the node's log.
 	Log struct{ Text string }
 )
 
-func (Send) action()   {}
-func (Refuse) action() {}
-func (Fail) action()   {}
-func (Cancel) action() {}
-func (Move) action()   {}
-func (Wake) action()   {}
-func (Watch) action()  {}
-func (Log) action()    {}
+func (Send) action()      {}
+func (Reject) action()    {}
+func (Fail) action()      {}
+func (Cancel) action()    {}
+func (Migrate) action()   {}
+func (SetTimer) action()  {}
+func (WatchList) action() {}
+func (Log) action()       {}
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -33,12 +33,12 @@
 )
 
 // Handle takes one event at a time and returns the actions, valid until the next call.
-func (b *Brain) Handle(now time.Duration, ev Event) []Action {
+func (b *Balancer) Handle(now time.Duration, ev Event) []Action {
 	b.now, b.out = now, b.out[:0]
 	if !b.sweeping {
 		b.sweeping, b.secondAt, b.born = true, now, now
-		b.askNotBy = now + b.jitter(min(b.apart(b.set.AskWithin/20), AskAgain*8/5))
-		b.emit(Wake{now + sweepEvery, sweepToken})
+		b.askNotBy = now + b.jitter(min(b.apart(b.set.PollInterval/20), MaxRepollDelay*8/5))
+		b.emit(SetTimer{now + sweepEvery, sweepToken})
 	}
 	b.table.progress(now, b.drainGrace(), b.set.DrainGrace*9/10, len(b.reqs) == 0)
 	switch e := ev.(type) {
@@ -51,17 +51,17 @@
 		if s := b.servers[e.Server]; s != nil {
 			b.arrive(e.Arrival, s)
 		}
-	case Opened:
+	case Established:
 		b.opened(e)
-	case Settled:
+	case AttemptEnded:
 		b.settled(e)
-	case LoadNote:
+	case LoadReport:
 		b.loaded(b.reqs[e.ID], e.Load)
-	case SlowNote:
-		b.slow(b.reqs[e.ID], e.Message)
-	case ClientGone:
+	case LatencyReport:
+		b.slow(b.reqs[e.ID], e.Latency)
+	case ClientDisconnected:
 		b.end(b.reqs[e.ID])
-	case Leave: // what waits for its turn is answered at once
+	case Drain: // what waits for its turn is answered at once
 		b.leaving = e
 		b.resumeQueue()
 	case Timer:
@@ -77,26 +77,26 @@
 	}
 	if len(b.pacingQueue) > 0 && b.timerAt != b.nextSendAt { // one timer for all that wait
 		b.timerAt = b.nextSendAt
-		b.emit(Wake{b.timerAt, waitToken})
+		b.emit(SetTimer{b.timerAt, waitToken})
 	}
 	return b.out
 }
 
 // drainGrace is for how long a server that drains is still sent what stands there. The rest of the grace is for the way out
 // of the node, and for a hold-up on it.
-func (b *Brain) drainGrace() time.Duration {
-	return max(min(b.set.DrainGrace*9/10, b.set.DrainGrace-MaxHoldUp), 0)
+func (b *Balancer) drainGrace() time.Duration {
+	return max(min(b.set.DrainGrace*9/10, b.set.DrainGrace-MaxSchedulingDelay), 0)
 }
 
 // arrive takes a request in and places it at once, or notes where it stands already.
-func (b *Brain) arrive(e Arrival, on *server) {
+func (b *Balancer) arrive(e Arrival, on *server) {
 	if b.reqs[e.ID] != nil || e.Class < 0 || e.Class >= len(b.set.Classes) {
 		return
 	}
 	if e.Tenant < 0 || e.Tenant >= len(b.tenants) {
 		e.Tenant = len(b.tenants) - 1
 	}
-	r := &request{Arrival: e, deadline: b.now + e.Left}
+	r := &request{Arrival: e, deadline: b.now + e.TimeLeft}
 	r.load = cmp.Or(b.means[e.Class], b.unit, 1) // until a note tells more
 	if b.reqs[e.ID] = r; on == nil {
 		b.coming++
@@ -107,12 +107,12 @@
 	b.count(on, r, 1)
 }
 
-func (b *Brain) send(r *request, left time.Duration) {
+func (b *Balancer) send(r *request, left time.Duration) {
 	var s *server
 	if left > 0 && len(b.table.first) > 0 && (b.set.MaxAttempts <= 0 || len(r.attempts) < b.set.MaxAttempts) {
 		s = b.place(r)
 	}
-	aim := b.set.Classes[r.Class].SetupAim
+	aim := b.set.Classes[r.Class].SetupLatencyObjective
 	if s == nil {
 		b.reject(r, aim, b.unplaced(r, left))
 		return
@@ -137,7 +137,7 @@
 }
 
 // unplaced says why a request was sent nowhere.
-func (b *Brain) unplaced(r *request, left time.Duration) Reason {
+func (b *Balancer) unplaced(r *request, left time.Duration) Reason {
 	switch {
 	case left <= 0:
 		return ReasonNoTime
@@ -149,15 +149,15 @@
 
 // value is what a request is worth for the load it brings, against the class that is worth most; a tenant
 // over its share of open connections, judged by this node's part of them, counts for little.
-func (b *Brain) value(r *request) float64 {
+func (b *Balancer) value(r *request) float64 {
 	best := 1e-12
 	for i, c := range b.set.Classes {
-		best = max(best, c.Worth/cmp.Or(b.means[i], b.unit, 1))
+		best = max(best, c.PriorityWeight/cmp.Or(b.means[i], b.unit, 1))
 	}
-	own := b.set.Classes[r.Class].Worth / cmp.Or(b.means[r.Class], b.unit, 1)
-	share := b.set.Tenants[r.Tenant].Connections / float64(max(b.set.GroupSize, 1))
+	own := b.set.Classes[r.Class].PriorityWeight / cmp.Or(b.means[r.Class], b.unit, 1)
+	share := b.set.Tenants[r.Tenant].ConnectionQuota / float64(max(b.set.NodeCount, 1))
 	if share > 0 && float64(b.tenants[r.Tenant]) > share {
-		own *= b.set.OverShareWorth
+		own *= b.set.OverQuotaWeight
 	}
 	return own / best
 }
@@ -166,13 +166,13 @@
 // groups, as connections of a group share work on a server; of its own id where it has neither. A group of
 // several places has further entries, each hashed from the first; the client's key picks one, and keeps to
 // it as their number changes.
-func (b *Brain) home(r *request) (at uint64, place, places int) {
+func (b *Balancer) home(r *request) (at uint64, place, places int) {
 	own := cmp.Or(r.Key, string(r.ID))
 	at, places = xxhash.Sum64String(cmp.Or(r.Group, own)), 1
 	if r.Group != "" {
 		places = b.places(r.Group)
 		place = int(jump.Hash(xxhash.Sum64String(own), places))
-		if r.Again && b.lowSample() && !r.MidFlow { // what moved it away is likely to last
+		if r.Reconnect && b.lowSample() && !r.MidFlow { // what moved it away is likely to last
 			places = max(places, againPlaces)
 			place = (place + 1 + int(xxhash.Sum64String(string(r.ID))%uint64(places-1))) % places
 		}
@@ -181,7 +181,7 @@
 }
 
 // entry is the i-th entry to look at for a request: its own, its group's others, then those behind its own.
-func (b *Brain) entry(at uint64, place, places, i int) int {
+func (b *Balancer) entry(at uint64, place, places, i int) int {
 	if i < places {
 		place, i = (place+i)%places, 0
 	} else {
@@ -198,8 +198,8 @@
 // crowd that it should skip: there each group has the same few, so that large ones don't crowd one server,
 // and small ones are not paid for on all; fewer while much of the listed weight is gone, as the rest can't
 // bear the price.
-func (b *Brain) places(group string) int {
-	all, kept := float64(len(b.table.holders)), b.set.CrossPrice >= dearCrossing
+func (b *Balancer) places(group string) int {
+	all, kept := float64(len(b.table.holders)), b.set.CrossZoneCost >= dearCrossing
 	if kept { // it has places in each zone
 		all *= b.own / max(b.weight, b.own)
 	}
@@ -212,14 +212,14 @@
 }
 
 // lowSample reports whether this node is to hold too few connections on a server, by the quotas, to judge by.
-func (b *Brain) lowSample() bool {
+func (b *Balancer) lowSample() bool {
 	return b.quota > 0 && b.quota < skipFloor*float64(len(b.table.holders))
 }
 
 // place picks the server: the first hop of the request's place, or the second for a mid-flow arrival while
 // that entry changes; where that one is barred, the first that fits of those that its group's entry and the
 // next ones name, in the same order at every node.
-func (b *Brain) place(r *request) *server {
+func (b *Balancer) place(r *request) *server {
 	// One that operators called back is used again soon, to show them that it is, also where its entries come up
 	// seldom: once it has waited, it gets the next request that may go there.
 	for _, s := range b.returning {
@@ -282,7 +282,7 @@
 }
 
 // stands finds where a mid-flow connection stands: where the table put it, however loaded that server is.
-func (b *Brain) stands(r *request, at int, local bool) *server {
+func (b *Balancer) stands(r *request, at int, local bool) *server {
 	for _, s := range b.table.hops(at) {
 		if s != nil && (!local || s.zone == b.set.Zone) && b.mayTake(s, r) && !b.ejected(s) {
 			return s
@@ -293,24 +293,24 @@
 
 // stays reports whether clients of an entry are kept in this node's zone, where crossings are dear: all, or
 // as many as its servers bear of their part if the clients come to all zones alike; the hash says which.
-func (b *Brain) stays(at uint64) bool {
+func (b *Balancer) stays(at uint64) bool {
 	part := b.own * float64(b.set.Zones) / max(b.weight, 1e-9)
-	return b.set.CrossPrice >= dearCrossing && float64(mix(at, uint64(b.set.Zone)+1)) < part*math.MaxUint64
+	return b.set.CrossZoneCost >= dearCrossing && float64(mix(at, uint64(b.set.Zone)+1)) < part*math.MaxUint64
 }
 
 // mayTake reports whether a server may get a request by what may be repeated there and by its slow start.
-func (b *Brain) mayTake(s *server, r *request) bool {
+func (b *Balancer) mayTake(s *server, r *request) bool {
 	return b.allowed(r, s) && b.hasSlowStartBudget(s)
 }
 
 // allowed reports whether another attempt may go to s: repeats are proved safe, no server is tried twice.
-func (b *Brain) allowed(r *request, s *server) bool {
+func (b *Balancer) allowed(r *request, s *server) bool {
 	c := &b.set.Classes[r.Class]
 	for i := range r.attempts {
 		a := &r.attempts[i]
 		far := c.Scope == ScopeZone && s.zone != a.to.zone || c.Scope == ScopeCell && s.cell != a.to.cell
-		ran := !a.safe && c.Effect != Safe
-		if a.out || a.to == s || ran && (far || c.Effect == Unsafe || b.now-a.at >= c.Window) {
+		ran := !a.safe && c.Effect != Idempotent
+		if a.out || a.to == s || ran && (far || c.Effect == NonIdempotent || b.now-a.at >= c.IdempotencyWindow) {
 			return false
 		}
 	}
@@ -318,14 +318,14 @@
 }
 
 // reject answers at once: refused where that is known to be harmless, else failed.
-func (b *Brain) reject(r *request, wait time.Duration, why Reason) {
+func (b *Balancer) reject(r *request, wait time.Duration, why Reason) {
 	c := &b.set.Classes[r.Class]
 	harmless := true
 	for i := range r.attempts {
-		harmless = harmless && (r.attempts[i].safe || c.Effect == Safe || c.Effect == Keyed && c.Scope == ScopeAll)
+		harmless = harmless && (r.attempts[i].safe || c.Effect == Idempotent || c.Effect == IdempotentByKey && c.Scope == ScopeAll)
 	}
 	if harmless {
-		b.emit(Refuse{r.ID, min(wait, b.set.MaxRetryAfter), why})
+		b.emit(Reject{r.ID, min(wait, b.set.MaxRetryAfter), why})
 	} else {
 		b.emit(Fail{r.ID, why})
 	}
@@ -333,7 +333,7 @@
 }
 
 // end marks a request as answered and frees it once no attempt of it is out.
-func (b *Brain) end(r *request) {
+func (b *Balancer) end(r *request) {
 	if r == nil {
 		return
 	}
@@ -346,7 +346,7 @@
 	}
 }
 
-func (b *Brain) opened(e Opened) {
+func (b *Balancer) opened(e Established) {
 	if r, a := b.running(e.ID, e.Attempt); r != nil && r.conn == nil {
 		r.conn = a.to
 		if r.setsUp() {
@@ -357,32 +357,32 @@
 	}
 }
 
-func (b *Brain) settled(e Settled) {
+func (b *Balancer) settled(e AttemptEnded) {
 	r, a := b.running(e.ID, e.Attempt)
 	if r == nil {
 		return
 	}
-	a.out, a.safe = false, e.Outcome.ProvesUnrun()
+	a.out, a.safe = false, e.Outcome.ProvesNotExecuted()
 	s, stood := a.to, r.conn != nil
 	if !stood && r.setsUp() {
 		b.setupsOut--
 	}
-	aim := b.set.Classes[r.Class].SetupAim
+	aim := b.set.Classes[r.Class].SetupLatencyObjective
 	switch {
 	case e.Outcome == Served:
 		b.recordSuccess(s)
-	case e.Outcome == Reset && stood: // its death shows in failed connects
+	case e.Outcome == ConnectionReset && stood: // its death shows in failed connects
 		b.dropped(s)
-	case e.Outcome == NoConnect:
+	case e.Outcome == ConnectFailed:
 		b.recordFailure(s, 4*aim)
-	case e.Outcome == NoAnswer:
-		if r.Left >= b.minSetupAim { // no set-up is wanted sooner: a client that leaves less time tells nothing
+	case e.Outcome == ResponseTimeout:
+		if r.TimeLeft >= b.minSetupAim { // no set-up is wanted sooner: a client that leaves less time tells nothing
 			b.observeSetup(r, a, e.Took, true)
 		}
 		if e.Took >= aim {
 			b.recordFailure(s, 4*aim)
 		}
-	case e.Outcome == Errored || e.Outcome == Full || e.Outcome == Reset:
+	case e.Outcome == Errored || e.Outcome == Rejected || e.Outcome == ConnectionReset:
 		b.observeSetup(r, a, aim, true)
 		b.recordFailure(s, aim)
 	}
@@ -396,24 +396,24 @@
 }
 
 // evictConnections sends what stands away as the node drains, least worth first, and evenly: no wave for the others.
-func (b *Brain) evictConnections() {
+func (b *Balancer) evictConnections() {
 	on := b.standing(nil)
-	steps := max((b.leaving.By-b.now)/sweepEvery, 1)
+	steps := max((b.leaving.Deadline-b.now)/sweepEvery, 1)
 	for _, r := range on[:(len(on)+int(steps)-1)/int(steps)] {
-		b.emit(Move{r.ID})
+		b.emit(Migrate{r.ID})
 		b.end(r)
 	}
 }
 
 // standing lists what stands on a server, or on all for nil, least worth for its load first.
-func (b *Brain) standing(s *server) (on []*request) {
+func (b *Balancer) standing(s *server) (on []*request) {
 	for _, r := range b.reqs {
 		if r.conn != nil && (s == nil || r.conn == s) && !r.answered {
 			on = append(on, r)
 		}
 	}
 	price := func(r *request) float64 {
-		return (r.load + b.group/float64(r.conn.groups[r.Group])) / max(b.set.Classes[r.Class].Worth, 1e-9)
+		return (r.load + b.group/float64(r.conn.groups[r.Group])) / max(b.set.Classes[r.Class].PriorityWeight, 1e-9)
 	}
 	slices.SortFunc(on, func(x, y *request) int {
 		return cmp.Or(cmp.Compare(price(y), price(x)), cmp.Compare(x.ID, y.ID))
@@ -422,23 +422,23 @@
 }
 
 // shedLoad moves connections off a server until it is within its limit, least worth for their load first.
-func (b *Brain) shedLoad(s *server, over float64) {
+func (b *Balancer) shedLoad(s *server, over float64) {
 	for _, r := range b.standing(s) {
 		if over < r.load*b.rng.Float64() {
 			return
 		}
 		over -= r.load
-		b.emit(Move{r.ID})
+		b.emit(Migrate{r.ID})
 		b.end(r)
 	}
 }
 
 // sweep is the housekeeping: the rates, and the questions to the list.
-func (b *Brain) sweep() {
-	b.emit(Wake{b.now + sweepEvery, sweepToken})
+func (b *Balancer) sweep() {
+	b.emit(SetTimer{b.now + sweepEvery, sweepToken})
 	b.weigh()
 	b.most -= (b.most - b.weight) / forgetful // a fleet made smaller for good is not short for ever
-	if b.leaving.On && !b.leaving.Stay {
+	if b.leaving.Active && !b.leaving.KeepConnections {
 		b.evictConnections()
 	}
 	b.relaxWithTime()
@@ -449,8 +449,8 @@
 		}
 		b.placed, b.came, b.coming, b.secondAt = 0, b.coming, 0, b.now
 	}
-	if b.set.AskList && !b.watching && b.now >= b.askNotBy && (!b.asking || b.now > b.askedAt+b.set.AskWithin) {
+	if b.set.PollList && !b.watching && b.now >= b.askNotBy && (!b.asking || b.now > b.askedAt+b.set.PollInterval) {
 		b.asking, b.askedAt = true, b.now
-		b.emit(Watch{})
+		b.emit(WatchList{})
 	}
 }
--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -10,29 +10,29 @@
 
 func testSettings() Settings {
 	return Settings{
-		Seed: 1, GroupSize: 3, AskList: true, Pass: true, MaxAttempts: 4, MayCancel: true,
-		MaxRetryAfter: 2 * time.Second, DrainGrace: time.Second, ColdShare: 0.25,
-		WarmWithin: 10 * time.Second, FallMultiple: 3, FallWindow: time.Second, AskWithin: 10 * time.Second,
+		Seed: 1, NodeCount: 3, PollList: true, PassThrough: true, MaxAttempts: 4, MayCancel: true,
+		MaxRetryAfter: 2 * time.Second, DrainGrace: time.Second, SlowStartFraction: 0.25,
+		SlowStartDuration: 10 * time.Second, CollapseMultiple: 3, CollapseWindow: time.Second, PollInterval: 10 * time.Second,
 		Classes: []Class{
-			{SetupAim: 300 * ms, Deadline: 2 * time.Second, MessageAim: 100 * ms, Worth: 1},
-			{SetupAim: 300 * ms, Deadline: 2 * time.Second, Effect: Keyed, Scope: ScopeZone, Window: time.Second},
-			{SetupAim: 300 * ms, Deadline: 2 * time.Second, Effect: Unsafe},
-			{SetupAim: 300 * ms, Deadline: 2 * time.Second, Effect: Keyed, Scope: ScopeAll, Window: time.Second},
-			{SetupAim: 300 * ms, Deadline: 2 * time.Second, Effect: Keyed, Scope: ScopeCell, Window: time.Second},
+			{SetupLatencyObjective: 300 * ms, Deadline: 2 * time.Second, MessageLatencyObjective: 100 * ms, PriorityWeight: 1},
+			{SetupLatencyObjective: 300 * ms, Deadline: 2 * time.Second, Effect: IdempotentByKey, Scope: ScopeZone, IdempotencyWindow: time.Second},
+			{SetupLatencyObjective: 300 * ms, Deadline: 2 * time.Second, Effect: NonIdempotent},
+			{SetupLatencyObjective: 300 * ms, Deadline: 2 * time.Second, Effect: IdempotentByKey, Scope: ScopeAll, IdempotencyWindow: time.Second},
+			{SetupLatencyObjective: 300 * ms, Deadline: 2 * time.Second, Effect: IdempotentByKey, Scope: ScopeCell, IdempotencyWindow: time.Second},
 		},
 	}
 }
 
 // started is a node that holds a warm fleet of n servers.
-func started(t *testing.T, s Settings, n int) *Brain {
+func started(t *testing.T, s Settings, n int) *Balancer {
 	t.Helper()
 	b := New(s)
-	b.Handle(0, ListEvent{Kind: ListCached, Version: 1, Servers: fleetOf(n)})
+	b.Handle(0, ListEvent{Kind: ListCached, Revision: 1, Servers: fleetOf(n)})
 	return b
 }
 
 // homeEntry is the entry of the table that a request without a group belongs to.
-func homeEntry(b *Brain, r *request) int {
+func homeEntry(b *Balancer, r *request) int {
 	at, place, places := b.home(r)
 	return b.entry(at, place, places, 0)
 }
@@ -50,7 +50,7 @@
 func finals(actions []Action, id RequestID) (n int, refused bool) {
 	for _, a := range actions {
 		switch a := a.(type) {
-		case Refuse:
+		case Reject:
 			if a.ID == id {
 				n++
 				refused = true
@@ -67,10 +67,10 @@
 func TestSameKeyGoesToTheSameServer(t *testing.T) {
 	b := started(t, testSettings(), 12)
 	other := testSettings()
-	other.Seed, other.Index = 7, 2
+	other.Seed, other.NodeIndex = 7, 2
 	c := started(t, other, 12)
 	for i := range 50 {
-		a := Arrival{ID: RequestID(fmt.Sprint(i)), Key: fmt.Sprint("key", i), Left: time.Second}
+		a := Arrival{ID: RequestID(fmt.Sprint(i)), Key: fmt.Sprint("key", i), TimeLeft: time.Second}
 		x, y := sends(b.Handle(0, a)), sends(c.Handle(0, a))
 		if len(x) != 1 || len(y) != 1 {
 			t.Fatal("no send")
@@ -78,8 +78,8 @@
 		if first := b.table.hops(homeEntry(b, &request{Arrival: a}))[1]; !b.over(first, 1) && x[0].Server != first.id && first.conns < skipFloor {
 			t.Errorf("key %d left its first hop %s for %s", i, first.id, x[0].Server)
 		}
-		b.Handle(0, Settled{ID: a.ID, Outcome: Served, Final: true})
-		c.Handle(0, Settled{ID: a.ID, Outcome: Served, Final: true})
+		b.Handle(0, AttemptEnded{ID: a.ID, Outcome: Served, Final: true})
+		c.Handle(0, AttemptEnded{ID: a.ID, Outcome: Served, Final: true})
 		if x[0].Server != y[0].Server {
 			t.Errorf("key %d: %s at one node, %s at another", i, x[0].Server, y[0].Server)
 		}
@@ -88,12 +88,12 @@
 
 func TestNoServersIsRefusedAtOnce(t *testing.T) {
 	b := New(testSettings())
-	if n, refused := finals(b.Handle(0, Arrival{ID: "r", Left: time.Second}), "r"); n != 1 || !refused {
+	if n, refused := finals(b.Handle(0, Arrival{ID: "r", TimeLeft: time.Second}), "r"); n != 1 || !refused {
 		t.Error("with no list the request must be refused at once")
 	}
-	b.Handle(0, ListEvent{Kind: ListFull, Version: 1, Servers: fleetOf(2)})
-	b.Handle(0, ListEvent{Kind: ListFull, Version: 2})
-	out := b.Handle(0, Arrival{ID: "q", Left: time.Second})
+	b.Handle(0, ListEvent{Kind: ListSnapshot, Revision: 1, Servers: fleetOf(2)})
+	b.Handle(0, ListEvent{Kind: ListSnapshot, Revision: 2})
+	out := b.Handle(0, Arrival{ID: "q", TimeLeft: time.Second})
 	if n, _ := finals(out, "q"); n != 1 || len(sends(out)) != 0 {
 		t.Error("an emptied list still draws sends")
 	}
@@ -111,16 +111,16 @@
 		again   bool // another attempt may follow
 		refuse  bool // the last answer may be a refusal
 	}{
-		{"safe after silence", 0, NoAnswer, 300 * ms, true, true},
-		{"unsafe after silence", 2, NoAnswer, 300 * ms, false, false},
-		{"unsafe after a failed connect", 2, NoConnect, 50 * ms, true, true},
-		{"unsafe turned away", 2, Full, 5 * ms, true, true},
+		{"safe after silence", 0, ResponseTimeout, 300 * ms, true, true},
+		{"unsafe after silence", 2, ResponseTimeout, 300 * ms, false, false},
+		{"unsafe after a failed connect", 2, ConnectFailed, 50 * ms, true, true},
+		{"unsafe turned away", 2, Rejected, 5 * ms, true, true},
 		{"unsafe after an error", 2, Errored, 5 * ms, false, false},
-		{"keyed zone in its window", 1, NoAnswer, 300 * ms, true, false},
-		{"keyed zone past its window", 1, NoAnswer, 1200 * ms, false, false},
-		{"keyed all in its window", 3, NoAnswer, 300 * ms, true, true},
-		{"keyed all past its window", 3, NoAnswer, 1200 * ms, false, true},
-		{"keyed cell in its window", 4, Reset, 300 * ms, true, false},
+		{"keyed zone in its window", 1, ResponseTimeout, 300 * ms, true, false},
+		{"keyed zone past its window", 1, ResponseTimeout, 1200 * ms, false, false},
+		{"keyed all in its window", 3, ResponseTimeout, 300 * ms, true, true},
+		{"keyed all past its window", 3, ResponseTimeout, 1200 * ms, false, true},
+		{"keyed cell in its window", 4, ConnectionReset, 300 * ms, true, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			b := New(testSettings())
@@ -129,8 +129,8 @@
 				fleet[i].Zone, fleet[i].Cell = i%2, i%4
 			}
 			b.Handle(0, ListEvent{Kind: ListCached, Servers: fleet})
-			first := sends(b.Handle(0, Arrival{ID: "r", Class: c.class, Key: "k", Left: 2 * time.Second}))[0]
-			out := b.Handle(c.took, Settled{ID: "r", Server: first.Server, Took: c.took, Outcome: c.outcome})
+			first := sends(b.Handle(0, Arrival{ID: "r", Class: c.class, Key: "k", TimeLeft: 2 * time.Second}))[0]
+			out := b.Handle(c.took, AttemptEnded{ID: "r", Server: first.Server, Took: c.took, Outcome: c.outcome})
 			again := sends(out)
 			if c.again != (len(again) == 1) {
 				t.Fatalf("further attempts: %v", again)
@@ -144,7 +144,7 @@
 				if c.class == 1 && was.zone != is.zone || c.class == 4 && was.cell != is.cell {
 					t.Fatal("a keyed request left the servers that drop its repeats")
 				}
-				out = b.Handle(now, Settled{ID: "r", Attempt: i, Took: c.took, Outcome: c.outcome})
+				out = b.Handle(now, AttemptEnded{ID: "r", Attempt: i, Took: c.took, Outcome: c.outcome})
 				for n, _ := finals(out, "r"); n == 0 && len(sends(out)) == 0; n, _ = finals(out, "r") {
 					if now += 5 * ms; now > 3*time.Second {
 						t.Fatal("a request that waits its turn was lost")
@@ -162,12 +162,12 @@
 
 func TestAttemptsUsedUpEndAtOnce(t *testing.T) {
 	b := started(t, testSettings(), 12)
-	out := b.Handle(0, Arrival{ID: "r", Key: "k", Left: 2 * time.Second})
+	out := b.Handle(0, Arrival{ID: "r", Key: "k", TimeLeft: 2 * time.Second})
 	for i := range 4 {
 		if len(sends(out)) != 1 {
 			t.Fatalf("attempt %d was not sent", i)
 		}
-		out = b.Handle(ms, Settled{ID: "r", Attempt: i, Outcome: NoConnect})
+		out = b.Handle(ms, AttemptEnded{ID: "r", Attempt: i, Outcome: ConnectFailed})
 	}
 	if n, refused := finals(out, "r"); n != 1 || !refused || len(sends(out)) != 0 {
 		t.Error("after the last attempt the request must be refused at once")
@@ -176,17 +176,17 @@
 
 func TestClientGoneIsCancelledAndFreed(t *testing.T) {
 	b := started(t, testSettings(), 3)
-	b.Handle(0, Arrival{ID: "r", Key: "k", Left: time.Second})
-	out := b.Handle(ms, ClientGone{ID: "r"})
+	b.Handle(0, Arrival{ID: "r", Key: "k", TimeLeft: time.Second})
+	out := b.Handle(ms, ClientDisconnected{ID: "r"})
 	if len(out) != 1 || out[0] != (Cancel{ID: "r"}) {
 		t.Errorf("got %v, want a cancel", out)
 	}
-	out = b.Handle(2*ms, Settled{ID: "r", Outcome: Cancelled, Final: true})
+	out = b.Handle(2*ms, AttemptEnded{ID: "r", Outcome: Cancelled, Final: true})
 	if len(out) != 0 || len(b.reqs) != 0 {
 		t.Error("the request is not freed with its last attempt")
 	}
-	for _, e := range []Event{ClientGone{ID: "r"}, Settled{ID: "r"}, Opened{ID: "r"}, LoadNote{ID: "r", Load: 1},
-		SlowNote{ID: "r", Message: time.Second}, Timer{Token: "other"}, PeerMessage{}} {
+	for _, e := range []Event{ClientDisconnected{ID: "r"}, AttemptEnded{ID: "r"}, Established{ID: "r"}, LoadReport{ID: "r", Load: 1},
+		LatencyReport{ID: "r", Latency: time.Second}, Timer{Token: "other"}, PeerMessage{}} {
 		if out := b.Handle(3*ms, e); len(out) != 0 {
 			t.Errorf("%T for what is no longer held drew %v", e, out)
 		}
@@ -196,17 +196,17 @@
 // A hung server accepts and says nothing; a dead one refuses connections. Both must stop getting new
 // connections within a few attempts, be tried again later, and come back when well.
 func TestFailingServerIsLeftAloneAndComesBack(t *testing.T) {
-	for _, outcome := range []Outcome{NoAnswer, NoConnect} {
+	for _, outcome := range []Outcome{ResponseTimeout, ConnectFailed} {
 		b := started(t, testSettings(), 6)
 		bad := b.table.first[0].id
 		hits, now := 0, time.Duration(0)
 		for i := range 200 {
 			id := RequestID(fmt.Sprint("r", i))
-			out := b.Handle(now, Arrival{ID: id, Key: fmt.Sprint(i), Left: 2 * time.Second})
+			out := b.Handle(now, Arrival{ID: id, Key: fmt.Sprint(i), TimeLeft: 2 * time.Second})
 			for n := 0; len(sends(out)) == 1; n++ {
-				e := Settled{ID: id, Attempt: n, Took: 300 * ms, Outcome: outcome}
+				e := AttemptEnded{ID: id, Attempt: n, Took: 300 * ms, Outcome: outcome}
 				if sends(out)[0].Server != bad {
-					b.Handle(now, Opened{ID: id, Attempt: n, Took: 20 * ms})
+					b.Handle(now, Established{ID: id, Attempt: n, Took: 20 * ms})
 					e.Outcome, e.Final = Served, true
 				} else {
 					hits++
@@ -235,7 +235,7 @@
 	for _, s := range b.servers {
 		b.recordFailure(s, time.Second)
 	}
-	if out := sends(b.Handle(ms, Arrival{ID: "r", Key: "k", Left: time.Second})); len(out) != 1 {
+	if out := sends(b.Handle(ms, Arrival{ID: "r", Key: "k", TimeLeft: time.Second})); len(out) != 1 {
 		t.Error("with all servers suspect the plain table must go on")
 	}
 }
@@ -257,14 +257,14 @@
 				sent++
 				at := a
 				defer func() {
-					take(b.Handle(now, Settled{ID: at.ID, Attempt: len(b.reqs[at.ID].attempts) - 1, Took: 10 * ms, Outcome: Errored}))
+					take(b.Handle(now, AttemptEnded{ID: at.ID, Attempt: len(b.reqs[at.ID].attempts) - 1, Took: 10 * ms, Outcome: Errored}))
 				}()
-			case Refuse:
+			case Reject:
 				answered[a.ID] = true
 				if now > due[a.ID] {
 					t.Fatalf("%s was answered after its time", a.ID)
 				}
-			case Wake:
+			case SetTimer:
 				wakes = append(wakes, a.At)
 			}
 		}
@@ -272,7 +272,7 @@
 	for i := range 100 {
 		id := RequestID(fmt.Sprint("r", i))
 		due[id] = 2 * time.Second
-		take(append([]Action(nil), b.Handle(0, Arrival{ID: id, Key: fmt.Sprint(i), Left: 2 * time.Second})...))
+		take(append([]Action(nil), b.Handle(0, Arrival{ID: id, Key: fmt.Sprint(i), TimeLeft: 2 * time.Second})...))
 	}
 	if sent > 20 {
 		t.Errorf("%d set-ups were sent into the jam at once", sent)
@@ -295,11 +295,11 @@
 func TestColdServerGetsItsShareOnly(t *testing.T) {
 	b := started(t, testSettings(), 5)
 	b.rate = 2 // connections a second over the warm five
-	b.Handle(0, ListEvent{Kind: ListChange, Version: 2, Servers: []Server{{ID: "cold", Weight: 2, Since: time.Nanosecond}}})
+	b.Handle(0, ListEvent{Kind: ListDelta, Revision: 2, Servers: []Server{{ID: "cold", Weight: 2, StartedAt: time.Nanosecond}}})
 	n := 0
 	for i := range 400 {
 		id := RequestID(fmt.Sprint(i))
-		for _, s := range sends(b.Handle(time.Duration(i)*5*ms, Arrival{ID: id, Key: id2key(i), Left: time.Second})) {
+		for _, s := range sends(b.Handle(time.Duration(i)*5*ms, Arrival{ID: id, Key: id2key(i), TimeLeft: time.Second})) {
 			if s.Server == "cold" {
 				n++
 			}
@@ -319,7 +319,7 @@
 	run := func(from, to time.Duration) {
 		for now := from; now < to; now += sweepEvery {
 			for _, a := range b.Handle(now, Timer{Token: sweepToken}) {
-				if _, ok := a.(Watch); ok {
+				if _, ok := a.(WatchList); ok {
 					watches++
 				}
 			}
@@ -334,7 +334,7 @@
 	if watches != 2 {
 		t.Fatalf("asked %d times after one failure, want twice", watches)
 	}
-	b.Handle(9*time.Second, ListEvent{Kind: ListFull, Version: 3, Servers: fleetOf(3)})
+	b.Handle(9*time.Second, ListEvent{Kind: ListSnapshot, Revision: 3, Servers: fleetOf(3)})
 	run(9*time.Second, 60*time.Second)
 	if watches != 2 {
 		t.Error("a standing watch is asked again")
@@ -345,7 +345,7 @@
 		t.Error("a broken watch is not asked again")
 	}
 	push := testSettings()
-	push.AskList = false
+	push.PollList = false
 	b, watches = New(push), 0
 	run(0, 5*time.Second)
 	if watches != 0 {
@@ -355,7 +355,7 @@
 
 func TestRestartUnderTheOldNameIsCold(t *testing.T) {
 	b := started(t, testSettings(), 4)
-	b.Handle(30*time.Second, ListEvent{Kind: ListChange, Servers: []Server{{ID: "s01", Weight: 1, Since: 29 * time.Second}}})
+	b.Handle(30*time.Second, ListEvent{Kind: ListDelta, Servers: []Server{{ID: "s01", Weight: 1, StartedAt: 29 * time.Second}}})
 	if got := b.slowStartFactor(b.servers["s01"]); got > 0.35 {
 		t.Errorf("slow start factor %.2f a second after the restart", got)
 	}
@@ -365,8 +365,8 @@
 func TestPacedSetupsEaseWithTime(t *testing.T) {
 	b := started(t, testSettings(), 6)
 	for i, id := range []RequestID{"a", "b", "r"} {
-		b.Handle(0, Arrival{ID: id, Key: string(id), Left: time.Second})
-		b.Handle(20*ms, Settled{ID: id, Took: 20 * ms, Outcome: Errored})
+		b.Handle(0, Arrival{ID: id, Key: string(id), TimeLeft: time.Second})
+		b.Handle(20*ms, AttemptEnded{ID: id, Took: 20 * ms, Outcome: Errored})
 		if i == 0 && b.sendInterval > 0 { // it cost clients that do not come again their only try
 			t.Fatal("a single error of a set-up paces")
 		}
@@ -378,7 +378,7 @@
 		b.Handle(now, Timer{Token: waitToken})
 		b.Handle(now, Timer{Token: sweepToken})
 		if r := b.reqs["r"]; r != nil && len(r.attempts) > 1 && r.conn == nil {
-			b.Handle(now, Opened{ID: "r", Attempt: len(r.attempts) - 1, Took: 20 * ms})
+			b.Handle(now, Established{ID: "r", Attempt: len(r.attempts) - 1, Took: 20 * ms})
 		}
 	}
 	if b.sendInterval > 0 {
@@ -390,32 +390,32 @@
 // those whose attempt fails, and sends away what stands evenly, all of it by its time and the dearest last.
 func TestANodeThatDrains(t *testing.T) {
 	s := testSettings()
-	s.Classes[1] = Class{SetupAim: 300 * ms, Deadline: 2 * time.Second, Worth: 50}
+	s.Classes[1] = Class{SetupLatencyObjective: 300 * ms, Deadline: 2 * time.Second, PriorityWeight: 50}
 	b, _ := crowded(t, s, 20)
 	for i := range 10 {
-		b.Handle(0, Inherited{Arrival: Arrival{ID: RequestID(fmt.Sprint("dear", i)), Class: 1, Left: time.Hour}, Server: "a"})
+		b.Handle(0, Inherited{Arrival: Arrival{ID: RequestID(fmt.Sprint("dear", i)), Class: 1, TimeLeft: time.Hour}, Server: "a"})
 	}
-	out := b.Handle(ms, Arrival{ID: "early", Left: 2 * time.Second})
+	out := b.Handle(ms, Arrival{ID: "early", TimeLeft: 2 * time.Second})
 	if len(sends(out)) != 1 {
 		t.Fatal("the node did not place before it drained")
 	}
 	b.pacingQueue = append(b.pacingQueue, &request{Arrival: Arrival{ID: "waits"}, deadline: time.Second})
-	out = b.Handle(2*ms, Leave{On: true, By: 10 * time.Second, After: 1500 * ms})
+	out = b.Handle(2*ms, Drain{Active: true, Deadline: 10 * time.Second, RetryAfter: 1500 * ms})
 	if n, refused := finals(out, "waits"); n != 1 || !refused {
 		t.Error("what waits for its turn is not answered at once")
 	}
-	out = b.Handle(3*ms, Arrival{ID: "new", Left: 2 * time.Second})
-	if n, refused := finals(out, "new"); n != 1 || !refused || len(sends(out)) != 0 || out[len(out)-1].(Refuse).RetryAfter != 1500*ms {
+	out = b.Handle(3*ms, Arrival{ID: "new", TimeLeft: 2 * time.Second})
+	if n, refused := finals(out, "new"); n != 1 || !refused || len(sends(out)) != 0 || out[len(out)-1].(Reject).RetryAfter != 1500*ms {
 		t.Errorf("a new client is answered %v", out)
 	}
-	out = b.Handle(4*ms, Settled{ID: "early", Server: "a", Outcome: Full})
+	out = b.Handle(4*ms, AttemptEnded{ID: "early", Server: "a", Outcome: Rejected})
 	if n, _ := finals(out, "early"); n != 1 || len(sends(out)) != 0 {
 		t.Errorf("an attempt that failed is followed by %v", out)
 	}
-	if out = b.Handle(5*ms, Arrival{ID: "mid", Left: 2 * time.Second, MidFlow: true}); len(sends(out)) != 1 {
+	if out = b.Handle(5*ms, Arrival{ID: "mid", TimeLeft: 2 * time.Second, MidFlow: true}); len(sends(out)) != 1 {
 		t.Errorf("a connection that is open already is answered %v", out)
 	}
-	b.Handle(6*ms, ClientGone{ID: "mid"})
+	b.Handle(6*ms, ClientDisconnected{ID: "mid"})
 	var left []RequestID
 	for now := sweepEvery; now < 10*time.Second; now += sweepEvery {
 		left = append(left, moves(b.Handle(now, Timer{Token: sweepToken}))...)
@@ -426,19 +426,19 @@
 	if len(left) != 50 || left[49][:4] != "dear" || left[0][:4] == "dear" {
 		t.Errorf("%d of 50 were sent away, first %s, last %s", len(left), left[0], left[len(left)-1])
 	}
-	b.Handle(11*time.Second, Leave{})
-	b.Handle(11*time.Second, Leave{On: true, By: 20 * time.Second, Shut: 11*time.Second + 5*ms, Stay: true})
-	if out = b.Handle(11*time.Second+ms, Arrival{ID: "unaware", Left: 2 * time.Second}); len(sends(out)) != 1 {
+	b.Handle(11*time.Second, Drain{})
+	b.Handle(11*time.Second, Drain{Active: true, Deadline: 20 * time.Second, AdmissionCutoff: 11*time.Second + 5*ms, KeepConnections: true})
+	if out = b.Handle(11*time.Second+ms, Arrival{ID: "unaware", TimeLeft: 2 * time.Second}); len(sends(out)) != 1 {
 		t.Errorf("a client of a front that has not noticed yet is answered %v", out)
 	}
-	b.Handle(11*time.Second+2*ms, Opened{ID: "unaware", Server: sends(out)[0].Server})
+	b.Handle(11*time.Second+2*ms, Established{ID: "unaware", Server: sends(out)[0].Server})
 	for now := 12 * time.Second; now < 20*time.Second; now += sweepEvery {
 		if out = b.Handle(now, Timer{Token: sweepToken}); len(moves(out)) > 0 {
 			t.Fatalf("of what is to stay, %v is sent away", moves(out))
 		}
 	}
-	b.Handle(20*time.Second, Leave{})
-	if out = b.Handle(21*time.Second, Arrival{ID: "back", Left: 2 * time.Second}); len(sends(out)) != 1 {
+	b.Handle(20*time.Second, Drain{})
+	if out = b.Handle(21*time.Second, Arrival{ID: "back", TimeLeft: 2 * time.Second}); len(sends(out)) != 1 {
 		t.Errorf("a node that drains no more answers %v", out)
 	}
 }
@@ -451,7 +451,7 @@
 		for _, within := range []time.Duration{time.Second, 10 * time.Second, time.Minute} {
 			for _, took := range []time.Duration{0, time.Second, 3 * time.Second} {
 				s := testSettings()
-				s.GroupSize, s.AskWithin = nodes, max(within, 4*time.Second)
+				s.NodeCount, s.PollInterval = nodes, max(within, 4*time.Second)
 				worst := time.Duration(0)
 				for seed := range uint64(10) {
 					s.Seed = seed
@@ -464,7 +464,7 @@
 						}
 						asked := false
 						for _, a := range b.Handle(now, Timer{Token: sweepToken}) {
-							_, watch := a.(Watch)
+							_, watch := a.(WatchList)
 							asked = asked || watch
 						}
 						if !asked {
@@ -480,7 +480,7 @@
 						failsAt = now + took
 					}
 				}
-				if most := max(AskAgain, 2*AskAgain-took); worst > most {
+				if most := max(MaxRepollDelay, 2*MaxRepollDelay-took); worst > most {
 					t.Errorf("%d nodes, %v, calls that take %v: asked again after %v, %v at most", nodes, within, took, worst, most)
 				}
 			}
--- a/balancer/bench_test.go
+++ b/balancer/bench_test.go
@@ -13,14 +13,14 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			b.ReportAllocs()
 			node := New(testSettings())
-			node.Handle(0, ListEvent{Kind: ListCached, Version: 1, Servers: fleetOf(n)})
+			node.Handle(0, ListEvent{Kind: ListCached, Revision: 1, Servers: fleetOf(n)})
 			for i := range b.N {
 				now := time.Duration(i+1) * time.Minute
 				state := Live
 				if i%2 == 1 {
-					state = Gone
+					state = Removed
 				}
-				node.Handle(now, ListEvent{Kind: ListChange, Version: int64(i + 2),
+				node.Handle(now, ListEvent{Kind: ListDelta, Revision: int64(i + 2),
 					Servers: []Server{{ID: "new", Weight: 1, State: state}}})
 			}
 		})
@@ -32,13 +32,13 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			b.ReportAllocs()
 			node := New(testSettings())
-			node.Handle(0, ListEvent{Kind: ListCached, Version: 1, Servers: fleetOf(n)})
+			node.Handle(0, ListEvent{Kind: ListCached, Revision: 1, Servers: fleetOf(n)})
 			for i := range b.N {
 				id := RequestID(fmt.Sprint(i))
 				now := time.Duration(i) * time.Millisecond
-				node.Handle(now, Arrival{ID: id, Key: string(id), Left: time.Second})
-				node.Handle(now, Opened{ID: id, Took: time.Millisecond})
-				node.Handle(now, Settled{ID: id, Outcome: Served, Final: true})
+				node.Handle(now, Arrival{ID: id, Key: string(id), TimeLeft: time.Second})
+				node.Handle(now, Established{ID: id, Took: time.Millisecond})
+				node.Handle(now, AttemptEnded{ID: id, Outcome: Served, Final: true})
 			}
 		})
 	}
@@ -49,7 +49,7 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			b.ReportAllocs()
 			node := New(testSettings())
-			node.Handle(0, ListEvent{Kind: ListCached, Version: 1, Servers: fleetOf(n)})
+			node.Handle(0, ListEvent{Kind: ListCached, Revision: 1, Servers: fleetOf(n)})
 			for i := range b.N {
 				node.Handle(time.Duration(i)*time.Second, Timer{Token: sweepToken})
 			}
--- a/balancer/invariants_test.go
+++ b/balancer/invariants_test.go
@@ -15,9 +15,9 @@
 		set.Seed = seed
 		servers := 8
 		if seed%4 > 1 { // a large fleet behind many nodes
-			servers, set.GroupSize = 100, 160
+			servers, set.NodeCount = 100, 160
 		}
-		nodes := []*Brain{New(set), New(set)}
+		nodes := []*Balancer{New(set), New(set)}
 		told := map[ServerID]time.Duration{} // when a server was told to drain
 		live := map[RequestID]int{}          // open attempts by request
 		sent := map[RequestID]int{}
@@ -43,7 +43,7 @@
 					if sent[a.ID]++; sent[a.ID] > set.MaxAttempts {
 						t.Fatalf("seed %d: too many attempts", seed)
 					}
-				case Refuse:
+				case Reject:
 					if done[a.ID] {
 						t.Fatalf("seed %d: two final answers", seed)
 					}
@@ -53,7 +53,7 @@
 						t.Fatalf("seed %d: two final answers", seed)
 					}
 					done[a.ID] = true
-				case Move:
+				case Migrate:
 					done[a.ID] = true
 				}
 			}
@@ -68,7 +68,7 @@
 				id := RequestID(fmt.Sprint("r", i))
 				ids = append(ids, id)
 				step(Arrival{ID: id, Class: rng.IntN(5), Key: fmt.Sprint(rng.IntN(40)), Group: fmt.Sprint(rng.IntN(5)),
-					Left: time.Duration(rng.IntN(2000)) * ms, MidFlow: rng.IntN(9) == 0})
+					TimeLeft: time.Duration(rng.IntN(2000)) * ms, MidFlow: rng.IntN(9) == 0})
 			case k < 14 && len(ids) > 0:
 				id := ids[rng.IntN(len(ids))]
 				if live[id] == 0 {
@@ -76,7 +76,7 @@
 				}
 				if !opened[id] && rng.IntN(2) == 0 {
 					opened[id] = true
-					step(Opened{ID: id, Attempt: sent[id] - 1, Took: 30 * ms})
+					step(Established{ID: id, Attempt: sent[id] - 1, Took: 30 * ms})
 					break
 				}
 				live[id]--
@@ -85,28 +85,28 @@
 				if final {
 					done[id] = true
 				}
-				step(Settled{ID: id, Attempt: sent[id] - 1, Took: 100 * ms, Outcome: o, Final: final})
+				step(AttemptEnded{ID: id, Attempt: sent[id] - 1, Took: 100 * ms, Outcome: o, Final: final})
 			case k < 16 && len(ids) > 0:
-				step(LoadNote{ID: ids[rng.IntN(len(ids))], Load: 1000 * rng.Float64()})
+				step(LoadReport{ID: ids[rng.IntN(len(ids))], Load: 1000 * rng.Float64()})
 			case k == 16 && len(ids) > 0:
-				step(SlowNote{ID: ids[rng.IntN(len(ids))], Message: time.Duration(rng.IntN(400)) * ms})
+				step(LatencyReport{ID: ids[rng.IntN(len(ids))], Latency: time.Duration(rng.IntN(400)) * ms})
 			case k == 17:
 				c := fleetOf(servers)[rng.IntN(8)]
 				c.State = ServerState(rng.IntN(3))
 				if delete(told, c.ID); c.State == Live {
-					c.Since = now
+					c.StartedAt = now
 				} else {
 					told[c.ID] = now
 				}
 				if was := nodes[0].servers[c.ID]; was != nil && was.state == draining && c.State != Live {
 					told[c.ID] = was.changedAt
 				}
-				step(ListEvent{Kind: ListChange, Servers: []Server{c}})
+				step(ListEvent{Kind: ListDelta, Servers: []Server{c}})
 			case k == 18 && len(ids) > 0:
 				id := ids[rng.IntN(len(ids))]
 				if !done[id] && !opened[id] {
 					done[id] = true
-					step(ClientGone{ID: id})
+					step(ClientDisconnected{ID: id})
 				}
 			default:
 				step(Timer{Token: sweepToken})
@@ -119,7 +119,7 @@
 				for live[id] > 0 {
 					live[id]--
 					done[id] = true
-					step(Settled{ID: id, Attempt: sent[id] - 1, Outcome: Cancelled, Final: true})
+					step(AttemptEnded{ID: id, Attempt: sent[id] - 1, Outcome: Cancelled, Final: true})
 				}
 			}
 			now += 3 * time.Second
--- a/balancer/jam_test.go
+++ b/balancer/jam_test.go
@@ -13,7 +13,7 @@
 // that were given up meanwhile. Clients that are turned away come again until they are served.
 type jam struct {
 	rng     *rand.Rand
-	fleet   []*Brain
+	fleet   []*Balancer
 	clients map[RequestID]*jamClient // who asks or stands, by the id under which
 	now     time.Duration
 	due     jamQueue
@@ -86,24 +86,24 @@
 	return from + time.Duration(j.rng.Float64()*float64(to-from))
 }
 
-func (j *jam) node(seed uint64, i, nodes int, quota float64) *Brain {
+func (j *jam) node(seed uint64, i, nodes int, quota float64) *Balancer {
 	s := testSettings()
-	s.Seed, s.Index, s.GroupSize, s.AskList, s.MaxAttempts, s.MaxRetryAfter = seed, i, nodes, false, 3, time.Second
+	s.Seed, s.NodeIndex, s.NodeCount, s.PollList, s.MaxAttempts, s.MaxRetryAfter = seed, i, nodes, false, 3, time.Second
 	s.Classes = nil
 	for _, d := range j.deadlines {
-		s.Classes = append(s.Classes, Class{SetupAim: d / 4, Deadline: d, MessageAim: 100 * ms, Worth: 1})
+		s.Classes = append(s.Classes, Class{SetupLatencyObjective: d / 4, Deadline: d, MessageLatencyObjective: 100 * ms, PriorityWeight: 1})
 	}
-	s.Tenants = []Tenant{{Connections: quota}}
+	s.Tenants = []Tenant{{ConnectionQuota: quota}}
 	b := New(s)
-	j.do(i, b, ListEvent{Kind: ListFull, Version: 1, Servers: fleetOf(20)})
+	j.do(i, b, ListEvent{Kind: ListSnapshot, Revision: 1, Servers: fleetOf(20)})
 	return b
 }
 
 // do hands a node an event and carries out what it says. A timer of a node that was started anew is dropped.
-func (j *jam) do(i int, b *Brain, e Event) {
+func (j *jam) do(i int, b *Balancer, e Event) {
 	for _, a := range slices.Clone(b.Handle(j.now, e)) {
 		switch a := a.(type) {
-		case Wake:
+		case SetTimer:
 			j.after(a.At-j.now, func() {
 				if i >= len(j.fleet) || j.fleet[i] == b {
 					j.do(i, b, Timer{Token: a.Token})
@@ -111,7 +111,7 @@
 			})
 		case Send:
 			j.send(i, b, a)
-		case Refuse:
+		case Reject:
 			j.again(a.ID, a.RetryAfter)
 		case Fail:
 			j.again(a.ID, 0)
@@ -119,7 +119,7 @@
 	}
 }
 
-func (j *jam) send(i int, b *Brain, a Send) {
+func (j *jam) send(i int, b *Balancer, a Send) {
 	c := j.clients[a.ID]
 	n := c.attempt
 	c.attempt++
@@ -129,7 +129,7 @@
 	took := j.store - j.now + j.between(20*ms, 40*ms)
 	if took > a.Timeout {
 		j.after(a.Timeout, func() {
-			j.do(i, b, Settled{ID: a.ID, Attempt: n, Server: a.Server, Took: a.Timeout, Outcome: NoAnswer})
+			j.do(i, b, AttemptEnded{ID: a.ID, Attempt: n, Server: a.Server, Took: a.Timeout, Outcome: ResponseTimeout})
 		})
 		return
 	}
@@ -137,7 +137,7 @@
 		if j.clients[a.ID] != c {
 			return
 		}
-		j.do(i, b, Opened{ID: a.ID, Attempt: n, Server: a.Server, Took: took})
+		j.do(i, b, Established{ID: a.ID, Attempt: n, Server: a.Server, Took: took})
 		j.count(c.class, 1, 0)
 		j.times[c.class].cameUp++
 		c.up = true
@@ -146,7 +146,7 @@
 				c.up = false
 				delete(j.clients, a.ID)
 				j.count(c.class, -1, -1)
-				j.do(i, b, Settled{ID: a.ID, Attempt: n, Server: a.Server, Outcome: Served})
+				j.do(i, b, AttemptEnded{ID: a.ID, Attempt: n, Server: a.Server, Outcome: Served})
 			}
 		})
 	})
@@ -193,8 +193,8 @@
 	c.id, c.node, c.attempt = RequestID(fmt.Sprintf("c%07d", j.n)), j.rng.IntN(len(j.fleet)), 0
 	j.clients[c.id] = c
 	b := j.fleet[c.node]
-	j.do(c.node, b, Arrival{ID: c.id, Key: c.key, Class: c.class, Left: b.set.Classes[c.class].Deadline,
-		Retry: c.tries > 0, Again: c.tries > 0})
+	j.do(c.node, b, Arrival{ID: c.id, Key: c.key, Class: c.class, TimeLeft: b.set.Classes[c.class].Deadline,
+		Retry: c.tries > 0, Reconnect: c.tries > 0})
 }
 
 func (j *jam) newcomer() {
@@ -227,7 +227,7 @@
 			delete(j.clients, id)
 			j.count(c.class, -1, 0)
 			j.times[c.class].asked++
-			j.do(c.node, j.fleet[c.node], Settled{ID: id, Attempt: c.attempt - 1, Outcome: Reset})
+			j.do(c.node, j.fleet[c.node], AttemptEnded{ID: id, Attempt: c.attempt - 1, Outcome: ConnectionReset})
 			j.after(j.between(150*ms, 980*ms), func() { j.come(c) })
 		}
 	}
@@ -318,13 +318,13 @@
 func TestThoseWhoWaitForTheirTurnHaveOneTimer(t *testing.T) {
 	b := started(t, testSettings(), 4)
 	at := time.Second
-	b.Handle(at, Arrival{ID: "first", Key: "a", Left: time.Second})
+	b.Handle(at, Arrival{ID: "first", Key: "a", TimeLeft: time.Second})
 	b.sendInterval, b.nextSendAt, b.pacedAt = 10*ms, at+10*ms, 0
 	wakes, sent := 0, 0
 	handle := func(e Event) {
 		for _, a := range b.Handle(at, e) {
 			switch a := a.(type) {
-			case Wake:
+			case SetTimer:
 				if a.Token == waitToken {
 					wakes++
 				}
@@ -334,7 +334,7 @@
 		}
 	}
 	for i := range 30 {
-		handle(Arrival{ID: RequestID(fmt.Sprint("w", i)), Key: fmt.Sprint(i), Left: time.Second})
+		handle(Arrival{ID: RequestID(fmt.Sprint("w", i)), Key: fmt.Sprint(i), TimeLeft: time.Second})
 	}
 	if wakes != 1 || sent != 0 {
 		t.Errorf("30 wait, %d sent, %d timers are set; want 1", sent, wakes)
@@ -369,12 +369,12 @@
 		b, _ := crowded(t, testSettings(), 0)
 		b.now = time.Second
 		if c.first {
-			b.Handle(b.now, Arrival{ID: "well", Key: "k", Left: time.Second})
-			b.Handle(b.now, Opened{ID: "well", Server: "a", Took: 10 * ms})
+			b.Handle(b.now, Arrival{ID: "well", Key: "k", TimeLeft: time.Second})
+			b.Handle(b.now, Established{ID: "well", Server: "a", Took: 10 * ms})
 		}
 		for _, id := range c.on {
 			b.now += ms
-			b.observeSetup(&request{}, &attempt{to: b.servers[id], at: b.now}, b.set.Classes[0].SetupAim, true)
+			b.observeSetup(&request{}, &attempt{to: b.servers[id], at: b.now}, b.set.Classes[0].SetupLatencyObjective, true)
 		}
 		if paced := b.sendInterval > 0; paced != c.paced {
 			t.Errorf("%s: paced %v, want %v", c.name, paced, c.paced)
--- a/balancer/load_test.go
+++ b/balancer/load_test.go
@@ -7,22 +7,22 @@
 )
 
 // crowded is a node with n open connections of class 0 on each of its two servers.
-func crowded(t *testing.T, s Settings, n int) (*Brain, *server) {
+func crowded(t *testing.T, s Settings, n int) (*Balancer, *server) {
 	t.Helper()
 	b := New(s)
 	b.Handle(0, ListEvent{Kind: ListCached, Servers: []Server{{ID: "a", Weight: 1}, {ID: "b", Weight: 1}}})
 	for i := range 2 * n {
 		id := RequestID(fmt.Sprint("open", i))
 		on := ServerID("ab"[i%2 : i%2+1])
-		b.Handle(0, Inherited{Arrival: Arrival{ID: id, Key: fmt.Sprint(i), Left: time.Hour}, Server: on})
-		b.Handle(0, LoadNote{ID: id, Load: 100})
+		b.Handle(0, Inherited{Arrival: Arrival{ID: id, Key: fmt.Sprint(i), TimeLeft: time.Hour}, Server: on})
+		b.Handle(0, LoadReport{ID: id, Load: 100})
 	}
 	return b, b.servers["a"]
 }
 
 func moves(actions []Action) (out []RequestID) {
 	for _, a := range actions {
-		if m, ok := a.(Move); ok {
+		if m, ok := a.(Migrate); ok {
 			out = append(out, m.ID)
 		}
 	}
@@ -34,7 +34,7 @@
 func TestLateMessagesCutAServersLoad(t *testing.T) {
 	b, s := crowded(t, testSettings(), 20)
 	// Half a second of work piles up in a second: it is asked 1.5 times what it can do.
-	out := b.Handle(time.Second, SlowNote{ID: "open0", Message: 500 * ms})
+	out := b.Handle(time.Second, LatencyReport{ID: "open0", Latency: 500 * ms})
 	if want := 2000 * headroom / 1.5; s.limit < want*0.99 || s.limit > want*1.01 {
 		t.Errorf("limit %.0f, want %.0f", s.limit, want)
 	}
@@ -43,7 +43,7 @@
 	}
 	// The backlog falls by a third of a second in a second: that is fast enough.
 	before := s.limit
-	if out := b.Handle(2*time.Second, SlowNote{ID: "open0", Message: 160 * ms}); len(moves(out)) != 0 || s.limit != before {
+	if out := b.Handle(2*time.Second, LatencyReport{ID: "open0", Latency: 160 * ms}); len(moves(out)) != 0 || s.limit != before {
 		t.Error("a backlog that drains was answered with another cut")
 	}
 	// Long after, the limit has grown back.
@@ -56,12 +56,12 @@
 // Of a server that grows slower for half a minute a node with a connection or two learns by its own messages alone:
 // what stays near lateness gives up a little at once, before the aim is missed.
 func TestAServerNearLatenessGivesUpALittleAtOnce(t *testing.T) {
-	aim := testSettings().Classes[0].MessageAim
+	aim := testSettings().Classes[0].MessageLatencyObjective
 	b, s := crowded(t, testSettings(), 20)
-	if out := b.Handle(time.Second, SlowNote{ID: "open0", Message: aim / 3}); len(moves(out)) != 0 {
+	if out := b.Handle(time.Second, LatencyReport{ID: "open0", Latency: aim / 3}); len(moves(out)) != 0 {
 		t.Errorf("%d moved well before lateness", len(moves(out)))
 	}
-	out := b.Handle(2*time.Second, SlowNote{ID: "open0", Message: aim * 9 / 20})
+	out := b.Handle(2*time.Second, LatencyReport{ID: "open0", Latency: aim * 9 / 20})
 	if n := len(moves(out)); n < 2 || n > 6 || s.limit == 0 {
 		t.Errorf("%d of 20 moved, limit %.0f: a few are to go", n, s.limit)
 	}
@@ -73,8 +73,8 @@
 	b := started(t, testSettings(), 4)
 	for i := range 30 {
 		id := RequestID(fmt.Sprint("r", i))
-		b.Handle(0, Arrival{ID: id, Key: fmt.Sprint(i), Left: 2 * time.Second})
-		b.Handle(ms, Opened{ID: id, Took: 600 * ms})
+		b.Handle(0, Arrival{ID: id, Key: fmt.Sprint(i), TimeLeft: 2 * time.Second})
+		b.Handle(ms, Established{ID: id, Took: 600 * ms})
 	}
 	if b.sendInterval <= 0 || b.sendInterval > time.Second/10 { // it was set when the twelfth had come
 		t.Errorf("%v between sends after thirty in the first second", b.sendInterval)
@@ -89,11 +89,11 @@
 // the classes of least worth for their load first.
 func TestShortFleetRefusesAtOnceLeastWorthFirst(t *testing.T) {
 	set := testSettings()
-	set.Classes[1].Worth = 1
+	set.Classes[1].PriorityWeight = 1
 	b, _ := crowded(t, set, 20)
 	b.means[0], b.means[1] = 100, 1000 // the second class asks ten times as much for the same worth
 	for _, id := range []RequestID{"open0", "open1"} {
-		b.Handle(time.Second, SlowNote{ID: id, Message: 400 * ms})
+		b.Handle(time.Second, LatencyReport{ID: id, Latency: 400 * ms})
 	}
 	fits := func(class int) bool {
 		r := &request{Arrival: Arrival{Class: class, Tenant: len(b.tenants) - 1}}
@@ -109,12 +109,12 @@
 	for _, s := range b.servers {
 		s.load = 2 * s.limit
 	}
-	out := b.Handle(time.Second+ms, Arrival{ID: "late", Key: "k", Left: time.Second})
+	out := b.Handle(time.Second+ms, Arrival{ID: "late", Key: "k", TimeLeft: time.Second})
 	if n, refused := finals(out, "late"); n != 1 || !refused || len(sends(out)) != 0 {
 		t.Error("with all servers at their limit the request must be refused at once")
 	}
 	for _, a := range out {
-		if r, ok := a.(Refuse); ok && r.RetryAfter <= 0 {
+		if r, ok := a.(Reject); ok && r.RetryAfter <= 0 {
 			t.Error("the refusal does not say when to come back")
 		}
 	}
@@ -122,8 +122,8 @@
 
 func TestTenantOverItsShareCountsForLittle(t *testing.T) {
 	set := testSettings()
-	set.Tenants = []Tenant{{Connections: 9}, {Connections: 0}}
-	set.OverShareWorth = 0.1
+	set.Tenants = []Tenant{{ConnectionQuota: 9}, {ConnectionQuota: 0}}
+	set.OverQuotaWeight = 0.1
 	b := started(t, set, 6)
 	r := &request{Arrival: Arrival{Tenant: 0}}
 	b.tenants[0] = 3 // its share over three nodes
@@ -141,10 +141,10 @@
 	// Tenants that the settings do not know are no fault.
 	for i, tenant := range []int{-3, 2, 99} {
 		id := RequestID(fmt.Sprint("t", i))
-		if out := sends(b.Handle(0, Arrival{ID: id, Tenant: tenant, Key: "k", Left: time.Second})); len(out) != 1 {
+		if out := sends(b.Handle(0, Arrival{ID: id, Tenant: tenant, Key: "k", TimeLeft: time.Second})); len(out) != 1 {
 			t.Errorf("a request of tenant %d was not sent", tenant)
 		}
-		b.Handle(0, Opened{ID: id, Took: ms}) // one that has just started has few set-ups under way
+		b.Handle(0, Established{ID: id, Took: ms}) // one that has just started has few set-ups under way
 	}
 }
 
@@ -159,19 +159,19 @@
 		}
 	}
 	for i := range 6 {
-		b.arrive(Arrival{ID: RequestID(fmt.Sprint("h", i)), Left: time.Second}, home)
+		b.arrive(Arrival{ID: RequestID(fmt.Sprint("h", i)), TimeLeft: time.Second}, home)
 	}
-	b.arrive(Arrival{ID: "held", Group: "g", Left: time.Second}, holder)
+	b.arrive(Arrival{ID: "held", Group: "g", TimeLeft: time.Second}, holder)
 	for i, s := range b.table.holders {
 		if s != home && s != holder {
-			b.arrive(Arrival{ID: RequestID(fmt.Sprint("x", i)), Left: time.Second}, s)
+			b.arrive(Arrival{ID: RequestID(fmt.Sprint("x", i)), TimeLeft: time.Second}, s)
 		}
 	}
 	b.weigh()
 	if !b.over(home, 1) {
 		t.Fatal("the group's first hop is not over the bound")
 	}
-	out := sends(b.Handle(0, Arrival{ID: "r", Group: "g", Key: "k", Left: time.Second}))
+	out := sends(b.Handle(0, Arrival{ID: "r", Group: "g", Key: "k", TimeLeft: time.Second}))
 	if len(out) != 1 || out[0].Server != holder.id {
 		t.Errorf("sent to %v, want %s, which holds the group", out, holder.id)
 	}
@@ -211,7 +211,7 @@
 // Ten hosts of a fleet that nodes see little of, four of them crowded: groups that walked on were paid for at each.
 func TestGroupStaysNearerWhereNodesSeeLittle(t *testing.T) {
 	s := testSettings()
-	s.GroupSize, s.Tenants = 80, []Tenant{{Connections: 350}}
+	s.NodeCount, s.Tenants = 80, []Tenant{{ConnectionQuota: 350}}
 	b := started(t, s, 10)
 	b.now = time.Minute
 	for i, s := range b.table.holders {
@@ -236,9 +236,9 @@
 // in the same microsecond again and again.
 func TestATimerThatIsAPartOfAMicrosecondEarly(t *testing.T) {
 	b := started(t, testSettings(), 4)
-	b.Handle(time.Second, Arrival{ID: "first", Key: "a", Left: time.Second})
+	b.Handle(time.Second, Arrival{ID: "first", Key: "a", TimeLeft: time.Second})
 	b.sendInterval, b.nextSendAt, b.pacedAt = 10*ms, time.Second+10*ms+400, time.Second
-	b.Handle(time.Second, Arrival{ID: "waits", Key: "b", Left: time.Second})
+	b.Handle(time.Second, Arrival{ID: "waits", Key: "b", TimeLeft: time.Second})
 	// The timer comes at its time, cut to the microsecond.
 	at := time.Second + 10*ms
 	if out := b.Handle(at, Timer{waitToken}); len(sends(out)) != 1 {
@@ -255,7 +255,7 @@
 	b, s := crowded(t, testSettings(), 20)
 	broken := func(at time.Duration, from, to int) {
 		for i := from; i < to; i += 2 {
-			b.Handle(at, Settled{ID: RequestID(fmt.Sprint("open", i)), Server: "a", Outcome: Reset, Final: true})
+			b.Handle(at, AttemptEnded{ID: RequestID(fmt.Sprint("open", i)), Server: "a", Outcome: ConnectionReset, Final: true})
 		}
 	}
 	broken(time.Second, 0, 2)
@@ -267,7 +267,7 @@
 		t.Errorf("limit %.0f, ejected %v; want %.0f, true", s.limit, b.ejected(s), want)
 	}
 	for i := range 20 {
-		a := Arrival{ID: RequestID(fmt.Sprint("back", i)), Key: fmt.Sprint(2 * i), Left: time.Second, Again: true}
+		a := Arrival{ID: RequestID(fmt.Sprint("back", i)), Key: fmt.Sprint(2 * i), TimeLeft: time.Second, Reconnect: true}
 		for _, send := range sends(b.Handle(3*time.Second+100*ms, a)) {
 			if send.Server == "a" {
 				t.Errorf("%s is put on the server that has just broken all it held", a.ID)
@@ -289,7 +289,7 @@
 	b, _ := crowded(t, testSettings(), 0)
 	fail := func(on ServerID) {
 		b.now += time.Millisecond
-		b.observeSetup(&request{}, &attempt{to: b.servers[on], at: b.now}, 2*b.set.Classes[0].SetupAim, true)
+		b.observeSetup(&request{}, &attempt{to: b.servers[on], at: b.now}, 2*b.set.Classes[0].SetupLatencyObjective, true)
 	}
 	for i := range 8 {
 		if fail("a"); b.sendInterval > 0 {
@@ -311,7 +311,7 @@
 	s := testSettings()
 	b, _ := crowded(t, s, 4)
 	out := func(now time.Duration, state ServerState) {
-		b.Handle(now, ListEvent{Kind: ListAside, Servers: []Server{{ID: "b", Weight: 1, State: state}}})
+		b.Handle(now, ListEvent{Kind: ListOverride, Servers: []Server{{ID: "b", Weight: 1, State: state}}})
 	}
 	at := time.Minute
 	on := map[ServerID]int{}
@@ -325,9 +325,9 @@
 	}
 	come := func(now time.Duration, id string) {
 		t.Helper()
-		for _, a := range sends(b.Handle(now, Arrival{ID: RequestID(id), Key: key(), Left: time.Second})) {
+		for _, a := range sends(b.Handle(now, Arrival{ID: RequestID(id), Key: key(), TimeLeft: time.Second})) {
 			on[a.Server]++
-			b.Handle(now, Settled{ID: RequestID(id), Server: a.Server, Outcome: Errored, Final: true})
+			b.Handle(now, AttemptEnded{ID: RequestID(id), Server: a.Server, Outcome: Errored, Final: true})
 			b.servers[a.Server].ejectedUntil = 0
 		}
 	}
--- a/balancer/midflow_test.go
+++ b/balancer/midflow_test.go
@@ -10,17 +10,17 @@
 // also when that server drains, and never past the drain grace.
 func TestMidFlowGoesToTheSecondHopWithinTheGrace(t *testing.T) {
 	b := started(t, testSettings(), 6)
-	b.Handle(0, Arrival{ID: "held", Key: "held", Left: time.Second}) // a node with no request ends fills at once
+	b.Handle(0, Arrival{ID: "held", Key: "held", TimeLeft: time.Second}) // a node with no request ends fills at once
 	var key string
 	for i := range 100 {
 		if key = fmt.Sprint("k", i); b.table.first[homeEntry(b, &request{Arrival: Arrival{Key: key}})].id == "s02" {
 			break
 		}
 	}
-	b.Handle(time.Second, ListEvent{Kind: ListChange, Version: 2, Servers: []Server{{ID: "s02", State: Draining}}})
+	b.Handle(time.Second, ListEvent{Kind: ListDelta, Revision: 2, Servers: []Server{{ID: "s02", State: Draining}}})
 	send := func(id RequestID, at time.Duration, mid bool) ServerID {
 		t.Helper()
-		out := sends(b.Handle(at, Arrival{ID: id, Key: key, Left: time.Second, MidFlow: mid}))
+		out := sends(b.Handle(at, Arrival{ID: id, Key: key, TimeLeft: time.Second, MidFlow: mid}))
 		if len(out) != 1 {
 			t.Fatalf("%s was not sent", id)
 		}
@@ -39,8 +39,8 @@
 
 	// A fill: the server that gave its entry away is the second hop.
 	b = started(t, testSettings(), 6)
-	b.Handle(0, Arrival{ID: "held", Key: "held", Left: time.Second})
-	b.Handle(time.Second, ListEvent{Kind: ListChange, Version: 2, Servers: []Server{{ID: "s99", Weight: 1}}})
+	b.Handle(0, Arrival{ID: "held", Key: "held", TimeLeft: time.Second})
+	b.Handle(time.Second, ListEvent{Kind: ListDelta, Revision: 2, Servers: []Server{{ID: "s99", Weight: 1}}})
 	for i := range 1000 {
 		key = fmt.Sprint("k", i)
 		hops := b.table.hops(homeEntry(b, &request{Arrival: Arrival{Key: key}}))
--- a/balancer/pacing.go
+++ b/balancer/pacing.go
@@ -14,12 +14,12 @@
 
 // admit sends a request on, lets it wait for its turn where set-ups are paced, or gives it up at once where
 // that comes too late: past half of the shortest deadline for all, or the longest one took every turn.
-func (b *Brain) admit(r *request) {
+func (b *Balancer) admit(r *request) {
 	left, wait := r.deadline-b.now, b.nextSendAt-b.now
 	late := wait + b.sendInterval*time.Duration(len(b.pacingQueue))
 	switch {
-	case b.leaving.On && b.now >= b.leaving.Shut && !r.MidFlow: // who is mid-flow was answered long ago
-		b.reject(r, b.leaving.After, ReasonDraining)
+	case b.leaving.Active && b.now >= b.leaving.AdmissionCutoff && !r.MidFlow: // who is mid-flow was answered long ago
+		b.reject(r, b.leaving.RetryAfter, ReasonDraining)
 	case r.MidFlow && len(r.attempts) == 0: // it goes on where it stands
 		b.send(r, left)
 	case b.slowStartFull():
@@ -37,14 +37,14 @@
 // slowStartFull reports whether a node that has just started has as many set-ups under way as it may, one and
 // as many as came up: nodes that restart in turn amid an overload, each sending on all that came until the
 // first failed, kept it up. Where a node sees much, it learns soon enough.
-func (b *Brain) slowStartFull() bool {
+func (b *Balancer) slowStartFull() bool {
 	return b.sendInterval <= 0 && b.lowSample() && b.setupsOut >= slowStartSetups+int(b.total)
 }
 
 // awaitSetup lets a request wait for one of the set-ups under way, no longer than for a turn.
-func (b *Brain) awaitSetup(r *request, left time.Duration) {
-	waited := r.Left - left // looked at each shortest aim: the first time past the half ends it
-	if waited > min(r.Left, b.minDeadline)/2 || len(b.pacingQueue) >= maxAwaiting {
+func (b *Balancer) awaitSetup(r *request, left time.Duration) {
+	waited := r.TimeLeft - left // looked at each shortest aim: the first time past the half ends it
+	if waited > min(r.TimeLeft, b.minDeadline)/2 || len(b.pacingQueue) >= maxAwaiting {
 		b.reject(r, b.minSetupAim, ReasonSlowStart)
 		return
 	}
@@ -59,8 +59,8 @@
 // the interval was last set tells nothing of it; a good one sent since halves it. A single error paces
 // nothing, nor do those of one server alone: where hosts are few, it was taken for what all of them call. Two
 // servers that fail in a row do where the node sees little, or has met nothing else so far.
-func (b *Brain) observeSetup(r *request, a *attempt, took time.Duration, failed bool) {
-	aim := b.set.Classes[r.Class].SetupAim / 2
+func (b *Balancer) observeSetup(r *request, a *attempt, took time.Duration, failed bool) {
+	aim := b.set.Classes[r.Class].SetupLatencyObjective / 2
 	if failed && a.to == b.lastFailed || !r.setsUp() {
 		return
 	} else if failed {
@@ -89,7 +89,7 @@
 // of it and more for a slow one. A node that sees little takes the longest: each step to it would take a
 // time-out, in which all such nodes together send several times what comes up. Its set-ups count as failed
 // from the shortest aim on: an overload at which long deadlines are still met left other classes none.
-func (b *Brain) tightened(failed bool, took time.Duration) time.Duration {
+func (b *Balancer) tightened(failed bool, took time.Duration) time.Duration {
 	baseline, guess := b.baselineInterval()
 	switch {
 	case b.lowSample() && (failed || took >= b.minSetupAim):
@@ -103,7 +103,7 @@
 }
 
 // relaxPacing shortens the time between sends; halved on for ever it set timers for turns all in one instant.
-func (b *Brain) relaxPacing(interval time.Duration) {
+func (b *Balancer) relaxPacing(interval time.Duration) {
 	if baseline, _ := b.baselineInterval(); b.sendInterval > 0 && interval < baseline/pacingReleased {
 		interval = 0
 		b.log("set-ups are well: no longer paced")
@@ -112,7 +112,7 @@
 }
 
 // relaxWithTime shortens the time between sends once what was sent since it was set has had time to tell.
-func (b *Brain) relaxWithTime() {
+func (b *Balancer) relaxWithTime() {
 	outcomes := 2 * b.setupTime
 	if b.came+b.coming > 0 {
 		outcomes += b.sendInterval / 2
@@ -124,7 +124,7 @@
 }
 
 // baselineInterval is the time between connections as they usually come, for a node just started a guess.
-func (b *Brain) baselineInterval() (interval time.Duration, guess bool) {
+func (b *Balancer) baselineInterval() (interval time.Duration, guess bool) {
 	age, rate := (b.now - b.born).Seconds(), max(b.rate, 1/b.recover.Seconds())
 	if guess = age*rateSmooth < 1; guess {
 		rate = max(rate, b.total/max(age, 1))
@@ -133,7 +133,7 @@
 }
 
 // resumeQueue looks at all that waits for its turn again.
-func (b *Brain) resumeQueue() {
+func (b *Balancer) resumeQueue() {
 	waiting := b.pacingQueue
 	b.pacingQueue = nil
 	for _, r := range waiting {
--- a/balancer/pacing_test.go
+++ b/balancer/pacing_test.go
@@ -59,8 +59,8 @@
 func (j *jam) restart(seed uint64, first, n int) {
 	for i := first; i < len(j.fleet); i += n {
 		old := j.fleet[i]
-		quota := old.set.Tenants[0].Connections
-		j.do(i, old, Leave{On: true, By: j.now, Shut: j.now, Stay: true})
+		quota := old.set.Tenants[0].ConnectionQuota
+		j.do(i, old, Drain{Active: true, Deadline: j.now, AdmissionCutoff: j.now, KeepConnections: true})
 		j.fleet[i] = j.node(seed+1, i, len(j.fleet), quota)
 	}
 }
@@ -99,10 +99,10 @@
 }
 
 // lowSampleNode is a node of a large fleet, which is to hold less than a connection on each of its servers.
-func lowSampleNode(t *testing.T, classes ...Class) *Brain {
+func lowSampleNode(t *testing.T, classes ...Class) *Balancer {
 	t.Helper()
 	s := testSettings()
-	s.GroupSize, s.Tenants = 80, []Tenant{{Connections: 350}}
+	s.NodeCount, s.Tenants = 80, []Tenant{{ConnectionQuota: 350}}
 	if len(classes) > 0 {
 		s.Classes = classes
 	}
@@ -114,13 +114,13 @@
 }
 
 // cameUp has a connection come up at a node.
-func cameUp(t *testing.T, b *Brain, id RequestID, at time.Duration, took time.Duration, midFlow bool) {
+func cameUp(t *testing.T, b *Balancer, id RequestID, at time.Duration, took time.Duration, midFlow bool) {
 	t.Helper()
-	sent := sends(b.Handle(at, Arrival{ID: id, Key: string(id), Left: time.Second, MidFlow: midFlow}))
+	sent := sends(b.Handle(at, Arrival{ID: id, Key: string(id), TimeLeft: time.Second, MidFlow: midFlow}))
 	if len(sent) != 1 {
 		t.Fatalf("%s was not sent", id)
 	}
-	b.Handle(at+took, Opened{ID: id, Server: sent[0].Server, Took: took})
+	b.Handle(at+took, Established{ID: id, Server: sent[0].Server, Took: took})
 }
 
 // A connection whose packets come to another node goes on at its server in a moment and calls nothing that servers share:
@@ -143,7 +143,7 @@
 // The time that a paced request may wait is that of the shortest deadline for all classes: a class of long deadlines took
 // every turn before another could come.
 func TestPacing_Wait_IsAlikeForAllClasses(t *testing.T) {
-	b := lowSampleNode(t, Class{SetupAim: 200 * ms, Deadline: 700 * ms}, Class{SetupAim: 800 * ms, Deadline: 4800 * ms})
+	b := lowSampleNode(t, Class{SetupLatencyObjective: 200 * ms, Deadline: 700 * ms}, Class{SetupLatencyObjective: 800 * ms, Deadline: 4800 * ms})
 	cameUp(t, b, "first", time.Second, 10*ms, false)
 	b.sendInterval, b.nextSendAt, b.pacedAt = 3*time.Second, 4*time.Second, 2*time.Second
 	for class, deadline := range []time.Duration{700 * ms, 4800 * ms} {
@@ -152,12 +152,12 @@
 			waits  bool
 		}{{500 * ms, false}, {300 * ms, true}} {
 			id := RequestID(fmt.Sprint(class, c.before))
-			out := b.Handle(4*time.Second-c.before, Arrival{ID: id, Class: class, Key: "k", Left: deadline})
+			out := b.Handle(4*time.Second-c.before, Arrival{ID: id, Class: class, Key: "k", TimeLeft: deadline})
 			n, refused := finals(out, id)
 			if waits := n == 0 && len(sends(out)) == 0; waits != c.waits || !waits && !refused {
 				t.Errorf("class %d, %v before its turn: waits %v, refused %v; want it to wait: %v", class, c.before, waits, refused, c.waits)
 			}
-			b.Handle(4*time.Second-c.before, ClientGone{ID: id})
+			b.Handle(4*time.Second-c.before, ClientDisconnected{ID: id})
 			b.pacingQueue = nil
 		}
 	}
@@ -169,7 +169,7 @@
 	cameUp(t, b, "first", time.Second, 10*ms, false)
 	for i, id := range []RequestID{"a", "b"} {
 		at := 2*time.Second + time.Duration(i)*100*ms
-		sent := sends(b.Handle(at, Arrival{ID: id, Key: string(id), Left: 300 * ms}))
+		sent := sends(b.Handle(at, Arrival{ID: id, Key: string(id), TimeLeft: 300 * ms}))
 		if len(sent) != 1 {
 			t.Fatalf("%s was not sent", id)
 		}
@@ -182,11 +182,11 @@
 	if b.sendInterval != maxSendInterval {
 		t.Fatalf("two servers failed in a row, one in %v is sent; want %v", b.sendInterval, maxSendInterval)
 	}
-	out := b.Handle(2500*ms, Arrival{ID: "next", Key: "n", Left: 2 * time.Second})
+	out := b.Handle(2500*ms, Arrival{ID: "next", Key: "n", TimeLeft: 2 * time.Second})
 	if n, refused := finals(out, "next"); len(sends(out)) != 0 || n != 1 || !refused {
 		t.Errorf("half a second after the last send the next one goes out: %v", out)
 	}
-	if out = b.Handle(5200*ms, Arrival{ID: "later", Key: "l", Left: 2 * time.Second}); len(sends(out)) != 1 {
+	if out = b.Handle(5200*ms, Arrival{ID: "later", Key: "l", TimeLeft: 2 * time.Second}); len(sends(out)) != 1 {
 		t.Errorf("an interval after the last send nothing goes out: %v", out)
 	}
 }
@@ -195,7 +195,7 @@
 func TestPacing_SlowStart_OneSetupUntilOneCameUp(t *testing.T) {
 	b := lowSampleNode(t)
 	arrive := func(at time.Duration, id RequestID) []Action {
-		return slices.Clone(b.Handle(at, Arrival{ID: id, Key: string(id), Left: 2 * time.Second}))
+		return slices.Clone(b.Handle(at, Arrival{ID: id, Key: string(id), TimeLeft: 2 * time.Second}))
 	}
 	first := sends(arrive(time.Second, "r0"))
 	if len(first) != 1 {
@@ -206,7 +206,7 @@
 			t.Fatalf("a second set-up is under way before the first has told: %v", out)
 		}
 	}
-	out := slices.Clone(b.Handle(1020*ms, Opened{ID: "r0", Server: first[0].Server, Took: 20 * ms}))
+	out := slices.Clone(b.Handle(1020*ms, Established{ID: "r0", Server: first[0].Server, Took: 20 * ms}))
 	if n := len(sends(out)); n != 2 {
 		t.Errorf("after one came up %d are sent, want 2", n)
 	}
@@ -230,22 +230,22 @@
 // Who waits in slow start for a set-up that hangs is answered at the first look after half of the shortest deadline, whatever its
 // own deadline: a class of 4.8 s was kept for 4.4 s of it.
 func TestPacing_SlowStart_WaitEndsAlikeForAllClasses(t *testing.T) {
-	b := lowSampleNode(t, Class{SetupAim: 200 * ms, Deadline: 700 * ms}, Class{SetupAim: 800 * ms, Deadline: 4800 * ms})
+	b := lowSampleNode(t, Class{SetupLatencyObjective: 200 * ms, Deadline: 700 * ms}, Class{SetupLatencyObjective: 800 * ms, Deadline: 4800 * ms})
 	begin := time.Second
-	if len(sends(b.Handle(begin, Arrival{ID: "hangs", Class: 1, Key: "h", Left: 4800 * ms, Retry: true}))) != 1 {
+	if len(sends(b.Handle(begin, Arrival{ID: "hangs", Class: 1, Key: "h", TimeLeft: 4800 * ms, Retry: true}))) != 1 {
 		t.Fatal("the first one was not sent")
 	}
 	answered := map[RequestID]time.Duration{}
 	for class, deadline := range []time.Duration{700 * ms, 4800 * ms} {
 		id := RequestID(fmt.Sprint("class", class))
-		if out := b.Handle(begin, Arrival{ID: id, Class: class, Key: "k", Left: deadline}); len(out) > 1 {
+		if out := b.Handle(begin, Arrival{ID: id, Class: class, Key: "k", TimeLeft: deadline}); len(out) > 1 {
 			t.Fatalf("%s does not wait: %v", id, out)
 		}
 	}
 	const look = 10 * ms
 	for waited := look; waited < 4*time.Second; waited += look {
 		for _, a := range b.Handle(begin+waited, Timer{Token: waitToken}) {
-			if r, ok := a.(Refuse); ok {
+			if r, ok := a.(Reject); ok {
 				answered[r.ID] = waited
 			}
 		}
@@ -267,10 +267,10 @@
 		at += 50 * ms
 		id := RequestID(fmt.Sprint("hasty", i))
 		sent := false
-		for _, a := range b.Handle(at, Arrival{ID: id, Key: string(id), Left: 5 * ms}) {
+		for _, a := range b.Handle(at, Arrival{ID: id, Key: string(id), TimeLeft: 5 * ms}) {
 			if s, ok := a.(Send); ok {
 				sent = true
-				b.Handle(at+5*ms, Settled{ID: id, Server: s.Server, Took: 5 * ms, Outcome: NoAnswer})
+				b.Handle(at+5*ms, AttemptEnded{ID: id, Server: s.Server, Took: 5 * ms, Outcome: ResponseTimeout})
 			}
 		}
 		if !sent {
--- a/balancer/ramp_test.go
+++ b/balancer/ramp_test.go
@@ -15,31 +15,31 @@
 func ramp(nodes, hosts int, seed uint64, rate, burst, plant float64) (worst, got float64) {
 	quota := 60 * float64(hosts)
 	s := testSettings()
-	s.Seed, s.GroupSize, s.AskList = seed, nodes, false
+	s.Seed, s.NodeCount, s.PollList = seed, nodes, false
 	s.Classes = s.Classes[:1]
-	s.Tenants = []Tenant{{Connections: quota * plant}}
+	s.Tenants = []Tenant{{ConnectionQuota: quota * plant}}
 	rng := rand.New(rand.NewPCG(seed, 7))
-	fleet := make([]*Brain, nodes)
+	fleet := make([]*Balancer, nodes)
 	servers := fleetOf(hosts)
 	for i := range fleet {
-		s.Index = i
+		s.NodeIndex = i
 		fleet[i] = New(s)
-		fleet[i].Handle(time.Hour, ListEvent{Kind: ListFull, Version: 1, Servers: servers[1:]})
+		fleet[i].Handle(time.Hour, ListEvent{Kind: ListSnapshot, Revision: 1, Servers: servers[1:]})
 	}
 	at := time.Hour + 5*time.Second
-	servers[0].Since = at
+	servers[0].StartedAt = at
 	told := false
 	var calls []time.Duration
 	budget := func(now time.Duration) float64 {
-		share := s.ColdShare + (1-s.ColdShare)*float64(now-at)/float64(s.WarmWithin)
-		return s.FallMultiple * quota / float64(hosts) * max(1, 2*share) * s.FallWindow.Seconds() / s.WarmWithin.Seconds()
+		share := s.SlowStartFraction + (1-s.SlowStartFraction)*float64(now-at)/float64(s.SlowStartDuration)
+		return s.CollapseMultiple * quota / float64(hosts) * max(1, 2*share) * s.CollapseWindow.Seconds() / s.SlowStartDuration.Seconds()
 	}
 	n, came := 0, 0
-	for now := time.Hour; now < at+s.WarmWithin; now += 10 * ms {
+	for now := time.Hour; now < at+s.SlowStartDuration; now += 10 * ms {
 		if !told && now >= at {
 			told = true
 			for _, b := range fleet {
-				b.Handle(now, ListEvent{Kind: ListChange, Version: 2, Servers: servers[:1]})
+				b.Handle(now, ListEvent{Kind: ListDelta, Revision: 2, Servers: servers[:1]})
 			}
 		}
 		r := rate
@@ -55,17 +55,17 @@
 					came++
 				}
 				id := RequestID(fmt.Sprint("r", n))
-				for _, q := range sends(b.Handle(now, Arrival{ID: id, Key: string(id), Tenant: 0, Left: 2 * time.Second})) {
+				for _, q := range sends(b.Handle(now, Arrival{ID: id, Key: string(id), Tenant: 0, TimeLeft: 2 * time.Second})) {
 					if q.Server == servers[0].ID {
 						calls = append(calls, now)
 					}
-					b.Handle(now, Opened{ID: id, Server: q.Server, Took: ms})
-					b.Handle(now, Settled{ID: id, Server: q.Server, Took: ms, Outcome: Served})
+					b.Handle(now, Established{ID: id, Server: q.Server, Took: ms})
+					b.Handle(now, AttemptEnded{ID: id, Server: q.Server, Took: ms, Outcome: Served})
 				}
 			}
 		}
 		in := 0
-		for j := len(calls) - 1; j >= 0 && calls[j] > now-s.FallWindow; j-- {
+		for j := len(calls) - 1; j >= 0 && calls[j] > now-s.CollapseWindow; j-- {
 			in++
 		}
 		if told {
@@ -103,8 +103,8 @@
 // alone let the fleet send four times that into the jam, which never ended. Behind it, good set-ups end the pace soon.
 func TestAPaceHoldsWhileAJamLasts(t *testing.T) {
 	s := testSettings()
-	s.GroupSize = 300
-	s.Tenants = []Tenant{{Connections: 600}}
+	s.NodeCount = 300
+	s.Tenants = []Tenant{{ConnectionQuota: 600}}
 	b := started(t, s, 40)
 	type out struct {
 		id      RequestID
@@ -126,15 +126,15 @@
 			if now%every == 0 {
 				n++
 				id := RequestID(fmt.Sprint("j", n))
-				sent(now, b.Handle(now, Arrival{ID: id, Key: string(id), Left: 2 * time.Second}))
+				sent(now, b.Handle(now, Arrival{ID: id, Key: string(id), TimeLeft: 2 * time.Second}))
 			}
 			for len(under) > 0 && under[0].at+takes <= now {
 				o := under[0]
 				under = under[1:]
 				if fails {
-					sent(now, b.Handle(now, Settled{ID: o.id, Attempt: o.attempt, Server: o.to, Took: takes, Outcome: NoAnswer}))
+					sent(now, b.Handle(now, AttemptEnded{ID: o.id, Attempt: o.attempt, Server: o.to, Took: takes, Outcome: ResponseTimeout}))
 				} else {
-					b.Handle(now, Opened{ID: o.id, Attempt: o.attempt, Server: o.to, Took: takes})
+					b.Handle(now, Established{ID: o.id, Attempt: o.attempt, Server: o.to, Took: takes})
 				}
 			}
 			if now%sweepEvery == 0 {
@@ -168,18 +168,18 @@
 	for _, nodes := range []int{1, 2, 3, 8} {
 		const hosts = 4
 		s := testSettings()
-		s.GroupSize, s.AskList = nodes, false
+		s.NodeCount, s.PollList = nodes, false
 		s.Classes = s.Classes[:1]
-		s.Tenants = []Tenant{{Connections: 240 * hosts}}
+		s.Tenants = []Tenant{{ConnectionQuota: 240 * hosts}}
 		servers := fleetOf(hosts)
 		at := time.Hour + 5*time.Second
-		fleet := make([]*Brain, nodes)
+		fleet := make([]*Balancer, nodes)
 		for i := range fleet {
-			s.Index, s.Seed = i, uint64(i)
+			s.NodeIndex, s.Seed = i, uint64(i)
 			fleet[i] = New(s)
-			fleet[i].Handle(time.Hour, ListEvent{Kind: ListFull, Version: 1, Servers: servers[1:]})
-			servers[0].Since = at
-			fleet[i].Handle(at, ListEvent{Kind: ListChange, Version: 2, Servers: servers[:1]})
+			fleet[i].Handle(time.Hour, ListEvent{Kind: ListSnapshot, Revision: 1, Servers: servers[1:]})
+			servers[0].StartedAt = at
+			fleet[i].Handle(at, ListEvent{Kind: ListDelta, Revision: 2, Servers: servers[:1]})
 		}
 		n, sent := 0, 0
 		come := func(now time.Duration, requests int) {
@@ -187,36 +187,36 @@
 				for range requests / nodes {
 					n++
 					id := RequestID(fmt.Sprint("r", n))
-					for _, q := range sends(b.Handle(now, Arrival{ID: id, Key: string(id), Tenant: 0, Left: 2 * time.Second})) {
+					for _, q := range sends(b.Handle(now, Arrival{ID: id, Key: string(id), Tenant: 0, TimeLeft: 2 * time.Second})) {
 						if q.Server == servers[0].ID {
 							sent++
 						}
-						b.Handle(now, Opened{ID: id, Server: q.Server, Took: ms})
-						b.Handle(now, Settled{ID: id, Server: q.Server, Took: ms, Outcome: Served})
+						b.Handle(now, Established{ID: id, Server: q.Server, Took: ms})
+						b.Handle(now, AttemptEnded{ID: id, Server: q.Server, Took: ms, Outcome: Served})
 					}
 				}
 			}
 		}
 		come(at+ms, 16) // each node's window begins
 		sent = 0
-		end := at + ms + s.FallWindow
+		end := at + ms + s.CollapseWindow
 		come(end-20*ms, 1600)
 		before := sent
 		come(end+20*ms, 1600)
-		share := s.ColdShare + (1-s.ColdShare)*float64(end-at)/float64(s.WarmWithin)
+		share := s.SlowStartFraction + (1-s.SlowStartFraction)*float64(end-at)/float64(s.SlowStartDuration)
 		weight := 0.0
 		for _, server := range servers {
 			weight += server.Weight
 		}
-		part := s.Tenants[0].Connections * servers[0].Weight / weight
-		budget := s.FallMultiple * part * max(1, 2*share) * s.FallWindow.Seconds() / s.WarmWithin.Seconds()
+		part := s.Tenants[0].ConnectionQuota * servers[0].Weight / weight
+		budget := s.CollapseMultiple * part * max(1, 2*share) * s.CollapseWindow.Seconds() / s.SlowStartDuration.Seconds()
 		most := budget + 2*math.Sqrt(budget) + 2
 		if budget < 30 {
 			most = budget + 3*math.Sqrt(budget) + 3
 		}
 		t.Logf("%d nodes: %d and %d sent around the end of a window, %.0f allowed", nodes, before, sent-before, most)
 		if float64(sent) > most || sent == 0 {
-			t.Errorf("%d nodes send %d within 40 ms, %.0f are allowed in %v", nodes, sent, most, s.FallWindow)
+			t.Errorf("%d nodes send %d within 40 ms, %.0f are allowed in %v", nodes, sent, most, s.CollapseWindow)
 		}
 	}
 }
--- a/balancer/settings_test.go
+++ b/balancer/settings_test.go
@@ -18,11 +18,11 @@
 		{"nothing but a class", func(s *Settings) { *s = bare }, 3, 60},
 		{"one server", func(*Settings) {}, 1, 60},
 		{"no limit of attempts", func(s *Settings) { s.MaxAttempts = 0 }, 5, 60},
-		{"a pushed list, connections that end here", func(s *Settings) { s.AskList, s.Pass = false, false }, 5, 60},
-		{"no peers told", func(s *Settings) { s.GroupSize = 0 }, 5, 60},
-		{"no warm-up", func(s *Settings) { s.WarmWithin, s.ColdShare = 0, 0 }, 5, 60},
-		{"no message aims", func(s *Settings) { s.Classes[0].MessageAim = 0 }, 5, 60},
-		{"no set-up aim", func(s *Settings) { s.Classes[0].SetupAim = 0 }, 5, 60},
+		{"a pushed list, connections that end here", func(s *Settings) { s.PollList, s.PassThrough = false, false }, 5, 60},
+		{"no peers told", func(s *Settings) { s.NodeCount = 0 }, 5, 60},
+		{"no warm-up", func(s *Settings) { s.SlowStartDuration, s.SlowStartFraction = 0, 0 }, 5, 60},
+		{"no message aims", func(s *Settings) { s.Classes[0].MessageLatencyObjective = 0 }, 5, 60},
+		{"no set-up aim", func(s *Settings) { s.Classes[0].SetupLatencyObjective = 0 }, 5, 60},
 		{"no server", func(*Settings) {}, 0, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -34,15 +34,15 @@
 			for i := range 60 {
 				now := time.Duration(i) * 100 * ms
 				id := RequestID(fmt.Sprint("r", i))
-				out := b.Handle(now, Arrival{ID: id, Left: time.Second})
+				out := b.Handle(now, Arrival{ID: id, TimeLeft: time.Second})
 				if n, _ := finals(out, id); n+len(sends(out)) != 1 {
 					t.Fatalf("request %d drew %v", i, out)
 				}
 				if len(sends(out)) == 1 {
 					served++
-					b.Handle(now, Opened{ID: id, Took: 10 * ms})
-					b.Handle(now, LoadNote{ID: id, Load: 50})
-					b.Handle(now, SlowNote{ID: id, Message: ms})
+					b.Handle(now, Established{ID: id, Took: 10 * ms})
+					b.Handle(now, LoadReport{ID: id, Load: 50})
+					b.Handle(now, LatencyReport{ID: id, Latency: ms})
 				}
 				b.Handle(now, Timer{Token: sweepToken})
 			}
@@ -59,11 +59,11 @@
 	hit := map[ServerID]int{}
 	for i := range 200 {
 		id := RequestID(fmt.Sprint("r", i))
-		for _, s := range sends(b.Handle(0, Arrival{ID: id, Left: time.Second})) {
+		for _, s := range sends(b.Handle(0, Arrival{ID: id, TimeLeft: time.Second})) {
 			hit[s.Server]++
 		}
-		b.Handle(0, Opened{ID: id})
-		b.Handle(0, Settled{ID: id, Outcome: Served, Final: true})
+		b.Handle(0, Established{ID: id})
+		b.Handle(0, AttemptEnded{ID: id, Outcome: Served, Final: true})
 	}
 	if len(hit) != 8 {
 		t.Errorf("200 requests met %d of 8 servers", len(hit))
--- a/balancer/size_bench_test.go
+++ b/balancer/size_bench_test.go
@@ -19,14 +19,14 @@
 				b.StopTimer()
 				all := fleetOf(n)
 				node := New(testSettings())
-				node.Handle(0, ListEvent{Kind: ListFull, Version: 1, Servers: all})
+				node.Handle(0, ListEvent{Kind: ListSnapshot, Revision: 1, Servers: all})
 				news := []Server{}
 				for i, s := range all[:n/2] {
 					s.State = Draining
-					news = append(news, s, Server{ID: ServerID(fmt.Sprint("new", i)), Weight: 1, Since: time.Minute})
+					news = append(news, s, Server{ID: ServerID(fmt.Sprint("new", i)), Weight: 1, StartedAt: time.Minute})
 				}
 				b.StartTimer()
-				node.Handle(time.Minute, ListEvent{Kind: ListChange, Version: 2, Servers: news})
+				node.Handle(time.Minute, ListEvent{Kind: ListDelta, Revision: 2, Servers: news})
 				node.Handle(time.Minute+testSettings().DrainGrace, Timer{Token: sweepToken})
 			}
 		})
@@ -39,7 +39,7 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			b.ReportAllocs()
 			for range b.N {
-				New(testSettings()).Handle(0, ListEvent{Kind: ListFull, Version: 1, Servers: fleetOf(n)})
+				New(testSettings()).Handle(0, ListEvent{Kind: ListSnapshot, Revision: 1, Servers: fleetOf(n)})
 			}
 		})
 	}
--- a/balancer/size_test.go
+++ b/balancer/size_test.go
@@ -7,9 +7,9 @@
 )
 
 // sized is one of n nodes that hold a warm fleet of servers.
-func sized(t *testing.T, index, nodes, servers int) *Brain {
+func sized(t *testing.T, index, nodes, servers int) *Balancer {
 	s := testSettings()
-	s.Seed, s.Index, s.GroupSize = uint64(index)+1, index, nodes
+	s.Seed, s.NodeIndex, s.NodeCount = uint64(index)+1, index, nodes
 	return started(t, s, servers)
 }
 
@@ -17,7 +17,7 @@
 // there scattered. Its clients stand on as many servers as it is worth, the same at nodes that know as much.
 func TestLargeGroupStandsOnServersByItsShare(t *testing.T) {
 	a, b := sized(t, 0, 2, 40), sized(t, 1, 2, 40)
-	for _, n := range []*Brain{a, b} {
+	for _, n := range []*Balancer{a, b} {
 		n.open, n.groups["big"], n.groups["small"] = 99, 30, 1
 	}
 	on := map[string]map[ServerID]bool{"big": {}, "small": {}}
@@ -41,10 +41,10 @@
 // groups went to their seven entries, and one server in ten bore over a third of all. Each has the same few places.
 func TestGroupsOfAFleetThatSeesNothingDontCrowd(t *testing.T) {
 	const nodes, quota = 80, 350.0
-	var all []*Brain
+	var all []*Balancer
 	for i := range nodes {
 		s := testSettings()
-		s.Seed, s.Index, s.GroupSize, s.Tenants = uint64(i)+1, i, nodes, []Tenant{{Connections: quota}}
+		s.Seed, s.NodeIndex, s.NodeCount, s.Tenants = uint64(i)+1, i, nodes, []Tenant{{ConnectionQuota: quota}}
 		all = append(all, started(t, s, 10))
 	}
 	crowded, worst := 0, 0
@@ -79,7 +79,7 @@
 // every server that was left. They go to their group's other places, and while over half is gone there are two.
 func TestGroupsDrawTogetherWhenAZoneIsLost(t *testing.T) {
 	s := testSettings()
-	s.GroupSize, s.Tenants = 80, []Tenant{{Connections: 350}}
+	s.NodeCount, s.Tenants = 80, []Tenant{{ConnectionQuota: 350}}
 	n := started(t, s, 12)
 	gone := func(id ServerID) bool { return id >= "s06" }
 	count := func(tried bool) (places int) {
@@ -104,11 +104,11 @@
 	var lost []Server
 	for _, s := range fleetOf(12) {
 		if gone(s.ID) {
-			s.State = Gone
+			s.State = Removed
 			lost = append(lost, s)
 		}
 	}
-	n.Handle(time.Second, ListEvent{Kind: ListChange, Version: 2, Servers: lost})
+	n.Handle(time.Second, ListEvent{Kind: ListDelta, Revision: 2, Servers: lost})
 	if got := count(false); got > 20*2 {
 		t.Errorf("20 groups stand in %d places once the list has told", got)
 	}
@@ -118,7 +118,7 @@
 	if got := count(false); got <= 20*2 {
 		t.Errorf("20 groups stand in %d places an hour later", got)
 	}
-	n.Handle(2*time.Hour, ListEvent{Kind: ListChange, Version: 3, Servers: fleetOf(12)})
+	n.Handle(2*time.Hour, ListEvent{Kind: ListDelta, Revision: 3, Servers: fleetOf(12)})
 	if got := count(false); got < 20*2 {
 		t.Errorf("20 groups stand in %d places when all is back", got)
 	}
@@ -127,13 +127,13 @@
 // What one node moved off a crowded server, the next one that the client came to put there again.
 func TestWhoComesAgainToAnotherNodeGoesElsewhere(t *testing.T) {
 	s := testSettings()
-	s.GroupSize, s.Tenants = 80, []Tenant{{Connections: 350}}
+	s.NodeCount, s.Tenants = 80, []Tenant{{ConnectionQuota: 350}}
 	n := started(t, s, 40)
 	on, same := map[*server]int{}, n.place(&request{Arrival: Arrival{Group: "g", Key: "k", ID: "first"}, load: 1})
 	for i := range 40 {
-		r := &request{Arrival: Arrival{Group: "g", Key: "k", ID: RequestID(fmt.Sprint(i)), Again: true}, load: 1}
+		r := &request{Arrival: Arrival{Group: "g", Key: "k", ID: RequestID(fmt.Sprint(i)), Reconnect: true}, load: 1}
 		on[n.place(r)]++
-		r.Again, r.MidFlow = false, true // the packets of one that stands are looked for by the key alone
+		r.Reconnect, r.MidFlow = false, true // the packets of one that stands are looked for by the key alone
 		if n.place(r) != same {
 			t.Fatal("a connection that stands is not looked for where its key puts it")
 		}
@@ -154,16 +154,16 @@
 		patient bool
 	}{{"second attempt", 350, false, true}, {"client's retry", 350, true, true}, {"nodes that see enough", 8000, false, false}} {
 		s := testSettings()
-		s.GroupSize, s.Tenants = 80, []Tenant{{Connections: c.quota}}
-		n, aim := started(t, s, 10), s.Classes[0].SetupAim
-		sent := sends(n.Handle(time.Second, Arrival{ID: "a", Key: "k", Left: 10 * aim, Retry: c.retry}))
+		s.NodeCount, s.Tenants = 80, []Tenant{{ConnectionQuota: c.quota}}
+		n, aim := started(t, s, 10), s.Classes[0].SetupLatencyObjective
+		sent := sends(n.Handle(time.Second, Arrival{ID: "a", Key: "k", TimeLeft: 10 * aim, Retry: c.retry}))
 		if len(sent) != 1 || (sent[0].Timeout > 2*aim) != c.retry {
 			t.Fatalf("%s: the first attempt is %v", c.name, sent)
 		}
 		if c.retry {
 			continue
 		}
-		sent = sends(n.Handle(time.Second+aim, Settled{ID: "a", Server: sent[0].Server, Took: aim, Outcome: NoAnswer}))
+		sent = sends(n.Handle(time.Second+aim, AttemptEnded{ID: "a", Server: sent[0].Server, Took: aim, Outcome: ResponseTimeout}))
 		if len(sent) != 1 || (sent[0].Timeout > 5*aim) != c.patient || sent[0].Timeout > 9*aim {
 			t.Errorf("%s: the next attempt is %v", c.name, sent)
 		}
@@ -174,7 +174,7 @@
 // must not come in step.
 func TestListCallsOfManyNodesSpread(t *testing.T) {
 	const nodes = 160
-	var all []*Brain
+	var all []*Balancer
 	for i := range nodes {
 		all = append(all, sized(t, i, nodes, 60))
 	}
@@ -186,7 +186,7 @@
 					continue
 				}
 				for _, a := range n.Handle(now, Timer{Token: sweepToken}) {
-					if _, ok := a.(Watch); ok {
+					if _, ok := a.(WatchList); ok {
 						per[now.Truncate(100*ms)]++
 						n.Handle(now, ListEvent{Kind: ListFailed})
 					}
@@ -210,10 +210,10 @@
 	moved := 0
 	for i := range nodes {
 		b := sized(t, i, nodes, 8)
-		b.Handle(0, Arrival{ID: "r", Key: "k", Left: time.Second})
-		b.Handle(ms, Opened{ID: "r", Took: ms})
-		for _, a := range b.Handle(time.Second, SlowNote{ID: "r", Message: 80 * ms}) {
-			if _, ok := a.(Move); ok {
+		b.Handle(0, Arrival{ID: "r", Key: "k", TimeLeft: time.Second})
+		b.Handle(ms, Established{ID: "r", Took: ms})
+		for _, a := range b.Handle(time.Second, LatencyReport{ID: "r", Latency: 80 * ms}) {
+			if _, ok := a.(Migrate); ok {
 				moved++
 			}
 		}
@@ -242,7 +242,7 @@
 // missing one does not hold: mid-flow arrivals are found by them.
 func TestFreshTablesOfNearlyAlikeListsAgree(t *testing.T) {
 	whole, lacking := sized(t, 0, 160, 60), New(testSettings())
-	lacking.Handle(0, ListEvent{Kind: ListCached, Version: 1, Servers: fleetOf(60)[1:]})
+	lacking.Handle(0, ListEvent{Kind: ListCached, Revision: 1, Servers: fleetOf(60)[1:]})
 	same, all := 0, 0
 	for i, s := range whole.table.first {
 		if s.id == "s00" {
@@ -266,11 +266,11 @@
 		old := sized(t, 0, 160, from)
 		list := fleetOf(to)
 		for i := from; i < to; i++ {
-			old.Handle(time.Duration(i)*5*time.Second, ListEvent{Kind: ListChange, Version: int64(i), Servers: list[i : i+1]})
+			old.Handle(time.Duration(i)*5*time.Second, ListEvent{Kind: ListDelta, Revision: int64(i), Servers: list[i : i+1]})
 		}
 		for i := to; i < from; i++ {
-			gone := Server{ID: fleetOf(from)[i].ID, State: Gone}
-			old.Handle(time.Duration(i)*5*time.Second, ListEvent{Kind: ListChange, Version: int64(i), Servers: []Server{gone}})
+			gone := Server{ID: fleetOf(from)[i].ID, State: Removed}
+			old.Handle(time.Duration(i)*5*time.Second, ListEvent{Kind: ListDelta, Revision: int64(i), Servers: []Server{gone}})
 		}
 		fresh, same := sized(t, 1, 160, to), 0
 		const keys = 4000
@@ -304,10 +304,10 @@
 		at     time.Duration
 		failed bool
 	}
-	all := make([]*Brain, nodes)
+	all := make([]*Balancer, nodes)
 	start := func(i int) {
 		s := testSettings()
-		s.Seed, s.Index, s.GroupSize = uint64(i)+1, i, nodes
+		s.Seed, s.NodeIndex, s.NodeCount = uint64(i)+1, i, nodes
 		all[i] = started(t, s, 10)
 	}
 	var queue []*call
@@ -316,11 +316,11 @@
 		for now := from; now < to; now += each {
 			for i, n := range all {
 				for _, a := range n.Handle(now, Timer{Token: sweepToken}) {
-					if _, ok := a.(Watch); ok {
+					if _, ok := a.(WatchList); ok {
 						queue, last[i] = append(queue, &call{from: i, at: now}), now
 					}
 				}
-				if !n.watching && now-last[i] > n.set.AskWithin && now-from > n.set.AskWithin {
+				if !n.watching && now-last[i] > n.set.PollInterval && now-from > n.set.PollInterval {
 					t.Fatalf("node %d has not asked since %v, at %v", i, last[i], now)
 				}
 			}
@@ -333,7 +333,7 @@
 			if len(queue) > 0 {
 				c := queue[0]
 				if queue = queue[1:]; !c.failed {
-					all[c.from].Handle(now, ListEvent{Kind: ListFull, Version: 2, Servers: fleetOf(10)})
+					all[c.from].Handle(now, ListEvent{Kind: ListSnapshot, Revision: 2, Servers: fleetOf(10)})
 				}
 			}
 		}
@@ -367,7 +367,7 @@
 // A node that starts without a list, and is told it unasked, gave all entries to the first host of it.
 func TestTheFirstListAfterAnEmptyOneIsLaidEvenly(t *testing.T) {
 	b := started(t, testSettings(), 0)
-	b.Handle(time.Second, ListEvent{Kind: ListFull, Version: 2, Servers: fleetOf(4)})
+	b.Handle(time.Second, ListEvent{Kind: ListSnapshot, Revision: 2, Servers: fleetOf(4)})
 	same := started(t, testSettings(), 4)
 	for i, s := range b.table.first {
 		if s == nil || s.id != same.table.first[i].id {
@@ -379,16 +379,16 @@
 // Where crossings are dear, clients stand in the zone of their node as far as its servers bear their part, whole
 // groups together and alike at all nodes of the zone; mid-flow packets find them, also while the server drains.
 func TestDearCrossingsKeepClientsInTheirZone(t *testing.T) {
-	node := func(index int, price float64, own int) *Brain { // in zone 0
+	node := func(index int, price float64, own int) *Balancer { // in zone 0
 		s := testSettings()
-		s.Seed, s.Index, s.GroupSize, s.Zones, s.CrossPrice = uint64(index), index, 80, 2, price
-		s.Tenants = []Tenant{{Connections: 350}}
+		s.Seed, s.NodeIndex, s.NodeCount, s.Zones, s.CrossZoneCost = uint64(index), index, 80, 2, price
+		s.Tenants = []Tenant{{ConnectionQuota: 350}}
 		rows := fleetOf(20)
 		for i := range rows {
 			rows[i].Zone, rows[i].Weight = min(1, i/own), 1
 		}
 		b := New(s)
-		b.Handle(0, ListEvent{Kind: ListCached, Version: 1, Servers: rows})
+		b.Handle(0, ListEvent{Kind: ListCached, Revision: 1, Servers: rows})
 		return b
 	}
 	for _, c := range []struct {
@@ -407,7 +407,7 @@
 				t.Fatalf("group %d stands at %s for one node and at %s for another", g, s.id, other.id)
 			}
 		}
-		y.Handle(time.Second, ListEvent{Kind: ListChange, Version: 2, Servers: []Server{{ID: s.id, State: Draining, Weight: 1}}})
+		y.Handle(time.Second, ListEvent{Kind: ListDelta, Revision: 2, Servers: []Server{{ID: s.id, State: Draining, Weight: 1}}})
 		r.MidFlow = true
 		if to := y.place(r); to == nil || to.id != s.id {
 			t.Errorf("price %g: a connection on a server that drains is looked for elsewhere", c.price)
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -10,15 +10,15 @@
 // not send it more connections in a window than the multiple of what its present share is worth.
 func TestManyNodesTogetherKeepAColdServersBudget(t *testing.T) {
 	const nodes, servers = 160, 60
-	var all []*Brain
+	var all []*Balancer
 	for i := range nodes {
 		n := sized(t, i, nodes, servers)
 		n.rate = 0.25 // as when the day has settled
 		all = append(all, n)
 	}
-	cold := Server{ID: "s99", Weight: 2, Since: time.Minute}
+	cold := Server{ID: "s99", Weight: 2, StartedAt: time.Minute}
 	for _, n := range all {
-		n.Handle(time.Minute, ListEvent{Kind: ListChange, Version: 2, Servers: []Server{cold}})
+		n.Handle(time.Minute, ListEvent{Kind: ListDelta, Revision: 2, Servers: []Server{cold}})
 	}
 	set := testSettings()
 	rate := 0.25 * nodes * cold.Weight / all[0].weight // what the fleet's traffic comes to for its weight
@@ -30,24 +30,24 @@
 				continue
 			}
 			id := RequestID(fmt.Sprint(step, "-", i))
-			for _, s := range sends(n.Handle(now, Arrival{ID: id, Key: string(id), Left: time.Second})) {
+			for _, s := range sends(n.Handle(now, Arrival{ID: id, Key: string(id), TimeLeft: time.Second})) {
 				if s.Server == cold.ID {
 					sent = append(sent, now)
 				}
-				n.Handle(now, Settled{ID: id, Outcome: Served, Final: true})
+				n.Handle(now, AttemptEnded{ID: id, Outcome: Served, Final: true})
 			}
 		}
 	}
 	for i, from := range sent {
 		in := 0
 		for _, at := range sent[i:] {
-			if at < from+set.FallWindow {
+			if at < from+set.CollapseWindow {
 				in++
 			}
 		}
-		share := min(1, set.ColdShare+(1-set.ColdShare)*float64(from-time.Minute)/float64(set.WarmWithin))
+		share := min(1, set.SlowStartFraction+(1-set.SlowStartFraction)*float64(from-time.Minute)/float64(set.SlowStartDuration))
 		// Chance of 160 draws: three more than the mean would be.
-		if most := set.FallMultiple*share*rate*set.FallWindow.Seconds() + 3; float64(in) > most {
+		if most := set.CollapseMultiple*share*rate*set.CollapseWindow.Seconds() + 3; float64(in) > most {
 			t.Fatalf("%d connections in the window from %v on, at most %.1f would hold", in, from-time.Minute, most)
 		}
 	}
@@ -57,33 +57,33 @@
 // rate's part. What the quotas let the fleet hold tells what the server is good for; in sum the budget still holds.
 func TestNodesWithoutTrafficSpendAColdServersBudget(t *testing.T) {
 	const nodes, servers, quota = 80, 10, 300.0
-	var all []*Brain
+	var all []*Balancer
 	for i := range nodes {
 		s := testSettings()
-		s.Seed, s.Index, s.GroupSize, s.Tenants = uint64(i)+1, i, nodes, []Tenant{{Connections: quota}}
+		s.Seed, s.NodeIndex, s.NodeCount, s.Tenants = uint64(i)+1, i, nodes, []Tenant{{ConnectionQuota: quota}}
 		n := started(t, s, servers)
-		n.Handle(time.Minute, ListEvent{Kind: ListChange, Version: 2, Servers: []Server{{ID: "s99", Weight: 4, Since: time.Minute}}})
+		n.Handle(time.Minute, ListEvent{Kind: ListDelta, Revision: 2, Servers: []Server{{ID: "s99", Weight: 4, StartedAt: time.Minute}}})
 		all = append(all, n)
 	}
 	set := testSettings()
 	windows := make([]float64, 4)
 	for w := range windows {
 		for i, n := range all { // every node has several clients waiting in every window
-			now := time.Minute + time.Duration(w)*set.FallWindow + time.Duration(i)*ms
+			now := time.Minute + time.Duration(w)*set.CollapseWindow + time.Duration(i)*ms
 			for c := range 20 {
 				id := RequestID(fmt.Sprint(w, "-", i, "-", c))
-				for _, s := range sends(n.Handle(now, Arrival{ID: id, Key: string(id), Left: time.Second})) {
+				for _, s := range sends(n.Handle(now, Arrival{ID: id, Key: string(id), TimeLeft: time.Second})) {
 					if s.Server == "s99" {
 						windows[w]++
 					}
-					n.Handle(now, Settled{ID: id, Outcome: Served, Final: true})
+					n.Handle(now, AttemptEnded{ID: id, Outcome: Served, Final: true})
 				}
 			}
 		}
 	}
 	for w, sent := range windows {
-		share := set.ColdShare + (1-set.ColdShare)*float64(w)*set.FallWindow.Seconds()/set.WarmWithin.Seconds()
-		budget := set.FallMultiple * share * quota * 4 / all[0].weight * set.FallWindow.Seconds()
+		share := set.SlowStartFraction + (1-set.SlowStartFraction)*float64(w)*set.CollapseWindow.Seconds()/set.SlowStartDuration.Seconds()
+		budget := set.CollapseMultiple * share * quota * 4 / all[0].weight * set.CollapseWindow.Seconds()
 		if sent < budget/8 || sent > budget {
 			t.Errorf("window %d: %.0f connections of a budget of %.1f", w, sent, budget)
 		}
@@ -95,23 +95,23 @@
 func TestAColdServersBudgetGrowsAsItWarms(t *testing.T) {
 	const nodes, servers, quota = 80, 10, 300.0
 	set := testSettings()
-	var all []*Brain
+	var all []*Balancer
 	for i := range nodes {
 		s := testSettings()
-		s.Seed, s.Index, s.GroupSize, s.Tenants = uint64(i)+1, i, nodes, []Tenant{{Connections: quota}}
+		s.Seed, s.NodeIndex, s.NodeCount, s.Tenants = uint64(i)+1, i, nodes, []Tenant{{ConnectionQuota: quota}}
 		all = append(all, started(t, s, servers))
 	}
 	spent := func(since, from time.Duration) (n float64) {
 		for w := range 3 {
-			now := from + time.Duration(w)*set.FallWindow
+			now := from + time.Duration(w)*set.CollapseWindow
 			for i, b := range all {
 				for c := range 12 {
 					id := RequestID(fmt.Sprint(now, "-", i, "-", c))
-					for _, a := range sends(b.Handle(now, Arrival{ID: id, Key: string(id), Left: time.Second})) {
+					for _, a := range sends(b.Handle(now, Arrival{ID: id, Key: string(id), TimeLeft: time.Second})) {
 						if a.Server == "s99" {
 							n++
 						}
-						b.Handle(now, Settled{ID: id, Outcome: Served, Final: true})
+						b.Handle(now, AttemptEnded{ID: id, Outcome: Served, Final: true})
 					}
 				}
 			}
@@ -119,12 +119,12 @@
 		return n
 	}
 	for _, b := range all {
-		b.Handle(time.Minute, ListEvent{Kind: ListChange, Version: 2, Servers: []Server{{ID: "s99", Weight: 4, Since: time.Minute}}})
+		b.Handle(time.Minute, ListEvent{Kind: ListDelta, Revision: 2, Servers: []Server{{ID: "s99", Weight: 4, StartedAt: time.Minute}}})
 	}
 	cold := spent(time.Minute, time.Minute)
-	warm := spent(time.Minute, time.Minute+set.WarmWithin-3*set.FallWindow)
-	fills := quota * 4 / all[0].weight / set.WarmWithin.Seconds() * set.FallWindow.Seconds() // what fills it over its warm-up
-	if most := 3 * set.FallMultiple * fills * 2; warm < cold*3/2 || warm > most {
+	warm := spent(time.Minute, time.Minute+set.SlowStartDuration-3*set.CollapseWindow)
+	fills := quota * 4 / all[0].weight / set.SlowStartDuration.Seconds() * set.CollapseWindow.Seconds() // what fills it over its warm-up
+	if most := 3 * set.CollapseMultiple * fills * 2; warm < cold*3/2 || warm > most {
 		t.Errorf("%.0f connections in three windows while cold, %.0f when nearly warm, at most %.0f", cold, warm, most)
 	}
 }
@@ -135,16 +135,16 @@
 func TestAFleetThatIsAllColdServesWhatItCan(t *testing.T) {
 	const nodes, servers, perSecond = 40, 10, 5
 	set := testSettings()
-	var all []*Brain
+	var all []*Balancer
 	for i := range nodes {
 		s := testSettings()
-		s.Seed, s.Index, s.GroupSize, s.Tenants = uint64(i)+1, i, nodes, nil
+		s.Seed, s.NodeIndex, s.NodeCount, s.Tenants = uint64(i)+1, i, nodes, nil
 		b := New(s)
 		list := fleetOf(servers)
 		for k := range list {
-			list[k].Since = time.Hour
+			list[k].StartedAt = time.Hour
 		}
-		b.Handle(time.Hour, ListEvent{Kind: ListFull, Version: 1, Servers: list})
+		b.Handle(time.Hour, ListEvent{Kind: ListSnapshot, Revision: 1, Servers: list})
 		all = append(all, b)
 	}
 	sent, on := make([]float64, 12), map[ServerID][]time.Duration{}
@@ -156,15 +156,15 @@
 				continue
 			}
 			id := RequestID(fmt.Sprint(step, "-", i))
-			for _, a := range sends(b.Handle(now, Arrival{ID: id, Key: string(id), Left: time.Second})) {
+			for _, a := range sends(b.Handle(now, Arrival{ID: id, Key: string(id), TimeLeft: time.Second})) {
 				sent[(now-time.Hour)/time.Second]++
 				on[a.Server] = append(on[a.Server], now)
-				b.Handle(now, Opened{ID: id, Server: a.Server, Took: ms})
+				b.Handle(now, Established{ID: id, Server: a.Server, Took: ms})
 			}
 		}
 	}
 	for w := 2; w < 10; w++ {
-		share := set.ColdShare + (1-set.ColdShare)*float64(w)*time.Second.Seconds()/set.WarmWithin.Seconds()
+		share := set.SlowStartFraction + (1-set.SlowStartFraction)*float64(w)*time.Second.Seconds()/set.SlowStartDuration.Seconds()
 		if came := float64(nodes * perSecond); sent[w] < came*share/2 || sent[w] > came*share*1.7 {
 			t.Errorf("in second %d %.0f of %.0f were sent on, at a share of %.2f", w, sent[w], came, share)
 		}
@@ -173,12 +173,12 @@
 		for k, from := range times {
 			n := 0
 			for _, at := range times[k:] {
-				if at < from+set.FallWindow {
+				if at < from+set.CollapseWindow {
 					n++
 				}
 			}
-			share := min(1, set.ColdShare+(1-set.ColdShare)*float64(from-time.Hour)/float64(set.WarmWithin))
-			if most := set.FallMultiple*share*nodes*perSecond/servers*set.FallWindow.Seconds() + 4; float64(n) > most {
+			share := min(1, set.SlowStartFraction+(1-set.SlowStartFraction)*float64(from-time.Hour)/float64(set.SlowStartDuration))
+			if most := set.CollapseMultiple*share*nodes*perSecond/servers*set.CollapseWindow.Seconds() + 4; float64(n) > most {
 				t.Fatalf("%s was sent %d in the window from %v on, at most %.0f would hold", id, n, from-time.Hour, most)
 			}
 		}
@@ -188,24 +188,24 @@
 // An old list can't tell which servers have been started since: they pass for cold until a list tells.
 func TestServersOfAnOldListAreColdUntilTold(t *testing.T) {
 	s := testSettings()
-	s.Tenants = []Tenant{{Connections: 60}}
+	s.Tenants = []Tenant{{ConnectionQuota: 60}}
 	b := New(s)
 	old, told := fleetOf(4), fleetOf(4)
 	for i := range old {
-		old[i].Since, old[i].Guess = time.Hour, true
+		old[i].StartedAt, old[i].AssumedStart = time.Hour, true
 	}
-	b.Handle(time.Hour, ListEvent{Kind: ListCached, Version: 1, Servers: old})
+	b.Handle(time.Hour, ListEvent{Kind: ListCached, Revision: 1, Servers: old})
 	place := func(from time.Duration, prefix string) (n int) {
 		for i := range 60 {
 			id := RequestID(fmt.Sprint(prefix, i))
-			n += len(sends(b.Handle(from+time.Duration(i)*ms, Arrival{ID: id, Key: string(id), Left: time.Second})))
+			n += len(sends(b.Handle(from+time.Duration(i)*ms, Arrival{ID: id, Key: string(id), TimeLeft: time.Second})))
 		}
 		return n
 	}
 	if n := place(time.Hour, "a"); n == 0 || n > 30 {
 		t.Errorf("%d of 60 were sent to servers that may be cold", n)
 	}
-	b.Handle(time.Hour+time.Second, ListEvent{Kind: ListFull, Version: 1, Servers: told})
+	b.Handle(time.Hour+time.Second, ListEvent{Kind: ListSnapshot, Revision: 1, Servers: told})
 	if n := place(time.Hour+time.Second, "b"); n < 55 {
 		t.Errorf("%d of 60 were sent to servers that are told to be warm", n)
 	}
@@ -214,10 +214,10 @@
 // Where no window is told there is no rule on cold servers, and they serve like others.
 func TestColdServerWithoutARuleServes(t *testing.T) {
 	s := testSettings()
-	s.FallWindow = 0
+	s.CollapseWindow = 0
 	n := started(t, s, 1)
-	n.Handle(time.Minute, ListEvent{Kind: ListFull, Version: 2, Servers: []Server{{ID: "s99", Weight: 1, Since: time.Minute}}})
-	if sent := sends(n.Handle(time.Minute, Arrival{ID: "a", Key: "k", Left: time.Second})); len(sent) != 1 {
+	n.Handle(time.Minute, ListEvent{Kind: ListSnapshot, Revision: 2, Servers: []Server{{ID: "s99", Weight: 1, StartedAt: time.Minute}}})
+	if sent := sends(n.Handle(time.Minute, Arrival{ID: "a", Key: "k", TimeLeft: time.Second})); len(sent) != 1 {
 		t.Errorf("a cold server without a rule got %v", sent)
 	}
 }
@@ -227,18 +227,18 @@
 func TestAShrunkFleetKeepsAColdServersBudget(t *testing.T) {
 	const nodes, quota = 16, 417.0
 	set, sent, part := testSettings(), 0, 0.0
-	set.WarmWithin, set.FallWindow = 20*time.Second, 2*time.Second
+	set.SlowStartDuration, set.CollapseWindow = 20*time.Second, 2*time.Second
 	for i := range nodes {
 		s := set
-		s.Seed, s.Index, s.GroupSize, s.Tenants = uint64(i)+1, i, nodes, []Tenant{{Connections: quota}}
+		s.Seed, s.NodeIndex, s.NodeCount, s.Tenants = uint64(i)+1, i, nodes, []Tenant{{ConnectionQuota: quota}}
 		n := started(t, s, 10)
 		part = quota * fleetOf(1)[0].Weight / n.weight
 		rows := fleetOf(3)
-		rows[0].Since = time.Minute
-		n.Handle(time.Minute, ListEvent{Kind: ListFull, Version: 2, Servers: rows})
+		rows[0].StartedAt = time.Minute
+		n.Handle(time.Minute, ListEvent{Kind: ListSnapshot, Revision: 2, Servers: rows})
 		for c := range 60 {
 			id := RequestID(fmt.Sprint(c))
-			for _, to := range sends(n.Handle(time.Minute+time.Duration(c)*ms, Arrival{ID: id, Key: fmt.Sprint(i, id), Left: time.Second})) {
+			for _, to := range sends(n.Handle(time.Minute+time.Duration(c)*ms, Arrival{ID: id, Key: fmt.Sprint(i, id), TimeLeft: time.Second})) {
 				if to.Server == rows[0].ID {
 					sent++
 				}
@@ -246,7 +246,7 @@
 		}
 	}
 	// Each node rounds its share by chance: four standard deviations of sixteen such chances.
-	if most := set.FallMultiple*part*set.FallWindow.Seconds()/set.WarmWithin.Seconds() + 8; float64(sent) > most || sent < 4 {
+	if most := set.CollapseMultiple*part*set.CollapseWindow.Seconds()/set.SlowStartDuration.Seconds() + 8; float64(sent) > most || sent < 4 {
 		t.Errorf("%d connections to a cold server in one window, 4 to %.1f would do", sent, most)
 	}
 }
--- a/balancer/state.go
+++ b/balancer/state.go
@@ -28,8 +28,8 @@
 	answered bool // has had its final answer
 }
 
-// Brain decides for one node.
-type Brain struct {
+// Balancer decides for one node.
+type Balancer struct {
 	set          Settings
 	now          time.Duration
 	out          []Action
@@ -67,7 +67,7 @@
 	groups       map[string]int
 	tenants      []int // open connections of each, the last for requests of none
 
-	leaving   Leave     // the node's own drain
+	leaving   Drain     // the node's own drain
 	returning []*server // that operators called back and that have had nothing since, the first one first
 
 	sweeping, asking, watching bool
@@ -136,13 +136,13 @@
 	return 1 << bits.Len(uint(max(entries, minEntries)-1))
 }
 
-// Footprint reckons the memory in bytes that a list of so many servers takes: both hops, the entries that each server
+// EstimateMemory reckons the memory in bytes that a list of so many servers takes: both hops, the entries that each server
 // knows as its own, at worst twice, and what is remembered of each.
-func Footprint(servers int) int { return tableSize(servers)*(2*8+2*4) + servers<<11 }
+func EstimateMemory(servers int) int { return tableSize(servers)*(2*8+2*4) + servers<<11 }
 
-func (b *Brain) emit(a Action)   { b.out = append(b.out, a) }
-func (b *Brain) log(text string) { b.emit(Log{text}) }
-func (b *Brain) jitter(span time.Duration) time.Duration {
+func (b *Balancer) emit(a Action)   { b.out = append(b.out, a) }
+func (b *Balancer) log(text string) { b.emit(Log{text}) }
+func (b *Balancer) jitter(span time.Duration) time.Duration {
 	return time.Duration(b.rng.Float64() * float64(span))
 }
 
@@ -196,13 +196,13 @@
 }
 
 // Avoids reports whether a server gets nothing new now, because it fails attempts or was told to drain.
-func (b *Brain) Avoids(id ServerID) bool {
+func (b *Balancer) Avoids(id ServerID) bool {
 	s := b.servers[id]
 	return s == nil || s.state == inactive || s.state == draining || b.ejected(s) && !b.trusting
 }
 
 // used notes that a server that was called back is in use again, or gone.
-func (b *Brain) used(s *server) {
+func (b *Balancer) used(s *server) {
 	if s.backAt > 0 {
 		s.backAt, b.returning = 0, slices.DeleteFunc(b.returning, func(o *server) bool { return o == s })
 	}
@@ -211,7 +211,7 @@
 func byID(a, b *server) int { return cmp.Compare(a.id, b.id) }
 
 // count adds a request to its server, or takes it off again with n = -1.
-func (b *Brain) count(s *server, r *request, n int) {
+func (b *Balancer) count(s *server, r *request, n int) {
 	s.conns += n
 	s.load += float64(n) * r.load
 	b.load += float64(n) * r.load
@@ -227,7 +227,7 @@
 }
 
 // loaded takes in a connection's load now. The first note sets the unit of all loads without one.
-func (b *Brain) loaded(r *request, load float64) {
+func (b *Balancer) loaded(r *request, load float64) {
 	if r == nil || r.conn == nil || load <= 0 {
 		return
 	}
@@ -257,7 +257,7 @@
 func (r *request) setsUp() bool { return !r.MidFlow || len(r.attempts) > 1 }
 
 // running finds an attempt that is still out; attempts of a request run one at a time.
-func (b *Brain) running(id RequestID, n int) (*request, *attempt) {
+func (b *Balancer) running(id RequestID, n int) (*request, *attempt) {
 	if r := b.reqs[id]; r != nil && n >= 0 && n == len(r.attempts)-1 && r.attempts[n].out {
 		return r, &r.attempts[n]
 	}
@@ -265,25 +265,25 @@
 }
 
 // New starts a node that knows only its settings.
-func New(s Settings) *Brain {
-	b := &Brain{set: s, servers: map[ServerID]*server{}, reqs: map[RequestID]*request{}}
-	b.rng, b.groups = rand.New(rand.NewPCG(s.Seed, uint64(s.Index))), map[string]int{}
+func New(s Settings) *Balancer {
+	b := &Balancer{set: s, servers: map[ServerID]*server{}, reqs: map[RequestID]*request{}}
+	b.rng, b.groups = rand.New(rand.NewPCG(s.Seed, uint64(s.NodeIndex))), map[string]int{}
 	b.set.Tenants, b.tenants = append(slices.Clip(s.Tenants), Tenant{}), make([]int, len(s.Tenants)+1)
 	b.means, b.set.Classes = make([]float64, len(s.Classes)), slices.Clone(s.Classes)
 	for _, t := range s.Tenants {
-		b.quota += t.Connections / float64(max(s.GroupSize, 1))
+		b.quota += t.ConnectionQuota / float64(max(s.NodeCount, 1))
 	}
 	for i, c := range s.Classes {
-		b.set.Classes[i].SetupAim = cmp.Or(c.SetupAim, c.Deadline, time.Second) // none told: no hurry
-		if p := b.set.Classes[i].SetupAim; i == 0 || p < b.minSetupAim {
+		b.set.Classes[i].SetupLatencyObjective = cmp.Or(c.SetupLatencyObjective, c.Deadline, time.Second) // none told: no hurry
+		if p := b.set.Classes[i].SetupLatencyObjective; i == 0 || p < b.minSetupAim {
 			b.minSetupAim = p
 		}
 		if i == 0 || c.Deadline < b.minDeadline {
 			b.minDeadline = c.Deadline
 		}
 		b.recover = max(b.recover, recovery*c.Deadline)
-		if c.MessageAim > 0 && (b.aim == 0 || c.MessageAim < b.aim) {
-			b.aim = c.MessageAim
+		if c.MessageLatencyObjective > 0 && (b.aim == 0 || c.MessageLatencyObjective < b.aim) {
+			b.aim = c.MessageLatencyObjective
 		}
 	}
 	return b
--- a/balancer/table_test.go
+++ b/balancer/table_test.go
@@ -131,7 +131,7 @@
 		draw := rand.New(rand.NewPCG(seed, 1))
 		for version := range int64(60) {
 			now += time.Duration(draw.Int64N(int64(time.Second)))
-			states := []ServerState{Live, Draining, Gone}
+			states := []ServerState{Live, Draining, Removed}
 			var rows []Server
 			for _, s := range fleetOf(16) {
 				if draw.IntN(4) == 0 {
@@ -139,7 +139,7 @@
 					rows = append(rows, s)
 				}
 			}
-			b.Handle(now, ListEvent{Kind: ListChange, Version: version + 2, Servers: rows})
+			b.Handle(now, ListEvent{Kind: ListDelta, Revision: version + 2, Servers: rows})
 			held := map[*server][]int{}
 			for i, s := range b.table.first {
 				held[s] = append(held[s], i)
@@ -191,17 +191,17 @@
 // moves only the entries of the servers it names.
 func TestTablesStayAlikeAndRemapLittle(t *testing.T) {
 	other := testSettings()
-	other.Seed, other.Index = 99, 1
+	other.Seed, other.NodeIndex = 99, 1
 	a, b := started(t, testSettings(), 12), started(t, other, 12)
-	b.Handle(0, Arrival{ID: "x", Key: "k", Left: time.Second})
-	changes := []Server{{ID: "s03", State: Draining}, {ID: "s05", State: Gone}, {ID: "new", Weight: 2},
-		{ID: "s03", State: Gone}, {ID: "s07", State: Draining}, {ID: "s05", Weight: 3}}
+	b.Handle(0, Arrival{ID: "x", Key: "k", TimeLeft: time.Second})
+	changes := []Server{{ID: "s03", State: Draining}, {ID: "s05", State: Removed}, {ID: "new", Weight: 2},
+		{ID: "s03", State: Removed}, {ID: "s07", State: Draining}, {ID: "s05", Weight: 3}}
 	for i, c := range changes {
 		before := append([]*server(nil), a.table.first...)
 		at := time.Duration(i+1) * 5 * time.Second
-		for _, n := range []*Brain{a, b} {
+		for _, n := range []*Balancer{a, b} {
 			n.Handle(at, Timer{Token: sweepToken})
-			n.Handle(at, ListEvent{Kind: ListChange, Version: int64(i + 2), Servers: []Server{c}})
+			n.Handle(at, ListEvent{Kind: ListDelta, Revision: int64(i + 2), Servers: []Server{c}})
 		}
 		if render(a.table.first) != render(b.table.first) || render(a.table.second) != render(b.table.second) {
 			t.Fatalf("tables differ after change %d", i)
@@ -223,10 +223,10 @@
 		b := started(t, s, 4)
 		drained := fleetOf(4)[0]
 		drained.State = Draining
-		b.Handle(time.Second, ListEvent{Kind: ListChange, Version: 2, Servers: []Server{drained}})
-		b.Handle(time.Second+max(grace-MaxHoldUp, 0), Timer{Token: sweepToken})
+		b.Handle(time.Second, ListEvent{Kind: ListDelta, Revision: 2, Servers: []Server{drained}})
+		b.Handle(time.Second+max(grace-MaxSchedulingDelay, 0), Timer{Token: sweepToken})
 		if got := b.servers[drained.ID]; got != nil && got.state != inactive {
-			t.Errorf("a grace of %v: it is in state %d, %v before the end", grace, got.state, MaxHoldUp)
+			t.Errorf("a grace of %v: it is in state %d, %v before the end", grace, got.state, MaxSchedulingDelay)
 		}
 	}
 }
--- a/cmd/onyxstream/fakes_test.go
+++ b/cmd/onyxstream/fakes_test.go
@@ -98,12 +98,12 @@
 
 func (h *host) kill() { h.Die() }
 
-func (h *host) member(phase string) wire.Member {
+func (h *host) member(phase string) wire.Endpoint {
 	var p wire.Phase
 	if err := p.UnmarshalText([]byte(phase)); err != nil {
 		panic(err)
 	}
-	return wire.Member{ID: h.id, Addr: h.Addr(), Zone: "a", Phase: p, Size: 1}
+	return wire.Endpoint{ID: h.id, Addr: h.Addr(), Zone: "a", Phase: p, Size: 1}
 }
 
 // registry is a stand-in discovery that says what a test gives it, word for word.
@@ -135,11 +135,11 @@
 
 func (r *registry) called() []string { return r.Calls() }
 
-func list(revision int64, complete bool, members ...wire.Member) string {
+func list(revision int64, complete bool, members ...wire.Endpoint) string {
 	if members == nil {
-		members = []wire.Member{}
+		members = []wire.Endpoint{}
 	}
-	text, _ := json.Marshal(wire.Catalog{Revision: revision, Complete: complete, Members: members})
+	text, _ := json.Marshal(wire.EndpointList{Revision: revision, Complete: complete, Endpoints: members})
 	return string(text)
 }
 
--- a/cmd/onyxstream/main_test.go
+++ b/cmd/onyxstream/main_test.go
@@ -84,7 +84,7 @@
 func TestFailoverSendsEachAttemptOnce(t *testing.T) {
 	t.Parallel()
 	var hosts []*host
-	var members []wire.Member
+	var members []wire.Endpoint
 	for i := range 3 {
 		h := newHost(t, fmt.Sprint("h", i))
 		hosts = append(hosts, h)
@@ -346,9 +346,9 @@
 }
 
 // many are n hosts at one address.
-func many(n int, addr string) (out []wire.Member) {
+func many(n int, addr string) (out []wire.Endpoint) {
 	for i := range n {
-		out = append(out, wire.Member{ID: fmt.Sprint("s", i), Addr: addr, Zone: "a", Size: 1, Phase: wire.Serving})
+		out = append(out, wire.Endpoint{ID: fmt.Sprint("s", i), Addr: addr, Zone: "a", Size: 1, Phase: wire.Serving})
 	}
 	return out
 }
--- a/cmd/onyxstream/operate_test.go
+++ b/cmd/onyxstream/operate_test.go
@@ -85,7 +85,7 @@
 	p.yes(t, "disable-server ha")
 	after := len(a.lines())
 	again := a.member("SERVING")
-	again.UpSince = time.Now().UnixMilli() // it was restarted
+	again.StartedAtMS = time.Now().UnixMilli() // it was restarted
 	for _, news := range []string{list(2, false, again), list(3, true, again, b.member("SERVING")),
 		list(4, false, a.member("DELETED")), list(5, false, again)} {
 		reg.tell(news)
--- a/cmd/onyxstream/sizes_test.go
+++ b/cmd/onyxstream/sizes_test.go
@@ -52,7 +52,7 @@
 	p.open(t, "").hears("UP from-ha")
 	eventually(t, "the watch", func() bool { return reg.Watching() == 1 })
 	for step := range 4 {
-		var changed []wire.Member
+		var changed []wire.Endpoint
 		for i := step * n / 20; i < (step+1)*n/20; i++ {
 			gone, fresh := all[i], all[i]
 			gone.Phase, fresh.ID = wire.Draining, "new"+gone.ID
--- a/cmd/onyxstream/upgrade_test.go
+++ b/cmd/onyxstream/upgrade_test.go
@@ -33,7 +33,7 @@
 // inherited is a node's configuration, with hosts that it knows, where the platform holds the clients' socket.
 func inherited(t testing.TB, hosts ...*host) (o options, reg *registry) {
 	t.Helper()
-	var members []wire.Member
+	var members []wire.Endpoint
 	for _, h := range hosts {
 		members = append(members, h.member("SERVING"))
 	}
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -163,7 +163,7 @@
 // Run is the agent's life; it serves the command line on its socket and ends with ctx. Everything told by then holds.
 func (a *Agent) Run(ctx context.Context) error {
 	defer a.store.Close()
-	l, err := control.Local(a.cfg.Socket, agentConns)
+	l, err := control.ListenUnix(a.cfg.Socket, agentConns)
 	if err != nil {
 		return err
 	}
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -51,7 +51,7 @@
 	return s
 }
 
-func (x *instance) Do(c control.Command) error {
+func (x *instance) Apply(c control.Command) error {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.did = append(x.did, c)
@@ -83,7 +83,7 @@
 // start begins a process of the instance, with nothing in memory.
 func (x *instance) start(t testing.TB) {
 	t.Helper()
-	l, err := control.Local(x.path, 64)
+	l, err := control.ListenUnix(x.path, 64)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/agent/serve.go
+++ b/internal/agent/serve.go
@@ -46,7 +46,7 @@
 	mux.HandleFunc("POST /v1/operations", func(w http.ResponseWriter, q *http.Request) {
 		var r fleet.Request
 		if err := control.ReadJSON(http.MaxBytesReader(w, q.Body, mostOrder), &r); err != nil {
-			control.Fail(w, http.StatusBadRequest, err)
+			control.WriteError(w, http.StatusBadRequest, err)
 			return
 		}
 		var out fleet.Operation
@@ -72,19 +72,19 @@
 func (a *Agent) answer(w http.ResponseWriter, f func() error, out any) {
 	var err error
 	if !a.ask(func() { err = f() }) {
-		control.Fail(w, http.StatusServiceUnavailable, errors.New("the agent ends"))
+		control.WriteError(w, http.StatusServiceUnavailable, errors.New("the agent ends"))
 		return
 	}
 	var limit *fleet.LimitError
 	switch {
 	case errors.Is(err, fleet.ErrUnknown):
-		control.Fail(w, http.StatusNotFound, err)
+		control.WriteError(w, http.StatusNotFound, err)
 	case errors.As(err, &limit):
-		control.Fail(w, http.StatusPreconditionFailed, err)
+		control.WriteError(w, http.StatusPreconditionFailed, err)
 	case err != nil:
-		control.Fail(w, http.StatusConflict, err)
+		control.WriteError(w, http.StatusConflict, err)
 	default:
-		control.Reply(w, out)
+		control.WriteJSON(w, out)
 	}
 }
 
@@ -105,7 +105,7 @@
 		key := ""
 		for i := range views {
 			v := views[i]
-			v.AgeMS, v.Status.Up, v.Status.Hosts = 0, 0, nil
+			v.AgeMS, v.Status.UptimeSeconds, v.Status.Hosts = 0, 0, nil
 			text, _ := json.Marshal(v) // plain values can't fail
 			key += string(text)
 		}
--- a/internal/agent/stored_test.go
+++ b/internal/agent/stored_test.go
@@ -64,7 +64,7 @@
 			StepWithin: 40 * time.Second, Deadline: time.Hour, OnFailure: "abort"}}, Fence: 7, State: fleet.Paused, Why: "n2 is down",
 		Steps: map[string]*fleet.Step{"n1": {State: fleet.StepDone, Boot: "b1"}, "n2": {State: fleet.StepFailed, Why: "is down"}}, Spent: 90 * time.Second}
 	hold := fleet.Hold{Key: fleet.Key{Instance: "n1", Host: "host-a"}, Command: control.Command{Operation: "op-1", Fence: 7,
-		Kind: control.HostDrain, Host: "host-a", Within: 20 * time.Second, After: time.Second, Open: 2 * time.Second, Keep: true, Known: true}}
+		Kind: control.HostDrain, Host: "host-a", DrainTimeout: 20 * time.Second, RetryAfter: time.Second, AdmitFor: 2 * time.Second, KeepConnections: true, HostMustExist: true}}
 	unexported := cmpopts.IgnoreUnexported(fleet.Operation{}, fleet.Step{})
 	if diff := cmp.Diff([]fleet.Operation{op}, ops, unexported); diff != "" {
 		t.Error(diff)
--- a/internal/cli/instances.go
+++ b/internal/cli/instances.go
@@ -72,7 +72,7 @@
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "NAME\tZONE\tREACH\tSTATE\tLIST\tOPEN\tOWED\tHEARD\tOPERATION\tWHY")
 	for _, v := range views {
-		state, open, owed := v.Status.State, strconv.FormatInt(v.Status.Open, 10), strconv.FormatInt(v.Status.Owed, 10)
+		state, open, owed := v.Status.State, strconv.FormatInt(v.Status.Established, 10), strconv.FormatInt(v.Status.InFlight, 10)
 		if v.Status.Boot == "" {
 			state, open, owed = "-", "-", "-"
 		}
@@ -93,10 +93,10 @@
 		return "-"
 	case l.Source == "":
 		return fmt.Sprintf("none, %d calls", l.Calls)
-	case l.Age >= coldstart.UnknownAge.Seconds():
+	case l.AgeSeconds >= coldstart.UnknownAge.Seconds():
 		return fmt.Sprintf("%s (%s, age unknown)", l.State, l.Source)
 	}
-	return fmt.Sprintf("%s (%s, %.1fs)", l.State, l.Source, l.Age)
+	return fmt.Sprintf("%s (%s, %.1fs)", l.State, l.Source, l.AgeSeconds)
 }
 
 func instancesCheck(a *asking) *cobra.Command {
--- a/internal/coldstart/coldstart.go
+++ b/internal/coldstart/coldstart.go
@@ -9,45 +9,45 @@
 	"time"
 )
 
-// Part is the part of a start that a node is in.
-type Part uint8
+// Phase is the part of a start that a node is in.
+type Phase uint8
 
 // The parts.
 const (
-	Empty   Part = iota // no list is known: nobody can be placed
-	Old                 // a list is known, and nobody has confirmed it within the time that the settings allow
-	Current             // confirmed within that time
+	NoList      Phase = iota // no list is known: nobody can be placed
+	StaleList                // a list is known, and nobody has confirmed it within the time that the settings allow
+	CurrentList              // confirmed within that time
 )
 
 // String names a part as operators read it.
-func (p Part) String() string { return [...]string{"none", "old", "current"}[p] }
+func (p Phase) String() string { return [...]string{"none", "old", "current"}[p] }
 
 // Source is where the list that a node holds came from.
 type Source string
 
 // The sources.
 const (
-	Nowhere Source = ""
-	File    Source = "file"    // the configuration's list as it was last held
-	Folder  Source = "folder"  // the node's own lasting folder
-	Peer    Source = "peer"    // another node passed it on
-	Service Source = "service" // the list service told it
+	NoSource      Source = ""
+	SourceFile    Source = "file"    // the configuration's list as it was last held
+	SourceFolder  Source = "folder"  // the node's own lasting folder
+	SourcePeer    Source = "peer"    // another node passed it on
+	SourceService Source = "service" // the list service told it
 )
 
 // Config is what bounds a start. Times are spans.
 type Config struct {
-	Nodes     int           // how many start together, by the settings
-	Index     int           // of this node among them, from 0
-	AskWithin time.Duration // the longest time between questions to the list, by the settings
-	Peers     bool          // lists are passed on
-	Service   string        // the name that all nodes know the list service by
+	NodeCount    int           // how many start together, by the settings
+	Index        int           // of this node among them, from 0
+	PollInterval time.Duration // the longest time between questions to the list, by the settings
+	Peers        bool          // lists are passed on
+	Service      string        // the name that all nodes know the list service by
 }
 
 const (
-	// fewNodes is how many may ask within a twentieth of AskWithin: their calls wait for each other and no harm is done.
+	// fewNodes is how many may ask within a twentieth of PollInterval: their calls wait for each other and no harm is done.
 	fewNodes = 25
-	// restTimes is how many times AskWithin a node's calls lie apart that fail, and those of nodes that are told by
-	// others. The service must bear a call of every node in AskWithin, so this is a quarter of that, whatever the size.
+	// restTimes is how many times PollInterval a node's calls lie apart that fail, and those of nodes that are told by
+	// others. The service must bear a call of every node in PollInterval, so this is a quarter of that, whatever the size.
 	restTimes = 4
 	// firstAsk is how many nodes, by their index, ask at once for all where lists are passed on.
 	firstAsk = 4
@@ -55,10 +55,10 @@
 	aloneAfter = 6 * time.Second
 	// stoodStill is how late a call may be before the process counts as one that did not run meanwhile.
 	stoodStill = time.Second
-	// MostAge is the age from which on a list is worth nothing to anyone.
-	MostAge = 24 * time.Hour
+	// MaxAge is the age from which on a list is worth nothing to anyone.
+	MaxAge = 24 * time.Hour
 	// UnknownAge is what a list of unknown age counts as.
-	UnknownAge = MostAge / 2
+	UnknownAge = MaxAge / 2
 )
 
 // Offer is a list that somebody passes on, without its hosts.
@@ -69,8 +69,8 @@
 	Hosts    int
 }
 
-// Start is the memory of one node's start.
-type Start struct {
+// Scheduler is the memory of one node's start.
+type Scheduler struct {
 	cfg Config
 	rng *rand.Rand
 
@@ -92,21 +92,21 @@
 }
 
 // New begins a start. held says what is known already: its source is Nowhere where nothing is.
-func New(cfg Config, rng *rand.Rand, now time.Duration, source Source, held Offer) *Start {
-	s := &Start{cfg: cfg, rng: rng, heard: now}
-	if source != Nowhere && held.Hosts > 0 {
+func New(cfg Config, rng *rand.Rand, now time.Duration, source Source, held Offer) *Scheduler {
+	s := &Scheduler{cfg: cfg, rng: rng, heard: now}
+	if source != NoSource && held.Hosts > 0 {
 		s.known, s.source, s.revision, s.confirmed = true, source, held.Revision, now-held.Age
 	}
 	return s
 }
 
-// Due reports whether a call to the service goes out now. It is asked often; a call that it lets go is ended by Failed, or
+// CallDue reports whether a call to the service goes out now. It is asked often; a call that it lets go is ended by Failed, or
 // goes on for as long as its watch stands.
-func (s *Start) Due(now time.Duration) bool {
+func (s *Scheduler) CallDue(now time.Duration) bool {
 	if s.out {
 		return false
 	}
-	if s.source == Peer && s.age(now) < s.freshFor() && !s.must {
+	if s.source == SourcePeer && s.age(now) < s.freshFor() && !s.must {
 		s.plan = false // somebody else asks for this node
 		return false
 	}
@@ -131,8 +131,8 @@
 // noCall stands for a call that is not planned.
 const noCall = time.Hour
 
-// Wait is the time until Due is to be asked again at the latest.
-func (s *Start) Wait(now time.Duration) time.Duration {
+// NextCallIn is the time until Due is to be asked again at the latest.
+func (s *Scheduler) NextCallIn(now time.Duration) time.Duration {
 	if !s.plan {
 		return noCall
 	}
@@ -140,121 +140,121 @@
 }
 
 // span is the time over which the nodes that would call the service spread their calls.
-func (s *Start) span(now time.Duration) time.Duration {
+func (s *Scheduler) span(now time.Duration) time.Duration {
 	if s.rest > 0 {
 		return s.rest
 	}
-	size := float64(s.cfg.Nodes) / fewNodes
+	size := float64(s.cfg.NodeCount) / fewNodes
 	if s.cfg.Peers && s.calls == 0 && s.cfg.Index < firstAsk {
-		return s.cfg.AskWithin / 100
+		return s.cfg.PollInterval / 100
 	}
 	if s.cfg.Peers && now-s.heard < aloneAfter { // the first that is told tells the others
-		return s.least(time.Duration(float64(restTimes*s.cfg.AskWithin) * min(1, size/8)))
+		return s.least(time.Duration(float64(restTimes*s.cfg.PollInterval) * min(1, size/8)))
 	}
 	// Half of the time allowed is twice as fast as the service must bear, and leaves the other half for a repeat.
-	return s.least(time.Duration(float64(s.cfg.AskWithin/2) * min(1, size/2-0.5)))
+	return s.least(time.Duration(float64(s.cfg.PollInterval/2) * min(1, size/2-0.5)))
 }
 
-func (s *Start) least(d time.Duration) time.Duration { return max(d, s.cfg.AskWithin/20) }
+func (s *Scheduler) least(d time.Duration) time.Duration { return max(d, s.cfg.PollInterval/20) }
 
-func (s *Start) jitter(span time.Duration) time.Duration {
+func (s *Scheduler) jitter(span time.Duration) time.Duration {
 	return time.Duration(s.rng.Float64() * float64(span))
 }
 
-// Failed says that a call ended, or its watch broke, and when the service said to come again: 0 for nothing. What it says
+// CallFailed says that a call ended, or its watch broke, and when the service said to come again: 0 for nothing. What it says
 // is believed up to the rest that a node takes by itself: a word of an hour would leave the node blind for as long.
-func (s *Start) Failed(now time.Duration, after time.Duration) {
+func (s *Scheduler) CallFailed(now time.Duration, after time.Duration) {
 	s.out = false
 	s.failed++
 	if s.told { // a watch that broke: the service was well until now
 		s.rest, s.told = 0, false
 	} else {
-		s.rest = min(max(2*s.rest, s.span(now)), restTimes*s.cfg.AskWithin)
+		s.rest = min(max(2*s.rest, s.span(now)), restTimes*s.cfg.PollInterval)
 	}
-	s.not = now + min(max(after, 0), restTimes*s.cfg.AskWithin)
+	s.not = now + min(max(after, 0), restTimes*s.cfg.PollInterval)
 	// Those who failed together must not come again together, nor at once: the first half of the rest is kept.
 	s.plan, s.due = true, max(s.not, now+s.rest/2)+s.jitter(s.span(now))
 }
 
-// Told says that the service told a list, or confirmed the one that is held.
-func (s *Start) Told(now time.Duration, revision int64, hosts int) {
+// ListReceived says that the service told a list, or confirmed the one that is held.
+func (s *Scheduler) ListReceived(now time.Duration, revision int64, hosts int) {
 	s.known = s.known || hosts > 0
-	s.source, s.revision, s.confirmed = Service, revision, now
+	s.source, s.revision, s.confirmed = SourceService, revision, now
 	s.told, s.must, s.rest, s.not = true, false, 0, 0
 }
 
-// Beat says that the watch stands: what is held is confirmed. It reports whether it is.
-func (s *Start) Beat(now time.Duration) bool {
+// Heartbeat says that the watch stands: what is held is confirmed. It reports whether it is.
+func (s *Scheduler) Heartbeat(now time.Duration) bool {
 	if s.out && s.told {
 		s.confirmed = now
 	}
 	return s.out && s.told
 }
 
-// Follow says that another service is asked from now on, which knows no revision of the old one.
-func (s *Start) Follow(now time.Duration, service string) {
+// SetService says that another service is asked from now on, which knows no revision of the old one.
+func (s *Scheduler) SetService(now time.Duration, service string) {
 	s.cfg.Service, s.revision = service, -1
 	s.out, s.told, s.plan, s.rest, s.not = false, false, false, 0, 0
-	if s.source != Nowhere {
-		s.source = File // what is held is of another service: nobody confirms it
+	if s.source != NoSource {
+		s.source = SourceFile // what is held is of another service: nobody confirms it
 	}
 }
 
-// Doubt has the node ask the service itself, whoever else tells it.
-func (s *Start) Doubt(now time.Duration) {
+// MarkStale has the node ask the service itself, whoever else tells it.
+func (s *Scheduler) MarkStale(now time.Duration) {
 	if !s.out && !s.must {
 		s.plan, s.due = true, max(now, s.not)+s.jitter(s.span(now))
 	}
 	s.must = true // until the service has told: a call that is out, or the next one, may fail
 }
 
-// Heard says that another node answered, whatever it had to tell.
-func (s *Start) Heard(now time.Duration) { s.heard = max(s.heard, now) }
+// PeerContacted says that another node answered, whatever it had to tell.
+func (s *Scheduler) PeerContacted(now time.Duration) { s.heard = max(s.heard, now) }
 
 // Verdict is what becomes of an offer.
 type Verdict uint8
 
 // The verdicts.
 const (
-	Pass    Verdict = iota // it is of no use here
+	Ignore  Verdict = iota // it is of no use here
 	Confirm                // what is held is no older than that
-	Take                   // it is newer than what is held
+	Adopt                  // it is newer than what is held
 )
 
-// Offered judges a list that another node passed on. It never goes back behind what is held, and never takes the place of
+// ConsiderPeerList judges a list that another node passed on. It never goes back behind what is held, and never takes the place of
 // what the service itself tells. The reason is for the log.
-func (s *Start) Offered(now time.Duration, o Offer) (v Verdict, why string) {
+func (s *Scheduler) ConsiderPeerList(now time.Duration, o Offer) (v Verdict, why string) {
 	at := now - max(o.Age, 0)
 	switch {
 	case o.Service != s.cfg.Service:
-		return Pass, fmt.Sprintf("it is of the service %q, this node asks %q", o.Service, s.cfg.Service)
-	case o.Age > MostAge:
-		return Pass, fmt.Sprintf("it is %s old", o.Age.Round(time.Second))
+		return Ignore, fmt.Sprintf("it is of the service %q, this node asks %q", o.Service, s.cfg.Service)
+	case o.Age > MaxAge:
+		return Ignore, fmt.Sprintf("it is %s old", o.Age.Round(time.Second))
 	case o.Hosts == 0:
-		return Pass, "it has no hosts"
+		return Ignore, "it has no hosts"
 	case s.out && s.told:
-		return Pass, "this node is told by the service itself"
+		return Ignore, "this node is told by the service itself"
 	case s.known && o.Revision < s.revision:
-		return Pass, fmt.Sprintf("its revision %d is behind %d", o.Revision, s.revision)
+		return Ignore, fmt.Sprintf("its revision %d is behind %d", o.Revision, s.revision)
 	case s.known && o.Revision == s.revision:
 		if at > s.confirmed {
-			s.confirmed, s.source = at, Peer
+			s.confirmed, s.source = at, SourcePeer
 			return Confirm, ""
 		}
-		return Pass, "it is older than what is held"
+		return Ignore, "it is older than what is held"
 	}
-	s.known, s.source, s.revision, s.confirmed = true, Peer, o.Revision, at
-	return Take, ""
+	s.known, s.source, s.revision, s.confirmed = true, SourcePeer, o.Revision, at
+	return Adopt, ""
 }
 
 // freshFor is how old what others told may be before the node asks for itself.
-func (s *Start) freshFor() time.Duration { return s.cfg.AskWithin * 3 / 5 }
+func (s *Scheduler) freshFor() time.Duration { return s.cfg.PollInterval * 3 / 5 }
 
-func (s *Start) age(now time.Duration) time.Duration { return max(now-s.confirmed, 0) }
+func (s *Scheduler) age(now time.Duration) time.Duration { return max(now-s.confirmed, 0) }
 
 // State is how a node's start stands.
 type State struct {
-	Part     Part
+	Phase    Phase
 	Source   Source
 	Revision int64
 	Age      time.Duration // of what is held; 0 where nothing is
@@ -264,7 +264,7 @@
 }
 
 // State tells how the start stands.
-func (s *Start) State(now time.Duration) State {
+func (s *Scheduler) State(now time.Duration) State {
 	st := State{Source: s.source, Revision: s.revision, Calls: s.calls, Failed: s.failed}
 	if s.plan {
 		st.Next = max(s.due-now, 0)
@@ -272,9 +272,9 @@
 	if !s.known {
 		return st
 	}
-	st.Part, st.Age = Old, s.age(now)
-	if (s.source == Service || s.source == Peer) && st.Age <= s.cfg.AskWithin {
-		st.Part = Current
+	st.Phase, st.Age = StaleList, s.age(now)
+	if (s.source == SourceService || s.source == SourcePeer) && st.Age <= s.cfg.PollInterval {
+		st.Phase = CurrentList
 	}
 	return st
 }
--- a/internal/coldstart/coldstart_test.go
+++ b/internal/coldstart/coldstart_test.go
@@ -37,12 +37,12 @@
 		at   time.Duration
 		ok   bool
 	}
-	var all []*Start
+	var all []*Scheduler
 	var answers []answer
 	told = make([]time.Duration, n)
 	for i := range n {
-		all = append(all, New(Config{Nodes: n, Index: i, AskWithin: askWithin, Peers: peers, Service: "s"},
-			rand.New(rand.NewPCG(uint64(i), 7)), 0, Nowhere, Offer{}))
+		all = append(all, New(Config{NodeCount: n, Index: i, PollInterval: askWithin, Peers: peers, Service: "s"},
+			rand.New(rand.NewPCG(uint64(i), 7)), 0, NoSource, Offer{}))
 	}
 	first := time.Duration(0)
 	for now := time.Duration(0); now < until; now += 10 * ms {
@@ -52,7 +52,7 @@
 			case a.at > now:
 				left = append(left, a)
 			case a.ok:
-				all[a.node].Told(now, 1, 5)
+				all[a.node].ListReceived(now, 1, 5)
 				if told[a.node] == 0 {
 					told[a.node] = now
 				}
@@ -60,20 +60,20 @@
 					first = now
 				}
 			default:
-				all[a.node].Failed(now, s.after)
+				all[a.node].CallFailed(now, s.after)
 			}
 		}
 		answers = left
 		for i, x := range all {
 			if peers && now%(2*time.Second) == time.Duration(i%200)*10*ms { // each hears of others every other second
-				x.Heard(now)
+				x.PeerContacted(now)
 			}
 			if peers && first > 0 && now >= first+100*ms && !x.told {
-				if v, _ := x.Offered(now, Offer{Service: "s", Revision: 1, Age: 50 * ms, Hosts: 5}); v == Take && told[i] == 0 {
+				if v, _ := x.ConsiderPeerList(now, Offer{Service: "s", Revision: 1, Age: 50 * ms, Hosts: 5}); v == Adopt && told[i] == 0 {
 					told[i] = now
 				}
 			}
-			if !x.Due(now) {
+			if !x.CallDue(now) {
 				continue
 			}
 			s.called = append(s.called, now)
@@ -141,11 +141,11 @@
 // What the service says of when to come again holds, and neither nothing nor an hour makes a node call at once or never.
 func TestRetryAfterOfAnySize(t *testing.T) {
 	for _, after := range []time.Duration{0, time.Second, time.Hour, -time.Hour, 1 << 62} {
-		s := New(Config{Nodes: 300, AskWithin: askWithin}, rand.New(rand.NewPCG(1, 2)), 0, Nowhere, Offer{})
+		s := New(Config{NodeCount: 300, PollInterval: askWithin}, rand.New(rand.NewPCG(1, 2)), 0, NoSource, Offer{})
 		now := time.Duration(0)
 		next := func() time.Duration {
 			for from := now; ; now += 10 * ms {
-				if s.Due(now) {
+				if s.CallDue(now) {
 					return now - from
 				}
 				if now-from > 10*restTimes*askWithin {
@@ -154,7 +154,7 @@
 			}
 		}
 		next()
-		s.Failed(now, after)
+		s.CallFailed(now, after)
 		if waited := next(); waited < min(after, restTimes*askWithin) || waited < 100*ms {
 			t.Errorf("told to come after %v it called after %v", after, waited)
 		}
@@ -165,41 +165,41 @@
 // as younger than it is, and never takes the place of what the service itself tells.
 func TestOffersNeverGoBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := New(Config{Nodes: 3, AskWithin: askWithin, Peers: true, Service: "s"}, rand.New(rand.NewPCG(1, 2)), 0, Nowhere, Offer{})
+		s := New(Config{NodeCount: 3, PollInterval: askWithin, Peers: true, Service: "s"}, rand.New(rand.NewPCG(1, 2)), 0, NoSource, Offer{})
 		now, held, confirmed, own := time.Duration(0), int64(-1), time.Duration(-1), false
 		for range rapid.IntRange(1, 40).Draw(t, "n") {
 			now += time.Duration(rapid.IntRange(1, 5000).Draw(t, "ms")) * ms
 			switch rapid.IntRange(0, 5).Draw(t, "what") {
 			case 0:
-				if own = own || s.Due(now); own {
+				if own = own || s.CallDue(now); own {
 					held, confirmed = int64(rapid.IntRange(0, 9).Draw(t, "told")), now // also a lower one: it is the service
-					s.Told(now, held, 3)
+					s.ListReceived(now, held, 3)
 				}
 			case 1:
 				if own {
-					s.Failed(now, 0)
+					s.CallFailed(now, 0)
 					own = false
 				}
 			default:
 				o := Offer{Service: rapid.SampledFrom([]string{"s", "s", "s", "other"}).Draw(t, "service"),
 					Revision: int64(rapid.IntRange(0, 9).Draw(t, "revision")), Hosts: rapid.IntRange(0, 3).Draw(t, "hosts"),
 					Age: time.Duration(rapid.IntRange(0, 30000).Draw(t, "age")) * ms}
-				v, why := s.Offered(now, o)
+				v, why := s.ConsiderPeerList(now, o)
 				at := now - o.Age
 				fits := o.Service == "s" && o.Hosts > 0 && !own
 				switch {
-				case v == Take && (!fits || o.Revision <= held), v == Confirm && (!fits || o.Revision != held || at <= confirmed):
+				case v == Adopt && (!fits || o.Revision <= held), v == Confirm && (!fits || o.Revision != held || at <= confirmed):
 					t.Fatalf("%+v: verdict %d, held %d", o, v, held)
-				case v == Pass && why == "":
+				case v == Ignore && why == "":
 					t.Fatal("an offer is passed over without a reason")
-				case v == Take:
+				case v == Adopt:
 					held, confirmed = o.Revision, at
 				case v == Confirm:
 					confirmed = at
 				}
 			}
 			st := s.State(now)
-			if held >= 0 && (st.Revision != held || st.Age != now-confirmed) || st.Part == Current && st.Age > askWithin {
+			if held >= 0 && (st.Revision != held || st.Age != now-confirmed) || st.Phase == CurrentList && st.Age > askWithin {
 				t.Fatalf("held %d of %v, state %+v at %v", held, confirmed, st, now)
 			}
 		}
@@ -208,9 +208,9 @@
 
 // A node whose others have fallen silent asks for itself as if there were none.
 func TestANodeLeftAloneAsksForItself(t *testing.T) {
-	s := New(Config{Nodes: 300, Index: 99, AskWithin: askWithin, Peers: true}, rand.New(rand.NewPCG(9, 2)), 0, Nowhere, Offer{})
+	s := New(Config{NodeCount: 300, Index: 99, PollInterval: askWithin, Peers: true}, rand.New(rand.NewPCG(9, 2)), 0, NoSource, Offer{})
 	now := time.Duration(0)
-	for ; !s.Due(now); now += 50 * ms {
+	for ; !s.CallDue(now); now += 50 * ms {
 		if now > aloneAfter+askWithin {
 			t.Fatal("it waits for others that say nothing")
 		}
@@ -219,15 +219,15 @@
 
 // What others told and nobody confirms any more is asked for in time; what they confirm is not.
 func TestWhatOthersToldIsAskedForWhenItAges(t *testing.T) {
-	s := New(Config{Nodes: 10, Index: 9, AskWithin: askWithin, Peers: true, Service: "s"}, rand.New(rand.NewPCG(9, 2)), 0, Nowhere, Offer{})
+	s := New(Config{NodeCount: 10, Index: 9, PollInterval: askWithin, Peers: true, Service: "s"}, rand.New(rand.NewPCG(9, 2)), 0, NoSource, Offer{})
 	now := time.Duration(0)
 	for ; now < time.Minute; now += 100 * ms {
-		s.Offered(now, Offer{Service: "s", Revision: 1, Age: time.Second, Hosts: 2})
-		if s.Due(now) {
+		s.ConsiderPeerList(now, Offer{Service: "s", Revision: 1, Age: time.Second, Hosts: 2})
+		if s.CallDue(now) {
 			t.Fatal("it asks though others do")
 		}
 	}
-	for ; !s.Due(now); now += 100 * ms {
+	for ; !s.CallDue(now); now += 100 * ms {
 		if now > time.Minute+askWithin {
 			t.Fatalf("what is held is %v old and is not asked for", s.State(now).Age)
 		}
@@ -238,14 +238,14 @@
 // right or not there, and never younger than it is.
 func TestAKeptListIsWholeOrNotThere(t *testing.T) {
 	wrote := time.UnixMilli(1_700_000_000_000)
-	k := Kept{Service: "s", Confirmed: wrote.UnixMilli(), List: wire.Catalog{Revision: 41, Complete: true, Members: []wire.Member{
+	k := CachedList{Service: "s", Confirmed: wrote.UnixMilli(), List: wire.EndpointList{Revision: 41, Complete: true, Endpoints: []wire.Endpoint{
 		{ID: "h1", Addr: "127.0.0.1:1", Zone: "a", Size: 1}, {ID: "h2", Addr: "127.0.0.1:2", Phase: wire.Draining, Size: 2}}}}
 	text, err := k.Encode()
 	if err != nil {
 		t.Fatal(err)
 	}
 	list, age, err := Decode(text, "s", wrote.Add(time.Minute))
-	if err != nil || age != time.Minute || list.Revision != 41 || len(list.Members) != 2 || list.Members[1] != k.List.Members[1] {
+	if err != nil || age != time.Minute || list.Revision != 41 || len(list.Endpoints) != 2 || list.Endpoints[1] != k.List.Endpoints[1] {
 		t.Fatalf("read %+v, %v, %v", list, age, err)
 	}
 	for i := range text {
@@ -263,8 +263,8 @@
 		now     time.Time
 		err     error
 		age     time.Duration
-	}{{"other", wrote, ErrForeign, 0}, {"s", wrote.Add(MostAge + time.Second), ErrOld, MostAge + time.Second}, {"s", wrote.Add(-time.Hour), nil, UnknownAge}} {
-		if _, age, err := Decode(text, c.service, c.now); !errors.Is(err, c.err) || c.err != ErrForeign && age != c.age {
+	}{{"other", wrote, ErrOtherService, 0}, {"s", wrote.Add(MaxAge + time.Second), ErrTooOld, MaxAge + time.Second}, {"s", wrote.Add(-time.Hour), nil, UnknownAge}} {
+		if _, age, err := Decode(text, c.service, c.now); !errors.Is(err, c.err) || c.err != ErrOtherService && age != c.age {
 			t.Errorf("of %q at %v: age %v, error %v", c.service, c.now, age, err)
 		}
 	}
--- a/internal/coldstart/stored_test.go
+++ b/internal/coldstart/stored_test.go
@@ -21,13 +21,13 @@
 	if err != nil || age != time.Minute {
 		t.Fatalf("age %s, %v", age, err)
 	}
-	want := wire.Catalog{Revision: 42, Complete: true, Members: []wire.Member{
-		{ID: "host-a", Addr: "127.0.0.1:9001", Zone: "z1", Cell: 2, Phase: wire.Serving, Size: 1.5, UpSince: 1764590000000},
-		{ID: "host-b", Addr: "127.0.0.1:9002", Zone: "z2", Phase: wire.Draining, Size: 1, UpSince: 1764580000000}}}
+	want := wire.EndpointList{Revision: 42, Complete: true, Endpoints: []wire.Endpoint{
+		{ID: "host-a", Addr: "127.0.0.1:9001", Zone: "z1", Cell: 2, Phase: wire.Serving, Size: 1.5, StartedAtMS: 1764590000000},
+		{ID: "host-b", Addr: "127.0.0.1:9002", Zone: "z2", Phase: wire.Draining, Size: 1, StartedAtMS: 1764580000000}}}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Error(diff)
 	}
-	again, err := Kept{Service: "lists", Confirmed: confirmed.UnixMilli(), List: got}.Encode()
+	again, err := CachedList{Service: "lists", Confirmed: confirmed.UnixMilli(), List: got}.Encode()
 	if diff := cmp.Diff(string(text), string(again)); diff != "" || err != nil {
 		t.Errorf("%v, an earlier release would not read it: %s", err, diff)
 	}
--- a/internal/control/accept_test.go
+++ b/internal/control/accept_test.go
@@ -30,7 +30,7 @@
 // An accept that fails for a moment must not end the listener, and with it the node: whoever runs Serve ends as it returns.
 func TestServe_AcceptFailsForAMoment_GoesOn(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s")
-	l, err := Local(path, leastConns)
+	l, err := ListenUnix(path, leastConns)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -27,20 +27,20 @@
 // Command is one order to an instance. It is known by its operation, and ordered by its fence: a number that whoever
 // gives orders raises with each operation. Times are spans, so that clocks an hour apart don't matter.
 type Command struct {
-	Operation string        `json:"operation"`
-	Fence     uint64        `json:"fence"`
-	Kind      string        `json:"kind"`
-	Host      string        `json:"host,omitempty"` // of host-drain and host-resume
-	Within    time.Duration `json:"within_ns,omitempty"`
-	After     time.Duration `json:"retry_after_ns,omitempty"` // when those who are turned away may come again
-	// Open is how long a node that drains still takes whom the front sends that has not noticed yet, and Keep says that
+	Operation    string        `json:"operation"`
+	Fence        uint64        `json:"fence"`
+	Kind         string        `json:"kind"`
+	Host         string        `json:"host,omitempty"` // of host-drain and host-resume
+	DrainTimeout time.Duration `json:"within_ns,omitempty"`
+	RetryAfter   time.Duration `json:"retry_after_ns,omitempty"` // when those who are turned away may come again
+	// AdmitFor is how long a node that drains still takes whom the front sends that has not noticed yet, and Keep says that
 	// what stands stays where packets pass through: it goes on by way of other nodes when this one ends.
-	Open time.Duration `json:"open_ns,omitempty"`
-	Keep bool          `json:"keep,omitempty"`
-	// Known has a word on a host that nobody has refused, instead of held until it comes.
-	Known bool `json:"known,omitempty"`
-	// At is when an order that reached another process of the node first was given there; zero for now.
-	At time.Time `json:"-"`
+	AdmitFor        time.Duration `json:"open_ns,omitempty"`
+	KeepConnections bool          `json:"keep,omitempty"`
+	// HostMustExist has a word on a host that nobody has refused, instead of held until it comes.
+	HostMustExist bool `json:"known,omitempty"`
+	// GivenAt is when an order that reached another process of the node first was given there; zero for now.
+	GivenAt time.Time `json:"-"`
 }
 
 // The bounds of a command.
@@ -57,12 +57,12 @@
 		return fmt.Errorf("operation: it has 1 to %d bytes", mostName)
 	case c.Fence == 0:
 		return errors.New("fence: it is above 0")
-	case c.Within < 0 || c.Within > mostWithin:
-		return fmt.Errorf("within_ns: %s is not between 0 and %s", c.Within, mostWithin)
-	case c.Open < 0 || c.Open > mostWithin:
-		return fmt.Errorf("open_ns: %s is not between 0 and %s", c.Open, mostWithin)
-	case c.After < 0 || c.After > mostAfter:
-		return fmt.Errorf("retry_after_ns: %s is not between 0 and %s", c.After, mostAfter)
+	case c.DrainTimeout < 0 || c.DrainTimeout > mostWithin:
+		return fmt.Errorf("within_ns: %s is not between 0 and %s", c.DrainTimeout, mostWithin)
+	case c.AdmitFor < 0 || c.AdmitFor > mostWithin:
+		return fmt.Errorf("open_ns: %s is not between 0 and %s", c.AdmitFor, mostWithin)
+	case c.RetryAfter < 0 || c.RetryAfter > mostAfter:
+		return fmt.Errorf("retry_after_ns: %s is not between 0 and %s", c.RetryAfter, mostAfter)
 	}
 	switch c.Kind {
 	case Drain, Resume:
@@ -81,58 +81,58 @@
 
 // The verdicts on a command.
 const (
-	Done    = "done"    // it took effect now, or did when it came first
-	Refused = "refused" // a newer one holds
+	Done     = "done"    // it took effect now, or did when it came first
+	Rejected = "refused" // a newer one holds
 )
 
 // Answer is what an instance says to a command. The same command is always given the same answer by one start of an
 // instance, whatever has come since it took effect.
 type Answer struct {
 	Verdict string `json:"verdict"`
-	Why     string `json:"why,omitempty"`
+	Reason  string `json:"why,omitempty"`
 	Fence   uint64 `json:"fence"` // of what holds for the instance, or the host
 	Boot    string `json:"boot"`  // which start of the instance answers
 }
 
 // HostStatus is a host as an instance sees it.
 type HostStatus struct {
-	ID    string `json:"id"`
-	State string `json:"state"` // live, draining or gone
-	Word  bool   `json:"word"`  // by an operator's word
-	Open  int    `json:"open"`  // connections of this instance there
+	ID          string `json:"id"`
+	State       string `json:"state"` // live, draining or gone
+	Overridden  bool   `json:"word"`  // by an operator's word
+	Connections int    `json:"open"`  // connections of this instance there
 }
 
 // ListStatus is how an instance came to its list of hosts, where its cold start is on.
 type ListStatus struct {
-	State  string  `json:"state"`            // none, old or current
-	Source string  `json:"source,omitempty"` // file, folder, peer or service
-	Age    float64 `json:"age_s"`            // since the service told or confirmed it
-	Calls  int     `json:"calls"`            // to the service, and how many of them failed or broke
-	Failed int     `json:"failed"`
-	Next   float64 `json:"next_call_s"` // until the next call, 0 where none is planned
+	State           string  `json:"state"`            // none, old or current
+	Source          string  `json:"source,omitempty"` // file, folder, peer or service
+	AgeSeconds      float64 `json:"age_s"`            // since the service told or confirmed it
+	Calls           int     `json:"calls"`            // to the service, and how many of them failed or broke
+	Failed          int     `json:"failed"`
+	NextCallSeconds float64 `json:"next_call_s"` // until the next call, 0 where none is planned
 }
 
 // Status is how an instance is.
 type Status struct {
-	Name      string       `json:"name"`
-	Boot      string       `json:"boot"` // changes with each start
-	State     string       `json:"state"`
-	Operation string       `json:"operation,omitempty"` // that made it so
-	Fence     uint64       `json:"fence"`
-	Owed      int64        `json:"owed"` // requests that wait for their final answer
-	Open      int64        `json:"open"` // connections that stand
-	Up        float64      `json:"up_s"`
-	Revision  int64        `json:"revision"` // of the list of hosts
-	List      *ListStatus  `json:"list,omitempty"`
-	Hosts     []HostStatus `json:"hosts,omitempty"`
-	Broken    uint64       `json:"broken_rules,omitempty"` // how often a check found a rule broken, see package invariant
-	GivenUp   []GivenUp    `json:"given_up,omitempty"`     // requests that were refused or failed
-	Serial    uint64       `json:"serial"`                 // counts changes, for those who follow them
+	Name           string              `json:"name"`
+	Boot           string              `json:"boot"` // changes with each start
+	State          string              `json:"state"`
+	Operation      string              `json:"operation,omitempty"` // that made it so
+	Fence          uint64              `json:"fence"`
+	InFlight       int64               `json:"owed"` // requests that wait for their final answer
+	Established    int64               `json:"open"` // connections that stand
+	UptimeSeconds  float64             `json:"up_s"`
+	Revision       int64               `json:"revision"` // of the list of hosts
+	List           *ListStatus         `json:"list,omitempty"`
+	Hosts          []HostStatus        `json:"hosts,omitempty"`
+	RuleViolations uint64              `json:"broken_rules,omitempty"` // how often a check found a rule broken, see package invariant
+	Abandoned      []AbandonedRequests `json:"given_up,omitempty"`     // requests that were refused or failed
+	Serial         uint64              `json:"serial"`                 // counts changes, for those who follow them
 }
 
-// GivenUp counts requests that were refused or failed for one reason.
-type GivenUp struct {
-	Why      string `json:"why"`
+// AbandonedRequests counts requests that were refused or failed for one reason.
+type AbandonedRequests struct {
+	Reason   string `json:"why"`
 	Requests int    `json:"requests"`
 }
 
@@ -194,8 +194,8 @@
 	}
 	switch {
 	case known && c.Fence < was.fence:
-		a.Verdict, a.Fence = Refused, was.fence
-		a.Why = fmt.Sprintf("operation %s with fence %d holds, %d is older", was.operation, was.fence, c.Fence)
+		a.Verdict, a.Fence = Rejected, was.fence
+		a.Reason = fmt.Sprintf("operation %s with fence %d holds, %d is older", was.operation, was.fence, c.Fence)
 	case known && c.Fence == was.fence:
 		return a, false, fmt.Errorf("fence: %d is that of operation %q already", c.Fence, was.operation)
 	default:
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -61,7 +61,7 @@
 
 func TestRegisterRefusesWhatCanNotBeMeant(t *testing.T) {
 	r := NewRegister("b")
-	good := Command{Operation: "o", Fence: 5, Kind: Drain, Within: time.Second}
+	good := Command{Operation: "o", Fence: 5, Kind: Drain, DrainTimeout: time.Second}
 	if _, act, err := r.Take(good); err != nil || !act {
 		t.Fatal(err)
 	}
@@ -71,7 +71,7 @@
 	}{
 		{Command{Operation: "o", Fence: 5, Kind: Resume}, "other contents"}, {Command{Operation: "p", Fence: 5, Kind: Drain}, "fence"},
 		{Command{Fence: 6, Kind: Drain}, "operation"}, {Command{Operation: "p", Kind: Drain}, "fence"}, {Command{Operation: "p", Fence: 6, Kind: "x"}, "kind"},
-		{Command{Operation: "p", Fence: 6, Kind: HostDrain}, "host"}, {Command{Operation: "p", Fence: 6, Kind: Drain, Within: -1}, "within"},
+		{Command{Operation: "p", Fence: 6, Kind: HostDrain}, "host"}, {Command{Operation: "p", Fence: 6, Kind: Drain, DrainTimeout: -1}, "within"},
 		{Command{Operation: strings.Repeat("p", 200), Fence: 6, Kind: Drain}, "operation"},
 	} {
 		if _, act, err := r.Take(c.c); act || err == nil || !strings.Contains(err.Error(), c.want) {
@@ -104,10 +104,10 @@
 func (f *fake) Status() Status {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return Status{Name: "n1", State: Serving, Open: int64(len(f.did))}
+	return Status{Name: "n1", State: Serving, Established: int64(len(f.did))}
 }
 
-func (f *fake) Do(c Command) error {
+func (f *fake) Apply(c Command) error {
 	if f.wait != nil {
 		<-f.wait
 	}
@@ -135,7 +135,7 @@
 func servedBy(t *testing.T, f Instance) (path string, c *Client) {
 	t.Helper()
 	path = filepath.Join(t.TempDir(), "s")
-	l, err := Local(path, leastConns)
+	l, err := ListenUnix(path, leastConns)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -159,7 +159,7 @@
 func TestACommandTwiceAndAtOnceTakesEffectOnce(t *testing.T) {
 	f := &fake{}
 	_, c := served(t, f)
-	cmd := Command{Operation: "o", Fence: 1, Kind: Drain, Within: time.Second}
+	cmd := Command{Operation: "o", Fence: 1, Kind: Drain, DrainTimeout: time.Second}
 	var wg sync.WaitGroup
 	answers := make(chan Answer, 20)
 	for range 20 {
@@ -184,7 +184,7 @@
 	if a, err := c.Do(t.Context(), Command{Operation: "p", Fence: 9, Kind: Resume}); err != nil || a.Verdict != Done {
 		t.Errorf("a newer one: %+v, %v", a, err)
 	}
-	if a, err := c.Do(t.Context(), Command{Operation: "q", Fence: 3, Kind: Drain}); err != nil || a.Verdict != Refused || a.Fence != 9 {
+	if a, err := c.Do(t.Context(), Command{Operation: "q", Fence: 3, Kind: Drain}); err != nil || a.Verdict != Rejected || a.Fence != 9 {
 		t.Errorf("an older one: %+v, %v", a, err)
 	}
 	if a, err := c.Do(t.Context(), cmd); err != nil || a.Verdict != Done || f.done() != 2 {
@@ -262,7 +262,7 @@
 
 func TestASocketOfOneThatRunsIsNotTakenOver(t *testing.T) {
 	path, _ := served(t, &fake{})
-	if l, err := Local(path, leastConns); err == nil {
+	if l, err := ListenUnix(path, leastConns); err == nil {
 		_ = l.Close()
 		t.Error("two listen on one socket")
 	}
@@ -270,7 +270,7 @@
 	if err := os.WriteFile(file, []byte("x"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Local(file, leastConns); err == nil {
+	if _, err := ListenUnix(file, leastConns); err == nil {
 		t.Error("a file was taken for a socket")
 	}
 	if info, err := os.Stat(path); err != nil || info.Mode().Perm() != 0o600 {
@@ -285,25 +285,25 @@
 	s := NewServer(f, "boot", leastConns, zap.NewNop())
 	give := func(op string, fence uint64, kind, verdict string) {
 		t.Helper()
-		if a, err := s.Do(Command{Operation: op, Fence: fence, Kind: kind}); err != nil || a.Verdict != verdict {
+		if a, err := s.Apply(Command{Operation: op, Fence: fence, Kind: kind}); err != nil || a.Verdict != verdict {
 			t.Errorf("%s: %+v, %v", op, a, err)
 		}
 	}
 	give("first", 5, Drain, Done)
-	if err := s.Order(Command{Kind: Resume}); err != nil || f.done() != 2 {
+	if err := s.ApplyManual(Command{Kind: Resume}); err != nil || f.done() != 2 {
 		t.Errorf("by hand: %v, %d done", err, f.done())
 	}
-	give("older", 4, Drain, Refused)
+	give("older", 4, Drain, Rejected)
 	give("first", 5, Drain, Done) // known, and not done again
 	give("next", 6, Drain, Done)
 	if f.done() != 3 {
 		t.Errorf("%d were done", f.done())
 	}
 	f.fails = errors.New("held up")
-	if err := s.Order(Command{Kind: Resume}); !errors.Is(err, f.fails) {
+	if err := s.ApplyManual(Command{Kind: Resume}); !errors.Is(err, f.fails) {
 		t.Errorf("by hand: %v", err)
 	}
-	if _, err := s.Do(Command{Operation: "last", Fence: 7, Kind: Resume}); !errors.Is(err, f.fails) {
+	if _, err := s.Apply(Command{Operation: "last", Fence: 7, Kind: Resume}); !errors.Is(err, f.fails) {
 		t.Errorf("by number: %v", err)
 	}
 	if op, fence := s.register.Holds(); op != "next" || fence != 6 || len(s.register.order) != len(s.register.answers) {
@@ -311,7 +311,7 @@
 	}
 	f.fails = nil
 	give("last", 7, Resume, Done)
-	if err := s.Order(Command{Kind: "reboot"}); err == nil || f.done() != 4 {
+	if err := s.ApplyManual(Command{Kind: "reboot"}); err == nil || f.done() != 4 {
 		t.Errorf("nonsense: %v, %d done", err, f.done())
 	}
 }
--- a/internal/control/list.go
+++ b/internal/control/list.go
@@ -13,37 +13,37 @@
 	"onyxstream/internal/wire"
 )
 
-// Passed is the list of hosts as one instance passes it on to another.
-type Passed struct {
-	Service  string        `json:"service"` // that told it first, by the name that all instances know it by
-	Age      time.Duration `json:"age_ns"`  // since the service last told or confirmed it, as of the answer
-	Waited   time.Duration `json:"waited_ns"`
-	Revision int64         `json:"revision"`
-	List     *wire.Catalog `json:"list,omitempty"` // nil where the asker's revision is this one
-	Dead     []Dead        `json:"dead,omitempty"` // hosts that could not be connected to while the list is old
+// PeerList is the list of hosts as one instance passes it on to another.
+type PeerList struct {
+	Service     string             `json:"service"` // that told it first, by the name that all instances know it by
+	Age         time.Duration      `json:"age_ns"`  // since the service last told or confirmed it, as of the answer
+	Waited      time.Duration      `json:"waited_ns"`
+	Revision    int64              `json:"revision"`
+	List        *wire.EndpointList `json:"list,omitempty"` // nil where the asker's revision is this one
+	Unreachable []UnreachableHost  `json:"dead,omitempty"` // hosts that could not be connected to while the list is old
 }
 
-// Dead is a host that a node could not connect to, and how long ago.
-type Dead struct {
+// UnreachableHost is a host that a node could not connect to, and how long ago.
+type UnreachableHost struct {
 	ID  string        `json:"id"`
 	Age time.Duration `json:"age_ns"`
 }
 
-// Holding is the list that an instance holds now.
-type Holding struct {
-	Service   string
-	List      wire.Catalog // complete; never changed once it is held
-	Confirmed time.Time    // when the service last told or confirmed it
-	Fresh     chan struct{}
-	Dead      []string    // hosts that could not be connected to of late, and when
-	DeadAt    []time.Time // of each
+// CachedList is the list that an instance holds now.
+type CachedList struct {
+	Service       string
+	List          wire.EndpointList // complete; never changed once it is held
+	Confirmed     time.Time         // when the service last told or confirmed it
+	Replaced      chan struct{}
+	Unreachable   []string    // hosts that could not be connected to of late, and when
+	UnreachableAt []time.Time // of each
 }
 
-// Lister is an instance that passes its list on. Holding returns nil where it has none; Fresh of what it returns is closed
-// once there is another, and Empty once there is a first one.
-type Lister interface {
-	Holding() *Holding
-	Empty() <-chan struct{}
+// ListProvider is an instance that passes its list on. CachedList returns nil where it has none; Replaced of what it returns is closed
+// once there is another, and ListAvailable once there is a first one.
+type ListProvider interface {
+	CachedList() *CachedList
+	ListAvailable() <-chan struct{}
 }
 
 const (
@@ -57,23 +57,23 @@
 // list answers a call for the list: at once where what is held is newer than the asker's, else when it is, or when the
 // asked time is over. An asker that knows the revision is told its age alone.
 func (s *Server) list(w http.ResponseWriter, q *http.Request) {
-	l, ok := s.instance.(Lister)
+	l, ok := s.instance.(ListProvider)
 	if !ok {
-		Fail(w, http.StatusNotFound, errors.New("this instance passes no list on"))
+		WriteError(w, http.StatusNotFound, errors.New("this instance passes no list on"))
 		return
 	}
 	select {
 	case s.askers <- struct{}{}:
 		defer func() { <-s.askers }()
 	default:
-		Fail(w, http.StatusServiceUnavailable, fmt.Errorf("%d calls for the list wait, no more can", cap(s.askers)))
+		WriteError(w, http.StatusServiceUnavailable, fmt.Errorf("%d calls for the list wait, no more can", cap(s.askers)))
 		return
 	}
 	began := time.Now()
 	service, known := q.URL.Query().Get("service"), knownDead{}
 	if q.Method == http.MethodPost {
 		if err := ReadJSON(http.MaxBytesReader(w, q.Body, deadBody), &known); err != nil {
-			Fail(w, http.StatusBadRequest, fmt.Errorf("dead: %w", err))
+			WriteError(w, http.StatusBadRequest, fmt.Errorf("dead: %w", err))
 			return
 		}
 	}
@@ -83,30 +83,30 @@
 	}
 	after, age, within, err := asked(q.URL.Query())
 	if err != nil {
-		Fail(w, http.StatusBadRequest, err)
+		WriteError(w, http.StatusBadRequest, err)
 		return
 	}
 	late := time.NewTimer(within)
 	defer late.Stop()
 	for {
-		empty := l.Empty() // before Holding: what comes between the two is not missed
-		h := l.Holding()
+		empty := l.ListAvailable() // before CachedList: what comes between the two is not missed
+		h := l.CachedList()
 		now := time.Now()
 		over := now.Sub(began) >= within
 		changed := empty
 		if h != nil && h.Service != service { // of no use to the asker, nor will it be soon
-			changed, h = h.Fresh, nil
+			changed, h = h.Replaced, nil
 		}
 		if h != nil {
 			ahead := now.Sub(began) + age - now.Sub(h.Confirmed) // by how much the asker's is older by now
-			news := q.Method == http.MethodPost && slices.ContainsFunc(h.Dead, func(id string) bool { return !dead[id] })
+			news := q.Method == http.MethodPost && slices.ContainsFunc(h.Unreachable, func(id string) bool { return !dead[id] })
 			if h.List.Revision > after || over || (news || ahead >= fresher) && h.List.Revision == after {
 				s.pass(w, h, after, began)
 				return
 			}
-			changed = h.Fresh
+			changed = h.Replaced
 		} else if over {
-			Fail(w, http.StatusNotFound, fmt.Errorf("this instance has no list of %q", service))
+			WriteError(w, http.StatusNotFound, fmt.Errorf("this instance has no list of %q", service))
 			return
 		}
 		select {
@@ -123,17 +123,17 @@
 	Dead []string `json:"dead"`
 }
 
-func (s *Server) pass(w http.ResponseWriter, h *Holding, after int64, began time.Time) {
+func (s *Server) pass(w http.ResponseWriter, h *CachedList, after int64, began time.Time) {
 	now := time.Now()
-	p := Passed{Service: h.Service, Age: now.Sub(h.Confirmed), Waited: now.Sub(began), Revision: h.List.Revision}
+	p := PeerList{Service: h.Service, Age: now.Sub(h.Confirmed), Waited: now.Sub(began), Revision: h.List.Revision}
 	if h.List.Revision != after {
 		p.List = &h.List
 	}
-	for i, id := range h.Dead[:min(len(h.Dead), mostDead)] {
-		p.Dead = append(p.Dead, Dead{id, now.Sub(h.DeadAt[i])})
+	for i, id := range h.Unreachable[:min(len(h.Unreachable), mostDead)] {
+		p.Unreachable = append(p.Unreachable, UnreachableHost{id, now.Sub(h.UnreachableAt[i])})
 	}
 	_ = http.NewResponseController(w).SetWriteDeadline(now.Add(bodyWithin))
-	Reply(w, p)
+	WriteJSON(w, p)
 }
 
 // asked reads what an asker holds, and how long it waits.
@@ -158,7 +158,7 @@
 // List asks an instance for its list of a service: it answers as soon as it holds one that is newer than the revision given, or younger
 // than age, or other hosts found dead than those given (nil where they don't matter), and after within at the latest. The time at which the answer was true comes with it, as early as it can have
 // been: an answer that lay unread counts as old as it is.
-func (c *Client) List(ctx context.Context, service string, after int64, age, within time.Duration, dead *[]string) (p Passed, at time.Time, err error) {
+func (c *Client) List(ctx context.Context, service string, after int64, age, within time.Duration, dead *[]string) (p PeerList, at time.Time, err error) {
 	began := time.Now()
 	method, in := http.MethodGet, any(nil)
 	path := fmt.Sprintf("/v1/list?service=%s&after=%d&age_ms=%d&within_ms=%d", url.QueryEscape(service), after,
@@ -172,7 +172,7 @@
 	if p.Age < 0 || p.Waited < 0 || p.Waited > time.Since(began) {
 		return p, began, errors.New("the answer's times can't be true")
 	}
-	if len(p.Dead) > mostDead {
+	if len(p.Unreachable) > mostDead {
 		return p, began, fmt.Errorf("the answer names over %d dead hosts", mostDead)
 	}
 	if p.List != nil {
--- a/internal/control/list_test.go
+++ b/internal/control/list_test.go
@@ -17,26 +17,26 @@
 type holder struct {
 	fake
 	mu    sync.Mutex
-	now   *Holding
+	now   *CachedList
 	empty chan struct{}
 }
 
-func (h *holder) Holding() *Holding {
+func (h *holder) CachedList() *CachedList {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.now
 }
 
-func (h *holder) Empty() <-chan struct{} { return h.empty }
+func (h *holder) ListAvailable() <-chan struct{} { return h.empty }
 
 func (h *holder) holds(service string, revision int64, age time.Duration, dead ...string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	was := h.now
-	h.now = &Holding{Service: service, List: wire.Catalog{Revision: revision, Members: []wire.Member{{ID: "h1", Addr: "127.0.0.1:1"}}},
-		Confirmed: time.Now().Add(-age), Fresh: make(chan struct{}), Dead: dead, DeadAt: make([]time.Time, len(dead))}
+	h.now = &CachedList{Service: service, List: wire.EndpointList{Revision: revision, Endpoints: []wire.Endpoint{{ID: "h1", Addr: "127.0.0.1:1"}}},
+		Confirmed: time.Now().Add(-age), Replaced: make(chan struct{}), Unreachable: dead, UnreachableAt: make([]time.Time, len(dead))}
 	if was != nil {
-		close(was.Fresh)
+		close(was.Replaced)
 	} else {
 		close(h.empty)
 	}
@@ -52,8 +52,8 @@
 	if _, _, err := c.List(t.Context(), "s", -1, 0, 50*time.Millisecond, nil); !errors.As(err, &refused) || refused.Code != http.StatusNotFound {
 		t.Errorf("with no list: %v", err)
 	}
-	ask := func(service string, after int64, age time.Duration, dead *[]string) <-chan Passed {
-		got := make(chan Passed, 1)
+	ask := func(service string, after int64, age time.Duration, dead *[]string) <-chan PeerList {
+		got := make(chan PeerList, 1)
 		go func() {
 			defer close(got)
 			if p, _, err := c.List(t.Context(), service, after, age, 5*time.Second, dead); err == nil {
@@ -83,7 +83,7 @@
 	default:
 	}
 	h.holds("s", 4, time.Minute, "h1", "h2")
-	if p := <-knows; len(p.Dead) != 2 || p.List != nil {
+	if p := <-knows; len(p.Unreachable) != 2 || p.List != nil {
 		t.Errorf("a host found dead was not told: %+v", p)
 	}
 	h.holds("s", 4, 0)
@@ -106,8 +106,8 @@
 	}
 	h.holds("s", 4, time.Minute, all...)
 	none := []string{}
-	if p, _, err := c.List(t.Context(), "s", 4, time.Minute, 5*time.Second, &none); err != nil || len(p.Dead) != mostDead {
-		t.Errorf("%d of %d are told, error %v", len(p.Dead), mostDead, err)
+	if p, _, err := c.List(t.Context(), "s", 4, time.Minute, 5*time.Second, &none); err != nil || len(p.Unreachable) != mostDead {
+		t.Errorf("%d of %d are told, error %v", len(p.Unreachable), mostDead, err)
 	}
 	for i := range all {
 		all[i] = fmt.Sprintf("%0*d", mostName, i)
@@ -154,7 +154,7 @@
 	wg.Wait()
 	for query, want := range map[string]string{"": "after", "?after=x": "after", "?after=1&age_ms=-1&within_ms=0": "age_ms",
 		"?after=1&age_ms=0&within_ms=99999999": "within_ms"} {
-		var p Passed
+		var p PeerList
 		call := func() error { return c.Call(t.Context(), http.MethodGet, "/v1/list"+query, nil, &p) }
 		err := call()
 		for begin := time.Now(); errors.As(err, &refused) && refused.Code == http.StatusServiceUnavailable && time.Since(begin) < 10*time.Second; {
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -20,9 +20,9 @@
 // Instance is what the server speaks for. Its methods may wait for the instance's loop, never for a peer.
 type Instance interface {
 	Status() Status
-	// Do carries a command out: from its return on nothing new is begun that it forbids. An error says that it does not
+	// Apply carries a command out: from its return on nothing new is begun that it forbids. An error says that it does not
 	// hold.
-	Do(Command) error
+	Apply(Command) error
 }
 
 // Role is what a peer may do.
@@ -30,9 +30,9 @@
 
 // The roles.
 const (
-	Nobody Role = iota
-	Look
-	Operate
+	NoRole Role = iota
+	Viewer
+	Operator
 )
 
 const (
@@ -54,9 +54,9 @@
 	askPart    = 2
 )
 
-// Conns is how many connections a listener takes of a process that may hold so many descriptors: as many others may ask
+// MaxConns is how many connections a listener takes of a process that may hold so many descriptors: as many others may ask
 // a node of a large fleet as it has room for.
-func Conns(descriptors int) int { return min(max(descriptors/connsPart, leastConns), mostConns) }
+func MaxConns(descriptors int) int { return min(max(descriptors/connsPart, leastConns), mostConns) }
 
 // Server answers on control listeners.
 type Server struct {
@@ -82,9 +82,9 @@
 	Role func(*http.Request) Role
 }
 
-// Local listens on a Unix socket that only the owner of the process may open: whoever does may operate. A socket that
+// ListenUnix listens on a Unix socket that only the owner of the process may open: whoever does may operate. A socket that
 // a killed process has left is taken over; one on which somebody answers is not. It takes so many connections.
-func Local(path string, conns int) (Listener, error) {
+func ListenUnix(path string, conns int) (Listener, error) {
 	if c, err := net.DialTimeout("unix", path, time.Second); err == nil {
 		_ = c.Close()
 		return Listener{}, fmt.Errorf("%s: another process answers there", path)
@@ -105,11 +105,11 @@
 		_ = l.Close()
 		return Listener{}, err
 	}
-	return Listener{netutil.LimitListener(l, conns), func(*http.Request) Role { return Operate }}, nil
+	return Listener{netutil.LimitListener(l, conns), func(*http.Request) Role { return Operator }}, nil
 }
 
-// Remote listens on TCP with TLS; the certificate of a peer says what it may do.
-func Remote(addr string, conns int, cfg *tls.Config, role func(*tls.ConnectionState) Role) (Listener, error) {
+// ListenTLS listens on TCP with TLS; the certificate of a peer says what it may do.
+func ListenTLS(addr string, conns int, cfg *tls.Config, role func(*tls.ConnectionState) Role) (Listener, error) {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
 		return Listener{}, err
@@ -117,7 +117,7 @@
 	// The limit lies under TLS: package http knows a connection's certificates only where it sees it as it is.
 	return Listener{tls.NewListener(netutil.LimitListener(l, conns), cfg), func(q *http.Request) Role {
 		if q.TLS == nil {
-			return Nobody
+			return NoRole
 		}
 		return role(q.TLS)
 	}}, nil
@@ -149,17 +149,17 @@
 	guarded := func(least Role, f http.HandlerFunc) http.HandlerFunc {
 		return func(w http.ResponseWriter, q *http.Request) {
 			if role(q) < least {
-				Fail(w, http.StatusForbidden, errors.New("the certificate does not allow this"))
+				WriteError(w, http.StatusForbidden, errors.New("the certificate does not allow this"))
 				return
 			}
 			f(w, q)
 		}
 	}
-	mux.HandleFunc("GET /v1/status", guarded(Look, func(w http.ResponseWriter, _ *http.Request) { Reply(w, s.status()) }))
-	mux.HandleFunc("GET /v1/watch", guarded(Look, s.watch))
-	mux.HandleFunc("GET /v1/list", guarded(Look, s.list))
-	mux.HandleFunc("POST /v1/list", guarded(Look, s.list)) // with the hosts found dead that the asker knows
-	mux.HandleFunc("POST /v1/command", guarded(Operate, s.command))
+	mux.HandleFunc("GET /v1/status", guarded(Viewer, func(w http.ResponseWriter, _ *http.Request) { WriteJSON(w, s.status()) }))
+	mux.HandleFunc("GET /v1/watch", guarded(Viewer, s.watch))
+	mux.HandleFunc("GET /v1/list", guarded(Viewer, s.list))
+	mux.HandleFunc("POST /v1/list", guarded(Viewer, s.list)) // with the hosts found dead that the asker knows
+	mux.HandleFunc("POST /v1/command", guarded(Operator, s.command))
 	return mux
 }
 
@@ -175,19 +175,19 @@
 func (s *Server) command(w http.ResponseWriter, q *http.Request) {
 	var c Command
 	if err := ReadJSON(http.MaxBytesReader(w, q.Body, mostBody), &c); err != nil {
-		Fail(w, http.StatusBadRequest, err)
+		WriteError(w, http.StatusBadRequest, err)
 		return
 	}
-	a, err := s.Do(c)
+	a, err := s.Apply(c)
 	if err != nil {
-		Fail(w, http.StatusConflict, err)
+		WriteError(w, http.StatusConflict, err)
 		return
 	}
-	Reply(w, a)
+	WriteJSON(w, a)
 }
 
-// Do takes a command; the error says that it can't be meant so.
-func (s *Server) Do(c Command) (Answer, error) {
+// Apply takes a command; the error says that it can't be meant so.
+func (s *Server) Apply(c Command) (Answer, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	a, act, err := s.register.Take(c)
@@ -195,7 +195,7 @@
 		return a, err
 	}
 	if act {
-		if err := s.instance.Do(c); err != nil {
+		if err := s.instance.Apply(c); err != nil {
 			s.register.undo()
 			return a, err
 		}
@@ -205,16 +205,16 @@
 	return a, nil
 }
 
-// Order takes an order of a front whose callers have no operations and fences. It is one of the commands, without
+// ApplyManual takes an order of a front whose callers have no operations and fences. It is one of the commands, without
 // Operation and Fence.
-func (s *Server) Order(c Command) error {
+func (s *Server) ApplyManual(c Command) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	c, undo, err := s.register.Order(c)
 	if err != nil {
 		return err
 	}
-	if err := s.instance.Do(c); err != nil {
+	if err := s.instance.Apply(c); err != nil {
 		undo()
 		return err
 	}
@@ -228,7 +228,7 @@
 	case s.watches <- struct{}{}:
 		defer func() { <-s.watches }()
 	default:
-		Fail(w, http.StatusServiceUnavailable, fmt.Errorf("%d streams are open, no more can be", cap(s.watches)))
+		WriteError(w, http.StatusServiceUnavailable, fmt.Errorf("%d streams are open, no more can be", cap(s.watches)))
 		return
 	}
 	out := http.NewResponseController(w)
@@ -237,7 +237,7 @@
 	last, at := "", time.Now()
 	for {
 		st := s.status()
-		st.Up = 0 // it changes all the time
+		st.UptimeSeconds = 0 // it changes all the time
 		text, err := json.Marshal(st)
 		if err != nil {
 			return
@@ -270,14 +270,14 @@
 	return nil
 }
 
-// Reply writes an answer.
-func Reply(w http.ResponseWriter, v any) {
+// WriteJSON writes an answer.
+func WriteJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(v) // the peer that has gone learns nothing more
 }
 
-// Fail writes an error.
-func Fail(w http.ResponseWriter, code int, err error) {
+// WriteError writes an error.
+func WriteError(w http.ResponseWriter, code int, err error) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(code)
 	_ = json.NewEncoder(w).Encode(map[string]string{"error": err.Error()})
--- a/internal/fakeserver/discovery.go
+++ b/internal/fakeserver/discovery.go
@@ -65,19 +65,19 @@
 type change struct {
 	revision int64
 	due      time.Duration
-	members  []wire.Member
+	members  []wire.Endpoint
 	shown    bool
 }
 
 // list is the state that was told.
 type list struct {
 	revision int64
-	members  map[string]wire.Member
+	members  map[string]wire.Endpoint
 	order    []string // of first appearance, so that the same run tells the same list
 }
 
 // NewDiscovery starts a discovery that knows the members given, from revision on.
-func NewDiscovery(listen string, clock *Clock, ledger *Ledger, revision int64, members ...wire.Member) (*Discovery, error) {
+func NewDiscovery(listen string, clock *Clock, ledger *Ledger, revision int64, members ...wire.Endpoint) (*Discovery, error) {
 	if listen == "" {
 		listen = "127.0.0.1:0"
 	}
@@ -99,33 +99,33 @@
 // Close ends it and its watches.
 func (d *Discovery) Close() { _ = d.srv.Close() }
 
-func (d *Discovery) begin(revision int64, members []wire.Member) {
+func (d *Discovery) begin(revision int64, members []wire.Endpoint) {
 	d.revision, d.changes = revision, nil
-	d.shown = &list{revision: revision, members: map[string]wire.Member{}}
+	d.shown = &list{revision: revision, members: map[string]wire.Endpoint{}}
 	for _, m := range members {
 		d.shown.set(m)
 	}
 }
 
-func (l *list) set(m wire.Member) {
+func (l *list) set(m wire.Endpoint) {
 	if _, ok := l.members[m.ID]; !ok {
 		l.order = append(l.order, m.ID)
 	}
 	l.members[m.ID] = m
 }
 
-func (l *list) catalog() wire.Catalog {
-	c := wire.Catalog{Revision: l.revision, Complete: true, Members: []wire.Member{}}
+func (l *list) catalog() wire.EndpointList {
+	c := wire.EndpointList{Revision: l.revision, Complete: true, Endpoints: []wire.Endpoint{}}
 	for _, id := range l.order {
-		if m := l.members[id]; m.Phase != wire.Deleted {
-			c.Members = append(c.Members, m)
+		if m := l.members[id]; m.Phase != wire.Removed {
+			c.Endpoints = append(c.Endpoints, m)
 		}
 	}
 	return c
 }
 
 // Set changes members as one revision, told after the lag of now. A member that is gone has the phase Deleted.
-func (d *Discovery) Set(members ...wire.Member) {
+func (d *Discovery) Set(members ...wire.Endpoint) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.revision++
@@ -186,12 +186,12 @@
 	}
 	c := d.shown.catalog()
 	d.mu.Unlock()
-	d.Restore(revision, c.Members...)
+	d.Restore(revision, c.Endpoints...)
 }
 
 // Restore breaks all watches and has it know these members alone, from the revision given on: a service put back from
 // an older state, or one that has lost what it knew.
-func (d *Discovery) Restore(revision int64, members ...wire.Member) {
+func (d *Discovery) Restore(revision int64, members ...wire.Endpoint) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.begin(revision, members)
@@ -257,7 +257,7 @@
 }
 
 // news is what a watch is told that knows the list up to after; ok is false where there is nothing.
-func (d *Discovery) news(after int64, whole bool) (c wire.Catalog, ok bool) {
+func (d *Discovery) news(after int64, whole bool) (c wire.EndpointList, ok bool) {
 	d.due()
 	if after == d.shown.revision && !whole {
 		return c, false
@@ -272,7 +272,7 @@
 	if whole || after < oldest || after > d.shown.revision {
 		return d.shown.catalog(), true
 	}
-	c = wire.Catalog{Revision: d.shown.revision, Members: []wire.Member{}}
+	c = wire.EndpointList{Revision: d.shown.revision, Endpoints: []wire.Endpoint{}}
 	at := map[string]int{}
 	for _, k := range d.changes {
 		if !k.shown || k.revision <= after {
@@ -280,11 +280,11 @@
 		}
 		for _, m := range k.members {
 			if i, seen := at[m.ID]; seen {
-				c.Members[i] = m
+				c.Endpoints[i] = m
 				continue
 			}
-			at[m.ID] = len(c.Members)
-			c.Members = append(c.Members, m)
+			at[m.ID] = len(c.Endpoints)
+			c.Endpoints = append(c.Endpoints, m)
 		}
 	}
 	return c, true
@@ -377,7 +377,7 @@
 	return !full && !late
 }
 
-func (d *Discovery) write(w io.Writer, c wire.Catalog) bool {
+func (d *Discovery) write(w io.Writer, c wire.EndpointList) bool {
 	text, err := json.Marshal(c)
 	if err != nil {
 		return false
@@ -411,7 +411,7 @@
 			}
 			after, whole = c.Revision, false
 		case first: // a watch begins with an object, also where nothing has changed
-			if !d.write(w, wire.Catalog{Revision: after, Members: []wire.Member{}}) {
+			if !d.write(w, wire.EndpointList{Revision: after, Endpoints: []wire.Endpoint{}}) {
 				return
 			}
 		}
--- a/internal/fakeserver/host.go
+++ b/internal/fakeserver/host.go
@@ -113,11 +113,11 @@
 func (h *Host) Addr() string { return h.addr }
 
 // Member is its entry in the list.
-func (h *Host) Member(phase wire.Phase) wire.Member {
-	m := wire.Member{ID: h.cfg.ID, Addr: h.addr, Zone: h.cfg.Zone, Phase: phase, Size: 1}
+func (h *Host) Member(phase wire.Phase) wire.Endpoint {
+	m := wire.Endpoint{ID: h.cfg.ID, Addr: h.addr, Zone: h.cfg.Zone, Phase: phase, Size: 1}
 	h.ask(func() {
 		if h.cfg.Cold || h.back {
-			m.UpSince = h.since.UnixMilli()
+			m.StartedAtMS = h.since.UnixMilli()
 		}
 	})
 	return m
@@ -243,7 +243,7 @@
 		}
 		return
 	}
-	if o.Mid {
+	if o.MidFlow {
 		s := h.sessions[o.ID]
 		if s == nil || !s.up || s.conn != nil {
 			h.note(Broken, o, "not held here")
@@ -255,8 +255,8 @@
 		c.tell("UP "+s.receipt+"\r\n", false)
 		return
 	}
-	if o.At != "" && o.At != h.cfg.ID {
-		h.note(Failed, o, "stood at "+o.At)
+	if o.CurrentHost != "" && o.CurrentHost != h.cfg.ID {
+		h.note(Failed, o, "stood at "+o.CurrentHost)
 		c.tell("ERR\r\n", true)
 		return
 	}
@@ -270,7 +270,7 @@
 	if o.Load > 0 && h.cfg.Spec.Load > 0 {
 		weight = o.Load / h.cfg.Spec.Load
 	}
-	if o.At != "" {
+	if o.CurrentHost != "" {
 		h.model.Stand(o.ID, o.Group, weight)
 		h.sessions[o.ID], c.s = s, s
 		h.bringUp(s, h.cfg.Spec.Load*weight)
@@ -294,16 +294,16 @@
 	for _, f := range []struct {
 		set  bool
 		text string
-	}{{o.Retry, "r"}, {o.Again, "again"}, {o.Mid, "mid"}, {o.At != "", "at"}} {
+	}{{o.Retry, "r"}, {o.Reconnect, "again"}, {o.MidFlow, "mid"}, {o.CurrentHost != "", "at"}} {
 		if f.set {
 			note += f.text + " "
 		}
 	}
-	return note + "d=" + strconv.FormatInt(o.Wait.Milliseconds(), 10)
+	return note + "d=" + strconv.FormatInt(o.Timeout.Milliseconds(), 10)
 }
 
 func (h *Host) scripted(c *hostConn, o wire.Opening, reply string) {
-	if wire.ParseAnswer([]byte(reply[:len(reply)-2])) == wire.AnswerUp {
+	if wire.ParseResponse([]byte(reply[:len(reply)-2])) == wire.ResponseEstablished {
 		s := &session{o: o, conn: c, up: true, receipt: reply[3 : len(reply)-2]}
 		h.sessions[o.ID], c.s = s, s
 		h.note(Up, o, s.receipt)
--- a/internal/fakeserver/hostconn.go
+++ b/internal/fakeserver/hostconn.go
@@ -158,7 +158,7 @@
 			}
 			continue
 		}
-		_, o, err := wire.ParseHello([]byte(text))
+		_, o, err := wire.ParseOpening([]byte(text))
 		if err != nil {
 			c.h.ask(func() { c.h.note(Failed, wire.Opening{}, fmt.Sprintf("SYNTAX: %v: %.60q", err, text)) })
 			_, _ = io.WriteString(c.c, "SYNTAX\r\n")
