--- a/internal/fakeserver/stand_test.go
+++ b/internal/fakeserver/stand_test.go
@@ -183,7 +183,7 @@
 	if s.Up != 0 || s.Dead || s.Capacity > 0.31*warm {
 		t.Errorf("came back as %+v, warm it can do %g", s, warm)
 	}
-	if m := h.Member(wire.Serving); was.UpSince != 0 || m.UpSince == 0 || m.Addr != was.Addr {
+	if m := h.Member(wire.Serving); was.StartedAtMS != 0 || m.StartedAtMS == 0 || m.Addr != was.Addr {
 		t.Errorf("before %+v, now %+v", was, m)
 	}
 	dial(t, h.Addr(), "OPEN a key c=chat,t=acme,d=2000").hears("UP ")
@@ -212,8 +212,8 @@
 
 func TestDiscoveryTellsLateInOrderAndAnewAfterARestart(t *testing.T) {
 	r := newRig(t)
-	m := func(id string, p wire.Phase) wire.Member {
-		return wire.Member{ID: id, Addr: "127.0.0.1:1", Phase: p, Size: 1}
+	m := func(id string, p wire.Phase) wire.Endpoint {
+		return wire.Endpoint{ID: id, Addr: "127.0.0.1:1", Phase: p, Size: 1}
 	}
 	d, err := NewDiscovery("", r.clock, r.ledger, 41, m("a", wire.Serving))
 	if err != nil {
@@ -231,7 +231,7 @@
 		}
 		return bufio.NewReader(resp.Body), resp.StatusCode
 	}
-	next := func(b *bufio.Reader) (c wire.Catalog, ended bool) {
+	next := func(b *bufio.Reader) (c wire.EndpointList, ended bool) {
 		for {
 			line, err := b.ReadString('\n')
 			if err != nil {
@@ -246,7 +246,7 @@
 		}
 	}
 	w, _ := ask("?watch=1&after=41")
-	if c, _ := next(w); c.Revision != 41 || c.Complete || len(c.Members) != 0 {
+	if c, _ := next(w); c.Revision != 41 || c.Complete || len(c.Endpoints) != 0 {
 		t.Errorf("a watch on which nothing has changed begins with %+v", c)
 	}
 	d.Lag(150 * time.Millisecond)
@@ -259,23 +259,23 @@
 		t.Errorf("told %v after the change, want 150 ms at least", now-set)
 	}
 	for c.Revision < 43 {
-		if c.Complete || len(c.Members) == 0 || c.Members[0].Phase != wire.Draining {
+		if c.Complete || len(c.Endpoints) == 0 || c.Endpoints[0].Phase != wire.Draining {
 			t.Errorf("told %+v", c)
 		}
 		c, _ = next(w)
 	}
 	whole, _ := ask("")
-	if c, _ := next(whole); c.Revision != 43 || !c.Complete || len(c.Members) != 2 {
+	if c, _ := next(whole); c.Revision != 43 || !c.Complete || len(c.Endpoints) != 2 {
 		t.Errorf("the list is %+v", c)
 	}
 	d.Freeze(true)
-	d.Set(m("b", wire.Deleted))
+	d.Set(m("b", wire.Removed))
 	frozen, _ := ask("")
 	if c, _ := next(frozen); c.Revision != 43 {
 		t.Errorf("a frozen list is at %d", c.Revision)
 	}
 	d.Freeze(false)
-	if c, _ := next(w); c.Revision != 44 || c.Members[0].Phase != wire.Deleted {
+	if c, _ := next(w); c.Revision != 44 || c.Endpoints[0].Phase != wire.Removed {
 		t.Errorf("told %+v", c)
 	}
 	d.Restart(7)
@@ -283,7 +283,7 @@
 		t.Error("a watch outlives the restart")
 	}
 	w, _ = ask("?watch=1&after=44") // of the old count: the whole list
-	if c, _ := next(w); c.Revision != 7 || !c.Complete || len(c.Members) != 1 {
+	if c, _ := next(w); c.Revision != 7 || !c.Complete || len(c.Endpoints) != 1 {
 		t.Errorf("after the restart %+v", c)
 	}
 	d.Answer(Busy)
--- a/internal/fleet/next.go
+++ b/internal/fleet/next.go
@@ -95,7 +95,7 @@
 		f.end(o, s, StepDone, "")
 	case f.now-s.since >= o.Options.StepWithin:
 		f.end(o, s, StepFailed, fmt.Sprintf("it is %s %s after it was told, with %d open and %d owed", seen.state(), f.now-s.since,
-			seen.Status.Open, seen.Status.Owed))
+			seen.Status.Established, seen.Status.InFlight))
 	}
 }
 
@@ -237,9 +237,9 @@
 		s.tries++
 		s.next = f.now + f.backoff(s.tries)
 		s.Why = err.Error()
-	case a.Verdict == control.Refused:
+	case a.Verdict == control.Rejected:
 		f.unhold(o, name)
-		f.end(o, s, Superseded, a.Why)
+		f.end(o, s, Superseded, a.Reason)
 	default:
 		s.Boot = a.Boot
 		f.end(o, s, Told, "")
--- a/internal/fleet/operation.go
+++ b/internal/fleet/operation.go
@@ -105,7 +105,7 @@
 func (o *Operation) command() control.Command {
 	c := control.Command{Operation: o.ID, Fence: o.Fence, Kind: o.Kind, Host: o.Host}
 	if o.Kind == control.Drain {
-		c.Within, c.After = o.Options.Within, o.Options.After
+		c.DrainTimeout, c.RetryAfter = o.Options.Within, o.Options.After
 	}
 	return c
 }
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -17,14 +17,14 @@
 
 // The rules.
 const (
-	SentToDrained    Rule = iota // a line began after the grace of its host's drain
-	RepeatedUnsafely             // an attempt was written though an earlier one may have run and repeats are not dropped
-	SecondCopy                   // an attempt was written while an earlier one of the request was out
-	BegunForLeaver               // a line began too long after its client had left
-	NotAnswered                  // a request was read, and its connection ended without a final answer
-	AnsweredTwice                // a request had a second final answer
-	AnsweredLate                 // a final answer came too long after the client's time
-	OverSlowStart                // this node alone sent a cold host more than all nodes together may
+	SentToDrained       Rule = iota // a line began after the grace of its host's drain
+	UnsafeRetry                     // an attempt was written though an earlier one may have run and repeats are not dropped
+	ConcurrentAttempt               // an attempt was written while an earlier one of the request was out
+	SentAfterDisconnect             // a line began too long after its client had left
+	Unanswered                      // a request was read, and its connection ended without a final answer
+	AnsweredTwice                   // a request had a second final answer
+	AnsweredLate                    // a final answer came too long after the client's time
+	SlowStartExceeded               // this node alone sent a cold host more than all nodes together may
 	rules
 )
 
@@ -54,24 +54,24 @@
 	Rule    Rule
 	Request string
 	Host    string
-	By      time.Duration // past the rule's limit, where it has one
+	Excess  time.Duration // past the rule's limit, where it has one
 }
 
 func (v Violation) String() string {
-	return fmt.Sprintf("%s: request %s, host %s, by %v", v.Rule, v.Request, v.Host, v.By)
+	return fmt.Sprintf("%s: request %s, host %s, by %v", v.Rule, v.Request, v.Host, v.Excess)
 }
 
 // Send is a line that was written to a host, as it was when its first byte went.
 type Send struct {
-	Request, Host string
-	At            time.Time
-	Draining      bool // the host drains, or is gone
-	ToldAt        time.Time
-	Grace         time.Duration
-	Effect        balancer.Effect
-	Window        time.Duration
-	MayHaveRun    time.Time // when the first attempt was sent that may have run; zero for none
-	OthersOut     int       // further attempts of the request that were out
+	Request, Host      string
+	At                 time.Time
+	Draining           bool // the host drains, or is gone
+	NotifiedAt         time.Time
+	Grace              time.Duration
+	Effect             balancer.Effect
+	Window             time.Duration
+	MayHaveExecutedAt  time.Time // when the first attempt was sent that may have run; zero for none
+	ConcurrentAttempts int       // further attempts of the request that were out
 }
 
 // CheckSend finds what a written line breaks.
@@ -79,20 +79,20 @@
 	found := func(rule Rule, by time.Duration) {
 		broken = append(broken, Violation{rule, s.Request, s.Host, by})
 	}
-	if age := s.At.Sub(s.ToldAt); s.Draining && age > s.Grace {
+	if age := s.At.Sub(s.NotifiedAt); s.Draining && age > s.Grace {
 		found(SentToDrained, age-s.Grace)
 	}
-	if s.OthersOut > 0 {
-		found(SecondCopy, 0)
+	if s.ConcurrentAttempts > 0 {
+		found(ConcurrentAttempt, 0)
 	}
-	if s.MayHaveRun.IsZero() {
+	if s.MayHaveExecutedAt.IsZero() {
 		return broken
 	}
-	switch age := s.At.Sub(s.MayHaveRun); {
-	case s.Effect == balancer.Unsafe:
-		found(RepeatedUnsafely, 0)
-	case s.Effect == balancer.Keyed && age > s.Window:
-		found(RepeatedUnsafely, age-s.Window)
+	switch age := s.At.Sub(s.MayHaveExecutedAt); {
+	case s.Effect == balancer.NonIdempotent:
+		found(UnsafeRetry, 0)
+	case s.Effect == balancer.IdempotentByKey && age > s.Window:
+		found(UnsafeRetry, age-s.Window)
 	}
 	return broken
 }
@@ -100,7 +100,7 @@
 // CheckStart finds whether a line began for a client that had left; left is zero where it has not.
 func CheckStart(request, host string, began, left time.Time) (Violation, bool) {
 	by := began.Sub(left) - leftFor
-	return Violation{BegunForLeaver, request, host, by}, !left.IsZero() && by > 0
+	return Violation{SentAfterDisconnect, request, host, by}, !left.IsZero() && by > 0
 }
 
 const (
@@ -120,23 +120,23 @@
 // CheckSlowStart finds whether one node alone sent a cold host more than all may in that time, by what is reckoned of its
 // capacity: the settings do not tell that. What all sent is not known here: a node that passes may still take part in a fall.
 func CheckSlowStart(request, host string, sent int, budget float64) (Violation, bool) {
-	return Violation{OverSlowStart, request, host, 0}, float64(sent) > SlowStartLimit(budget)
+	return Violation{SlowStartExceeded, request, host, 0}, float64(sent) > SlowStartLimit(budget)
 }
 
-// Ending is a client's connection that has ended, or one that has had its final answer.
-type Ending struct {
+// Completion is a client's connection that has ended, or one that has had its final answer.
+type Completion struct {
 	Request, Host string
 	Answers       int       // final answers that were given
 	AnsweredAt    time.Time // the first of them
 	Until         time.Time // the client's time
-	Left          bool      // the client left before it was answered
+	Disconnected  bool      // the client left before it was answered
 }
 
-// CheckEnd finds what the end of a client's connection breaks.
-func CheckEnd(e Ending) (broken []Violation) {
+// CheckCompletion finds what the end of a client's connection breaks.
+func CheckCompletion(e Completion) (broken []Violation) {
 	switch {
-	case e.Answers == 0 && !e.Left:
-		broken = append(broken, Violation{NotAnswered, e.Request, e.Host, 0})
+	case e.Answers == 0 && !e.Disconnected:
+		broken = append(broken, Violation{Unanswered, e.Request, e.Host, 0})
 	case e.Answers > 1:
 		broken = append(broken, Violation{AnsweredTwice, e.Request, e.Host, 0})
 	}
--- a/internal/invariant/invariant_test.go
+++ b/internal/invariant/invariant_test.go
@@ -42,17 +42,17 @@
 		want []Rule
 	}{
 		{"a first line", Send{At: begin}, nil},
-		{"within the grace", Send{At: after(grace), Draining: true, ToldAt: begin, Grace: grace}, nil},
-		{"past the grace", Send{At: after(grace + 1), Draining: true, ToldAt: begin, Grace: grace}, []Rule{SentToDrained}},
-		{"a host that stays", Send{At: after(time.Hour), ToldAt: begin, Grace: grace}, nil},
-		{"a safe repeat", Send{At: after(time.Hour), MayHaveRun: begin}, nil},
-		{"an unsafe repeat", Send{At: begin, Effect: balancer.Unsafe, MayHaveRun: begin}, []Rule{RepeatedUnsafely}},
-		{"an unsafe one again that never ran", Send{At: begin, Effect: balancer.Unsafe}, nil},
-		{"within the window", Send{At: after(window), Effect: balancer.Keyed, Window: window, MayHaveRun: begin}, nil},
-		{"past the window", Send{At: after(window + 1), Effect: balancer.Keyed, Window: window, MayHaveRun: begin}, []Rule{RepeatedUnsafely}},
-		{"beside another", Send{At: begin, OthersOut: 1}, []Rule{SecondCopy}},
-		{"all at once", Send{At: after(time.Hour), Draining: true, ToldAt: begin, OthersOut: 1, Effect: balancer.Unsafe, MayHaveRun: begin},
-			[]Rule{SentToDrained, SecondCopy, RepeatedUnsafely}},
+		{"within the grace", Send{At: after(grace), Draining: true, NotifiedAt: begin, Grace: grace}, nil},
+		{"past the grace", Send{At: after(grace + 1), Draining: true, NotifiedAt: begin, Grace: grace}, []Rule{SentToDrained}},
+		{"a host that stays", Send{At: after(time.Hour), NotifiedAt: begin, Grace: grace}, nil},
+		{"a safe repeat", Send{At: after(time.Hour), MayHaveExecutedAt: begin}, nil},
+		{"an unsafe repeat", Send{At: begin, Effect: balancer.NonIdempotent, MayHaveExecutedAt: begin}, []Rule{UnsafeRetry}},
+		{"an unsafe one again that never ran", Send{At: begin, Effect: balancer.NonIdempotent}, nil},
+		{"within the window", Send{At: after(window), Effect: balancer.IdempotentByKey, Window: window, MayHaveExecutedAt: begin}, nil},
+		{"past the window", Send{At: after(window + 1), Effect: balancer.IdempotentByKey, Window: window, MayHaveExecutedAt: begin}, []Rule{UnsafeRetry}},
+		{"beside another", Send{At: begin, ConcurrentAttempts: 1}, []Rule{ConcurrentAttempt}},
+		{"all at once", Send{At: after(time.Hour), Draining: true, NotifiedAt: begin, ConcurrentAttempts: 1, Effect: balancer.NonIdempotent, MayHaveExecutedAt: begin},
+			[]Rule{SentToDrained, ConcurrentAttempt, UnsafeRetry}},
 	} {
 		if got := rulesOf(CheckSend(c.send)); !same(got, c.want) {
 			t.Errorf("%s: %v, want %v", c.name, got, c.want)
@@ -81,17 +81,17 @@
 	until := after(time.Second)
 	for _, c := range []struct {
 		name string
-		end  Ending
+		end  Completion
 		want []Rule
 	}{
-		{"answered", Ending{Answers: 1, AnsweredAt: until, Until: until}, nil},
-		{"within the slack", Ending{Answers: 1, AnsweredAt: after(1500 * time.Millisecond), Until: until}, nil},
-		{"late", Ending{Answers: 1, AnsweredAt: after(1501 * time.Millisecond), Until: until}, []Rule{AnsweredLate}},
-		{"never", Ending{Until: until}, []Rule{NotAnswered}},
-		{"nobody is there", Ending{Until: until, Left: true}, nil},
-		{"twice", Ending{Answers: 2, AnsweredAt: begin, Until: until}, []Rule{AnsweredTwice}},
+		{"answered", Completion{Answers: 1, AnsweredAt: until, Until: until}, nil},
+		{"within the slack", Completion{Answers: 1, AnsweredAt: after(1500 * time.Millisecond), Until: until}, nil},
+		{"late", Completion{Answers: 1, AnsweredAt: after(1501 * time.Millisecond), Until: until}, []Rule{AnsweredLate}},
+		{"never", Completion{Until: until}, []Rule{Unanswered}},
+		{"nobody is there", Completion{Until: until, Disconnected: true}, nil},
+		{"twice", Completion{Answers: 2, AnsweredAt: begin, Until: until}, []Rule{AnsweredTwice}},
 	} {
-		if got := rulesOf(CheckEnd(c.end)); !same(got, c.want) {
+		if got := rulesOf(CheckCompletion(c.end)); !same(got, c.want) {
 			t.Errorf("%s: %v, want %v", c.name, got, c.want)
 		}
 	}
@@ -101,9 +101,9 @@
 	core, logs := observer.New(zap.ErrorLevel)
 	m := NewMonitor(zap.New(core))
 	m.Report()
-	m.Report(Violation{Rule: NotAnswered, Request: "r"}, Violation{Rule: NotAnswered}, Violation{Rule: SecondCopy})
-	if m.Count(NotAnswered) != 2 || m.Count(SecondCopy) != 1 || m.Count(AnsweredLate) != 0 || m.Total() != 3 {
-		t.Errorf("counted %d, %d, %d of %d", m.Count(NotAnswered), m.Count(SecondCopy), m.Count(AnsweredLate), m.Total())
+	m.Report(Violation{Rule: Unanswered, Request: "r"}, Violation{Rule: Unanswered}, Violation{Rule: ConcurrentAttempt})
+	if m.Count(Unanswered) != 2 || m.Count(ConcurrentAttempt) != 1 || m.Count(AnsweredLate) != 0 || m.Total() != 3 {
+		t.Errorf("counted %d, %d, %d of %d", m.Count(Unanswered), m.Count(ConcurrentAttempt), m.Count(AnsweredLate), m.Total())
 	}
 	if lines := logs.FilterMessage(LogMessage).All(); len(lines) != 3 || lines[0].ContextMap()["request"] != "r" {
 		t.Errorf("logged %v", lines)
@@ -122,7 +122,7 @@
 		found  bool
 	}{{1, 7, false}, {1, 8, true}, {25, 43, false}, {25, 44, true}, {100, 122, false}, {100, 123, true}} {
 		v, found := CheckSlowStart("r", "h", c.sent, c.budget)
-		if found != c.found || v.Rule != OverSlowStart {
+		if found != c.found || v.Rule != SlowStartExceeded {
 			t.Errorf("%d sent with a budget of %g: %v, found %v", c.sent, c.budget, v, found)
 		}
 	}
--- a/internal/invariant/monitor.go
+++ b/internal/invariant/monitor.go
@@ -23,7 +23,7 @@
 	for _, v := range found {
 		m.counts[v.Rule].Add(1)
 		m.log.Error(LogMessage, zap.Stringer("rule", v.Rule), zap.String("request", v.Request), zap.String("host", v.Host),
-			zap.Duration("by", v.By))
+			zap.Duration("by", v.Excess))
 	}
 }
 
--- a/internal/lifecycle/accept.go
+++ b/internal/lifecycle/accept.go
@@ -94,7 +94,7 @@
 }
 
 // serve accepts clients until the listener is closed.
-func (l *listener) serve(ctx context.Context, d *proxy.Driver) error {
+func (l *listener) serve(ctx context.Context, d *proxy.Proxy) error {
 	defer close(l.over)
 	if !l.inherited {
 		return d.Serve(l)
--- a/internal/lifecycle/accept_test.go
+++ b/internal/lifecycle/accept_test.go
@@ -20,7 +20,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(l.Close)
-	d := proxy.New(proxy.Config{Sockets: 256}, zap.NewNop())
+	d := proxy.New(proxy.Config{MaxDescriptors: 256}, zap.NewNop())
 	go func() { _ = l.serve(t.Context(), d) }()
 	if !l.empty() {
 		t.Fatal("another process accepts from it")
--- a/internal/lifecycle/coldstart.go
+++ b/internal/lifecycle/coldstart.go
@@ -84,17 +84,17 @@
 }
 
 // begin turns a node's cold start on, with the newer of the lists that its configuration and its folder know.
-func (c *ColdStart) begin(cfg Config, log *zap.Logger) (service string, known wire.Catalog, start *coldstart.Start) {
+func (c *ColdStart) begin(cfg Config, log *zap.Logger) (service string, known wire.EndpointList, start *coldstart.Scheduler) {
 	service = cmp.Or(c.Service, cfg.Discovery)
 	known = cfg.Known
-	held := coldstart.Offer{Revision: known.Revision, Age: coldstart.UnknownAge, Hosts: len(known.Members)}
-	source := coldstart.File
+	held := coldstart.Offer{Revision: known.Revision, Age: coldstart.UnknownAge, Hosts: len(known.Endpoints)}
+	source := coldstart.SourceFile
 	if c.Folder != "" {
 		list, age, err := c.read(service)
 		switch {
-		case err == nil && (list.Revision > known.Revision || len(known.Members) == 0):
-			known, source = list, coldstart.Folder
-			held = coldstart.Offer{Revision: list.Revision, Age: age, Hosts: len(list.Members)}
+		case err == nil && (list.Revision > known.Revision || len(known.Endpoints) == 0):
+			known, source = list, coldstart.SourceFolder
+			held = coldstart.Offer{Revision: list.Revision, Age: age, Hosts: len(list.Endpoints)}
 		case err == nil:
 			log.Info("the folder's list is behind the configuration's", zap.Int64("folder", list.Revision), zap.Int64("configuration", known.Revision))
 		case !errors.Is(err, fs.ErrNotExist):
@@ -102,9 +102,9 @@
 		}
 	}
 	set := cfg.Settings
-	rng := rand.New(rand.NewPCG(set.Seed, uint64(set.Index)+1))
+	rng := rand.New(rand.NewPCG(set.Seed, uint64(set.NodeIndex)+1))
 	// The node's clock is Unix time at its start; the loop begins with New, a moment later.
-	start = coldstart.New(coldstart.Config{Nodes: set.GroupSize, Index: set.Index, AskWithin: cmp.Or(set.AskWithin, usualAskWithin), Peers: len(c.Peers) > 0,
+	start = coldstart.New(coldstart.Config{NodeCount: set.NodeCount, Index: set.NodeIndex, PollInterval: cmp.Or(set.PollInterval, usualAskWithin), Peers: len(c.Peers) > 0,
 		Service: service}, rng, time.Duration(time.Now().UnixNano()), source, held)
 	return service, known, start
 }
@@ -116,7 +116,7 @@
 		return nil
 	})
 	for i := range min(pullers, len(c.Peers)) {
-		rng := rand.New(rand.NewPCG(set.Seed, uint64(set.Index)<<8+uint64(i)+2))
+		rng := rand.New(rand.NewPCG(set.Seed, uint64(set.NodeIndex)<<8+uint64(i)+2))
 		g.Go(func() error { return c.pull(ctx, n, rng, log) })
 	}
 }
@@ -124,7 +124,7 @@
 // usualAskWithin stands in where the settings name no longest time between questions.
 const usualAskWithin = 10 * time.Second
 
-func (c *ColdStart) read(service string) (list wire.Catalog, age time.Duration, err error) {
+func (c *ColdStart) read(service string) (list wire.EndpointList, age time.Duration, err error) {
 	text, err := os.ReadFile(filepath.Join(c.Folder, keptName))
 	if err != nil {
 		return list, 0, err
@@ -138,12 +138,12 @@
 		return
 	}
 	wrote, at, failed := int64(-1), time.Time{}, false
-	empty := n.Empty()
+	empty := n.ListAvailable()
 	for {
 		fresh := empty
-		if h := n.Holding(); h != nil {
-			fresh = h.Fresh
-			worth := h.Source == coldstart.Service || h.Source == coldstart.Peer
+		if h := n.CachedList(); h != nil {
+			fresh = h.Replaced
+			worth := h.Source == coldstart.SourceService || h.Source == coldstart.SourcePeer
 			if worth && (h.List.Revision != wrote || h.Confirmed.Sub(at) > time.Minute) {
 				err := write(c.Folder, h)
 				if err == nil {
@@ -165,8 +165,8 @@
 	}
 }
 
-func write(folder string, h *node.Holding) error {
-	text, err := coldstart.Kept{Service: h.Service, Confirmed: h.Confirmed.UnixMilli(), List: h.List}.Encode()
+func write(folder string, h *node.CachedList) error {
+	text, err := coldstart.CachedList{Service: h.Service, Confirmed: h.Confirmed.UnixMilli(), List: h.List}.Encode()
 	if err != nil {
 		return err
 	}
@@ -207,7 +207,7 @@
 			return nil
 		}
 		wait = min(2*wait, pullMost)
-		if h := n.Holding(); h == nil || h.Guessed { // whoever has been told is to be found soon
+		if h := n.CachedList(); h == nil || h.AssumedStart { // whoever has been told is to be found soon
 			wait = min(wait, pullMost/4)
 		}
 	}
@@ -216,12 +216,12 @@
 
 // ask makes one call to another node; false where that brought nothing.
 func (c *ColdStart) ask(ctx context.Context, n *node.Node, peer *control.Client, addr string, log *zap.Logger) bool {
-	service, after, age, dead := n.Service(), int64(-1), time.Duration(0), (*[]string)(nil)
-	if h := n.Holding(); h != nil && h.Service == service {
+	service, after, age, dead := n.ListService(), int64(-1), time.Duration(0), (*[]string)(nil)
+	if h := n.CachedList(); h != nil && h.Service == service {
 		after, age = h.List.Revision, max(time.Since(h.Confirmed), 0)
-		if h.Guessed {
+		if h.AssumedStart {
 			dead = &[]string{}
-			for _, d := range h.Dead {
+			for _, d := range h.Unreachable {
 				*dead = append(*dead, d.ID)
 			}
 		}
@@ -233,15 +233,15 @@
 	switch {
 	case err == nil:
 	case errors.As(err, &refused) && refused.Code == http.StatusNotFound:
-		n.Heard() // it is there, and has none
+		n.PeerContacted() // it is there, and has none
 		return false
 	default:
 		log.Debug("another node could not be asked for its list", zap.String("from", addr), zap.Error(err))
 		return false
 	}
-	passed := node.Passed{Offer: coldstart.Offer{Service: p.Service, Revision: p.Revision, Age: p.Age}, List: p.List, From: addr, At: at}
-	for _, d := range p.Dead {
-		passed.Dead = append(passed.Dead, node.Dead{ID: d.ID, At: at.Add(-max(d.Age, 0))})
+	passed := node.PeerList{Offer: coldstart.Offer{Service: p.Service, Revision: p.Revision, Age: p.Age}, List: p.List, Peer: addr, At: at}
+	for _, d := range p.Unreachable {
+		passed.Unreachable = append(passed.Unreachable, node.UnreachableHost{ID: d.ID, FoundAt: at.Add(-max(d.Age, 0))})
 	}
-	return n.PassedOn(passed)
+	return n.ReceivePeerList(passed)
 }
--- a/internal/lifecycle/config.go
+++ b/internal/lifecycle/config.go
@@ -21,7 +21,7 @@
 	Management              string // where operators call; "" for nowhere
 	Cores                   float64
 	MemoryMB, Sockets       int
-	Known                   wire.Catalog
+	Known                   wire.EndpointList
 	Settings                settings.Settings
 }
 
@@ -38,8 +38,8 @@
 		MemoryMB int     `json:"memory_mb"`
 		Sockets  int     `json:"sockets"`
 	} `json:"limits"`
-	Known    wire.Catalog    `json:"known"`
-	Settings json.RawMessage `json:"settings"`
+	Known    wire.EndpointList `json:"known"`
+	Settings json.RawMessage   `json:"settings"`
 }
 
 // leastSockets is what a node needs to serve a handful of clients.
@@ -131,7 +131,7 @@
 	if err := f.Known.Check(); err != nil {
 		return wrong("known", err)
 	}
-	if err := node.CheckSize(len(f.Known.Members), f.Limits.MemoryMB); err != nil {
+	if err := node.CheckSize(len(f.Known.Endpoints), f.Limits.MemoryMB); err != nil {
 		return wrong("known", err)
 	}
 	if len(f.Settings) == 0 {
--- a/internal/lifecycle/folder_test.go
+++ b/internal/lifecycle/folder_test.go
@@ -45,7 +45,7 @@
 	defer cancel()
 	go func() { _ = n.Run(ctx) }()
 	unblock := blockWrites(t)
-	if err := o.HostOut("h1"); err != nil {
+	if err := o.DrainHost("h1"); err != nil {
 		t.Fatal(err)
 	}
 	go o.shared.follow(ctx)
@@ -53,7 +53,7 @@
 	unblock()
 	eventually(t, "the order is written", func() bool {
 		d, _, err := o.shared.store().Load()
-		return err == nil && len(d.Words) == 1 && d.Words[0].Out
+		return err == nil && len(d.Overrides) == 1 && d.Overrides[0].Draining
 	})
 }
 
@@ -67,7 +67,7 @@
 	if o.shared.store() != nil {
 		t.Fatal("a folder that is not there is used")
 	}
-	if err := o.HostOut("h1"); err != nil {
+	if err := o.DrainHost("h1"); err != nil {
 		t.Fatal(err)
 	}
 	go o.shared.follow(ctx)
@@ -79,7 +79,7 @@
 			return false
 		}
 		d, _, err := o.shared.store().Load()
-		return err == nil && len(d.Words) == 1 && d.Words[0].Out
+		return err == nil && len(d.Overrides) == 1 && d.Overrides[0].Draining
 	})
 }
 
@@ -91,12 +91,12 @@
 	defer cancel()
 	go func() { _ = n.Run(ctx) }()
 	unblock := blockWrites(t)
-	if err := o.HostBack("h1"); err != nil {
+	if err := o.ResumeHost("h1"); err != nil {
 		t.Fatal(err)
 	}
 	unblock()
-	other := sharedstate.Document{Node: "n1"}
-	if err := other.Say("h1", true, time.Now()); err != nil {
+	other := sharedstate.State{Node: "n1"}
+	if err := other.SetOverride("h1", true, time.Now()); err != nil {
 		t.Fatal(err)
 	}
 	text, err := other.Encode()
@@ -109,7 +109,7 @@
 	}
 	o.shared.look()
 	eventually(t, "the other's order holds", func() bool {
-		_, avoided := n.Targets()
+		_, avoided := n.HostCounts()
 		return avoided == 1
 	})
 }
@@ -129,7 +129,7 @@
 			ctx, cancel := context.WithCancel(t.Context())
 			defer cancel()
 			go func() { _ = n.Run(ctx) }()
-			if err := o.HostOut("h1"); err != nil {
+			if err := o.DrainHost("h1"); err != nil {
 				t.Fatal(err)
 			}
 			before := filepath.Join(t.TempDir(), "before")
@@ -140,7 +140,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if err := earlier.Update(func(d *sharedstate.Document) error { return d.Say("h1", false, time.Now().Add(c.written)) }); err != nil {
+			if err := earlier.Update(func(d *sharedstate.State) error { return d.SetOverride("h1", false, time.Now().Add(c.written)) }); err != nil {
 				t.Fatal(err)
 			}
 			earlier.Close()
@@ -155,10 +155,10 @@
 				o.shared.mu.Lock()
 				defer o.shared.mu.Unlock()
 				d, _, err := o.shared.store().Load()
-				return err == nil && len(o.shared.owed) == 0 && len(d.Words) == 1 && d.Words[0].Out == c.wantsWords
+				return err == nil && len(o.shared.owed) == 0 && len(d.Overrides) == 1 && d.Overrides[0].Draining == c.wantsWords
 			})
 			eventually(t, "it holds in the process", func() bool {
-				_, avoided := n.Targets()
+				_, avoided := n.HostCounts()
 				return avoided == c.avoided
 			})
 		})
--- a/internal/lifecycle/operated.go
+++ b/internal/lifecycle/operated.go
@@ -21,7 +21,7 @@
 // operated is a node as the operators' line calls see it: the operations of the control listener, called by hand.
 type operated struct {
 	node   *node.Node
-	driver *proxy.Driver
+	driver *proxy.Proxy
 	shared *shared         // with other processes of the node
 	stop   context.Context // ends when the node is told to stop
 }
@@ -35,29 +35,29 @@
 	return nil
 }
 
-// Figures tells what was counted. It waits for nothing but the counters.
-func (o *operated) Figures() management.Figures {
-	f := management.Figures{Dispatches: o.driver.Dispatches(), Concurrent: o.driver.Taken()}
+// Stats tells what was counted. It waits for nothing but the counters.
+func (o *operated) Stats() management.Stats {
+	f := management.Stats{Dispatches: o.driver.Dispatches(), Concurrent: o.driver.OpenClients()}
 	for _, r := range o.driver.Replies() {
 		f.Replies = append(f.Replies, management.Replies{Class: r.Class, Success: r.Success, Overload: r.Refused, Error: r.Error})
 	}
-	f.Targets, f.Disabled = o.node.Targets()
+	f.Targets, f.Disabled = o.node.HostCounts()
 	return f
 }
 
-// HostOut takes a host out.
-func (o *operated) HostOut(id string) error {
+// DrainHost takes a host out.
+func (o *operated) DrainHost(id string) error {
 	return o.shared.word(id, true)
 }
 
-// HostBack uses a host again.
-func (o *operated) HostBack(id string) error {
+// ResumeHost uses a host again.
+func (o *operated) ResumeHost(id string) error {
 	return o.shared.word(id, false)
 }
 
 // Drain has the node drain. What stands is sent away but where packets pass through.
 func (o *operated) Drain() error {
-	return o.shared.leave(control.Command{Kind: control.Drain, Within: awayWithin, Open: frontNotices, Keep: true})
+	return o.shared.leave(control.Command{Kind: control.Drain, DrainTimeout: awayWithin, AdmitFor: frontNotices, KeepConnections: true})
 }
 
 // Resume ends a drain.
--- a/internal/lifecycle/own.go
+++ b/internal/lifecycle/own.go
@@ -84,7 +84,7 @@
 		}
 	}()
 	if c.Socket != "" {
-		l, err := control.Local(c.Socket, conns)
+		l, err := control.ListenUnix(c.Socket, conns)
 		if err != nil {
 			return out, err
 		}
@@ -95,14 +95,14 @@
 		if err != nil {
 			return out, err
 		}
-		l, err := control.Remote(c.Listen, conns, k.Server(), func(s *tls.ConnectionState) control.Role {
+		l, err := control.ListenTLS(c.Listen, conns, k.Server(), func(s *tls.ConnectionState) control.Role {
 			switch k.Role(s) {
 			case pki.Operate:
-				return control.Operate
+				return control.Operator
 			case pki.Look:
-				return control.Look
+				return control.Viewer
 			}
-			return control.Nobody
+			return control.NoRole
 		})
 		if err != nil {
 			return out, err
@@ -120,67 +120,70 @@
 	stop  context.Context // ends when the node is told to stop
 }
 
+// The server finds out at run time whether an instance passes lists on.
+var _ control.ListProvider = (*controlled)(nil)
+
 // newBoot names a start of a node: no two have the same.
 func newBoot() string { return strconv.FormatUint(rand.Uint64(), 36) }
 
 // Status tells how the node is.
 func (c *controlled) Status() control.Status {
 	v := c.node.View()
-	s := control.Status{Name: c.name, State: control.Serving, Owed: c.node.Owed(), Open: c.node.Open(), Up: time.Since(c.began).Seconds(),
-		Revision: v.Revision, Broken: c.node.Monitor().Total(), GivenUp: givenUp(v)}
+	s := control.Status{Name: c.name, State: control.Serving, InFlight: c.node.InFlightRequests(), Established: c.node.EstablishedConnections(), UptimeSeconds: time.Since(c.began).Seconds(),
+		Revision: v.Revision, RuleViolations: c.node.Monitor().Total(), Abandoned: givenUp(v)}
 	switch {
 	case c.stop.Err() != nil:
 		s.State = control.Stopping
-	case c.node.Leaving() && s.Owed+s.Open == 0:
+	case c.node.IsDraining() && s.InFlight+s.Established == 0:
 		s.State = control.Drained
-	case c.node.Leaving():
+	case c.node.IsDraining():
 		s.State = control.Draining
 	}
-	states := map[balancer.ServerState]string{balancer.Live: "live", balancer.Draining: "draining", balancer.Gone: "gone"}
-	if st, ok := c.node.Start(); ok {
-		s.List = &control.ListStatus{State: st.Part.String(), Source: string(st.Source), Age: st.Age.Seconds(), Calls: st.Calls,
-			Failed: st.Failed, Next: st.Next.Seconds()}
+	states := map[balancer.ServerState]string{balancer.Live: "live", balancer.Draining: "draining", balancer.Removed: "gone"}
+	if st, ok := c.node.ColdStartState(); ok {
+		s.List = &control.ListStatus{State: st.Phase.String(), Source: string(st.Source), AgeSeconds: st.Age.Seconds(), Calls: st.Calls,
+			Failed: st.Failed, NextCallSeconds: st.Next.Seconds()}
 	}
 	for _, h := range v.Hosts {
-		s.Hosts = append(s.Hosts, control.HostStatus{ID: string(h.ID), State: states[h.State], Word: h.Word, Open: h.Open})
+		s.Hosts = append(s.Hosts, control.HostStatus{ID: string(h.ID), State: states[h.State], Overridden: h.Overridden, Connections: h.Connections})
 	}
 	return s
 }
 
 // givenUp lists the reasons in the order of their names: a status that has not changed is to look the same.
-func givenUp(v node.View) (out []control.GivenUp) {
+func givenUp(v node.View) (out []control.AbandonedRequests) {
 	for _, why := range slices.Sorted(maps.Keys(v.GivenUp)) {
-		out = append(out, control.GivenUp{Why: string(why), Requests: v.GivenUp[why]})
+		out = append(out, control.AbandonedRequests{Reason: string(why), Requests: v.GivenUp[why]})
 	}
 	return out
 }
 
-// Holding is the list that the node passes on; nil for none.
-func (c *controlled) Holding() *control.Holding {
-	h := c.node.Holding()
+// CachedList is the list that the node passes on; nil for none.
+func (c *controlled) CachedList() *control.CachedList {
+	h := c.node.CachedList()
 	if h == nil {
 		return nil
 	}
-	out := &control.Holding{Service: h.Service, List: h.List, Confirmed: h.Confirmed, Fresh: h.Fresh}
-	for _, d := range h.Dead {
-		out.Dead, out.DeadAt = append(out.Dead, d.ID), append(out.DeadAt, d.At)
+	out := &control.CachedList{Service: h.Service, List: h.List, Confirmed: h.Confirmed, Replaced: h.Replaced}
+	for _, d := range h.Unreachable {
+		out.Unreachable, out.UnreachableAt = append(out.Unreachable, d.ID), append(out.UnreachableAt, d.FoundAt)
 	}
 	return out
 }
 
-// Empty is closed once the node has a list.
-func (c *controlled) Empty() <-chan struct{} { return c.node.Empty() }
+// ListAvailable is closed once the node has a list.
+func (c *controlled) ListAvailable() <-chan struct{} { return c.node.ListAvailable() }
 
-// Do carries a command out.
-func (c *controlled) Do(cmd control.Command) error {
+// Apply carries a command out.
+func (c *controlled) Apply(cmd control.Command) error {
 	now := time.Now()
 	switch cmd.Kind {
 	case control.Drain:
-		return c.node.Leave(node.DrainPlan{By: now.Add(cmd.Within), Shut: now.Add(cmd.Open), After: cmd.After, Keep: cmd.Keep})
+		return c.node.Drain(node.DrainPlan{Deadline: now.Add(cmd.DrainTimeout), AdmissionCutoff: now.Add(cmd.AdmitFor), RetryAfter: cmd.RetryAfter, KeepConnections: cmd.KeepConnections})
 	case control.Resume:
-		return c.node.Stay()
+		return c.node.CancelDrain()
 	case control.HostDrain, control.HostResume:
-		return c.node.Word(balancer.ServerID(cmd.Host), cmd.Kind == control.HostDrain, cmd.Known, cmp.Or(cmd.At, now))
+		return c.node.SetHostOverride(balancer.ServerID(cmd.Host), cmd.Kind == control.HostDrain, cmd.HostMustExist, cmp.Or(cmd.GivenAt, now))
 	}
 	panic(fmt.Sprintf("a command of kind %q was let through", cmd.Kind))
 }
--- a/internal/lifecycle/pull_test.go
+++ b/internal/lifecycle/pull_test.go
@@ -17,7 +17,7 @@
 // Asking others for their list must not end the node where its keys can't be read for a moment.
 func TestPull_KeysCantBeReadForAMoment_GoesOn(t *testing.T) {
 	_, n := stuck(t)
-	n.Cold(coldstart.New(coldstart.Config{Nodes: 2, AskWithin: time.Second, Service: "s"}, rand.New(rand.NewPCG(1, 2)), 0, coldstart.Nowhere,
+	n.EnableColdStart(coldstart.New(coldstart.Config{NodeCount: 2, PollInterval: time.Second, Service: "s"}, rand.New(rand.NewPCG(1, 2)), 0, coldstart.NoSource,
 		coldstart.Offer{}), "s")
 	dir := t.TempDir()
 	if err := pki.Create(dir, "test"); err != nil {
--- a/internal/lifecycle/reload.go
+++ b/internal/lifecycle/reload.go
@@ -51,7 +51,7 @@
 		}
 		log.Info("the configuration was read again", zap.String("discovery", next.Discovery))
 		if next.Discovery != cfg.Discovery {
-			n.Follow(next.Discovery)
+			n.SetDiscoveryAddr(next.Discovery)
 		}
 		cfg = next
 	}
--- a/internal/lifecycle/run.go
+++ b/internal/lifecycle/run.go
@@ -40,7 +40,7 @@
 // outside gives the loop the sockets beside its connections.
 type outside struct {
 	*proxy.Discovery
-	*proxy.Driver
+	*proxy.Proxy
 }
 
 // Run is a node's life, from its configuration to a signal to stop. own is the project's own configuration; its zero
@@ -63,18 +63,18 @@
 	runtime.GOMAXPROCS(max(int(math.Ceil(cfg.Cores)), 1))
 	debug.SetMemoryLimit(heap(cfg.MemoryMB))
 
-	conns := control.Conns(cfg.Sockets)
+	conns := control.MaxConns(cfg.Sockets)
 	d, y := newDriver(cfg, own.Control.sockets(conns), log), proxy.NewDiscovery(log)
 	cold := own.ColdStart
 	known, service := cfg.Known, ""
-	var start *coldstart.Start
+	var start *coldstart.Scheduler
 	if cold != nil {
 		service, known, start = cold.begin(cfg, log)
 	}
 	n := node.New(cfg.Settings, known, cfg.Discovery, outside{y, d}, log)
-	n.Bound(cfg.MemoryMB)
+	n.SetMemoryLimit(cfg.MemoryMB)
 	if cold != nil {
-		n.Cold(start, service)
+		n.EnableColdStart(start, service)
 	}
 	d.Attach(n)
 	y.Attach(n)
@@ -100,7 +100,7 @@
 	}
 	both := newShared(cfg, n, d, log)
 	defer both.close()
-	log.Info("started", zap.String("listen", cfg.Listen), zap.Int("hosts known", len(cfg.Known.Members)))
+	log.Info("started", zap.String("listen", cfg.Listen), zap.Int("hosts known", len(cfg.Known.Endpoints)))
 	g, ctx := errgroup.WithContext(ctx)
 	g.Go(func() error { return n.Run(ctx) })
 	g.Go(func() error { return y.Run(ctx) })
@@ -132,23 +132,23 @@
 	g.Go(func() error {
 		select {
 		case <-stop.Done():
-			log.Info("told to stop", zap.Int64("owed", n.Owed()), zap.Int64("open", n.Open()))
+			log.Info("told to stop", zap.Int64("owed", n.InFlightRequests()), zap.Int64("open", n.EstablishedConnections()))
 			by := lastMoment(cfg.Settings.Settings)
-			n.End(by.Add(-early)) // clients may wait for longer than the node lasts
-			both.end()            // behind those two: it writes a file, and the time has begun
+			n.BeginShutdown(by.Add(-early)) // clients may wait for longer than the node lasts
+			both.end()                      // behind those two: it writes a file, and the time has begun
 			begin, successor := time.Now(), func() bool { return l.inherited && both.ready() }
-			if drain(n, d, cfg.Settings.Pass, begin, by, successor) {
+			if drain(n, d, cfg.Settings.PassThrough, begin, by, successor) {
 				l.Close() // who waits at the door is the other process's
 				hand(n, d, by, both)
 			} else if l.empty() {
-				drain(n, d, cfg.Settings.Pass, begin, by, successor) // who waited at the door until now
+				drain(n, d, cfg.Settings.PassThrough, begin, by, successor) // who waited at the door until now
 			}
-			log.Info("stopped", zap.Int64("owed", n.Owed()), zap.Int64("open", n.Open()), zap.Uint64("rules broken", n.Monitor().Total()))
+			log.Info("stopped", zap.Int64("owed", n.InFlightRequests()), zap.Int64("open", n.EstablishedConnections()), zap.Uint64("rules broken", n.Monitor().Total()))
 		case <-ctx.Done():
 		}
 		l.Close()
 		l.ended() // whoever was accepted in this moment is the driver's by now
-		d.End(cfg.Settings.Pass)
+		d.Shutdown(cfg.Settings.PassThrough)
 		cancel()
 		return nil
 	})
@@ -161,14 +161,14 @@
 // have come back; elsewhere every client is sent away, spread over the time there is so that the others don't get
 // them all at once.
 // Should another process of the node be there to take over, now or in the meantime, it returns true at once.
-func drain(n *node.Node, d *proxy.Driver, pass bool, begin, by time.Time, successor func() bool) bool {
+func drain(n *node.Node, d *proxy.Proxy, pass bool, begin, by time.Time, successor func() bool) bool {
 	moved := pass
-	for now := time.Now(); now.Before(by) && (now.Sub(begin) < noticed || n.Open()+int64(d.Owing()+d.Unheard()) > 0); now = time.Now() {
+	for now := time.Now(); now.Before(by) && (now.Sub(begin) < noticed || n.EstablishedConnections()+int64(d.PendingRequests()+d.PendingOpenings()) > 0); now = time.Now() {
 		if successor() {
 			return true
 		}
 		if !moved && now.Sub(begin) >= noticed {
-			n.MoveAll(by.Add(-4 * early))
+			n.MigrateAll(by.Add(-4 * early))
 			moved = true
 		}
 		time.Sleep(poll)
@@ -188,27 +188,27 @@
 // hand ends a process beside the one that takes over: what stands goes there, what is wanted is answered here and goes
 // there once it stands, and whoever was accepted is heard. Where nothing can be handed over, all are sent away, spread
 // over the time there is: no packet of theirs would find its way to another process.
-func hand(n *node.Node, d *proxy.Driver, by time.Time, both *shared) {
-	if both.give(n, by.Add(-5*early)); n.Open() > 0 {
-		n.MoveAll(by.Add(-2 * early))
+func hand(n *node.Node, d *proxy.Proxy, by time.Time, both *shared) {
+	if both.give(n, by.Add(-5*early)); n.EstablishedConnections() > 0 {
+		n.MigrateAll(by.Add(-2 * early))
 	}
-	for time.Now().Before(by) && n.Owed()+n.Open()+int64(d.Unheard()) > 0 {
+	for time.Now().Before(by) && n.InFlightRequests()+n.EstablishedConnections()+int64(d.PendingOpenings()) > 0 {
 		time.Sleep(poll)
 	}
 }
 
 // newDriver makes the driver of a node of which others than its clients take so many descriptors.
-func newDriver(cfg Config, others int, log *zap.Logger) *proxy.Driver {
+func newDriver(cfg Config, others int, log *zap.Logger) *proxy.Proxy {
 	patience := time.Second
 	if cfg.Management != "" {
-		others += management.Callers + 2 // the listener, and one just accepted
+		others += management.MaxCallers + 2 // the listener, and one just accepted
 	}
 	for _, c := range cfg.Settings.Classes {
 		patience = max(patience, c.Deadline)
 	}
-	return proxy.New(proxy.Config{Sockets: cfg.Sockets, ConnectTimeout: cfg.Settings.ConnectTimeout,
-		AnswerSlack: cfg.Settings.AnswerSlack, Patience: patience, MaxRetryAfter: cfg.Settings.MaxRetryAfter,
-		Classes: cfg.Settings.ClassNames, Others: others}, log)
+	return proxy.New(proxy.Config{MaxDescriptors: cfg.Sockets, ConnectTimeout: cfg.Settings.ConnectTimeout,
+		AnswerSlack: cfg.Settings.AnswerSlack, DefaultTimeout: patience, MaxRetryAfter: cfg.Settings.MaxRetryAfter,
+		Classes: cfg.Settings.ClassNames, ReservedDescriptors: others}, log)
 }
 
 // logger writes lines to standard error, and waits for none of them. Of one message only the first few of a second and then every
--- a/internal/lifecycle/shared.go
+++ b/internal/lifecycle/shared.go
@@ -24,7 +24,7 @@
 type shared struct {
 	cfg      Config
 	node     *node.Node
-	driver   *proxy.Driver
+	driver   *proxy.Proxy
 	log      *zap.Logger
 	orders   *control.Server
 	folder   string                            // "" where nothing is shared
@@ -41,7 +41,7 @@
 }
 
 // newShared opens the folder where operators can call the node or the platform may start it twice.
-func newShared(cfg Config, n *node.Node, d *proxy.Driver, log *zap.Logger) *shared {
+func newShared(cfg Config, n *node.Node, d *proxy.Proxy, log *zap.Logger) *shared {
 	s := &shared{cfg: cfg, node: n, driver: d, log: log}
 	s.alone.Store(true)
 	if cfg.Management == "" && os.Getenv(acceptVar) == "" {
@@ -127,7 +127,7 @@
 	if store == nil {
 		return false
 	}
-	others, err := store.Others()
+	others, err := store.OtherProcesses()
 	s.note(err)
 	for _, o := range others {
 		if o.Ready {
@@ -140,8 +140,8 @@
 // share tells the others what this process holds and whether it takes over, and leaves them what they hold.
 func (s *shared) share() {
 	store := s.store()
-	s.note(store.Tell(sharedstate.Mark{Ready: !s.ends.Load(), Descriptors: s.driver.Holds()}))
-	others, err := store.Others()
+	s.note(store.Publish(sharedstate.ProcessStatus{Ready: !s.ends.Load(), Descriptors: s.driver.DescriptorsHeld()}))
+	others, err := store.OtherProcesses()
 	if s.note(err); err != nil {
 		return // as it was
 	}
@@ -151,7 +151,7 @@
 		memory = s.cfg.MemoryMB / 2
 	}
 	if alone := len(others) == 0; !alone || !s.alone.Load() {
-		s.driver.Share(sockets)
+		s.driver.SetDescriptorLimit(sockets)
 		debug.SetMemoryLimit(heap(memory))
 		if s.alone.Swap(alone) != alone {
 			s.log.Info("processes of this node", zap.Int("others", len(others)))
@@ -179,22 +179,22 @@
 // word takes a host out or calls it back, here and in the other processes.
 func (s *shared) word(id string, out bool) error {
 	now := time.Now()
-	c := control.Command{Kind: control.HostResume, Host: id, Known: true, At: now}
+	c := control.Command{Kind: control.HostResume, Host: id, HostMustExist: true, GivenAt: now}
 	if out {
 		c.Kind = control.HostDrain
 	}
-	return s.tell(c, id, func(d *sharedstate.Document) error { return d.Say(id, out, now) })
+	return s.tell(c, id, func(d *sharedstate.State) error { return d.SetOverride(id, out, now) })
 }
 
 // leave drains the node or ends that, here and in the other processes.
 func (s *shared) leave(c control.Command) error {
 	drain := sharedstate.Drain{}
 	if c.Kind == control.Drain {
-		drain = sharedstate.Now().Drain(c.Within, c.Open)
-		drain.After, drain.Keep = c.After, c.Keep
+		drain = sharedstate.ReadClocks().NewDrain(c.DrainTimeout, c.AdmitFor)
+		drain.RetryAfter, drain.KeepConnections = c.RetryAfter, c.KeepConnections
 	}
-	return s.tell(c, nodeOrder, func(d *sharedstate.Document) error {
-		d.Leave(drain)
+	return s.tell(c, nodeOrder, func(d *sharedstate.State) error {
+		d.SetDrain(drain)
 		return nil
 	})
 }
@@ -202,7 +202,7 @@
 // tell carries an order on a target out and puts it into the document, as one step of an order that is the same for all
 // processes: what others were told before is taken in first. An order that does not hold here is told to no one; one that
 // can't be written holds here, and is written once it can be.
-func (s *shared) tell(c control.Command, target string, change func(*sharedstate.Document) error) error {
+func (s *shared) tell(c control.Command, target string, change func(*sharedstate.State) error) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	store := s.store()
@@ -212,10 +212,10 @@
 	var refused error
 	var serial uint64
 	given := false
-	err := store.Update(func(d *sharedstate.Document) error {
+	err := store.Update(func(d *sharedstate.State) error {
 		s.take(*d)
 		given = true
-		if refused = s.orders.Order(c); refused != nil {
+		if refused = s.orders.ApplyManual(c); refused != nil {
 			return refused
 		}
 		err := change(d)
@@ -240,7 +240,7 @@
 
 // tellLater carries an order out while the folder can't be used; mu is held.
 func (s *shared) tellLater(c control.Command, o unwrittenOrder) error {
-	if err := s.orders.Order(c); err != nil {
+	if err := s.orders.ApplyManual(c); err != nil {
 		return err
 	}
 	if s.folder != "" {
@@ -264,32 +264,32 @@
 }
 
 // take brings into force what this process has not taken in yet; mu is held.
-func (s *shared) take(d sharedstate.Document) {
+func (s *shared) take(d sharedstate.State) {
 	s.owed.settle(&d)
 	after := s.seen
 	s.seen, s.known = d.Serial, true
 	order := func(c control.Command) {
-		if err := s.orders.Order(c); err != nil {
+		if err := s.orders.ApplyManual(c); err != nil {
 			s.seen = after // once more at the next look
 			s.log.Error("what another process was told could not be taken in", zap.String("kind", c.Kind), zap.String("host", c.Host),
 				zap.Error(err))
 		}
 	}
-	for _, w := range d.Words {
+	for _, w := range d.Overrides {
 		if w.Serial > after && !s.owed.supersedes(w.Host, w.Serial) {
 			kind := control.HostResume
-			if w.Out {
+			if w.Draining {
 				kind = control.HostDrain
 			}
-			order(control.Command{Kind: kind, Host: w.Host, At: w.At})
+			order(control.Command{Kind: kind, Host: w.Host, GivenAt: w.SetAt})
 		}
 	}
 	switch l := d.Drain; {
 	case l.Serial <= after || s.owed.supersedes(nodeOrder, l.Serial):
-	case l.On:
-		by, shut := l.Spans(sharedstate.Now())
-		order(control.Command{Kind: control.Drain, Within: max(by, 0), Open: max(shut, 0), After: l.After, Keep: l.Keep})
-	case s.node.Leaving():
+	case l.Active:
+		by, shut := l.Remaining(sharedstate.ReadClocks())
+		order(control.Command{Kind: control.Drain, DrainTimeout: max(by, 0), AdmitFor: max(shut, 0), RetryAfter: l.RetryAfter, KeepConnections: l.KeepConnections})
+	case s.node.IsDraining():
 		order(control.Command{Kind: control.Resume})
 	}
 }
--- a/internal/lifecycle/takeover.go
+++ b/internal/lifecycle/takeover.go
@@ -20,17 +20,17 @@
 // system does not let one process reach into another, it gives up at the second try.
 func (s *shared) give(n *node.Node, by time.Time) {
 	given, refused := 0, 0
-	var facts []sharedstate.Fact
-	for _, f := range n.Facts() {
-		facts = append(facts, sharedstate.Fact{Host: string(f.Host), Since: f.Since, Best: f.Best})
+	var facts []sharedstate.PingBaseline
+	for _, f := range n.PingBaselines() {
+		facts = append(facts, sharedstate.PingBaseline{Host: string(f.Host), StartedAtMS: f.StartedAtMS, BestPing: f.BestPing})
 	}
-	for time.Now().Before(by) && n.Open()+n.Owed() > 0 && s.ready() {
-		standing, done := s.driver.Park(sharedstate.MostOffered)
+	for time.Now().Before(by) && n.EstablishedConnections()+n.InFlightRequests() > 0 && s.ready() {
+		standing, done := s.driver.Quiesce(sharedstate.MaxOffered)
 		if len(standing) == 0 {
 			time.Sleep(poll) // what is being brought up goes over once it stands
 			continue
 		}
-		taken, err := s.store().Give(offers(standing), facts)
+		taken, err := s.store().Offer(offers(standing), facts)
 		if err != nil {
 			s.log.Warn("connections are not taken over", zap.Error(err))
 		}
@@ -48,12 +48,12 @@
 			}
 		}
 	}
-	s.log.Info("connections were handed over", zap.Int("given", given), zap.Int64("left", n.Open()))
+	s.log.Info("connections were handed over", zap.Int("given", given), zap.Int64("left", n.EstablishedConnections()))
 }
 
-func offers(standing []proxy.Standing) (out []sharedstate.Offered) {
+func offers(standing []proxy.EstablishedConn) (out []sharedstate.OfferedConn) {
 	for _, c := range standing {
-		o := sharedstate.Offered{Line: c.Line, Host: c.Host, Partial: c.Partial, Load: c.Load}
+		o := sharedstate.OfferedConn{Line: c.Line, Host: c.Host, Partial: c.Partial, Load: c.Load}
 		o.Client, _ = sharedstate.SocketOf(c.Client) // one that is closed meanwhile has no descriptor, and is not taken
 		o.Peer, _ = sharedstate.SocketOf(c.Peer)
 		out = append(out, o)
@@ -71,20 +71,20 @@
 		wait := lookAt
 		if store := s.store(); store != nil && !s.alone.Load() && !s.ends.Load() {
 			wait = offerAt
-			all, facts, err := store.Take()
+			all, facts, err := store.Accept()
 			if err != nil && !failed {
 				s.log.Warn("connections of another process can't be taken over", zap.Error(err))
 			}
 			failed = err != nil
 			if len(facts) > 0 {
-				learnt := make([]node.Fact, 0, len(facts))
+				learnt := make([]node.PingBaseline, 0, len(facts))
 				for _, f := range facts {
-					learnt = append(learnt, node.Fact{Host: balancer.ServerID(f.Host), Since: f.Since, Best: f.Best})
+					learnt = append(learnt, node.PingBaseline{Host: balancer.ServerID(f.Host), StartedAtMS: f.StartedAtMS, BestPing: f.BestPing})
 				}
-				s.node.Learn(learnt)
+				s.node.MergePingBaselines(learnt)
 			}
 			for _, t := range all {
-				err := s.driver.Adopt(proxy.Standing{Line: t.Line, Host: t.Host, Client: t.ClientConn, Peer: t.PeerConn,
+				err := s.driver.Adopt(proxy.EstablishedConn{Line: t.Line, Host: t.Host, Client: t.ClientConn, Peer: t.PeerConn,
 					Partial: t.Partial, Load: t.Load})
 				if err != nil {
 					s.log.Error("a connection that was taken over can't go on: its client is sent away", zap.Error(err))
--- a/internal/lifecycle/unwritten.go
+++ b/internal/lifecycle/unwritten.go
@@ -19,7 +19,7 @@
 	after  uint64 // the document's changes that were known when it was given: a later one on the target goes before it
 	blind  bool   // the document had not been read then: after means nothing until settle has looked
 	given  time.Time
-	change func(*sharedstate.Document) error
+	change func(*sharedstate.State) error
 }
 
 // unwritten are such orders, one for each target: a later one takes the place of an earlier one. What is refused for
@@ -37,7 +37,7 @@
 
 // write puts the orders into a document, but for those whose target has had a later one from another process, and those
 // for which it has no room: they hold here, as where they are given.
-func (u unwritten) write(d *sharedstate.Document) {
+func (u unwritten) write(d *sharedstate.State) {
 	for _, o := range u {
 		if latest(d, o.target) <= o.after {
 			_ = o.change(d)
@@ -47,13 +47,13 @@
 
 // settle decides, for orders that were given before the document was ever read, whether what it says on their targets is
 // older: then they go before it. Drains carry no time of their own; this process's is what operators said last to it.
-func (u unwritten) settle(d *sharedstate.Document) {
+func (u unwritten) settle(d *sharedstate.State) {
 	for i, o := range u {
 		if !o.blind {
 			continue
 		}
 		u[i].blind = false
-		if word, ok := wordOn(d, o.target); !ok || !word.At.After(o.given) {
+		if word, ok := wordOn(d, o.target); !ok || !word.SetAt.After(o.given) {
 			u[i].after = latest(d, o.target)
 		}
 	}
@@ -65,16 +65,16 @@
 }
 
 // wordOn is the document's word on a host.
-func wordOn(d *sharedstate.Document, host string) (w sharedstate.Word, ok bool) {
-	i := slices.IndexFunc(d.Words, func(w sharedstate.Word) bool { return w.Host == host })
+func wordOn(d *sharedstate.State, host string) (w sharedstate.HostOverride, ok bool) {
+	i := slices.IndexFunc(d.Overrides, func(w sharedstate.HostOverride) bool { return w.Host == host })
 	if i < 0 {
 		return w, false
 	}
-	return d.Words[i], true
+	return d.Overrides[i], true
 }
 
 // latest is the document's last change on a target, 0 for none.
-func latest(d *sharedstate.Document, target string) uint64 {
+func latest(d *sharedstate.State, target string) uint64 {
 	if target == nodeOrder {
 		return d.Drain.Serial
 	}
@@ -91,7 +91,7 @@
 		return
 	}
 	var serial uint64
-	err := store.Update(func(d *sharedstate.Document) error {
+	err := store.Update(func(d *sharedstate.State) error {
 		s.take(*d)
 		s.owed.write(d)
 		serial = d.Serial
--- a/internal/loadtest/client.go
+++ b/internal/loadtest/client.go
@@ -223,10 +223,10 @@
 
 // read takes an answer's line.
 func (a *answer) read(line []byte) {
-	switch wire.ParseAnswer(line) {
-	case wire.AnswerUp:
+	switch wire.ParseResponse(line) {
+	case wire.ResponseEstablished:
 		a.outcome = Served
-	case wire.AnswerBusy:
+	case wire.ResponseRejected:
 		a.outcome = Refused
 		if _, text, ok := bytes.Cut(line, []byte(" ")); ok {
 			if ms, err := strconv.Atoi(string(text)); err == nil && ms > 0 {
@@ -354,10 +354,10 @@
 				return why, 0
 			}
 		}
-		switch wire.ParseAnswer(line) {
-		case wire.AnswerBye:
+		switch wire.ParseResponse(line) {
+		case wire.ResponseClosed:
 			return endWhole, 0
-		case wire.AnswerMove:
+		case wire.ResponseMigrate:
 			return endMoved, e.comeBackWait(r)
 		}
 		if at, ok := sentAt(line); ok {
--- a/internal/loadtest/tap.go
+++ b/internal/loadtest/tap.go
@@ -180,7 +180,7 @@
 
 // opened notes a request; nil for what is none.
 func (t *Tap) opened(line []byte) *tapped {
-	_, o, err := wire.ParseHello(line)
+	_, o, err := wire.ParseOpening(line)
 	if err != nil || o.ID == "" || o.Class == "" || o.Tenant == "" {
 		return nil
 	}
--- a/internal/management/call.go
+++ b/internal/management/call.go
@@ -15,15 +15,15 @@
 
 // The calls.
 const (
-	Ready    Kind = iota // can this process serve?
-	ShowStat             // the figures
-	Out                  // take a host out
-	Back                 // use that host again
-	Drain                // drain this node
-	Resume               // back to work
+	Ready      Kind = iota // can this process serve?
+	ShowStat               // the figures
+	DrainHost              // take a host out
+	ResumeHost             // use that host again
+	Drain                  // drain this node
+	Resume                 // back to work
 )
 
-var kinds = map[string]Kind{"ready": Ready, "show-stat": ShowStat, "disable-server": Out, "enable-server": Back,
+var kinds = map[string]Kind{"ready": Ready, "show-stat": ShowStat, "disable-server": DrainHost, "enable-server": ResumeHost,
 	"drain": Drain, "resume": Resume}
 
 // Call is one call; Host is set for Out and Back alone.
@@ -52,7 +52,7 @@
 	if !ok {
 		return Call{}, fmt.Errorf("no such call: %.40q", words[0])
 	}
-	named := kind == Out || kind == Back
+	named := kind == DrainHost || kind == ResumeHost
 	switch {
 	case named && len(words) != 2:
 		return Call{}, fmt.Errorf("%s takes the id of one host", words[0])
@@ -72,8 +72,8 @@
 	Success, Overload, Error uint64 // brought up, refused, failed
 }
 
-// Figures are a node's figures at one moment, counted from the start of its process.
-type Figures struct {
+// Stats are a node's figures at one moment, counted from the start of its process.
+type Stats struct {
 	Replies           []Replies
 	Dispatches        uint64 // attempts written whole to hosts
 	Concurrent        int64  // connections taken and not ended
@@ -81,7 +81,7 @@
 }
 
 // Text writes the figures as show-stat answers them, a line each and END.
-func (f *Figures) Text() []byte {
+func (f *Stats) Text() []byte {
 	out := []byte("YES\r\n")
 	line := func(name string, v uint64) {
 		out = append(out, "svc."...)
--- a/internal/management/call_test.go
+++ b/internal/management/call_test.go
@@ -15,8 +15,8 @@
 		{"show-stat", Call{Kind: ShowStat}, ""},
 		{"drain", Call{Kind: Drain}, ""},
 		{"resume", Call{Kind: Resume}, ""},
-		{"disable-server s-1", Call{Out, "s-1"}, ""},
-		{" enable-server  s-1 ", Call{Back, "s-1"}, ""},
+		{"disable-server s-1", Call{DrainHost, "s-1"}, ""},
+		{" enable-server  s-1 ", Call{ResumeHost, "s-1"}, ""},
 		{"", Call{}, "empty"},
 		{"   ", Call{}, "empty"},
 		{"READY", Call{}, "no such call"},
@@ -43,7 +43,7 @@
 	}
 	f.Fuzz(func(t *testing.T, line string) {
 		c, err := Parse(line)
-		if (c.Host != "") != (err == nil && (c.Kind == Out || c.Kind == Back)) {
+		if (c.Host != "") != (err == nil && (c.Kind == DrainHost || c.Kind == ResumeHost)) {
 			t.Errorf("%q is read as %+v, %v", line, c, err)
 		}
 		if a := answer(err); strings.Count(a, "\n") != 1 || strings.Count(a, "\r") != 1 || !strings.HasPrefix(a, "YES") && !strings.HasPrefix(a, "NO ") {
@@ -53,7 +53,7 @@
 }
 
 func TestFiguresAsText(t *testing.T) {
-	f := Figures{Replies: []Replies{{"chat", 812, 3, 1}, {"push", 0, 0, 0}}, Dispatches: 820, Concurrent: 14, Targets: 9, Disabled: 2}
+	f := Stats{Replies: []Replies{{"chat", 812, 3, 1}, {"push", 0, 0, 0}}, Dispatches: 820, Concurrent: 14, Targets: 9, Disabled: 2}
 	want := "YES|svc.replies.chat.success=812|svc.replies.chat.overload=3|svc.replies.chat.error=1|" +
 		"svc.replies.push.success=0|svc.replies.push.overload=0|svc.replies.push.error=0|svc.dispatches=820|" +
 		"svc.concurrent=14|svc.targets=9|svc.targets_disabled=2|END|"
--- a/internal/management/serve.go
+++ b/internal/management/serve.go
@@ -18,15 +18,15 @@
 // why it was not done.
 type Operations interface {
 	Ready() error
-	Figures() Figures
-	HostOut(id string) error
-	HostBack(id string) error
+	Stats() Stats
+	DrainHost(id string) error
+	ResumeHost(id string) error
 	Drain() error
 	Resume() error
 }
 
-// Callers is how many callers are heard at one time, each with a descriptor: the driver's budget keeps so many free.
-const Callers = 16
+// MaxCallers is how many callers are heard at one time, each with a descriptor: the driver's budget keeps so many free.
+const MaxCallers = 16
 
 const (
 	lineWithin = 6 * time.Second       // a call that is not whole by then is not waited for
@@ -100,7 +100,7 @@
 	now := time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.callers.Len() >= Callers {
+	if s.callers.Len() >= MaxCallers {
 		var silent *caller
 		for e := s.callers.Front(); e != nil && silent == nil; e = e.Next() {
 			if c := e.Value.(*caller); !c.busy {
@@ -171,12 +171,12 @@
 	case Ready:
 		return nil, s.ops.Ready()
 	case ShowStat:
-		f := s.ops.Figures()
+		f := s.ops.Stats()
 		return f.Text(), nil
-	case Out:
-		err = s.ops.HostOut(call.Host)
-	case Back:
-		err = s.ops.HostBack(call.Host)
+	case DrainHost:
+		err = s.ops.DrainHost(call.Host)
+	case ResumeHost:
+		err = s.ops.ResumeHost(call.Host)
 	case Drain:
 		err = s.ops.Drain()
 	case Resume:
--- a/internal/management/serve_test.go
+++ b/internal/management/serve_test.go
@@ -40,9 +40,9 @@
 }
 
 func (f *fake) Ready() error             { return f.says }
-func (f *fake) Figures() Figures         { return Figures{Replies: []Replies{{Class: "chat", Success: 7}}} }
-func (f *fake) HostOut(id string) error  { return f.note("out " + id) }
-func (f *fake) HostBack(id string) error { return f.note("back " + id) }
+func (f *fake) Stats() Stats           { return Stats{Replies: []Replies{{Class: "chat", Success: 7}}} }
+func (f *fake) DrainHost(id string) error  { return f.note("out " + id) }
+func (f *fake) ResumeHost(id string) error { return f.note("back " + id) }
 func (f *fake) Drain() error             { return f.note("drain") }
 func (f *fake) Resume() error            { return f.note("resume") }
 
@@ -130,7 +130,7 @@
 	addr := serve(t, f)
 	ordering := dial(t, addr)
 	_, _ = io.WriteString(ordering, "drain\r\n")
-	for range 4 * Callers {
+	for range 4 * MaxCallers {
 		_, _ = io.WriteString(dial(t, addr), "re")
 	}
 	if got := call(t, addr, "show-stat\r\n"); !strings.HasSuffix(got, "END\r\n") {
--- a/internal/migrate/migrate_test.go
+++ b/internal/migrate/migrate_test.go
@@ -62,11 +62,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if set.AskList || set.Zone != 0 || set.Zones != 2 || set.GroupSize != 95 || set.CrossPrice != 0.1 ||
-		set.DrainGrace.Milliseconds() != 50 || !set.Pass {
+	if set.PollList || set.Zone != 0 || set.Zones != 2 || set.NodeCount != 95 || set.CrossZoneCost != 0.1 ||
+		set.DrainGrace.Milliseconds() != 50 || !set.PassThrough {
 		t.Errorf("the new settings are %+v", set.Settings)
 	}
-	if c := set.Classes; len(c) != 1 || c[0].Window != 7*time.Millisecond || c[0].Deadline != 900*time.Millisecond || !strings.Contains(string(out), `"ours": 1`) {
+	if c := set.Classes; len(c) != 1 || c[0].IdempotencyWindow != 7*time.Millisecond || c[0].Deadline != 900*time.Millisecond || !strings.Contains(string(out), `"ours": 1`) {
 		t.Errorf("a class of the same name lost what the shape does not name: %+v", c)
 	}
 	if !strings.Contains(string(out), "12345678901234567890.10") || strings.Contains(string(out), `"h2"`) {
--- a/internal/node/ending.go
+++ b/internal/node/ending.go
@@ -18,8 +18,8 @@
 	ended  bool      // that is past: nothing new is begun
 }
 
-// End tells that the node ends soon after a time, by which whatever it owes has its final answer.
-func (n *Node) End(by time.Time) { n.post(event{kind: evEnd, until: by}) }
+// BeginShutdown tells that the node ends soon after a time, by which whatever it owes has its final answer.
+func (n *Node) BeginShutdown(by time.Time) { n.post(event{kind: evEnd, until: by}) }
 
 // left is how long the node has for a request whose client waits until then.
 func (n *Node) left(until time.Time) time.Duration {
@@ -41,14 +41,14 @@
 // attempt that has brought nothing is withdrawn. What stands is not touched.
 func (n *Node) conclude() {
 	n.ended = true
-	n.log.Info("the end is near: what is owed is answered", zap.Int64("owed", n.Owed()))
+	n.log.Info("the end is near: what is owed is answered", zap.Int64("owed", n.InFlightRequests()))
 	after := time.Duration(0)
 	for _, c := range n.set.Classes {
-		if after == 0 || c.SetupAim < after {
-			after = c.SetupAim
+		if after == 0 || c.SetupLatencyObjective < after {
+			after = c.SetupLatencyObjective
 		}
 	}
-	n.decide(balancer.Leave{On: true, By: n.now(), Shut: n.now(), After: after, Stay: true})
+	n.decide(balancer.Drain{Active: true, Deadline: n.now(), AdmissionCutoff: n.now(), RetryAfter: after, KeepConnections: true})
 	for id, r := range n.reqs {
 		if r.out && !r.up && !r.answered {
 			r.port.Cancel(r.attempts - 1)
@@ -65,6 +65,6 @@
 	}
 	n.answer(r)
 	r.port.Fail()
-	n.decide(balancer.ClientGone{ID: id})
+	n.decide(balancer.ClientDisconnected{ID: id})
 	n.drop(id, r)
 }
--- a/internal/node/ending_test.go
+++ b/internal/node/ending_test.go
@@ -20,8 +20,8 @@
 	n.take(event{kind: evArrive, id: "mid", opening: opening(t, "OPEN mid key c=chat,t=acme,d=2000,mid=1"),
 		until: time.Now().Add(2 * time.Second), port: mid})
 	n.take(event{kind: evEnd, until: time.Now().Add(time.Hour)})
-	if n.endsIn(time.Now()) == 0 || n.Owed() != 3 {
-		t.Fatalf("ends in %v, %d owed", n.endsIn(time.Now()), n.Owed())
+	if n.endsIn(time.Now()) == 0 || n.InFlightRequests() != 3 {
+		t.Fatalf("ends in %v, %d owed", n.endsIn(time.Now()), n.InFlightRequests())
 	}
 	n.conclude()
 	n.take(event{kind: evConnected, id: "dials"})
@@ -38,8 +38,8 @@
 	if !strings.Contains(dials.heard(), "go 0 false") || !strings.Contains(late.heard(), "refuse") {
 		t.Errorf("%s; %s", dials.heard(), late.heard())
 	}
-	if n.Owed() != 0 || n.Open() != 1 || strings.Contains(up.heard(), "cancel") {
-		t.Errorf("%d owed, %d open; %s", n.Owed(), n.Open(), up.heard())
+	if n.InFlightRequests() != 0 || n.EstablishedConnections() != 1 || strings.Contains(up.heard(), "cancel") {
+		t.Errorf("%d owed, %d open; %s", n.InFlightRequests(), n.EstablishedConnections(), up.heard())
 	}
 }
 
--- a/internal/node/events.go
+++ b/internal/node/events.go
@@ -49,17 +49,17 @@
 	opening *wire.Opening
 	until   time.Time
 	at      time.Time
-	list    *wire.Catalog
+	list    *wire.EndpointList
 	call    uint64
 	reply   chan place
 	view    chan View
-	facts   []Fact
-	tell    chan []Fact
+	facts   []PingBaseline
+	tell    chan []PingBaseline
 	text    string
 	away    *DrainPlan
 	must    bool
 	verdict chan error
-	passed  *Passed
+	passed  *PeerList
 	use     chan bool
 	state   chan coldstart.State
 }
@@ -72,31 +72,31 @@
 	}
 }
 
-// Arrive tells of a client's first line; until is when the client stops waiting.
-func (n *Node) Arrive(o *wire.Opening, until time.Time, p ClientConn) {
+// RequestArrived tells of a client's first line; until is when the client stops waiting.
+func (n *Node) RequestArrived(o *wire.Opening, until time.Time, p ClientConn) {
 	n.post(event{kind: evArrive, id: balancer.RequestID(o.ID), opening: o, until: until, port: p})
 }
 
 // Whatever a connection tells of its request, it tells with its own port: the id is the client's to choose, and a
 // second client with the id of an open request must not speak for the first.
 
-// Inherit tells of a connection that stood at its host before the run and is up there again; Resume came before.
-func (n *Node) Inherit(o *wire.Opening, p ClientConn) {
+// ConnectionInherited tells of a connection that stood at its host before the run and is up there again; Resume came before.
+func (n *Node) ConnectionInherited(o *wire.Opening, p ClientConn) {
 	n.post(event{kind: evInherit, id: balancer.RequestID(o.ID), opening: o, port: p})
 }
 
-// Connected asks whether an attempt whose connection has come up may still be written.
-func (n *Node) Connected(id balancer.RequestID, p ClientConn, attempt int) {
+// AttemptConnected asks whether an attempt whose connection has come up may still be written.
+func (n *Node) AttemptConnected(id balancer.RequestID, p ClientConn, attempt int) {
 	n.post(event{kind: evConnected, id: id, port: p, attempt: attempt})
 }
 
-// Opened tells that a host has taken the connection.
-func (n *Node) Opened(id balancer.RequestID, p ClientConn, attempt int, took time.Duration) {
+// ConnectionEstablished tells that a host has taken the connection.
+func (n *Node) ConnectionEstablished(id balancer.RequestID, p ClientConn, attempt int, took time.Duration) {
 	n.post(event{kind: evOpened, id: id, port: p, attempt: attempt, took: took})
 }
 
-// Settled tells how an attempt ended; its connection must be closed by then.
-func (n *Node) Settled(id balancer.RequestID, p ClientConn, attempt int, took time.Duration, outcome balancer.Outcome) {
+// AttemptEnded tells how an attempt ended; its connection must be closed by then.
+func (n *Node) AttemptEnded(id balancer.RequestID, p ClientConn, attempt int, took time.Duration, outcome balancer.Outcome) {
 	e := settledEvent(id, attempt, outcome)
 	e.took, e.port = took, p
 	n.post(e)
@@ -106,14 +106,14 @@
 	return event{kind: evSettled, id: id, attempt: attempt, outcome: outcome}
 }
 
-// Load tells a connection's load.
-func (n *Node) Load(id balancer.RequestID, p ClientConn, load float64) {
+// ReportLoad tells a connection's load.
+func (n *Node) ReportLoad(id balancer.RequestID, p ClientConn, load float64) {
 	n.post(event{kind: evLoad, id: id, port: p, load: load})
 }
 
-// Gone tells that nothing more is owed to a client, and how many sends its connection has taken: a later one
+// ClientDisconnected tells that nothing more is owed to a client, and how many sends its connection has taken: a later one
 // is on its way to no one, and is settled here.
-func (n *Node) Gone(id balancer.RequestID, p ClientConn, taken int) {
+func (n *Node) ClientDisconnected(id balancer.RequestID, p ClientConn, taken int) {
 	n.post(event{kind: evGone, id: id, port: p, attempt: taken})
 }
 
@@ -123,9 +123,9 @@
 	ok   bool   // it may be taken up
 }
 
-// Resume takes in a connection that stood at its host before the run and asks where that is, "" where that is not
+// ResumeConnection takes in a connection that stood at its host before the run and asks where that is, "" where that is not
 // known yet; false where its id is held already, or the loop has ended. Inherit or Gone must follow.
-func (n *Node) Resume(o *wire.Opening, p ClientConn) (addr string, ok bool) {
+func (n *Node) ResumeConnection(o *wire.Opening, p ClientConn) (addr string, ok bool) {
 	reply := make(chan place, 1)
 	n.post(event{kind: evResume, id: balancer.RequestID(o.ID), opening: o, port: p, reply: reply})
 	select {
@@ -136,16 +136,16 @@
 	}
 }
 
-// Knows reports whether the settings have the class and the tenant that a client names. It may be asked from
+// HasClassAndTenant reports whether the settings have the class and the tenant that a client names. It may be asked from
 // anywhere: the names never change.
-func (n *Node) Knows(o *wire.Opening) bool {
+func (n *Node) HasClassAndTenant(o *wire.Opening) bool {
 	_, class := n.classes[o.Class]
 	_, tenant := n.tenants[o.Tenant]
 	return class && (tenant || len(n.tenants) == 0)
 }
 
-// Listed hands over news that a call to discovery brought.
-func (n *Node) Listed(call uint64, c *wire.Catalog) {
+// ListReceived hands over news that a call to discovery brought.
+func (n *Node) ListReceived(call uint64, c *wire.EndpointList) {
 	n.post(event{kind: evList, call: call, list: c})
 }
 
@@ -155,20 +155,20 @@
 	n.post(event{kind: evWatchFailed, call: call, took: after})
 }
 
-// Follow has the list asked for at another address from now on.
-func (n *Node) Follow(addr string) { n.post(event{kind: evFollow, text: addr}) }
+// SetDiscoveryAddr has the list asked for at another address from now on.
+func (n *Node) SetDiscoveryAddr(addr string) { n.post(event{kind: evFollow, text: addr}) }
 
-// Pinged tells what a message took at a host, or that no answer came in that time; below 0 where the host could
+// PingCompleted tells what a message took at a host, or that no answer came in that time; below 0 where the host could
 // not be asked, which says nothing of its messages.
-func (n *Node) Pinged(id balancer.ServerID, took time.Duration) {
+func (n *Node) PingCompleted(id balancer.ServerID, took time.Duration) {
 	n.post(event{kind: evPinged, id: balancer.RequestID(id), took: took})
 }
 
-// MoveAll sends all clients away, spread evenly over the time there is.
-func (n *Node) MoveAll(by time.Time) { n.post(event{kind: evMoveAll, until: by}) }
+// MigrateAll sends all clients away, spread evenly over the time there is.
+func (n *Node) MigrateAll(by time.Time) { n.post(event{kind: evMoveAll, until: by}) }
 
-// Owed tells how many requests wait for their final answer; Open how many connections stand.
-func (n *Node) Owed() int64 { return n.owed.Load() }
+// InFlightRequests tells how many requests wait for their final answer; Open how many connections stand.
+func (n *Node) InFlightRequests() int64 { return n.owed.Load() }
 
-// Open tells how many connections stand.
-func (n *Node) Open() int64 { return n.open.Load() }
+// EstablishedConnections tells how many connections stand.
+func (n *Node) EstablishedConnections() int64 { return n.open.Load() }
--- a/internal/node/facts.go
+++ b/internal/node/facts.go
@@ -8,17 +8,17 @@
 	"onyxstream/balancer"
 )
 
-// Fact is what this node has learnt of a host that another process of it could learn only anew, and worse: the shortest
+// PingBaseline is what this node has learnt of a host that another process of it could learn only anew, and worse: the shortest
 // ping of a host is not seen while it is under load, and all later ones are held against it.
-type Fact struct {
-	Host  balancer.ServerID
-	Since int64 // its start, as listed, Unix time in milliseconds
-	Best  time.Duration
+type PingBaseline struct {
+	Host        balancer.ServerID
+	StartedAtMS int64 // its start, as listed, Unix time in milliseconds
+	BestPing    time.Duration
 }
 
-// Facts asks the loop what it has learnt; empty once it has ended.
-func (n *Node) Facts() (facts []Fact) {
-	got := make(chan []Fact, 1)
+// PingBaselines asks the loop what it has learnt; empty once it has ended.
+func (n *Node) PingBaselines() (facts []PingBaseline) {
+	got := make(chan []PingBaseline, 1)
 	n.post(event{kind: evFacts, tell: got})
 	select {
 	case facts = <-got:
@@ -27,24 +27,24 @@
 	return facts
 }
 
-// Learn takes in what another process has learnt.
-func (n *Node) Learn(facts []Fact) { n.post(event{kind: evLearn, facts: facts}) }
+// MergePingBaselines takes in what another process has learnt.
+func (n *Node) MergePingBaselines(facts []PingBaseline) { n.post(event{kind: evLearn, facts: facts}) }
 
-func (n *Node) facts() (out []Fact) {
+func (n *Node) facts() (out []PingBaseline) {
 	for id, m := range n.members {
 		if m.best > 0 {
-			out = append(out, Fact{id, m.since, m.best})
+			out = append(out, PingBaseline{id, m.since, m.best})
 		}
 	}
-	slices.SortFunc(out, func(a, b Fact) int { return cmp.Compare(a.Host, b.Host) })
+	slices.SortFunc(out, func(a, b PingBaseline) int { return cmp.Compare(a.Host, b.Host) })
 	return out
 }
 
 // learn believes a fact of a host as long as that is the same start of it.
-func (n *Node) learn(facts []Fact) {
+func (n *Node) learn(facts []PingBaseline) {
 	for _, f := range facts {
-		if m := n.members[f.Host]; m != nil && m.since == f.Since && f.Best > 0 && (m.best == 0 || f.Best < m.best) {
-			m.best = f.Best
+		if m := n.members[f.Host]; m != nil && m.since == f.StartedAtMS && f.BestPing > 0 && (m.best == 0 || f.BestPing < m.best) {
+			m.best = f.BestPing
 		}
 	}
 }
--- a/internal/node/guard.go
+++ b/internal/node/guard.go
@@ -60,14 +60,14 @@
 	if r.on == nil {
 		return
 	}
-	s := invariant.Send{Request: string(e.id), Host: string(r.on.id), At: e.at, Draining: r.on.state != balancer.Live, ToldAt: r.on.toldAt,
-		Grace: n.set.DrainGrace, MayHaveRun: r.mayHave}
+	s := invariant.Send{Request: string(e.id), Host: string(r.on.id), At: e.at, Draining: r.on.state != balancer.Live, NotifiedAt: r.on.toldAt,
+		Grace: n.set.DrainGrace, MayHaveExecutedAt: r.mayHave}
 	if r.class >= 0 {
 		c := n.set.Classes[r.class]
-		s.Effect, s.Window = c.Effect, c.Window
+		s.Effect, s.Window = c.Effect, c.IdempotencyWindow
 	}
 	if r.out && e.attempt < r.attempts-1 {
-		s.OthersOut++
+		s.ConcurrentAttempts++
 	}
 	n.monitor.Report(invariant.CheckSend(s)...)
 	n.checkSlowStart(string(e.id), r.on, e.at)
@@ -79,7 +79,7 @@
 // checkSlowStart checks what this node alone has sent a cold host of late against what the settings allow all nodes.
 func (n *Node) checkSlowStart(request string, m *member, at time.Time) {
 	age := n.at(at) - m.start
-	if m.start <= 0 || age >= n.set.WarmWithin || n.set.FallWindow <= 0 {
+	if m.start <= 0 || age >= n.set.SlowStartDuration || n.set.CollapseWindow <= 0 {
 		m.sentCold = nil
 		return
 	}
@@ -87,7 +87,7 @@
 	if budget <= 0 { // the settings tell no quotas: what a host bears is not known
 		return
 	}
-	m.sentCold = slices.DeleteFunc(m.sentCold, func(t time.Time) bool { return at.Sub(t) >= n.set.FallWindow })
+	m.sentCold = slices.DeleteFunc(m.sentCold, func(t time.Time) bool { return at.Sub(t) >= n.set.CollapseWindow })
 	if len(m.sentCold) < maxSentCold {
 		m.sentCold = append(m.sentCold, at)
 	}
@@ -101,16 +101,16 @@
 func (n *Node) slowStartBudget(m *member, age time.Duration) float64 {
 	quota, sizes := 0.0, 0.0
 	for _, t := range n.set.Tenants {
-		quota += t.Connections
+		quota += t.ConnectionQuota
 	}
 	for _, other := range n.members {
 		if !other.out {
 			sizes += cmp.Or(max(other.listed.Size, 0), 1)
 		}
 	}
-	share := n.set.ColdShare + (1-n.set.ColdShare)*float64(age)/float64(n.set.WarmWithin)
+	share := n.set.SlowStartFraction + (1-n.set.SlowStartFraction)*float64(age)/float64(n.set.SlowStartDuration)
 	part := quota * cmp.Or(max(m.listed.Size, 0), 1) / max(sizes, 1)
-	return n.set.FallMultiple * part * max(1, 2*share) * n.set.FallWindow.Seconds() / n.set.WarmWithin.Seconds()
+	return n.set.CollapseMultiple * part * max(1, 2*share) * n.set.CollapseWindow.Seconds() / n.set.SlowStartDuration.Seconds()
 }
 
 // gaveUp notes why a request is refused or failed.
@@ -123,7 +123,7 @@
 // Monitor counts the rules that were broken.
 func (n *Node) Monitor() *invariant.Monitor { return n.monitor }
 
-// Written tells of a line that was written to its end; at is just before its first byte.
-func (n *Node) Written(id balancer.RequestID, p ClientConn, attempt int, at time.Time) {
+// AttemptWritten tells of a line that was written to its end; at is just before its first byte.
+func (n *Node) AttemptWritten(id balancer.RequestID, p ClientConn, attempt int, at time.Time) {
 	n.post(event{kind: evWritten, id: id, port: p, attempt: attempt, at: at})
 }
--- a/internal/node/guard_test.go
+++ b/internal/node/guard_test.go
@@ -27,7 +27,7 @@
 		{"the host drains", func(_ *Node, r *request) { r.on.state, r.on.toldAt = balancer.Draining, long }, denyHost},
 		{"the host has just begun to drain", func(_ *Node, r *request) { r.on.state, r.on.toldAt = balancer.Draining, time.Now() }, ""},
 		{"an unsafe one that may have run", func(n *Node, r *request) {
-			n.set.Classes[0].Effect, r.mayHave = balancer.Unsafe, long
+			n.set.Classes[0].Effect, r.mayHave = balancer.NonIdempotent, long
 		}, denyRepeat},
 	} {
 		n, _, _ := held(t, entry("a", wire.Serving))
@@ -49,12 +49,12 @@
 	}{
 		{"a right one", func(*Node, *request) {}, nil},
 		{"to a drained host", func(n *Node, r *request) {
-			r.on.state, r.on.toldAt = balancer.Gone, time.Now().Add(-n.set.DrainGrace-time.Millisecond)
+			r.on.state, r.on.toldAt = balancer.Removed, time.Now().Add(-n.set.DrainGrace-time.Millisecond)
 		}, map[invariant.Rule]uint64{invariant.SentToDrained: 1}},
 		{"a repeat", func(n *Node, r *request) {
-			n.set.Classes[0].Effect, r.mayHave = balancer.Unsafe, time.Now()
-		}, map[invariant.Rule]uint64{invariant.RepeatedUnsafely: 1}},
-		{"beside another", func(_ *Node, r *request) { r.attempts++ }, map[invariant.Rule]uint64{invariant.SecondCopy: 1}},
+			n.set.Classes[0].Effect, r.mayHave = balancer.NonIdempotent, time.Now()
+		}, map[invariant.Rule]uint64{invariant.UnsafeRetry: 1}},
+		{"beside another", func(_ *Node, r *request) { r.attempts++ }, map[invariant.Rule]uint64{invariant.ConcurrentAttempt: 1}},
 	} {
 		n, _, _ := held(t, entry("a", wire.Serving))
 		p := arrive(t, n, "r")
@@ -78,8 +78,8 @@
 		want  bool
 	}{{"at once", 0, 0, true}, {"spread", 0, 200 * time.Millisecond, false}, {"warm", time.Hour, 0, false}} {
 		n, _, _ := held(t, entry("a", wire.Serving))
-		n.set.Tenants = []balancer.Tenant{{Connections: 5}}
-		n.set.WarmWithin = 10 * time.Second
+		n.set.Tenants = []balancer.Tenant{{ConnectionQuota: 5}}
+		n.set.SlowStartDuration = 10 * time.Second
 		arrive(t, n, "r")
 		r, now := n.reqs["r"], time.Now()
 		r.on.start = n.at(now) - c.age
@@ -88,7 +88,7 @@
 		for i := range lines {
 			n.written(event{kind: evWritten, id: "r", at: now.Add(time.Duration(i) * c.apart)}, r)
 		}
-		if got := n.Monitor().Count(invariant.OverSlowStart) > 0; got != c.want {
+		if got := n.Monitor().Count(invariant.SlowStartExceeded) > 0; got != c.want {
 			t.Errorf("%s: %d lines with a budget of %.1f, found %v", c.name, lines, budget, got)
 		}
 	}
--- a/internal/node/list_test.go
+++ b/internal/node/list_test.go
@@ -14,12 +14,12 @@
 
 func TestCompleteListDropsWhatItLacks(t *testing.T) {
 	n, _, _ := held(t, entry("s1", wire.Serving), entry("s2", wire.Serving))
-	n.take(event{kind: evList, list: &wire.Catalog{Revision: 8, Complete: true, Members: []wire.Member{entry("s2", wire.Serving)}}})
-	if n.members["s1"].state != balancer.Gone || n.members["s2"].state != balancer.Live || n.revision != 8 {
+	n.take(event{kind: evList, list: &wire.EndpointList{Revision: 8, Complete: true, Endpoints: []wire.Endpoint{entry("s2", wire.Serving)}}})
+	if n.members["s1"].state != balancer.Removed || n.members["s2"].state != balancer.Live || n.revision != 8 {
 		t.Errorf("s1 %v, s2 %v, revision %d", n.members["s1"].state, n.members["s2"].state, n.revision)
 	}
 	n.members["s1"].toldAt = time.Now().Add(-2 * forgetAfter)
-	n.list(&wire.Catalog{Revision: 9}, balancer.ListChange, false)
+	n.list(&wire.EndpointList{Revision: 9}, balancer.ListDelta, false)
 	if n.members["s1"] != nil {
 		t.Error("a host gone for long is kept")
 	}
@@ -30,8 +30,8 @@
 	m := entry("s1", wire.Serving)
 	m.Addr = ""
 	n, _, _ := held(t, m)
-	if p := arrive(t, n, "r"); p.heard() != "refuse true" || n.Owed() != 0 {
-		t.Errorf("%s; %d owed", p.heard(), n.Owed())
+	if p := arrive(t, n, "r"); p.heard() != "refuse true" || n.InFlightRequests() != 0 {
+		t.Errorf("%s; %d owed", p.heard(), n.InFlightRequests())
 	}
 	if p := arrive(t, n, "q"); p.heard() != "refuse true" || len(n.reqs) != 0 {
 		t.Errorf("%s; %d kept", p.heard(), len(n.reqs))
@@ -40,15 +40,15 @@
 
 func TestListEventsAndWatches(t *testing.T) {
 	set := testSettings()
-	set.AskWithin = time.Millisecond // the module asks within a twentieth of it
+	set.PollInterval = time.Millisecond // the module asks within a twentieth of it
 	w := &world{}
-	n := New(set, wire.Catalog{Revision: 7}, "d:1", w, zap.NewNop())
+	n := New(set, wire.EndpointList{Revision: 7}, "d:1", w, zap.NewNop())
 	time.Sleep(time.Millisecond)
 	n.decide(balancer.Timer{Token: "sweep"})
-	if len(w.watches) != 1 || w.watches[0] != (Call{1, "d:1", 7}) {
+	if len(w.watches) != 1 || w.watches[0] != (ListRequest{1, "d:1", 7}) {
 		t.Fatalf("watches %v, want one from version 7", w.watches)
 	}
-	n.take(event{kind: evList, call: 1, list: &wire.Catalog{Revision: 9, Members: []wire.Member{entry("s2", wire.Serving)}}})
+	n.take(event{kind: evList, call: 1, list: &wire.EndpointList{Revision: 9, Endpoints: []wire.Endpoint{entry("s2", wire.Serving)}}})
 	if n.revision != 9 || n.members["s2"] == nil {
 		t.Errorf("revision %d", n.revision)
 	}
@@ -67,29 +67,29 @@
 	}
 	n.take(event{kind: evFollow, text: "d:2"})
 	n.take(event{kind: evFollow, text: "d:3"})
-	if want := (Call{3, "d:3", Whole}); len(w.watches) != 3 || w.watches[2] != want {
+	if want := (ListRequest{3, "d:3", NoRevision}); len(w.watches) != 3 || w.watches[2] != want {
 		t.Fatalf("asked %v, want %v last", w.watches, want)
 	}
 	n.take(event{kind: evWatchFailed, call: 1})
 	n.take(event{kind: evWatchFailed, call: 2})
 	serves("the-old-watch-has-ended")
 	// What the old one wrote was told and holds, its version does not.
-	n.take(event{kind: evList, call: 1, list: &wire.Catalog{Revision: 900, Members: []wire.Member{entry("s1", wire.Draining)}}})
-	if n.revision != Whole || n.members["s1"].state != balancer.Draining {
+	n.take(event{kind: evList, call: 1, list: &wire.EndpointList{Revision: 900, Endpoints: []wire.Endpoint{entry("s1", wire.Draining)}}})
+	if n.revision != NoRevision || n.members["s1"].state != balancer.Draining {
 		t.Errorf("revision %d, s1 %v", n.revision, n.members["s1"].state)
 	}
 	n.take(event{kind: evWatchFailed, call: 3})
 	n.watch()
-	if got := w.watches[len(w.watches)-1]; got != (Call{4, "d:3", Whole}) {
+	if got := w.watches[len(w.watches)-1]; got != (ListRequest{4, "d:3", NoRevision}) {
 		t.Errorf("after a failure asked %v", got)
 	}
-	n.take(event{kind: evList, call: 4, list: &wire.Catalog{Revision: 2, Complete: true,
-		Members: []wire.Member{entry("s1", wire.Serving)}}})
+	n.take(event{kind: evList, call: 4, list: &wire.EndpointList{Revision: 2, Complete: true,
+		Endpoints: []wire.Endpoint{entry("s1", wire.Serving)}}})
 	n.watch()
-	if got := w.watches[len(w.watches)-1]; got != (Call{5, "d:3", 2}) {
+	if got := w.watches[len(w.watches)-1]; got != (ListRequest{5, "d:3", 2}) {
 		t.Errorf("after the list asked %v", got)
 	}
-	if n.members["s2"].state != balancer.Gone || n.members["s1"].state != balancer.Live {
+	if n.members["s2"].state != balancer.Removed || n.members["s1"].state != balancer.Live {
 		t.Error("the whole list does not hold")
 	}
 	serves("with-the-new-list")
@@ -98,7 +98,7 @@
 // Sites that need not be asked have no module that asks: the node watches by itself, and again.
 func TestPushSitesAreWatchedAgain(t *testing.T) {
 	n, w, _ := held(t)
-	n.set.AskList = false
+	n.set.PollList = false
 	n.watch()
 	n.take(event{kind: evWatchFailed, call: 1})
 	n.pulse(time.Now())
@@ -120,15 +120,15 @@
 		for _, ask := range []bool{true, false} {
 			t.Run(fmt.Sprintf("%s, asked for %v", name, ask), func(t *testing.T) {
 				n, w, _ := held(t, entry("s1", wire.Serving))
-				n.set.AskList = ask
+				n.set.PollList = ask
 				n.watch()
 				for _, e := range order {
 					n.take(e)
 				}
-				if last := w.watches[len(w.watches)-1]; len(w.watches) != 2 || last.Addr != "new:1" || last.After != Whole {
+				if last := w.watches[len(w.watches)-1]; len(w.watches) != 2 || last.Addr != "new:1" || last.AfterRevision != NoRevision {
 					t.Fatalf("calls %v", w.watches)
 				}
-				list := wire.Catalog{Revision: 3, Complete: true, Members: []wire.Member{entry("s2", wire.Serving)}}
+				list := wire.EndpointList{Revision: 3, Complete: true, Endpoints: []wire.Endpoint{entry("s2", wire.Serving)}}
 				n.take(event{kind: evList, call: 2, list: &list})
 				n.take(refused)
 				n.pulse(time.Now().Add(time.Minute))
--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -17,9 +17,9 @@
 	since  int64         // its last start, as listed
 	start  time.Duration // the same by the node's clock, as reckoned when it was told; 0 for long ago
 	state  balancer.ServerState
-	toldAt time.Time   // when it was told to drain or be gone
-	listed wire.Member // as the list has it
-	out    bool        // the list does not have it any more
+	toldAt time.Time     // when it was told to drain or be gone
+	listed wire.Endpoint // as the list has it
+	out    bool          // the list does not have it any more
 	// sentCold is when it was sent something within the last FallWindow, while it is cold; in order.
 	sentCold []time.Time
 
@@ -38,7 +38,7 @@
 	// turnMargin is for the connection's own turn on a busy core, between the loop's word and the first byte.
 	turnMargin = 20 * time.Millisecond
 	// graceMargin is what must be left of a grace: the whole process may be held up in between as well.
-	graceMargin = balancer.MaxHoldUp + turnMargin
+	graceMargin = balancer.MaxSchedulingDelay + turnMargin
 	// repeatMargin is the same at the end of the time in which repeats are dropped, which allows for hold-ups.
 	repeatMargin = turnMargin
 	// forgetAfter is how long a member that is gone keeps its address, for attempts under way.
@@ -46,17 +46,17 @@
 )
 
 var states = map[wire.Phase]balancer.ServerState{
-	wire.Serving: balancer.Live, wire.Draining: balancer.Draining, wire.Deleted: balancer.Gone,
+	wire.Serving: balancer.Live, wire.Draining: balancer.Draining, wire.Removed: balancer.Removed,
 }
 
 // list takes in news of the hosts and tells the module; behind says that a later call to discovery was made.
-func (n *Node) list(c *wire.Catalog, kind balancer.ListKind, behind bool) {
+func (n *Node) list(c *wire.EndpointList, kind balancer.ListKind, behind bool) {
 	now := time.Now()
 	n.observeClock(now)
 	c = n.bounded(c)
-	ev := balancer.ListEvent{Kind: kind, Version: c.Revision, Behind: behind, Servers: make([]balancer.Server, 0, len(c.Members))}
-	named := make(map[balancer.ServerID]bool, len(c.Members))
-	for _, e := range c.Members {
+	ev := balancer.ListEvent{Kind: kind, Revision: c.Revision, Superseded: behind, Servers: make([]balancer.Server, 0, len(c.Endpoints))}
+	named := make(map[balancer.ServerID]bool, len(c.Endpoints))
+	for _, e := range c.Endpoints {
 		id := balancer.ServerID(e.ID)
 		named[id] = true
 		m := n.members[id]
@@ -64,25 +64,25 @@
 			m = &member{id: id}
 			n.members[id] = m
 		}
-		if m.addr = e.Addr; m.since != e.UpSince { // a host that has restarted is not what it was
-			m.since, m.best, m.doubt, m.pile = e.UpSince, 0, 0, 0
-			m.start = n.wall.started(e.UpSince, n.at(now))
+		if m.addr = e.Addr; m.since != e.StartedAtMS { // a host that has restarted is not what it was
+			m.since, m.best, m.doubt, m.pile = e.StartedAtMS, 0, 0, 0
+			m.start = n.wall.started(e.StartedAtMS, n.at(now))
 		}
-		m.listed, m.out = e, e.Phase == wire.Deleted
+		m.listed, m.out = e, e.Phase == wire.Removed
 		m.tell(n.worded(id, states[e.Phase]), now)
 		s := balancer.Server{ID: id, Zone: -1, Cell: e.Cell, State: m.state, Weight: e.Size,
-			Since: max(m.start, n.returning[id], n.guessed), Guess: n.guessed > 0, Shun: n.unreachableFor(id)}
+			StartedAt: max(m.start, n.returning[id], n.guessed), AssumedStart: n.guessed > 0, EjectFor: n.unreachableFor(id)}
 		if z, ok := n.zones[e.Zone]; ok {
 			s.Zone = z
 		}
 		ev.Servers = append(ev.Servers, s)
 	}
 	for id, m := range n.members {
-		if (kind == balancer.ListFull || kind == balancer.ListCached) && !named[id] {
-			m.tell(balancer.Gone, now)
+		if (kind == balancer.ListSnapshot || kind == balancer.ListCached) && !named[id] {
+			m.tell(balancer.Removed, now)
 			m.out = true
 		}
-		if m.state == balancer.Gone && now.Sub(m.toldAt) > forgetAfter {
+		if m.state == balancer.Removed && now.Sub(m.toldAt) > forgetAfter {
 			delete(n.members, id)
 		}
 	}
@@ -111,10 +111,10 @@
 		return true
 	}
 	switch c := n.set.Classes[r.class]; c.Effect {
-	case balancer.Safe:
+	case balancer.Idempotent:
 		return true
-	case balancer.Keyed:
-		return time.Since(r.mayHave) < c.Window-repeatMargin
+	case balancer.IdempotentByKey:
+		return time.Since(r.mayHave) < c.IdempotencyWindow-repeatMargin
 	}
 	return false
 }
@@ -143,7 +143,7 @@
 	}
 	if n.start != nil {
 		n.ask()
-	} else if !n.set.AskList && !n.watching && now.After(n.watchAt) {
+	} else if !n.set.PollList && !n.watching && now.After(n.watchAt) {
 		n.watch()
 	}
 	n.moveSome(now)
@@ -157,11 +157,11 @@
 			continue
 		}
 		p := r.port.MessageStats(now)
-		if was := r.silent; p.Waiting <= silence {
+		if was := r.silent; p.OldestWait <= silence {
 			r.silent = false
 		} else if r.silent = true; was {
 			n.log.Info("a host says nothing: its client is moved", zap.String("host", string(r.on.id)),
-				zap.Duration("silent", p.Waiting))
+				zap.Duration("silent", p.OldestWait))
 			n.move(r)
 		}
 		if !measure {
@@ -173,11 +173,11 @@
 		}
 		if p.Answered != r.told {
 			r.told = p.Answered
-			m.took = append(m.took, p.Took)
+			m.took = append(m.took, p.LastLatency)
 		}
 		// One that waits longer than is well tells as much as an answer that took that long.
-		if p.Waiting > n.slowFrom {
-			m.took = append(m.took, p.Waiting)
+		if p.OldestWait > n.slowFrom {
+			m.took = append(m.took, p.OldestWait)
 		}
 	}
 	if measure && n.slowFrom > 0 {
@@ -219,7 +219,7 @@
 }
 
 // pings reports whether pings time the messages.
-func (n *Node) pings() bool { return n.set.TellsDelay && n.set.MayProbe && n.slowFrom > 0 }
+func (n *Node) pings() bool { return n.set.ReportsLatency && n.set.MayProbe && n.slowFrom > 0 }
 
 func (n *Node) ping(m *member, now time.Time) {
 	if n.outside.Ping(m.id, m.addr) { // one that was never sent must not pass for one without an answer
@@ -286,7 +286,7 @@
 func (n *Node) note(m *member, took time.Duration) {
 	was := m.slow
 	if m.slow = took > n.slowFrom; (m.slow || was) && m.some != "" {
-		n.decide(balancer.SlowNote{ID: m.some, Message: took})
+		n.decide(balancer.LatencyReport{ID: m.some, Latency: took})
 	}
 }
 
@@ -308,8 +308,8 @@
 	}
 }
 
-// WatchAgain is the longest that a node waits before it watches again where the list need not be asked for.
-const WatchAgain = 300*time.Millisecond + 7*50*time.Millisecond + tickEvery
+// MaxRewatchDelay is the longest that a node waits before it watches again where the list need not be asked for.
+const MaxRewatchDelay = 300*time.Millisecond + 7*50*time.Millisecond + tickEvery
 
 // rewatch is how long it does, but for the tick that comes then; nodes that lost it together come back apart.
 func rewatch(index int) time.Duration {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -23,15 +23,15 @@
 	Send(Attempt)                            // start an attempt
 	Proceed(attempt int, ok bool)            // answers Connected: the line may be written, or no more
 	Cancel(attempt int)                      // withdraw an attempt that has brought no answer
-	Refuse(after time.Duration)              // final answer BUSY
+	Reject(after time.Duration)              // final answer BUSY
 	Fail()                                   // final answer ERR
-	Move()                                   // send the client away between two lines
+	Migrate()                                // send the client away between two lines
 	MessageStats(now time.Time) MessageStats // how its messages fare
 }
 
 // Attempt is what a connection needs to know of a send.
 type Attempt struct {
-	N       int
+	Number  int
 	Host    balancer.ServerID
 	Addr    string
 	Timeout time.Duration
@@ -39,33 +39,33 @@
 
 // MessageStats tells how a connection's messages fare.
 type MessageStats struct {
-	Answered uint64        // how many messages have had their answer
-	Took     time.Duration // by the last of them
-	Waiting  time.Duration // how long the oldest one without an answer has waited; 0 for none
+	Answered    uint64        // how many messages have had their answer
+	LastLatency time.Duration // by the last of them
+	OldestWait  time.Duration // how long the oldest one without an answer has waited; 0 for none
 }
 
-// Effects is what the loop needs of the sockets beside its ports. None of it may block.
-type Effects interface {
-	Watch(Call)                                  // ask discovery for the list, and follow it
+// Transport is what the loop needs of the sockets beside its ports. None of it may block.
+type Transport interface {
+	Watch(ListRequest)                           // ask discovery for the list, and follow it
 	Ping(id balancer.ServerID, addr string) bool // time a message at a host; false where none is sent
 }
 
-// Call is a question to discovery that lasts: for what changed after a version, or for the whole list where
-// After is Whole, and for all that follows. Calls count up, and what they bring comes with their number.
-type Call struct {
-	N     uint64
-	Addr  string
-	After int64
+// ListRequest is a question to discovery that lasts: for what changed after a version, or for the whole list where
+// AfterRevision is NoRevision, and for all that follows. Calls count up, and what they bring comes with their number.
+type ListRequest struct {
+	Sequence      uint64
+	Addr          string
+	AfterRevision int64
 }
 
-// Whole asks for the whole list: no version is known to the discovery that is asked.
-const Whole = -1
+// NoRevision asks for the whole list: no version is known to the discovery that is asked.
+const NoRevision = -1
 
 // Node is the memory of one node.
 type Node struct {
 	set     settings.Settings
-	brain   *balancer.Brain
-	outside Effects
+	brain   *balancer.Balancer
+	outside Transport
 	log     *zap.Logger
 	monitor *invariant.Monitor
 	base    time.Time
@@ -81,7 +81,7 @@
 
 	discovery string // where the list is asked for
 	call      uint64 // the last question to it
-	revision  int64  // as of its list there, Whole where that knows none of ours
+	revision  int64  // as of its list there, NoRevision where that knows none of ours
 
 	wall     wallClock     // by which starts of hosts are listed
 	memoryMB int           // that the process may take, 0 for no bound on the list
@@ -100,7 +100,7 @@
 }
 
 // New makes a node that knows its settings, the list as it was last held, and where to ask for it.
-func New(set settings.Settings, known wire.Catalog, discovery string, outside Effects, log *zap.Logger) *Node {
+func New(set settings.Settings, known wire.EndpointList, discovery string, outside Transport, log *zap.Logger) *Node {
 	n := &Node{set: set, brain: balancer.New(set.Settings), outside: outside, log: log, monitor: invariant.NewMonitor(log), base: time.Now(), discovery: discovery,
 		events: make(chan event, 1024), done: make(chan struct{}),
 		reqs: map[balancer.RequestID]*request{}, givenUp: map[balancer.Reason]int{}, members: map[balancer.ServerID]*member{},
@@ -108,7 +108,7 @@
 		classes: index(set.ClassNames), tenants: index(set.TenantNames), zones: index(set.ZoneNames)}
 	// The simulator tells of messages that take over a third of the shortest aim, so the module expects that.
 	for _, c := range set.Classes {
-		if from := c.MessageAim / 3; from > 0 && (n.slowFrom == 0 || from < n.slowFrom) {
+		if from := c.MessageLatencyObjective / 3; from > 0 && (n.slowFrom == 0 || from < n.slowFrom) {
 			n.slowFrom = from
 		}
 	}
@@ -147,7 +147,7 @@
 	defer timer.Stop()
 	ticks := time.NewTicker(tickEvery)
 	defer ticks.Stop()
-	if !n.set.AskList && n.start == nil {
+	if !n.set.PollList && n.start == nil {
 		n.watch()
 	}
 	for {
@@ -217,9 +217,9 @@
 func (n *Node) takeList(e event) {
 	switch e.kind {
 	case evList:
-		kind := balancer.ListChange
+		kind := balancer.ListDelta
 		if e.list.Complete {
-			kind = balancer.ListFull
+			kind = balancer.ListSnapshot
 		}
 		n.list(e.list, kind, e.call != n.call)
 		if e.call == n.call { // a version of the discovery that was left means nothing to the one that is followed
@@ -229,10 +229,10 @@
 	case evFollow:
 		// The module hears of it by the list alone: neither the end of the old watch nor a list that is not
 		// there yet is a failure, and what is known of the hosts holds until the new list is there.
-		n.discovery, n.revision = e.text, Whole
+		n.discovery, n.revision = e.text, NoRevision
 		if n.start != nil {
 			n.service.Store(&e.text)
-			n.start.Follow(n.now(), e.text)
+			n.start.SetService(n.now(), e.text)
 			n.ask()
 			return
 		}
@@ -242,14 +242,14 @@
 			return
 		}
 		if n.start != nil {
-			n.start.Failed(n.now(), e.took)
+			n.start.CallFailed(n.now(), e.took)
 			return
 		}
-		if n.set.AskList {
-			n.decide(balancer.ListEvent{Kind: balancer.ListFailed, Version: n.revision})
+		if n.set.PollList {
+			n.decide(balancer.ListEvent{Kind: balancer.ListFailed, Revision: n.revision})
 			return
 		}
-		n.watching, n.watchAt = false, time.Now().Add(rewatch(n.set.Index))
+		n.watching, n.watchAt = false, time.Now().Add(rewatch(n.set.NodeIndex))
 	case evPinged:
 		if m := n.members[balancer.ServerID(e.id)]; m != nil {
 			n.pinged(m, e.took)
@@ -273,17 +273,17 @@
 	switch a := a.(type) {
 	case balancer.Send:
 		n.send(a)
-	case balancer.Refuse:
+	case balancer.Reject:
 		if r := n.reqs[a.ID]; r != nil && !r.answered {
 			n.answer(r)
-			n.gaveUp(a.ID, r, true, a.Why)
-			r.port.Refuse(a.RetryAfter)
+			n.gaveUp(a.ID, r, true, a.Reason)
+			r.port.Reject(a.RetryAfter)
 			n.drop(a.ID, r)
 		}
 	case balancer.Fail:
 		if r := n.reqs[a.ID]; r != nil && !r.answered {
 			n.answer(r)
-			n.gaveUp(a.ID, r, false, a.Why)
+			n.gaveUp(a.ID, r, false, a.Reason)
 			r.port.Fail()
 			n.drop(a.ID, r)
 		}
@@ -291,13 +291,13 @@
 		if r := n.reqs[a.ID]; r != nil && r.out && !r.up {
 			r.port.Cancel(a.Attempt)
 		}
-	case balancer.Move:
+	case balancer.Migrate:
 		if r := n.reqs[a.ID]; r != nil {
 			n.move(r)
 		}
-	case balancer.Wake:
+	case balancer.SetTimer:
 		n.timers.add(a.At, a.Token)
-	case balancer.Watch:
+	case balancer.WatchList:
 		if n.start != nil { // it paces the calls; the module wishes for one
 			n.ask()
 			return
@@ -313,7 +313,7 @@
 	n.call++
 	after := n.revision
 	if n.doubt {
-		after = Whole
+		after = NoRevision
 	}
-	n.outside.Watch(Call{N: n.call, Addr: n.discovery, After: after})
+	n.outside.Watch(ListRequest{Sequence: n.call, Addr: n.discovery, AfterRevision: after})
 }
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -35,18 +35,18 @@
 	p.mu.Lock()
 	p.sent = append(p.sent, a)
 	p.mu.Unlock()
-	p.say(fmt.Sprintf("send %d %s", a.N, a.Addr))
+	p.say(fmt.Sprintf("send %d %s", a.Number, a.Addr))
 }
 
 func (p *port) Proceed(n int, ok bool) { p.say(fmt.Sprintf("go %d %v", n, ok)) }
 
 func (p *port) Cancel(n int) { p.say(fmt.Sprintf("cancel %d", n)) }
 
-func (p *port) Refuse(d time.Duration) { p.say(fmt.Sprintf("refuse %v", d > 0)) }
+func (p *port) Reject(d time.Duration) { p.say(fmt.Sprintf("refuse %v", d > 0)) }
 
 func (p *port) Fail() { p.say("fail") }
 
-func (p *port) Move() { p.say("move") }
+func (p *port) Migrate() { p.say("move") }
 
 func (p *port) MessageStats(now time.Time) MessageStats { return p.pulse }
 
@@ -58,12 +58,12 @@
 
 // world records what the loop asks of the sockets beside its connections.
 type world struct {
-	watches []Call
+	watches []ListRequest
 	pings   []balancer.ServerID
 	full    bool // no ping is sent any more
 }
 
-func (w *world) Watch(c Call) { w.watches = append(w.watches, c) }
+func (w *world) Watch(c ListRequest) { w.watches = append(w.watches, c) }
 
 func (w *world) Ping(id balancer.ServerID, _ string) bool {
 	if w.full {
@@ -75,30 +75,30 @@
 
 func testSettings() settings.Settings {
 	return settings.Settings{
-		Settings: balancer.Settings{GroupSize: 1, AskList: true, MaxAttempts: 4, MayCancel: true, MaxRetryAfter: time.Second,
-			DrainGrace: 400 * time.Millisecond, WarmWithin: time.Second, ColdShare: 0.5, FallMultiple: 4,
-			FallWindow: time.Second, AskWithin: 10 * time.Second,
-			Classes: []balancer.Class{{SetupAim: 300 * time.Millisecond, Deadline: 2 * time.Second,
-				MessageAim: 60 * time.Millisecond, Worth: 1}}},
-		ClassNames: []string{"chat"}, TenantNames: []string{"acme"}, ZoneNames: []string{"a", "b"}, Groups: true,
+		Settings: balancer.Settings{NodeCount: 1, PollList: true, MaxAttempts: 4, MayCancel: true, MaxRetryAfter: time.Second,
+			DrainGrace: 400 * time.Millisecond, SlowStartDuration: time.Second, SlowStartFraction: 0.5, CollapseMultiple: 4,
+			CollapseWindow: time.Second, PollInterval: 10 * time.Second,
+			Classes: []balancer.Class{{SetupLatencyObjective: 300 * time.Millisecond, Deadline: 2 * time.Second,
+				MessageLatencyObjective: 60 * time.Millisecond, PriorityWeight: 1}}},
+		ClassNames: []string{"chat"}, TenantNames: []string{"acme"}, ZoneNames: []string{"a", "b"}, ConnectionGroups: true,
 	}
 }
 
-func entry(id string, phase wire.Phase) wire.Member {
-	return wire.Member{ID: id, Addr: id + ":1", Zone: "a", Size: 1, Phase: phase}
+func entry(id string, phase wire.Phase) wire.Endpoint {
+	return wire.Endpoint{ID: id, Addr: id + ":1", Zone: "a", Size: 1, Phase: phase}
 }
 
 // held is a node that is not running: the test takes its events by hand.
-func held(t *testing.T, members ...wire.Member) (*Node, *world, *observer.ObservedLogs) {
+func held(t *testing.T, members ...wire.Endpoint) (*Node, *world, *observer.ObservedLogs) {
 	t.Helper()
 	core, logs := observer.New(zap.InfoLevel)
 	w := &world{}
-	return New(testSettings(), wire.Catalog{Revision: 7, Complete: true, Members: members}, "d:1", w, zap.New(core)), w, logs
+	return New(testSettings(), wire.EndpointList{Revision: 7, Complete: true, Endpoints: members}, "d:1", w, zap.New(core)), w, logs
 }
 
 func opening(t *testing.T, line string) *wire.Opening {
 	t.Helper()
-	_, o, err := wire.ParseHello([]byte(line))
+	_, o, err := wire.ParseOpening([]byte(line))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -125,31 +125,31 @@
 func TestServeAndEnd(t *testing.T) {
 	n, _, _ := held(t, entry("s1", wire.Serving))
 	p := arrive(t, n, "r")
-	if p.heard() != "send 0 s1:1" || n.Owed() != 1 {
-		t.Fatalf("%s; %d owed", p.heard(), n.Owed())
+	if p.heard() != "send 0 s1:1" || n.InFlightRequests() != 1 {
+		t.Fatalf("%s; %d owed", p.heard(), n.InFlightRequests())
 	}
 	n.take(event{kind: evConnected, id: "r"})
 	n.take(opened("r", 0))
-	if p.heard() != "send 0 s1:1, go 0 true" || n.Owed() != 0 || n.Open() != 1 {
-		t.Fatalf("%s; %d owed, %d open", p.heard(), n.Owed(), n.Open())
+	if p.heard() != "send 0 s1:1, go 0 true" || n.InFlightRequests() != 0 || n.EstablishedConnections() != 1 {
+		t.Fatalf("%s; %d owed, %d open", p.heard(), n.InFlightRequests(), n.EstablishedConnections())
 	}
 	n.take(event{kind: evLoad, id: "r", load: 5})
 	n.take(settled("r", 0, balancer.Served))
-	if n.Open() != 0 || len(n.reqs) != 0 {
-		t.Errorf("%d open, %d requests kept", n.Open(), len(n.reqs))
+	if n.EstablishedConnections() != 0 || len(n.reqs) != 0 {
+		t.Errorf("%d open, %d requests kept", n.EstablishedConnections(), len(n.reqs))
 	}
 }
 
 func TestFailoverThenRefusedAtOnce(t *testing.T) {
 	n, _, _ := held(t, entry("s1", wire.Serving), entry("s2", wire.Serving))
 	p := arrive(t, n, "r")
-	n.take(settled("r", 0, balancer.NoConnect))
+	n.take(settled("r", 0, balancer.ConnectFailed))
 	if len(p.sent) != 2 || p.sent[0].Addr == p.sent[1].Addr {
 		t.Fatalf("sent to %v", p.sent)
 	}
-	n.take(settled("r", 1, balancer.Full))
-	if !strings.HasSuffix(p.heard(), "refuse true") || n.Owed() != 0 || len(n.reqs) != 0 {
-		t.Errorf("%s; %d owed, %d kept", p.heard(), n.Owed(), len(n.reqs))
+	n.take(settled("r", 1, balancer.Rejected))
+	if !strings.HasSuffix(p.heard(), "refuse true") || n.InFlightRequests() != 0 || len(n.reqs) != 0 {
+		t.Errorf("%s; %d owed, %d kept", p.heard(), n.InFlightRequests(), len(n.reqs))
 	}
 }
 
@@ -161,8 +161,8 @@
 	said := p.heard()
 	n.take(settled("r", 0, balancer.Errored))
 	n.take(opened("r", 0))
-	n.take(settled("r", 7, balancer.Full))
-	n.take(settled("other", 0, balancer.Full))
+	n.take(settled("r", 7, balancer.Rejected))
+	n.take(settled("other", 0, balancer.Rejected))
 	n.take(event{kind: evLoad, id: "r", load: 1})
 	if p.heard() != said {
 		t.Errorf("then also %s", p.heard())
@@ -172,8 +172,8 @@
 		t.Errorf("an attempt that is over may go: %s", p.heard())
 	}
 	again := arrive(t, n, "r")
-	if again.heard() != "fail" || n.Owed() != 1 {
-		t.Errorf("an id that is held: %s; %d owed", again.heard(), n.Owed())
+	if again.heard() != "fail" || n.InFlightRequests() != 1 {
+		t.Errorf("an id that is held: %s; %d owed", again.heard(), n.InFlightRequests())
 	}
 }
 
@@ -181,8 +181,8 @@
 	n, _, _ := held(t, entry("s1", wire.Serving))
 	p := arrive(t, n, "r")
 	n.take(event{kind: evGone, id: "r", attempt: 1})
-	if !strings.HasSuffix(p.heard(), "cancel 0") || n.Owed() != 0 || len(n.reqs) != 1 {
-		t.Fatalf("%s; %d owed, %d kept", p.heard(), n.Owed(), len(n.reqs))
+	if !strings.HasSuffix(p.heard(), "cancel 0") || n.InFlightRequests() != 0 || len(n.reqs) != 1 {
+		t.Fatalf("%s; %d owed, %d kept", p.heard(), n.InFlightRequests(), len(n.reqs))
 	}
 	n.take(settled("r", 0, balancer.Cancelled))
 	if len(n.reqs) != 0 || strings.Contains(p.heard(), "refuse") {
@@ -191,8 +191,8 @@
 	// A send that meets a connection which has ended is taken by no one and would be kept for ever.
 	arrive(t, n, "q")
 	n.take(event{kind: evGone, id: "q", attempt: 0})
-	if len(n.reqs) != 0 || n.Owed() != 0 {
-		t.Errorf("%d kept, %d owed", len(n.reqs), n.Owed())
+	if len(n.reqs) != 0 || n.InFlightRequests() != 0 {
+		t.Errorf("%d kept, %d owed", len(n.reqs), n.InFlightRequests())
 	}
 }
 
@@ -200,7 +200,7 @@
 func TestNothingIsWrittenAfterTheDrainsGrace(t *testing.T) {
 	n, _, _ := held(t, entry("s1", wire.Serving))
 	p := arrive(t, n, "r")
-	n.list(&wire.Catalog{Revision: 8, Members: []wire.Member{entry("s1", wire.Draining)}}, balancer.ListChange, false)
+	n.list(&wire.EndpointList{Revision: 8, Endpoints: []wire.Endpoint{entry("s1", wire.Draining)}}, balancer.ListDelta, false)
 	n.take(event{kind: evConnected, id: "r"})
 	if !strings.HasSuffix(p.heard(), "go 0 true") {
 		t.Fatalf("within the grace: %s", p.heard())
@@ -211,11 +211,11 @@
 		t.Fatalf("after the grace: %s", p.heard())
 	}
 	// Being told again, or that it is gone, does not start another grace.
-	n.list(&wire.Catalog{Revision: 9, Members: []wire.Member{entry("s1", wire.Deleted)}}, balancer.ListChange, false)
+	n.list(&wire.EndpointList{Revision: 9, Endpoints: []wire.Endpoint{entry("s1", wire.Removed)}}, balancer.ListDelta, false)
 	if n.sendable(n.members["s1"]) {
 		t.Error("a second notice gives a second grace")
 	}
-	n.list(&wire.Catalog{Revision: 10, Members: []wire.Member{entry("s1", wire.Serving)}}, balancer.ListChange, false)
+	n.list(&wire.EndpointList{Revision: 10, Endpoints: []wire.Endpoint{entry("s1", wire.Serving)}}, balancer.ListDelta, false)
 	if !n.sendable(n.members["s1"]) {
 		t.Error("a host called back gets nothing")
 	}
@@ -233,11 +233,11 @@
 func TestMidFlowAndGroupReachTheModule(t *testing.T) {
 	n, _, _ := held(t)
 	a := n.arrival(opening(t, "OPEN r key c=chat,t=acme,g=grp,mid=1,again=1,r=1"), time.Second)
-	want := balancer.Arrival{ID: "r", Key: "key", Group: "grp", Left: time.Second, MidFlow: true, Again: true, Retry: true}
+	want := balancer.Arrival{ID: "r", Key: "key", Group: "grp", TimeLeft: time.Second, MidFlow: true, Reconnect: true, Retry: true}
 	if a != want {
 		t.Errorf("%+v, want %+v", a, want)
 	}
-	n.set.Groups = false
+	n.set.ConnectionGroups = false
 	if a := n.arrival(opening(t, "OPEN r key c=chat,g=client"), 0); a.Group != "" || a.Tenant != -1 {
 		t.Errorf("without groups: %+v", a)
 	}
@@ -254,12 +254,12 @@
 		}
 		at.kind = evInherit
 		n.take(at)
-		if n.Open() != 1 || n.Owed() != 0 {
-			t.Errorf("at %s: %d open, %d owed", host, n.Open(), n.Owed())
+		if n.EstablishedConnections() != 1 || n.InFlightRequests() != 0 {
+			t.Errorf("at %s: %d open, %d owed", host, n.EstablishedConnections(), n.InFlightRequests())
 		}
 		n.take(settled(string(id), 0, balancer.Served))
-		if n.Open() != 0 || len(n.reqs) != 0 {
-			t.Errorf("at %s: %d open, %d kept after the end", host, n.Open(), len(n.reqs))
+		if n.EstablishedConnections() != 0 || len(n.reqs) != 0 {
+			t.Errorf("at %s: %d open, %d kept after the end", host, n.EstablishedConnections(), len(n.reqs))
 		}
 	}
 }
@@ -281,23 +281,23 @@
 			t.Error("it may be taken up beside the first")
 		}
 		for _, e := range []event{{kind: evGone}, {kind: evConnected}, {kind: evOpened, took: time.Hour}, {kind: evLoad, load: 5},
-			{kind: evInherit, opening: at.opening}, {kind: evSettled, outcome: balancer.Reset}} {
+			{kind: evInherit, opening: at.opening}, {kind: evSettled, outcome: balancer.ConnectionReset}} {
 			e.id, e.port = "r", second
 			n.take(e)
 		}
 	}
 	intrude()
-	if n.Owed() != 1 || first.heard() != "send 0 s1:1" {
-		t.Fatalf("%d owed; the first heard %q", n.Owed(), first.heard())
+	if n.InFlightRequests() != 1 || first.heard() != "send 0 s1:1" {
+		t.Fatalf("%d owed; the first heard %q", n.InFlightRequests(), first.heard())
 	}
 	n.take(event{kind: evOpened, id: "r", port: first, took: time.Millisecond})
 	intrude()
-	if n.Owed() != 0 || n.Open() != 1 {
-		t.Errorf("%d owed, %d open", n.Owed(), n.Open())
+	if n.InFlightRequests() != 0 || n.EstablishedConnections() != 1 {
+		t.Errorf("%d owed, %d open", n.InFlightRequests(), n.EstablishedConnections())
 	}
 	n.take(event{kind: evSettled, id: "r", port: first, outcome: balancer.Served})
-	if n.Open() != 0 || len(n.reqs) != 0 {
-		t.Errorf("%d open, %d kept after the end", n.Open(), len(n.reqs))
+	if n.EstablishedConnections() != 0 || len(n.reqs) != 0 {
+		t.Errorf("%d open, %d kept after the end", n.EstablishedConnections(), len(n.reqs))
 	}
 }
 
@@ -308,8 +308,8 @@
 	n.take(at)
 	n.take(at) // it is tried again
 	n.take(event{kind: evGone, id: "r", port: at.port})
-	if len(n.reqs) != 0 || n.Owed() != 0 || n.Open() != 0 {
-		t.Errorf("%d kept, %d owed, %d open", len(n.reqs), n.Owed(), n.Open())
+	if len(n.reqs) != 0 || n.InFlightRequests() != 0 || n.EstablishedConnections() != 0 {
+		t.Errorf("%d kept, %d owed, %d open", len(n.reqs), n.InFlightRequests(), n.EstablishedConnections())
 	}
 }
 
@@ -317,7 +317,7 @@
 	n, _, _ := held(t)
 	for list, want := range map[string]bool{"c=chat,t=acme": true, "c=chats,t=acme": false, "t=acme": false, "c=chat,t=acne": false,
 		"c=chat": false} {
-		if got := n.Knows(opening(t, "OPEN r key "+list)); got != want {
+		if got := n.HasClassAndTenant(opening(t, "OPEN r key "+list)); got != want {
 			t.Errorf("%s: known %v, want %v", list, got, want)
 		}
 	}
@@ -377,26 +377,26 @@
 			id := balancer.RequestID(fmt.Sprint(i))
 			o := opening(t, fmt.Sprintf("OPEN %d key%d c=chat,d=2000", i, i))
 			p := &port{}
-			n.Arrive(o, time.Now().Add(2*time.Second), p)
-			n.Connected(id, p, 0)
-			n.Opened(id, p, 0, time.Millisecond)
-			n.Load(id, p, float64(i))
-			n.Listed(1, &wire.Catalog{Revision: int64(i), Members: []wire.Member{entry(fmt.Sprint("n", i%5), wire.Serving)}})
-			n.Settled(id, p, 0, time.Millisecond, balancer.Served)
+			n.RequestArrived(o, time.Now().Add(2*time.Second), p)
+			n.AttemptConnected(id, p, 0)
+			n.ConnectionEstablished(id, p, 0, time.Millisecond)
+			n.ReportLoad(id, p, float64(i))
+			n.ListReceived(1, &wire.EndpointList{Revision: int64(i), Endpoints: []wire.Endpoint{entry(fmt.Sprint("n", i%5), wire.Serving)}})
+			n.AttemptEnded(id, p, 0, time.Millisecond, balancer.Served)
 		}()
 	}
 	all.Wait()
 	// What was posted before has been taken once this is answered.
-	if addr, ok := n.Resume(opening(t, "OPEN stood key c=chat,t=acme,at=s1"), &port{}); addr != "s1:1" || !ok {
+	if addr, ok := n.ResumeConnection(opening(t, "OPEN stood key c=chat,t=acme,at=s1"), &port{}); addr != "s1:1" || !ok {
 		t.Errorf("resumed at %q, %v", addr, ok)
 	}
-	if n.Owed() != 0 || n.Open() != 0 {
-		t.Errorf("%d owed, %d open", n.Owed(), n.Open())
+	if n.InFlightRequests() != 0 || n.EstablishedConnections() != 0 {
+		t.Errorf("%d owed, %d open", n.InFlightRequests(), n.EstablishedConnections())
 	}
 	cancel()
 	<-ended
-	n.Gone("1", &port{}, 0) // must not block
-	if _, ok := n.Resume(opening(t, "OPEN stood key c=chat,t=acme,at=s1"), &port{}); ok {
+	n.ClientDisconnected("1", &port{}, 0) // must not block
+	if _, ok := n.ResumeConnection(opening(t, "OPEN stood key c=chat,t=acme,at=s1"), &port{}); ok {
 		t.Error("an ended loop answers")
 	}
 }
@@ -411,10 +411,10 @@
 		past   bool // the window is over as the second dial comes up
 		want   string
 	}{
-		{"in time", balancer.Keyed, balancer.NoAnswer, false, "go 1 true"},
-		{"late", balancer.Keyed, balancer.NoAnswer, true, "go 1 false"},
-		{"late, but the first never ran", balancer.Keyed, balancer.NoConnect, true, "go 1 true"},
-		{"late, of a safe class", balancer.Safe, balancer.NoAnswer, true, "go 1 true"},
+		{"in time", balancer.IdempotentByKey, balancer.ResponseTimeout, false, "go 1 true"},
+		{"late", balancer.IdempotentByKey, balancer.ResponseTimeout, true, "go 1 false"},
+		{"late, but the first never ran", balancer.IdempotentByKey, balancer.ConnectFailed, true, "go 1 true"},
+		{"late, of a safe class", balancer.Idempotent, balancer.ResponseTimeout, true, "go 1 true"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			window := time.Hour
@@ -422,8 +422,8 @@
 				window = 100 * time.Millisecond
 			}
 			set := testSettings()
-			set.Classes[0].Effect, set.Classes[0].Window = c.effect, window
-			known := wire.Catalog{Revision: 7, Complete: true, Members: []wire.Member{entry("s1", wire.Serving), entry("s2", wire.Serving)}}
+			set.Classes[0].Effect, set.Classes[0].IdempotencyWindow = c.effect, window
+			known := wire.EndpointList{Revision: 7, Complete: true, Endpoints: []wire.Endpoint{entry("s1", wire.Serving), entry("s2", wire.Serving)}}
 			n := New(set, known, "d:1", &world{}, zap.NewNop())
 			p := arrive(t, n, "r")
 			n.take(settled("r", 0, c.first))
--- a/internal/node/orders.go
+++ b/internal/node/orders.go
@@ -38,40 +38,40 @@
 
 // Why an order does not hold.
 var (
-	ErrBusy    = errors.New("the node did not take it in in time, ask again")
-	ErrEnded   = errors.New("the node ends")
-	ErrUnknown = errors.New("no host has this id")
-	ErrFull    = fmt.Errorf("words on %d hosts are held, no more can be", maxOverrides)
+	ErrLoopBusy      = errors.New("the node did not take it in in time, ask again")
+	ErrStopped       = errors.New("the node ends")
+	ErrUnknownHost   = errors.New("no host has this id")
+	ErrOverrideLimit = fmt.Errorf("words on %d hosts are held, no more can be", maxOverrides)
 )
 
 // DrainPlan is how a node drains.
 type DrainPlan struct {
-	By    time.Time     // what stands is sent away by then
-	Shut  time.Time     // from then on nothing new is taken; until then the front may not have noticed
-	After time.Duration // those turned away are told to come again after so long
-	Keep  bool          // what stands stays where packets pass through
+	Deadline        time.Time     // what stands is sent away by then
+	AdmissionCutoff time.Time     // from then on nothing new is taken; until then the front may not have noticed
+	RetryAfter      time.Duration // those turned away are told to come again after so long
+	KeepConnections bool          // what stands stays where packets pass through
 }
 
-// Leave has the node drain. It returns once the loop has taken it in.
-func (n *Node) Leave(a DrainPlan) error {
+// Drain has the node drain. It returns once the loop has taken it in.
+func (n *Node) Drain(a DrainPlan) error {
 	return n.wait(event{kind: evLeave, away: &a})
 }
 
-// Stay ends a drain, at any point of it.
-func (n *Node) Stay() error { return n.wait(event{kind: evLeave}) }
+// CancelDrain ends a drain, at any point of it.
+func (n *Node) CancelDrain() error { return n.wait(event{kind: evLeave}) }
 
-// Targets tells how many hosts the list has, and how many of them the node avoids: by an operator's word, by the
+// HostCounts tells how many hosts the list has, and how many of them the node avoids: by an operator's word, by the
 // list's, or by the module's choice. It waits for nothing.
-func (n *Node) Targets() (listed, avoided int64) { return n.targets.Load(), n.avoided.Load() }
+func (n *Node) HostCounts() (listed, avoided int64) { return n.targets.Load(), n.avoided.Load() }
 
-// Leaving reports whether the node drains.
-func (n *Node) Leaving() bool { return n.leaving.Load() }
+// IsDraining reports whether the node drains.
+func (n *Node) IsDraining() bool { return n.leaving.Load() }
 
-// Word is an operator's word that a host drains, whatever the list says, or the end of that. A host that is not known
+// SetHostOverride is an operator's word that a host drains, whatever the list says, or the end of that. A host that is not known
 // yet is held to it when it comes; with known that is an error. A host is taken to have been restarted at the time at
 // which it is called back, or zero for not: whoever takes one out does so for that, and the list tells of it only later.
 // It returns once the loop has taken it in.
-func (n *Node) Word(id balancer.ServerID, drains, known bool, at time.Time) error {
+func (n *Node) SetHostOverride(id balancer.ServerID, drains, known bool, at time.Time) error {
 	return n.wait(event{kind: evWord, id: balancer.RequestID(id), attempt: flag(drains), must: known, until: at})
 }
 
@@ -90,26 +90,26 @@
 	select {
 	case n.events <- e:
 	case <-late.C:
-		return ErrBusy
+		return ErrLoopBusy
 	case <-n.done:
-		return ErrEnded
+		return ErrStopped
 	}
 	select {
 	case err := <-e.verdict:
 		return err
 	case <-late.C:
-		return ErrBusy
+		return ErrLoopBusy
 	case <-n.done:
-		return ErrEnded
+		return ErrStopped
 	}
 }
 
 // HostView is a host as the loop knows it.
 type HostView struct {
-	ID    balancer.ServerID
-	State balancer.ServerState
-	Word  bool
-	Open  int // connections that stand there through this node
+	ID          balancer.ServerID
+	State       balancer.ServerState
+	Overridden  bool
+	Connections int // connections that stand there through this node
 }
 
 // View is how the node is.
@@ -135,16 +135,16 @@
 	switch e.kind {
 	case evLeave:
 		if n.ended { // no word of operators brings it back
-			e.verdict <- ErrEnded
+			e.verdict <- ErrStopped
 			return
 		}
 		n.leaving.Store(e.away != nil)
 		if n.shutAt = (time.Time{}); e.away == nil {
-			n.decide(balancer.Leave{})
+			n.decide(balancer.Drain{})
 		} else {
-			n.shutAt = e.away.Shut
-			n.decide(balancer.Leave{On: true, By: n.at(e.away.By), Shut: n.at(e.away.Shut), After: e.away.After,
-				Stay: e.away.Keep && n.set.Pass})
+			n.shutAt = e.away.AdmissionCutoff
+			n.decide(balancer.Drain{Active: true, Deadline: n.at(e.away.Deadline), AdmissionCutoff: n.at(e.away.AdmissionCutoff), RetryAfter: e.away.RetryAfter,
+				KeepConnections: e.away.KeepConnections && n.set.PassThrough})
 		}
 		e.verdict <- nil
 	case evWord:
@@ -158,10 +158,10 @@
 	m, was := n.members[id], n.overrides[id]
 	switch {
 	case known && m == nil && !was:
-		return ErrUnknown
+		return ErrUnknownHost
 	case drains && !was && len(n.overrides) >= maxOverrides:
 		n.log.Warn("words on too many hosts are held: this one is not", zap.String("host", string(id)))
-		return ErrFull
+		return ErrOverrideLimit
 	case drains:
 		n.overrides[id] = true
 	default:
@@ -170,8 +170,8 @@
 			n.called(id, at)
 		}
 	}
-	if m != nil && m.state != balancer.Gone {
-		n.list(&wire.Catalog{Revision: n.revision, Members: []wire.Member{m.listed}}, balancer.ListAside, false)
+	if m != nil && m.state != balancer.Removed {
+		n.list(&wire.EndpointList{Revision: n.revision, Endpoints: []wire.Endpoint{m.listed}}, balancer.ListOverride, false)
 	}
 	return nil
 }
@@ -181,7 +181,7 @@
 	now := time.Now()
 	n.observeClock(now)
 	for other, back := range n.returning {
-		if n.at(now)-back > n.set.WarmWithin {
+		if n.at(now)-back > n.set.SlowStartDuration {
 			delete(n.returning, other)
 		}
 	}
@@ -228,7 +228,7 @@
 		}
 	}
 	for id, m := range n.members {
-		v.Hosts = append(v.Hosts, HostView{ID: id, State: m.state, Word: n.overrides[id], Open: open[id]})
+		v.Hosts = append(v.Hosts, HostView{ID: id, State: m.state, Overridden: n.overrides[id], Connections: open[id]})
 	}
 	slices.SortFunc(v.Hosts, func(a, b HostView) int { return cmp.Compare(a.ID, b.ID) })
 	return v
--- a/internal/node/orders_test.go
+++ b/internal/node/orders_test.go
@@ -18,7 +18,7 @@
 			t.Fatal(err)
 		}
 	}
-	deadline := n.now() + n.set.AskWithin
+	deadline := n.now() + n.set.PollInterval
 	for now := n.now(); now < deadline && len(w.watches) == 0; now += 200 * time.Millisecond {
 		for _, a := range n.brain.Handle(now, balancer.Timer{Token: "sweep"}) {
 			n.act(a)
@@ -49,13 +49,13 @@
 	if n.overrides["a"] || n.members["a"].state != balancer.Live {
 		t.Error("two words out need one back")
 	}
-	if err := n.word("nobody", false, true, at); err != ErrUnknown {
+	if err := n.word("nobody", false, true, at); err != ErrUnknownHost {
 		t.Errorf("an id that nobody has: %v", err)
 	}
 	if err := n.word("later", true, false, at); err != nil || !n.overrides["later"] {
 		t.Errorf("an id that is listed only later: %v", err)
 	}
-	n.list(&wire.Catalog{Revision: 8, Members: []wire.Member{entry("later", wire.Serving)}}, balancer.ListChange, false)
+	n.list(&wire.EndpointList{Revision: 8, Endpoints: []wire.Endpoint{entry("later", wire.Serving)}}, balancer.ListDelta, false)
 	if n.members["later"].state != balancer.Draining {
 		t.Error("it is used when it comes")
 	}
@@ -81,13 +81,13 @@
 		t.Errorf("a dial that comes up late: %q", got)
 	}
 	again := entry("a", wire.Serving)
-	again.Addr, again.UpSince = "elsewhere:1", time.Now().UnixMilli()
-	gone := entry("a", wire.Deleted)
+	again.Addr, again.StartedAtMS = "elsewhere:1", time.Now().UnixMilli()
+	gone := entry("a", wire.Removed)
 	for _, c := range []struct {
-		m    wire.Member
+		m    wire.Endpoint
 		kind balancer.ListKind
-	}{{again, balancer.ListChange}, {gone, balancer.ListChange}, {again, balancer.ListChange}, {again, balancer.ListFull}} {
-		n.list(&wire.Catalog{Revision: n.revision + 1, Complete: c.kind == balancer.ListFull, Members: []wire.Member{c.m}}, c.kind, false)
+	}{{again, balancer.ListDelta}, {gone, balancer.ListDelta}, {again, balancer.ListDelta}, {again, balancer.ListSnapshot}} {
+		n.list(&wire.EndpointList{Revision: n.revision + 1, Complete: c.kind == balancer.ListSnapshot, Endpoints: []wire.Endpoint{c.m}}, c.kind, false)
 		if n.members["a"].state == balancer.Live {
 			t.Errorf("with %+v it is used", c.m)
 		}
@@ -113,7 +113,7 @@
 	if n.learn(old.facts()); n.members["a"].best != 0 {
 		t.Error("another start of the host is taken for the same")
 	}
-	n.learn([]Fact{{"nobody", 0, 1}, {"a", 7, -1}})
+	n.learn([]PingBaseline{{"nobody", 0, 1}, {"a", 7, -1}})
 	if n.members["a"].best != 0 || len(n.members) != 2 {
 		t.Error("nonsense is learnt")
 	}
--- a/internal/node/pings_test.go
+++ b/internal/node/pings_test.go
@@ -16,15 +16,15 @@
 	n, _, logs := held(t, entry("s1", wire.Serving))
 	n.slowFrom = 0 // slow messages are not what this is about
 	p, q := up(t, n, "r"), up(t, n, "q")
-	p.pulse = MessageStats{Waiting: silence + time.Millisecond}
-	q.pulse = MessageStats{Waiting: silence - time.Millisecond}
+	p.pulse = MessageStats{OldestWait: silence + time.Millisecond}
+	q.pulse = MessageStats{OldestWait: silence - time.Millisecond}
 	n.pulse(time.Now())
 	if strings.Contains(p.heard(), "move") {
 		t.Error("moved at the first sign, which a node that stood still itself sees at every host")
 	}
 	p.pulse = MessageStats{}
 	n.pulse(time.Now())
-	p.pulse = MessageStats{Waiting: silence + time.Millisecond}
+	p.pulse = MessageStats{OldestWait: silence + time.Millisecond}
 	n.pulse(time.Now())
 	if strings.Contains(p.heard(), "move") {
 		t.Error("moved though the host had answered in between")
@@ -46,7 +46,7 @@
 		for i, p := range ports {
 			if took[i] > 0 {
 				p.pulse.Answered++
-				p.pulse.Took = took[i]
+				p.pulse.LastLatency = took[i]
 			}
 		}
 		for range noteEvery {
@@ -67,7 +67,7 @@
 		}
 	}
 	for _, p := range ports { // all three: the module may have sent some away for the slow second
-		p.pulse.Waiting = 40 * time.Millisecond
+		p.pulse.OldestWait = 40 * time.Millisecond
 	}
 	if second(0, 0, 0); !m.slow {
 		t.Error("messages that wait for their answer are no news")
@@ -78,7 +78,7 @@
 // without an answer tells by how long it waits.
 func TestPingsTellWhatAMessageTakes(t *testing.T) {
 	n, w, _ := held(t, entry("s1", wire.Serving), entry("s2", wire.Serving))
-	n.set.TellsDelay, n.set.MayProbe = true, true
+	n.set.ReportsLatency, n.set.MayProbe = true, true
 	p := up(t, n, "r")
 	on := n.reqs["r"].on
 	if len(w.pings) != 1 || w.pings[0] != on.id {
@@ -86,7 +86,7 @@
 	}
 	n.take(event{kind: evPinged, id: balancer.RequestID(on.id), took: 80 * time.Millisecond})
 	w.pings = nil
-	p.pulse = MessageStats{Answered: 1, Took: time.Millisecond}
+	p.pulse = MessageStats{Answered: 1, LastLatency: time.Millisecond}
 	now := time.Now()
 	second := func() {
 		for range noteEvery {
@@ -152,7 +152,7 @@
 	if !on.slow {
 		t.Error("a ping without an answer is no news")
 	}
-	n.list(&wire.Catalog{Members: []wire.Member{{ID: string(on.id), UpSince: 5, Size: 1}}}, balancer.ListChange, false)
+	n.list(&wire.EndpointList{Endpoints: []wire.Endpoint{{ID: string(on.id), StartedAtMS: 5, Size: 1}}}, balancer.ListDelta, false)
 	if on.best != 0 {
 		t.Error("a host that has restarted is measured by what it was")
 	}
@@ -161,7 +161,7 @@
 // Where no descriptor is left for a ping, its host is not asked: that is no news of it, and it does not pass for silent.
 func TestAPingThatIsNotSentSaysNothing(t *testing.T) {
 	n, w, _ := held(t, entry("s1", wire.Serving))
-	n.set.TellsDelay, n.set.MayProbe = true, true
+	n.set.ReportsLatency, n.set.MayProbe = true, true
 	w.full = true
 	p := up(t, n, "r")
 	for range 8 * noteEvery {
@@ -183,7 +183,7 @@
 // of its clients are to leave at once, not a sixth.
 func TestFirstNoteOfASlowedHostTellsOfThePile(t *testing.T) {
 	n, _, _ := held(t, entry("s1", wire.Serving))
-	n.set.TellsDelay, n.set.MayProbe = true, true
+	n.set.ReportsLatency, n.set.MayProbe = true, true
 	var ports []*port
 	for i := range 20 {
 		ports = append(ports, up(t, n, fmt.Sprint("r", i)))
@@ -206,7 +206,7 @@
 // What passes for jitter must not hide a crowd at a fast host, whose pings are short at twice and more of their best.
 func TestACrowdAtAFastHostIsNoJitter(t *testing.T) {
 	n, _, _ := held(t, entry("s1", wire.Serving))
-	n.set.TellsDelay, n.set.MayProbe = true, true
+	n.set.ReportsLatency, n.set.MayProbe = true, true
 	up(t, n, "r")
 	m := n.members["s1"]
 	m.some = "r"
@@ -224,7 +224,7 @@
 // rest a second would let it stay so, and it gives up a third.
 func TestAHostThatStaysSlowPilesUpMoreEachSecond(t *testing.T) {
 	n, _, _ := held(t, entry("s1", wire.Serving))
-	n.set.TellsDelay, n.set.MayProbe = true, true
+	n.set.ReportsLatency, n.set.MayProbe = true, true
 	up(t, n, "r")
 	n.pulse(time.Now())
 	m := n.members["s1"]
--- a/internal/node/requests.go
+++ b/internal/node/requests.go
@@ -53,8 +53,8 @@
 			n.open.Add(1)
 			n.answer(r)
 			n.meet(r.on)
-			n.decide(balancer.Opened{ID: e.id, Attempt: e.attempt, Server: r.on.id, Took: e.took})
-			if n.ended && !n.set.Pass { // it came up just before it was withdrawn
+			n.decide(balancer.Established{ID: e.id, Attempt: e.attempt, Server: r.on.id, Took: e.took})
+			if n.ended && !n.set.PassThrough { // it came up just before it was withdrawn
 				n.move(r)
 			}
 		}
@@ -64,14 +64,14 @@
 		}
 	case evLoad:
 		if r != nil && r.up {
-			n.decide(balancer.LoadNote{ID: e.id, Load: e.load})
+			n.decide(balancer.LoadReport{ID: e.id, Load: e.load})
 		}
 	case evGone:
 		if r != nil && !r.up {
 			n.answer(r)
-			n.decide(balancer.ClientGone{ID: e.id})
+			n.decide(balancer.ClientDisconnected{ID: e.id})
 			if r.out && r.attempts > e.attempt {
-				n.settle(settledEvent(e.id, r.attempts-1, balancer.NeverPassed), r)
+				n.settle(settledEvent(e.id, r.attempts-1, balancer.NotSent), r)
 			}
 			n.drop(e.id, r)
 		}
@@ -85,7 +85,7 @@
 		n.reqs[e.id] = r
 	}
 	at := place{ok: r.port == e.port}
-	if m := n.members[balancer.ServerID(e.opening.At)]; m != nil {
+	if m := n.members[balancer.ServerID(e.opening.CurrentHost)]; m != nil {
 		at.addr = m.addr
 	}
 	e.reply <- at // has room
@@ -94,10 +94,10 @@
 // inherit notes that such a connection is up at its host again.
 func (n *Node) inherit(e event, r *request) {
 	a := n.arrival(e.opening, 0)
-	id := balancer.ServerID(e.opening.At)
+	id := balancer.ServerID(e.opening.CurrentHost)
 	m := n.members[id]
 	if m == nil { // a host that the list has forgotten still has its clients
-		m = &member{id: id, state: balancer.Gone}
+		m = &member{id: id, state: balancer.Removed}
 	}
 	r.on, r.attempts, r.out, r.up = m, 1, true, true
 	n.open.Add(1)
@@ -116,22 +116,22 @@
 		e.port.Fail()
 		return
 	}
-	n.reqs[e.id] = &request{port: e.port, mid: e.opening.Mid, class: a.Class}
+	n.reqs[e.id] = &request{port: e.port, mid: e.opening.MidFlow, class: a.Class}
 	n.owed.Add(1)
 	n.decide(a)
 }
 
 // arrival puts a client's line in the module's terms; the class is -1 where the settings lack it.
 func (n *Node) arrival(o *wire.Opening, left time.Duration) balancer.Arrival {
-	a := balancer.Arrival{ID: balancer.RequestID(o.ID), Class: -1, Tenant: -1, Key: o.Key, Left: left, Load: o.Load,
-		Retry: o.Retry, MidFlow: o.Mid, Again: o.Again}
+	a := balancer.Arrival{ID: balancer.RequestID(o.ID), Class: -1, Tenant: -1, Key: o.Key, TimeLeft: left, Load: o.Load,
+		Retry: o.Retry, MidFlow: o.MidFlow, Reconnect: o.Reconnect}
 	if i, ok := n.classes[o.Class]; ok {
 		a.Class = i
 	}
 	if i, ok := n.tenants[o.Tenant]; ok {
 		a.Tenant = i
 	}
-	if n.set.Groups {
+	if n.set.ConnectionGroups {
 		a.Group = o.Group
 	}
 	return a
@@ -139,17 +139,17 @@
 
 func (n *Node) settle(e event, r *request) {
 	r.out = false
-	if r.mayHave.IsZero() && !e.outcome.ProvesUnrun() {
+	if r.mayHave.IsZero() && !e.outcome.ProvesNotExecuted() {
 		r.mayHave = r.sentAt
 	}
-	if e.outcome == balancer.NoConnect || e.outcome == balancer.Reset && !r.up {
+	if e.outcome == balancer.ConnectFailed || e.outcome == balancer.ConnectionReset && !r.up {
 		n.unreached(r.on)
 	}
 	final := r.up || r.answered
 	if r.up {
 		n.open.Add(-1)
 	}
-	n.decide(balancer.Settled{ID: e.id, Attempt: e.attempt, Server: r.on.id, Took: e.took, Outcome: e.outcome, Final: final})
+	n.decide(balancer.AttemptEnded{ID: e.id, Attempt: e.attempt, Server: r.on.id, Took: e.took, Outcome: e.outcome, Final: final})
 	n.drop(e.id, r)
 }
 
@@ -173,29 +173,29 @@
 func (n *Node) send(a balancer.Send) {
 	r := n.reqs[a.ID]
 	if r == nil || r.answered {
-		n.queue = append(n.queue, balancer.Settled{ID: a.ID, Attempt: attemptOf(r), Server: a.Server,
-			Outcome: balancer.NeverPassed, Final: true})
+		n.queue = append(n.queue, balancer.AttemptEnded{ID: a.ID, Attempt: attemptOf(r), Server: a.Server,
+			Outcome: balancer.NotSent, Final: true})
 		return
 	}
 	if r.out {
-		n.monitor.Report(invariant.Violation{Rule: invariant.SecondCopy, Request: string(a.ID), Host: string(a.Server)})
+		n.monitor.Report(invariant.Violation{Rule: invariant.ConcurrentAttempt, Request: string(a.ID), Host: string(a.Server)})
 	}
 	m := n.members[a.Server]
 	at := r.attempts
 	r.attempts++
 	if m == nil || m.addr == "" || n.ended {
-		n.queue = append(n.queue, balancer.Settled{ID: a.ID, Attempt: at, Server: a.Server, Outcome: balancer.NeverPassed})
+		n.queue = append(n.queue, balancer.AttemptEnded{ID: a.ID, Attempt: at, Server: a.Server, Outcome: balancer.NotSent})
 		return
 	}
 	r.on, r.out, r.sentAt = m, true, time.Now()
-	r.port.Send(Attempt{N: at, Host: m.id, Addr: m.addr, Timeout: a.Timeout})
+	r.port.Send(Attempt{Number: at, Host: m.id, Addr: m.addr, Timeout: a.Timeout})
 }
 
 // move sends a client away whose connection stands; once is enough.
 func (n *Node) move(r *request) {
 	if r.up && r.out && !r.leaving {
 		r.leaving = true
-		r.port.Move()
+		r.port.Migrate()
 	}
 }
 
--- a/internal/node/sizes.go
+++ b/internal/node/sizes.go
@@ -14,25 +14,25 @@
 // again, and clients the rest.
 const memoryPart = 3
 
-// MostHosts is how many hosts a list may have in so much memory.
-func MostHosts(memoryMB int) int {
-	return sort.Search(1<<20, func(n int) bool { return balancer.Footprint(n+1) > memoryMB<<20/memoryPart })
+// MaxHosts is how many hosts a list may have in so much memory.
+func MaxHosts(memoryMB int) int {
+	return sort.Search(1<<20, func(n int) bool { return balancer.EstimateMemory(n+1) > memoryMB<<20/memoryPart })
 }
 
 // CheckSize says whether a list fits into so much memory.
 func CheckSize(hosts, memoryMB int) error {
-	if most := MostHosts(memoryMB); hosts > most {
+	if most := MaxHosts(memoryMB); hosts > most {
 		return fmt.Errorf("members: %d hosts, %d are the most in %d MB", hosts, most, memoryMB)
 	}
 	return nil
 }
 
-// Bound has the node take no more hosts than fit into so much memory. It is called before Run.
-func (n *Node) Bound(memoryMB int) { n.memoryMB = memoryMB }
+// SetMemoryLimit has the node take no more hosts than fit into so much memory. It is called before Run.
+func (n *Node) SetMemoryLimit(memoryMB int) { n.memoryMB = memoryMB }
 
 // bounded is news of the hosts as far as there is memory for them. Of a list that is too large no new host is taken; what
 // it says of those that are held binds, as the node has been told of it.
-func (n *Node) bounded(c *wire.Catalog) *wire.Catalog {
+func (n *Node) bounded(c *wire.EndpointList) *wire.EndpointList {
 	if n.memoryMB == 0 {
 		return c
 	}
@@ -42,12 +42,12 @@
 			hosts++
 		}
 	}
-	held := make([]wire.Member, 0, len(c.Members))
-	for _, e := range c.Members {
+	held := make([]wire.Endpoint, 0, len(c.Endpoints))
+	for _, e := range c.Endpoints {
 		switch m := n.members[balancer.ServerID(e.ID)]; {
 		case m != nil && !m.out:
 			held = append(held, e)
-		case e.Phase != wire.Deleted:
+		case e.Phase != wire.Removed:
 			fresh++
 		}
 	}
@@ -59,5 +59,5 @@
 		return c
 	}
 	n.log.Error("a list is too large: no new host of it is taken", zap.Int64("revision", c.Revision), zap.Error(err))
-	return &wire.Catalog{Revision: c.Revision, Complete: c.Complete, Members: held}
+	return &wire.EndpointList{Revision: c.Revision, Complete: c.Complete, Endpoints: held}
 }
--- a/internal/node/sizes_test.go
+++ b/internal/node/sizes_test.go
@@ -10,7 +10,7 @@
 )
 
 // hosts are n members of one phase.
-func hosts(n int, phase wire.Phase) (out []wire.Member) {
+func hosts(n int, phase wire.Phase) (out []wire.Endpoint) {
 	for i := range n {
 		out = append(out, entry(fmt.Sprintf("s%05d", i), phase))
 	}
@@ -21,14 +21,14 @@
 // of hosts that are held binds all the same.
 func TestAListTooLargeForTheMemoryIsNotTaken(t *testing.T) {
 	n, _, logs := held(t)
-	n.Bound(64)
-	n.list(&wire.Catalog{Revision: 1, Complete: true, Members: hosts(3200, wire.Serving)}, balancer.ListFull, false)
+	n.SetMemoryLimit(64)
+	n.list(&wire.EndpointList{Revision: 1, Complete: true, Endpoints: hosts(3200, wire.Serving)}, balancer.ListSnapshot, false)
 	if len(n.members) != 3200 || logs.Len() != 0 {
 		t.Fatalf("%d hosts are held; %v", len(n.members), logs.All())
 	}
-	large := append([]wire.Member{entry("s00000", wire.Draining)}, hosts(9000, wire.Serving)[2:]...) // s00001 is gone
-	n.list(&wire.Catalog{Revision: 2, Complete: true, Members: large}, balancer.ListFull, false)
-	if len(n.members) != 3200 || n.members["s00000"].state != balancer.Draining || n.members["s00001"].state != balancer.Gone ||
+	large := append([]wire.Endpoint{entry("s00000", wire.Draining)}, hosts(9000, wire.Serving)[2:]...) // s00001 is gone
+	n.list(&wire.EndpointList{Revision: 2, Complete: true, Endpoints: large}, balancer.ListSnapshot, false)
+	if len(n.members) != 3200 || n.members["s00000"].state != balancer.Draining || n.members["s00001"].state != balancer.Removed ||
 		n.members["s00002"].state != balancer.Live {
 		t.Errorf("%d hosts; the first are %+v", len(n.members), []balancer.ServerState{n.members["s00000"].state,
 			n.members["s00001"].state, n.members["s00002"].state})
@@ -38,7 +38,7 @@
 		t.Errorf("logged %v", lines)
 	}
 	// Changes add up to too many as well.
-	n.list(&wire.Catalog{Revision: 3, Members: slices.Concat(hosts(2, wire.Draining), hosts(9000, wire.Serving)[3200:])}, balancer.ListChange, false)
+	n.list(&wire.EndpointList{Revision: 3, Endpoints: slices.Concat(hosts(2, wire.Draining), hosts(9000, wire.Serving)[3200:])}, balancer.ListDelta, false)
 	if n.members["s03250"] != nil {
 		t.Error("a change brought too many hosts")
 	}
--- a/internal/node/starting_test.go
+++ b/internal/node/starting_test.go
@@ -15,19 +15,19 @@
 )
 
 // asked is an outside that notes the calls to discovery.
-type asked struct{ calls chan Call }
+type asked struct{ calls chan ListRequest }
 
-func (a *asked) Watch(c Call)                        { a.calls <- c }
+func (a *asked) Watch(c ListRequest)                 { a.calls <- c }
 func (a *asked) Ping(balancer.ServerID, string) bool { return true }
 
 func starts(t *testing.T, cold bool) (*Node, *asked) {
 	t.Helper()
-	set := settings.Settings{Settings: balancer.Settings{AskList: true, AskWithin: 2 * time.Second, GroupSize: 1}}
-	out := &asked{make(chan Call, 64)}
-	n := New(set, wire.Catalog{}, "disco", out, zap.NewNop())
+	set := settings.Settings{Settings: balancer.Settings{PollList: true, PollInterval: 2 * time.Second, NodeCount: 1}}
+	out := &asked{make(chan ListRequest, 64)}
+	n := New(set, wire.EndpointList{}, "disco", out, zap.NewNop())
 	if cold {
-		n.Cold(coldstart.New(coldstart.Config{Nodes: 1, AskWithin: 2 * time.Second, Service: "s"}, rand.New(rand.NewPCG(1, 2)), n.now(),
-			coldstart.Nowhere, coldstart.Offer{}), "s")
+		n.EnableColdStart(coldstart.New(coldstart.Config{NodeCount: 1, PollInterval: 2 * time.Second, Service: "s"}, rand.New(rand.NewPCG(1, 2)), n.now(),
+			coldstart.NoSource, coldstart.Offer{}), "s")
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
@@ -40,23 +40,23 @@
 // asked, at once, passed it over each time, and asked again without a pause.
 func TestAListThatIsPassedOverIsOfNoUse(t *testing.T) {
 	n, out := starts(t, true)
-	var c Call
+	var c ListRequest
 	select {
 	case c = <-out.calls:
 	case <-time.After(10 * time.Second):
 		t.Fatal("the service is never asked")
 	}
-	member := wire.Member{ID: "h1", Addr: "127.0.0.1:1", Size: 1}
+	member := wire.Endpoint{ID: "h1", Addr: "127.0.0.1:1", Size: 1}
 	offer := func(revision int64) bool {
-		return n.PassedOn(Passed{Offer: coldstart.Offer{Service: "s", Revision: revision}, At: time.Now(),
-			List: &wire.Catalog{Revision: revision, Complete: true, Members: []wire.Member{member}}})
+		return n.ReceivePeerList(PeerList{Offer: coldstart.Offer{Service: "s", Revision: revision}, At: time.Now(),
+			List: &wire.EndpointList{Revision: revision, Complete: true, Endpoints: []wire.Endpoint{member}}})
 	}
-	if !offer(7) || n.Holding().List.Revision != 7 {
+	if !offer(7) || n.CachedList().List.Revision != 7 {
 		t.Error("before the service answers a list that is passed on is of no use")
 	}
-	n.Listed(c.N, &wire.Catalog{Revision: 5, Complete: true, Members: []wire.Member{member}})
-	if offer(8) || n.Holding().List.Revision != 5 {
-		t.Errorf("what the service itself told is replaced by what another node passed on: %+v", n.Holding().List)
+	n.ListReceived(c.Sequence, &wire.EndpointList{Revision: 5, Complete: true, Endpoints: []wire.Endpoint{member}})
+	if offer(8) || n.CachedList().List.Revision != 5 {
+		t.Errorf("what the service itself told is replaced by what another node passed on: %+v", n.CachedList().List)
 	}
 }
 
@@ -65,24 +65,24 @@
 func TestAKeptDrainIsNotPassedOn(t *testing.T) {
 	n, out := starts(t, true)
 	c := <-out.calls
-	h1 := wire.Member{ID: "h1", Addr: "127.0.0.1:1", Size: 1, Phase: wire.Draining}
-	n.Listed(c.N, &wire.Catalog{Revision: 5, Complete: true, Members: []wire.Member{h1}})
-	n.WatchFailed(c.N, 0)
+	h1 := wire.Endpoint{ID: "h1", Addr: "127.0.0.1:1", Size: 1, Phase: wire.Draining}
+	n.ListReceived(c.Sequence, &wire.EndpointList{Revision: 5, Complete: true, Endpoints: []wire.Endpoint{h1}})
+	n.WatchFailed(c.Sequence, 0)
 	h1.Phase = wire.Serving
-	if !n.PassedOn(Passed{Offer: coldstart.Offer{Service: "s", Revision: 6}, At: time.Now(),
-		List: &wire.Catalog{Revision: 6, Complete: true, Members: []wire.Member{h1}}}) {
+	if !n.ReceivePeerList(PeerList{Offer: coldstart.Offer{Service: "s", Revision: 6}, At: time.Now(),
+		List: &wire.EndpointList{Revision: 6, Complete: true, Endpoints: []wire.Endpoint{h1}}}) {
 		t.Fatal("the newer list is of no use")
 	}
 	if v := n.View(); len(v.Hosts) != 1 || v.Hosts[0].State != balancer.Draining {
 		t.Errorf("the drain is lifted: %+v", v.Hosts)
 	}
-	if m := n.Holding().List; m.Revision != 6 || m.Members[0].Phase != wire.Serving {
+	if m := n.CachedList().List; m.Revision != 6 || m.Endpoints[0].Phase != wire.Serving {
 		t.Errorf("passed on is %+v", m)
 	}
 	select {
 	case c := <-out.calls:
-		if c.After != Whole {
-			t.Errorf("the service is asked for what changed after %d: that does not tell of the drain", c.After)
+		if c.AfterRevision != NoRevision {
+			t.Errorf("the service is asked for what changed after %d: that does not tell of the drain", c.AfterRevision)
 		}
 	case <-time.After(10 * time.Second):
 		t.Error("the service is not asked")
@@ -92,13 +92,13 @@
 // Without a cold start nothing is held for others, and beats and words of others do nothing.
 func TestNothingIsHeldWithoutAColdStart(t *testing.T) {
 	n, out := starts(t, false)
-	n.Beat(1)
+	n.Heartbeat(1)
 	select {
 	case <-out.calls: // the module's first wish is a call
 	case <-time.After(10 * time.Second):
 		t.Fatal("the service is never asked")
 	}
-	if _, ok := n.Start(); ok || n.Holding() != nil {
+	if _, ok := n.ColdStartState(); ok || n.CachedList() != nil {
 		t.Error("a start is shown, or a list is held")
 	}
 }
--- a/internal/node/startspread_test.go
+++ b/internal/node/startspread_test.go
@@ -24,10 +24,10 @@
 	begun time.Time
 }
 
-func (c callTimes) Watch(call Call) {
+func (c callTimes) Watch(call ListRequest) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if call.N == 1 {
+	if call.Sequence == 1 {
 		*c.at = append(*c.at, time.Since(c.begun))
 	}
 }
@@ -45,10 +45,10 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		out := callTimes{&mu, &at, time.Now()}
 		for i := range nodes {
-			set := settings.Settings{Settings: balancer.Settings{AskList: true, AskWithin: 3 * time.Second, GroupSize: nodes, Index: i}}
-			n := New(set, wire.Catalog{}, "disco", out, zap.NewNop())
-			n.Cold(coldstart.New(coldstart.Config{Nodes: nodes, Index: i, AskWithin: set.AskWithin, Service: "s"},
-				rand.New(rand.NewPCG(7, uint64(i))), n.now(), coldstart.Nowhere, coldstart.Offer{}), "s")
+			set := settings.Settings{Settings: balancer.Settings{PollList: true, PollInterval: 3 * time.Second, NodeCount: nodes, NodeIndex: i}}
+			n := New(set, wire.EndpointList{}, "disco", out, zap.NewNop())
+			n.EnableColdStart(coldstart.New(coldstart.Config{NodeCount: nodes, Index: i, PollInterval: set.PollInterval, Service: "s"},
+				rand.New(rand.NewPCG(7, uint64(i))), n.now(), coldstart.NoSource, coldstart.Offer{}), "s")
 			ended.Go(func() { _ = n.Run(ctx) })
 		}
 		time.Sleep(3 * time.Second)
--- a/internal/node/watch_test.go
+++ b/internal/node/watch_test.go
@@ -16,16 +16,16 @@
 type caller struct {
 	world
 	mu    sync.Mutex
-	calls []Call
+	calls []ListRequest
 }
 
-func (a *caller) Watch(q Call) {
+func (a *caller) Watch(q ListRequest) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.calls = append(a.calls, q)
 }
 
-func (a *caller) last() (q Call, n int) {
+func (a *caller) last() (q ListRequest, n int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.calls[len(a.calls)-1], len(a.calls)
@@ -38,28 +38,28 @@
 		for _, complete := range []bool{false, true} {
 			synctest.Test(t, func(t *testing.T) {
 				set := testSettings()
-				set.AskList = ask
+				set.PollList = ask
 				a := &caller{}
-				known := wire.Catalog{Revision: 7, Complete: true, Members: []wire.Member{entry("s1", wire.Serving)}}
+				known := wire.EndpointList{Revision: 7, Complete: true, Endpoints: []wire.Endpoint{entry("s1", wire.Serving)}}
 				n := New(set, known, "old:1", a, zap.NewNop())
 				ctx, cancel := context.WithCancel(t.Context())
 				defer cancel()
 				go func() { _ = n.Run(ctx) }()
 				time.Sleep(7 * time.Second)
 				first, _ := a.last()
-				n.Listed(first.N, &wire.Catalog{Revision: 8, Members: []wire.Member{entry("s2", wire.Serving)}})
-				n.Follow("new:1")
+				n.ListReceived(first.Sequence, &wire.EndpointList{Revision: 8, Endpoints: []wire.Endpoint{entry("s2", wire.Serving)}})
+				n.SetDiscoveryAddr("new:1")
 				synctest.Wait()
 				second, calls := a.last()
 				if second.Addr != "new:1" {
 					t.Fatalf("asks %+v", second)
 				}
-				n.WatchFailed(second.N, 0)
-				n.Listed(first.N, &wire.Catalog{Revision: 9, Complete: complete, Members: []wire.Member{entry("s1", wire.Serving), entry("s2", wire.Serving)}})
-				n.WatchFailed(first.N, 0)
-				time.Sleep(3 * time.Second) // balancer.AskAgain and WatchAgain are shorter
+				n.WatchFailed(second.Sequence, 0)
+				n.ListReceived(first.Sequence, &wire.EndpointList{Revision: 9, Complete: complete, Endpoints: []wire.Endpoint{entry("s1", wire.Serving), entry("s2", wire.Serving)}})
+				n.WatchFailed(first.Sequence, 0)
+				time.Sleep(3 * time.Second) // balancer.MaxRepollDelay and MaxRewatchDelay are shorter
 				synctest.Wait()
-				if third, now := a.last(); now <= calls || third.Addr != "new:1" || third.After != Whole {
+				if third, now := a.last(); now <= calls || third.Addr != "new:1" || third.AfterRevision != NoRevision {
 					t.Errorf("asked for %v, complete %v: after 3 s the last of %d calls is %+v, the one refused was the %dth", ask, complete, now, third, calls)
 				}
 			})
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -18,11 +18,11 @@
 
 // The stages of an attempt.
 const (
-	Dialing   Stage = iota // no connection yet
-	Asking                 // connected; the loop has not said that the line may still go
-	Writing                // not all of the line was written
-	Awaiting               // the host has it all
-	Answering              // the host has answered
+	Dialing     Stage = iota // no connection yet
+	Authorizing              // connected; the loop has not said that the line may still go
+	Writing                  // not all of the line was written
+	Awaiting                 // the host has it all
+	Answering                // the host has answered
 )
 
 func (s Stage) String() string {
@@ -52,22 +52,22 @@
 // Outcome puts the error in the module's terms.
 func (e *AttemptError) Outcome() balancer.Outcome {
 	switch {
-	case e.Stage == Asking, e.Stage < Awaiting && errors.Is(e.Err, errWithdrawn), e.Stage < Awaiting && isLocal(e.Err):
-		return balancer.NeverPassed // not the host's fault, and it never had the last byte
+	case e.Stage == Authorizing, e.Stage < Awaiting && errors.Is(e.Err, errWithdrawn), e.Stage < Awaiting && isLocal(e.Err):
+		return balancer.NotSent // not the host's fault, and it never had the last byte
 	case errors.Is(e.Err, errWithdrawn):
 		return balancer.Cancelled
 	case e.Stage < Awaiting:
-		return balancer.NoConnect
+		return balancer.ConnectFailed
 	case errors.Is(e.Err, errFull):
-		return balancer.Full
+		return balancer.Rejected
 	case errors.Is(e.Err, errMoved):
 		return balancer.Cancelled
 	case e.Stage == Answering:
 		return balancer.Errored
 	case timedOut(e.Err):
-		return balancer.NoAnswer
+		return balancer.ResponseTimeout
 	}
-	return balancer.Reset
+	return balancer.ConnectionReset
 }
 
 // isLocal reports whether a dial or a write failed for want of something on this machine: that says nothing of the host.
@@ -84,7 +84,7 @@
 
 // attempt makes one attempt: one dial, one line, one answer. On success the host's connection is up,
 // upLine is what the host gave and in holds what came behind it. On failure the connection is closed.
-func attempt(ctx context.Context, a node.Attempt, o *wire.Opening, p permit, in *wire.Inbox) (host *net.TCPConn, upLine []byte, failed *AttemptError) {
+func attempt(ctx context.Context, a node.Attempt, o *wire.Opening, p permit, in *wire.LineBuffer) (host *net.TCPConn, upLine []byte, failed *AttemptError) {
 	by := time.Now().Add(a.Timeout)
 	ctx, cancel := context.WithDeadline(ctx, by)
 	defer cancel()
@@ -104,11 +104,11 @@
 	}
 	host = c.(*net.TCPConn)
 	if err := p.may(); err != nil {
-		return fail(Asking, err)
+		return fail(Authorizing, err)
 	}
 	// The last look before the first byte: it may have been withdrawn while the loop said that it may go.
 	if err := ctx.Err(); err != nil {
-		return fail(Asking, err)
+		return fail(Authorizing, err)
 	}
 	// Setting the deadline wakes whatever read or write is under way.
 	stop := context.AfterFunc(ctx, func() { _ = c.SetDeadline(past) })
@@ -124,21 +124,21 @@
 			return fail(Answering, err)
 		}
 		if ok {
-			switch wire.ParseAnswer(line) {
-			case wire.AnswerUp:
+			switch wire.ParseResponse(line) {
+			case wire.ResponseEstablished:
 				if !stop() { // the time was up, or it was withdrawn, just now
 					return fail(Awaiting, context.Cause(ctx))
 				}
 				return host, append(append([]byte(nil), line...), '\r', '\n'), nil
-			case wire.AnswerBusy:
+			case wire.ResponseRejected:
 				return fail(Answering, errFull)
-			case wire.AnswerMove:
+			case wire.ResponseMigrate:
 				return fail(Answering, errMoved)
 			}
 			return fail(Answering, errHost)
 		}
 		n, err := readSome(host, in.Space())
-		in.Fed(n)
+		in.Advance(n)
 		if n == 0 && err != nil {
 			if err == io.EOF {
 				err = io.ErrUnexpectedEOF
--- a/internal/proxy/attempt_test.go
+++ b/internal/proxy/attempt_test.go
@@ -63,7 +63,7 @@
 
 func opening(t *testing.T, line string) *wire.Opening {
 	t.Helper()
-	_, o, err := wire.ParseHello([]byte(line))
+	_, o, err := wire.ParseOpening([]byte(line))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -84,27 +84,27 @@
 		stage      Stage
 		want       balancer.Outcome
 	}{
-		{"refused", refusing(t), Dialing, balancer.NoConnect},
-		{"turned away", answering(t, "BUSY\r\n"), Answering, balancer.Full},
+		{"refused", refusing(t), Dialing, balancer.ConnectFailed},
+		{"turned away", answering(t, "BUSY\r\n"), Answering, balancer.Rejected},
 		{"an error", answering(t, "ERR\r\n"), Answering, balancer.Errored},
 		{"sent away", answering(t, "MOVE\r\n"), Answering, balancer.Cancelled},
 		{"ended before it was up", answering(t, "BYE\r\n"), Answering, balancer.Errored},
 		{"no receipt", answering(t, "UP\r\n"), Answering, balancer.Errored},
 		{"garbage", answering(t, "HTTP/1.1 400 Bad Request\r\n"), Answering, balancer.Errored},
 		{"a line with no end", answering(t, long), Answering, balancer.Errored},
-		{"half an answer", answering(t, "UP r-1"), Awaiting, balancer.NoAnswer},
-		{"nothing", answering(t, ""), Awaiting, balancer.NoAnswer},
+		{"half an answer", answering(t, "UP r-1"), Awaiting, balancer.ResponseTimeout},
+		{"nothing", answering(t, ""), Awaiting, balancer.ResponseTimeout},
 		{"ended without an answer", host(t, func(c *net.TCPConn) {
 			_, _ = bufio.NewReader(c).ReadString('\n')
-		}), Awaiting, balancer.Reset},
+		}), Awaiting, balancer.ConnectionReset},
 		{"broken without an answer", host(t, func(c *net.TCPConn) {
 			_, _ = bufio.NewReader(c).ReadString('\n')
 			_ = c.SetLinger(0)
-		}), Awaiting, balancer.Reset},
+		}), Awaiting, balancer.ConnectionReset},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			var in wire.Inbox
-			defer in.Free()
+			var in wire.LineBuffer
+			defer in.Release()
 			conn, _, failed := attempt(context.Background(), node.Attempt{Addr: c.addr, Timeout: 200 * time.Millisecond},
 				opening(t, hello), permitted(time.Second, may), &in)
 			if failed == nil {
@@ -126,8 +126,8 @@
 		_, _ = io.WriteString(c, "UP r-1 more\r\nM 1\r\nM")
 		_, _ = io.Copy(io.Discard, c)
 	})
-	var in wire.Inbox
-	defer in.Free()
+	var in wire.LineBuffer
+	defer in.Release()
 	conn, up, failed := attempt(context.Background(), node.Attempt{Addr: addr, Timeout: 5 * time.Second}, opening(t, hello), permitted(time.Second, may), &in)
 	if failed != nil {
 		t.Fatal(failed)
@@ -141,7 +141,7 @@
 		!strings.HasSuffix(line, ",new=1\r\n") {
 		t.Errorf("the host was sent %q", line)
 	}
-	if rest := string(in.Rest()); !strings.HasPrefix("M 1\r\nM", rest) {
+	if rest := string(in.Buffered()); !strings.HasPrefix("M 1\r\nM", rest) {
 		t.Errorf("behind it %q", rest)
 	}
 }
@@ -153,9 +153,9 @@
 		n, _ := c.Read(make([]byte, 1))
 		got <- n
 	})
-	var in wire.Inbox
+	var in wire.LineBuffer
 	_, _, failed := attempt(context.Background(), node.Attempt{Addr: addr, Timeout: time.Second}, opening(t, hello), permitted(time.Second, func() error { return errTooLate }), &in)
-	if failed == nil || failed.Stage != Asking || failed.Outcome() != balancer.NeverPassed || !errors.Is(failed, errTooLate) {
+	if failed == nil || failed.Stage != Authorizing || failed.Outcome() != balancer.NotSent || !errors.Is(failed, errTooLate) {
 		t.Errorf("ended with %v", failed)
 	}
 	if n := <-got; n != 0 {
@@ -172,8 +172,8 @@
 		_, _ = io.Copy(io.Discard, c)
 		close(closed)
 	})
-	var in wire.Inbox
-	defer in.Free()
+	var in wire.LineBuffer
+	defer in.Release()
 	_, _, failed := attempt(ctx, node.Attempt{Addr: addr, Timeout: time.Minute}, opening(t, hello), permitted(time.Second, may), &in)
 	if failed == nil || failed.Outcome() != balancer.Cancelled {
 		t.Errorf("ended with %v", failed)
@@ -183,9 +183,9 @@
 
 func TestAttemptWithoutTimeNeverRan(t *testing.T) {
 	addr := answering(t, "UP r\r\n")
-	var in wire.Inbox
+	var in wire.LineBuffer
 	_, _, failed := attempt(context.Background(), node.Attempt{Addr: addr, Timeout: -time.Second}, opening(t, hello), permitted(time.Second, may), &in)
-	if failed == nil || !failed.Outcome().ProvesUnrun() {
+	if failed == nil || !failed.Outcome().ProvesNotExecuted() {
 		t.Errorf("ended with %v", failed)
 	}
 }
--- a/internal/proxy/checks.go
+++ b/internal/proxy/checks.go
@@ -37,12 +37,12 @@
 // checkEnd checks that a request that was read had one final answer. One whose connection stood before the run is the
 // host's; it is owed none.
 func (c *conn) checkEnd(until time.Time) {
-	if c.open.At != "" {
+	if c.open.CurrentHost != "" {
 		return
 	}
 	c.mu.Lock()
-	e := invariant.Ending{Request: c.open.ID, Host: c.on, Answers: c.answers.given, AnsweredAt: c.answers.first, Until: until,
-		Left: c.isGone() && !c.aborted}
+	e := invariant.Completion{Request: c.open.ID, Host: c.on, Answers: c.answers.given, AnsweredAt: c.answers.first, Until: until,
+		Disconnected: c.isGone() && !c.aborted}
 	c.mu.Unlock()
-	c.d.node.Monitor().Report(invariant.CheckEnd(e)...)
+	c.d.node.Monitor().Report(invariant.CheckCompletion(e)...)
 }
--- a/internal/proxy/checks_test.go
+++ b/internal/proxy/checks_test.go
@@ -19,15 +19,15 @@
 	}{
 		{"answered once", func(c *conn) { c.count(refused) }, nil},
 		{"its client left", func(c *conn) { c.leave() }, nil},
-		{"stood before the run", func(c *conn) { c.open.At = "h0" }, nil},
-		{"never answered", func(*conn) {}, map[invariant.Rule]uint64{invariant.NotAnswered: 1}},
-		{"cut off by this node", func(c *conn) { c.aborted = true; c.leave() }, map[invariant.Rule]uint64{invariant.NotAnswered: 1}},
+		{"stood before the run", func(c *conn) { c.open.CurrentHost = "h0" }, nil},
+		{"never answered", func(*conn) {}, map[invariant.Rule]uint64{invariant.Unanswered: 1}},
+		{"cut off by this node", func(c *conn) { c.aborted = true; c.leave() }, map[invariant.Rule]uint64{invariant.Unanswered: 1}},
 		{"answered twice", func(c *conn) { c.count(refused); c.count(failed) }, map[invariant.Rule]uint64{invariant.AnsweredTwice: 1}},
 		{"answered late", func(c *conn) { c.noteAnswer(now.Add(2 * time.Second)) }, map[invariant.Rule]uint64{invariant.AnsweredLate: 1}},
 		{"sent on for a leaver", func(c *conn) {
 			c.leave()
 			c.checkStart("h0", c.leftAt.Add(time.Second))
-		}, map[invariant.Rule]uint64{invariant.BegunForLeaver: 1}},
+		}, map[invariant.Rule]uint64{invariant.SentAfterDisconnect: 1}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := newRig(t, zap.NewNop(), false)
--- a/internal/proxy/closing.go
+++ b/internal/proxy/closing.go
@@ -39,7 +39,7 @@
 	c.mu.Unlock()
 	_ = c.client.SetReadDeadline(time.Now().Add(lingerFor))
 	buf := wire.GetBuffer()
-	defer buf.Free()
+	defer buf.Release()
 	for read := 0; read < mostLinger; {
 		n, err := readSome(c.client, buf[:])
 		if read += n; err != nil {
@@ -56,7 +56,7 @@
 	}
 	_ = client.CloseWrite()
 	buf := wire.GetBuffer()
-	defer buf.Free()
+	defer buf.Release()
 	for read := 0; read < mostLinger; {
 		n, err := arrived(client, buf[:])
 		if read += n; n == 0 || err != nil {
--- a/internal/proxy/conn.go
+++ b/internal/proxy/conn.go
@@ -32,7 +32,7 @@
 // conn is a client's connection. One goroutine, serve, drives it until it is up and then copies from
 // the host to the client; another, upward, reads the client.
 type conn struct {
-	d      *Driver
+	d      *Proxy
 	client *net.TCPConn
 	open   wire.Opening
 	id     balancer.RequestID
@@ -90,8 +90,8 @@
 }
 
 func (c *conn) Send(a node.Attempt)        { c.tell(command{send: &a}) }
-func (c *conn) Refuse(after time.Duration) { c.tell(command{reply: wire.Busy(after)}) }
-func (c *conn) Fail()                      { c.tell(command{reply: wire.Err}) }
+func (c *conn) Reject(after time.Duration) { c.tell(command{reply: wire.Rejection(after)}) }
+func (c *conn) Fail()                      { c.tell(command{reply: wire.Failure}) }
 
 func (c *conn) Proceed(_ int, ok bool) {
 	select {
@@ -108,8 +108,8 @@
 	}
 }
 
-// Move wakes the copying goroutine, which alone knows where a line ends.
-func (c *conn) Move() {
+// Migrate wakes the copying goroutine, which alone knows where a line ends.
+func (c *conn) Migrate() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.host != nil && !c.moving.Swap(true) {
@@ -119,9 +119,9 @@
 }
 
 func (c *conn) MessageStats(now time.Time) node.MessageStats {
-	p := node.MessageStats{Answered: c.answered.Load(), Took: time.Duration(c.took.Load())}
+	p := node.MessageStats{Answered: c.answered.Load(), LastLatency: time.Duration(c.took.Load())}
 	if since := c.waiting.Load(); since != 0 {
-		p.Waiting = time.Duration(nanos(now) - since)
+		p.OldestWait = time.Duration(nanos(now) - since)
 	}
 	return p
 }
@@ -147,7 +147,7 @@
 func (c *conn) shutDown(pass bool) {
 	switch up := c.isUp(); {
 	case up && pass:
-	case up || c.charged && c.open.At != "":
+	case up || c.charged && c.open.CurrentHost != "":
 		c.abort()
 	default:
 		c.mu.Lock()
@@ -180,12 +180,12 @@
 func (c *conn) serve() {
 	defer c.client.Close()
 	defer c.answerPanic()
-	var in wire.Inbox
-	defer in.Free()
+	var in wire.LineBuffer
+	defer in.Release()
 	if !c.hello(&in) {
 		return
 	}
-	until := time.Now().Add(c.open.Wait - waited(c.client))
+	until := time.Now().Add(c.open.Timeout - waited(c.client))
 	c.id = balancer.RequestID(c.open.ID)
 	defer c.checkEnd(until)
 	switch within, still := c.d.admit(c); {
@@ -201,7 +201,7 @@
 	if !c.look(&in) {
 		c.count(failed)
 		if c.half.Load() { // it may still read
-			c.finish(wire.Err)
+			c.finish(wire.Failure)
 		}
 		return
 	}
@@ -221,7 +221,7 @@
 func (c *conn) answerPanic() {
 	if p := recover(); p != nil {
 		c.d.log.Error("a connection failed badly", zap.Any("panic", p), zap.Stack("stack"))
-		c.finish(wire.Err)
+		c.finish(wire.Failure)
 	}
 }
 
@@ -235,7 +235,7 @@
 // OPEN ends with an answer or the end of the connection, never with a client that waits for ever. The time for it
 // runs from the start, or the last PING, whatever comes meanwhile: one that trickles would hold its descriptor as long
 // as it likes. A front may keep its connection and ask on it for as long as it does so at a pace.
-func (c *conn) hello(in *wire.Inbox) bool {
+func (c *conn) hello(in *wire.LineBuffer) bool {
 	c.hearUntil(c.since.Add(firstLine))
 	var asks asking
 	for late := false; ; {
@@ -246,40 +246,40 @@
 			}
 			return false
 		}
-		var kind wire.Hello
+		var kind wire.OpeningKind
 		if err == nil {
-			kind, c.open, err = wire.ParseHello(line)
+			kind, c.open, err = wire.ParseOpening(line)
 		}
 		switch {
 		case err != nil:
-		case kind == wire.HelloPing:
-			err = asks.again(time.Now(), len(in.Rest()) > 0)
-		case !c.d.node.Knows(&c.open):
+		case kind == wire.OpeningHealthCheck:
+			err = asks.again(time.Now(), len(in.Buffered()) > 0)
+		case !c.d.node.HasClassAndTenant(&c.open):
 			err = errors.New("a class or a tenant that the settings lack")
-		case len(in.Rest()) > 0 && !c.open.Mid:
+		case len(in.Buffered()) > 0 && !c.open.MidFlow:
 			err = errSpoke
 		}
 		switch {
 		case err != nil:
 			c.d.log.Info("a client's first line can't be served", zap.Error(err))
 			c.count(failed)
-			c.finish(wire.Err)
+			c.finish(wire.Failure)
 			return false
-		case kind == wire.HelloPing:
+		case kind == wire.OpeningHealthCheck:
 			pong := wire.Pong
-			if c.d.node.Leaving() { // not ready: the front is to deal it no one
-				pong = wire.Busy(0)
+			if c.d.node.IsDraining() { // not ready: the front is to deal it no one
+				pong = wire.Rejection(0)
 			}
 			if _, err := writeAll(c.client, []byte(pong)); err != nil || !c.d.asked(c) {
 				return false
 			}
 			late = false
 			c.hearUntil(asks.last.Add(firstLine))
-			c.rests.Store(len(in.Rest()) == 0)
-			c.begun.Store(len(in.Rest()) > 0)
+			c.rests.Store(len(in.Buffered()) == 0)
+			c.begun.Store(len(in.Buffered()) > 0)
 		default:
-			if c.open.Wait <= 0 {
-				c.open.Wait = c.d.cfg.Patience
+			if c.open.Timeout <= 0 {
+				c.open.Timeout = c.d.cfg.DefaultTimeout
 			}
 			_ = c.client.SetReadDeadline(time.Time{})
 			return true
@@ -291,7 +291,7 @@
 // once (late says that it was): its last byte may have come in that very moment, and a close over it would lose a request
 // with no answer. Who has asked for nothing then is left by FIN, and one in the middle of its line is told to come again
 // where the node ends. False when there is nothing more to do.
-func (c *conn) hear(in *wire.Inbox, late *bool) bool {
+func (c *conn) hear(in *wire.LineBuffer, late *bool) bool {
 	c.met.Store(true)
 	n, err := c.readFirst(in.Space())
 	over := n == 0 && timedOut(err)
@@ -299,12 +299,12 @@
 		*late = true
 		n, _ = arrived(c.client, in.Space())
 	}
-	switch in.Fed(n); {
+	switch in.Advance(n); {
 	case n > 0:
 		c.rests.Store(false)
 		c.begun.Store(true) // where it was read late
 		return true
-	case over && c.shuttingDown() && len(in.Rest()) > 0:
+	case over && c.shuttingDown() && len(in.Buffered()) > 0:
 		c.finish(c.d.comeAgain())
 	case over:
 		c.linger()
@@ -353,7 +353,7 @@
 	defer c.mu.Unlock()
 	c.unheard = true
 	buf := wire.GetBuffer()
-	defer buf.Free()
+	defer buf.Release()
 	n, _ := arrived(c.client, buf[:])
 	return n > 0 || c.begun.Load()
 }
--- a/internal/proxy/crossing_test.go
+++ b/internal/proxy/crossing_test.go
@@ -31,7 +31,7 @@
 	}
 	defer door.Close()
 	for range 1024 {
-		r.n.Heard()
+		r.n.PeerContacted()
 	}
 	var waiting []net.Conn
 	for i := range 8 { // they are whole and at their end before the first of them is accepted
@@ -47,7 +47,7 @@
 	}
 	go func() { _ = r.d.Serve(door) }()
 	for _, c := range waiting {
-		if all, err := io.ReadAll(c); string(all) != wire.Err || err != nil {
+		if all, err := io.ReadAll(c); string(all) != wire.Failure || err != nil {
 			t.Errorf("heard %q, error %v", all, err)
 		}
 	}
@@ -69,13 +69,13 @@
 	})
 	ctx, withdraw := context.WithCancel(context.Background())
 	defer withdraw()
-	var in wire.Inbox
-	defer in.Free()
+	var in wire.LineBuffer
+	defer in.Release()
 	_, _, failed := attempt(ctx, node.Attempt{Addr: addr, Timeout: time.Minute}, opening(t, hello), permitted(time.Second, func() error {
 		withdraw() // the client leaves between the loop's word and the line
 		return nil
 	}), &in)
-	if failed == nil || !failed.Outcome().ProvesUnrun() {
+	if failed == nil || !failed.Outcome().ProvesNotExecuted() {
 		t.Errorf("%v; want an outcome that proves that it never ran", failed)
 	}
 	if got := <-heard; got != "" {
@@ -186,7 +186,7 @@
 func TestTheEndRefusesWhatWasNeverSentOn(t *testing.T) {
 	r := newRig(t, zap.NewNop(), false)
 	_, in := r.ask(t, "OPEN a key c=chat,d=500000")
-	waitFor(t, "it is owed its answer", func() bool { return r.d.Owing() == 1 })
+	waitFor(t, "it is owed its answer", func() bool { return r.d.PendingRequests() == 1 })
 	r.d.mu.Lock()
 	r.d.shut(false)
 	r.d.mu.Unlock()
@@ -252,7 +252,7 @@
 
 // A pinger that is asked as it leaves for want of questions stays: nobody else would answer.
 func TestAPingerThatIsAskedJustThenStays(t *testing.T) {
-	d := New(Config{Sockets: 256}, zap.NewNop())
+	d := New(Config{MaxDescriptors: 256}, zap.NewNop())
 	p := &pinger{asks: make(chan struct{}, 1)}
 	d.pingers["h"] = p
 	p.asks <- struct{}{}
@@ -284,10 +284,10 @@
 	r.end()
 	client, ours := pair(t)
 	host, peer := pair(t)
-	if err := r.d.Adopt(Standing{Line: "OPEN a key c=chat,d=5000", Host: "h0", Client: ours, Peer: peer}); err == nil {
+	if err := r.d.Adopt(EstablishedConn{Line: "OPEN a key c=chat,d=5000", Host: "h0", Client: ours, Peer: peer}); err == nil {
 		t.Fatal("a driver that has ended took it")
 	}
-	if all, err := io.ReadAll(client); string(all) != wire.Move || err != nil {
+	if all, err := io.ReadAll(client); string(all) != wire.Migration || err != nil {
 		t.Errorf("the client heard %q, error %v", all, err)
 	}
 	if all, err := io.ReadAll(host); len(all) > 0 || err != nil {
@@ -339,24 +339,24 @@
 				t.Fatalf("heard %q, error %v", line, err)
 			}
 			k := r.only(t)
-			waitFor(t, "the loop knows that it stands", func() bool { return r.n.Open() == 1 })
+			waitFor(t, "the loop knows that it stands", func() bool { return r.n.EstablishedConnections() == 1 })
 			if moved {
-				k.Move()
+				k.Migrate()
 				close(broken)
 			} else {
 				k.mu.Lock() // the move waits for the connection, which ends meanwhile
 				done := make(chan struct{})
 				go func() {
-					k.Move()
+					k.Migrate()
 					close(done)
 				}()
 				close(broken)
-				waitFor(t, "it has ended", func() bool { return r.n.Open() == 0 })
+				waitFor(t, "it has ended", func() bool { return r.n.EstablishedConnections() == 0 })
 				k.mu.Unlock()
 				<-done
 			}
 			all, err := io.ReadAll(in)
-			if moved && (string(all) != wire.Move || err != nil) || !moved && (len(all) > 0 || err == nil) {
+			if moved && (string(all) != wire.Migration || err != nil) || !moved && (len(all) > 0 || err == nil) {
 				t.Errorf("heard %q, error %v", all, err)
 			}
 			r.quiet(t)
@@ -370,12 +370,12 @@
 	r := newRig(t, zap.NewNop(), false, h.addr)
 	r.ask(t, "OPEN a key c=chat,d=500000")
 	k := r.only(t)
-	waitFor(t, "it waits for the loop", func() bool { return r.d.Owing() == 1 })
+	waitFor(t, "it waits for the loop", func() bool { return r.d.PendingRequests() == 1 })
 	k.Proceed(0, true) // late
-	var in wire.Inbox
-	defer in.Free()
-	_, _, failed := k.try(node.Attempt{N: 1, Addr: h.addr, Timeout: 200 * time.Millisecond}, &in)
-	if failed == nil || failed.Stage != Asking {
+	var in wire.LineBuffer
+	defer in.Release()
+	_, _, failed := k.try(node.Attempt{Number: 1, Addr: h.addr, Timeout: 200 * time.Millisecond}, &in)
+	if failed == nil || failed.Stage != Authorizing {
 		t.Errorf("%v; want that it still asks", failed)
 	}
 	if n := h.lines.Load(); n != 0 {
--- a/internal/proxy/discovery.go
+++ b/internal/proxy/discovery.go
@@ -15,7 +15,7 @@
 
 // What discovery has counts as told toldWithin after it had it and could be reached, whatever failed before. A watch that
 // falls silent is given up after beatWait; a call that is under way as discovery comes back may be lost, and is given up
-// after callWait. From there the next call is made within balancer.AskAgain, or node.WatchAgain where the list need not be
+// after callWait. From there the next call is made within balancer.MaxRepollDelay, or node.MaxRewatchDelay where the list need not be
 // asked for, and what is left of toldWithin is for its answer.
 const (
 	toldWithin = 6 * time.Second
@@ -28,20 +28,20 @@
 type Discovery struct {
 	log  *zap.Logger
 	node *node.Node
-	asks chan node.Call
+	asks chan node.ListRequest
 	slow atomic.Bool // the last call for the whole list was given up: the next one waits for longer
 }
 
 // NewDiscovery makes a follower of discovery. Attach must follow before Run.
 func NewDiscovery(log *zap.Logger) *Discovery {
-	return &Discovery{log: log, asks: make(chan node.Call, 1)}
+	return &Discovery{log: log, asks: make(chan node.ListRequest, 1)}
 }
 
 // Attach names the node that is told.
 func (y *Discovery) Attach(n *node.Node) { y.node = n }
 
 // Watch makes a call. It does not block: a newer one takes the place of one that has not been looked at.
-func (y *Discovery) Watch(q node.Call) {
+func (y *Discovery) Watch(q node.ListRequest) {
 	for {
 		select {
 		case y.asks <- q:
@@ -57,7 +57,7 @@
 
 // call is a call under way.
 type call struct {
-	node.Call
+	node.ListRequest
 	cancel context.CancelFunc
 	over   chan struct{} // closed when it has ended
 	told   atomic.Bool   // it has brought its first list
@@ -91,8 +91,8 @@
 					prev = now.prev
 				}
 			}
-			y.log.Debug("discovery is asked", zap.Int64("after", q.After))
-			now = &call{Call: q, over: make(chan struct{}), prev: prev}
+			y.log.Debug("discovery is asked", zap.Int64("after", q.AfterRevision))
+			now = &call{ListRequest: q, over: make(chan struct{}), prev: prev}
 			var on context.Context
 			on, now.cancel = context.WithCancel(ctx)
 			go func(c *call) {
@@ -102,10 +102,10 @@
 					y.log.Info("the watch of the list ended", zap.String("discovery", c.Addr), zap.Error(err))
 					var refused *wire.StatusError
 					if errors.As(err, &refused) {
-						y.node.WatchFailed(c.N, refused.After)
+						y.node.WatchFailed(c.Sequence, refused.RetryAfter)
 						return
 					}
-					y.node.WatchFailed(c.N, 0)
+					y.node.WatchFailed(c.Sequence, 0)
 				}
 			}(now)
 		}
@@ -113,15 +113,15 @@
 }
 
 // tell hands over what a call brought. With its first list the call before it ends.
-func (y *Discovery) tell(c *call, list *wire.Catalog) {
+func (y *Discovery) tell(c *call, list *wire.EndpointList) {
 	if !c.told.Load() {
 		c.prev.end()
 		c.prev = nil
 		c.told.Store(true)
 	}
-	y.log.Debug("news of the list", zap.Int64("revision", list.Revision), zap.Int("members", len(list.Members)),
+	y.log.Debug("news of the list", zap.Int64("revision", list.Revision), zap.Int("members", len(list.Endpoints)),
 		zap.Bool("whole", list.Complete))
-	y.node.Listed(c.N, list)
+	y.node.ListReceived(c.Sequence, list)
 }
 
 func (y *Discovery) follow(ctx context.Context, c *call) (err error) {
@@ -131,8 +131,8 @@
 			err = errors.New("panic")
 		}
 	}()
-	after := c.After
-	if after == node.Whole {
+	after := c.AfterRevision
+	if after == node.NoRevision {
 		list, err := y.whole(ctx, c.Addr)
 		if err != nil {
 			return err
@@ -158,7 +158,7 @@
 }
 
 // whole asks for the whole list.
-func (y *Discovery) whole(ctx context.Context, addr string) (list wire.Catalog, err error) {
+func (y *Discovery) whole(ctx context.Context, addr string) (list wire.EndpointList, err error) {
 	wait := listWait
 	if y.slow.Load() {
 		wait = callWait
@@ -173,8 +173,8 @@
 		return list, err
 	}
 	buf := wire.GetBuffer()
-	defer buf.Free()
-	var s wire.Stream
+	defer buf.Release()
+	var s wire.WatchStream
 	for !s.Ended() {
 		n, err := c.Read(buf[:])
 		if err := s.Feed(buf[:n]); err != nil {
@@ -184,7 +184,7 @@
 			return list, err
 		}
 	}
-	list, err = wire.ParseCatalog(s.Body())
+	list, err = wire.ParseEndpointList(s.Body())
 	list.Complete = true
 	return list, err
 }
@@ -200,8 +200,8 @@
 		return err
 	}
 	buf := wire.GetBuffer()
-	defer buf.Free()
-	var s wire.Stream
+	defer buf.Release()
+	var s wire.WatchStream
 	for {
 		n, err := c.Read(buf[:])
 		if n == 0 && err != nil && timedOut(err) && ctx.Err() == nil {
@@ -237,14 +237,14 @@
 }
 
 // news takes what has come whole, and reports whether anything has.
-func (y *Discovery) news(call *call, s *wire.Stream) (whole bool, err error) {
+func (y *Discovery) news(call *call, s *wire.WatchStream) (whole bool, err error) {
 	for line, ok := s.Next(); ok; line, ok = s.Next() {
 		whole = true
 		if len(line) == 0 {
-			y.node.Beat(call.N)
+			y.node.Heartbeat(call.Sequence)
 			continue
 		}
-		list, err := wire.ParseCatalog(line)
+		list, err := wire.ParseEndpointList(line)
 		if err != nil {
 			return whole, err
 		}
--- a/internal/proxy/driver.go
+++ b/internal/proxy/driver.go
@@ -22,13 +22,13 @@
 
 // Config is what the sockets need to know.
 type Config struct {
-	Sockets        int           // descriptors that the process may hold
-	ConnectTimeout time.Duration // a connection that is not up by then counts as none; 0 for no limit
-	AnswerSlack    time.Duration // after a client's deadline, the backstop answers
-	Patience       time.Duration // a client that does not say how long it waits is taken to wait this long
-	MaxRetryAfter  time.Duration // the longest advice that clients follow; 0 where none may be given
-	Classes        []string      // that clients can name
-	Others         int           // descriptors that others of the process need
+	MaxDescriptors      int           // descriptors that the process may hold
+	ConnectTimeout      time.Duration // a connection that is not up by then counts as none; 0 for no limit
+	AnswerSlack         time.Duration // after a client's deadline, the backstop answers
+	DefaultTimeout      time.Duration // a client that does not say how long it waits is taken to wait this long
+	MaxRetryAfter       time.Duration // the longest advice that clients follow; 0 where none may be given
+	Classes             []string      // that clients can name
+	ReservedDescriptors int           // descriptors that others of the process need
 }
 
 // Descriptors of the budget: a client's connection takes two, its own and its host's, from when it has said what it
@@ -50,8 +50,8 @@
 	acceptPause = 20 * time.Millisecond // after an accept that failed, as at the descriptor limit
 )
 
-// Driver owns the sockets of a node.
-type Driver struct {
+// Proxy owns the sockets of a node.
+type Proxy struct {
 	cfg     Config
 	log     *zap.Logger
 	node    *node.Node
@@ -69,20 +69,20 @@
 }
 
 // New makes a driver. Attach must follow before Serve.
-func New(cfg Config, log *zap.Logger) *Driver {
-	cfg.Sockets -= cfg.Others
-	return &Driver{cfg: cfg, log: log, figures: newFigures(cfg.Classes), early: list.New(), conns: map[*conn]struct{}{},
+func New(cfg Config, log *zap.Logger) *Proxy {
+	cfg.MaxDescriptors -= cfg.ReservedDescriptors
+	return &Proxy{cfg: cfg, log: log, figures: newFigures(cfg.Classes), early: list.New(), conns: map[*conn]struct{}{},
 		ending: make(chan struct{}), pingers: map[balancer.ServerID]*pinger{}}
 }
 
 // Attach names the node that decides.
-func (d *Driver) Attach(n *node.Node) { d.node = n }
+func (d *Proxy) Attach(n *node.Node) { d.node = n }
 
 // Listener is where clients come from.
 type Listener interface{ AcceptTCP() (*net.TCPConn, error) }
 
 // Serve accepts clients until the listener is closed, or a deadline that was set on it is over. A failing accept pauses it and never ends it.
-func (d *Driver) Serve(l Listener) error {
+func (d *Proxy) Serve(l Listener) error {
 	for {
 		client, err := l.AcceptTCP()
 		switch {
@@ -101,19 +101,19 @@
 	}
 }
 
-// Share sets how many descriptors this process may hold now: while another process of the node is there, both together
+// SetDescriptorLimit sets how many descriptors this process may hold now: while another process of the node is there, both together
 // stay within the limit. What is open stays; it is only that less comes.
-func (d *Driver) Share(sockets int) {
+func (d *Proxy) SetDescriptorLimit(sockets int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.cfg.Sockets = max(sockets, 0) - d.cfg.Others
+	d.cfg.MaxDescriptors = max(sockets, 0) - d.cfg.ReservedDescriptors
 }
 
 // base is what a process has open beside its clients, hosts and pings.
 const base = 16
 
-// Holds tells how many descriptors this process has.
-func (d *Driver) Holds() int {
+// DescriptorsHeld tells how many descriptors this process has.
+func (d *Proxy) DescriptorsHeld() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.used*perClient + d.early.Len() + len(d.pingers) + base
@@ -121,13 +121,13 @@
 
 // heard is how many clients may hold one descriptor; mu is held. A few can always be: beside another process of the node
 // this one may be over its part, and who comes is still to be refused politely.
-func (d *Driver) heard() int {
-	return max(min(max(d.cfg.Sockets/heardPart, leastHeard), d.cfg.Sockets-ownNeed-d.used*perClient), leastHeard)
+func (d *Proxy) heard() int {
+	return max(min(max(d.cfg.MaxDescriptors/heardPart, leastHeard), d.cfg.MaxDescriptors-ownNeed-d.used*perClient), leastHeard)
 }
 
 // take gives an accepted client its goroutine, and closes one that says nothing where there is no room else; false
 // where there is none and all have come just now.
-func (d *Driver) take(client *net.TCPConn) bool {
+func (d *Proxy) take(client *net.TCPConn) bool {
 	now := time.Now()
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -148,13 +148,13 @@
 	return true
 }
 
-func (d *Driver) newConn(client *net.TCPConn, now time.Time) *conn {
+func (d *Proxy) newConn(client *net.TCPConn, now time.Time) *conn {
 	return &conn{d: d, client: client, cmds: make(chan command, 8), verdict: make(chan bool, 1), since: now,
 		gone: make(chan struct{}), up: make(chan struct{}), ended: make(chan struct{})}
 }
 
 // start gives a connection the goroutine that is its life; mu is held.
-func (d *Driver) start(c *conn, life func()) {
+func (d *Proxy) start(c *conn, life func()) {
 	d.conns[c] = struct{}{}
 	d.clients.Add(1)
 	go func() {
@@ -173,7 +173,7 @@
 // spare is who is closed for another one: the first of those that have had their last word, once it has had a turn to
 // read it; where there is none, the first of all, whose first line may be on its way. nil while they have come just now.
 // mu is held.
-func (d *Driver) spare(now time.Time) *conn {
+func (d *Proxy) spare(now time.Time) *conn {
 	var first *conn
 	for e := d.early.Front(); e != nil; e = e.Next() {
 		c := e.Value.(*conn)
@@ -192,7 +192,7 @@
 
 // rejectOverload closes a client that holds one descriptor. One that has begun its line is refused: a close alone would lose what
 // it asks for. mu is held, and the write waits for nobody: nothing was written before.
-func (d *Driver) rejectOverload(c *conn) {
+func (d *Proxy) rejectOverload(c *conn) {
 	line := ""
 	if !c.answeredLast && c.stopHearing() {
 		line = d.comeAgain()
@@ -203,10 +203,10 @@
 }
 
 // comeAgain is the refusal of the driver's own, of what was never sent on.
-func (d *Driver) comeAgain() string { return wire.Busy(min(time.Second, d.cfg.MaxRetryAfter)) }
+func (d *Proxy) comeAgain() string { return wire.Rejection(min(time.Second, d.cfg.MaxRetryAfter)) }
 
 // release takes a client out of the budget; mu is held.
-func (d *Driver) release(c *conn) {
+func (d *Proxy) release(c *conn) {
 	if c.early != nil {
 		d.early.Remove(c.early)
 		c.early = nil
@@ -220,7 +220,7 @@
 
 // admit counts a client that has said what it wants with two descriptors. It is not within where they are used up:
 // then it is to be refused. It is not there any more where it was closed for another one.
-func (d *Driver) admit(c *conn) (within, still bool) {
+func (d *Proxy) admit(c *conn) (within, still bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if c.early == nil {
@@ -256,12 +256,12 @@
 }
 
 // fits reports whether so many more descriptors leave room to hear and refuse clients; mu is held.
-func (d *Driver) fits(more int) bool {
-	return d.used*perClient+more+ownNeed+max(len(d.pingers)-firstPings, 0)+leastHeard <= d.cfg.Sockets
+func (d *Proxy) fits(more int) bool {
+	return d.used*perClient+more+ownNeed+max(len(d.pingers)-firstPings, 0)+leastHeard <= d.cfg.MaxDescriptors
 }
 
 // asked notes that a client has asked how the node is, and may ask again; false where it was closed for another one.
-func (d *Driver) asked(c *conn) bool {
+func (d *Proxy) asked(c *conn) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if c.early == nil {
@@ -273,7 +273,7 @@
 }
 
 // markAnswered notes that a client has had its last word, and no host is held for it any more.
-func (d *Driver) markAnswered(c *conn) {
+func (d *Proxy) markAnswered(c *conn) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if was := c.early != nil; was || c.charged {
@@ -286,11 +286,11 @@
 // shutDownWithin is how long the end waits for those who are not up to have their last word, and to leave by it.
 const shutDownWithin = 100 * time.Millisecond
 
-// End ends what the driver has open, and waits for it. No client may be accepted any more. Who is owed an answer still
+// Shutdown ends what the driver has open, and waits for it. No client may be accepted any more. Who is owed an answer still
 // gets one, the same as from the backstop: a reset would leave it with none. Where packets pass through, connections that
 // are up are left for the end of the process: a node that breaks them itself breaks them for good, and all their clients
 // set up anew at once, while those of a process that ends are found again by way of other nodes.
-func (d *Driver) End(pass bool) {
+func (d *Proxy) Shutdown(pass bool) {
 	d.mu.Lock()
 	d.shut(pass)
 	d.mu.Unlock()
@@ -307,7 +307,7 @@
 }
 
 // shut begins the end; mu is held.
-func (d *Driver) shut(pass bool) {
+func (d *Proxy) shut(pass bool) {
 	if !d.closed {
 		close(d.ending)
 	}
@@ -322,7 +322,7 @@
 }
 
 // remaining lists the clients whose connections have not ended, but for those that the end leaves.
-func (d *Driver) remaining(pass bool) (all []*conn) {
+func (d *Proxy) remaining(pass bool) (all []*conn) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for c := range d.conns {
@@ -333,8 +333,8 @@
 	return all
 }
 
-// Owing tells how many clients have said what they want and have had no answer.
-func (d *Driver) Owing() (owing int) {
+// PendingRequests tells how many clients have said what they want and have had no answer.
+func (d *Proxy) PendingRequests() (owing int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for c := range d.conns {
@@ -346,7 +346,7 @@
 }
 
 // caught ends a panic where it arose: other connections go on.
-func (d *Driver) caught(what string) {
+func (d *Proxy) caught(what string) {
 	if p := recover(); p != nil {
 		d.log.Error(what, zap.Any("panic", p), zap.ByteString("stack", debug.Stack()))
 	}
--- a/internal/proxy/driver_test.go
+++ b/internal/proxy/driver_test.go
@@ -23,7 +23,7 @@
 
 // rig is a driver and a node in this process.
 type rig struct {
-	d    *Driver
+	d    *Proxy
 	n    *node.Node
 	addr string
 	end  func()
@@ -38,20 +38,20 @@
 // newRigOf is newRig with a discovery, and with settings as change leaves them.
 func newRigOf(t *testing.T, log *zap.Logger, loop bool, discovery string, change func(*settings.Settings), hosts ...string) *rig {
 	t.Helper()
-	d, y := New(Config{Sockets: 256, ConnectTimeout: time.Second, AnswerSlack: 10 * time.Millisecond, Patience: time.Second,
+	d, y := New(Config{MaxDescriptors: 256, ConnectTimeout: time.Second, AnswerSlack: 10 * time.Millisecond, DefaultTimeout: time.Second,
 		Classes: []string{"chat"}}, log),
 		NewDiscovery(log)
-	set := settings.Settings{Settings: balancer.Settings{GroupSize: 1, MaxAttempts: 3, MayCancel: true, AskList: true,
-		AskWithin: time.Hour, DrainGrace: time.Second, Classes: []balancer.Class{{SetupAim: 5 * time.Second, Deadline: 5 * time.Second, Worth: 1}}},
+	set := settings.Settings{Settings: balancer.Settings{NodeCount: 1, MaxAttempts: 3, MayCancel: true, PollList: true,
+		PollInterval: time.Hour, DrainGrace: time.Second, Classes: []balancer.Class{{SetupLatencyObjective: 5 * time.Second, Deadline: 5 * time.Second, PriorityWeight: 1}}},
 		ClassNames: []string{"chat"}}
 	change(&set)
-	known := wire.Catalog{Complete: true}
+	known := wire.EndpointList{Complete: true}
 	for i, addr := range hosts {
-		known.Members = append(known.Members, wire.Member{ID: fmt.Sprint("h", i), Addr: addr, Size: 1})
+		known.Endpoints = append(known.Endpoints, wire.Endpoint{ID: fmt.Sprint("h", i), Addr: addr, Size: 1})
 	}
 	n := node.New(set, known, discovery, struct {
 		*Discovery
-		*Driver
+		*Proxy
 	}{y, d}, log)
 	d.Attach(n)
 	y.Attach(n)
@@ -78,7 +78,7 @@
 	r.end = func() {
 		once.Do(func() {
 			_ = l.Close()
-			d.End(false)
+			d.Shutdown(false)
 			cancel()
 			all.Wait()
 		})
@@ -104,7 +104,7 @@
 func TestBackstopAnswersWhereTheLoopDoesNot(t *testing.T) {
 	r := newRig(t, zap.NewNop(), false)
 	_, in := r.ask(t, "OPEN a key c=chat,d=50")
-	if all, err := io.ReadAll(in); string(all) != wire.Err || err != nil {
+	if all, err := io.ReadAll(in); string(all) != wire.Failure || err != nil {
 		t.Errorf("answered %q, error %v", all, err)
 	}
 }
@@ -129,11 +129,11 @@
 	r := newRig(t, log, true, answering(t, "ERR\r\n"))
 	for i := range 3 {
 		_, in := r.ask(t, fmt.Sprintf("OPEN a%d key c=chat,d=5000", i))
-		if all, err := io.ReadAll(in); string(all) != wire.Err || err != nil {
+		if all, err := io.ReadAll(in); string(all) != wire.Failure || err != nil {
 			t.Errorf("answered %q, error %v", all, err)
 		}
 	}
-	waitFor(t, "nothing is owed", func() bool { return r.n.Owed() == 0 })
+	waitFor(t, "nothing is owed", func() bool { return r.n.InFlightRequests() == 0 })
 }
 
 // A panic after the connection was up must not put an answer of the node's own among the host's lines.
@@ -150,18 +150,18 @@
 	if rest, err := io.ReadAll(in); len(rest) > 0 || err == nil {
 		t.Errorf("then %q, error %v", rest, err)
 	}
-	waitFor(t, "nothing is open", func() bool { return r.n.Open() == 0 })
+	waitFor(t, "nothing is open", func() bool { return r.n.EstablishedConnections() == 0 })
 }
 
 // A process that the other one of its node leaves nothing refuses who comes, and serves again when it has its part.
 func TestAProcessWithoutAPartRefuses(t *testing.T) {
 	r := newRig(t, zap.NewNop(), true, answering(t, "UP r\r\n"))
-	r.d.Share(-100)
+	r.d.SetDescriptorLimit(-100)
 	_, in := r.ask(t, "OPEN a key c=chat,d=5000")
 	if line, err := in.ReadString('\n'); !strings.HasPrefix(line, "BUSY") {
 		t.Fatalf("heard %q, error %v", line, err)
 	}
-	r.d.Share(256)
+	r.d.SetDescriptorLimit(256)
 	_, in = r.ask(t, "OPEN b key c=chat,d=5000")
 	if line, err := in.ReadString('\n'); line != "UP r\r\n" {
 		t.Errorf("heard %q, error %v", line, err)
@@ -207,7 +207,7 @@
 	waitFor(t, "the line reaches a host", count(&lines, 1))
 	_ = c.Close()
 	waitFor(t, "the attempt is withdrawn", count(&ended, 1))
-	waitFor(t, "nothing is owed", func() bool { return r.n.Owed() == 0 })
+	waitFor(t, "nothing is owed", func() bool { return r.n.InFlightRequests() == 0 })
 	if r.end(); !count(&lines, 1)() {
 		t.Error("another host was tried")
 	}
@@ -238,10 +238,10 @@
 		t.Fatalf("heard %q, error %v", line, err)
 	}
 	_, waits := r.ask(t, "OPEN wait key c=chat,d=5000")
-	waitFor(t, "the second is owed its answer", func() bool { return r.n.Owed() == 1 })
+	waitFor(t, "the second is owed its answer", func() bool { return r.n.InFlightRequests() == 1 })
 	<-sentOn // until then it may be refused: it was sent nowhere
-	r.d.End(true)
-	if all, err := io.ReadAll(waits); string(all) != wire.Err || err != nil {
+	r.d.Shutdown(true)
+	if all, err := io.ReadAll(waits); string(all) != wire.Failure || err != nil {
 		t.Errorf("one that is owed its answer heard %q, error %v", all, err)
 	}
 	_, _ = io.WriteString(on, "M\r\n")
--- a/internal/proxy/faults_test.go
+++ b/internal/proxy/faults_test.go
@@ -98,16 +98,16 @@
 		errno syscall.Errno
 		want  balancer.Outcome
 	}{
-		{syscall.EMFILE, balancer.NeverPassed},
-		{syscall.ENFILE, balancer.NeverPassed},
-		{syscall.ENOBUFS, balancer.NeverPassed},
-		{syscall.ENOMEM, balancer.NeverPassed},
-		{syscall.EADDRNOTAVAIL, balancer.NeverPassed},
-		{syscall.EADDRINUSE, balancer.NeverPassed},
-		{syscall.ECONNREFUSED, balancer.NoConnect},
-		{syscall.EHOSTUNREACH, balancer.NoConnect},
-		{syscall.ENETUNREACH, balancer.NoConnect},
-		{syscall.ETIMEDOUT, balancer.NoConnect},
+		{syscall.EMFILE, balancer.NotSent},
+		{syscall.ENFILE, balancer.NotSent},
+		{syscall.ENOBUFS, balancer.NotSent},
+		{syscall.ENOMEM, balancer.NotSent},
+		{syscall.EADDRNOTAVAIL, balancer.NotSent},
+		{syscall.EADDRINUSE, balancer.NotSent},
+		{syscall.ECONNREFUSED, balancer.ConnectFailed},
+		{syscall.EHOSTUNREACH, balancer.ConnectFailed},
+		{syscall.ENETUNREACH, balancer.ConnectFailed},
+		{syscall.ETIMEDOUT, balancer.ConnectFailed},
 	} {
 		for _, failed := range []*AttemptError{
 			{Dialing, &net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError("socket", c.errno)}},
@@ -164,7 +164,7 @@
 // A request whose line was read has its answer also where its goroutine fails right behind that. This driver has no node to
 // ask, so looking up the request's class fails.
 func TestServe_PanicsBehindTheFirstLine_IsAnswered(t *testing.T) {
-	d := New(Config{Sockets: 256}, zap.NewNop())
+	d := New(Config{MaxDescriptors: 256}, zap.NewNop())
 	client, server := pair(t)
 	if !d.take(server) {
 		t.Fatal("the client is not taken")
@@ -173,8 +173,8 @@
 		t.Fatal(err)
 	}
 	_ = client.SetDeadline(time.Now().Add(10 * time.Second))
-	answer := make([]byte, len(wire.Err))
-	if n, err := io.ReadFull(client, answer); err != nil || string(answer) != wire.Err {
+	answer := make([]byte, len(wire.Failure))
+	if n, err := io.ReadFull(client, answer); err != nil || string(answer) != wire.Failure {
 		t.Errorf("heard %q, error %v", answer[:n], err)
 	}
 	_ = client.Close()
--- a/internal/proxy/figures.go
+++ b/internal/proxy/figures.go
@@ -33,7 +33,7 @@
 }
 
 // Replies tells the final answers of each class, in the order of the settings.
-func (d *Driver) Replies() []Replies {
+func (d *Proxy) Replies() []Replies {
 	out := make([]Replies, 0, len(d.figures.classes))
 	for _, name := range d.figures.classes {
 		r := d.figures.replies[name]
@@ -43,10 +43,10 @@
 }
 
 // Dispatches tells how many attempts were written whole to hosts.
-func (d *Driver) Dispatches() uint64 { return d.figures.dispatches.Load() }
+func (d *Proxy) Dispatches() uint64 { return d.figures.dispatches.Load() }
 
-// Taken tells how many clients were taken and have not ended.
-func (d *Driver) Taken() int64 { return d.figures.taken.Load() }
+// OpenClients tells how many clients were taken and have not ended.
+func (d *Proxy) OpenClients() int64 { return d.figures.taken.Load() }
 
 // verdict is how a client fared.
 type verdict uint8
@@ -76,7 +76,7 @@
 
 // countAs counts a final answer of the node's own by its line.
 func (c *conn) countAs(line string) {
-	if line == wire.Err {
+	if line == wire.Failure {
 		c.count(failed)
 	} else {
 		c.count(refused)
--- a/internal/proxy/leaving.go
+++ b/internal/proxy/leaving.go
@@ -22,9 +22,9 @@
 
 // look takes in what the client has said or done since its first line, before anything is begun for it: one that has
 // waited in the listener's queue may have left long ago. False where it has.
-func (c *conn) look(in *wire.Inbox) bool {
+func (c *conn) look(in *wire.LineBuffer) bool {
 	n, err := arrived(c.client, in.Space())
-	in.Fed(n)
+	in.Advance(n)
 	if err == nil || syserr.LacksMemory(err) { // the latter tells nothing
 		return true
 	}
@@ -35,21 +35,21 @@
 // upward reads the client: before the connection is up to learn that it leaves, then to pass its lines on. What comes
 // early of a connection that is mid-flow waits in the buffer, and the client is read on as long as that has room: one
 // that has said something leaves like any other.
-func (c *conn) upward(in *wire.Inbox) {
+func (c *conn) upward(in *wire.LineBuffer) {
 	for {
-		early := len(in.Rest()) > 0
+		early := len(in.Buffered()) > 0
 		select {
 		case <-c.up:
 			if !early {
 				break
 			}
 			c.waiting.CompareAndSwap(0, nanos(time.Now()))
-			if _, err := writeAll(c.host, in.Rest()); err != nil {
+			if _, err := writeAll(c.host, in.Buffered()); err != nil {
 				return // the other goroutine meets the broken host too, and ends the client like it
 			}
-			in.Drop(len(in.Rest()))
+			in.Discard(len(in.Buffered()))
 		default:
-			if early && !c.open.Mid && c.misspoke() {
+			if early && !c.open.MidFlow && c.misspoke() {
 				return
 			}
 			if early && len(in.Space()) == 0 { // no room: it is read on once it is up
@@ -60,7 +60,7 @@
 			}
 		}
 		n, err := readSome(c.client, in.Space())
-		in.Fed(n)
+		in.Advance(n)
 		if n == 0 && err != nil && timedOut(err) {
 			if goOn, _ := c.rest(c.client, false, func(*parking) {}); goOn {
 				continue
--- a/internal/proxy/park.go
+++ b/internal/proxy/park.go
@@ -16,8 +16,8 @@
 // between two lines, and here a process takes up what another one has brought to rest. How the sockets get from one to
 // the other is package sharedstate's.
 
-// Standing is a connection that stands, at rest: what a process needs to go on with it.
-type Standing struct {
+// EstablishedConn is a connection that stands, at rest: what a process needs to go on with it.
+type EstablishedConn struct {
 	Line         string // the client's first line
 	Host         string // the host's id
 	Client, Peer *net.TCPConn
@@ -44,9 +44,9 @@
 // mostUnrest is how often a connection that could not be handed over is asked again: each time holds its lines back.
 const mostUnrest = 8
 
-// Park brings up to n connections that stand to rest, and returns with them what becomes of each: with true it is
+// Quiesce brings up to n connections that stand to rest, and returns with them what becomes of each: with true it is
 // another process's, with false it goes on here. None may be forgotten: their clients wait.
-func (d *Driver) Park(n int) (out []Standing, done []func(handed bool)) {
+func (d *Proxy) Quiesce(n int) (out []EstablishedConn, done []func(handed bool)) {
 	var parked []*parking
 	d.mu.Lock()
 	for c := range d.conns {
@@ -76,7 +76,7 @@
 			p.decide(false)
 			continue
 		}
-		out = append(out, Standing{Line: p.conn.open.Line(), Host: p.conn.on, Client: p.conn.client, Peer: p.host,
+		out = append(out, EstablishedConn{Line: p.conn.open.Line(), Host: p.conn.on, Client: p.conn.client, Peer: p.host,
 			Partial: p.partial, Load: p.load})
 		done = append(done, p.decide)
 	}
@@ -158,28 +158,28 @@
 // there: nothing may be said on them, nor set.
 func (c *conn) handOver(host *net.TCPConn, attempt int, start time.Time) {
 	_ = host.Close()
-	c.d.node.Settled(c.id, c, attempt, time.Since(start), balancer.Cancelled)
+	c.d.node.AttemptEnded(c.id, c, attempt, time.Since(start), balancer.Cancelled)
 }
 
 var errGone = errors.New("the driver ends")
 
 // Adopt goes on with a connection that another process had. One with which it can't is sent away: it rests between two
 // lines, and its client has nobody else any more.
-func (d *Driver) Adopt(s Standing) error {
+func (d *Proxy) Adopt(s EstablishedConn) error {
 	err := d.adopt(s)
 	if err != nil {
-		closeWithMessage(s.Client, wire.Move)
+		closeWithMessage(s.Client, wire.Migration)
 		_ = s.Peer.Close()
 	}
 	return err
 }
 
-func (d *Driver) adopt(s Standing) error {
-	kind, open, err := wire.ParseHello([]byte(s.Line))
-	if err != nil || kind != wire.HelloOpen || len(s.Partial) > wire.BufferSize/2 {
+func (d *Proxy) adopt(s EstablishedConn) error {
+	kind, open, err := wire.ParseOpening([]byte(s.Line))
+	if err != nil || kind != wire.OpeningRequest || len(s.Partial) > wire.BufferSize/2 {
 		return errors.New("it is no connection's")
 	}
-	open.At = s.Host
+	open.CurrentHost = s.Host
 	c := d.newConn(s.Client, time.Now())
 	c.open, c.id, c.on, c.host = open, balancer.RequestID(open.ID), s.Host, s.Peer
 	c.counted.Store(true) // by the process that brought it up
@@ -197,7 +197,7 @@
 }
 
 // goOn is the life of a connection that was adopted.
-func (c *conn) goOn(s Standing) {
+func (c *conn) goOn(s EstablishedConn) {
 	start, told := time.Now(), false
 	defer c.client.Close()
 	defer func() {
@@ -205,24 +205,24 @@
 			c.d.log.Error("a connection failed badly", zap.Any("panic", p), zap.Stack("stack"))
 			c.abort()
 			if told {
-				c.d.node.Settled(c.id, c, 0, 0, balancer.Reset)
+				c.d.node.AttemptEnded(c.id, c, 0, 0, balancer.ConnectionReset)
 			}
 		}
 	}()
-	if _, ok := c.d.node.Resume(&c.open, c); !ok {
+	if _, ok := c.d.node.ResumeConnection(&c.open, c); !ok {
 		c.d.log.Info("a connection's id is held already")
 		c.abort()
 		return
 	}
 	told = true
-	c.d.node.Inherit(&c.open, c)
+	c.d.node.ConnectionInherited(&c.open, c)
 	if s.Load > 0 {
 		c.load = s.Load
-		c.d.node.Load(c.id, c, s.Load)
+		c.d.node.ReportLoad(c.id, c, s.Load)
 	}
-	var host, client wire.Inbox
-	host.Fed(copy(host.Space(), s.Partial))
-	defer client.Free()
+	var host, client wire.LineBuffer
+	host.Advance(copy(host.Space(), s.Partial))
+	defer client.Release()
 	var reader sync.WaitGroup
 	reader.Add(1)
 	go func() {
@@ -235,9 +235,9 @@
 	c.relay(s.Peer, &host, nil, 0, start)
 }
 
-// Unheard tells how many clients hold a connection here that is neither up nor wanted: they have said nothing whole yet,
+// PendingOpenings tells how many clients hold a connection here that is neither up nor wanted: they have said nothing whole yet,
 // or have had their last word and not left. A front that has asked how the node is, and says nothing now, is none.
-func (d *Driver) Unheard() (unheard int) {
+func (d *Proxy) PendingOpenings() (unheard int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for e := d.early.Front(); e != nil; e = e.Next() {
