--- a/internal/proxy/park_test.go
+++ b/internal/proxy/park_test.go
@@ -68,7 +68,7 @@
 	hears(t, in, "LOAD 3\r\n")
 	say <- "half "
 	waitFor(t, "it rests with half a line", func() bool {
-		standing, done := old.d.Park(4)
+		standing, done := old.d.Quiesce(4)
 		if len(standing) != 1 {
 			return false
 		}
@@ -95,21 +95,21 @@
 		}
 		return true
 	})
-	waitFor(t, "the old one has nothing left", func() bool { return old.n.Open() == 0 && old.d.Taken() == 0 })
+	waitFor(t, "the old one has nothing left", func() bool { return old.n.EstablishedConnections() == 0 && old.d.OpenClients() == 0 })
 	old.end()
 	say <- "a line\r\n"
 	hears(t, in, "half a line\r\n")
 	_, _ = io.WriteString(c, "M 1\r\n")
 	hears(t, in, "M 1\r\n")
-	if next.n.Open() != 1 || next.d.Taken() != 1 || next.d.Replies()[0].Success != 0 {
-		t.Errorf("the next one has %d open, %d taken, %+v", next.n.Open(), next.d.Taken(), next.d.Replies())
+	if next.n.EstablishedConnections() != 1 || next.d.OpenClients() != 1 || next.d.Replies()[0].Success != 0 {
+		t.Errorf("the next one has %d open, %d taken, %+v", next.n.EstablishedConnections(), next.d.OpenClients(), next.d.Replies())
 	}
-	next.n.MoveAll(time.Now())
+	next.n.MigrateAll(time.Now())
 	hears(t, in, "MOVE\r\n")
 	if _, err := in.ReadString('\n'); err != io.EOF {
 		t.Errorf("then %v", err)
 	}
-	waitFor(t, "nothing is left", func() bool { return next.n.Open() == 0 && next.d.Taken() == 0 })
+	waitFor(t, "nothing is left", func() bool { return next.n.EstablishedConnections() == 0 && next.d.OpenClients() == 0 })
 }
 
 // One that is not taken goes on where it was, and one that ends meanwhile ends as always.
@@ -118,7 +118,7 @@
 	c, in := r.ask(t, "OPEN a key c=chat,d=5000")
 	hears(t, in, "UP r\r\n")
 	hears(t, in, "LOAD 3\r\n")
-	standing, done := r.d.Park(4)
+	standing, done := r.d.Quiesce(4)
 	if len(standing) != 1 {
 		t.Fatalf("%d rest", len(standing))
 	}
@@ -126,22 +126,22 @@
 	done[0](false)
 	hears(t, in, "M 1\r\n")
 	for range mostUnrest - 1 {
-		_, done = r.d.Park(4)
+		_, done = r.d.Quiesce(4)
 		done[0](false)
 	}
-	if more, _ := r.d.Park(4); len(more) > 0 {
+	if more, _ := r.d.Quiesce(4); len(more) > 0 {
 		t.Error("it is asked without an end")
 	}
 	left, in := r.ask(t, "OPEN b key c=chat,d=5000")
 	hears(t, in, "UP r\r\n")
 	hears(t, in, "LOAD 3\r\n")
-	_, done = r.d.Park(4)
+	_, done = r.d.Quiesce(4)
 	_ = left.(*net.TCPConn).CloseWrite()
 	done[0](false)
 	if _, err := in.ReadString('\n'); err != io.EOF {
 		t.Errorf("a client that left while it rested: %v", err)
 	}
-	waitFor(t, "one is left", func() bool { return r.n.Open() == 1 })
+	waitFor(t, "one is left", func() bool { return r.n.EstablishedConnections() == 1 })
 }
 
 // A line without a connection, an id that is open already: the next process takes up neither, and goes on.
@@ -156,15 +156,15 @@
 	}
 	c, d := pair()
 	for _, line := range []string{"", "PING", "OPEN"} {
-		if err := r.d.Adopt(Standing{Line: line, Client: c, Peer: d}); err == nil {
+		if err := r.d.Adopt(EstablishedConn{Line: line, Client: c, Peer: d}); err == nil {
 			t.Errorf("%q is taken up", line)
 		}
 	}
-	if err := r.d.Adopt(Standing{Line: "OPEN a key c=chat", Host: "h0", Client: c, Peer: d}); err != nil {
+	if err := r.d.Adopt(EstablishedConn{Line: "OPEN a key c=chat", Host: "h0", Client: c, Peer: d}); err != nil {
 		t.Error(err)
 	}
-	waitFor(t, "the second one ends", func() bool { return r.d.Taken() == 1 })
-	if r.n.Open() != 1 {
-		t.Errorf("%d are open", r.n.Open())
+	waitFor(t, "the second one ends", func() bool { return r.d.OpenClients() == 1 })
+	if r.n.EstablishedConnections() != 1 {
+		t.Errorf("%d are open", r.n.EstablishedConnections())
 	}
 }
--- a/internal/proxy/peers_test.go
+++ b/internal/proxy/peers_test.go
@@ -80,7 +80,7 @@
 
 // patient are settings under which an attempt lasts for as long as the test.
 func patient(s *settings.Settings) {
-	s.Classes[0].SetupAim, s.Classes[0].Deadline = 9*time.Minute, 9*time.Minute
+	s.Classes[0].SetupLatencyObjective, s.Classes[0].Deadline = 9*time.Minute, 9*time.Minute
 }
 
 // only is the one client's connection of a driver.
@@ -99,7 +99,7 @@
 // quiet waits until no client is left.
 func (r *rig) quiet(t *testing.T) {
 	t.Helper()
-	waitFor(t, "no client is left", func() bool { return len(r.d.remaining(false)) == 0 && r.n.Owed() == 0 })
+	waitFor(t, "no client is left", func() bool { return len(r.d.remaining(false)) == 0 && r.n.InFlightRequests() == 0 })
 }
 
 // pair is a connection and its other side.
--- a/internal/proxy/ping.go
+++ b/internal/proxy/ping.go
@@ -27,7 +27,7 @@
 
 // Ping times a message at a host, and tells the node; false where it does not, as there is no descriptor for it. It does
 // not block: while one is under way there, that one tells.
-func (d *Driver) Ping(id balancer.ServerID, addr string) bool {
+func (d *Proxy) Ping(id balancer.ServerID, addr string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.closed {
@@ -59,15 +59,15 @@
 }
 
 // ping is the life of a pinger.
-func (d *Driver) ping(id balancer.ServerID, p *pinger) {
+func (d *Proxy) ping(id balancer.ServerID, p *pinger) {
 	var c net.Conn
-	var in wire.Inbox
+	var in wire.LineBuffer
 	leave := func() {
 		if c != nil {
 			_ = c.Close()
 			c = nil
 		}
-		in.Free()
+		in.Release()
 	}
 	defer leave()
 	defer d.retire(id, p, true)
@@ -105,13 +105,13 @@
 			}
 		}
 		d.log.Debug("a ping", zap.String("host", p.addr), zap.Duration("took", took))
-		d.node.Pinged(id, took)
+		d.node.PingCompleted(id, took)
 	}
 }
 
 // retire takes a pinger out; one that was asked just now goes on, unless it must not: a question that nobody answers would
 // pass for a host that does not.
-func (d *Driver) retire(id balancer.ServerID, p *pinger, must bool) bool {
+func (d *Proxy) retire(id balancer.ServerID, p *pinger, must bool) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if len(p.asks) > 0 && !must {
@@ -124,7 +124,7 @@
 }
 
 // pingOnce sends a ping and waits for its answer, whatever that is: NO comes from a host too.
-func pingOnce(c net.Conn, in *wire.Inbox, by time.Time) error {
+func pingOnce(c net.Conn, in *wire.LineBuffer, by time.Time) error {
 	_ = c.SetDeadline(by)
 	if _, err := io.WriteString(c, "PING\r\n"); err != nil {
 		return err
@@ -135,7 +135,7 @@
 			return err
 		}
 		n, err := c.Read(in.Space())
-		if in.Fed(n); n == 0 && err != nil {
+		if in.Advance(n); n == 0 && err != nil {
 			return err
 		}
 	}
--- a/internal/proxy/push_test.go
+++ b/internal/proxy/push_test.go
@@ -22,7 +22,7 @@
 func TestAListThatComesUnasked(t *testing.T) {
 	const grace = 50 * time.Millisecond
 	var asked [2]atomic.Int64
-	var members [2]wire.Member
+	var members [2]wire.Endpoint
 	for i := range members {
 		addr := host(t, func(c *net.TCPConn) {
 			if line, err := bufio.NewReader(c).ReadString('\n'); err == nil && line[0] == 'O' {
@@ -30,7 +30,7 @@
 				_, _ = io.WriteString(c, "UP r\r\nBYE\r\n")
 			}
 		})
-		members[i] = wire.Member{ID: fmt.Sprint("h", i), Addr: addr, Size: 1}
+		members[i] = wire.Endpoint{ID: fmt.Sprint("h", i), Addr: addr, Size: 1}
 	}
 	clock := fakeserver.NewClock()
 	d, err := fakeserver.NewDiscovery("", clock, fakeserver.NewLedger(clock), 7, members[:]...)
@@ -38,7 +38,7 @@
 		t.Fatal(err)
 	}
 	defer d.Close()
-	r := newRigOf(t, zap.NewNop(), true, d.Addr(), func(s *settings.Settings) { s.AskList, s.DrainGrace = false, grace })
+	r := newRigOf(t, zap.NewNop(), true, d.Addr(), func(s *settings.Settings) { s.PollList, s.DrainGrace = false, grace })
 	opened := 0
 	// round opens some connections and tells how many each host was asked for.
 	round := func() (at [2]int64) {
--- a/internal/proxy/relay.go
+++ b/internal/proxy/relay.go
@@ -13,17 +13,17 @@
 )
 
 // relay passes lines from the host to the client until one side ends, and ends the other alike.
-func (c *conn) relay(host *net.TCPConn, first *wire.Inbox, upLine []byte, attempt int, start time.Time) {
-	r := wire.Relay{Inbox: *first}
-	defer r.Free()
+func (c *conn) relay(host *net.TCPConn, first *wire.LineBuffer, upLine []byte, attempt int, start time.Time) {
+	r := wire.Relay{LineBuffer: *first}
+	defer r.Release()
 	var err error
 	if len(upLine) > 0 {
 		_, err = writeAll(c.client, upLine)
 	}
 	stuck := err != nil // the client does not take what is for it
 	for err == nil {
-		chunk, seen := r.Whole()
-		if seen.Lines > 0 {
+		chunk, seen := r.CompleteLines()
+		if seen.Responses > 0 {
 			if since := c.waiting.Swap(0); since != 0 {
 				took := nanos(time.Now()) - since
 				c.took.Store(took)
@@ -33,7 +33,7 @@
 		}
 		if seen.Load > 0 {
 			c.load = seen.Load
-			c.d.node.Load(c.id, c, seen.Load)
+			c.d.node.ReportLoad(c.id, c, seen.Load)
 		}
 		if len(chunk) > 0 {
 			_, err = writeAll(c.client, chunk)
@@ -42,13 +42,13 @@
 		}
 		var n int
 		n, err = readSome(host, r.Space())
-		r.Fed(n)
+		r.Advance(n)
 		if n > 0 {
 			err = nil
 		}
 		if err != nil && timedOut(err) {
 			goOn, handed := c.rest(host, true, func(p *parking) {
-				p.partial, p.torn, p.load = append([]byte(nil), r.Rest()...), !r.Between() || r.Ending(), c.load
+				p.partial, p.torn, p.load = append([]byte(nil), r.Buffered()...), !r.AtLineBoundary() || r.Ending(), c.load
 			})
 			if handed {
 				c.handOver(host, attempt, start)
@@ -64,12 +64,12 @@
 
 // part ends both sides after the relay has: err is what ended it.
 func (c *conn) part(host *net.TCPConn, r *wire.Relay, err error, stuck bool, attempt int, start time.Time) {
-	outcome := balancer.Reset
+	outcome := balancer.ConnectionReset
 	left, moved := c.leftFIN.Load() || c.leftRST.Load(), c.moving.Load() // as it ended: a word that comes now is too late
 	switch {
-	case r.Last() == wire.AnswerBye:
+	case r.Last() == wire.ResponseClosed:
 		outcome = balancer.Served
-	case r.Last() == wire.AnswerMove || left || moved:
+	case r.Last() == wire.ResponseMigrate || left || moved:
 		outcome = balancer.Cancelled
 	}
 	if c.leftRST.Load() {
@@ -81,13 +81,13 @@
 		zap.Bool("moved", moved), zap.Bool("client left", left), zap.Duration("after", time.Since(start)),
 		zap.Duration("longest answer", c.longest),
 		zap.Error(err))
-	c.d.node.Settled(c.id, c, attempt, time.Since(start), outcome)
+	c.d.node.AttemptEnded(c.id, c, attempt, time.Since(start), outcome)
 	switch {
-	case moved && !left && !stuck && r.Between() && !errors.Is(err, io.EOF):
+	case moved && !left && !stuck && r.AtLineBoundary() && !errors.Is(err, io.EOF):
 		c.stopReading()
-		c.finish(wire.Move)
+		c.finish(wire.Migration)
 	case errors.Is(err, io.EOF):
-		_, _ = writeAll(c.client, r.Rest()) // a last line without its end
+		_, _ = writeAll(c.client, r.Buffered()) // a last line without its end
 		c.stopReading()
 		c.linger()
 	case left:
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -16,10 +16,10 @@
 
 // drive waits for the loop's word, makes the attempts and, once up, copies to the client.
 func (c *conn) drive(until time.Time) {
-	final := false     // the client has had its answer, or has left
-	said := false      // it has had its answer from here
-	taken, out := 0, 0 // sends taken from the loop, and how many of them owe an outcome
-	reply := wire.Err  // from here, where it has had no answer
+	final := false        // the client has had its answer, or has left
+	said := false         // it has had its answer from here
+	taken, out := 0, 0    // sends taken from the loop, and how many of them owe an outcome
+	reply := wire.Failure // from here, where it has had no answer
 	defer func() {
 		p := recover()
 		if p != nil {
@@ -35,10 +35,10 @@
 			c.mu.Unlock()
 		}
 		if !final || p != nil {
-			c.d.node.Gone(c.id, c, taken)
+			c.d.node.ClientDisconnected(c.id, c, taken)
 		}
 		if out > 0 {
-			c.d.node.Settled(c.id, c, taken-1, 0, balancer.Reset)
+			c.d.node.AttemptEnded(c.id, c, taken-1, 0, balancer.ConnectionReset)
 		}
 		c.mu.Lock()
 		spoke := c.spoke
@@ -53,21 +53,21 @@
 		case c.half.Load() && !said:
 			// It has ended its side and may still read: its request is answered like any other.
 			_ = c.client.SetWriteDeadline(time.Now().Add(lingerFor))
-			_, _ = writeAll(c.client, []byte(wire.Err))
+			_, _ = writeAll(c.client, []byte(wire.Failure))
 		}
 	}()
-	if c.open.At != "" {
+	if c.open.CurrentHost != "" {
 		final = c.resume(&taken, &out)
 		return
 	}
 	backstop := time.NewTimer(max(time.Until(until), 0) + c.d.cfg.AnswerSlack)
 	defer backstop.Stop()
-	c.d.node.Arrive(&c.open, until, c)
+	c.d.node.RequestArrived(&c.open, until, c)
 	for {
 		select {
 		case <-c.gone:
 			final = true
-			c.d.node.Gone(c.id, c, taken)
+			c.d.node.ClientDisconnected(c.id, c, taken)
 			return
 		case <-c.d.ending:
 			// The loop has answered before that whatever it knew of.
@@ -89,7 +89,7 @@
 				c.finish(cmd.reply)
 				return
 			}
-			taken, out = cmd.send.N+1, 1
+			taken, out = cmd.send.Number+1, 1
 			a := *cmd.send
 			a.Timeout = min(a.Timeout, time.Until(until)+c.d.cfg.AnswerSlack) // the backstop, while an attempt is out
 			final = c.send(a)
@@ -104,7 +104,7 @@
 // client has had its answer or has left.
 func (c *conn) send(a node.Attempt) (final bool) {
 	start := time.Now()
-	var in wire.Inbox
+	var in wire.LineBuffer
 	host, upLine, failed := c.try(a, &in)
 	took := time.Since(start)
 	if failed == nil && !c.raise(host) {
@@ -113,20 +113,20 @@
 	}
 	if failed == nil {
 		c.d.log.Debug("a connection is up", zap.String("request", c.open.ID), zap.String("host", a.Addr),
-			zap.Duration("took", took), zap.Bool("mid", c.open.Mid), zap.Bool("again", c.open.Again),
-			zap.String("key", c.open.Key), zap.String("group", c.open.Group), zap.Int("attempt", a.N))
+			zap.Duration("took", took), zap.Bool("mid", c.open.MidFlow), zap.Bool("again", c.open.Reconnect),
+			zap.String("key", c.open.Key), zap.String("group", c.open.Group), zap.Int("attempt", a.Number))
 		c.count(brought)
-		c.d.node.Opened(c.id, c, a.N, took)
-		c.relay(host, &in, upLine, a.N, start)
+		c.d.node.ConnectionEstablished(c.id, c, a.Number, took)
+		c.relay(host, &in, upLine, a.Number, start)
 		return true
 	}
-	in.Free()
+	in.Release()
 	c.d.log.Debug("an attempt failed", zap.String("request", c.open.ID), zap.String("host", a.Addr),
 		zap.Duration("took", took), zap.Error(failed))
 	if final = c.isGone(); final { // first, so that the module tries no other host for a client that has left
-		c.d.node.Gone(c.id, c, a.N+1)
+		c.d.node.ClientDisconnected(c.id, c, a.Number+1)
 	}
-	c.d.node.Settled(c.id, c, a.N, took, failed.Outcome())
+	c.d.node.AttemptEnded(c.id, c, a.Number, took, failed.Outcome())
 	return final
 }
 
@@ -149,8 +149,8 @@
 }
 
 // try makes one attempt.
-func (c *conn) try(a node.Attempt, in *wire.Inbox) (*net.TCPConn, []byte, *AttemptError) {
-	ctx, over := c.begin(a.N, string(a.Host))
+func (c *conn) try(a node.Attempt, in *wire.LineBuffer) (*net.TCPConn, []byte, *AttemptError) {
+	ctx, over := c.begin(a.Number, string(a.Host))
 	defer over()
 	select {
 	case <-c.verdict: // an answer to an attempt that did not wait for it
@@ -159,7 +159,7 @@
 	late := time.NewTimer(a.Timeout) // a loop that does not answer must not hold the client past its time
 	defer late.Stop()
 	may := func() error {
-		c.d.node.Connected(c.id, c, a.N)
+		c.d.node.AttemptConnected(c.id, c, a.Number)
 		select {
 		case ok := <-c.verdict:
 			if !ok {
@@ -174,7 +174,7 @@
 	}
 	wrote := func(began time.Time) {
 		c.checkStart(string(a.Host), began)
-		c.d.node.Written(c.id, c, a.N, began)
+		c.d.node.AttemptWritten(c.id, c, a.Number, began)
 	}
 	return attempt(ctx, a, &c.open, permit{c.d.cfg.ConnectTimeout, may, wrote}, in)
 }
@@ -189,7 +189,7 @@
 	_ = host.SetDeadline(time.Time{})
 	c.host = host
 	close(c.up)
-	if c.open.Mid { // what it said early goes on: whoever reads it is to see that it is up
+	if c.open.MidFlow { // what it said early goes on: whoever reads it is to see that it is up
 		_ = c.client.SetReadDeadline(past)
 	}
 	return true
--- a/internal/proxy/resume.go
+++ b/internal/proxy/resume.go
@@ -21,7 +21,7 @@
 func (c *conn) resume(taken, out *int) bool {
 	by := time.Now().Add(resumeFor)
 	for time.Now().Before(by) {
-		addr, ok := c.d.node.Resume(&c.open, c)
+		addr, ok := c.d.node.ResumeConnection(&c.open, c)
 		if !ok {
 			c.d.log.Info("a connection's id is held already")
 			return false
@@ -29,37 +29,37 @@
 		if addr == "" && c.pause() {
 			continue // the list may yet name it
 		} else if addr == "" {
-			c.d.node.Gone(c.id, c, 0)
+			c.d.node.ClientDisconnected(c.id, c, 0)
 			return true
 		}
-		var in wire.Inbox
+		var in wire.LineBuffer
 		start := time.Now()
-		ctx, over := c.begin(0, c.open.At)
-		host, upLine, failed := attempt(ctx, node.Attempt{Addr: addr, Timeout: max(c.open.Wait, c.d.cfg.Patience)},
-			&c.open, permit{c.d.cfg.ConnectTimeout, func() error { return nil }, func(began time.Time) { c.checkStart(c.open.At, began) }}, &in)
+		ctx, over := c.begin(0, c.open.CurrentHost)
+		host, upLine, failed := attempt(ctx, node.Attempt{Addr: addr, Timeout: max(c.open.Timeout, c.d.cfg.DefaultTimeout)},
+			&c.open, permit{c.d.cfg.ConnectTimeout, func() error { return nil }, func(began time.Time) { c.checkStart(c.open.CurrentHost, began) }}, &in)
 		over()
 		if failed == nil {
 			if !c.raise(host) {
 				_ = host.Close()
-				c.d.node.Gone(c.id, c, 0)
+				c.d.node.ClientDisconnected(c.id, c, 0)
 				return true
 			}
 			*taken, *out = 1, 1
 			c.count(brought)
-			c.d.node.Inherit(&c.open, c)
+			c.d.node.ConnectionInherited(&c.open, c)
 			c.relay(host, &in, upLine, 0, start)
 			*out = 0
 			return true
 		}
-		in.Free()
-		c.d.log.Info("a connection could not be taken up", zap.String("host", c.open.At), zap.Error(failed))
+		in.Release()
+		c.d.log.Info("a connection could not be taken up", zap.String("host", c.open.CurrentHost), zap.Error(failed))
 		switch failed.Outcome() {
-		case balancer.NoConnect, balancer.NeverPassed: // pause tells whether the client has left
+		case balancer.ConnectFailed, balancer.NotSent: // pause tells whether the client has left
 		default:
 			return false
 		}
 		if !c.pause() {
-			c.d.node.Gone(c.id, c, 0)
+			c.d.node.ClientDisconnected(c.id, c, 0)
 			return true
 		}
 	}
--- a/internal/proxy/watch_test.go
+++ b/internal/proxy/watch_test.go
@@ -22,16 +22,16 @@
 func TestWhatDiscoveryHasIsAskedForInTime(t *testing.T) {
 	const answer = 400 * time.Millisecond
 	for what, longest := range map[string]time.Duration{
-		"asked, a watch falls silent": beatWait + balancer.AskAgain, "asked, a call is lost": callWait + balancer.AskAgain,
-		"asked, a call is refused":   2 * balancer.AskAgain,
-		"told, a watch falls silent": beatWait + node.WatchAgain, "told, a call is lost": callWait + node.WatchAgain,
+		"asked, a watch falls silent": beatWait + balancer.MaxRepollDelay, "asked, a call is lost": callWait + balancer.MaxRepollDelay,
+		"asked, a call is refused":   2 * balancer.MaxRepollDelay,
+		"told, a watch falls silent": beatWait + node.MaxRewatchDelay, "told, a call is lost": callWait + node.MaxRewatchDelay,
 	} {
 		if longest+answer > toldWithin {
 			t.Errorf("%s: %v until the next call, of %v", what, longest, toldWithin)
 		}
 	}
 	// After SIGHUP where the list need not be asked for: 4 s.
-	if longest := listWait + node.WatchAgain; longest+answer > 4*time.Second {
+	if longest := listWait + node.MaxRewatchDelay; longest+answer > 4*time.Second {
 		t.Errorf("named anew: %v until the second call", longest)
 	}
 }
@@ -69,7 +69,7 @@
 			_, err = io.WriteString(c, chunk(" "))
 		}
 	})
-	newRigOf(t, zap.NewNop(), true, addr, func(s *settings.Settings) { s.AskList = false })
+	newRigOf(t, zap.NewNop(), true, addr, func(s *settings.Settings) { s.PollList = false })
 	waitFor(t, "it is opened anew", func() bool { return calls.Load() > 1 })
 }
 
@@ -85,7 +85,7 @@
 		}
 		_, _ = io.Copy(io.Discard, c)
 	})
-	r := newRigOf(t, zap.NewNop(), true, addr, func(s *settings.Settings) { s.AskList = false })
+	r := newRigOf(t, zap.NewNop(), true, addr, func(s *settings.Settings) { s.PollList = false })
 	waitFor(t, "both are taken", func() bool { return len(r.n.View().Hosts) == 2 })
 	if n := calls.Load(); n != 1 {
 		t.Errorf("%d watches", n)
@@ -132,13 +132,13 @@
 		}
 		_, _ = io.WriteString(c, fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(list), list))
 	})
-	r := newRigOf(t, zap.NewNop(), true, old, func(s *settings.Settings) { s.AskList = false })
+	r := newRigOf(t, zap.NewNop(), true, old, func(s *settings.Settings) { s.PollList = false })
 	<-asked
-	r.n.Follow(fresh)
+	r.n.SetDiscoveryAddr(fresh)
 	has := func() bool { h := r.n.View().Hosts; return len(h) == 1 && h[0].ID == "b" }
 	waitFor(t, "the new list is taken", has)
 	close(hold)
-	r.n.Learn(nil) // an event behind whatever the old call had posted
+	r.n.MergePingBaselines(nil) // an event behind whatever the old call had posted
 	if !has() {
 		t.Errorf("the node holds %v", r.n.View().Hosts)
 	}
@@ -161,8 +161,8 @@
 		_, _ = io.WriteString(c, fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(list), list))
 	})
 	for _, ask := range []bool{false, true} {
-		r := newRigOf(t, zap.NewNop(), true, refusing(t), func(s *settings.Settings) { s.AskList, s.AskWithin = ask, 10*time.Second })
-		r.n.Follow(fresh)
+		r := newRigOf(t, zap.NewNop(), true, refusing(t), func(s *settings.Settings) { s.PollList, s.PollInterval = ask, 10*time.Second })
+		r.n.SetDiscoveryAddr(fresh)
 		named := time.Now()
 		waitFor(t, "the list is learnt", func() bool { return len(r.n.View().Hosts) == 1 })
 		if took := time.Since(named); took > toldWithin {
--- a/internal/scaletest/hollow.go
+++ b/internal/scaletest/hollow.go
@@ -64,7 +64,7 @@
 
 func startHollow(ctx context.Context, cfg lifecycle.Config, i, n int, logger *zap.Logger) *hollow {
 	set := cfg.Settings
-	set.Index, set.GroupSize = i, n
+	set.NodeIndex, set.NodeCount = i, n
 	set.Seed += uint64(i)
 	log := logger.With(zap.String("node", fmt.Sprint("n", i+1)))
 	follower := proxy.NewDiscovery(log)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -70,7 +70,7 @@
 	} `json:"rules"`
 }
 
-var effects = map[string]balancer.Effect{"": balancer.Safe, "safe": balancer.Safe, "keyed": balancer.Keyed, "unsafe": balancer.Unsafe}
+var effects = map[string]balancer.Effect{"": balancer.Idempotent, "safe": balancer.Idempotent, "keyed": balancer.IdempotentByKey, "unsafe": balancer.NonIdempotent}
 
 var scopes = map[string]balancer.Scope{"": balancer.ScopeAll, "all": balancer.ScopeAll, "zone": balancer.ScopeZone, "cell": balancer.ScopeCell}
 
@@ -79,8 +79,8 @@
 	balancer.Settings
 	// The names of classes, tenants and zones, in the order of the module's indices.
 	ClassNames, TenantNames, ZoneNames []string
-	Groups                             bool          // connections of a group share work on a server
-	TellsDelay                         bool          // nodes are to know what a message takes at a server
+	ConnectionGroups                   bool          // connections of a group share work on a server
+	ReportsLatency                     bool          // nodes are to know what a message takes at a server
 	ConnectTimeout                     time.Duration // a connection that is not up by then counts as none; 0 for no limit
 	AnswerSlack                        time.Duration // how long after the deadline a final answer is still in time
 }
@@ -119,18 +119,18 @@
 		}
 		return Settings{}, at("", err)
 	}
-	s := Settings{ZoneNames: f.Zones, Groups: f.Domain.Groups, TellsDelay: f.Domain.TellsDelay, ConnectTimeout: f.Limits.ConnectTimeout.duration(),
+	s := Settings{ZoneNames: f.Zones, ConnectionGroups: f.Domain.Groups, ReportsLatency: f.Domain.TellsDelay, ConnectTimeout: f.Limits.ConnectTimeout.duration(),
 		AnswerSlack: f.Rules.AnswerSlack.duration()}
 	s.Settings = balancer.Settings{
-		Seed: seed, Index: f.Index, GroupSize: f.GroupSize, Zone: f.Zone,
-		OverShareWorth: f.OverShareWorth,
-		Pass:           f.Domain.Mode == "pass", AskList: f.RegistryMode == "ask",
+		Seed: seed, NodeIndex: f.Index, NodeCount: f.GroupSize, Zone: f.Zone,
+		OverQuotaWeight: f.OverShareWorth,
+		PassThrough:     f.Domain.Mode == "pass", PollList: f.RegistryMode == "ask",
 		MaxAttempts: f.Limits.MaxAttempts, MayCancel: f.Limits.Cancel, MayProbe: f.Limits.Probes,
-		MayTell:    f.Limits.MayTell,
-		DrainGrace: f.Rules.StopSendingWithin.duration(), ColdShare: f.Rules.ColdShare,
-		WarmWithin: f.Rules.WarmWithin.duration(), FallMultiple: f.Rules.FallMultiple,
-		FallWindow: f.Rules.OverloadFor.duration(), AskWithin: f.Rules.AskWithin.duration(),
-		CrossPrice: f.Prices.CrossZone, Zones: len(f.Zones),
+		MayNotify:  f.Limits.MayTell,
+		DrainGrace: f.Rules.StopSendingWithin.duration(), SlowStartFraction: f.Rules.ColdShare,
+		SlowStartDuration: f.Rules.WarmWithin.duration(), CollapseMultiple: f.Rules.FallMultiple,
+		CollapseWindow: f.Rules.OverloadFor.duration(), PollInterval: f.Rules.AskWithin.duration(),
+		CrossZoneCost: f.Prices.CrossZone, Zones: len(f.Zones),
 	}
 	if f.Limits.RetryAfter {
 		s.MaxRetryAfter = f.Limits.MaxRetryAfter.duration()
@@ -185,10 +185,10 @@
 		if !ok {
 			return s, at(name+"group", fmt.Errorf("unknown word %q", l.Group))
 		}
-		c := balancer.Class{SetupAim: l.Aim.duration(), Deadline: l.Deadline.duration(), Worth: l.Worth,
-			Effect: effect, Scope: scope, Window: l.Window.duration()}
+		c := balancer.Class{SetupLatencyObjective: l.Aim.duration(), Deadline: l.Deadline.duration(), PriorityWeight: l.Worth,
+			Effect: effect, Scope: scope, IdempotencyWindow: l.Window.duration()}
 		if i < len(f.Domain.MessageAim) {
-			c.MessageAim = f.Domain.MessageAim[i].duration()
+			c.MessageLatencyObjective = f.Domain.MessageAim[i].duration()
 		}
 		s.Classes = append(s.Classes, c)
 		s.ClassNames = append(s.ClassNames, l.Name)
@@ -196,7 +196,7 @@
 	for i, c := range f.Customers {
 		var t balancer.Tenant
 		if i < len(f.Domain.TenantOpen) {
-			t.Connections = f.Domain.TenantOpen[i]
+			t.ConnectionQuota = f.Domain.TenantOpen[i]
 		}
 		s.Tenants = append(s.Tenants, t)
 		s.TenantNames = append(s.TenantNames, c.Name)
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -26,23 +26,23 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	class := balancer.Class{SetupAim: 300 * time.Millisecond, Deadline: 1800500 * time.Microsecond, MessageAim: 50 * time.Millisecond,
-		Worth: 3, Effect: balancer.Keyed, Scope: balancer.ScopeZone, Window: 5 * time.Second}
+	class := balancer.Class{SetupLatencyObjective: 300 * time.Millisecond, Deadline: 1800500 * time.Microsecond, MessageLatencyObjective: 50 * time.Millisecond,
+		PriorityWeight: 3, Effect: balancer.IdempotentByKey, Scope: balancer.ScopeZone, IdempotencyWindow: 5 * time.Second}
 	switch {
-	case s.Seed != 7 || s.Index != 1 || s.GroupSize != 3 || s.Zone != 2 || s.OverShareWorth != 0.1:
+	case s.Seed != 7 || s.NodeIndex != 1 || s.NodeCount != 3 || s.Zone != 2 || s.OverQuotaWeight != 0.1:
 		t.Errorf("place: %+v", s)
-	case !s.Pass || !s.AskList || !s.MayCancel || !s.MayProbe || s.MayTell || !s.Groups || !s.TellsDelay:
+	case !s.PassThrough || !s.PollList || !s.MayCancel || !s.MayProbe || s.MayNotify || !s.ConnectionGroups || !s.ReportsLatency:
 		t.Errorf("what is allowed: %+v", s)
 	case len(s.Classes) != 1 || s.Classes[0] != class:
 		t.Errorf("classes %+v", s.Classes)
-	case !slices.Equal(s.Tenants, []balancer.Tenant{{Connections: 48}, {}}):
+	case !slices.Equal(s.Tenants, []balancer.Tenant{{ConnectionQuota: 48}, {}}):
 		t.Errorf("tenants %+v", s.Tenants)
 	case !slices.Equal(s.ClassNames, []string{"chat"}) || !slices.Equal(s.TenantNames, []string{"acme", "other"}) ||
 		!slices.Equal(s.ZoneNames, []string{"a", "b", "c"}):
 		t.Errorf("names %v %v %v", s.ClassNames, s.TenantNames, s.ZoneNames)
 	case s.ConnectTimeout != 250*time.Millisecond || s.AnswerSlack != 16*time.Millisecond || s.MaxRetryAfter != 2*time.Second ||
-		s.MaxAttempts != 5 || s.DrainGrace != 400*time.Millisecond || s.ColdShare != 0.3 || s.WarmWithin != 8600*time.Millisecond ||
-		s.FallMultiple != 4 || s.FallWindow != time.Second || s.AskWithin != 10*time.Second:
+		s.MaxAttempts != 5 || s.DrainGrace != 400*time.Millisecond || s.SlowStartFraction != 0.3 || s.SlowStartDuration != 8600*time.Millisecond ||
+		s.CollapseMultiple != 4 || s.CollapseWindow != time.Second || s.PollInterval != 10*time.Second:
 		t.Errorf("figures: %+v", s)
 	}
 }
@@ -50,14 +50,14 @@
 // Where the list comes unasked and crossings have a price, both are read; a file that names neither means what it meant.
 func TestWhatAnotherShapeNeeds(t *testing.T) {
 	old, err := Parse(7, []byte(whole))
-	if err != nil || old.CrossPrice != 0 || old.Zones != 3 {
-		t.Fatalf("an older file: price %g, %d zones, error %v", old.CrossPrice, old.Zones, err)
+	if err != nil || old.CrossZoneCost != 0 || old.Zones != 3 {
+		t.Fatalf("an older file: price %g, %d zones, error %v", old.CrossZoneCost, old.Zones, err)
 	}
 	s, err := Parse(7, []byte(strings.Replace(whole, `"registryMode":"ask"`, `"registryMode":"push","prices":{"crossZone":0.1}`, 1)))
-	if err != nil || s.AskList || s.CrossPrice != 0.1 {
-		t.Errorf("asks %v, price %g, error %v", s.AskList, s.CrossPrice, err)
+	if err != nil || s.PollList || s.CrossZoneCost != 0.1 {
+		t.Errorf("asks %v, price %g, error %v", s.PollList, s.CrossZoneCost, err)
 	}
-	s.AskList, s.CrossPrice = true, 0
+	s.PollList, s.CrossZoneCost = true, 0
 	if diff := cmp.Diff(old, s); diff != "" {
 		t.Error("other settings changed with them:", diff)
 	}
@@ -78,14 +78,16 @@
 		holds    func(s Settings) bool
 	}{
 		{`"deadline":1800.5,`, ``, func(s Settings) bool { return s.Classes[0].Deadline == 0 }},
-		{`"aim":300,`, ``, func(s Settings) bool { return s.Classes[0].SetupAim == 0 }},
-		{`"window":5000,`, ``, func(s Settings) bool { return s.Classes[0].Effect == balancer.Keyed && s.Classes[0].Window == 0 }},
-		{`"semantics":"keyed",`, ``, func(s Settings) bool { return s.Classes[0].Effect == balancer.Safe }},
+		{`"aim":300,`, ``, func(s Settings) bool { return s.Classes[0].SetupLatencyObjective == 0 }},
+		{`"window":5000,`, ``, func(s Settings) bool {
+			return s.Classes[0].Effect == balancer.IdempotentByKey && s.Classes[0].IdempotencyWindow == 0
+		}},
+		{`"semantics":"keyed",`, ``, func(s Settings) bool { return s.Classes[0].Effect == balancer.Idempotent }},
 		{`"maxAttempts":5`, `"maxAttempts":0`, func(s Settings) bool { return s.MaxAttempts == 0 }},
 		{`"maxRetryAfter":2000`, `"maxRetryAfter":0`, func(s Settings) bool { return s.MaxRetryAfter == 0 }},
-		{`"tenantQuotaConnections":[48]`, `"tenantQuotaConnections":[]`, func(s Settings) bool { return len(s.Tenants) == 2 && s.Tenants[0].Connections == 0 }},
-		{`"messageAim":[50],`, ``, func(s Settings) bool { return s.Classes[0].MessageAim == 0 }},
-		{`"overloadFor":1000,`, ``, func(s Settings) bool { return s.FallWindow == 0 }},
+		{`"tenantQuotaConnections":[48]`, `"tenantQuotaConnections":[]`, func(s Settings) bool { return len(s.Tenants) == 2 && s.Tenants[0].ConnectionQuota == 0 }},
+		{`"messageAim":[50],`, ``, func(s Settings) bool { return s.Classes[0].MessageLatencyObjective == 0 }},
+		{`"overloadFor":1000,`, ``, func(s Settings) bool { return s.CollapseWindow == 0 }},
 		{`"customers":[{"name":"acme"},{"name":"other"}],`, ``, func(s Settings) bool { return len(s.Tenants) == 0 }},
 	} {
 		text := strings.Replace(whole, c.from, c.to, 1)
--- a/internal/sharedstate/clock_test.go
+++ b/internal/sharedstate/clock_test.go
@@ -7,10 +7,10 @@
 
 // A drain that one process was told of goes on for as long at another one, whatever happened to the wall clock between.
 func TestDrain_ClockStepped_SpansAreReal(t *testing.T) {
-	told := Instant{Wall: noon, Boot: time.Hour}
+	told := ClockReading{Wall: noon, Boot: time.Hour}
 	for _, step := range []time.Duration{0, time.Hour, -time.Hour, 2 * time.Second, -2 * time.Second} {
-		d := Document{Node: "n1"}
-		d.Leave(told.Drain(3*time.Second, time.Second))
+		d := State{Node: "n1"}
+		d.SetDrain(told.NewDrain(3*time.Second, time.Second))
 		text, err := d.Encode()
 		if err != nil {
 			t.Fatal(err)
@@ -19,8 +19,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		later := Instant{Wall: noon.Add(500*time.Millisecond + step), Boot: time.Hour + 500*time.Millisecond}
-		if by, shut := read.Drain.Spans(later); by != 2500*time.Millisecond || shut != 500*time.Millisecond {
+		later := ClockReading{Wall: noon.Add(500*time.Millisecond + step), Boot: time.Hour + 500*time.Millisecond}
+		if by, shut := read.Drain.Remaining(later); by != 2500*time.Millisecond || shut != 500*time.Millisecond {
 			t.Errorf("step %v: all are gone within %v, nothing new is taken in %v", step, by, shut)
 		}
 	}
--- a/internal/sharedstate/document.go
+++ b/internal/sharedstate/document.go
@@ -14,56 +14,56 @@
 	"time"
 )
 
-// Document is what holds for the node. Serial counts its changes; each entry carries that of its own last change, so
+// State is what holds for the node. Serial counts its changes; each entry carries that of its own last change, so
 // that a process knows which of them it has not taken in yet.
-type Document struct {
-	Node   string `json:"node"`
-	Serial uint64 `json:"serial"`
-	Words  []Word `json:"words"`
-	Drain  Drain  `json:"drain"`
+type State struct {
+	Node      string         `json:"node"`
+	Serial    uint64         `json:"serial"`
+	Overrides []HostOverride `json:"words"`
+	Drain     Drain          `json:"drain"`
 }
 
-// Word is an operator's word on a host.
-type Word struct {
-	Host   string    `json:"host"`
-	Out    bool      `json:"out"` // false: it was called back
-	At     time.Time `json:"at"`
-	Serial uint64    `json:"serial"`
+// HostOverride is an operator's word on a host.
+type HostOverride struct {
+	Host     string    `json:"host"`
+	Draining bool      `json:"out"` // false: it was called back
+	SetAt    time.Time `json:"at"`
+	Serial   uint64    `json:"serial"`
 }
 
 // Drain is the node's own.
 type Drain struct {
-	On     bool          `json:"on"`
-	By     time.Time     `json:"by"`   // what stands is sent away by then
-	Shut   time.Time     `json:"shut"` // from then on nothing new is taken
-	After  time.Duration `json:"retry_after_ns"`
-	Keep   bool          `json:"keep"`
-	Serial uint64        `json:"serial"`
+	Active          bool          `json:"on"`
+	Deadline        time.Time     `json:"by"`   // what stands is sent away by then
+	AdmissionCutoff time.Time     `json:"shut"` // from then on nothing new is taken
+	RetryAfter      time.Duration `json:"retry_after_ns"`
+	KeepConnections bool          `json:"keep"`
+	Serial          uint64        `json:"serial"`
 	// The same two times since the machine started: they go before By and Shut, which a step of the clock moves.
-	ByBoot   time.Duration `json:"by_boot_ns,omitempty"`
-	ShutBoot time.Duration `json:"shut_boot_ns,omitempty"`
+	DeadlineBoot        time.Duration `json:"by_boot_ns,omitempty"`
+	AdmissionCutoffBoot time.Duration `json:"shut_boot_ns,omitempty"`
 }
 
-// Spans tells how long it is until what stands is to be gone, and until nothing new is taken; below 0 for past.
-func (d Drain) Spans(now Instant) (by, shut time.Duration) {
-	if d.ByBoot > 0 && now.Boot > 0 {
-		return d.ByBoot - now.Boot, d.ShutBoot - now.Boot
+// Remaining tells how long it is until what stands is to be gone, and until nothing new is taken; below 0 for past.
+func (d Drain) Remaining(now ClockReading) (by, shut time.Duration) {
+	if d.DeadlineBoot > 0 && now.Boot > 0 {
+		return d.DeadlineBoot - now.Boot, d.AdmissionCutoffBoot - now.Boot
 	}
-	return d.By.Sub(now.Wall), d.Shut.Sub(now.Wall)
+	return d.Deadline.Sub(now.Wall), d.AdmissionCutoff.Sub(now.Wall)
 }
 
-// Drain is one that begins now.
-func (i Instant) Drain(by, shut time.Duration) Drain {
-	d := Drain{On: true, By: i.Wall.Add(by), Shut: i.Wall.Add(shut)}
+// NewDrain is one that begins now.
+func (i ClockReading) NewDrain(by, shut time.Duration) Drain {
+	d := Drain{Active: true, Deadline: i.Wall.Add(by), AdmissionCutoff: i.Wall.Add(shut)}
 	if i.Boot > 0 {
-		d.ByBoot, d.ShutBoot = i.Boot+by, i.Boot+shut
+		d.DeadlineBoot, d.AdmissionCutoffBoot = i.Boot+by, i.Boot+shut
 	}
 	return d
 }
 
-// Instant is a reading of the machine's clocks: the wall clock, which may be stepped, and the time since the machine
+// ClockReading is a reading of the machine's clocks: the wall clock, which may be stepped, and the time since the machine
 // started, which all of its processes share.
-type Instant struct {
+type ClockReading struct {
 	Wall time.Time
 	Boot time.Duration // 0 where the system does not tell
 }
@@ -80,33 +80,33 @@
 	magic = "onyxstream-handover-1"
 )
 
-// ErrFull says that no more words can be held.
-var ErrFull = fmt.Errorf("words on %d hosts are held, no more can be", maxOverrides)
+// ErrOverrideLimit says that no more words can be held.
+var ErrOverrideLimit = fmt.Errorf("words on %d hosts are held, no more can be", maxOverrides)
 
-// Say notes a word. Returns that are long past make room.
-func (d *Document) Say(host string, out bool, at time.Time) error {
-	d.Words = slices.DeleteFunc(d.Words, func(w Word) bool { return w.Host != host && !w.Out && at.Sub(w.At) > remembered })
-	i := slices.IndexFunc(d.Words, func(w Word) bool { return w.Host == host })
-	if i < 0 && len(d.Words) >= maxOverrides {
-		return ErrFull
+// SetOverride notes a word. Returns that are long past make room.
+func (d *State) SetOverride(host string, out bool, at time.Time) error {
+	d.Overrides = slices.DeleteFunc(d.Overrides, func(w HostOverride) bool { return w.Host != host && !w.Draining && at.Sub(w.SetAt) > remembered })
+	i := slices.IndexFunc(d.Overrides, func(w HostOverride) bool { return w.Host == host })
+	if i < 0 && len(d.Overrides) >= maxOverrides {
+		return ErrOverrideLimit
 	}
 	if i < 0 {
-		d.Words, i = append(d.Words, Word{}), len(d.Words)
+		d.Overrides, i = append(d.Overrides, HostOverride{}), len(d.Overrides)
 	}
 	d.Serial++
-	d.Words[i] = Word{host, out, at, d.Serial}
+	d.Overrides[i] = HostOverride{host, out, at, d.Serial}
 	return nil
 }
 
-// Leave notes the node's own drain, or its end.
-func (d *Document) Leave(to Drain) {
+// SetDrain notes the node's own drain, or its end.
+func (d *State) SetDrain(to Drain) {
 	d.Serial++
 	to.Serial = d.Serial
 	d.Drain = to
 }
 
 // Encode writes the document: a line with what it is, its sum and its length, and JSON behind it.
-func (d *Document) Encode() ([]byte, error) { return seal(magic, d) }
+func (d *State) Encode() ([]byte, error) { return seal(magic, d) }
 
 // seal writes a value with what it is, its sum and its length in a line before it.
 func seal(kind string, v any) ([]byte, error) {
@@ -140,20 +140,20 @@
 }
 
 // Decode reads a document of a node.
-func Decode(text []byte, node string) (Document, error) {
-	var d Document
+func Decode(text []byte, node string) (State, error) {
+	var d State
 	if err := unseal(magic, text, &d); err != nil {
-		return Document{}, err
+		return State{}, err
 	}
 	if d.Node != node {
-		return Document{}, fmt.Errorf("it is of node %q", d.Node)
+		return State{}, fmt.Errorf("it is of node %q", d.Node)
 	}
-	if len(d.Words) > maxOverrides {
-		return Document{}, ErrFull
+	if len(d.Overrides) > maxOverrides {
+		return State{}, ErrOverrideLimit
 	}
-	for _, w := range d.Words {
+	for _, w := range d.Overrides {
 		if w.Host == "" || len(w.Host) > mostName || w.Serial > d.Serial {
-			return Document{}, fmt.Errorf("a word on %.40q can't be", w.Host)
+			return State{}, fmt.Errorf("a word on %.40q can't be", w.Host)
 		}
 	}
 	return d, nil
--- a/internal/sharedstate/handover_test.go
+++ b/internal/sharedstate/handover_test.go
@@ -15,18 +15,18 @@
 
 var noon = time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC)
 
-func sample(t *testing.T) Document {
+func sample(t *testing.T) State {
 	t.Helper()
-	d := Document{Node: "n1"}
+	d := State{Node: "n1"}
 	for _, w := range []struct {
 		host string
 		out  bool
 	}{{"a", true}, {"b", true}, {"a", false}} {
-		if err := d.Say(w.host, w.out, noon); err != nil {
+		if err := d.SetOverride(w.host, w.out, noon); err != nil {
 			t.Fatal(err)
 		}
 	}
-	d.Leave(Drain{On: true, By: noon.Add(time.Second), Shut: noon, Keep: true})
+	d.SetDrain(Drain{Active: true, Deadline: noon.Add(time.Second), AdmissionCutoff: noon, KeepConnections: true})
 	return d
 }
 
@@ -40,7 +40,7 @@
 	if diff := cmp.Diff(d, got); diff != "" || err != nil {
 		t.Errorf("%v, %s", err, diff)
 	}
-	if d.Serial != 4 || len(d.Words) != 2 || d.Words[0].Serial != 3 || d.Words[0].Out {
+	if d.Serial != 4 || len(d.Overrides) != 2 || d.Overrides[0].Serial != 3 || d.Overrides[0].Draining {
 		t.Errorf("the words are %+v", d)
 	}
 }
@@ -73,32 +73,32 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	d := Document{Node: "n1", Serial: 1, Words: []Word{{"a", true, noon, 1}}}
+	d := State{Node: "n1", Serial: 1, Overrides: []HostOverride{{"a", true, noon, 1}}}
 	text, _ := d.Encode()
 	f.Add(text)
 	f.Add([]byte("onyxstream-handover-1 00000000 2\n{}"))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		if d, err := Decode(text, "n1"); err == nil && (d.Node != "n1" || len(d.Words) > maxOverrides) {
+		if d, err := Decode(text, "n1"); err == nil && (d.Node != "n1" || len(d.Overrides) > maxOverrides) {
 			t.Errorf("%q is read as %+v", text, d)
 		}
 	})
 }
 
 func TestWordsAreBoundedAndReturnsForgotten(t *testing.T) {
-	d := Document{Node: "n1"}
+	d := State{Node: "n1"}
 	for i := range maxOverrides {
-		if err := d.Say(fmt.Sprint("h", i), i%2 == 0, noon); err != nil {
+		if err := d.SetOverride(fmt.Sprint("h", i), i%2 == 0, noon); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := d.Say("more", true, noon); err != ErrFull {
+	if err := d.SetOverride("more", true, noon); err != ErrOverrideLimit {
 		t.Errorf("one more: %v", err)
 	}
-	if err := d.Say("h0", false, noon); err != nil {
+	if err := d.SetOverride("h0", false, noon); err != nil {
 		t.Errorf("one that is held: %v", err)
 	}
-	if err := d.Say("more", true, noon.Add(remembered+time.Second)); err != nil || len(d.Words) != maxOverrides/2 {
-		t.Errorf("when returns are long past: %v, %d words", err, len(d.Words))
+	if err := d.SetOverride("more", true, noon.Add(remembered+time.Second)); err != nil || len(d.Overrides) != maxOverrides/2 {
+		t.Errorf("when returns are long past: %v, %d words", err, len(d.Overrides))
 	}
 }
 
@@ -111,8 +111,8 @@
 	return s
 }
 
-func out(host string) func(*Document) error {
-	return func(d *Document) error { return d.Say(host, true, noon) }
+func out(host string) func(*State) error {
+	return func(d *State) error { return d.SetOverride(host, true, noon) }
 }
 
 func TestWhatOneProcessWritesTheOtherReads(t *testing.T) {
@@ -129,17 +129,17 @@
 		t.Error("its own change is news to it")
 	}
 	b := second(t, dir, "n1")
-	if d, fresh, err := b.Load(); !fresh || err != nil || len(d.Words) != 1 || d.Words[0].Host != "h" {
+	if d, fresh, err := b.Load(); !fresh || err != nil || len(d.Overrides) != 1 || d.Overrides[0].Host != "h" {
 		t.Errorf("the other reads %+v, %v, %v", d, fresh, err)
 	}
 	if err := b.Update(out("i")); err != nil {
 		t.Fatal(err)
 	}
-	if d, fresh, err := a.Load(); !fresh || err != nil || len(d.Words) != 2 {
+	if d, fresh, err := a.Load(); !fresh || err != nil || len(d.Overrides) != 2 {
 		t.Errorf("and back: %+v, %v, %v", d, fresh, err)
 	}
 	if other := second(t, dir, "n2"); true { // another node in the same folder
-		if d, fresh, err := other.Load(); fresh || err != nil || len(d.Words) > 0 {
+		if d, fresh, err := other.Load(); fresh || err != nil || len(d.Overrides) > 0 {
 			t.Errorf("another node reads %+v, %v, %v", d, fresh, err)
 		}
 	}
@@ -150,7 +150,7 @@
 	t.Helper()
 	s := open(t, dir, node+"x")
 	s.node, s.base = node, base(node)
-	s.last = Document{Node: node}
+	s.last = State{Node: node}
 	t.Cleanup(s.Close)
 	return s
 }
@@ -167,7 +167,7 @@
 		t.Fatal(err)
 	}
 	b := second(t, dir, "n1")
-	if d, _, err := b.Load(); err != nil || len(d.Words) != 1 {
+	if d, _, err := b.Load(); err != nil || len(d.Overrides) != 1 {
 		t.Errorf("read as %+v, %v", d, err)
 	}
 	if err := b.Update(out("i")); err != nil {
@@ -198,7 +198,7 @@
 		if err := os.WriteFile(a.path(), []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if d, fresh, err := a.Load(); err == nil || fresh || len(d.Words) != 1 {
+		if d, fresh, err := a.Load(); err == nil || fresh || len(d.Overrides) != 1 {
 			t.Errorf("%.10q is read as %+v, %v, %v", text, d, fresh, err)
 		}
 		if _, _, err := a.Load(); err != nil {
@@ -208,7 +208,7 @@
 	if err := a.Update(out("i")); err != nil {
 		t.Fatal(err)
 	}
-	if d, _, err := second(t, dir, "n1").Load(); err != nil || len(d.Words) != 2 {
+	if d, _, err := second(t, dir, "n1").Load(); err != nil || len(d.Overrides) != 2 {
 		t.Errorf("then %+v, %v", d, err)
 	}
 }
@@ -224,7 +224,7 @@
 	dir := t.TempDir()
 	a := open(t, dir, "n1")
 	defer a.Close()
-	if others, err := a.Others(); len(others) > 0 || err != nil {
+	if others, err := a.OtherProcesses(); len(others) > 0 || err != nil {
 		t.Errorf("alone: %v, %v", others, err)
 	}
 	name := filepath.Join(dir, base("n1")+"-1.alive")
@@ -235,11 +235,11 @@
 	if err := syscall.Flock(int(f.Fd()), syscall.LOCK_EX); err != nil {
 		t.Fatal(err)
 	}
-	if others, err := a.Others(); len(others) != 1 || others[0].Ready || err != nil {
+	if others, err := a.OtherProcesses(); len(others) != 1 || others[0].Ready || err != nil {
 		t.Errorf("one that has said nothing: %v, %v", others, err)
 	}
 	_, _ = fmt.Fprintf(f, "1 %010d\n", 77)
-	if others, err := a.Others(); len(others) != 1 || others[0] != (Mark{true, 77}) || err != nil {
+	if others, err := a.OtherProcesses(); len(others) != 1 || others[0] != (ProcessStatus{true, 77}) || err != nil {
 		t.Errorf("one that is ready: %v, %v", others, err)
 	}
 	_ = f.Close()
@@ -247,7 +247,7 @@
 	if err := os.WriteFile(left, nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if others, err := a.Others(); len(others) > 0 || err != nil {
+	if others, err := a.OtherProcesses(); len(others) > 0 || err != nil {
 		t.Errorf("one that died: %v, %v", others, err)
 	}
 	for _, file := range []string{name, left} {
--- a/internal/sharedstate/offer.go
+++ b/internal/sharedstate/offer.go
@@ -19,8 +19,8 @@
 // processes look at each other), and takes the offer by renaming it. Renaming decides, as it can only be done once: an
 // offer that was taken back first is none, and what is not taken stays where it is.
 
-// Offered is a connection in an offer.
-type Offered struct {
+// OfferedConn is a connection in an offer.
+type OfferedConn struct {
 	Line    string  `json:"line"`
 	Host    string  `json:"host"`
 	Client  Socket  `json:"client"`
@@ -39,20 +39,20 @@
 // offer is what the file holds. Mark is the descriptor of the mark of the process that offers: it proves that the number
 // of a process is that of the one that wrote the offer.
 type offer struct {
-	Node        string    `json:"node"`
-	PID         int       `json:"pid"`
-	N           uint64    `json:"n"` // of the offers of that process
-	Mark        int       `json:"mark"`
-	Connections []Offered `json:"connections"`
-	Facts       []Fact    `json:"facts"`
+	Node        string         `json:"node"`
+	PID         int            `json:"pid"`
+	N           uint64         `json:"n"` // of the offers of that process
+	Mark        int            `json:"mark"`
+	Connections []OfferedConn  `json:"connections"`
+	Facts       []PingBaseline `json:"facts"`
 }
 
-// Fact is what a process has learnt of a host, and the next one would learn too late: under load, a host's best is not
+// PingBaseline is what a process has learnt of a host, and the next one would learn too late: under load, a host's best is not
 // seen.
-type Fact struct {
-	Host  string        `json:"host"`
-	Since int64         `json:"since"` // its start, as listed, Unix time in milliseconds
-	Best  time.Duration `json:"best_ns"`
+type PingBaseline struct {
+	Host        string        `json:"host"`
+	StartedAtMS int64         `json:"since"` // its start, as listed, Unix time in milliseconds
+	BestPing    time.Duration `json:"best_ns"`
 }
 
 const (
@@ -60,9 +60,9 @@
 	takenWithin = 300 * time.Millisecond
 	offerLook   = 2 * time.Millisecond
 	offerMagic  = "onyxstream-offer-1"
-	// MostOffered bounds an offer: while it stands both processes hold its descriptors.
-	MostOffered = 16
-	mostFacts   = 1024
+	// MaxOffered bounds an offer: while it stands both processes hold its descriptors.
+	MaxOffered = 16
+	mostFacts  = 1024
 )
 
 // SocketOf tells a connection's descriptor.
@@ -80,8 +80,8 @@
 	return filepath.Join(s.dir, fmt.Sprintf("%s-%d-%d.offer", s.base, pid, n))
 }
 
-// Give offers connections and returns which of them another process has taken; an error says that none was.
-func (s *Store) Give(all []Offered, facts []Fact) (taken []bool, err error) {
+// Offer offers connections and returns which of them another process has taken; an error says that none was.
+func (s *Store) Offer(all []OfferedConn, facts []PingBaseline) (taken []bool, err error) {
 	taken = make([]bool, len(all))
 	s.offers++
 	text, err := seal(offerMagic, offer{s.node, os.Getpid(), s.offers, int(s.own.Fd()), all, facts[:min(len(facts), mostFacts)]})
@@ -140,15 +140,15 @@
 	return taken
 }
 
-// Taken is a connection that was taken from another process.
-type Taken struct {
-	Offered
+// AcceptedConn is a connection that was taken from another process.
+type AcceptedConn struct {
+	OfferedConn
 	ClientConn, PeerConn *net.TCPConn
 }
 
-// Take takes what other processes of this node offer; nothing is the usual case. An error says why something that is
+// Accept takes what other processes of this node offer; nothing is the usual case. An error says why something that is
 // offered can't be had; its process keeps that.
-func (s *Store) Take() (out []Taken, facts []Fact, err error) {
+func (s *Store) Accept() (out []AcceptedConn, facts []PingBaseline, err error) {
 	names, err := filepath.Glob(filepath.Join(s.dir, s.base+"-*.offer"))
 	for _, name := range names {
 		if strings.HasPrefix(filepath.Base(name), fmt.Sprintf("%s-%d-", s.base, os.Getpid())) {
@@ -163,7 +163,7 @@
 	return out, facts, err
 }
 
-func (s *Store) take(name string) (out []Taken, facts []Fact, err error) {
+func (s *Store) take(name string) (out []AcceptedConn, facts []PingBaseline, err error) {
 	text, err := readBounded(name)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, nil, nil // taken back
@@ -172,7 +172,7 @@
 	if err == nil {
 		err = unseal(offerMagic, text, &o)
 	}
-	if err != nil || o.Node != s.node || name != s.offerName(o.PID, o.N) || o.PID == os.Getpid() || len(o.Connections) > MostOffered || len(o.Facts) > mostFacts {
+	if err != nil || o.Node != s.node || name != s.offerName(o.PID, o.N) || o.PID == os.Getpid() || len(o.Connections) > MaxOffered || len(o.Facts) > mostFacts {
 		return nil, nil, errors.Join(err, fmt.Errorf("%s is no offer", name))
 	}
 	from, err := s.from(o)
@@ -182,7 +182,7 @@
 	defer unix.Close(from)
 	note, bad := "", error(nil)
 	for i, c := range o.Connections {
-		t := Taken{Offered: c}
+		t := AcceptedConn{OfferedConn: c}
 		if t.ClientConn, err = copySocket(from, c.Client); err == nil {
 			if t.PeerConn, err = copySocket(from, c.Peer); err != nil {
 				_ = t.ClientConn.Close()
@@ -208,7 +208,7 @@
 }
 
 // drop closes this process's copies; the connections stay with the process that offered them.
-func drop(all []Taken) []Taken {
+func drop(all []AcceptedConn) []AcceptedConn {
 	for _, t := range all {
 		_ = t.ClientConn.Close()
 		_ = t.PeerConn.Close()
--- a/internal/sharedstate/offer_test.go
+++ b/internal/sharedstate/offer_test.go
@@ -13,7 +13,7 @@
 	dir := t.TempDir()
 	s := open(t, dir, "n1")
 	defer s.Close()
-	taken, err := s.Give([]Offered{{Line: "OPEN a b"}}, nil)
+	taken, err := s.Offer([]OfferedConn{{Line: "OPEN a b"}}, nil)
 	if err == nil || len(taken) != 1 || taken[0] {
 		t.Errorf("%v, %v", taken, err)
 	}
@@ -24,7 +24,7 @@
 	first := s.offerName(os.Getpid(), s.offers)
 	next := make(chan error, 1)
 	go func() {
-		_, err := s.Give([]Offered{{Line: "OPEN c d"}}, nil)
+		_, err := s.Offer([]OfferedConn{{Line: "OPEN c d"}}, nil)
 		next <- err
 	}()
 	for over := false; !over; {
@@ -39,7 +39,7 @@
 		default:
 		}
 	}
-	if out, _, err := s.Take(); len(out) > 0 || err != nil {
+	if out, _, err := s.Accept(); len(out) > 0 || err != nil {
 		t.Errorf("its own: %v, %v", out, err)
 	}
 }
@@ -75,7 +75,7 @@
 	}
 	refused := func(what, why string) {
 		t.Helper()
-		out, _, err := s.Take()
+		out, _, err := s.Accept()
 		if len(out) > 0 || err == nil || !strings.Contains(err.Error(), why) {
 			t.Errorf("%s: %v, %v", what, out, err)
 		}
@@ -86,7 +86,7 @@
 	}
 	put(offer{Node: "n2", PID: 1})
 	refused("another node's", "is no offer")
-	put(offer{Node: "n1", PID: os.Getppid(), Mark: 2, Connections: make([]Offered, MostOffered+1)})
+	put(offer{Node: "n1", PID: os.Getppid(), Mark: 2, Connections: make([]OfferedConn, MaxOffered+1)})
 	refused("too large", "is no offer")
 	put(offer{Node: "n1", PID: 1 << 22, Mark: 2})
 	refused("of a process that is not there", "process")
--- a/internal/sharedstate/store.go
+++ b/internal/sharedstate/store.go
@@ -23,7 +23,7 @@
 	dir, base, node string
 
 	mu   sync.Mutex
-	last Document // as it was read or written last
+	last State // as it was read or written last
 	seen os.FileInfo
 	own  *os.File // this process's mark, locked for as long as it lives
 
@@ -39,7 +39,7 @@
 // Open finds or makes a node's place in the folder and marks that this process is there. An error says that nothing can
 // be shared; the caller can do without.
 func Open(dir, node string) (*Store, error) {
-	s := &Store{dir: dir, node: node, base: base(node), last: Document{Node: node}}
+	s := &Store{dir: dir, node: node, base: base(node), last: State{Node: node}}
 	unlock, err := s.lock()
 	if err != nil {
 		return nil, err
@@ -89,9 +89,9 @@
 	}
 }
 
-// Now reads the machine's clocks.
-func Now() Instant {
-	now := Instant{Wall: time.Now()}
+// ReadClocks reads the machine's clocks.
+func ReadClocks() ClockReading {
+	now := ClockReading{Wall: time.Now()}
 	var boot unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_BOOTTIME, &boot) == nil {
 		now.Boot = time.Duration(boot.Nano())
@@ -113,13 +113,13 @@
 // Load reads the document as it is now; fresh is false where it is as this process last knew it. What is damaged, or is
 // none of this node's, is a DamageError, once for each state of the file, and nothing of it is believed. Any other error
 // says that it could not be read now: the next call reads it again.
-func (s *Store) Load() (d Document, fresh bool, err error) {
+func (s *Store) Load() (d State, fresh bool, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.load()
 }
 
-func (s *Store) load() (d Document, fresh bool, err error) {
+func (s *Store) load() (d State, fresh bool, err error) {
 	info, err := os.Stat(s.path())
 	switch {
 	case errors.Is(err, fs.ErrNotExist):
@@ -147,7 +147,7 @@
 
 // Update changes the document: whole or not at all, and in one order for all processes. What is damaged is replaced by
 // what this process knows; what can't be read now may hold others' orders, and is left as it is.
-func (s *Store) Update(change func(*Document) error) error {
+func (s *Store) Update(change func(*State) error) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	unlock, err := s.lock()
@@ -160,7 +160,7 @@
 	if err != nil && !errors.As(err, &damage) {
 		return err
 	}
-	d.Words = append([]Word(nil), d.Words...)
+	d.Overrides = append([]HostOverride(nil), d.Overrides...)
 	if err := change(&d); err != nil {
 		return err
 	}
@@ -203,14 +203,14 @@
 	return os.Rename(tmp, name)
 }
 
-// Mark is what a process tells of itself.
-type Mark struct {
+// ProcessStatus is what a process tells of itself.
+type ProcessStatus struct {
 	Ready       bool
 	Descriptors int // that it holds, or may without asking
 }
 
-// Tell writes this process's mark for others to read.
-func (s *Store) Tell(m Mark) error {
+// Publish writes this process's mark for others to read.
+func (s *Store) Publish(m ProcessStatus) error {
 	ready := 0
 	if m.Ready {
 		ready = 1
@@ -219,8 +219,8 @@
 	return err
 }
 
-// Others finds the other processes of this node that live, and takes away the marks of those that died.
-func (s *Store) Others() ([]Mark, error) {
+// OtherProcesses finds the other processes of this node that live, and takes away the marks of those that died.
+func (s *Store) OtherProcesses() ([]ProcessStatus, error) {
 	names, err := filepath.Glob(filepath.Join(s.dir, s.base+"-*.alive"))
 	if err != nil || len(names) <= 1 {
 		return nil, err
@@ -230,7 +230,7 @@
 		return nil, err
 	}
 	defer unlock()
-	var out []Mark
+	var out []ProcessStatus
 	for _, name := range names[:min(len(names), mostMarks)] {
 		if name == s.own.Name() {
 			continue
@@ -260,7 +260,7 @@
 }
 
 // parseMark reads a mark; one that was not written yet, or that can't be read, is that of a process that is there.
-func parseMark(text string) (m Mark) {
+func parseMark(text string) (m ProcessStatus) {
 	ready, number, _ := strings.Cut(strings.TrimSpace(text), " ")
 	m.Ready = ready == "1"
 	if n, err := strconv.Atoi(number); err == nil && n > 0 && n < 1<<20 {
--- a/internal/sharedstate/stored_test.go
+++ b/internal/sharedstate/stored_test.go
@@ -29,10 +29,10 @@
 		t.Fatal(err)
 	}
 	at := time.Date(2026, 12, 1, 12, 0, 0, 123456789, time.UTC)
-	want := Document{Node: "n1", Serial: 4,
-		Words: []Word{{"host-a", false, at.Add(2 * time.Second), 3}, {"host-b", true, at.Add(time.Second), 2}},
-		Drain: Drain{On: true, By: at.Add(3 * time.Second), Shut: at.Add(time.Second), After: 1500 * time.Millisecond, Keep: true, Serial: 4,
-			ByBoot: 5*time.Hour + 3*time.Second, ShutBoot: 5*time.Hour + time.Second}}
+	want := State{Node: "n1", Serial: 4,
+		Overrides: []HostOverride{{"host-a", false, at.Add(2 * time.Second), 3}, {"host-b", true, at.Add(time.Second), 2}},
+		Drain: Drain{Active: true, Deadline: at.Add(3 * time.Second), AdmissionCutoff: at.Add(time.Second), RetryAfter: 1500 * time.Millisecond, KeepConnections: true, Serial: 4,
+			DeadlineBoot: 5*time.Hour + 3*time.Second, AdmissionCutoffBoot: 5*time.Hour + time.Second}}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Error(diff)
 	}
@@ -48,11 +48,11 @@
 	if err := unseal(offerMagic, text, &got); err != nil {
 		t.Fatal(err)
 	}
-	want := offer{Node: "n1", PID: 4711, N: 7, Mark: 3, Connections: []Offered{
+	want := offer{Node: "n1", PID: 4711, N: 7, Mark: 3, Connections: []OfferedConn{
 		{Line: "OPEN id=c1 class=chat d=1000", Host: "host-a", Client: Socket{11, "127.0.0.1:40001"}, Peer: Socket{12, "127.0.0.1:9001"},
 			Partial: []byte("half a li"), Load: 2.5},
 		{Line: "OPEN id=c2 class=chat d=900", Host: "host-b", Client: Socket{13, "127.0.0.1:40002"}, Peer: Socket{14, "127.0.0.1:9002"}}},
-		Facts: []Fact{{"host-a", 1764590400000, 350 * time.Microsecond}}}
+		Facts: []PingBaseline{{"host-a", 1764590400000, 350 * time.Microsecond}}}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Error(diff)
 	}
@@ -64,7 +64,7 @@
 
 func TestStoredMark_FromEarlierRelease_IsReadAndWrittenAlike(t *testing.T) {
 	text := readFixture(t, "process-v1.alive")
-	want := Mark{Ready: true, Descriptors: 1234}
+	want := ProcessStatus{Ready: true, Descriptors: 1234}
 	if got := parseMark(string(text)); got != want {
 		t.Errorf("%+v, want %+v", got, want)
 	}
@@ -73,7 +73,7 @@
 		t.Fatal(err)
 	}
 	defer s.Close()
-	if err := s.Tell(want); err != nil {
+	if err := s.Publish(want); err != nil {
 		t.Fatal(err)
 	}
 	again, err := os.ReadFile(s.own.Name())
--- a/internal/sharedstate/unreadable_test.go
+++ b/internal/sharedstate/unreadable_test.go
@@ -32,7 +32,7 @@
 			t.Error("it was read without a descriptor")
 		}
 	})
-	if d, fresh, err := reader.Load(); err != nil || !fresh || len(d.Words) != 1 {
+	if d, fresh, err := reader.Load(); err != nil || !fresh || len(d.Overrides) != 1 {
 		t.Errorf("read later: %+v, fresh %v, error %v", d, fresh, err)
 	}
 }
@@ -51,13 +51,13 @@
 			t.Error("the change was made on what could not be read")
 		}
 	})
-	if d, _, err := writer.Load(); err != nil || len(d.Words) != 1 || d.Words[0].Host != "h1" {
+	if d, _, err := writer.Load(); err != nil || len(d.Overrides) != 1 || d.Overrides[0].Host != "h1" {
 		t.Errorf("the other process's order is gone: %+v, error %v", d, err)
 	}
 	if err := other.Update(out("h2")); err != nil {
 		t.Fatal(err)
 	}
-	if d, _, err := writer.Load(); err != nil || len(d.Words) != 2 {
+	if d, _, err := writer.Load(); err != nil || len(d.Overrides) != 2 {
 		t.Errorf("once it can be read again: %+v, error %v", d, err)
 	}
 }
@@ -74,7 +74,7 @@
 		time.Sleep(takenWithin + takenWithin/3)
 		_ = os.RemoveAll(blocked)
 	}()
-	taken, err := s.Give(make([]Offered, 2), nil)
+	taken, err := s.Offer(make([]OfferedConn, 2), nil)
 	if err == nil || taken[0] || taken[1] {
 		t.Errorf("taken %v, error %v: there is no other process", taken, err)
 	}
--- a/internal/simadapter/codec.go
+++ b/internal/simadapter/codec.go
@@ -62,15 +62,15 @@
 }
 
 var outcomes = map[string]balancer.Outcome{
-	"served": balancer.Served, "server_error": balancer.Errored, "turned_away": balancer.Full,
-	"no_answer": balancer.NoAnswer, "no_connection": balancer.NoConnect, "connection_lost": balancer.Reset,
-	"called_off": balancer.Cancelled, "not_sent": balancer.NeverPassed,
+	"served": balancer.Served, "server_error": balancer.Errored, "turned_away": balancer.Rejected,
+	"no_answer": balancer.ResponseTimeout, "no_connection": balancer.ConnectFailed, "connection_lost": balancer.ConnectionReset,
+	"called_off": balancer.Cancelled, "not_sent": balancer.NotSent,
 }
 
-var states = map[string]balancer.ServerState{"live": balancer.Live, "quiescing": balancer.Draining, "dead": balancer.Gone}
+var states = map[string]balancer.ServerState{"live": balancer.Live, "quiescing": balancer.Draining, "dead": balancer.Removed}
 
 var listKinds = map[string]balancer.ListKind{
-	"update": balancer.ListChange, "replace": balancer.ListFull, "restored": balancer.ListCached, "unavailable": balancer.ListFailed,
+	"update": balancer.ListDelta, "replace": balancer.ListSnapshot, "restored": balancer.ListCached, "unavailable": balancer.ListFailed,
 }
 
 // event is one event of the wire with the fields of all kinds side by side.
@@ -280,7 +280,7 @@
 		case "units":
 			row.Weight, err = d.Float64()
 		case "since":
-			row.Since, err = duration(d)
+			row.StartedAt, err = duration(d)
 		default:
 			err = d.Skip()
 		}
@@ -308,7 +308,7 @@
 		str(w, "id", string(a.ID))
 		str(w, "host", string(a.Server))
 		num(w, "cap", millis(a.Timeout))
-	case balancer.Refuse:
+	case balancer.Reject:
 		w.FieldStart("notNow")
 		w.ObjStart()
 		str(w, "id", string(a.ID))
@@ -325,16 +325,16 @@
 		str(w, "id", string(a.ID))
 		w.FieldStart("trial")
 		w.Int(a.Attempt)
-	case balancer.Move:
+	case balancer.Migrate:
 		w.FieldStart("redirect")
 		w.ObjStart()
 		str(w, "id", string(a.ID))
-	case balancer.Wake:
+	case balancer.SetTimer:
 		w.FieldStart("arm")
 		w.ObjStart()
 		num(w, "instant", millis(a.At))
 		str(w, "handle", a.Token)
-	case balancer.Watch:
+	case balancer.WatchList:
 		w.FieldStart("keepInformed")
 		w.ObjStart()
 		w.FieldStart("active")
--- a/internal/simadapter/host.go
+++ b/internal/simadapter/host.go
@@ -19,7 +19,7 @@
 
 // host keeps the instances of one process and the lists that the wire numbers.
 type host struct {
-	instances map[int]*balancer.Brain
+	instances map[int]*balancer.Balancer
 	names     map[string]balancer.ServerID
 	lists     [lists][]balancer.Server
 	dec       jx.Decoder
@@ -32,7 +32,7 @@
 // Serve answers batches until the input ends. The error of a malformed line names its serial, the
 // field and the reason; no reply is written to such a line.
 func Serve(in io.Reader, out io.Writer) error {
-	h := &host{instances: map[int]*balancer.Brain{}, names: map[string]balancer.ServerID{}}
+	h := &host{instances: map[int]*balancer.Balancer{}, names: map[string]balancer.ServerID{}}
 	r := bufio.NewReaderSize(in, 1<<20)
 	w := bufio.NewWriterSize(out, 1<<16)
 	var line []byte
@@ -238,15 +238,15 @@
 func (h *host) translate(name string) (balancer.Event, error) {
 	e := &h.ev
 	id := balancer.RequestID(e.id)
-	arrival := balancer.Arrival{ID: id, Class: e.lane, Tenant: e.billing, Key: e.entity, Group: e.room, Left: e.remaining,
-		Load: e.expected, Retry: e.retry, MidFlow: e.stray, Again: e.again}
+	arrival := balancer.Arrival{ID: id, Class: e.lane, Tenant: e.billing, Key: e.entity, Group: e.room, TimeLeft: e.remaining,
+		Load: e.expected, Retry: e.retry, MidFlow: e.stray, Reconnect: e.again}
 	switch name {
 	case "fleet":
 		kind, ok := listKinds[e.mode]
 		if !ok {
 			return nil, at("mode", fmt.Errorf("unknown word %q", e.mode))
 		}
-		ev := balancer.ListEvent{Kind: kind, Version: e.serial}
+		ev := balancer.ListEvent{Kind: kind, Revision: e.serial}
 		if kind != balancer.ListFailed {
 			if e.seen&fBuffer == 0 || e.buffer < 0 || e.buffer >= lists {
 				return nil, at("buffer", errors.New("not a list's number"))
@@ -261,30 +261,30 @@
 	case "deadlineHit":
 		return balancer.Timer{Token: e.handle}, nil
 	case "opened":
-		return balancer.Opened{ID: id, Attempt: e.trial, Server: e.host, Took: e.timeTaken}, nil
+		return balancer.Established{ID: id, Attempt: e.trial, Server: e.host, Took: e.timeTaken}, nil
 	case "settled":
-		return balancer.Settled{ID: id, Attempt: e.trial, Server: e.host, Took: e.timeTaken,
+		return balancer.AttemptEnded{ID: id, Attempt: e.trial, Server: e.host, Took: e.timeTaken,
 			Outcome: e.result, Final: e.last}, nil
 	case "pong":
 		return nil, nil // nothing is probed
 	case "heartbeat":
 		if e.kind == 1 {
-			return balancer.LoadNote{ID: id, Load: e.value}, nil
+			return balancer.LoadReport{ID: id, Load: e.value}, nil
 		}
 		if e.kind == 2 {
-			return balancer.SlowNote{ID: id, Message: time.Duration(e.value * float64(time.Millisecond))}, nil
+			return balancer.LatencyReport{ID: id, Latency: time.Duration(e.value * float64(time.Millisecond))}, nil
 		}
 		return nil, nil // a kind of note that came later than this code
 	case "inbox":
 		return balancer.PeerMessage{From: e.src, Data: e.content}, nil
 	case "lapsed":
-		return balancer.ClientGone{ID: id}, nil
+		return balancer.ClientDisconnected{ID: id}, nil
 	}
 	return nil, nil
 }
 
 // run lets an instance decide. A failure inside the module is told as a fault with its cause.
-func (h *host) run(inst int, b *balancer.Brain, ev balancer.Event) {
+func (h *host) run(inst int, b *balancer.Balancer, ev balancer.Event) {
 	var fault string
 	actions := func() (out []balancer.Action) {
 		defer func() {
--- a/internal/testcluster/faults.go
+++ b/internal/testcluster/faults.go
@@ -171,7 +171,7 @@
 		}, nil
 	}
 	h.Die()
-	r.after(r.fleet.Notice.D(), func() { r.Discovery.Set(r.member(h, wire.Deleted)) })
+	r.after(r.fleet.Notice.D(), func() { r.Discovery.Set(r.member(h, wire.Removed)) })
 	return func() error {
 		if err := h.Return(); err != nil {
 			return err
--- a/internal/testcluster/make.go
+++ b/internal/testcluster/make.go
@@ -240,14 +240,14 @@
 func (r *Rig) Reload(i int) { r.nodes[i].signal(syscall.SIGHUP) }
 
 // configure writes a node's configuration.
-func (r *Rig) configure(p *process, i int, known wire.Catalog) error {
+func (r *Rig) configure(p *process, i int, known wire.EndpointList) error {
 	f := r.fleet
 	discovery := r.Discovery.Addr()
 	if f.List.Links {
 		discovery = r.listLinks[i].Addr()
 	}
-	if known.Members == nil {
-		known.Members, known.Revision = []wire.Member{}, 0
+	if known.Endpoints == nil {
+		known.Endpoints, known.Revision = []wire.Endpoint{}, 0
 	}
 	text, err := json.Marshal(map[string]any{"name": p.name, "listen": p.addr, "discovery": discovery,
 		"seed":   fmt.Sprintf("%016x", r.opt.Seed+uint64(i)*0x9e3779b97f4a7c15),
--- a/internal/testcluster/rig.go
+++ b/internal/testcluster/rig.go
@@ -87,7 +87,7 @@
 			r.Close()
 		}
 	}()
-	var members []wire.Member
+	var members []wire.Endpoint
 	for range f.Hosts {
 		h, err := r.addHost(f.Host.Fresh)
 		if err != nil {
@@ -135,9 +135,9 @@
 }
 
 // Knows sets the list that nodes know when they start next.
-func (r *Rig) Knows(revision int64, known ...wire.Member) error {
+func (r *Rig) Knows(revision int64, known ...wire.Endpoint) error {
 	for i, p := range r.nodes {
-		if err := r.configure(p, i, wire.Catalog{Revision: revision, Complete: true, Members: known}); err != nil {
+		if err := r.configure(p, i, wire.EndpointList{Revision: revision, Complete: true, Endpoints: known}); err != nil {
 			return err
 		}
 	}
@@ -145,8 +145,8 @@
 }
 
 // KnowsOne sets the list that one node knows when it starts next.
-func (r *Rig) KnowsOne(i int, revision int64, known ...wire.Member) error {
-	return r.configure(r.nodes[i], i, wire.Catalog{Revision: revision, Complete: true, Members: known})
+func (r *Rig) KnowsOne(i int, revision int64, known ...wire.Endpoint) error {
+	return r.configure(r.nodes[i], i, wire.EndpointList{Revision: revision, Complete: true, Endpoints: known})
 }
 
 // Launch starts all processes at once, as far as one machine can.
@@ -215,10 +215,10 @@
 }
 
 // Member is a host's entry in the list, at the address where nodes reach it.
-func (r *Rig) Member(h *fakeserver.Host, phase wire.Phase) wire.Member { return r.member(h, phase) }
+func (r *Rig) Member(h *fakeserver.Host, phase wire.Phase) wire.Endpoint { return r.member(h, phase) }
 
 // member is a host's entry in the list: its link's address where it has one.
-func (r *Rig) member(h *fakeserver.Host, phase wire.Phase) wire.Member {
+func (r *Rig) member(h *fakeserver.Host, phase wire.Phase) wire.Endpoint {
 	m := h.Member(phase)
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/testcluster/startfaults_test.go
+++ b/internal/testcluster/startfaults_test.go
@@ -105,7 +105,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			r := prepare(t, startFleet(6, func(f *Fleet) { f.List.AskWithin = tomlfile.Duration(2 * time.Second) }))
-			var all []wire.Member
+			var all []wire.Endpoint
 			for _, h := range r.Hosts() {
 				all = append(all, r.Member(h, wire.Serving))
 			}
@@ -150,7 +150,7 @@
 func TestAnOldListThatIsPassedOn(t *testing.T) {
 	t.Parallel()
 	r := prepare(t, startFleet(startNodes, func(f *Fleet) { f.ColdStart.Peers = 8 }))
-	var all []wire.Member
+	var all []wire.Endpoint
 	for _, h := range r.Hosts() {
 		all = append(all, r.Member(h, wire.Serving))
 	}
@@ -158,7 +158,7 @@
 		t.Fatal(err)
 	}
 	gone := all[3]
-	gone.Phase = wire.Deleted
+	gone.Phase = wire.Removed
 	r.Discovery.Set(gone)
 	strike(t, r, FaultSpec{What: "refuse", On: "link-n1"})
 	launch(t, r)
@@ -177,7 +177,7 @@
 	r := prepare(t, startFleet(2, func(f *Fleet) { f.ColdStart.Peers = 1 }))
 	hosts := r.Hosts()
 	serving, draining := r.Member(hosts[0], wire.Serving), r.Member(hosts[0], wire.Draining)
-	var rest []wire.Member
+	var rest []wire.Endpoint
 	for _, h := range hosts[1:] {
 		rest = append(rest, r.Member(h, wire.Serving))
 	}
@@ -228,11 +228,11 @@
 	if err := os.WriteFile(path(1), text[:len(text)-9], 0o600); err != nil {
 		t.Fatal(err)
 	}
-	var k coldstart.Kept
+	var k coldstart.CachedList
 	if err := json.Unmarshal(text[strings.IndexByte(string(text), '\n'):], &k); err != nil {
 		t.Fatal(err)
 	}
-	keep := func(i int, k coldstart.Kept) {
+	keep := func(i int, k coldstart.CachedList) {
 		text, err := k.Encode()
 		if err == nil {
 			err = os.WriteFile(path(i), text, 0o600)
@@ -324,10 +324,10 @@
 		f.Host = Host{Cores: 1, Load: 0.0001, Setup: tomlfile.Duration(20 * time.Millisecond), Cold: 0.3, Warm: tomlfile.Duration(10 * time.Second),
 			Fall: 4, FallIn: tomlfile.Duration(time.Second), Fresh: true}
 	}))
-	var old []wire.Member
+	var old []wire.Endpoint
 	for _, h := range r.Hosts() {
 		m := r.Member(h, wire.Serving)
-		m.UpSince = 0
+		m.StartedAtMS = 0
 		old = append(old, m)
 	}
 	if err := r.Knows(1, old...); err != nil {
--- a/internal/wire/buffer.go
+++ b/internal/wire/buffer.go
@@ -22,21 +22,21 @@
 // GetBuffer takes a buffer from the pool.
 func GetBuffer() *Buffer { return pool.Get().(*Buffer) }
 
-// Free gives the buffer back. Nothing may refer to it any more.
-func (b *Buffer) Free() { pool.Put(b) }
+// Release gives the buffer back. Nothing may refer to it any more.
+func (b *Buffer) Release() { pool.Put(b) }
 
 // ErrTooLong says that a line is longer than the protocol allows.
 var ErrTooLong = errors.New("the line is too long")
 
-// Inbox is the machine under every line protocol: bytes are read into Space, told with Fed, and
-// come out as lines. The zero Inbox is ready; Free gives its buffer back.
-type Inbox struct {
+// LineBuffer is the machine under every line protocol: bytes are read into Space, told with Advance, and
+// come out as lines. The zero LineBuffer is ready; Release gives its buffer back.
+type LineBuffer struct {
 	buf  *Buffer
 	r, w int // what is unread stands in buf[r:w]
 }
 
 // Space returns where the next bytes go; it is never empty while Next finds no line and no error.
-func (in *Inbox) Space() []byte {
+func (in *LineBuffer) Space() []byte {
 	if in.buf == nil {
 		in.buf = GetBuffer()
 	}
@@ -49,13 +49,13 @@
 	return in.buf[in.w:]
 }
 
-// Fed says how many bytes were put into Space.
-func (in *Inbox) Fed(n int) { in.w += n }
+// Advance says how many bytes were put into Space.
+func (in *LineBuffer) Advance(n int) { in.w += n }
 
 // Next takes the next whole line without its end; ok is false while there is none. The line is
 // valid until Space is called.
-func (in *Inbox) Next() (line []byte, ok bool, err error) {
-	rest := in.Rest()
+func (in *LineBuffer) Next() (line []byte, ok bool, err error) {
+	rest := in.Buffered()
 	i := bytes.IndexByte(rest, '\n')
 	switch {
 	case i < 0 && len(rest) > MaxLine+1 || i > MaxLine+1:
@@ -67,21 +67,21 @@
 	return bytes.TrimSuffix(rest[:i], []byte("\r")), true, nil
 }
 
-// Drop takes bytes off the front of Rest.
-func (in *Inbox) Drop(n int) { in.r += n }
+// Discard takes bytes off the front of Rest.
+func (in *LineBuffer) Discard(n int) { in.r += n }
 
-// Rest returns what was fed and not taken yet.
-func (in *Inbox) Rest() []byte {
+// Buffered returns what was fed and not taken yet.
+func (in *LineBuffer) Buffered() []byte {
 	if in.buf == nil {
 		return nil
 	}
 	return in.buf[in.r:in.w]
 }
 
-// Free gives the buffer back to the pool.
-func (in *Inbox) Free() {
+// Release gives the buffer back to the pool.
+func (in *LineBuffer) Release() {
 	if in.buf != nil {
-		in.buf.Free()
+		in.buf.Release()
 	}
-	*in = Inbox{}
+	*in = LineBuffer{}
 }
--- a/internal/wire/catalog.go
+++ b/internal/wire/catalog.go
@@ -14,10 +14,10 @@
 const (
 	Serving Phase = iota
 	Draining
-	Deleted
+	Removed
 )
 
-var phases = map[string]Phase{"SERVING": Serving, "DRAINING": Draining, "DELETED": Deleted}
+var phases = map[string]Phase{"SERVING": Serving, "DRAINING": Draining, "DELETED": Removed}
 
 // UnmarshalText reads a phase.
 func (p *Phase) UnmarshalText(text []byte) error {
@@ -39,43 +39,43 @@
 	return nil, fmt.Errorf("unknown phase %d", p)
 }
 
-// Member is one entry of the list.
-type Member struct {
-	ID      string  `json:"id"`
-	Addr    string  `json:"host_port"`
-	Zone    string  `json:"locality"`
-	Cell    int     `json:"cell"`
-	Phase   Phase   `json:"phase"`
-	Size    float64 `json:"size"`
-	UpSince int64   `json:"up_since_ms"` // Unix time, 0 for long ago
+// Endpoint is one entry of the list.
+type Endpoint struct {
+	ID          string  `json:"id"`
+	Addr        string  `json:"host_port"`
+	Zone        string  `json:"locality"`
+	Cell        int     `json:"cell"`
+	Phase       Phase   `json:"phase"`
+	Size        float64 `json:"size"`
+	StartedAtMS int64   `json:"up_since_ms"` // Unix time, 0 for long ago
 }
 
-// Catalog is the list of hosts, or the part of it that changed.
-type Catalog struct {
-	Revision int64    `json:"revision"`
-	Complete bool     `json:"complete"`
-	Members  []Member `json:"members"`
+// EndpointList is the list of hosts, or the part of it that changed.
+type EndpointList struct {
+	Revision  int64      `json:"revision"`
+	Complete  bool       `json:"complete"`
+	Endpoints []Endpoint `json:"members"`
 }
 
-// ParseCatalog reads one object of discovery.
-func ParseCatalog(text []byte) (Catalog, error) {
-	var c Catalog
+// ParseEndpointList reads one object of discovery.
+func ParseEndpointList(text []byte) (EndpointList, error) {
+	var c EndpointList
 	if err := json.Unmarshal(text, &c); err != nil {
-		return Catalog{}, fmt.Errorf("the list can't be read: %w", err)
+		return EndpointList{}, fmt.Errorf("the list can't be read: %w", err)
 	}
 	return c, c.Check()
 }
 
 // Check reports what is wrong with a list that was read from elsewhere.
-func (c *Catalog) Check() error {
-	for i, m := range c.Members {
+func (c *EndpointList) Check() error {
+	for i, m := range c.Endpoints {
 		switch {
 		case m.ID == "":
 			return fmt.Errorf("members[%d]: %w", i, errors.New("no id"))
 		case !(m.Size >= 0 && m.Size < 1e9):
 			return fmt.Errorf("members[%d]: size %g is out of range", i, m.Size)
-		case m.UpSince < 0 || m.UpSince > math.MaxInt64/2_000_000:
-			return fmt.Errorf("members[%d]: up_since_ms %d is out of range", i, m.UpSince)
+		case m.StartedAtMS < 0 || m.StartedAtMS > math.MaxInt64/2_000_000:
+			return fmt.Errorf("members[%d]: up_since_ms %d is out of range", i, m.StartedAtMS)
 		}
 	}
 	return nil
--- a/internal/wire/client.go
+++ b/internal/wire/client.go
@@ -13,12 +13,12 @@
 
 // Opening is a client's first line.
 type Opening struct {
-	ID, Key              string // the connection's id and the flow's key
-	Class, Tenant, Group string
-	Wait                 time.Duration // how long the client waits, from the line's last byte; 0 where not told
-	Load                 float64       // a guess at the load, 0 where not told
-	Retry, Again, Mid    bool
-	At                   string // the host where the connection stood before the run, or ""
+	ID, Key                   string // the connection's id and the flow's key
+	Class, Tenant, Group      string
+	Timeout                   time.Duration // how long the client waits, from the line's last byte; 0 where not told
+	Load                      float64       // a guess at the load, 0 where not told
+	Retry, Reconnect, MidFlow bool
+	CurrentHost               string // the host where the connection stood before the run, or ""
 
 	line     string // as it came, without its end
 	from, to int    // where the value of d stands in line; both 0 where there is none
@@ -29,29 +29,29 @@
 	maxName = 256              // bytes of an id or a key
 )
 
-// Hello is what a client's first line can be.
-type Hello uint8
+// OpeningKind is what a client's first line can be.
+type OpeningKind uint8
 
 // The first lines.
 const (
-	HelloPing Hello = iota
-	HelloOpen
+	OpeningHealthCheck OpeningKind = iota
+	OpeningRequest
 )
 
-// ParseHello reads the first line of a client. The line may be used again afterwards. What a host could not use is
+// ParseOpening reads the first line of a client. The line may be used again afterwards. What a host could not use is
 // an error here: a host that has to turn it away would look as if it failed.
-func ParseHello(line []byte) (Hello, Opening, error) {
+func ParseOpening(line []byte) (OpeningKind, Opening, error) {
 	if !plain(line) {
 		return 0, Opening{}, errors.New("bytes that are no text")
 	}
 	if string(line) == "PING" {
-		return HelloPing, Opening{}, nil
+		return OpeningHealthCheck, Opening{}, nil
 	}
 	if !bytes.HasPrefix(line, []byte("OPEN ")) {
 		return 0, Opening{}, errors.New("neither OPEN nor PING")
 	}
-	o, err := parseOpening(string(line))
-	return HelloOpen, o, err
+	o, err := parseRequest(string(line))
+	return OpeningRequest, o, err
 }
 
 // plain reports whether a line is text without control bytes.
@@ -72,7 +72,7 @@
 	return strconv.ParseFloat(value, 64)
 }
 
-func parseOpening(line string) (Opening, error) {
+func parseRequest(line string) (Opening, error) {
 	o := Opening{line: line}
 	words := strings.SplitN(line, " ", 4)
 	if len(words) < 3 || words[1] == "" || words[2] == "" {
@@ -106,7 +106,7 @@
 			if ms, err = figure(value); err == nil && !(ms > 0 && ms <= float64(maxWait.Milliseconds())) {
 				err = errors.New("out of range")
 			}
-			o.Wait = time.Duration(math.Ceil(ms*1000)) * time.Microsecond // never 0, which stands for a time that is not said
+			o.Timeout = time.Duration(math.Ceil(ms*1000)) * time.Microsecond // never 0, which stands for a time that is not said
 			o.from, o.to = at+len("d="), at+len(pair)
 		case "h":
 			if o.Load, err = figure(value); err == nil && !(o.Load < math.MaxFloat64) {
@@ -115,11 +115,11 @@
 		case "r":
 			o.Retry = value == "1"
 		case "again":
-			o.Again = value == "1"
+			o.Reconnect = value == "1"
 		case "mid":
-			o.Mid = value == "1"
+			o.MidFlow = value == "1"
 		case "at":
-			o.At = value
+			o.CurrentHost = value
 		}
 		if err != nil {
 			return o, fmt.Errorf("field %q: %q is no figure: %w", name, value, err)
@@ -148,13 +148,13 @@
 
 // The lines that a node says of its own.
 const (
-	Pong = "PONG\r\n"
-	Err  = "ERR\r\n"
-	Move = "MOVE\r\n"
+	Pong      = "PONG\r\n"
+	Failure   = "ERR\r\n"
+	Migration = "MOVE\r\n"
 )
 
-// Busy writes a refusal, with advice when to come again where after is above 0.
-func Busy(after time.Duration) string {
+// Rejection writes a refusal, with advice when to come again where after is above 0.
+func Rejection(after time.Duration) string {
 	if after <= 0 {
 		return "BUSY\r\n"
 	}
--- a/internal/wire/client_test.go
+++ b/internal/wire/client_test.go
@@ -6,9 +6,9 @@
 // does not say, and it would be answered seconds after its time.
 func TestParseHello_LeastTime_IsNotNone(t *testing.T) {
 	for _, d := range []string{"0.0001", "0.0004", "0.001", "1"} {
-		_, o, err := ParseHello([]byte("OPEN id key c=chat,d=" + d))
-		if err != nil || o.Wait <= 0 {
-			t.Errorf("d=%s: waits %v, error %v", d, o.Wait, err)
+		_, o, err := ParseOpening([]byte("OPEN id key c=chat,d=" + d))
+		if err != nil || o.Timeout <= 0 {
+			t.Errorf("d=%s: waits %v, error %v", d, o.Timeout, err)
 		}
 	}
 }
--- a/internal/wire/host.go
+++ b/internal/wire/host.go
@@ -6,59 +6,59 @@
 	"strconv"
 )
 
-// Answer is what a host says first.
-type Answer uint8
+// Response is what a host says first.
+type Response uint8
 
 // The answers of a host.
 const (
-	AnswerOther Answer = iota // nothing that the protocol knows
-	AnswerUp
-	AnswerBye
-	AnswerMove
+	ResponseUnknown Response = iota // nothing that the protocol knows
+	ResponseEstablished
+	ResponseClosed
+	ResponseMigrate
 	AnswerErr
-	AnswerBusy
+	ResponseRejected
 )
 
-// ParseAnswer reads a host's line.
-func ParseAnswer(line []byte) Answer {
+// ParseResponse reads a host's line.
+func ParseResponse(line []byte) Response {
 	word, rest, _ := bytes.Cut(line, []byte(" "))
 	switch string(word) {
 	case "UP":
 		if len(rest) > 0 { // an UP without a receipt proves nothing
-			return AnswerUp
+			return ResponseEstablished
 		}
 	case "BYE":
-		return AnswerBye
+		return ResponseClosed
 	case "MOVE":
-		return AnswerMove
+		return ResponseMigrate
 	case "ERR":
 		return AnswerErr
 	case "BUSY":
-		return AnswerBusy
+		return ResponseRejected
 	}
-	return AnswerOther
+	return ResponseUnknown
 }
 
-// Seen is what a relay noticed in the lines it passed on.
-type Seen struct {
-	Lines int     // lines that answer something, so not the reports of load
-	Load  float64 // the last report of the connection's load; 0 where there was none
+// RelayStats is what a relay noticed in the lines it passed on.
+type RelayStats struct {
+	Responses int     // lines that answer something, so not the reports of load
+	Load      float64 // the last report of the connection's load; 0 where there was none
 }
 
 // Relay is the machine of the way from a host to its client: it gives out whole lines only, so
 // that a MOVE can stand between any two of them, and notices reports of load in passing.
 type Relay struct {
-	Inbox
-	last Answer // of the last whole line
-	torn bool   // the end of what was given out is no end of a line
+	LineBuffer
+	last Response // of the last whole line
+	torn bool     // the end of what was given out is no end of a line
 }
 
-// Whole takes the bytes up to the end of the last whole line; none while there is none. A line that
+// CompleteLines takes the bytes up to the end of the last whole line; none while there is none. A line that
 // fills the whole buffer is given out in pieces: holding it would hold the connection for ever. The
 // bytes are valid until Space is called.
-func (r *Relay) Whole() ([]byte, Seen) {
-	var seen Seen
-	rest := r.Rest()
+func (r *Relay) CompleteLines() ([]byte, RelayStats) {
+	var seen RelayStats
+	rest := r.Buffered()
 	end := bytes.LastIndexByte(rest, '\n') + 1
 	for at := 0; at < end; {
 		n := bytes.IndexByte(rest[at:end], '\n')
@@ -67,9 +67,9 @@
 		if load, ok := parseLoad(line); ok && !r.torn {
 			seen.Load = load
 		} else {
-			seen.Lines++
+			seen.Responses++
 		}
-		r.last, r.torn = ParseAnswer(line), false
+		r.last, r.torn = ParseResponse(line), false
 	}
 	if end == 0 && len(rest) == BufferSize {
 		end, r.torn = len(rest), true
@@ -78,14 +78,14 @@
 	return rest[:end], seen
 }
 
-// Between reports whether what was given out ends with a line.
-func (r *Relay) Between() bool { return !r.torn }
+// AtLineBoundary reports whether what was given out ends with a line.
+func (r *Relay) AtLineBoundary() bool { return !r.torn }
 
 // Ending reports whether the host has said that it ends the connection.
-func (r *Relay) Ending() bool { return r.last == AnswerBye || r.last == AnswerMove }
+func (r *Relay) Ending() bool { return r.last == ResponseClosed || r.last == ResponseMigrate }
 
 // Last tells the last whole line: BYE or MOVE before the end say why it ended.
-func (r *Relay) Last() Answer { return r.last }
+func (r *Relay) Last() Response { return r.last }
 
 func parseLoad(line []byte) (float64, bool) {
 	if !bytes.HasPrefix(line, []byte("LOAD ")) {
--- a/internal/wire/http.go
+++ b/internal/wire/http.go
@@ -18,8 +18,8 @@
 // StatusError is an answer other than 200. After is when the caller may come again by the answer's Retry-After, 0 where
 // it says nothing that can be used.
 type StatusError struct {
-	Code  int
-	After time.Duration
+	Code       int
+	RetryAfter time.Duration
 }
 
 func (e *StatusError) Error() string { return "discovery answered " + strconv.Itoa(e.Code) }
@@ -47,8 +47,8 @@
 	ended
 )
 
-// Stream is the machine of one HTTP/1.1 answer: fed bytes, it gives the lines of the body.
-type Stream struct {
+// WatchStream is the machine of one HTTP/1.1 answer: fed bytes, it gives the lines of the body.
+type WatchStream struct {
 	state   httpState
 	text    []byte // of a line of the head, or of a chunk's size
 	head    int    // bytes of the head so far
@@ -59,7 +59,7 @@
 }
 
 // Feed takes the next bytes. After an error the answer is worth nothing more.
-func (s *Stream) Feed(b []byte) error {
+func (s *WatchStream) Feed(b []byte) error {
 	for len(b) > 0 && s.state != ended {
 		if s.state == inChunk || s.state == inBody {
 			n := len(b)
@@ -91,7 +91,7 @@
 		if err := s.line(line); err != nil {
 			var status *StatusError
 			if errors.As(err, &status) {
-				status.After = retryAfter(b)
+				status.RetryAfter = retryAfter(b)
 			}
 			return err
 		}
@@ -127,7 +127,7 @@
 }
 
 // line takes one line of the framing.
-func (s *Stream) line(line string) error {
+func (s *WatchStream) line(line string) error {
 	switch s.state {
 	case inStatus:
 		words := strings.SplitN(line, " ", 3)
@@ -229,7 +229,7 @@
 
 // Next takes the next whole object of the body, on however many lines it stands, or the next line that begins with none,
 // or what is left once the answer has ended. An empty line is one too: it is discovery's beat.
-func (s *Stream) Next() (line []byte, ok bool) {
+func (s *WatchStream) Next() (line []byte, ok bool) {
 	for {
 		end := s.front.look(s.body)
 		if end == 0 {
@@ -252,7 +252,7 @@
 
 // Closed tells that the connection has ended, which is the end of a body without a length. It reports whether the
 // answer is complete.
-func (s *Stream) Closed() bool {
+func (s *WatchStream) Closed() bool {
 	if s.state == inBody && s.left < 0 {
 		s.state = ended
 	}
@@ -260,11 +260,11 @@
 }
 
 // Body takes all of the body that has come and was not taken yet.
-func (s *Stream) Body() []byte {
+func (s *WatchStream) Body() []byte {
 	body := s.body
 	s.body, s.front = nil, object{}
 	return body
 }
 
 // Ended reports whether the answer is complete.
-func (s *Stream) Ended() bool { return s.state == ended }
+func (s *WatchStream) Ended() bool { return s.state == ended }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -13,15 +13,15 @@
 // feed puts text into an inbox in pieces of a size and returns the lines that come out.
 func feed(t *testing.T, text string, size int) (lines []string, err error) {
 	t.Helper()
-	var in Inbox
-	defer in.Free()
+	var in LineBuffer
+	defer in.Release()
 	for len(text) > 0 {
 		space := in.Space()
 		if len(space) == 0 {
 			t.Fatal("no space and neither a line nor an error")
 		}
 		n := copy(space, text[:min(size, len(text))])
-		in.Fed(n)
+		in.Advance(n)
 		text = text[n:]
 		for {
 			line, ok, err := in.Next()
@@ -65,13 +65,13 @@
 		line string
 		want Opening
 	}{
-		{id + "c=chat,t=acme,d=2000,g=5c0f", Opening{Class: "chat", Tenant: "acme", Wait: 2 * time.Second, Group: "5c0f"}},
-		{id + "d=12.5,r=1,again=1,mid=1", Opening{Wait: 12500 * time.Microsecond, Retry: true, Again: true, Mid: true}},
-		{id + "r=0,h=3.5,at=s-1,new=thing,,odd", Opening{Load: 3.5, At: "s-1"}},
+		{id + "c=chat,t=acme,d=2000,g=5c0f", Opening{Class: "chat", Tenant: "acme", Timeout: 2 * time.Second, Group: "5c0f"}},
+		{id + "d=12.5,r=1,again=1,mid=1", Opening{Timeout: 12500 * time.Microsecond, Retry: true, Reconnect: true, MidFlow: true}},
+		{id + "r=0,h=3.5,at=s-1,new=thing,,odd", Opening{Load: 3.5, CurrentHost: "s-1"}},
 		{"OPEN 9b1f 7f3a", Opening{}},
 	} {
-		kind, o, err := ParseHello([]byte(c.line))
-		if err != nil || kind != HelloOpen || o.ID != "9b1f" || o.Key != "7f3a" {
+		kind, o, err := ParseOpening([]byte(c.line))
+		if err != nil || kind != OpeningRequest || o.ID != "9b1f" || o.Key != "7f3a" {
 			t.Errorf("%q: %+v, error %v", c.line, o, err)
 		}
 		o.ID, o.Key, o.line, o.from, o.to = "", "", "", 0, 0
@@ -79,7 +79,7 @@
 			t.Errorf("%q read as %+v, want %+v", c.line, o, c.want)
 		}
 	}
-	if kind, _, err := ParseHello([]byte("PING")); kind != HelloPing || err != nil {
+	if kind, _, err := ParseOpening([]byte("PING")); kind != OpeningHealthCheck || err != nil {
 		t.Errorf("PING read as %v, error %v", kind, err)
 	}
 }
@@ -91,7 +91,7 @@
 		"OPEN a b d= 5", "OPEN a b d=99999999999", "OPEN a b d=20,d=20", "OPEN a b c=x,c=y", "OPEN a b c=x\x00", "OPEN a\tb c d=5",
 		"OPEN a b c=\x7f", "OPEN a b c=\xff", "OPEN a b h=0x1p4", "OPEN " + strings.Repeat("a", maxName+1) + " b",
 		"OPEN a " + strings.Repeat("b", maxName+1)} {
-		if _, _, err := ParseHello([]byte(line)); err == nil {
+		if _, _, err := ParseOpening([]byte(line)); err == nil {
 			t.Errorf("%q gives no error", line)
 		}
 	}
@@ -106,12 +106,12 @@
 		{"OPEN a b c=x", "OPEN a b c=x"},
 		{"OPEN a b", "OPEN a b"},
 	} {
-		_, o, err := ParseHello([]byte(c.line))
+		_, o, err := ParseOpening([]byte(c.line))
 		if got := string(o.Forward(250 * time.Millisecond)); err != nil || got != c.want+"\r\n" {
 			t.Errorf("%q forwarded as %q, want %q, error %v", c.line, got, c.want, err)
 		}
 	}
-	_, o, _ := ParseHello([]byte("OPEN a b d=9"))
+	_, o, _ := ParseOpening([]byte("OPEN a b d=9"))
 	if got := string(o.Forward(-time.Second)); got != "OPEN a b d=1\r\n" {
 		t.Errorf("a time that is over is told as %q", got)
 	}
@@ -120,23 +120,23 @@
 func TestBusy(t *testing.T) {
 	for after, want := range map[time.Duration]string{0: "BUSY\r\n", -1: "BUSY\r\n", time.Microsecond: "BUSY 1\r\n",
 		1500 * time.Microsecond: "BUSY 2\r\n", time.Second: "BUSY 1000\r\n"} {
-		if got := Busy(after); got != want {
+		if got := Rejection(after); got != want {
 			t.Errorf("%v is told as %q, want %q", after, got, want)
 		}
 	}
 }
 
 func TestParseAnswer(t *testing.T) {
-	for line, want := range map[string]Answer{"UP r-1": AnswerUp, "UP": AnswerOther, "UP ": AnswerOther, "UPPER": AnswerOther,
-		"BYE": AnswerBye, "MOVE": AnswerMove, "ERR": AnswerErr, "ERR why": AnswerErr, "BUSY": AnswerBusy,
-		"SYNTAX": AnswerOther, "": AnswerOther, "up x": AnswerOther} {
-		if got := ParseAnswer([]byte(line)); got != want {
+	for line, want := range map[string]Response{"UP r-1": ResponseEstablished, "UP": ResponseUnknown, "UP ": ResponseUnknown, "UPPER": ResponseUnknown,
+		"BYE": ResponseClosed, "MOVE": ResponseMigrate, "ERR": AnswerErr, "ERR why": AnswerErr, "BUSY": ResponseRejected,
+		"SYNTAX": ResponseUnknown, "": ResponseUnknown, "up x": ResponseUnknown} {
+		if got := ParseResponse([]byte(line)); got != want {
 			t.Errorf("%q read as %v, want %v", line, got, want)
 		}
 	}
 }
 
-// relay feeds text in pieces and returns what was given out, in the order of Whole's calls.
+// relay feeds text in pieces and returns what was given out, in the order of CompleteLines' calls.
 func relay(t *testing.T, r *Relay, text string, size int) (out []string, lines int, load float64) {
 	t.Helper()
 	for len(text) > 0 {
@@ -145,15 +145,15 @@
 			t.Fatal("no space and nothing to give out")
 		}
 		n := copy(space, text[:min(size, len(text))])
-		r.Fed(n)
+		r.Advance(n)
 		text = text[n:]
 		for {
-			chunk, seen := r.Whole()
+			chunk, seen := r.CompleteLines()
 			if len(chunk) == 0 {
 				break
 			}
 			out = append(out, string(chunk))
-			lines += seen.Lines
+			lines += seen.Responses
 			if seen.Load > 0 {
 				load = seen.Load
 			}
@@ -175,37 +175,37 @@
 				t.Errorf("in pieces of %d: a MOVE could stand inside a line: %q", size, chunk)
 			}
 		}
-		if lines != 4 || load != 20 || r.Last() != AnswerBye || !r.Between() {
+		if lines != 4 || load != 20 || r.Last() != ResponseClosed || !r.AtLineBoundary() {
 			t.Errorf("in pieces of %d: %d lines, load %g, last %v", size, lines, load, r.Last())
 		}
-		r.Free()
+		r.Release()
 	}
 }
 
 // A line without an end must not hold the connection for ever, and is not the place for a MOVE.
 func TestRelayPassesALineThatFillsTheBuffer(t *testing.T) {
 	var r Relay
-	defer r.Free()
+	defer r.Release()
 	text := strings.Repeat("x", BufferSize+10)
 	out, _, _ := relay(t, &r, text, 1000)
-	if len(out) != 1 || len(out[0]) != BufferSize || r.Between() {
-		t.Fatalf("%d chunks, between lines %v", len(out), r.Between())
+	if len(out) != 1 || len(out[0]) != BufferSize || r.AtLineBoundary() {
+		t.Fatalf("%d chunks, between lines %v", len(out), r.AtLineBoundary())
 	}
 	out, _, _ = relay(t, &r, "\r\n", 2)
-	if len(out) != 1 || !r.Between() {
-		t.Errorf("after its end: %q, between lines %v", out, r.Between())
+	if len(out) != 1 || !r.AtLineBoundary() {
+		t.Errorf("after its end: %q, between lines %v", out, r.AtLineBoundary())
 	}
 }
 
 func TestRelayedLinesCostNoMemory(t *testing.T) {
 	var r Relay
-	defer r.Free()
+	defer r.Release()
 	text := []byte("M 17 0123456789abcdef\r\nLOAD 12345.678\r\n")
 	r.Space()
 	if n := testing.AllocsPerRun(100, func() {
-		r.Fed(copy(r.Space(), text))
+		r.Advance(copy(r.Space(), text))
 		for {
-			if chunk, _ := r.Whole(); len(chunk) == 0 {
+			if chunk, _ := r.CompleteLines(); len(chunk) == 0 {
 				break
 			}
 		}
@@ -216,7 +216,7 @@
 
 const head = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n"
 
-func stream(text string, size int) (s Stream, lines []string, err error) {
+func stream(text string, size int) (s WatchStream, lines []string, err error) {
 	for len(text) > 0 {
 		n := min(size, len(text))
 		if err = s.Feed([]byte(text[:n])); err != nil {
@@ -290,7 +290,7 @@
 		{"until the end", head + "\r\n{\n}\n", false, true},
 		{"half a head", head, false, false},
 	} {
-		var s Stream
+		var s WatchStream
 		if err := s.Feed([]byte(c.text)); err != nil || s.Ended() != c.ended || s.Closed() != c.whole {
 			t.Errorf("%s: ended %v, whole %v, error %v", c.name, s.Ended(), s.Closed(), err)
 		}
@@ -301,15 +301,15 @@
 }
 
 func TestParseCatalog(t *testing.T) {
-	c, err := ParseCatalog([]byte(`{"revision":41,"complete":true,"new":1,"members":[{"id":"s-1","host_port":"127.0.0.1:1",` +
+	c, err := ParseEndpointList([]byte(`{"revision":41,"complete":true,"new":1,"members":[{"id":"s-1","host_port":"127.0.0.1:1",` +
 		`"locality":"a","flavor":"m2","cell":3,"phase":"DRAINING","size":1.5,"up_since_ms":12}]}`))
-	want := Member{"s-1", "127.0.0.1:1", "a", 3, Draining, 1.5, 12}
-	if err != nil || c.Revision != 41 || !c.Complete || len(c.Members) != 1 || c.Members[0] != want {
+	want := Endpoint{"s-1", "127.0.0.1:1", "a", 3, Draining, 1.5, 12}
+	if err != nil || c.Revision != 41 || !c.Complete || len(c.Endpoints) != 1 || c.Endpoints[0] != want {
 		t.Errorf("%+v, error %v", c, err)
 	}
 	for _, text := range []string{"", "{", "[]", `{"members":{}}`, `{"members":[{}]}`, `{"members":[{"id":"a","phase":"ODD"}]}`,
 		`{"members":[{"id":"a","size":-1}]}`, `{"members":[{"id":"a","up_since_ms":-5}]}`, `{"revision":"x"}`} {
-		if _, err := ParseCatalog([]byte(text)); err == nil {
+		if _, err := ParseEndpointList([]byte(text)); err == nil {
 			t.Errorf("%q gives no error", text)
 		}
 	}
@@ -337,12 +337,12 @@
 		f.Add(line)
 	}
 	f.Fuzz(func(t *testing.T, line string) {
-		kind, o, err := ParseHello([]byte(line))
-		if err != nil || kind != HelloOpen {
+		kind, o, err := ParseOpening([]byte(line))
+		if err != nil || kind != OpeningRequest {
 			return
 		}
-		if o.Wait < 0 || o.Wait > maxWait {
-			t.Errorf("a wait of %v", o.Wait)
+		if o.Timeout < 0 || o.Timeout > maxWait {
+			t.Errorf("a wait of %v", o.Timeout)
 		}
 		out := string(o.Forward(7 * time.Millisecond))
 		if want := line[:o.from] + "7" + line[o.to:]; o.to > 0 && out != want+"\r\n" || o.to == 0 && out != line+"\r\n" {
@@ -355,9 +355,9 @@
 	f.Add("M 1\r\nLOAD 5\r\nBYE\r\n", uint8(2))
 	f.Fuzz(func(t *testing.T, text string, size uint8) {
 		var r Relay
-		defer r.Free()
+		defer r.Release()
 		out, _, _ := relay(t, &r, text, int(size)+1)
-		if got := strings.Join(out, "") + string(r.Rest()); got != text {
+		if got := strings.Join(out, "") + string(r.Buffered()); got != text {
 			t.Errorf("given out as %q", got)
 		}
 	})
@@ -378,9 +378,9 @@
 func FuzzCatalog(f *testing.F) {
 	f.Add([]byte(`{"revision":1,"members":[{"id":"a","phase":"SERVING","size":1}]}`))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		c, err := ParseCatalog(text)
-		for _, m := range c.Members {
-			if err == nil && (m.ID == "" || m.Size < 0 || m.UpSince < 0 || m.Phase > Deleted) {
+		c, err := ParseEndpointList(text)
+		for _, m := range c.Endpoints {
+			if err == nil && (m.ID == "" || m.Size < 0 || m.StartedAtMS < 0 || m.Phase > Removed) {
 				t.Errorf("%+v is taken for sound", m)
 			}
 		}
@@ -393,7 +393,7 @@
 	body := "{\"a\":\"}\\\"{\"}\r\n\r\n{\n \"b\": [1,\n\n  {\"c\":2}]\n}\n\n\nnonsense }\n{\"d\":[}"
 	want := []string{`{"a":"}\"{"}`, "", "{\n \"b\": [1,\n\n  {\"c\":2}]\n}", "", "", "nonsense }", `{"d":[}`}
 	for size := 1; size <= len(head+body); size++ {
-		var s Stream
+		var s WatchStream
 		var got []string
 		for rest := head + body; len(rest) > 0; {
 			n := min(size, len(rest))
