--- a/internal/management/serve_test.go
+++ b/internal/management/serve_test.go
@@ -39,12 +39,12 @@
 	return strings.Join(f.did, ",")
 }
 
-func (f *fake) Ready() error             { return f.says }
-func (f *fake) Stats() Stats           { return Stats{Replies: []Replies{{Class: "chat", Success: 7}}} }
+func (f *fake) Ready() error               { return f.says }
+func (f *fake) Stats() Stats               { return Stats{Replies: []Replies{{Class: "chat", Success: 7}}} }
 func (f *fake) DrainHost(id string) error  { return f.note("out " + id) }
 func (f *fake) ResumeHost(id string) error { return f.note("back " + id) }
-func (f *fake) Drain() error             { return f.note("drain") }
-func (f *fake) Resume() error            { return f.note("resume") }
+func (f *fake) Drain() error               { return f.note("drain") }
+func (f *fake) Resume() error              { return f.note("resume") }
 
 func serve(t *testing.T, f *fake) (addr string) {
 	t.Helper()
--- a/internal/pki/keys.go
+++ b/internal/pki/keys.go
@@ -48,7 +48,7 @@
 }
 
 // Issue makes a certificate for a holder in a role.
-func (a Pair) Issue(name, role string, valid time.Duration, now time.Time) (Pair, error) {
+func (p Pair) Issue(name, role string, valid time.Duration, now time.Time) (Pair, error) {
 	switch {
 	case !plain(name):
 		return Pair{}, fmt.Errorf("name: %q is no name of letters, figures, dots and dashes", name)
@@ -63,7 +63,7 @@
 	}
 	return sign(&x509.Certificate{Subject: pkix.Name{CommonName: name, OrganizationalUnit: []string{role}}, DNSNames: []string{name},
 		NotBefore: now.Add(-early), NotAfter: now.Add(valid), KeyUsage: x509.KeyUsageDigitalSignature,
-		ExtKeyUsage: []x509.ExtKeyUsage{usage}}, &a)
+		ExtKeyUsage: []x509.ExtKeyUsage{usage}}, &p)
 }
 
 // sign makes a key and a certificate for it; nil signs itself.
