--- a/cmd/onyxstream/upgrade_test.go
+++ b/cmd/onyxstream/upgrade_test.go
@@ -240,7 +240,7 @@
 			}
 		}
 	}
-	p.logs(t, "none of this program's")
+	p.logs(t, "file is of an unknown format")
 	p.open(t, "").hears("BUSY") // the word holds on
 	for _, n := range names {   // nothing can be written there any more
 		if strings.HasSuffix(n.Name(), ".words") {
@@ -269,7 +269,7 @@
 	_ = p.cmd.Process.Signal(syscall.SIGKILL)
 	<-p.done
 	next := start(t, options{known: known, manage: freeAddr(t), env: []string{"TMPDIR=" + damaged}}, newRegistry(t, known).addr)
-	next.logs(t, "none of this program's")
+	next.logs(t, "file is of an unknown format")
 	next.open(t, "").hears("UP")
 }
 
--- a/internal/lifecycle/shared.go
+++ b/internal/lifecycle/shared.go
@@ -11,6 +11,7 @@
 	"go.uber.org/zap"
 
 	"onyxstream/internal/control"
+	"onyxstream/internal/hotrestart"
 	"onyxstream/internal/node"
 	"onyxstream/internal/proxy"
 	"onyxstream/internal/sharedstate"
@@ -27,9 +28,10 @@
 	driver   *proxy.Proxy
 	log      *zap.Logger
 	orders   *control.Server
-	folder   string                            // "" where nothing is shared
-	opened   atomic.Pointer[sharedstate.Store] // nil while the folder can't be used
-	unopened bool                              // it could not be opened so far; open's own
+	folder   string                              // "" where nothing is shared
+	opened   atomic.Pointer[sharedstate.Store]   // nil while the folder can't be used
+	exchange atomic.Pointer[hotrestart.Exchange] // set before opened
+	unopened bool                                // it could not be opened so far; open's own
 
 	mu     sync.Mutex  // an order and what others were told are taken in one after the other
 	seen   uint64      // the document's changes that are in force here
@@ -67,6 +69,7 @@
 	}
 	store, err := sharedstate.Open(s.folder, s.cfg.Name)
 	if err == nil {
+		s.exchange.Store(hotrestart.NewExchange(store))
 		s.opened.Store(store)
 		return
 	}
--- a/internal/lifecycle/takeover.go
+++ b/internal/lifecycle/takeover.go
@@ -7,9 +7,9 @@
 	"go.uber.org/zap"
 
 	"onyxstream/balancer"
+	"onyxstream/internal/hotrestart"
 	"onyxstream/internal/node"
 	"onyxstream/internal/proxy"
-	"onyxstream/internal/sharedstate"
 )
 
 // offerAt is how often a process looks for connections that another one offers, while there is another one: their
@@ -20,17 +20,17 @@
 // system does not let one process reach into another, it gives up at the second try.
 func (s *shared) give(n *node.Node, by time.Time) {
 	given, refused := 0, 0
-	var facts []sharedstate.PingBaseline
+	var facts []hotrestart.PingBaseline
 	for _, f := range n.PingBaselines() {
-		facts = append(facts, sharedstate.PingBaseline{Host: string(f.Host), StartedAtMS: f.StartedAtMS, BestPing: f.BestPing})
+		facts = append(facts, hotrestart.PingBaseline{Host: string(f.Host), StartedAtMS: f.StartedAtMS, BestPing: f.BestPing})
 	}
 	for time.Now().Before(by) && n.EstablishedConnections()+n.InFlightRequests() > 0 && s.ready() {
-		standing, done := s.driver.Quiesce(sharedstate.MaxOffered)
+		standing, done := s.driver.Quiesce(hotrestart.MaxOffered)
 		if len(standing) == 0 {
 			time.Sleep(poll) // what is being brought up goes over once it stands
 			continue
 		}
-		taken, err := s.store().Offer(offers(standing), facts)
+		taken, err := s.exchange.Load().Offer(offers(standing), facts)
 		if err != nil {
 			s.log.Warn("connections are not taken over", zap.Error(err))
 		}
@@ -51,11 +51,11 @@
 	s.log.Info("connections were handed over", zap.Int("given", given), zap.Int64("left", n.EstablishedConnections()))
 }
 
-func offers(standing []proxy.EstablishedConn) (out []sharedstate.OfferedConn) {
+func offers(standing []proxy.EstablishedConn) (out []hotrestart.OfferedConn) {
 	for _, c := range standing {
-		o := sharedstate.OfferedConn{Line: c.Line, Host: c.Host, Partial: c.Partial, Load: c.Load}
-		o.Client, _ = sharedstate.SocketOf(c.Client) // one that is closed meanwhile has no descriptor, and is not taken
-		o.Peer, _ = sharedstate.SocketOf(c.Peer)
+		o := hotrestart.OfferedConn{Line: c.Line, Host: c.Host, Partial: c.Partial, Load: c.Load}
+		o.Client, _ = hotrestart.SocketOf(c.Client) // one that is closed meanwhile has no descriptor, and is not taken
+		o.Peer, _ = hotrestart.SocketOf(c.Peer)
 		out = append(out, o)
 	}
 	return out
@@ -71,7 +71,7 @@
 		wait := lookAt
 		if store := s.store(); store != nil && !s.alone.Load() && !s.ends.Load() {
 			wait = offerAt
-			all, facts, err := store.Accept()
+			all, facts, err := s.exchange.Load().Accept()
 			if err != nil && !failed {
 				s.log.Warn("connections of another process can't be taken over", zap.Error(err))
 			}
--- /dev/null
+++ b/internal/sharedstate/state_test.go
@@ -0,0 +1,100 @@
+package sharedstate
+
+import (
+	"bytes"
+	"fmt"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/google/go-cmp/cmp"
+)
+
+var noon = time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC)
+
+func sampleState(t *testing.T) State {
+	t.Helper()
+	state := State{Node: "n1"}
+	for _, override := range []struct {
+		host     string
+		draining bool
+	}{{"a", true}, {"b", true}, {"a", false}} {
+		if err := state.SetOverride(override.host, override.draining, noon); err != nil {
+			t.Fatal(err)
+		}
+	}
+	state.SetDrain(Drain{Active: true, Deadline: noon.Add(time.Second), AdmissionCutoff: noon, KeepConnections: true})
+	return state
+}
+
+func TestDecode_EncodedState_IsEqual(t *testing.T) {
+	state := sampleState(t)
+	text, err := state.Encode()
+	if err != nil {
+		t.Fatal(err)
+	}
+	got, err := Decode(text, "n1")
+	if diff := cmp.Diff(state, got); diff != "" || err != nil {
+		t.Errorf("%v, %s", err, diff)
+	}
+	if state.Serial != 4 || len(state.Overrides) != 2 || state.Overrides[0].Serial != 3 || state.Overrides[0].Draining {
+		t.Errorf("the overrides are %+v", state)
+	}
+}
+
+// Only a complete state of this node and this version is accepted.
+func TestDecode_CutChangedOrForeign_IsRejected(t *testing.T) {
+	state := sampleState(t)
+	text, err := state.Encode()
+	if err != nil {
+		t.Fatal(err)
+	}
+	for i := range text { // cut anywhere, and changed anywhere
+		if _, err := Decode(text[:i], "n1"); err == nil {
+			t.Errorf("cut at %d, it is accepted", i)
+		}
+		changed := bytes.Clone(text)
+		changed[i] ^= 1
+		if _, err := Decode(changed, "n1"); err == nil && i > len(stateFormat) && i != len(stateFormat)+1 {
+			if got, _ := Decode(changed, "n1"); cmp.Diff(state, got) != "" {
+				t.Errorf("changed at %d, it is accepted", i)
+			}
+		}
+	}
+	if _, err := Decode(text, "n2"); err == nil || !strings.Contains(err.Error(), `of node "n1"`) {
+		t.Errorf("another node's: %v", err)
+	}
+	if _, err := Decode([]byte("onyxstream-handover-9 0 0\n"), "n1"); err == nil || !strings.Contains(err.Error(), "another version") {
+		t.Errorf("another version's: %v", err)
+	}
+}
+
+func FuzzDecode(f *testing.F) {
+	state := State{Node: "n1", Serial: 1, Overrides: []HostOverride{{"a", true, noon, 1}}}
+	text, _ := state.Encode()
+	f.Add(text)
+	f.Add([]byte("onyxstream-handover-1 00000000 2\n{}"))
+	f.Fuzz(func(t *testing.T, text []byte) {
+		if decoded, err := Decode(text, "n1"); err == nil && (decoded.Node != "n1" || len(decoded.Overrides) > maxOverrides) {
+			t.Errorf("%q is read as %+v", text, decoded)
+		}
+	})
+}
+
+func TestSetOverride_LimitReached_RejectsUntilResumptionsExpire(t *testing.T) {
+	state := State{Node: "n1"}
+	for i := range maxOverrides {
+		if err := state.SetOverride(fmt.Sprint("h", i), i%2 == 0, noon); err != nil {
+			t.Fatal(err)
+		}
+	}
+	if err := state.SetOverride("more", true, noon); err != ErrOverrideLimit {
+		t.Errorf("one more: %v", err)
+	}
+	if err := state.SetOverride("h0", false, noon); err != nil {
+		t.Errorf("one that is there: %v", err)
+	}
+	if err := state.SetOverride("more", true, noon.Add(resumeRetention+time.Second)); err != nil || len(state.Overrides) != maxOverrides/2 {
+		t.Errorf("after the retention: %v, %d overrides", err, len(state.Overrides))
+	}
+}
--- a/internal/sharedstate/store.go
+++ b/internal/sharedstate/store.go
@@ -3,103 +3,115 @@
 import (
 	"errors"
 	"fmt"
-	"io"
 	"io/fs"
 	"os"
 	"path/filepath"
-	"strconv"
-	"strings"
 	"sync"
 	"syscall"
 	"time"
 
 	"github.com/cespare/xxhash/v2"
-	"golang.org/x/sys/unix"
+
+	"onyxstream/internal/sealedfile"
 )
 
-// Store keeps the document in a folder that the processes of a node share, and marks that this process is there. All
-// its waits have an end. It is safe for use from several goroutines.
+const (
+	stateSuffix = ".words"
+	lockSuffix  = ".lock"
+
+	lockTimeout       = 250 * time.Millisecond
+	lockRetryInterval = 2 * time.Millisecond
+)
+
+// Store keeps the state of one node in a folder that the node's processes share, and marks this process as alive there. Its
+// methods may be called from any goroutine.
 type Store struct {
-	dir, base, node string
+	folder     string
+	filePrefix string // of all files of this node
+	node       string
 
-	mu   sync.Mutex
-	last State // as it was read or written last
-	seen os.FileInfo
-	own  *os.File // this process's mark, locked for as long as it lives
+	mu       sync.Mutex
+	last     State       // as read or written last
+	lastInfo os.FileInfo // of the file that was read or written last
 
-	offers uint64 // made so far; Give's own
+	mark *os.File // of this process, locked for as long as it lives
 }
 
-const (
-	lockWithin = 250 * time.Millisecond // for another process to end its change
-	lockPause  = 2 * time.Millisecond
-	mostMarks  = 4096 // processes that are looked at
-)
-
-// Open finds or makes a node's place in the folder and marks that this process is there. An error says that nothing can
-// be shared; the caller can do without.
-func Open(dir, node string) (*Store, error) {
-	s := &Store{dir: dir, node: node, base: base(node), last: State{Node: node}}
+// Open marks this process as alive in the folder of a node's processes. After an error nothing can be shared for now.
+func Open(folder, node string) (*Store, error) {
+	s := &Store{
+		folder:     folder,
+		filePrefix: nodeFilePrefix(node),
+		node:       node,
+		last:       State{Node: node},
+	}
 	unlock, err := s.lock()
 	if err != nil {
 		return nil, err
 	}
 	defer unlock()
-	// Made and locked while no other process looks: it would take a mark without a lock for a dead process's.
-	f, err := os.OpenFile(filepath.Join(dir, fmt.Sprintf("%s-%d.alive", s.base, os.Getpid())), os.O_RDWR|os.O_CREATE|os.O_TRUNC, 0o600)
+	// Under the lock: another process would take a mark that is not locked yet for that of a dead process.
+	mark, err := os.OpenFile(s.ProcessFile(os.Getpid(), markSuffix), os.O_RDWR|os.O_CREATE|os.O_TRUNC, 0o600)
 	if err != nil {
 		return nil, err
 	}
-	if err := syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
-		_ = f.Close()
-		return nil, fmt.Errorf("%s: %w", f.Name(), err)
+	if err := syscall.Flock(int(mark.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
+		_ = mark.Close()
+		return nil, fmt.Errorf("%s: %w", mark.Name(), err)
 	}
-	s.own = f
+	s.mark = mark
 	return s, nil
 }
 
-// Close takes the mark away. The document stays for the next process.
+// Close removes this process's mark. The state stays for the next process.
 func (s *Store) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	_ = os.Remove(s.own.Name())
-	_ = s.own.Close()
+	_ = os.Remove(s.mark.Name())
+	_ = s.mark.Close()
+}
+
+// nodeFilePrefix begins the names of a node's files. It is a hash: a node's name may have characters that a file's may not.
+func nodeFilePrefix(node string) string {
+	return fmt.Sprintf("onyxstream-%016x", xxhash.Sum64String(node))
 }
 
-// base begins the names of a node's files: a node's name may hold what a file's may not.
-func base(node string) string { return fmt.Sprintf("onyxstream-%016x", xxhash.Sum64String(node)) }
+func (s *Store) statePath() string { return filepath.Join(s.folder, s.filePrefix+stateSuffix) }
+
+// Node returns the name of the node.
+func (s *Store) Node() string { return s.node }
+
+// ProcessFile returns the path of a file of one process of the node.
+func (s *Store) ProcessFile(pid int, suffix string) string {
+	return filepath.Join(s.folder, fmt.Sprintf("%s-%d%s", s.filePrefix, pid, suffix))
+}
 
-func (s *Store) path() string { return filepath.Join(s.dir, s.base+".words") }
+// ProcessFiles returns the paths of the files of all processes of the node whose names end in a suffix, a pattern of
+// filepath.Match.
+func (s *Store) ProcessFiles(suffix string) ([]string, error) {
+	return filepath.Glob(filepath.Join(s.folder, s.filePrefix+"-*"+suffix))
+}
 
-// lock keeps other processes from changing what is shared. A process that dies lets go of it.
+// lock excludes the node's other processes from changes; the system releases it where its holder dies. It waits for
+// lockTimeout at most.
 func (s *Store) lock() (unlock func(), err error) {
-	f, err := os.OpenFile(filepath.Join(s.dir, s.base+".lock"), os.O_RDWR|os.O_CREATE, 0o600)
+	file, err := os.OpenFile(filepath.Join(s.folder, s.filePrefix+lockSuffix), os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
 		return nil, err
 	}
-	for by := time.Now().Add(lockWithin); ; time.Sleep(lockPause) {
-		err := syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB)
+	for deadline := time.Now().Add(lockTimeout); ; time.Sleep(lockRetryInterval) {
+		err := syscall.Flock(int(file.Fd()), syscall.LOCK_EX|syscall.LOCK_NB)
 		if err == nil {
-			return func() { _ = f.Close() }, nil
+			return func() { _ = file.Close() }, nil
 		}
-		if time.Now().After(by) {
-			_ = f.Close()
-			return nil, fmt.Errorf("%s: another process holds it: %w", f.Name(), err)
+		if time.Now().After(deadline) {
+			_ = file.Close()
+			return nil, fmt.Errorf("%s: held by another process: %w", file.Name(), err)
 		}
 	}
 }
 
-// ReadClocks reads the machine's clocks.
-func ReadClocks() ClockReading {
-	now := ClockReading{Wall: time.Now()}
-	var boot unix.Timespec
-	if unix.ClockGettime(unix.CLOCK_BOOTTIME, &boot) == nil {
-		now.Boot = time.Duration(boot.Nano())
-	}
-	return now
-}
-
-// DamageError says that a document was read and can't be believed: it is damaged, or none of this node's.
+// DamageError is returned for a state file that was read and is damaged, or is none of this node's.
 type DamageError struct {
 	Path string
 	Err  error
@@ -107,46 +119,52 @@
 
 func (e *DamageError) Error() string { return e.Path + ": " + e.Err.Error() }
 
-// Unwrap returns what is wrong with it.
+// Unwrap returns the reason.
 func (e *DamageError) Unwrap() error { return e.Err }
 
-// Load reads the document as it is now; fresh is false where it is as this process last knew it. What is damaged, or is
-// none of this node's, is a DamageError, once for each state of the file, and nothing of it is believed. Any other error
-// says that it could not be read now: the next call reads it again.
-func (s *Store) Load() (d State, fresh bool, err error) {
+// Load returns the state as it is now; changed is false where it is as this process knew it. A file that can't be used is
+// a DamageError, returned once for each version of the file. After any other error the next call reads the file again.
+// After each error state is the last one known.
+func (s *Store) Load() (state State, changed bool, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.load()
 }
 
-func (s *Store) load() (d State, fresh bool, err error) {
-	info, err := os.Stat(s.path())
+func (s *Store) load() (state State, changed bool, err error) {
+	info, err := os.Stat(s.statePath())
 	switch {
 	case errors.Is(err, fs.ErrNotExist):
 		return s.last, false, nil
 	case err != nil:
 		return s.last, false, err
-	case s.seen != nil && os.SameFile(info, s.seen) && info.ModTime().Equal(s.seen.ModTime()) && info.Size() == s.seen.Size():
+	case s.isLastFile(info):
 		return s.last, false, nil
 	}
-	text, err := readBounded(s.path())
-	if err != nil && !errors.Is(err, errTooLarge) {
+	text, err := sealedfile.Read(s.statePath())
+	if err != nil && !errors.Is(err, sealedfile.ErrTooLarge) {
 		return s.last, false, err
 	}
-	s.seen = info
+	s.lastInfo = info
 	if err == nil {
-		d, err = Decode(text, s.node)
+		state, err = Decode(text, s.node)
 	}
 	if err != nil {
-		return s.last, false, &DamageError{s.path(), err}
+		return s.last, false, &DamageError{s.statePath(), err}
 	}
-	fresh = d.Serial != s.last.Serial
-	s.last = d
-	return d, fresh, nil
+	changed = state.Serial != s.last.Serial
+	s.last = state
+	return state, changed, nil
 }
 
-// Update changes the document: whole or not at all, and in one order for all processes. What is damaged is replaced by
-// what this process knows; what can't be read now may hold others' orders, and is left as it is.
+// isLastFile reports whether the file is unchanged since it was read or written last.
+func (s *Store) isLastFile(info os.FileInfo) bool {
+	return s.lastInfo != nil && os.SameFile(info, s.lastInfo) &&
+		info.ModTime().Equal(s.lastInfo.ModTime()) && info.Size() == s.lastInfo.Size()
+}
+
+// Update changes the state atomically, in one order for all processes. A damaged file is replaced by the last state known.
+// A file that can't be read now may have changes of other processes, so it is left as it is and the error returned.
 func (s *Store) Update(change func(*State) error) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -155,116 +173,23 @@
 		return err
 	}
 	defer unlock()
-	d, _, err := s.load()
+	state, _, err := s.load()
 	var damage *DamageError
 	if err != nil && !errors.As(err, &damage) {
 		return err
 	}
-	d.Overrides = append([]HostOverride(nil), d.Overrides...)
-	if err := change(&d); err != nil {
+	state.Overrides = append([]HostOverride(nil), state.Overrides...)
+	if err := change(&state); err != nil {
 		return err
 	}
-	text, err := d.Encode()
+	text, err := state.Encode()
 	if err != nil {
 		return err
 	}
-	if err := whole(s.path(), text); err != nil {
+	if err := sealedfile.Write(s.statePath(), text); err != nil {
 		return err
 	}
-	s.last = d
-	s.seen, _ = os.Stat(s.path())
+	s.last = state
+	s.lastInfo, _ = os.Stat(s.statePath())
 	return nil
 }
-
-var errTooLarge = errors.New("it is too large")
-
-// readBounded reads a file of at most mostBytes.
-func readBounded(name string) ([]byte, error) {
-	f, err := os.Open(name)
-	if err != nil {
-		return nil, err
-	}
-	defer f.Close()
-	text, err := io.ReadAll(io.LimitReader(f, mostBytes+1))
-	if err == nil && len(text) > mostBytes {
-		err = errTooLarge
-	}
-	return text, err
-}
-
-// whole writes a file that is whole or not there, for other processes and for a kill at any point. It need not outlive
-// the machine, so nothing waits for a disk.
-func whole(name string, text []byte) error {
-	tmp := name + ".new"
-	if err := os.WriteFile(tmp, text, 0o600); err != nil {
-		_ = os.Remove(tmp)
-		return err
-	}
-	return os.Rename(tmp, name)
-}
-
-// ProcessStatus is what a process tells of itself.
-type ProcessStatus struct {
-	Ready       bool
-	Descriptors int // that it holds, or may without asking
-}
-
-// Publish writes this process's mark for others to read.
-func (s *Store) Publish(m ProcessStatus) error {
-	ready := 0
-	if m.Ready {
-		ready = 1
-	}
-	_, err := s.own.WriteAt(fmt.Appendf(nil, "%d %010d\n", ready, m.Descriptors), 0)
-	return err
-}
-
-// OtherProcesses finds the other processes of this node that live, and takes away the marks of those that died.
-func (s *Store) OtherProcesses() ([]ProcessStatus, error) {
-	names, err := filepath.Glob(filepath.Join(s.dir, s.base+"-*.alive"))
-	if err != nil || len(names) <= 1 {
-		return nil, err
-	}
-	unlock, err := s.lock()
-	if err != nil {
-		return nil, err
-	}
-	defer unlock()
-	var out []ProcessStatus
-	for _, name := range names[:min(len(names), mostMarks)] {
-		if name == s.own.Name() {
-			continue
-		}
-		f, err := os.Open(name)
-		if err != nil {
-			continue // it has just gone
-		}
-		if syscall.Flock(int(f.Fd()), syscall.LOCK_SH|syscall.LOCK_NB) == nil {
-			s.clear(name)
-		} else {
-			var buf [32]byte
-			n, _ := f.ReadAt(buf[:], 0)
-			out = append(out, parseMark(string(buf[:n])))
-		}
-		_ = f.Close()
-	}
-	return out, nil
-}
-
-// clear takes away what a process that died has left: its mark, and offers that nobody took.
-func (s *Store) clear(mark string) {
-	left, _ := filepath.Glob(strings.TrimSuffix(mark, ".alive") + "-*.offer*")
-	for _, name := range append(left, mark) {
-		_ = os.Remove(name)
-	}
-}
-
-// parseMark reads a mark; one that was not written yet, or that can't be read, is that of a process that is there.
-func parseMark(text string) (m ProcessStatus) {
-	ready, number, _ := strings.Cut(strings.TrimSpace(text), " ")
-	m.Ready = ready == "1"
-	if n, err := strconv.Atoi(number); err == nil && n > 0 && n < 1<<20 {
-		m.Descriptors = n
-	}
-	return m
-}
--- a/internal/sharedstate/stored_test.go
+++ b/internal/sharedstate/stored_test.go
@@ -22,7 +22,7 @@
 	return text
 }
 
-func TestStoredDocument_FromEarlierRelease_IsReadAndWrittenAlike(t *testing.T) {
+func TestStoredState_FromEarlierRelease_IsReadAndWrittenAlike(t *testing.T) {
 	text := readFixture(t, "shared-v1.words")
 	got, err := Decode(text, "n1")
 	if err != nil {
@@ -42,26 +42,6 @@
 	}
 }
 
-func TestStoredOffer_FromEarlierRelease_IsReadAndWrittenAlike(t *testing.T) {
-	text := readFixture(t, "handoff-v1.offer")
-	var got offer
-	if err := unseal(offerMagic, text, &got); err != nil {
-		t.Fatal(err)
-	}
-	want := offer{Node: "n1", PID: 4711, N: 7, Mark: 3, Connections: []OfferedConn{
-		{Line: "OPEN id=c1 class=chat d=1000", Host: "host-a", Client: Socket{11, "127.0.0.1:40001"}, Peer: Socket{12, "127.0.0.1:9001"},
-			Partial: []byte("half a li"), Load: 2.5},
-		{Line: "OPEN id=c2 class=chat d=900", Host: "host-b", Client: Socket{13, "127.0.0.1:40002"}, Peer: Socket{14, "127.0.0.1:9002"}}},
-		Facts: []PingBaseline{{"host-a", 1764590400000, 350 * time.Microsecond}}}
-	if diff := cmp.Diff(want, got); diff != "" {
-		t.Error(diff)
-	}
-	again, err := seal(offerMagic, got)
-	if diff := cmp.Diff(string(text), string(again)); diff != "" || err != nil {
-		t.Errorf("%v, an earlier release would not read it: %s", err, diff)
-	}
-}
-
 func TestStoredMark_FromEarlierRelease_IsReadAndWrittenAlike(t *testing.T) {
 	text := readFixture(t, "process-v1.alive")
 	want := ProcessStatus{Ready: true, Descriptors: 1234}
@@ -76,7 +56,7 @@
 	if err := s.Publish(want); err != nil {
 		t.Fatal(err)
 	}
-	again, err := os.ReadFile(s.own.Name())
+	again, err := os.ReadFile(s.mark.Name())
 	if string(again) != string(text) || err != nil {
 		t.Errorf("%v, written as %q, want %q", err, again, text)
 	}
@@ -91,9 +71,8 @@
 	}
 	defer s.Close()
 	const base = "onyxstream-51ce9f3ef4b004a7"
-	got := []string{s.path(), s.own.Name(), s.offerName(4711, 7)}
-	want := []string{filepath.Join(dir, base+".words"), filepath.Join(dir, fmt.Sprintf("%s-%d.alive", base, os.Getpid())),
-		filepath.Join(dir, base+"-4711-7.offer")}
+	got := []string{s.statePath(), s.mark.Name()}
+	want := []string{filepath.Join(dir, base+".words"), filepath.Join(dir, fmt.Sprintf("%s-%d.alive", base, os.Getpid()))}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Error(diff)
 	}
