--- a/cmd/onyxstream/bad_test.go
+++ b/cmd/onyxstream/bad_test.go
@@ -197,7 +197,7 @@
 	reg := newRegistry(t, list(2, true, a.member("DRAINING"), b.member("SERVING")))
 	reg.turn(true)
 	p.hup(t, old.addr, reg.addr)
-	p.logs(t, "the configuration was read again")
+	p.logs(t, "configuration reloaded")
 	eventually(t, "the new discovery is asked", func() bool { return len(reg.called()) > 0 })
 	crowd()
 	p.open(t, "").hears("UP from-ha")
--- a/cmd/onyxstream/handcross_test.go
+++ b/cmd/onyxstream/handcross_test.go
@@ -85,15 +85,15 @@
 	p.ended(t)
 	next.ended(t)
 	eventually(t, "the host is left", func() bool { return a.open() == 0 })
-	if n := p.given(t) + next.given(t); n > len(on) {
+	if n := p.handedOff(t) + next.handedOff(t); n > len(on) {
 		t.Errorf("%d connections were handed over %d times", len(on), n)
 	}
 }
 
-// given counts what a process says that it handed over.
-func (p *running) given(t testing.TB) (sum int) {
+// handedOff counts the connections that a process has handed off, by its log.
+func (p *running) handedOff(t testing.TB) (sum int) {
 	t.Helper()
-	for _, m := range regexp.MustCompile(`"given": (\d+)`).FindAllStringSubmatch(p.log.String(), -1) {
+	for _, m := range regexp.MustCompile(`"handed_off": (\d+)`).FindAllStringSubmatch(p.log.String(), -1) {
 		n, err := strconv.Atoi(m[1])
 		if err != nil {
 			t.Fatal(err)
--- a/cmd/onyxstream/operate_test.go
+++ b/cmd/onyxstream/operate_test.go
@@ -140,7 +140,7 @@
 	p.open(t, "").hears("UP")
 	p.yes(t, "drain")
 	p.signal(t) // a stop in a drain is a stop
-	p.logs(t, "told to stop")
+	p.logs(t, "shutting down gracefully")
 }
 
 // frontNotices is longer than a node that drains serves those who still come.
@@ -237,7 +237,7 @@
 	}
 	p.figures(t)
 	p.hup(t, p.manage, freeAddr(t))
-	p.logs(t, "left as it was")
+	p.logs(t, "ignored until the next start")
 	if !strings.Contains(p.log.String(), `"field": "management"`) {
 		t.Error("the field is not named")
 	}
--- a/cmd/onyxstream/reload_test.go
+++ b/cmd/onyxstream/reload_test.go
@@ -43,7 +43,7 @@
 	eventually(t, "the first watch", func() bool { return len(old.called()) == 1 })
 	reg := newRegistry(t, list(3, true, b.member("SERVING")))
 	p.hup(t, old.addr, reg.addr)
-	p.logs(t, "the configuration was read again")
+	p.logs(t, "configuration reloaded")
 	eventually(t, "the new list alone holds", func() bool {
 		return strings.Contains(p.open(t, "").hears("UP "), "from-hb")
 	})
@@ -139,7 +139,7 @@
 	eventually(t, "the last one named is watched", func() bool { return len(last.called()) >= 2 })
 	p.open(t, "").hears("UP ")
 	p.signal(t)
-	p.logs(t, "told to stop")
+	p.logs(t, "shutting down gracefully")
 	drain := newRegistry(t, list(1, true, h.member("SERVING")))
 	p.hup(t, last.addr, drain.addr)
 	on.hears("MOVE\r\n")
--- a/cmd/onyxstream/stop_test.go
+++ b/cmd/onyxstream/stop_test.go
@@ -49,7 +49,7 @@
 				eventually(t, "the host has it", func() bool { return len(h.lines()) == len(waiting) })
 				if when == "before" {
 					p.signal(t)
-					p.logs(t, "told to stop")
+					p.logs(t, "shutting down gracefully")
 				}
 			}
 			half := p.dial(t) // whose line comes in pieces around the stop
--- a/cmd/onyxstream/sysfault_test.go
+++ b/cmd/onyxstream/sysfault_test.go
@@ -258,7 +258,7 @@
 	eventually(t, "the first watch", func() bool { return len(old.called()) == 1 })
 	p.faults.Fail(faultinject.Rule{Call: faultinject.OpenAt, Share: 1, Errors: []unix.Errno{unix.ENFILE}})
 	p.hup(t, old.addr, reg.addr)
-	p.logs(t, "the configuration stays as it was")
+	p.logs(t, "configuration reload failed")
 	p.faults.Fail()
 	p.movesTo(t, "hb")
 }
@@ -282,7 +282,7 @@
 	}
 	write(whole[:len(whole)/2])
 	p.signalled(t, syscall.SIGHUP)
-	p.logs(t, "the configuration stays as it was")
+	p.logs(t, "configuration reload failed")
 	write(whole)
 	p.movesTo(t, "hb")
 }
--- a/cmd/onyxstream/upgrade_test.go
+++ b/cmd/onyxstream/upgrade_test.go
@@ -127,7 +127,7 @@
 		time.Sleep(200 * time.Millisecond)
 		next := upgrade(t, o, reg.addr)
 		p.signal(t)
-		p.logs(t, "told to stop")
+		p.logs(t, "shutting down gracefully")
 		p.ended(t)
 		p = next
 	}
@@ -206,7 +206,7 @@
 	}
 	p.open(t, "").hears("UP")
 	p.signal(t)
-	p.logs(t, "told to stop")
+	p.logs(t, "shutting down gracefully")
 	p.open(t, "").hears("UP")
 	p.ended(t)
 }
@@ -251,7 +251,7 @@
 		}
 	}
 	p.yes(t, "enable-server ha")
-	p.logs(t, "what is shared with other processes can't be used")
+	p.logs(t, "shared state unavailable")
 	eventually(t, "it is used again", func() bool {
 		k := p.open(t, "")
 		line, _ := k.r.ReadString('\n')
@@ -335,6 +335,6 @@
 		k.hears("MOVE")
 		k.ends(false)
 	}
-	p.logs(t, "connections are not taken over")
+	p.logs(t, "connection handoff failed")
 	p.ended(t)
 }
--- a/internal/cli/config.go
+++ b/internal/cli/config.go
@@ -11,8 +11,8 @@
 	"github.com/google/renameio/v2"
 	"github.com/spf13/cobra"
 
-	"onyxstream/internal/lifecycle"
 	"onyxstream/internal/migrate"
+	"onyxstream/internal/nodeconfig"
 	"onyxstream/internal/tomlfile"
 )
 
@@ -72,10 +72,10 @@
 	case err != nil:
 		return err
 	}
-	if err := lifecycle.Check(old); err != nil {
+	if err := nodeconfig.Check(old); err != nil {
 		return &tomlfile.Error{File: m.old, Err: err}
 	}
-	if err := lifecycle.Check(text); err != nil {
+	if err := nodeconfig.Check(text); err != nil {
 		return &tomlfile.Error{File: m.shape, Err: fmt.Errorf("a node would not start with what it makes: %w", err)}
 	}
 	if !m.dry {
--- a/internal/cli/root.go
+++ b/internal/cli/root.go
@@ -13,6 +13,7 @@
 
 	"onyxstream/internal/lifecycle"
 	"onyxstream/internal/loadtest"
+	"onyxstream/internal/nodeconfig"
 	"onyxstream/internal/tomlfile"
 )
 
@@ -137,14 +138,14 @@
 			"  PROXY_CONFIG=config.json onyxstream node --config own.toml",
 		Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
-			var o lifecycle.Own
+			var options nodeconfig.Options
 			if own != "" {
 				var err error
-				if o, err = lifecycle.ReadOwn(own); err != nil {
+				if options, err = nodeconfig.ReadOptions(own); err != nil {
 					return err
 				}
 			}
-			return lifecycle.Run(o)
+			return lifecycle.Run(options)
 		},
 	}
 	c.Flags().StringVar(&own, "config", "", "file of onyxstream's own configuration, TOML")
--- a/internal/cli/scale.go
+++ b/internal/cli/scale.go
@@ -14,7 +14,7 @@
 
 	"github.com/spf13/cobra"
 
-	"onyxstream/internal/lifecycle"
+	"onyxstream/internal/nodeconfig"
 	"onyxstream/internal/scaletest"
 	"onyxstream/internal/tomlfile"
 )
@@ -94,7 +94,7 @@
 			if err != nil || n < 1 {
 				return usage(fmt.Errorf("%q is no number of nodes", args[0]))
 			}
-			cfg, err := lifecycle.Load()
+			cfg, err := nodeconfig.Load()
 			if err != nil {
 				return err
 			}
--- a/internal/hotrestart/accept.go
+++ b/internal/hotrestart/accept.go
@@ -105,8 +105,8 @@
 	return offered, nil
 }
 
-// copyConnections copies the sockets of offered connections. It returns the copies and the list of their indices, as it is
-// written for the offering process; an error is why one could not be copied, the last if there are several.
+// copyConnections copies the sockets of offered connections. It returns the copies and the list of their indices, as
+// it is written for the offering process; an error is why one could not be copied, the last if there are several.
 func copyConnections(process int, offered []OfferedConn) (connections []AcceptedConn, indices string, err error) {
 	for i, connection := range offered {
 		accepted, copyErr := copyConnection(process, connection)
@@ -141,8 +141,8 @@
 	}
 }
 
-// openProcess opens the process that wrote an offer, as a pidfd. It checks that the process holds the mark of its id: the
-// id alone may be that of a later process.
+// openProcess opens the process that wrote an offer, as a pidfd. It checks that the process holds the mark of its id:
+// the id alone may be that of a later process.
 func (e *Exchange) openProcess(offered offer) (process int, err error) {
 	process, err = pidfd(offered.PID)
 	if err != nil {
--- a/internal/hotrestart/offer.go
+++ b/internal/hotrestart/offer.go
@@ -1,10 +1,11 @@
-// Package hotrestart passes established connections from one process of a node to its successor, without a break for the
-// clients.
+// Package hotrestart passes established connections from one process of a node to its successor, without a break for
+// the clients.
 //
-// The old process writes an offer: a file with the descriptors of quiesced connections. The successor copies the sockets
-// out of the old process (pidfd_getfd: both run as one user, and where the system allows it that needs no privilege) and
-// accepts the offer by renaming its file. The rename succeeds in one process only, which decides races: an offer that the
-// old process withdrew first is void, and connections that were not accepted stay with the old process.
+// The old process writes an offer: a file with the descriptors of quiesced connections. The successor copies the
+// sockets out of the old process (pidfd_getfd: both run as one user, and where the system allows it that needs no
+// privilege) and accepts the offer by renaming its file. The rename succeeds in one process only, which decides
+// races: an offer that the old process withdrew first is void, and connections that were not accepted stay with the
+// old process.
 package hotrestart
 
 import (
@@ -59,8 +60,8 @@
 	BestPing    time.Duration `json:"best_ns"`
 }
 
-// offer is the content of an offer's file. Mark is a descriptor of the offering process: it proves that the process of that
-// id is the one that wrote the offer.
+// offer is the content of an offer's file. Mark is a descriptor of the offering process: it proves that the process
+// of that id is the one that wrote the offer.
 type offer struct {
 	Node          string         `json:"node"`
 	PID           int            `json:"pid"`
@@ -80,14 +81,14 @@
 // NewExchange returns an exchange between the processes that share a store.
 func NewExchange(store *sharedstate.Store) *Exchange { return &Exchange{store: store} }
 
-// offerPath returns the path of an offer's file. It is unique to the offer: who is late for one must not accept the next
-// one under its name.
+// offerPath returns the path of an offer's file. It is unique to the offer: who is late for one must not accept the
+// next one under its name.
 func (e *Exchange) offerPath(pid int, number uint64) string {
 	return e.store.ProcessFile(pid, fmt.Sprintf("-%d%s", number, offerSuffix))
 }
 
-// Offer offers connections to the node's other processes and waits until one accepts or offerTimeout has passed. It returns
-// which of the connections were accepted; after an error none was.
+// Offer offers connections to the node's other processes and waits until one accepts or offerTimeout has passed. It
+// returns which of the connections were accepted; after an error none was.
 func (e *Exchange) Offer(connections []OfferedConn, baselines []PingBaseline) (accepted []bool, err error) {
 	accepted = make([]bool, len(connections))
 	e.offerCount++
@@ -119,9 +120,9 @@
 	return accepted, nil
 }
 
-// withdraw makes an offer void; it returns false where the offer was accepted before. While the folder can't be changed it
-// tries again, for offerTimeout. After that the offer counts as accepted, as another process can still accept it: this one
-// gives its connections up.
+// withdraw makes an offer void; it returns false where the offer was accepted before. While the folder can't be
+// changed it tries again, for offerTimeout. After that the offer counts as accepted, as another process can still
+// accept it: this one gives its connections up.
 func withdraw(path string) bool {
 	for deadline := time.Now().Add(offerTimeout); ; time.Sleep(offerPollInterval) {
 		err := os.Rename(path, path+withdrawnSuffix)
@@ -135,8 +136,8 @@
 	}
 }
 
-// readAccepted marks the connections of an accepted offer that were accepted. Where that can't be read, as for want of a
-// descriptor, all count as accepted: a connection used by two processes is worse than one that is closed.
+// readAccepted marks the connections of an accepted offer that were accepted. Where that can't be read, as for want
+// of a descriptor, all count as accepted: a connection used by two processes is worse than one that is closed.
 func readAccepted(path string, accepted []bool) {
 	defer func() { _ = os.Remove(path + acceptedSuffix) }()
 	text, err := sealedfile.Read(path + acceptedSuffix)
--- a/internal/hotrestart/offer_test.go
+++ b/internal/hotrestart/offer_test.go
@@ -145,8 +145,8 @@
 	}
 }
 
-// An offer that can't be withdrawn at once, as its folder can't be changed for a moment, is withdrawn once it can be, and
-// does not count as accepted.
+// An offer that can't be withdrawn at once, as its folder can't be changed for a moment, is withdrawn once it can be,
+// and does not count as accepted.
 func TestOffer_WithdrawFailsForAMoment_NothingIsAccepted(t *testing.T) {
 	e := newExchange(t, t.TempDir())
 	blocked := e.offerPath(os.Getpid(), 1) + withdrawnSuffix
--- a/internal/hotrestart/stored_test.go
+++ b/internal/hotrestart/stored_test.go
@@ -11,8 +11,8 @@
 	"onyxstream/internal/sealedfile"
 )
 
-// The file in testdata was written by the release before the names in the code changed: another process of the node, or the
-// next one, may still be of that release.
+// The file in testdata was written by the release before the names in the code changed: another process of the node,
+// or the next one, may still be of that release.
 
 func readFixture(t *testing.T, name string) []byte {
 	t.Helper()
--- /dev/null
+++ b/internal/lifecycle/control.go
@@ -0,0 +1,207 @@
+package lifecycle
+
+import (
+	"cmp"
+	"context"
+	"crypto/tls"
+	"fmt"
+	"maps"
+	"math/rand/v2"
+	"slices"
+	"strconv"
+	"time"
+
+	"go.uber.org/zap"
+
+	"onyxstream/balancer"
+	"onyxstream/internal/control"
+	"onyxstream/internal/node"
+	"onyxstream/internal/nodeconfig"
+	"onyxstream/internal/pki"
+)
+
+// controlDescriptors returns how many descriptors the control listeners and their connections take at most.
+func controlDescriptors(cfg nodeconfig.Control, maxConnections int) (total int) {
+	for _, address := range []string{cfg.Socket, cfg.Listen} {
+		if address != "" {
+			total += maxConnections + 1
+		}
+	}
+	return total
+}
+
+// openControlListeners opens the control listeners that are configured; after an error none is open.
+func openControlListeners(
+	cfg nodeconfig.Control, maxConnections int, log *zap.Logger,
+) (listeners []control.Listener, err error) {
+	defer func() {
+		if err != nil {
+			for _, listener := range listeners {
+				_ = listener.Close()
+			}
+		}
+	}()
+	if cfg.Socket != "" {
+		listener, err := control.ListenUnix(cfg.Socket, maxConnections)
+		if err != nil {
+			return listeners, err
+		}
+		listeners = append(listeners, listener)
+	}
+	if cfg.Listen != "" {
+		keys, err := openKeys(*cfg.Keys, log)
+		if err != nil {
+			return listeners, err
+		}
+		roleOf := func(s *tls.ConnectionState) control.Role { return controlRole(keys.Role(s)) }
+		listener, err := control.ListenTLS(cfg.Listen, maxConnections, keys.Server(), roleOf)
+		if err != nil {
+			return listeners, err
+		}
+		listeners = append(listeners, listener)
+	}
+	return listeners, nil
+}
+
+// openKeys opens certificate files that are read again when they are renewed.
+func openKeys(files pki.Files, log *zap.Logger) (*pki.Keeper, error) {
+	return pki.Open(files, func(err error) { log.Error("certificate reload failed", zap.Error(err)) })
+}
+
+// controlRole maps the role in a certificate to that on the control listener.
+func controlRole(certificateRole string) control.Role {
+	switch certificateRole {
+	case pki.Operate:
+		return control.Operator
+	case pki.Look:
+		return control.Viewer
+	}
+	return control.NoRole
+}
+
+// controlInstance is the node as the control server calls it. Its methods may be called from any goroutine.
+type controlInstance struct {
+	name      string
+	node      *node.Node
+	startedAt time.Time
+	stop      context.Context // done once the process is signalled to stop
+}
+
+// The server finds out at run time whether an instance provides lists.
+var _ control.ListProvider = (*controlInstance)(nil)
+
+// newIncarnation returns an identifier that is unique to this start of the node.
+func newIncarnation() string { return strconv.FormatUint(rand.Uint64(), 36) }
+
+// Status returns the node's state and counters.
+func (c *controlInstance) Status() control.Status {
+	view := c.node.View()
+	status := control.Status{
+		Name:           c.name,
+		State:          control.Serving,
+		InFlight:       c.node.InFlightRequests(),
+		Established:    c.node.EstablishedConnections(),
+		UptimeSeconds:  time.Since(c.startedAt).Seconds(),
+		Revision:       view.Revision,
+		RuleViolations: c.node.Monitor().Total(),
+		Abandoned:      abandonedRequests(view),
+	}
+	switch {
+	case c.stop.Err() != nil:
+		status.State = control.Stopping
+	case c.node.IsDraining() && status.InFlight+status.Established == 0:
+		status.State = control.Drained
+	case c.node.IsDraining():
+		status.State = control.Draining
+	}
+	status.List = c.listStatus()
+	status.Hosts = hostStatuses(view)
+	return status
+}
+
+// listStatus returns how the endpoint list was obtained; nil without cold start.
+func (c *controlInstance) listStatus() *control.ListStatus {
+	state, ok := c.node.ColdStartState()
+	if !ok {
+		return nil
+	}
+	return &control.ListStatus{
+		State:           state.Phase.String(),
+		Source:          string(state.Source),
+		AgeSeconds:      state.Age.Seconds(),
+		Calls:           state.Calls,
+		Failed:          state.Failed,
+		NextCallSeconds: state.Next.Seconds(),
+	}
+}
+
+func hostStatuses(view node.View) (statuses []control.HostStatus) {
+	states := map[balancer.ServerState]string{
+		balancer.Live:     "live",
+		balancer.Draining: "draining",
+		balancer.Removed:  "gone",
+	}
+	for _, host := range view.Hosts {
+		statuses = append(statuses, control.HostStatus{
+			ID:          string(host.ID),
+			State:       states[host.State],
+			Overridden:  host.Overridden,
+			Connections: host.Connections,
+		})
+	}
+	return statuses
+}
+
+// abandonedRequests lists the counts by reason, sorted: a status that has not changed must be equal to the last one.
+func abandonedRequests(view node.View) (abandoned []control.AbandonedRequests) {
+	for _, reason := range slices.Sorted(maps.Keys(view.GivenUp)) {
+		abandoned = append(abandoned, control.AbandonedRequests{
+			Reason:   string(reason),
+			Requests: view.GivenUp[reason],
+		})
+	}
+	return abandoned
+}
+
+// CachedList returns the endpoint list for other nodes; nil for none.
+func (c *controlInstance) CachedList() *control.CachedList {
+	cached := c.node.CachedList()
+	if cached == nil {
+		return nil
+	}
+	list := &control.CachedList{
+		Service:   cached.Service,
+		List:      cached.List,
+		Confirmed: cached.Confirmed,
+		Replaced:  cached.Replaced,
+	}
+	for _, host := range cached.Unreachable {
+		list.Unreachable = append(list.Unreachable, host.ID)
+		list.UnreachableAt = append(list.UnreachableAt, host.FoundAt)
+	}
+	return list
+}
+
+// ListAvailable returns a channel that is closed once the node has an endpoint list.
+func (c *controlInstance) ListAvailable() <-chan struct{} { return c.node.ListAvailable() }
+
+// Apply executes a command. It panics for a kind that the control server does not know either.
+func (c *controlInstance) Apply(command control.Command) error {
+	now := time.Now()
+	switch command.Kind {
+	case control.Drain:
+		return c.node.Drain(node.DrainPlan{
+			Deadline:        now.Add(command.DrainTimeout),
+			AdmissionCutoff: now.Add(command.AdmitFor),
+			RetryAfter:      command.RetryAfter,
+			KeepConnections: command.KeepConnections,
+		})
+	case control.Resume:
+		return c.node.CancelDrain()
+	case control.HostDrain, control.HostResume:
+		host := balancer.ServerID(command.Host)
+		drain := command.Kind == control.HostDrain
+		return c.node.SetHostOverride(host, drain, command.HostMustExist, cmp.Or(command.GivenAt, now))
+	}
+	panic(fmt.Sprintf("unexpected command kind %q", command.Kind))
+}
--- /dev/null
+++ b/internal/lifecycle/handoff.go
@@ -0,0 +1,146 @@
+package lifecycle
+
+import (
+	"context"
+	"time"
+
+	"go.uber.org/zap"
+
+	"onyxstream/balancer"
+	"onyxstream/internal/hotrestart"
+	"onyxstream/internal/node"
+	"onyxstream/internal/proxy"
+)
+
+const (
+	// acceptInterval is how often a process looks for offered connections while another process runs: their clients
+	// wait.
+	acceptInterval = 5 * time.Millisecond
+	// maxFailedOffers is after how many offers a process gives up of which none was accepted: the system may not let
+	// one process reach into another.
+	maxFailedOffers = 2
+)
+
+// handOff offers the established connections to the successor until none is left or the deadline has passed.
+func (c *coordinator) handOff(deadline time.Time) {
+	handedOff, failedOffers := 0, 0
+	baselines := c.pingBaselines()
+	for time.Now().Before(deadline) && c.hasConnections() && c.successorReady() {
+		connections, release := c.proxy.Quiesce(hotrestart.MaxOffered)
+		if len(connections) == 0 {
+			time.Sleep(drainPollInterval) // for those that are being established
+			continue
+		}
+		accepted, err := c.exchange.Load().Offer(offeredConns(connections), baselines)
+		if err != nil {
+			c.log.Warn("connection handoff failed", zap.Error(err))
+		}
+		count := 0
+		for i, done := range release {
+			done(accepted[i])
+			if accepted[i] {
+				count++
+			}
+		}
+		handedOff += count
+		if count > 0 {
+			continue
+		}
+		time.Sleep(drainPollInterval)
+		failedOffers++
+		if failedOffers >= maxFailedOffers && handedOff == 0 {
+			break
+		}
+	}
+	c.log.Info("connections handed off",
+		zap.Int("handed_off", handedOff), zap.Int64("remaining", c.node.EstablishedConnections()))
+}
+
+func (c *coordinator) hasConnections() bool {
+	return c.node.EstablishedConnections()+c.node.InFlightRequests() > 0
+}
+
+func (c *coordinator) pingBaselines() (baselines []hotrestart.PingBaseline) {
+	for _, baseline := range c.node.PingBaselines() {
+		baselines = append(baselines, hotrestart.PingBaseline{
+			Host:        string(baseline.Host),
+			StartedAtMS: baseline.StartedAtMS,
+			BestPing:    baseline.BestPing,
+		})
+	}
+	return baselines
+}
+
+// offeredConns describes connections of this process. One that is closed meanwhile has no descriptor; nobody accepts
+// it.
+func offeredConns(connections []proxy.EstablishedConn) (offered []hotrestart.OfferedConn) {
+	for _, connection := range connections {
+		client, _ := hotrestart.SocketOf(connection.Client)
+		peer, _ := hotrestart.SocketOf(connection.Peer)
+		offered = append(offered, hotrestart.OfferedConn{
+			Line:    connection.Line,
+			Host:    connection.Host,
+			Client:  client,
+			Peer:    peer,
+			Partial: connection.Partial,
+			Load:    connection.Load,
+		})
+	}
+	return offered
+}
+
+// acceptConnections accepts the connections that other processes offer, until this one shuts down or the context ends.
+func (c *coordinator) acceptConnections(ctx context.Context) {
+	if c.folder == "" {
+		return
+	}
+	failed := false
+	for ctx.Err() == nil {
+		wait := syncInterval
+		if c.store.Load() != nil && !c.soleProcess.Load() && !c.shuttingDown.Load() {
+			wait = acceptInterval
+			connections, baselines, err := c.exchange.Load().Accept()
+			if err != nil && !failed {
+				c.log.Warn("accepting offered connections failed", zap.Error(err))
+			}
+			failed = err != nil
+			c.mergePingBaselines(baselines)
+			c.resumeConnections(connections)
+		}
+		select {
+		case <-ctx.Done():
+		case <-time.After(wait):
+		}
+	}
+}
+
+func (c *coordinator) mergePingBaselines(offered []hotrestart.PingBaseline) {
+	if len(offered) == 0 {
+		return
+	}
+	baselines := make([]node.PingBaseline, 0, len(offered))
+	for _, baseline := range offered {
+		baselines = append(baselines, node.PingBaseline{
+			Host:        balancer.ServerID(baseline.Host),
+			StartedAtMS: baseline.StartedAtMS,
+			BestPing:    baseline.BestPing,
+		})
+	}
+	c.node.MergePingBaselines(baselines)
+}
+
+func (c *coordinator) resumeConnections(connections []hotrestart.AcceptedConn) {
+	for _, connection := range connections {
+		err := c.proxy.Adopt(proxy.EstablishedConn{
+			Line:    connection.Line,
+			Host:    connection.Host,
+			Client:  connection.ClientConn,
+			Peer:    connection.PeerConn,
+			Partial: connection.Partial,
+			Load:    connection.Load,
+		})
+		if err != nil {
+			c.log.Error("accepted connection could not be resumed, client migrated", zap.Error(err))
+		}
+	}
+}
--- a/internal/lifecycle/accept_test.go
+++ b/internal/lifecycle/listener_test.go
@@ -12,17 +12,17 @@
 	"onyxstream/internal/proxy"
 )
 
-// Once a node that ends has taken its last client, whoever comes is refused by the system: a connection that nobody takes
-// would wait for as long as the node goes on for others, and be reset with what it has asked for.
-func TestListener_EmptiedForTheEnd_RefusesWhoComesLater(t *testing.T) {
-	l, err := listen(t.Context(), "127.0.0.1:0")
+// Once the queue is drained the system refuses connections: one in a queue that nobody accepts from would be reset
+// with its request.
+func TestClientListener_QueueDrained_RefusesConnections(t *testing.T) {
+	l, err := openClientListener(t.Context(), "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(l.Close)
 	d := proxy.New(proxy.Config{MaxDescriptors: 256}, zap.NewNop())
 	go func() { _ = l.serve(t.Context(), d) }()
-	if !l.empty() {
+	if !l.drainQueue() {
 		t.Fatal("another process accepts from it")
 	}
 	c, err := net.DialTimeout("tcp", l.Addr().String(), 5*time.Second)
@@ -30,6 +30,6 @@
 		_ = c.Close()
 	}
 	if !errors.Is(err, syscall.ECONNREFUSED) {
-		t.Errorf("a connection that comes later: %v", err)
+		t.Errorf("a later connection: %v", err)
 	}
 }
--- a/internal/lifecycle/folder_test.go
+++ b/internal/lifecycle/overrides_test.go
@@ -10,14 +10,14 @@
 	"onyxstream/internal/sharedstate"
 )
 
-// blockWrites has the writes of the shared document fail, as on a full disk, until it is called off.
+// blockWrites makes the writes of the shared state fail, as on a full disk, until unblock is called.
 func blockWrites(t *testing.T) (unblock func()) {
 	t.Helper()
 	locks, err := filepath.Glob(filepath.Join(os.Getenv("TMPDIR"), "*.lock"))
 	if err != nil || len(locks) != 1 {
 		t.Fatalf("%v, %v", locks, err)
 	}
-	at := locks[0][:len(locks[0])-len(".lock")] + ".words.new" // where a document is written before it takes its place
+	at := locks[0][:len(locks[0])-len(".lock")] + ".words.new" // where the state is written before the rename
 	if err := os.MkdirAll(filepath.Join(at, "full"), 0o700); err != nil {
 		t.Fatal(err)
 	}
@@ -28,6 +28,11 @@
 	}
 }
 
+// loadState reads the shared state.
+func loadState(operations *managementOperations) (sharedstate.State, bool, error) {
+	return operations.coordinator.store.Load().Load()
+}
+
 func eventually(t *testing.T, what string, f func() bool) {
 	t.Helper()
 	for begin := time.Now(); !f(); time.Sleep(5 * time.Millisecond) {
@@ -37,61 +42,60 @@
 	}
 }
 
-// An order that was taken on while the folder could not be written is written as soon as it can be: the next process of
-// the node holds to it too.
-func TestOrder_FolderFails_IsWrittenOnceItCanBe(t *testing.T) {
-	o, n := stuck(t)
+// An override that was set while the folder could not be written is written as soon as it can be.
+func TestOverride_FolderFails_IsWrittenLater(t *testing.T) {
+	operations, n := blockedNode(t)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	go func() { _ = n.Run(ctx) }()
 	unblock := blockWrites(t)
-	if err := o.DrainHost("h1"); err != nil {
+	if err := operations.DrainHost("h1"); err != nil {
 		t.Fatal(err)
 	}
-	go o.shared.follow(ctx)
-	time.Sleep(3 * lookAt)
+	go operations.coordinator.run(ctx)
+	time.Sleep(3 * syncInterval)
 	unblock()
-	eventually(t, "the order is written", func() bool {
-		d, _, err := o.shared.store().Load()
+	eventually(t, "the override is written", func() bool {
+		d, _, err := loadState(operations)
 		return err == nil && len(d.Overrides) == 1 && d.Overrides[0].Draining
 	})
 }
 
-// A folder that can't be used at the start is used once it can be, and orders given before are written then.
-func TestOrder_FolderMissingAtStart_IsWrittenOnceItIsThere(t *testing.T) {
+// A folder that can't be used at the start is used once it can be, and overrides set before are written then.
+func TestOverride_FolderMissingAtStart_IsWrittenLater(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "later")
-	o, n := stuckIn(t, dir)
+	operations, n := blockedNodeIn(t, dir)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	go func() { _ = n.Run(ctx) }()
-	if o.shared.store() != nil {
+	if operations.coordinator.store.Load() != nil {
 		t.Fatal("a folder that is not there is used")
 	}
-	if err := o.DrainHost("h1"); err != nil {
+	if err := operations.DrainHost("h1"); err != nil {
 		t.Fatal(err)
 	}
-	go o.shared.follow(ctx)
+	go operations.coordinator.run(ctx)
 	if err := os.Mkdir(dir, 0o700); err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "the order is written", func() bool {
-		if o.shared.store() == nil {
+	eventually(t, "the override is written", func() bool {
+		if operations.coordinator.store.Load() == nil {
 			return false
 		}
-		d, _, err := o.shared.store().Load()
+		d, _, err := loadState(operations)
 		return err == nil && len(d.Overrides) == 1 && d.Overrides[0].Draining
 	})
 }
 
-// After a write that failed, the orders of other processes are taken in: the number that the failed change would have had
-// is that of another one.
-func TestOrder_FolderFails_OthersOrdersAreTaken(t *testing.T) {
-	o, n := stuck(t)
+// After a write that failed, the overrides of other processes are applied: the serial that the failed change would
+// have had is that of another one.
+func TestOverride_FolderFails_OthersAreApplied(t *testing.T) {
+	operations, n := blockedNode(t)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	go func() { _ = n.Run(ctx) }()
 	unblock := blockWrites(t)
-	if err := o.ResumeHost("h1"); err != nil {
+	if err := operations.ResumeHost("h1"); err != nil {
 		t.Fatal(err)
 	}
 	unblock()
@@ -107,29 +111,29 @@
 	if err := os.WriteFile(locks[0][:len(locks[0])-len(".lock")]+".words", text, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	o.shared.look()
-	eventually(t, "the other's order holds", func() bool {
+	operations.coordinator.syncOverrides()
+	eventually(t, "the other's override is in force", func() bool {
 		_, avoided := n.HostCounts()
 		return avoided == 1
 	})
 }
 
-// An order that was given while the folder could not be used goes before one that a process before wrote there: the older
-// one was taken in once the folder could be read, and the order that the operator had a yes for was forgotten.
-func TestOrder_FolderMissingAtStart_GoesBeforeOlderOnes(t *testing.T) {
+// An override that was set while the folder could not be used supersedes an older one that an earlier process wrote
+// there.
+func TestOverride_FolderMissingAtStart_SupersedesOlder(t *testing.T) {
 	for _, c := range []struct {
-		name       string
-		written    time.Duration // when the other order was given, from this one
-		avoided    int64
-		wantsWords bool // the host is out in the document in the end
+		name         string
+		setAt        time.Duration // of the other override, from this one
+		avoided      int64
+		wantDraining bool // by the shared state in the end
 	}{{"older", -time.Minute, 1, true}, {"later", time.Minute, 0, false}} {
 		t.Run(c.name, func(t *testing.T) {
 			dir := filepath.Join(t.TempDir(), "later")
-			o, n := stuckIn(t, dir)
+			operations, n := blockedNodeIn(t, dir)
 			ctx, cancel := context.WithCancel(t.Context())
 			defer cancel()
 			go func() { _ = n.Run(ctx) }()
-			if err := o.DrainHost("h1"); err != nil {
+			if err := operations.DrainHost("h1"); err != nil {
 				t.Fatal(err)
 			}
 			before := filepath.Join(t.TempDir(), "before")
@@ -140,24 +144,24 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if err := earlier.Update(func(d *sharedstate.State) error { return d.SetOverride("h1", false, time.Now().Add(c.written)) }); err != nil {
+			if err := earlier.Update(func(d *sharedstate.State) error { return d.SetOverride("h1", false, time.Now().Add(c.setAt)) }); err != nil {
 				t.Fatal(err)
 			}
 			earlier.Close()
 			if err := os.Rename(before, dir); err != nil {
 				t.Fatal(err)
 			}
-			go o.shared.follow(ctx)
-			eventually(t, "the document says which order holds", func() bool {
-				if o.shared.store() == nil {
+			go operations.coordinator.run(ctx)
+			eventually(t, "the shared state has the override", func() bool {
+				if operations.coordinator.store.Load() == nil {
 					return false
 				}
-				o.shared.mu.Lock()
-				defer o.shared.mu.Unlock()
-				d, _, err := o.shared.store().Load()
-				return err == nil && len(o.shared.owed) == 0 && len(d.Overrides) == 1 && d.Overrides[0].Draining == c.wantsWords
+				operations.coordinator.mu.Lock()
+				defer operations.coordinator.mu.Unlock()
+				d, _, err := loadState(operations)
+				return err == nil && len(operations.coordinator.pending) == 0 && len(d.Overrides) == 1 && d.Overrides[0].Draining == c.wantDraining
 			})
-			eventually(t, "it holds in the process", func() bool {
+			eventually(t, "it is in force in the process", func() bool {
 				_, avoided := n.HostCounts()
 				return avoided == c.avoided
 			})
--- a/internal/lifecycle/pull_test.go
+++ b/internal/lifecycle/peerpoll_test.go
@@ -11,12 +11,13 @@
 
 	"onyxstream/internal/coldstart"
 	"onyxstream/internal/faultinject"
+	"onyxstream/internal/nodeconfig"
 	"onyxstream/internal/pki"
 )
 
-// Asking others for their list must not end the node where its keys can't be read for a moment.
-func TestPull_KeysCantBeReadForAMoment_GoesOn(t *testing.T) {
-	_, n := stuck(t)
+// Polling peers does not end where the keys can't be read for a moment.
+func TestPeerPoller_KeysUnreadableForAMoment_GoesOn(t *testing.T) {
+	_, n := blockedNode(t)
 	n.EnableColdStart(coldstart.New(coldstart.Config{NodeCount: 2, PollInterval: time.Second, Service: "s"}, rand.New(rand.NewPCG(1, 2)), 0, coldstart.NoSource,
 		coldstart.Offer{}), "s")
 	dir := t.TempDir()
@@ -27,12 +28,17 @@
 		t.Fatal(err)
 	}
 	files := &pki.Files{Cert: filepath.Join(dir, "n1.crt"), Key: filepath.Join(dir, "n1.key"), Authority: filepath.Join(dir, "authority.crt")}
-	cold := &ColdStart{Keys: files, Peers: []Other{{Addr: "127.0.0.1:1", Name: "n2"}}}
+	poller := &peerPoller{
+		options: &nodeconfig.ColdStart{Keys: files, Peers: []nodeconfig.Peer{{Addr: "127.0.0.1:1", Name: "n2"}}},
+		node:    n,
+		rng:     rand.New(rand.NewPCG(1, 2)),
+		log:     zap.NewNop(),
+	}
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	done := make(chan error, 1)
 	limit := func() {
-		go func() { done <- cold.pull(ctx, n, rand.New(rand.NewPCG(1, 2)), zap.NewNop()) }()
+		go func() { done <- poller.run(ctx) }()
 		time.Sleep(150 * time.Millisecond)
 	}
 	if err := faultinject.WithDescriptors(0, limit); err != nil {
@@ -40,7 +46,7 @@
 	}
 	select {
 	case err := <-done:
-		t.Errorf("it ended, and the node with it: %v", err)
+		t.Errorf("it ended: %v", err)
 		return
 	case <-time.After(100 * time.Millisecond):
 	}
--- a/internal/lifecycle/reload.go
+++ b/internal/lifecycle/reload.go
@@ -8,51 +8,72 @@
 	"go.uber.org/zap"
 
 	"onyxstream/internal/node"
+	"onyxstream/internal/nodeconfig"
 )
 
 const (
-	// reloadPause is how long after a configuration that could not be read it is read again: the file may be in the middle
-	// of being written, or the system may lack descriptors for a moment.
-	reloadPause = 100 * time.Millisecond
-	// reloadWithin is for how long it is. What the new discovery has counts as told 4 s after the signal.
-	reloadWithin = 3 * time.Second
+	// reloadRetryInterval is how long after a failed reload the file is read again: it may be half written, or the
+	// system may lack descriptors.
+	reloadRetryInterval = 100 * time.Millisecond
+	// reloadRetryTimeout bounds the retries after a signal.
+	reloadRetryTimeout = 3 * time.Second
 )
 
-// follow reads the configuration again with each signal, also while the node drains. Signals that come meanwhile
-// are one more reading. Connections notice nothing of it.
-func follow(ctx context.Context, again <-chan os.Signal, cfg Config, n *node.Node, log *zap.Logger) {
+// reloader reads the configuration again on a signal, also while the node drains. Connections are not affected.
+type reloader struct {
+	cfg  nodeconfig.Config
+	node *node.Node
+	log  *zap.Logger
+
+	retryUntil  time.Time
+	loggedError string // the last one since the signal
+}
+
+// run reloads at each signal until the context ends. Signals that arrive during a reload are one further reload.
+func (r *reloader) run(ctx context.Context, signals <-chan os.Signal) {
 	retry := time.NewTimer(0)
 	retry.Stop()
 	defer retry.Stop()
-	var until time.Time
-	told := "" // the last error that was logged since the signal
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-again:
-			until, told = time.Now().Add(reloadWithin), ""
+		case <-signals:
+			r.retryUntil = time.Now().Add(reloadRetryTimeout)
+			r.loggedError = ""
 		case <-retry.C:
 		}
-		next, left, err := cfg.Reload()
-		if err != nil {
-			if err.Error() != told {
-				told = err.Error()
-				log.Error("the configuration stays as it was", zap.Error(err))
-			}
-			if time.Now().Before(until) {
-				retry.Reset(reloadPause)
-			}
-			continue
-		}
-		retry.Stop()
-		for _, field := range left {
-			log.Warn("a field of the configuration can't change before a restart: left as it was", zap.String("field", field))
+		succeeded := r.reload()
+		if succeeded {
+			retry.Stop()
+		} else if time.Now().Before(r.retryUntil) {
+			retry.Reset(reloadRetryInterval)
 		}
-		log.Info("the configuration was read again", zap.String("discovery", next.Discovery))
-		if next.Discovery != cfg.Discovery {
-			n.SetDiscoveryAddr(next.Discovery)
-		}
-		cfg = next
 	}
 }
+
+func (r *reloader) reload() (succeeded bool) {
+	next, ignoredFields, err := r.cfg.Reload()
+	if err != nil {
+		r.logError(err)
+		return false
+	}
+	for _, field := range ignoredFields {
+		r.log.Warn("configuration change ignored until the next start", zap.String("field", field))
+	}
+	r.log.Info("configuration reloaded", zap.String("discovery", next.Discovery))
+	if next.Discovery != r.cfg.Discovery {
+		r.node.SetDiscoveryAddr(next.Discovery)
+	}
+	r.cfg = next
+	return true
+}
+
+// logError logs an error unless it was the last one since the signal.
+func (r *reloader) logError(err error) {
+	if err.Error() == r.loggedError {
+		return
+	}
+	r.loggedError = err.Error()
+	r.log.Error("configuration reload failed, keeping the current one", zap.Error(err))
+}
--- a/internal/lifecycle/run.go
+++ b/internal/lifecycle/run.go
@@ -1,3 +1,5 @@
+// Package lifecycle starts and stops a node's process: listeners, event loop and servers, configuration reload, hot
+// restart and graceful shutdown.
 package lifecycle
 
 import (
@@ -13,211 +15,236 @@
 	"time"
 
 	"go.uber.org/zap"
-	"go.uber.org/zap/zapcore"
 	"golang.org/x/sync/errgroup"
 
-	"onyxstream/balancer"
-	"onyxstream/internal/coldstart"
 	"onyxstream/internal/control"
-	"onyxstream/internal/logging"
 	"onyxstream/internal/management"
 	"onyxstream/internal/node"
+	"onyxstream/internal/nodeconfig"
 	"onyxstream/internal/proxy"
+	"onyxstream/internal/wire"
 )
 
-const (
-	// noticed is when the front has surely noticed that a node stops and sends it no one any more.
-	noticed = 600 * time.Millisecond
-	// killGrace is how much later than the longest deadline the platform kills at the soonest; mostWait
-	// is the longest deadline that it waits for.
-	killGrace = 700 * time.Millisecond
-	mostWait  = 3 * time.Second
-	// early is how much before that the node is gone.
-	early = 200 * time.Millisecond
-	poll  = 20 * time.Millisecond
-)
+// managementSpareDescriptors are for the management listener, and for a connection that was just accepted.
+const managementSpareDescriptors = 2
+
+// process is one run of the node's program.
+type process struct {
+	cfg     nodeconfig.Config
+	options nodeconfig.Options
+	log     *zap.Logger
+	stop    context.Context // done once the process is signalled to stop
+
+	node        *node.Node
+	proxy       *proxy.Proxy
+	discovery   *proxy.Discovery
+	coordinator *coordinator
 
-// outside gives the loop the sockets beside its connections.
-type outside struct {
+	maxControlConnections int
+	clients               *clientListener
+	controlListeners      []control.Listener
+	management            net.Listener // nil where none is configured
+}
+
+// transport gives the event loop the sockets that are not clients' connections.
+type transport struct {
 	*proxy.Discovery
 	*proxy.Proxy
 }
 
-// Run is a node's life, from its configuration to a signal to stop. own is the project's own configuration; its zero
-// value turns nothing on.
-func Run(own Own) error {
-	// Before all else: a SIGHUP that nobody waits for ends the process.
-	again := make(chan os.Signal, 1)
-	signal.Notify(again, syscall.SIGHUP)
-	// And so does a SIGTERM: a node that is told to stop while it starts ends like any other, once it has started.
+// Run runs the node until a signal to stop; it returns nil after a graceful shutdown. The zero value of options turns
+// nothing on.
+func Run(options nodeconfig.Options) error {
+	// Before all else: without a handler, SIGHUP ends the process.
+	reload := make(chan os.Signal, 1)
+	signal.Notify(reload, syscall.SIGHUP)
+	// A process that is signalled to stop while it starts shuts down gracefully once it has started.
 	stop, cancelStop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer cancelStop()
-	// A log whose reader is gone must cost no more than its lines; a write to it would end the process.
+	// Without this, a write to a log whose reader is gone ends the process.
 	signal.Ignore(syscall.SIGPIPE)
-	cfg, err := Load()
+	cfg, err := nodeconfig.Load()
 	if err != nil {
 		return err
 	}
-	log := logger(cfg.Name)
+	log := newLogger(cfg.Name)
 	defer func() { _ = log.Sync() }()
 	runtime.GOMAXPROCS(max(int(math.Ceil(cfg.Cores)), 1))
-	debug.SetMemoryLimit(heap(cfg.MemoryMB))
-
-	conns := control.MaxConns(cfg.Sockets)
-	d, y := newDriver(cfg, own.Control.sockets(conns), log), proxy.NewDiscovery(log)
-	cold := own.ColdStart
-	known, service := cfg.Known, ""
-	var start *coldstart.Scheduler
-	if cold != nil {
-		service, known, start = cold.begin(cfg, log)
-	}
-	n := node.New(cfg.Settings, known, cfg.Discovery, outside{y, d}, log)
-	n.SetMemoryLimit(cfg.MemoryMB)
-	if cold != nil {
-		n.EnableColdStart(start, service)
-	}
-	d.Attach(n)
-	y.Attach(n)
+	debug.SetMemoryLimit(heapLimit(cfg.MemoryMB))
 
+	p := newProcess(stop, cfg, options, log)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	l, err := whileScarce(stop, log, func() (*listener, error) { return listen(ctx, cfg.Listen) })
+	if err := p.openListeners(ctx); err != nil {
+		return err
+	}
+	p.coordinator = newCoordinator(cfg, p.node, p.proxy, log)
+	defer p.coordinator.close()
+	log.Info("started",
+		zap.String("listen", cfg.Listen), zap.Int("known_hosts", len(cfg.KnownEndpoints.Endpoints)))
+	return p.serve(ctx, cancel, reload)
+}
+
+// newProcess builds the event loop and the proxy; nothing runs yet.
+func newProcess(
+	stop context.Context, cfg nodeconfig.Config, options nodeconfig.Options, log *zap.Logger,
+) *process {
+	maxControlConnections := control.MaxConns(cfg.Sockets)
+	p := &process{
+		cfg:                   cfg,
+		options:               options,
+		log:                   log,
+		stop:                  stop,
+		maxControlConnections: maxControlConnections,
+		proxy:                 newProxy(cfg, controlDescriptors(options.Control, maxControlConnections), log),
+		discovery:             proxy.NewDiscovery(log),
+	}
+	if options.ColdStart != nil {
+		start := newColdStart(options.ColdStart, cfg, log)
+		p.newNode(start.known)
+		p.node.EnableColdStart(start.scheduler, start.service)
+	} else {
+		p.newNode(cfg.KnownEndpoints)
+	}
+	p.proxy.Attach(p.node)
+	p.discovery.Attach(p.node)
+	return p
+}
+
+// newNode builds the event loop over the endpoints known.
+func (p *process) newNode(known wire.EndpointList) {
+	p.node = node.New(p.cfg.Settings, known, p.cfg.Discovery, transport{p.discovery, p.proxy}, p.log)
+	p.node.SetMemoryLimit(p.cfg.MemoryMB)
+}
+
+// newProxy builds the proxy; reservedDescriptors are those that the control listeners may take.
+func newProxy(cfg nodeconfig.Config, reservedDescriptors int, log *zap.Logger) *proxy.Proxy {
+	if cfg.Management != "" {
+		reservedDescriptors += management.MaxCallers + managementSpareDescriptors
+	}
+	defaultTimeout := time.Second
+	for _, class := range cfg.Settings.Classes {
+		defaultTimeout = max(defaultTimeout, class.Deadline)
+	}
+	return proxy.New(proxy.Config{
+		MaxDescriptors:      cfg.Sockets,
+		ConnectTimeout:      cfg.Settings.ConnectTimeout,
+		AnswerSlack:         cfg.Settings.AnswerSlack,
+		DefaultTimeout:      defaultTimeout,
+		MaxRetryAfter:       cfg.Settings.MaxRetryAfter,
+		Classes:             cfg.Settings.ClassNames,
+		ReservedDescriptors: reservedDescriptors,
+	}, log)
+}
+
+// openListeners opens all listeners. It retries while the system lacks resources; a signal to stop ends that.
+func (p *process) openListeners(ctx context.Context) (err error) {
+	p.clients, err = retryWhileExhausted(p.stop, p.log, func() (*clientListener, error) {
+		return openClientListener(ctx, p.cfg.Listen)
+	})
 	if err != nil {
 		return err
 	}
-	asked, err := whileScarce(stop, log, func() ([]control.Listener, error) { return own.Control.listeners(conns, log) })
+	p.controlListeners, err = retryWhileExhausted(p.stop, p.log, func() ([]control.Listener, error) {
+		return openControlListeners(p.options.Control, p.maxControlConnections, p.log)
+	})
 	if err != nil {
-		l.Close()
+		p.clients.Close()
 		return fmt.Errorf("control: %w", err)
 	}
-	var operators net.Listener
-	if cfg.Management != "" {
-		operators, err = whileScarce(stop, log, func() (net.Listener, error) { return proxy.Listen(ctx, cfg.Management) })
-		if err != nil {
-			l.Close()
-			return fmt.Errorf("management: %w", err)
-		}
-	}
-	both := newShared(cfg, n, d, log)
-	defer both.close()
-	log.Info("started", zap.String("listen", cfg.Listen), zap.Int("hosts known", len(cfg.Known.Endpoints)))
-	g, ctx := errgroup.WithContext(ctx)
-	g.Go(func() error { return n.Run(ctx) })
-	g.Go(func() error { return y.Run(ctx) })
-	orders := control.NewServer(&controlled{cfg.Name, n, time.Now(), stop}, newBoot(), conns, log)
-	both.begin(orders) // what operators have said holds from the first client on
-	g.Go(func() error { return l.serve(ctx, d) })
-	g.Go(func() error {
-		both.follow(ctx)
+	if p.cfg.Management == "" {
 		return nil
-	})
-	g.Go(func() error {
-		both.adopt(ctx)
-		return nil
-	})
-	if cold != nil {
-		cold.run(ctx, g, n, cfg.Settings.Settings, log)
 	}
-	if len(asked) > 0 {
-		g.Go(func() error { return orders.Serve(ctx, asked...) })
-	}
-	if operators != nil {
-		s := management.NewServer(&operated{node: n, driver: d, shared: both, stop: stop}, log)
-		g.Go(func() error { return s.Serve(ctx, operators) })
+	p.management, err = retryWhileExhausted(p.stop, p.log, func() (net.Listener, error) {
+		return proxy.Listen(ctx, p.cfg.Management)
+	})
+	if err != nil {
+		p.clients.Close()
+		return fmt.Errorf("management: %w", err)
 	}
-	g.Go(func() error {
-		follow(ctx, again, cfg, n, log)
+	return nil
+}
+
+// serve starts all tasks and waits for their end: after a signal to stop and the graceful shutdown, or after the
+// first error. The tasks end with the context, which cancel ends.
+func (p *process) serve(ctx context.Context, cancel context.CancelFunc, reload <-chan os.Signal) error {
+	group, ctx := errgroup.WithContext(ctx)
+	p.startEventLoop(ctx, group)
+	controlServer := p.newControlServer()
+	p.coordinator.start(controlServer) // overrides of earlier processes hold from the first client on
+	p.startClientTasks(ctx, group)
+	p.startServers(ctx, group, controlServer)
+	group.Go(func() error {
+		reloader := &reloader{cfg: p.cfg, node: p.node, log: p.log}
+		reloader.run(ctx, reload)
 		return nil
 	})
-	g.Go(func() error {
-		select {
-		case <-stop.Done():
-			log.Info("told to stop", zap.Int64("owed", n.InFlightRequests()), zap.Int64("open", n.EstablishedConnections()))
-			by := lastMoment(cfg.Settings.Settings)
-			n.BeginShutdown(by.Add(-early)) // clients may wait for longer than the node lasts
-			both.end()                      // behind those two: it writes a file, and the time has begun
-			begin, successor := time.Now(), func() bool { return l.inherited && both.ready() }
-			if drain(n, d, cfg.Settings.PassThrough, begin, by, successor) {
-				l.Close() // who waits at the door is the other process's
-				hand(n, d, by, both)
-			} else if l.empty() {
-				drain(n, d, cfg.Settings.PassThrough, begin, by, successor) // who waited at the door until now
-			}
-			log.Info("stopped", zap.Int64("owed", n.InFlightRequests()), zap.Int64("open", n.EstablishedConnections()), zap.Uint64("rules broken", n.Monitor().Total()))
-		case <-ctx.Done():
-		}
-		l.Close()
-		l.ended() // whoever was accepted in this moment is the driver's by now
-		d.Shutdown(cfg.Settings.PassThrough)
+	group.Go(func() error {
+		p.awaitStop(ctx)
 		cancel()
 		return nil
 	})
-	return g.Wait()
+	return group.Wait()
 }
 
-// drain goes on serving until the front has noticed, since begin, and nothing is owed, open or in the middle of its first
-// line, or the time is up. Where packets
-// pass through, what is open goes on here for as long as that, and then by way of other nodes, one of which may just
-// have come back; elsewhere every client is sent away, spread over the time there is so that the others don't get
-// them all at once.
-// Should another process of the node be there to take over, now or in the meantime, it returns true at once.
-func drain(n *node.Node, d *proxy.Proxy, pass bool, begin, by time.Time, successor func() bool) bool {
-	moved := pass
-	for now := time.Now(); now.Before(by) && (now.Sub(begin) < noticed || n.EstablishedConnections()+int64(d.PendingRequests()+d.PendingOpenings()) > 0); now = time.Now() {
-		if successor() {
-			return true
-		}
-		if !moved && now.Sub(begin) >= noticed {
-			n.MigrateAll(by.Add(-4 * early))
-			moved = true
-		}
-		time.Sleep(poll)
-	}
-	return false
+func (p *process) startEventLoop(ctx context.Context, group *errgroup.Group) {
+	group.Go(func() error { return p.node.Run(ctx) })
+	group.Go(func() error { return p.discovery.Run(ctx) })
 }
 
-// lastMoment is when a node that is told to stop now is gone at the latest.
-func lastMoment(set balancer.Settings) time.Time {
-	longest := time.Duration(0)
-	for _, c := range set.Classes {
-		longest = max(longest, c.Deadline)
+// startClientTasks starts what clients' connections come from: the listener, other processes, and the list cache and
+// peers.
+func (p *process) startClientTasks(ctx context.Context, group *errgroup.Group) {
+	group.Go(func() error { return p.clients.serve(ctx, p.proxy) })
+	group.Go(func() error {
+		p.coordinator.run(ctx)
+		return nil
+	})
+	group.Go(func() error {
+		p.coordinator.acceptConnections(ctx)
+		return nil
+	})
+	if p.options.ColdStart != nil {
+		startColdStartTasks(ctx, group, p.options.ColdStart, p.node, p.cfg.Settings.Settings, p.log)
 	}
-	return time.Now().Add(min(longest, mostWait) + killGrace - early)
 }
 
-// hand ends a process beside the one that takes over: what stands goes there, what is wanted is answered here and goes
-// there once it stands, and whoever was accepted is heard. Where nothing can be handed over, all are sent away, spread
-// over the time there is: no packet of theirs would find its way to another process.
-func hand(n *node.Node, d *proxy.Proxy, by time.Time, both *shared) {
-	if both.give(n, by.Add(-5*early)); n.EstablishedConnections() > 0 {
-		n.MigrateAll(by.Add(-2 * early))
-	}
-	for time.Now().Before(by) && n.InFlightRequests()+n.EstablishedConnections()+int64(d.PendingOpenings()) > 0 {
-		time.Sleep(poll)
-	}
+func (p *process) newControlServer() *control.Server {
+	instance := &controlInstance{
+		name:      p.cfg.Name,
+		node:      p.node,
+		startedAt: time.Now(),
+		stop:      p.stop,
+	}
+	return control.NewServer(instance, newIncarnation(), p.maxControlConnections, p.log)
 }
 
-// newDriver makes the driver of a node of which others than its clients take so many descriptors.
-func newDriver(cfg Config, others int, log *zap.Logger) *proxy.Proxy {
-	patience := time.Second
-	if cfg.Management != "" {
-		others += management.MaxCallers + 2 // the listener, and one just accepted
-	}
-	for _, c := range cfg.Settings.Classes {
-		patience = max(patience, c.Deadline)
+// startServers starts the servers of the control and management listeners that are configured.
+func (p *process) startServers(ctx context.Context, group *errgroup.Group, controlServer *control.Server) {
+	if len(p.controlListeners) > 0 {
+		group.Go(func() error { return controlServer.Serve(ctx, p.controlListeners...) })
+	}
+	if p.management != nil {
+		operations := &managementOperations{
+			node:        p.node,
+			proxy:       p.proxy,
+			coordinator: p.coordinator,
+			stop:        p.stop,
+		}
+		server := management.NewServer(operations, p.log)
+		group.Go(func() error { return server.Serve(ctx, p.management) })
 	}
-	return proxy.New(proxy.Config{MaxDescriptors: cfg.Sockets, ConnectTimeout: cfg.Settings.ConnectTimeout,
-		AnswerSlack: cfg.Settings.AnswerSlack, DefaultTimeout: patience, MaxRetryAfter: cfg.Settings.MaxRetryAfter,
-		Classes: cfg.Settings.ClassNames, ReservedDescriptors: others}, log)
 }
 
-// logger writes lines to standard error, and waits for none of them. Of one message only the first few of a second and then every
-// thousandth get through: trouble comes in thousands, and the log must not become trouble of its own.
-func logger(name string) *zap.Logger {
-	out := logging.New(os.Stderr)
-	if os.Getenv("PROXY_DEBUG") != "" { // to follow each connection, none may be left out
-		return zap.New(logging.NewCore(out, zap.DebugLevel)).With(zap.String("node", name))
-	}
-	core := logging.NewCore(out, zap.InfoLevel)
-	return zap.New(zapcore.NewSamplerWithOptions(core, time.Second, 5, 1000)).With(zap.String("node", name))
+// awaitStop waits for a signal to stop and shuts down gracefully, or for the end of the context. Then it ends all
+// client connections.
+func (p *process) awaitStop(ctx context.Context) {
+	select {
+	case <-p.stop.Done():
+		p.shutDownGracefully()
+	case <-ctx.Done():
+	}
+	p.clients.Close()
+	p.clients.awaitServeEnd() // a client that is accepted at this moment is known to the proxy by then
+	p.proxy.Shutdown(p.cfg.Settings.PassThrough)
 }
--- a/internal/scaletest/hollow.go
+++ b/internal/scaletest/hollow.go
@@ -12,9 +12,9 @@
 	"golang.org/x/sync/errgroup"
 
 	"onyxstream/balancer"
-	"onyxstream/internal/lifecycle"
 	"onyxstream/internal/logging"
 	"onyxstream/internal/node"
+	"onyxstream/internal/nodeconfig"
 	"onyxstream/internal/proxy"
 )
 
@@ -36,7 +36,7 @@
 
 // RunHollow runs n hollow nodes, each with the configuration given but for its place among them, until the context ends
 // or the commands do. It writes the log lines of a real node to log.
-func RunHollow(ctx context.Context, cfg lifecycle.Config, n int, commands io.Reader, log io.Writer) error {
+func RunHollow(ctx context.Context, cfg nodeconfig.Config, n int, commands io.Reader, log io.Writer) error {
 	logger := zap.New(logging.NewCore(zapcore.Lock(zapcore.AddSync(log)), zap.DebugLevel))
 	nodes := make([]*hollow, n)
 	for i := range nodes {
@@ -62,13 +62,13 @@
 	return lines.Err()
 }
 
-func startHollow(ctx context.Context, cfg lifecycle.Config, i, n int, logger *zap.Logger) *hollow {
+func startHollow(ctx context.Context, cfg nodeconfig.Config, i, n int, logger *zap.Logger) *hollow {
 	set := cfg.Settings
 	set.NodeIndex, set.NodeCount = i, n
 	set.Seed += uint64(i)
 	log := logger.With(zap.String("node", fmt.Sprint("n", i+1)))
 	follower := proxy.NewDiscovery(log)
-	loop := node.New(set, cfg.Known, cfg.Discovery, sockets{follower}, log)
+	loop := node.New(set, cfg.KnownEndpoints, cfg.Discovery, sockets{follower}, log)
 	follower.Attach(loop)
 	h := &hollow{index: i, done: make(chan struct{})}
 	ctx, h.cancel = context.WithCancel(ctx)
--- a/internal/sealedfile/sealedfile.go
+++ b/internal/sealedfile/sealedfile.go
@@ -1,5 +1,5 @@
-// Package sealedfile reads and writes the small files by which the processes of one machine exchange state. A file is one
-// header line with the name of its format, a checksum and a length, followed by a JSON value.
+// Package sealedfile reads and writes the small files by which the processes of one machine exchange state. A file is
+// one header line with the name of its format, a checksum and a length, followed by a JSON value.
 package sealedfile
 
 import (
@@ -49,8 +49,8 @@
 	return crc32.Checksum(body, crc32.MakeTable(crc32.Castagnoli))
 }
 
-// Decode reads into value what Encode returned for the same format. A format's name ends in a version of one character. A
-// content that is cut, changed or has unknown fields is an error.
+// Decode reads into value what Encode returned for the same format. A format's name ends in a version of one
+// character. A content that is cut, changed or has unknown fields is an error.
 func Decode(format string, text []byte, value any) error {
 	header, body, hasBody := bytes.Cut(text, []byte("\n"))
 	var gotFormat string
@@ -86,8 +86,8 @@
 	return text, err
 }
 
-// Write replaces a file atomically for other processes, and for a kill at any point. It does not sync: the file need not
-// outlive the machine.
+// Write replaces a file atomically for other processes, and for a kill at any point. It does not sync: the file need
+// not outlive the machine.
 func Write(path string, text []byte) error {
 	temporary := path + temporarySuffix
 	if err := os.WriteFile(temporary, text, 0o600); err != nil {
--- a/internal/sharedstate/drain.go
+++ b/internal/sharedstate/drain.go
@@ -6,8 +6,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// Drain is the drain of the node itself. Its two times are kept on both of the machine's clocks: a reader goes by the time
-// since boot, which no step of the wall clock moves, where both have it.
+// Drain is the drain of the node itself. Its two times are kept on both of the machine's clocks: a reader goes by the
+// time since boot, which no step of the wall clock moves, where both have it.
 type Drain struct {
 	Active bool `json:"on"`
 	// Deadline is when the established connections are to be gone.
@@ -30,8 +30,8 @@
 	return d.Deadline.Sub(now.Wall), d.AdmissionCutoff.Sub(now.Wall)
 }
 
-// ClockReading is a reading of the machine's clocks: the wall clock, which may be stepped, and the time since boot, which
-// all processes of the machine share.
+// ClockReading is a reading of the machine's clocks: the wall clock, which may be stepped, and the time since boot,
+// which all processes of the machine share.
 type ClockReading struct {
 	Wall time.Time
 	Boot time.Duration // 0 where the system has no such clock
@@ -47,7 +47,8 @@
 	return now
 }
 
-// NewDrain returns an active drain that begins at the reading, with its deadline and its admission cutoff so much later.
+// NewDrain returns an active drain that begins at the reading, with its deadline and its admission cutoff so much
+// later.
 func (r ClockReading) NewDrain(untilDeadline, untilCutoff time.Duration) Drain {
 	drain := Drain{
 		Active:          true,
--- a/internal/sharedstate/processes.go
+++ b/internal/sharedstate/processes.go
@@ -36,7 +36,8 @@
 	return err
 }
 
-// MarkDescriptor returns the descriptor of this process's mark. It proves to others that the process is one of the node.
+// MarkDescriptor returns the descriptor of this process's mark. It proves to others that the process is one of the
+// node.
 func (s *Store) MarkDescriptor() int { return int(s.mark.Fd()) }
 
 // MarkPath returns the path of a process's mark.
--- a/internal/sharedstate/state.go
+++ b/internal/sharedstate/state.go
@@ -1,5 +1,5 @@
-// Package sharedstate keeps what all processes of one node share, in a folder: the operators' overrides, which hold for the
-// node and not for one process of it, and a mark for each process that is alive.
+// Package sharedstate keeps what all processes of one node share, in a folder: the operators' overrides, which hold
+// for the node and not for one process of it, and a mark for each process that is alive.
 package sharedstate
 
 import (
@@ -21,8 +21,8 @@
 	resumeRetention = 2 * time.Minute
 )
 
-// State is what holds for all processes of a node. Serial counts its changes. Each entry carries the serial of its own last
-// change, by which a process knows the entries that it has not applied yet.
+// State is what holds for all processes of a node. Serial counts its changes. Each entry carries the serial of its
+// own last change, by which a process knows the entries that it has not applied yet.
 type State struct {
 	Node      string         `json:"node"`
 	Serial    uint64         `json:"serial"`
@@ -41,7 +41,8 @@
 // ErrOverrideLimit is returned where a state would have more overrides than it may.
 var ErrOverrideLimit = fmt.Errorf("host override limit of %d reached", maxOverrides)
 
-// SetOverride sets the override of a host, given at a time. It drops other hosts' resumptions that are past their retention.
+// SetOverride sets the override of a host, given at a time. It drops other hosts' resumptions that are past their
+// retention.
 func (s *State) SetOverride(host string, draining bool, at time.Time) error {
 	s.dropExpiredResumptions(host, at)
 	i := slices.IndexFunc(s.Overrides, func(o HostOverride) bool { return o.Host == host })
@@ -82,7 +83,8 @@
 // Encode returns the content of the state's file.
 func (s *State) Encode() ([]byte, error) { return sealedfile.Encode(stateFormat, s) }
 
-// Decode reads the content of a node's state file. It returns an error for anything but what Encode returned for this node.
+// Decode reads the content of a node's state file. It returns an error for anything but what Encode returned for this
+// node.
 func Decode(text []byte, node string) (State, error) {
 	var state State
 	if err := sealedfile.Decode(stateFormat, text, &state); err != nil {
--- a/internal/sharedstate/store.go
+++ b/internal/sharedstate/store.go
@@ -23,8 +23,8 @@
 	lockRetryInterval = 2 * time.Millisecond
 )
 
-// Store keeps the state of one node in a folder that the node's processes share, and marks this process as alive there. Its
-// methods may be called from any goroutine.
+// Store keeps the state of one node in a folder that the node's processes share, and marks this process as alive
+// there. Its methods may be called from any goroutine.
 type Store struct {
 	folder     string
 	filePrefix string // of all files of this node
@@ -71,7 +71,8 @@
 	_ = s.mark.Close()
 }
 
-// nodeFilePrefix begins the names of a node's files. It is a hash: a node's name may have characters that a file's may not.
+// nodeFilePrefix begins the names of a node's files. It is a hash: a node's name may have characters that a file's
+// may not.
 func nodeFilePrefix(node string) string {
 	return fmt.Sprintf("onyxstream-%016x", xxhash.Sum64String(node))
 }
@@ -122,9 +123,9 @@
 // Unwrap returns the reason.
 func (e *DamageError) Unwrap() error { return e.Err }
 
-// Load returns the state as it is now; changed is false where it is as this process knew it. A file that can't be used is
-// a DamageError, returned once for each version of the file. After any other error the next call reads the file again.
-// After each error state is the last one known.
+// Load returns the state as it is now; changed is false where it is as this process knew it. A file that can't be
+// used is a DamageError, returned once for each version of the file. After any other error the next call reads the
+// file again. After each error state is the last one known.
 func (s *Store) Load() (state State, changed bool, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -163,8 +164,9 @@
 		info.ModTime().Equal(s.lastInfo.ModTime()) && info.Size() == s.lastInfo.Size()
 }
 
-// Update changes the state atomically, in one order for all processes. A damaged file is replaced by the last state known.
-// A file that can't be read now may have changes of other processes, so it is left as it is and the error returned.
+// Update changes the state atomically, in one order for all processes. A damaged file is replaced by the last state
+// known. A file that can't be read now may have changes of other processes, so it is left as it is and the error
+// returned.
 func (s *Store) Update(change func(*State) error) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
