--- a/internal/hotrestart/offer.go
+++ b/internal/hotrestart/offer.go
@@ -141,7 +141,8 @@
 func readAccepted(path string, accepted []bool) {
 	defer func() { _ = os.Remove(path + acceptedSuffix) }()
 	text, err := sealedfile.Read(path + acceptedSuffix)
-	for deadline := time.Now().Add(offerTimeout); err != nil && time.Now().Before(deadline); time.Sleep(offerPollInterval) {
+	deadline := time.Now().Add(offerTimeout)
+	for ; err != nil && time.Now().Before(deadline); time.Sleep(offerPollInterval) {
 		text, err = sealedfile.Read(path + acceptedSuffix)
 	}
 	if err != nil {
--- a/internal/hotrestart/stored_test.go
+++ b/internal/hotrestart/stored_test.go
@@ -29,11 +29,29 @@
 	if err := sealedfile.Decode(offerFormat, text, &got); err != nil {
 		t.Fatal(err)
 	}
-	want := offer{Node: "n1", PID: 4711, Number: 7, Mark: 3, Connections: []OfferedConn{
-		{Line: "OPEN id=c1 class=chat d=1000", Host: "host-a", Client: Socket{11, "127.0.0.1:40001"}, Peer: Socket{12, "127.0.0.1:9001"},
-			Partial: []byte("half a li"), Load: 2.5},
-		{Line: "OPEN id=c2 class=chat d=900", Host: "host-b", Client: Socket{13, "127.0.0.1:40002"}, Peer: Socket{14, "127.0.0.1:9002"}}},
-		PingBaselines: []PingBaseline{{"host-a", 1764590400000, 350 * time.Microsecond}}}
+	want := offer{
+		Node:   "n1",
+		PID:    4711,
+		Number: 7,
+		Mark:   3,
+		Connections: []OfferedConn{
+			{
+				Line:    "OPEN id=c1 class=chat d=1000",
+				Host:    "host-a",
+				Client:  Socket{11, "127.0.0.1:40001"},
+				Peer:    Socket{12, "127.0.0.1:9001"},
+				Partial: []byte("half a li"),
+				Load:    2.5,
+			},
+			{
+				Line:   "OPEN id=c2 class=chat d=900",
+				Host:   "host-b",
+				Client: Socket{13, "127.0.0.1:40002"},
+				Peer:   Socket{14, "127.0.0.1:9002"},
+			},
+		},
+		PingBaselines: []PingBaseline{{"host-a", 1764590400000, 350 * time.Microsecond}},
+	}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Error(diff)
 	}
--- a/internal/lifecycle/coldstart.go
+++ b/internal/lifecycle/coldstart.go
@@ -56,7 +56,8 @@
 }
 
 func newScheduler(
-	options *nodeconfig.ColdStart, cfg nodeconfig.Config, service string, source coldstart.Source, known coldstart.Offer,
+	options *nodeconfig.ColdStart, cfg nodeconfig.Config,
+	service string, source coldstart.Source, known coldstart.Offer,
 ) *coldstart.Scheduler {
 	settings := cfg.Settings
 	config := coldstart.Config{
--- a/internal/lifecycle/management.go
+++ b/internal/lifecycle/management.go
@@ -7,6 +7,7 @@
 
 	"onyxstream/internal/control"
 	"onyxstream/internal/management"
+	"onyxstream/internal/multiprocess"
 	"onyxstream/internal/node"
 	"onyxstream/internal/proxy"
 )
@@ -27,7 +28,7 @@
 type managementOperations struct {
 	node        *node.Node
 	proxy       *proxy.Proxy
-	coordinator *coordinator
+	coordinator *multiprocess.Coordinator
 	stop        context.Context // done once the process is signalled to stop
 }
 
@@ -60,17 +61,17 @@
 
 // DrainHost drains a host.
 func (m *managementOperations) DrainHost(id string) error {
-	return m.coordinator.setHostOverride(id, true)
+	return m.coordinator.SetHostOverride(id, true)
 }
 
 // ResumeHost ends the drain of a host.
 func (m *managementOperations) ResumeHost(id string) error {
-	return m.coordinator.setHostOverride(id, false)
+	return m.coordinator.SetHostOverride(id, false)
 }
 
 // Drain drains the node. Established connections are migrated, except in pass-through mode.
 func (m *managementOperations) Drain() error {
-	return m.coordinator.setDrain(control.Command{
+	return m.coordinator.SetDrain(control.Command{
 		Kind:            control.Drain,
 		DrainTimeout:    managementDrainTimeout,
 		AdmitFor:        managementAdmitFor,
@@ -80,5 +81,5 @@
 
 // Resume ends a drain of the node.
 func (m *managementOperations) Resume() error {
-	return m.coordinator.setDrain(control.Command{Kind: control.Resume})
+	return m.coordinator.SetDrain(control.Command{Kind: control.Resume})
 }
--- a/internal/lifecycle/management_test.go
+++ b/internal/lifecycle/management_test.go
@@ -3,6 +3,8 @@
 import (
 	"context"
 	"errors"
+	"os"
+	"path/filepath"
 	"testing"
 	"time"
 
@@ -10,40 +12,60 @@
 
 	"onyxstream/balancer"
 	"onyxstream/internal/control"
+	"onyxstream/internal/multiprocess"
 	"onyxstream/internal/node"
-	"onyxstream/internal/nodeconfig"
 	"onyxstream/internal/proxy"
 	"onyxstream/internal/settings"
+	"onyxstream/internal/sharedstate"
 	"onyxstream/internal/wire"
 )
 
-// blockedNode returns a node whose event loop does not run.
-func blockedNode(t *testing.T) (*managementOperations, *node.Node) {
+// blockedNode returns a node whose event loop does not run, with a shared folder.
+func blockedNode(t *testing.T, folder string) (*managementOperations, *node.Node) {
 	t.Helper()
-	return blockedNodeIn(t, t.TempDir())
+	log := zap.NewNop()
+	clients := proxy.New(proxy.Config{MaxDescriptors: 256, Classes: []string{"chat"}}, log)
+	parsed := settings.Settings{
+		Settings:   balancer.Settings{Classes: []balancer.Class{{Deadline: time.Second}}},
+		ClassNames: []string{"chat"},
+	}
+	known := wire.EndpointList{Complete: true, Endpoints: []wire.Endpoint{{ID: "h1", Addr: "127.0.0.1:1", Size: 1}}}
+	n := node.New(parsed, known, "127.0.0.1:1", transport{proxy.NewDiscovery(log), clients}, log)
+	clients.Attach(n)
+	cfg := multiprocess.Config{Node: "n1", Folder: folder, Sockets: 256, MemoryMB: 64}
+	coordinator := multiprocess.NewCoordinator(cfg, n, clients, log)
+	t.Cleanup(coordinator.Close)
+	instance := &controlInstance{name: "n1", node: n, startedAt: time.Now(), stop: t.Context()}
+	coordinator.Start(control.NewServer(instance, newIncarnation(), control.MaxConns(256), log))
+	operations := &managementOperations{node: n, proxy: clients, coordinator: coordinator, stop: t.Context()}
+	return operations, n
 }
 
-// blockedNodeIn returns one with a shared folder.
-func blockedNodeIn(t *testing.T, dir string) (*managementOperations, *node.Node) {
+// readOverrides reads the overrides of node "n1" in a shared folder, as another process does.
+func readOverrides(t *testing.T, folder string) []sharedstate.HostOverride {
 	t.Helper()
-	log := zap.NewNop()
-	cfg := nodeconfig.Config{Name: "n1", Sockets: 256, MemoryMB: 64, Management: "127.0.0.1:1"}
-	t.Setenv("TMPDIR", dir)
-	d, y := proxy.New(proxy.Config{MaxDescriptors: 256, Classes: []string{"chat"}}, log), proxy.NewDiscovery(log)
-	set := settings.Settings{Settings: balancer.Settings{Classes: []balancer.Class{{Deadline: time.Second}}}, ClassNames: []string{"chat"}}
-	known := wire.EndpointList{Complete: true, Endpoints: []wire.Endpoint{{ID: "h1", Addr: "127.0.0.1:1", Size: 1}}}
-	n := node.New(set, known, "127.0.0.1:1", transport{y, d}, log)
-	d.Attach(n)
-	c := newCoordinator(cfg, n, d, log)
-	t.Cleanup(c.close)
-	instance := &controlInstance{name: cfg.Name, node: n, startedAt: time.Now(), stop: t.Context()}
-	c.start(control.NewServer(instance, newIncarnation(), control.MaxConns(256), log))
-	return &managementOperations{node: n, proxy: d, coordinator: c, stop: t.Context()}, n
+	files, err := filepath.Glob(filepath.Join(folder, "*.words"))
+	if err != nil || len(files) > 1 {
+		t.Fatalf("%v, %v", files, err)
+	}
+	if len(files) == 0 {
+		return nil
+	}
+	text, err := os.ReadFile(files[0])
+	if err != nil {
+		t.Fatal(err)
+	}
+	state, err := sharedstate.Decode(text, "n1")
+	if err != nil {
+		t.Fatal(err)
+	}
+	return state.Overrides
 }
 
 // While the event loop is blocked, counters are returned and overrides are rejected, here and for other processes.
 func TestManagement_LoopBlocked_RejectsOverrides(t *testing.T) {
-	operations, n := blockedNode(t)
+	folder := t.TempDir()
+	operations, n := blockedNode(t, folder)
 	if err := operations.Ready(); err != nil {
 		t.Error(err)
 	}
@@ -53,8 +75,8 @@
 	if err := operations.DrainHost("h1"); !errors.Is(err, node.ErrLoopBusy) {
 		t.Errorf("an override: %v", err)
 	}
-	if d, _, err := loadState(operations); err != nil || len(d.Overrides) > 0 {
-		t.Errorf("the shared state is %+v, %v", d, err)
+	if overrides := readOverrides(t, folder); len(overrides) > 0 {
+		t.Errorf("other processes read %+v", overrides)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
@@ -65,7 +87,7 @@
 	if err := operations.ResumeHost("h2"); !errors.Is(err, node.ErrUnknownHost) {
 		t.Errorf("an unknown host: %v", err)
 	}
-	if d, _, err := loadState(operations); err != nil || len(d.Overrides) != 1 || !d.Overrides[0].Draining {
-		t.Errorf("the shared state is %+v, %v", d, err)
+	if overrides := readOverrides(t, folder); len(overrides) != 1 || !overrides[0].Draining {
+		t.Errorf("other processes read %+v", overrides)
 	}
 }
--- a/internal/lifecycle/peerpoll_test.go
+++ b/internal/lifecycle/peerpoll_test.go
@@ -17,9 +17,10 @@
 
 // Polling peers does not end where the keys can't be read for a moment.
 func TestPeerPoller_KeysUnreadableForAMoment_GoesOn(t *testing.T) {
-	_, n := blockedNode(t)
-	n.EnableColdStart(coldstart.New(coldstart.Config{NodeCount: 2, PollInterval: time.Second, Service: "s"}, rand.New(rand.NewPCG(1, 2)), 0, coldstart.NoSource,
-		coldstart.Offer{}), "s")
+	_, n := blockedNode(t, t.TempDir())
+	cfg := coldstart.Config{NodeCount: 2, PollInterval: time.Second, Service: "s"}
+	scheduler := coldstart.New(cfg, rand.New(rand.NewPCG(1, 2)), 0, coldstart.NoSource, coldstart.Offer{})
+	n.EnableColdStart(scheduler, "s")
 	dir := t.TempDir()
 	if err := pki.Create(dir, "test"); err != nil {
 		t.Fatal(err)
@@ -27,7 +28,11 @@
 	if _, err := pki.Issue(dir, "n1", pki.Look, time.Hour); err != nil {
 		t.Fatal(err)
 	}
-	files := &pki.Files{Cert: filepath.Join(dir, "n1.crt"), Key: filepath.Join(dir, "n1.key"), Authority: filepath.Join(dir, "authority.crt")}
+	files := &pki.Files{
+		Cert:      filepath.Join(dir, "n1.crt"),
+		Key:       filepath.Join(dir, "n1.key"),
+		Authority: filepath.Join(dir, "authority.crt"),
+	}
 	poller := &peerPoller{
 		options: &nodeconfig.ColdStart{Keys: files, Peers: []nodeconfig.Peer{{Addr: "127.0.0.1:1", Name: "n2"}}},
 		node:    n,
--- a/internal/lifecycle/run.go
+++ b/internal/lifecycle/run.go
@@ -19,6 +19,7 @@
 
 	"onyxstream/internal/control"
 	"onyxstream/internal/management"
+	"onyxstream/internal/multiprocess"
 	"onyxstream/internal/node"
 	"onyxstream/internal/nodeconfig"
 	"onyxstream/internal/proxy"
@@ -28,6 +29,9 @@
 // managementSpareDescriptors are for the management listener, and for a connection that was just accepted.
 const managementSpareDescriptors = 2
 
+// sharedFolderVariable names the folder that the processes of a node share.
+const sharedFolderVariable = "TMPDIR"
+
 // process is one run of the node's program.
 type process struct {
 	cfg     nodeconfig.Config
@@ -38,7 +42,7 @@
 	node        *node.Node
 	proxy       *proxy.Proxy
 	discovery   *proxy.Discovery
-	coordinator *coordinator
+	coordinator *multiprocess.Coordinator
 
 	maxControlConnections int
 	clients               *clientListener
@@ -70,7 +74,7 @@
 	log := newLogger(cfg.Name)
 	defer func() { _ = log.Sync() }()
 	runtime.GOMAXPROCS(max(int(math.Ceil(cfg.Cores)), 1))
-	debug.SetMemoryLimit(heapLimit(cfg.MemoryMB))
+	debug.SetMemoryLimit(nodeconfig.HeapLimit(cfg.MemoryMB))
 
 	p := newProcess(stop, cfg, options, log)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -78,8 +82,8 @@
 	if err := p.openListeners(ctx); err != nil {
 		return err
 	}
-	p.coordinator = newCoordinator(cfg, p.node, p.proxy, log)
-	defer p.coordinator.close()
+	p.coordinator = p.newCoordinator()
+	defer p.coordinator.Close()
 	log.Info("started",
 		zap.String("listen", cfg.Listen), zap.Int("known_hosts", len(cfg.KnownEndpoints.Endpoints)))
 	return p.serve(ctx, cancel, reload)
@@ -137,6 +141,29 @@
 	}, log)
 }
 
+func (p *process) newCoordinator() *multiprocess.Coordinator {
+	cfg := multiprocess.Config{
+		Node:     p.cfg.Name,
+		Folder:   sharedFolder(p.cfg, p.log),
+		Sockets:  p.cfg.Sockets,
+		MemoryMB: p.cfg.MemoryMB,
+	}
+	return multiprocess.NewCoordinator(cfg, p.node, p.proxy, p.log)
+}
+
+// sharedFolder returns the folder that the node's processes share: "" unless operators can call the node or the
+// platform may start it twice.
+func sharedFolder(cfg nodeconfig.Config, log *zap.Logger) string {
+	if cfg.Management == "" && os.Getenv(listenerVariable) == "" {
+		return ""
+	}
+	folder := os.Getenv(sharedFolderVariable)
+	if folder == "" {
+		log.Warn("TMPDIR is not set: overrides hold in this process only")
+	}
+	return folder
+}
+
 // openListeners opens all listeners. It retries while the system lacks resources; a signal to stop ends that.
 func (p *process) openListeners(ctx context.Context) (err error) {
 	p.clients, err = retryWhileExhausted(p.stop, p.log, func() (*clientListener, error) {
@@ -171,7 +198,7 @@
 	group, ctx := errgroup.WithContext(ctx)
 	p.startEventLoop(ctx, group)
 	controlServer := p.newControlServer()
-	p.coordinator.start(controlServer) // overrides of earlier processes hold from the first client on
+	p.coordinator.Start(controlServer) // overrides of earlier processes hold from the first client on
 	p.startClientTasks(ctx, group)
 	p.startServers(ctx, group, controlServer)
 	group.Go(func() error {
@@ -197,11 +224,11 @@
 func (p *process) startClientTasks(ctx context.Context, group *errgroup.Group) {
 	group.Go(func() error { return p.clients.serve(ctx, p.proxy) })
 	group.Go(func() error {
-		p.coordinator.run(ctx)
+		p.coordinator.Run(ctx)
 		return nil
 	})
 	group.Go(func() error {
-		p.coordinator.acceptConnections(ctx)
+		p.coordinator.AcceptConnections(ctx)
 		return nil
 	})
 	if p.options.ColdStart != nil {
--- a/internal/lifecycle/shutdown.go
+++ b/internal/lifecycle/shutdown.go
@@ -6,6 +6,7 @@
 	"go.uber.org/zap"
 
 	"onyxstream/balancer"
+	"onyxstream/internal/multiprocess"
 	"onyxstream/internal/node"
 	"onyxstream/internal/proxy"
 )
@@ -60,14 +61,14 @@
 		zap.Int64("in_flight", p.node.InFlightRequests()), zap.Int64("established", p.node.EstablishedConnections()))
 	deadline := shutdownDeadline(p.cfg.Settings.Settings)
 	p.node.BeginShutdown(deadline.Add(-answerMargin))
-	p.coordinator.beginShutdown() // behind the above: it writes a file, and the grace period runs
+	p.coordinator.BeginShutdown() // behind the above: it writes a file, and the grace period runs
 	shutdown := &gracefulShutdown{
 		node:           p.node,
 		proxy:          p.proxy,
 		passThrough:    p.cfg.Settings.PassThrough,
 		startedAt:      time.Now(),
 		deadline:       deadline,
-		successorReady: func() bool { return p.clients.inherited && p.coordinator.successorReady() },
+		successorReady: func() bool { return p.clients.inherited && p.coordinator.SuccessorReady() },
 	}
 	if shutdown.drain() {
 		p.clients.Close() // the successor accepts the clients in the queue
@@ -111,8 +112,8 @@
 
 // handOff passes the connections to the successor and waits until no client is left, or the deadline. Requests in
 // flight are answered here, and passed on once established. Connections that can't be passed on are migrated.
-func (s *gracefulShutdown) handOff(coordinator *coordinator) {
-	coordinator.handOff(s.deadline.Add(-handOffMargin))
+func (s *gracefulShutdown) handOff(coordinator *multiprocess.Coordinator) {
+	coordinator.HandOff(s.deadline.Add(-handOffMargin))
 	if s.node.EstablishedConnections() > 0 {
 		s.node.MigrateAll(s.deadline.Add(-handOffFallbackMargin))
 	}
--- a/internal/lifecycle/shutdown_test.go
+++ b/internal/lifecycle/shutdown_test.go
@@ -11,7 +11,7 @@
 
 // The drain of a shutdown ends as soon as a successor is ready, also where that is late.
 func TestDrain_SuccessorReadyLate_EndsForHandOff(t *testing.T) {
-	_, n := blockedNode(t)
+	_, n := blockedNode(t, t.TempDir())
 	calls := 0
 	shutdown := &gracefulShutdown{
 		node:        n,
--- a/internal/lifecycle/coordinator.go
+++ b/internal/multiprocess/coordinator.go
@@ -1,8 +1,11 @@
-package lifecycle
+// Package multiprocess keeps the processes of one node in agreement during a hot restart: overrides that operators
+// set in one hold in all, they divide the node's limits between them, and connections pass from one to its successor.
+// All of it goes through a shared folder. Without one, or while it can't be used, an override holds in the process
+// where it was set.
+package multiprocess
 
 import (
 	"context"
-	"os"
 	"runtime/debug"
 	"sync"
 	"sync/atomic"
@@ -21,23 +24,23 @@
 // syncInterval is how often a process reads the shared state: an override is in force in all processes within a second.
 const syncInterval = 100 * time.Millisecond
 
-// sharedFolderVariable names the folder that the processes of a node share.
-const sharedFolderVariable = "TMPDIR"
-
-// coordinator keeps the processes of one node in agreement during a hot restart: overrides that operators set in one
-// hold in all, they divide the node's limits between them, and connections pass from one to its successor. All of it
-// goes through a shared folder. Without one, or while it can't be used, an override holds in the process where it was
-// set.
-//
-// Its methods may be called from any goroutine, except those named for one: run, acceptConnections and handOff.
-type coordinator struct {
-	cfg           nodeconfig.Config
+// Config is what a Coordinator needs of the node's configuration.
+type Config struct {
+	Node     string // its name
+	Folder   string // shared by the node's processes; "" where nothing is shared
+	Sockets  int    // descriptors that the node may hold
+	MemoryMB int
+}
+
+// Coordinator keeps the processes of one node in agreement during a hot restart. Its methods may be called from any
+// goroutine, but Run, HandOff and AcceptConnections from one each.
+type Coordinator struct {
+	cfg           Config
 	node          *node.Node
 	proxy         *proxy.Proxy
 	log           *zap.Logger
 	controlServer *control.Server
 
-	folder     string                              // "" where nothing is shared
 	exchange   atomic.Pointer[hotrestart.Exchange] // set before store
 	store      atomic.Pointer[sharedstate.Store]   // nil while the folder can't be used
 	openFailed bool                                // owned by the goroutine that calls openStore
@@ -52,29 +55,20 @@
 	pending       pendingWrites
 }
 
-// newCoordinator opens the shared folder where operators can call the node, or the platform may start it twice.
-func newCoordinator(cfg nodeconfig.Config, self *node.Node, proxy *proxy.Proxy, log *zap.Logger) *coordinator {
-	c := &coordinator{cfg: cfg, node: self, proxy: proxy, log: log}
+// NewCoordinator opens the shared folder. A folder that can't be opened is logged, and tried again by Run.
+func NewCoordinator(cfg Config, self *node.Node, proxy *proxy.Proxy, log *zap.Logger) *Coordinator {
+	c := &Coordinator{cfg: cfg, node: self, proxy: proxy, log: log}
 	c.soleProcess.Store(true)
-	if cfg.Management == "" && os.Getenv(listenerVariable) == "" {
-		return c
-	}
-	folder := os.Getenv(sharedFolderVariable)
-	if folder == "" {
-		log.Warn("TMPDIR is not set: overrides hold in this process only")
-		return c
-	}
-	c.folder = folder
 	c.openStore()
 	return c
 }
 
 // openStore opens the shared folder unless it is open. It is called again until that succeeds.
-func (c *coordinator) openStore() {
-	if c.folder == "" || c.store.Load() != nil {
+func (c *Coordinator) openStore() {
+	if c.cfg.Folder == "" || c.store.Load() != nil {
 		return
 	}
-	store, err := sharedstate.Open(c.folder, c.cfg.Name)
+	store, err := sharedstate.Open(c.cfg.Folder, c.cfg.Node)
 	if err == nil {
 		c.exchange.Store(hotrestart.NewExchange(store))
 		c.store.Store(store)
@@ -86,8 +80,8 @@
 	c.openFailed = true
 }
 
-// start applies the overrides that earlier processes of the node left. It must be called before the other methods.
-func (c *coordinator) start(controlServer *control.Server) {
+// Start applies the overrides that earlier processes of the node left. It must be called before the other methods.
+func (c *Coordinator) Start(controlServer *control.Server) {
 	c.controlServer = controlServer
 	if c.store.Load() != nil {
 		c.syncOverrides()
@@ -95,24 +89,24 @@
 	}
 }
 
-// beginShutdown publishes that this process accepts no connections any more: of two processes that both shut down,
+// BeginShutdown publishes that this process accepts no connections any more: of two processes that both shut down,
 // neither may hand its connections to the other.
-func (c *coordinator) beginShutdown() {
+func (c *Coordinator) BeginShutdown() {
 	c.shuttingDown.Store(true)
 	if c.store.Load() != nil {
 		c.publishStatus()
 	}
 }
 
-func (c *coordinator) close() {
+func (c *Coordinator) Close() {
 	if store := c.store.Load(); store != nil {
 		store.Close()
 	}
 }
 
-// run applies what other processes share, and divides the limits with them, until the context ends.
-func (c *coordinator) run(ctx context.Context) {
-	if c.folder == "" {
+// Run applies what other processes share, and divides the limits with them, until the context ends.
+func (c *Coordinator) Run(ctx context.Context) {
+	if c.cfg.Folder == "" {
 		return
 	}
 	ticker := time.NewTicker(syncInterval)
@@ -132,8 +126,8 @@
 	}
 }
 
-// successorReady reports whether another process of the node accepts connections.
-func (c *coordinator) successorReady() bool {
+// SuccessorReady reports whether another process of the node accepts connections.
+func (c *Coordinator) SuccessorReady() bool {
 	store := c.store.Load()
 	if store == nil {
 		return false
@@ -149,7 +143,7 @@
 }
 
 // publishStatus publishes this process's status and leaves the others their part of the node's limits.
-func (c *coordinator) publishStatus() {
+func (c *Coordinator) publishStatus() {
 	store := c.store.Load()
 	c.recordStoreResult(store.Publish(sharedstate.ProcessStatus{
 		Ready:       !c.shuttingDown.Load(),
@@ -163,7 +157,7 @@
 }
 
 // divideLimits lowers this process's limits while others run, and restores them after.
-func (c *coordinator) divideLimits(others []sharedstate.ProcessStatus) {
+func (c *Coordinator) divideLimits(others []sharedstate.ProcessStatus) {
 	sockets, memoryMB := c.cfg.Sockets, c.cfg.MemoryMB
 	for _, other := range others {
 		sockets -= other.Descriptors
@@ -174,23 +168,20 @@
 		return
 	}
 	c.proxy.SetDescriptorLimit(sockets)
-	debug.SetMemoryLimit(heapLimit(memoryMB))
+	debug.SetMemoryLimit(nodeconfig.HeapLimit(memoryMB))
 	if c.soleProcess.Swap(soleProcess) != soleProcess {
 		c.log.Info("processes of this node changed", zap.Int("others", len(others)))
 	}
 }
 
-// heapLimit returns the part of a memory limit that the heap may use, in bytes: stacks and sockets take the rest.
-func heapLimit(memoryMB int) int64 { return int64(memoryMB) << 20 / 4 * 3 }
-
 // recordStoreResult logs an error of the shared folder, once until the folder can be used again.
-func (c *coordinator) recordStoreResult(err error) {
+func (c *Coordinator) recordStoreResult(err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.recordStoreResultLocked(err)
 }
 
-func (c *coordinator) recordStoreResultLocked(err error) {
+func (c *Coordinator) recordStoreResultLocked(err error) {
 	if err != nil && !c.storeFailed {
 		c.log.Error("shared state unavailable: overrides hold in the process where they were set", zap.Error(err))
 	}
--- a/internal/lifecycle/handoff.go
+++ b/internal/multiprocess/handoff.go
@@ -1,4 +1,4 @@
-package lifecycle
+package multiprocess
 
 import (
 	"context"
@@ -19,16 +19,18 @@
 	// maxFailedOffers is after how many offers a process gives up of which none was accepted: the system may not let
 	// one process reach into another.
 	maxFailedOffers = 2
+	// handOffRetryInterval is the wait for connections that are being established, and after a failed offer.
+	handOffRetryInterval = 20 * time.Millisecond
 )
 
-// handOff offers the established connections to the successor until none is left or the deadline has passed.
-func (c *coordinator) handOff(deadline time.Time) {
+// HandOff offers the established connections to the successor until none is left or the deadline has passed.
+func (c *Coordinator) HandOff(deadline time.Time) {
 	handedOff, failedOffers := 0, 0
 	baselines := c.pingBaselines()
-	for time.Now().Before(deadline) && c.hasConnections() && c.successorReady() {
+	for time.Now().Before(deadline) && c.hasConnections() && c.SuccessorReady() {
 		connections, release := c.proxy.Quiesce(hotrestart.MaxOffered)
 		if len(connections) == 0 {
-			time.Sleep(drainPollInterval) // for those that are being established
+			time.Sleep(handOffRetryInterval) // for those that are being established
 			continue
 		}
 		accepted, err := c.exchange.Load().Offer(offeredConns(connections), baselines)
@@ -46,7 +48,7 @@
 		if count > 0 {
 			continue
 		}
-		time.Sleep(drainPollInterval)
+		time.Sleep(handOffRetryInterval)
 		failedOffers++
 		if failedOffers >= maxFailedOffers && handedOff == 0 {
 			break
@@ -56,11 +58,11 @@
 		zap.Int("handed_off", handedOff), zap.Int64("remaining", c.node.EstablishedConnections()))
 }
 
-func (c *coordinator) hasConnections() bool {
+func (c *Coordinator) hasConnections() bool {
 	return c.node.EstablishedConnections()+c.node.InFlightRequests() > 0
 }
 
-func (c *coordinator) pingBaselines() (baselines []hotrestart.PingBaseline) {
+func (c *Coordinator) pingBaselines() (baselines []hotrestart.PingBaseline) {
 	for _, baseline := range c.node.PingBaselines() {
 		baselines = append(baselines, hotrestart.PingBaseline{
 			Host:        string(baseline.Host),
@@ -89,9 +91,9 @@
 	return offered
 }
 
-// acceptConnections accepts the connections that other processes offer, until this one shuts down or the context ends.
-func (c *coordinator) acceptConnections(ctx context.Context) {
-	if c.folder == "" {
+// AcceptConnections accepts the connections that other processes offer, until this one shuts down or the context ends.
+func (c *Coordinator) AcceptConnections(ctx context.Context) {
+	if c.cfg.Folder == "" {
 		return
 	}
 	failed := false
@@ -114,7 +116,7 @@
 	}
 }
 
-func (c *coordinator) mergePingBaselines(offered []hotrestart.PingBaseline) {
+func (c *Coordinator) mergePingBaselines(offered []hotrestart.PingBaseline) {
 	if len(offered) == 0 {
 		return
 	}
@@ -129,7 +131,7 @@
 	c.node.MergePingBaselines(baselines)
 }
 
-func (c *coordinator) resumeConnections(connections []hotrestart.AcceptedConn) {
+func (c *Coordinator) resumeConnections(connections []hotrestart.AcceptedConn) {
 	for _, connection := range connections {
 		err := c.proxy.Adopt(proxy.EstablishedConn{
 			Line:    connection.Line,
--- a/internal/lifecycle/overrides.go
+++ b/internal/multiprocess/overrides.go
@@ -1,4 +1,4 @@
-package lifecycle
+package multiprocess
 
 import (
 	"time"
@@ -9,8 +9,8 @@
 	"onyxstream/internal/sharedstate"
 )
 
-// setHostOverride drains or resumes a host, here and in the node's other processes.
-func (c *coordinator) setHostOverride(host string, drain bool) error {
+// SetHostOverride drains or resumes a host, here and in the node's other processes.
+func (c *Coordinator) SetHostOverride(host string, drain bool) error {
 	now := time.Now()
 	command := control.Command{
 		Kind:          control.HostResume,
@@ -26,8 +26,8 @@
 	})
 }
 
-// setDrain drains or resumes the node itself, here and in its other processes.
-func (c *coordinator) setDrain(command control.Command) error {
+// SetDrain drains or resumes the node itself, here and in its other processes.
+func (c *Coordinator) SetDrain(command control.Command) error {
 	drain := sharedstate.Drain{}
 	if command.Kind == control.Drain {
 		drain = sharedstate.ReadClocks().NewDrain(command.DrainTimeout, command.AdmitFor)
@@ -43,7 +43,7 @@
 // notify executes a command on a target and writes it to the shared state, as one step that has the same order in all
 // processes: earlier changes of others are applied first. A command that fails here is not written. One that can't be
 // written holds here, and is written once it can be.
-func (c *coordinator) notify(command control.Command, target string, change func(*sharedstate.State) error) error {
+func (c *Coordinator) notify(command control.Command, target string, change func(*sharedstate.State) error) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	write := pendingWrite{target: target, change: change}
@@ -83,11 +83,11 @@
 }
 
 // executeWithoutStore executes a command while the shared folder can't be used; mu is held.
-func (c *coordinator) executeWithoutStore(command control.Command, write pendingWrite) error {
+func (c *Coordinator) executeWithoutStore(command control.Command, write pendingWrite) error {
 	if err := c.controlServer.ApplyManual(command); err != nil {
 		return err
 	}
-	if c.folder != "" {
+	if c.cfg.Folder != "" {
 		write.afterSerial = c.appliedSerial
 		write.givenAt = time.Now()
 		write.beforeFirstLoad = !c.stateLoaded
@@ -97,7 +97,7 @@
 }
 
 // syncOverrides applies what has changed in the shared state.
-func (c *coordinator) syncOverrides() {
+func (c *Coordinator) syncOverrides() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	store := c.store.Load()
@@ -111,7 +111,7 @@
 }
 
 // apply brings the changes into force that are not applied yet; mu is held.
-func (c *coordinator) apply(state sharedstate.State) {
+func (c *Coordinator) apply(state sharedstate.State) {
 	c.pending.resolveAgainst(&state)
 	appliedBefore := c.appliedSerial
 	c.appliedSerial = state.Serial
--- a/internal/lifecycle/overrides_test.go
+++ b/internal/multiprocess/overrides_test.go
@@ -1,4 +1,4 @@
-package lifecycle
+package multiprocess
 
 import (
 	"context"
@@ -11,9 +11,9 @@
 )
 
 // blockWrites makes the writes of the shared state fail, as on a full disk, until unblock is called.
-func blockWrites(t *testing.T) (unblock func()) {
+func blockWrites(t *testing.T, folder string) (unblock func()) {
 	t.Helper()
-	locks, err := filepath.Glob(filepath.Join(os.Getenv("TMPDIR"), "*.lock"))
+	locks, err := filepath.Glob(filepath.Join(folder, "*.lock"))
 	if err != nil || len(locks) != 1 {
 		t.Fatalf("%v, %v", locks, err)
 	}
@@ -29,8 +29,9 @@
 }
 
 // loadState reads the shared state.
-func loadState(operations *managementOperations) (sharedstate.State, bool, error) {
-	return operations.coordinator.store.Load().Load()
+func loadState(c *Coordinator) (sharedstate.State, error) {
+	state, _, err := c.store.Load().Load()
+	return state, err
 }
 
 func eventually(t *testing.T, what string, f func() bool) {
@@ -44,58 +45,60 @@
 
 // An override that was set while the folder could not be written is written as soon as it can be.
 func TestOverride_FolderFails_IsWrittenLater(t *testing.T) {
-	operations, n := blockedNode(t)
+	folder := t.TempDir()
+	coordinator, n := newTestCoordinator(t, folder)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	go func() { _ = n.Run(ctx) }()
-	unblock := blockWrites(t)
-	if err := operations.DrainHost("h1"); err != nil {
+	unblock := blockWrites(t, folder)
+	if err := coordinator.SetHostOverride("h1", true); err != nil {
 		t.Fatal(err)
 	}
-	go operations.coordinator.run(ctx)
+	go coordinator.Run(ctx)
 	time.Sleep(3 * syncInterval)
 	unblock()
 	eventually(t, "the override is written", func() bool {
-		d, _, err := loadState(operations)
-		return err == nil && len(d.Overrides) == 1 && d.Overrides[0].Draining
+		state, err := loadState(coordinator)
+		return err == nil && len(state.Overrides) == 1 && state.Overrides[0].Draining
 	})
 }
 
 // A folder that can't be used at the start is used once it can be, and overrides set before are written then.
 func TestOverride_FolderMissingAtStart_IsWrittenLater(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "later")
-	operations, n := blockedNodeIn(t, dir)
+	coordinator, n := newTestCoordinator(t, dir)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	go func() { _ = n.Run(ctx) }()
-	if operations.coordinator.store.Load() != nil {
+	if coordinator.store.Load() != nil {
 		t.Fatal("a folder that is not there is used")
 	}
-	if err := operations.DrainHost("h1"); err != nil {
+	if err := coordinator.SetHostOverride("h1", true); err != nil {
 		t.Fatal(err)
 	}
-	go operations.coordinator.run(ctx)
+	go coordinator.Run(ctx)
 	if err := os.Mkdir(dir, 0o700); err != nil {
 		t.Fatal(err)
 	}
 	eventually(t, "the override is written", func() bool {
-		if operations.coordinator.store.Load() == nil {
+		if coordinator.store.Load() == nil {
 			return false
 		}
-		d, _, err := loadState(operations)
-		return err == nil && len(d.Overrides) == 1 && d.Overrides[0].Draining
+		state, err := loadState(coordinator)
+		return err == nil && len(state.Overrides) == 1 && state.Overrides[0].Draining
 	})
 }
 
 // After a write that failed, the overrides of other processes are applied: the serial that the failed change would
 // have had is that of another one.
 func TestOverride_FolderFails_OthersAreApplied(t *testing.T) {
-	operations, n := blockedNode(t)
+	folder := t.TempDir()
+	coordinator, n := newTestCoordinator(t, folder)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	go func() { _ = n.Run(ctx) }()
-	unblock := blockWrites(t)
-	if err := operations.ResumeHost("h1"); err != nil {
+	unblock := blockWrites(t, folder)
+	if err := coordinator.SetHostOverride("h1", false); err != nil {
 		t.Fatal(err)
 	}
 	unblock()
@@ -107,11 +110,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	locks, _ := filepath.Glob(filepath.Join(os.Getenv("TMPDIR"), "*.lock"))
+	locks, _ := filepath.Glob(filepath.Join(folder, "*.lock"))
 	if err := os.WriteFile(locks[0][:len(locks[0])-len(".lock")]+".words", text, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	operations.coordinator.syncOverrides()
+	coordinator.syncOverrides()
 	eventually(t, "the other's override is in force", func() bool {
 		_, avoided := n.HostCounts()
 		return avoided == 1
@@ -129,11 +132,11 @@
 	}{{"older", -time.Minute, 1, true}, {"later", time.Minute, 0, false}} {
 		t.Run(c.name, func(t *testing.T) {
 			dir := filepath.Join(t.TempDir(), "later")
-			operations, n := blockedNodeIn(t, dir)
+			coordinator, n := newTestCoordinator(t, dir)
 			ctx, cancel := context.WithCancel(t.Context())
 			defer cancel()
 			go func() { _ = n.Run(ctx) }()
-			if err := operations.DrainHost("h1"); err != nil {
+			if err := coordinator.SetHostOverride("h1", true); err != nil {
 				t.Fatal(err)
 			}
 			before := filepath.Join(t.TempDir(), "before")
@@ -144,22 +147,26 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if err := earlier.Update(func(d *sharedstate.State) error { return d.SetOverride("h1", false, time.Now().Add(c.setAt)) }); err != nil {
+			err = earlier.Update(func(state *sharedstate.State) error {
+				return state.SetOverride("h1", false, time.Now().Add(c.setAt))
+			})
+			if err != nil {
 				t.Fatal(err)
 			}
 			earlier.Close()
 			if err := os.Rename(before, dir); err != nil {
 				t.Fatal(err)
 			}
-			go operations.coordinator.run(ctx)
+			go coordinator.Run(ctx)
 			eventually(t, "the shared state has the override", func() bool {
-				if operations.coordinator.store.Load() == nil {
+				if coordinator.store.Load() == nil {
 					return false
 				}
-				operations.coordinator.mu.Lock()
-				defer operations.coordinator.mu.Unlock()
-				d, _, err := loadState(operations)
-				return err == nil && len(operations.coordinator.pending) == 0 && len(d.Overrides) == 1 && d.Overrides[0].Draining == c.wantDraining
+				coordinator.mu.Lock()
+				defer coordinator.mu.Unlock()
+				state, err := loadState(coordinator)
+				written := err == nil && len(coordinator.pending) == 0
+				return written && len(state.Overrides) == 1 && state.Overrides[0].Draining == c.wantDraining
 			})
 			eventually(t, "it is in force in the process", func() bool {
 				_, avoided := n.HostCounts()
--- a/internal/lifecycle/pending.go
+++ b/internal/multiprocess/pending.go
@@ -1,4 +1,4 @@
-package lifecycle
+package multiprocess
 
 import (
 	"slices"
@@ -78,7 +78,7 @@
 }
 
 // flushPendingWrites writes what could not be written before.
-func (c *coordinator) flushPendingWrites() {
+func (c *Coordinator) flushPendingWrites() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	store := c.store.Load()
--- a/internal/nodeconfig/config.go
+++ b/internal/nodeconfig/config.go
@@ -97,6 +97,9 @@
 	return names
 }
 
+// HeapLimit returns the part of a memory limit that the heap may use, in bytes: stacks and sockets take the rest.
+func HeapLimit(memoryMB int) int64 { return int64(memoryMB) << 20 / 4 * 3 }
+
 // Check returns the error that a node would have with the content of a configuration file. The name and the addresses
 // may be missing: a node takes them from its environment.
 func Check(text []byte) error {
--- a/internal/sharedstate/drain_test.go
+++ b/internal/sharedstate/drain_test.go
@@ -20,7 +20,8 @@
 			t.Fatal(err)
 		}
 		later := ClockReading{Wall: noon.Add(500*time.Millisecond + step), Boot: time.Hour + 500*time.Millisecond}
-		if deadline, cutoff := read.Drain.Remaining(later); deadline != 2500*time.Millisecond || cutoff != 500*time.Millisecond {
+		deadline, cutoff := read.Drain.Remaining(later)
+		if deadline != 2500*time.Millisecond || cutoff != 500*time.Millisecond {
 			t.Errorf("step %v: deadline in %v, admission cutoff in %v", step, deadline, cutoff)
 		}
 	}
--- a/internal/sharedstate/state_test.go
+++ b/internal/sharedstate/state_test.go
@@ -64,7 +64,8 @@
 	if _, err := Decode(text, "n2"); err == nil || !strings.Contains(err.Error(), `of node "n1"`) {
 		t.Errorf("another node's: %v", err)
 	}
-	if _, err := Decode([]byte("onyxstream-handover-9 0 0\n"), "n1"); err == nil || !strings.Contains(err.Error(), "another version") {
+	_, err = Decode([]byte("onyxstream-handover-9 0 0\n"), "n1")
+	if err == nil || !strings.Contains(err.Error(), "another version") {
 		t.Errorf("another version's: %v", err)
 	}
 }
@@ -75,7 +76,8 @@
 	f.Add(text)
 	f.Add([]byte("onyxstream-handover-1 00000000 2\n{}"))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		if decoded, err := Decode(text, "n1"); err == nil && (decoded.Node != "n1" || len(decoded.Overrides) > maxOverrides) {
+		decoded, err := Decode(text, "n1")
+		if err == nil && (decoded.Node != "n1" || len(decoded.Overrides) > maxOverrides) {
 			t.Errorf("%q is read as %+v", text, decoded)
 		}
 	})
@@ -94,7 +96,8 @@
 	if err := state.SetOverride("h0", false, noon); err != nil {
 		t.Errorf("one that is there: %v", err)
 	}
-	if err := state.SetOverride("more", true, noon.Add(resumeRetention+time.Second)); err != nil || len(state.Overrides) != maxOverrides/2 {
+	err := state.SetOverride("more", true, noon.Add(resumeRetention+time.Second))
+	if err != nil || len(state.Overrides) != maxOverrides/2 {
 		t.Errorf("after the retention: %v, %d overrides", err, len(state.Overrides))
 	}
 }
--- a/internal/sharedstate/unreadable_test.go
+++ b/internal/sharedstate/store_faults_test.go
@@ -28,8 +28,8 @@
 			t.Error("it was read without a descriptor")
 		}
 	})
-	if d, changed, err := reader.Load(); err != nil || !changed || len(d.Overrides) != 1 {
-		t.Errorf("read later: %+v, changed %v, error %v", d, changed, err)
+	if state, changed, err := reader.Load(); err != nil || !changed || len(state.Overrides) != 1 {
+		t.Errorf("read later: %+v, changed %v, error %v", state, changed, err)
 	}
 }
 
@@ -47,13 +47,13 @@
 			t.Error("the change was made on what could not be read")
 		}
 	})
-	if d, _, err := writer.Load(); err != nil || len(d.Overrides) != 1 || d.Overrides[0].Host != "h1" {
-		t.Errorf("the other process's change is gone: %+v, error %v", d, err)
+	if state, _, err := writer.Load(); err != nil || len(state.Overrides) != 1 || state.Overrides[0].Host != "h1" {
+		t.Errorf("the other process's change is gone: %+v, error %v", state, err)
 	}
 	if err := other.Update(drainHost("h2")); err != nil {
 		t.Fatal(err)
 	}
-	if d, _, err := writer.Load(); err != nil || len(d.Overrides) != 2 {
-		t.Errorf("once it can be read again: %+v, error %v", d, err)
+	if state, _, err := writer.Load(); err != nil || len(state.Overrides) != 2 {
+		t.Errorf("once it can be read again: %+v, error %v", state, err)
 	}
 }
--- a/internal/sharedstate/store_test.go
+++ b/internal/sharedstate/store_test.go
@@ -37,25 +37,26 @@
 	if _, changed, _ := a.Load(); changed {
 		t.Error("its own change is reported to it as one")
 	}
-	b := openSecond(t, dir, "n1")
-	if d, changed, err := b.Load(); !changed || err != nil || len(d.Overrides) != 1 || d.Overrides[0].Host != "h" {
-		t.Errorf("the other reads %+v, %v, %v", d, changed, err)
+	b := openSecondStore(t, dir, "n1")
+	state, changed, err := b.Load()
+	if !changed || err != nil || len(state.Overrides) != 1 || state.Overrides[0].Host != "h" {
+		t.Errorf("the other reads %+v, %v, %v", state, changed, err)
 	}
 	if err := b.Update(drainHost("i")); err != nil {
 		t.Fatal(err)
 	}
-	if d, changed, err := a.Load(); !changed || err != nil || len(d.Overrides) != 2 {
-		t.Errorf("and back: %+v, %v, %v", d, changed, err)
+	if state, changed, err := a.Load(); !changed || err != nil || len(state.Overrides) != 2 {
+		t.Errorf("and back: %+v, %v, %v", state, changed, err)
 	}
-	if other := openSecond(t, dir, "n2"); true { // another node in the same folder
-		if d, changed, err := other.Load(); changed || err != nil || len(d.Overrides) > 0 {
-			t.Errorf("another node reads %+v, %v, %v", d, changed, err)
+	if other := openSecondStore(t, dir, "n2"); true { // another node in the same folder
+		if state, changed, err := other.Load(); changed || err != nil || len(state.Overrides) > 0 {
+			t.Errorf("another node reads %+v, %v, %v", state, changed, err)
 		}
 	}
 }
 
-// openSecond opens the store as another process would, as far as one process can: its mark has another name.
-func openSecond(t *testing.T, dir, node string) *Store {
+// openSecondStore opens the store as another process would, as far as one process can: its mark has another name.
+func openSecondStore(t *testing.T, dir, node string) *Store {
 	t.Helper()
 	s := openStore(t, dir, node+"x")
 	s.node, s.filePrefix = node, nodeFilePrefix(node)
@@ -75,9 +76,9 @@
 	if err := os.WriteFile(a.statePath()+".new", []byte("onyxstream-handover-1 half of it"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	b := openSecond(t, dir, "n1")
-	if d, _, err := b.Load(); err != nil || len(d.Overrides) != 1 {
-		t.Errorf("read as %+v, %v", d, err)
+	b := openSecondStore(t, dir, "n1")
+	if state, _, err := b.Load(); err != nil || len(state.Overrides) != 1 {
+		t.Errorf("read as %+v, %v", state, err)
 	}
 	if err := b.Update(drainHost("i")); err != nil {
 		t.Error(err)
@@ -107,8 +108,8 @@
 		if err := os.WriteFile(a.statePath(), []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if d, changed, err := a.Load(); err == nil || changed || len(d.Overrides) != 1 {
-			t.Errorf("%.10q is read as %+v, %v, %v", text, d, changed, err)
+		if state, changed, err := a.Load(); err == nil || changed || len(state.Overrides) != 1 {
+			t.Errorf("%.10q is read as %+v, %v, %v", text, state, changed, err)
 		}
 		if _, _, err := a.Load(); err != nil {
 			t.Errorf("%.10q is reported again: %v", text, err)
@@ -117,8 +118,8 @@
 	if err := a.Update(drainHost("i")); err != nil {
 		t.Fatal(err)
 	}
-	if d, _, err := openSecond(t, dir, "n1").Load(); err != nil || len(d.Overrides) != 2 {
-		t.Errorf("then %+v, %v", d, err)
+	if state, _, err := openSecondStore(t, dir, "n1").Load(); err != nil || len(state.Overrides) != 2 {
+		t.Errorf("then %+v, %v", state, err)
 	}
 }
 
--- a/internal/sharedstate/stored_test.go
+++ b/internal/sharedstate/stored_test.go
@@ -29,10 +29,24 @@
 		t.Fatal(err)
 	}
 	at := time.Date(2026, 12, 1, 12, 0, 0, 123456789, time.UTC)
-	want := State{Node: "n1", Serial: 4,
-		Overrides: []HostOverride{{"host-a", false, at.Add(2 * time.Second), 3}, {"host-b", true, at.Add(time.Second), 2}},
-		Drain: Drain{Active: true, Deadline: at.Add(3 * time.Second), AdmissionCutoff: at.Add(time.Second), RetryAfter: 1500 * time.Millisecond, KeepConnections: true, Serial: 4,
-			DeadlineBoot: 5*time.Hour + 3*time.Second, AdmissionCutoffBoot: 5*time.Hour + time.Second}}
+	want := State{
+		Node:   "n1",
+		Serial: 4,
+		Overrides: []HostOverride{
+			{"host-a", false, at.Add(2 * time.Second), 3},
+			{"host-b", true, at.Add(time.Second), 2},
+		},
+		Drain: Drain{
+			Active:              true,
+			Deadline:            at.Add(3 * time.Second),
+			AdmissionCutoff:     at.Add(time.Second),
+			RetryAfter:          1500 * time.Millisecond,
+			KeepConnections:     true,
+			Serial:              4,
+			DeadlineBoot:        5*time.Hour + 3*time.Second,
+			AdmissionCutoffBoot: 5*time.Hour + time.Second,
+		},
+	}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Error(diff)
 	}
@@ -72,7 +86,10 @@
 	defer s.Close()
 	const base = "onyxstream-51ce9f3ef4b004a7"
 	got := []string{s.statePath(), s.mark.Name()}
-	want := []string{filepath.Join(dir, base+".words"), filepath.Join(dir, fmt.Sprintf("%s-%d.alive", base, os.Getpid()))}
+	want := []string{
+		filepath.Join(dir, base+".words"),
+		filepath.Join(dir, fmt.Sprintf("%s-%d.alive", base, os.Getpid())),
+	}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Error(diff)
 	}
