--- a/internal/lifecycle/listener.go
+++ b/internal/lifecycle/listener.go
@@ -103,13 +103,13 @@
 }
 
 // serve passes clients to the proxy until the listener is closed.
-func (l *clientListener) serve(ctx context.Context, proxy *proxy.Proxy) error {
+func (l *clientListener) serve(ctx context.Context, p *proxy.Proxy) error {
 	defer close(l.serveEnded)
 	if !l.inherited {
-		return proxy.Serve(l)
+		return p.Serve(l)
 	}
 	result := make(chan error, 1)
-	go func() { result <- proxy.Serve(l) }()
+	go func() { result <- p.Serve(l) }()
 	ticker := time.NewTicker(nonblockInterval)
 	defer ticker.Stop()
 	for {
--- a/internal/lifecycle/reload.go
+++ b/internal/lifecycle/reload.go
@@ -15,7 +15,7 @@
 	// reloadRetryInterval is how long after a failed reload the file is read again: it may be half written, or the
 	// system may lack descriptors.
 	reloadRetryInterval = 100 * time.Millisecond
-	// reloadRetryTimeout bounds the retries after a signal.
+	// reloadRetryTimeout bounds the retries after a signal: a new discovery must be followed 4 s after it.
 	reloadRetryTimeout = 3 * time.Second
 )
 
--- a/internal/lifecycle/run.go
+++ b/internal/lifecycle/run.go
@@ -219,8 +219,8 @@
 	group.Go(func() error { return p.discovery.Run(ctx) })
 }
 
-// startClientTasks starts what clients' connections come from: the listener, other processes, and the list cache and
-// peers.
+// startClientTasks starts the sources of client connections, the listener and the node's other processes, and the tasks
+// of a cold start.
 func (p *process) startClientTasks(ctx context.Context, group *errgroup.Group) {
 	group.Go(func() error { return p.clients.serve(ctx, p.proxy) })
 	group.Go(func() error {
@@ -263,8 +263,8 @@
 	}
 }
 
-// awaitStop waits for a signal to stop and shuts down gracefully, or for the end of the context. Then it ends all
-// client connections.
+// awaitStop waits for a signal to stop and shuts down gracefully, or for the end of the context. Then it shuts
+// the proxy down.
 func (p *process) awaitStop(ctx context.Context) {
 	select {
 	case <-p.stop.Done():
--- a/internal/multiprocess/coordinator.go
+++ b/internal/multiprocess/coordinator.go
@@ -98,6 +98,7 @@
 	}
 }
 
+// Close removes this process's mark from the shared folder. The other methods must not be called after it.
 func (c *Coordinator) Close() {
 	if store := c.store.Load(); store != nil {
 		store.Close()
--- a/internal/multiprocess/pending.go
+++ b/internal/multiprocess/pending.go
@@ -25,8 +25,8 @@
 	givenAt         time.Time // set with beforeFirstLoad
 }
 
-// pendingWrites has at most one write for each target, the last. A change that the shared state rejects, as for its
-// limit, never becomes pending, so they are bounded as the state is.
+// pendingWrites has at most one write for each target, the last. The control server bounds the targets: it rejects a
+// command on one too many before the change is made.
 type pendingWrites []pendingWrite
 
 func (p *pendingWrites) add(write pendingWrite) {
