--- /dev/null
+++ b/internal/lifecycle/peerpoll_test.go
@@ -0,0 +1,62 @@
+package lifecycle
+
+import (
+	"context"
+	"math/rand/v2"
+	"path/filepath"
+	"testing"
+	"time"
+
+	"go.uber.org/zap"
+
+	"onyxstream/internal/coldstart"
+	"onyxstream/internal/faultinject"
+	"onyxstream/internal/nodeconfig"
+	"onyxstream/internal/pki"
+)
+
+// Polling peers does not end where the keys can't be read for a moment.
+func TestPeerPoller_KeysUnreadableForAMoment_GoesOn(t *testing.T) {
+	_, n := blockedNode(t, t.TempDir())
+	cfg := coldstart.Config{NodeCount: 2, PollInterval: time.Second, Service: "s"}
+	scheduler := coldstart.New(cfg, rand.New(rand.NewPCG(1, 2)), 0, coldstart.NoSource, coldstart.Offer{})
+	n.EnableColdStart(scheduler, "s")
+	dir := t.TempDir()
+	if err := pki.Create(dir, "test"); err != nil {
+		t.Fatal(err)
+	}
+	if _, err := pki.Issue(dir, "n1", pki.Look, time.Hour); err != nil {
+		t.Fatal(err)
+	}
+	files := &pki.Files{
+		Cert:      filepath.Join(dir, "n1.crt"),
+		Key:       filepath.Join(dir, "n1.key"),
+		Authority: filepath.Join(dir, "authority.crt"),
+	}
+	poller := &peerPoller{
+		options: &nodeconfig.ColdStart{Keys: files, Peers: []nodeconfig.Peer{{Addr: "127.0.0.1:1", Name: "n2"}}},
+		node:    n,
+		rng:     rand.New(rand.NewPCG(1, 2)),
+		log:     zap.NewNop(),
+	}
+	ctx, cancel := context.WithCancel(t.Context())
+	defer cancel()
+	done := make(chan error, 1)
+	limit := func() {
+		go func() { done <- poller.run(ctx) }()
+		time.Sleep(150 * time.Millisecond)
+	}
+	if err := faultinject.WithDescriptors(0, limit); err != nil {
+		t.Fatal(err)
+	}
+	select {
+	case err := <-done:
+		t.Errorf("it ended: %v", err)
+		return
+	case <-time.After(100 * time.Millisecond):
+	}
+	cancel()
+	if err := <-done; err != nil {
+		t.Error(err)
+	}
+}
--- /dev/null
+++ b/internal/multiprocess/overrides_test.go
@@ -0,0 +1,177 @@
+package multiprocess
+
+import (
+	"context"
+	"os"
+	"path/filepath"
+	"testing"
+	"time"
+
+	"onyxstream/internal/sharedstate"
+)
+
+// blockWrites makes the writes of the shared state fail, as on a full disk, until unblock is called.
+func blockWrites(t *testing.T, folder string) (unblock func()) {
+	t.Helper()
+	locks, err := filepath.Glob(filepath.Join(folder, "*.lock"))
+	if err != nil || len(locks) != 1 {
+		t.Fatalf("%v, %v", locks, err)
+	}
+	at := locks[0][:len(locks[0])-len(".lock")] + ".words.new" // where the state is written before the rename
+	if err := os.MkdirAll(filepath.Join(at, "full"), 0o700); err != nil {
+		t.Fatal(err)
+	}
+	return func() {
+		if err := os.RemoveAll(at); err != nil {
+			t.Fatal(err)
+		}
+	}
+}
+
+// loadState reads the shared state.
+func loadState(c *Coordinator) (sharedstate.State, error) {
+	state, _, err := c.store.Load().Load()
+	return state, err
+}
+
+func eventually(t *testing.T, what string, f func() bool) {
+	t.Helper()
+	for begin := time.Now(); !f(); time.Sleep(5 * time.Millisecond) {
+		if time.Since(begin) > 10*time.Second {
+			t.Fatalf("never: %s", what)
+		}
+	}
+}
+
+// An override that was set while the folder could not be written is written as soon as it can be.
+func TestOverride_FolderFails_IsWrittenLater(t *testing.T) {
+	folder := t.TempDir()
+	coordinator, n := newTestCoordinator(t, folder)
+	ctx, cancel := context.WithCancel(t.Context())
+	defer cancel()
+	go func() { _ = n.Run(ctx) }()
+	unblock := blockWrites(t, folder)
+	if err := coordinator.SetHostOverride("h1", true); err != nil {
+		t.Fatal(err)
+	}
+	go coordinator.Run(ctx)
+	time.Sleep(3 * syncInterval)
+	unblock()
+	eventually(t, "the override is written", func() bool {
+		state, err := loadState(coordinator)
+		return err == nil && len(state.Overrides) == 1 && state.Overrides[0].Draining
+	})
+}
+
+// A folder that can't be used at the start is used once it can be, and overrides set before are written then.
+func TestOverride_FolderMissingAtStart_IsWrittenLater(t *testing.T) {
+	dir := filepath.Join(t.TempDir(), "later")
+	coordinator, n := newTestCoordinator(t, dir)
+	ctx, cancel := context.WithCancel(t.Context())
+	defer cancel()
+	go func() { _ = n.Run(ctx) }()
+	if coordinator.store.Load() != nil {
+		t.Fatal("a folder that is not there is used")
+	}
+	if err := coordinator.SetHostOverride("h1", true); err != nil {
+		t.Fatal(err)
+	}
+	go coordinator.Run(ctx)
+	if err := os.Mkdir(dir, 0o700); err != nil {
+		t.Fatal(err)
+	}
+	eventually(t, "the override is written", func() bool {
+		if coordinator.store.Load() == nil {
+			return false
+		}
+		state, err := loadState(coordinator)
+		return err == nil && len(state.Overrides) == 1 && state.Overrides[0].Draining
+	})
+}
+
+// After a write that failed, the overrides of other processes are applied: the serial that the failed change would
+// have had is that of another one.
+func TestOverride_FolderFails_OthersAreApplied(t *testing.T) {
+	folder := t.TempDir()
+	coordinator, n := newTestCoordinator(t, folder)
+	ctx, cancel := context.WithCancel(t.Context())
+	defer cancel()
+	go func() { _ = n.Run(ctx) }()
+	unblock := blockWrites(t, folder)
+	if err := coordinator.SetHostOverride("h1", false); err != nil {
+		t.Fatal(err)
+	}
+	unblock()
+	other := sharedstate.State{Node: "n1"}
+	if err := other.SetOverride("h1", true, time.Now()); err != nil {
+		t.Fatal(err)
+	}
+	text, err := other.Encode()
+	if err != nil {
+		t.Fatal(err)
+	}
+	locks, _ := filepath.Glob(filepath.Join(folder, "*.lock"))
+	if err := os.WriteFile(locks[0][:len(locks[0])-len(".lock")]+".words", text, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	coordinator.syncOverrides()
+	eventually(t, "the other's override is in force", func() bool {
+		_, avoided := n.HostCounts()
+		return avoided == 1
+	})
+}
+
+// An override that was set while the folder could not be used supersedes an older one that an earlier process wrote
+// there.
+func TestOverride_FolderMissingAtStart_SupersedesOlder(t *testing.T) {
+	for _, c := range []struct {
+		name         string
+		setAt        time.Duration // of the other override, from this one
+		avoided      int64
+		wantDraining bool // by the shared state in the end
+	}{{"older", -time.Minute, 1, true}, {"later", time.Minute, 0, false}} {
+		t.Run(c.name, func(t *testing.T) {
+			dir := filepath.Join(t.TempDir(), "later")
+			coordinator, n := newTestCoordinator(t, dir)
+			ctx, cancel := context.WithCancel(t.Context())
+			defer cancel()
+			go func() { _ = n.Run(ctx) }()
+			if err := coordinator.SetHostOverride("h1", true); err != nil {
+				t.Fatal(err)
+			}
+			before := filepath.Join(t.TempDir(), "before")
+			if err := os.Mkdir(before, 0o700); err != nil {
+				t.Fatal(err)
+			}
+			earlier, err := sharedstate.Open(before, "n1")
+			if err != nil {
+				t.Fatal(err)
+			}
+			err = earlier.Update(func(state *sharedstate.State) error {
+				return state.SetOverride("h1", false, time.Now().Add(c.setAt))
+			})
+			if err != nil {
+				t.Fatal(err)
+			}
+			earlier.Close()
+			if err := os.Rename(before, dir); err != nil {
+				t.Fatal(err)
+			}
+			go coordinator.Run(ctx)
+			eventually(t, "the shared state has the override", func() bool {
+				if coordinator.store.Load() == nil {
+					return false
+				}
+				coordinator.mu.Lock()
+				defer coordinator.mu.Unlock()
+				state, err := loadState(coordinator)
+				written := err == nil && len(coordinator.pending) == 0
+				return written && len(state.Overrides) == 1 && state.Overrides[0].Draining == c.wantDraining
+			})
+			eventually(t, "it is in force in the process", func() bool {
+				_, avoided := n.HostCounts()
+				return avoided == c.avoided
+			})
+		})
+	}
+}
