--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -87,7 +87,7 @@
 	cfg   Config
 	log   *zap.Logger
 	store *Store
-	keys  *pki.Keeper
+	keys  *pki.KeyStore
 	begin time.Time
 	do    chan func()
 	done  chan struct{}
@@ -332,7 +332,7 @@
 		p := &peer{Instance: v.Instance, wake: make(chan struct{}, 1)}
 		var cfg *tls.Config
 		if a.keys != nil {
-			cfg = a.keys.Client(v.Name)
+			cfg = a.keys.ClientConfig(v.Name)
 		}
 		p.client, p.err = control.Dial(v.Addr, cfg)
 		var pctx context.Context
--- a/internal/cli/keys.go
+++ b/internal/cli/keys.go
@@ -36,7 +36,7 @@
 			fmt.Fprintf(c.OutOrStdout(), "%s: role %s, valid until %s\n", args[0], role, cert.NotAfter.Format(time.DateOnly))
 			return nil
 		}}
-	issue.Flags().StringVar(&role, "role", pki.Look, "what the holder may do")
+	issue.Flags().StringVar(&role, "role", pki.RoleViewer, "what the holder may do")
 	renew := &cobra.Command{Use: "renew HOLDER", Short: "Issue a holder's certificate anew; running programs take it", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			cert, err := pki.Renew(dir, args[0], valid)
--- a/internal/lifecycle/coldstart.go
+++ b/internal/lifecycle/coldstart.go
@@ -176,9 +176,9 @@
 // pull asks others for their list, one after another, for as long as the node runs. One that brings something is asked
 // again; from one that does not, the call goes on to another, drawn anew.
 func (c *ColdStart) pull(ctx context.Context, n *node.Node, rng *rand.Rand, log *zap.Logger) error {
-	var own *pki.Keeper
+	var own *pki.KeyStore
 	if c.Keys != nil {
-		open := func() (*pki.Keeper, error) {
+		open := func() (*pki.KeyStore, error) {
 			return pki.Open(*c.Keys, func(err error) { log.Error("renewed keys can't be taken", zap.Error(err)) })
 		}
 		var err error
@@ -193,7 +193,7 @@
 		other := c.Peers[rng.IntN(len(c.Peers))]
 		var cfg *tls.Config
 		if own != nil {
-			cfg = own.Client(other.Name)
+			cfg = own.ClientConfig(other.Name)
 		}
 		peer, err := control.Dial(other.Addr, cfg)
 		if err != nil {
--- a/internal/lifecycle/own.go
+++ b/internal/lifecycle/own.go
@@ -95,11 +95,11 @@
 		if err != nil {
 			return out, err
 		}
-		l, err := control.ListenTLS(c.Listen, conns, k.Server(), func(s *tls.ConnectionState) control.Role {
-			switch k.Role(s) {
-			case pki.Operate:
+		l, err := control.ListenTLS(c.Listen, conns, k.ServerConfig(), func(s *tls.ConnectionState) control.Role {
+			switch k.PeerRole(s) {
+			case pki.RoleOperator:
 				return control.Operator
-			case pki.Look:
+			case pki.RoleViewer:
 				return control.Viewer
 			}
 			return control.NoRole
--- a/internal/lifecycle/pull_test.go
+++ b/internal/lifecycle/pull_test.go
@@ -23,7 +23,7 @@
 	if err := pki.Create(dir, "test"); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := pki.Issue(dir, "n1", pki.Look, time.Hour); err != nil {
+	if _, err := pki.Issue(dir, "n1", pki.RoleViewer, time.Hour); err != nil {
 		t.Fatal(err)
 	}
 	files := &pki.Files{Cert: filepath.Join(dir, "n1.crt"), Key: filepath.Join(dir, "n1.key"), Authority: filepath.Join(dir, "authority.crt")}
--- a/internal/pki/keys_test.go
+++ b/internal/pki/pki_test.go
@@ -13,14 +13,14 @@
 	"time"
 )
 
-// folder is an authority with an instance n1, an operator and a looker.
+// folder creates an authority with two instances, an operator and a viewer.
 func folder(t *testing.T) string {
 	t.Helper()
 	dir := t.TempDir()
 	if err := Create(dir, "test"); err != nil {
 		t.Fatal(err)
 	}
-	for name, role := range map[string]string{"n1": Instance, "n2": Instance, "op": Operate, "eye": Look} {
+	for name, role := range map[string]string{"n1": RoleInstance, "n2": RoleInstance, "op": RoleOperator, "viewer": RoleViewer} {
 		if _, err := Issue(dir, name, role, time.Hour); err != nil {
 			t.Fatal(err)
 		}
@@ -32,7 +32,7 @@
 	return Files{filepath.Join(dir, name+".crt"), filepath.Join(dir, name+".key"), filepath.Join(dir, authorityName+".crt"), filepath.Join(dir, revokedName)}
 }
 
-func open(t *testing.T, f Files) *Keeper {
+func open(t *testing.T, f Files) *KeyStore {
 	t.Helper()
 	k, err := Open(f, func(error) {})
 	if err != nil {
@@ -42,9 +42,9 @@
 }
 
 // serve answers each connection with the role that it has.
-func serve(t *testing.T, k *Keeper) string {
+func serve(t *testing.T, k *KeyStore) string {
 	t.Helper()
-	l, err := tls.Listen("tcp", "127.0.0.1:0", k.Server())
+	l, err := tls.Listen("tcp", "127.0.0.1:0", k.ServerConfig())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -65,7 +65,7 @@
 						return
 					}
 					st := s.ConnectionState()
-					_, _ = io.WriteString(s, k.Role(&st)+"\n")
+					_, _ = io.WriteString(s, k.PeerRole(&st)+"\n")
 				}
 			})
 		}
@@ -94,23 +94,23 @@
 	return strings.TrimSpace(string(buf[:n])), err
 }
 
-func TestWhoMayAndWhoMayNot(t *testing.T) {
+func TestVerify_RoleRevocationAndValidity_Decide(t *testing.T) {
 	dir, other := folder(t), folder(t)
 	addr := serve(t, open(t, files(dir, "n1")))
-	for name, want := range map[string]string{"op": Operate, "eye": Look} {
-		if _, role, err := call(t, addr, open(t, files(dir, name)).Client("n1")); err != nil || role != want {
+	for name, want := range map[string]string{"op": RoleOperator, "viewer": RoleViewer} {
+		if _, role, err := call(t, addr, open(t, files(dir, name)).ClientConfig("n1")); err != nil || role != want {
 			t.Errorf("%s is %q, error %v", name, role, err)
 		}
 	}
-	if err := Revoke(dir, "eye"); err != nil {
+	if err := Revoke(dir, "viewer"); err != nil {
 		t.Fatal(err)
 	}
 	expired := filepath.Join(t.TempDir(), "late")
-	a, err := read(dir, authorityName)
+	a, err := readPair(dir, authorityName)
 	if err != nil {
 		t.Fatal(err)
 	}
-	p, err := a.Issue("late", Operate, time.Hour, time.Now().Add(-2*time.Hour))
+	p, err := a.Issue("late", RoleOperator, time.Hour, time.Now().Add(-2*time.Hour))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -124,27 +124,27 @@
 	server := open(t, files(dir, "n1"))
 	addr = serve(t, server)
 	for name, cfg := range map[string]*tls.Config{
-		"revoked":              open(t, files(dir, "eye")).Client("n1"),
-		"expired":              open(t, late).Client("n1"),
-		"another authority's":  open(t, foreign).Client("n1"),
-		"an instance's":        open(t, files(dir, "n2")).Client("n1"),
+		"revoked":              open(t, files(dir, "viewer")).ClientConfig("n1"),
+		"expired":              open(t, late).ClientConfig("n1"),
+		"another authority's":  open(t, foreign).ClientConfig("n1"),
+		"an instance's":        open(t, files(dir, "n2")).ClientConfig("n1"),
 		"none":                 {InsecureSkipVerify: true},
 		"of an older protocol": {InsecureSkipVerify: true, MaxVersion: tls.VersionTLS12},
-		"for another instance": open(t, files(dir, "op")).Client("n2"),
+		"for another instance": open(t, files(dir, "op")).ClientConfig("n2"),
 	} {
 		if _, role, err := call(t, addr, cfg); err == nil {
 			t.Errorf("a certificate that is %s is let in as %q", name, role)
 		}
 	}
 	// An instance must not be answered for by who only asks.
-	if _, _, err := call(t, serve(t, open(t, files(dir, "op"))), open(t, files(dir, "op")).Client("op")); err == nil {
+	if _, _, err := call(t, serve(t, open(t, files(dir, "op"))), open(t, files(dir, "op")).ClientConfig("op")); err == nil {
 		t.Error("an operator's certificate answers as an instance")
 	}
 }
 
 // A renewed certificate is shown without a restart, one that is half written is not, and a revocation counts on
 // connections that stand.
-func TestFilesThatChangeWhileAProgramRuns(t *testing.T) {
+func TestKeyStore_FilesChange_AreReloaded(t *testing.T) {
 	dir := folder(t)
 	var mu sync.Mutex
 	var warned []error
@@ -156,7 +156,7 @@
 	op := open(t, files(dir, "op"))
 	shown := func() string {
 		t.Helper()
-		c, _, err := call(t, addr, op.Client("n1"))
+		c, _, err := call(t, addr, op.ClientConfig("n1"))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -194,8 +194,8 @@
 		t.Fatal(err)
 	}
 	eventually("the renewed one is shown", func() bool { return shown() != was })
-	c, role, err := call(t, addr, op.Client("n1"))
-	if err != nil || role != Operate {
+	c, role, err := call(t, addr, op.ClientConfig("n1"))
+	if err != nil || role != RoleOperator {
 		t.Fatalf("role %q, error %v", role, err)
 	}
 	if err := Revoke(dir, "op"); err != nil {
@@ -212,7 +212,7 @@
 	}
 }
 
-func TestWrongFilesAreNamed(t *testing.T) {
+func TestOpen_InvalidFiles_AreNamed(t *testing.T) {
 	dir := folder(t)
 	mixed := files(dir, "n1")
 	mixed.Key = files(dir, "n2").Key
@@ -232,7 +232,7 @@
 	for _, c := range []struct {
 		name, role string
 		valid      time.Duration
-	}{{"a/b", Look, time.Hour}, {"..", Look, time.Hour}, {"", Look, time.Hour}, {"x", "king", time.Hour}, {"x", Look, 0}, {"x", Look, 10 * MostValid}, {authorityName, Look, time.Hour}} {
+	}{{"a/b", RoleViewer, time.Hour}, {"..", RoleViewer, time.Hour}, {"", RoleViewer, time.Hour}, {"x", "king", time.Hour}, {"x", RoleViewer, 0}, {"x", RoleViewer, 10 * MaxValidity}, {authorityName, RoleViewer, time.Hour}} {
 		if _, err := Issue(dir, c.name, c.role, c.valid); err == nil {
 			t.Errorf("%+v is issued", c)
 		}
--- a/internal/testcluster/make.go
+++ b/internal/testcluster/make.go
@@ -121,7 +121,7 @@
 func (r *Rig) own(p *process, more string) error {
 	text := fmt.Sprintf("[control]\nsocket = %q\n", r.socket(p.name))
 	if p.control != "" {
-		if _, err := pki.Issue(r.keys(), p.name, pki.Instance, time.Hour); err != nil {
+		if _, err := pki.Issue(r.keys(), p.name, pki.RoleInstance, time.Hour); err != nil {
 			return err
 		}
 		text += fmt.Sprintf("listen = %q\n[control.keys]\n%s", p.control, r.keyFiles(p.name))
--- a/internal/testcluster/rig.go
+++ b/internal/testcluster/rig.go
@@ -106,7 +106,7 @@
 		if err := pki.Create(r.keys(), "rig"); err != nil {
 			return nil, err
 		}
-		if _, err := pki.Issue(r.keys(), looker, pki.Look, time.Hour); err != nil {
+		if _, err := pki.Issue(r.keys(), looker, pki.RoleViewer, time.Hour); err != nil {
 			return nil, err
 		}
 	}
