--- a/internal/cli/config.go
+++ b/internal/cli/config.go
@@ -123,7 +123,7 @@
 	return nil
 }
 
-func (m *migration) tell(out io.Writer, report []migrate.Line) error {
+func (m *migration) tell(out io.Writer, report []migrate.ReportLine) error {
 	if m.asJSON {
 		enc := json.NewEncoder(out)
 		enc.SetIndent("", "  ")
@@ -132,7 +132,7 @@
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "FIELD\tWHAT\tOLD\tNEW\tWHY")
 	for _, l := range report {
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\n", l.Field, l.What, short(l.Old), short(l.New), l.Why)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\n", l.Field, l.Status, short(l.Old), short(l.New), l.Reason)
 	}
 	if m.dry {
 		fmt.Fprintln(w, "nothing was written")
--- a/internal/migrate/migrate_test.go
+++ b/internal/migrate/migrate_test.go
@@ -49,7 +49,7 @@
 	return s
 }
 
-func TestACounterpartIsMadeAndEachFieldIsTold(t *testing.T) {
+func TestRun_NewShape_ReportsEachField(t *testing.T) {
 	out, report, err := Run([]byte(old), shape(t, shapeText))
 	if err != nil {
 		t.Fatal(err)
@@ -74,7 +74,7 @@
 	}
 	got := map[string]string{}
 	for _, l := range report {
-		got[l.Field+" "+l.What] = l.Old + " " + l.New
+		got[l.Field+" "+l.Status] = l.Old + " " + l.New
 	}
 	for _, want := range []struct{ field, values string }{
 		{"name carried", `"n3" "n3"`}, {"big kept", "12345678901234567890.10 12345678901234567890.10"},
@@ -92,7 +92,7 @@
 	}
 }
 
-func TestWhatCanNotBeMigratedIsSaidWithItsPlace(t *testing.T) {
+func TestRun_InvalidInput_NamesFieldAndLine(t *testing.T) {
 	for _, c := range []struct{ name, from, to, shape, want string }{
 		{"twice", `"name":"n3"`, `"name":"n3","name":"n4"`, "", `line 1: field "name"`},
 		{"no text", `"n3"`, "\"\xff\"", "", "UTF-8"},
--- a/internal/migrate/report.go
+++ b/internal/migrate/report.go
@@ -5,46 +5,55 @@
 	"strings"
 )
 
-// report gives a line for each field of the old file in its order, then what the shape has set, then what is not carried.
-func (m *move) report(old *value) (lines []Line) {
-	left := map[string]bool{}
-	for _, l := range m.gone {
-		left[l.Field] = true
+// report returns a line for each field of the old file in its order, then what the shape has added, then what is dropped.
+func (m *migration) report(old *value) []ReportLine {
+	w := reportWriter{migration: m, isDropped: map[string]bool{}, isReported: map[string]bool{}}
+	for _, line := range m.dropped {
+		w.isDropped[line.Field] = true
 	}
-	told := map[string]bool{}
-	var walk func(path, kind string, v *value)
-	walk = func(path, kind string, v *value) {
-		l, changed := m.changed[path]
-		switch {
-		case changed:
-			told[path] = true
-			lines = append(lines, l)
-		case left[path] && strings.HasSuffix(path, "]"): // told below
-		case path != "" && !known[kind] && !strings.HasSuffix(kind, "]"):
-			lines = append(lines, Line{Field: path, What: Unknown, Old: v.text(), New: v.text(), Why: "the program does not know it"})
-		case v.kind == 0 || len(v.items) == 0 || scalars(v):
-			lines = append(lines, Line{Field: path, What: Carried, Old: v.text(), New: v.text()})
-		default:
-			for i, item := range v.items {
-				if v.kind == '{' {
-					walk(join(path, v.keys[i]), join(kind, v.keys[i]), item)
-				} else {
-					walk(fmt.Sprintf("%s[%d]", path, i), kind+"[]", item)
-				}
-			}
+	w.walk("", "", old)
+	for _, path := range m.changeOrder {
+		if !w.isReported[path] {
+			w.lines = append(w.lines, m.changes[path])
 		}
 	}
-	walk("", "", old)
-	for _, path := range m.order {
-		if !told[path] {
-			lines = append(lines, m.changed[path])
+	return append(w.lines, m.dropped...)
+}
+
+// reportWriter collects the lines of the old file's fields.
+type reportWriter struct {
+	*migration
+	lines      []ReportLine
+	isDropped  map[string]bool
+	isReported map[string]bool // changes that have their line
+}
+
+// walk adds the lines of a value; pattern is its path with "[]" for each index, as in knownFields.
+func (w *reportWriter) walk(path, pattern string, v *value) {
+	change, isChanged := w.changes[path]
+	isElement := strings.HasSuffix(pattern, "]")
+	switch {
+	case isChanged:
+		w.isReported[path] = true
+		w.lines = append(w.lines, change)
+	case w.isDropped[path] && strings.HasSuffix(path, "]"): // reported at the end
+	case path != "" && !knownFields[pattern] && !isElement:
+		w.lines = append(w.lines, ReportLine{Field: path, Status: CarriedUnknown, Old: v.text(), New: v.text(), Reason: "the program does not know it"})
+	case v.kind == 0 || len(v.items) == 0 || isScalarArray(v):
+		w.lines = append(w.lines, ReportLine{Field: path, Status: Carried, Old: v.text(), New: v.text()})
+	default:
+		for i, item := range v.items {
+			if v.kind == '{' {
+				w.walk(joinPath(path, v.keys[i]), joinPath(pattern, v.keys[i]), item)
+			} else {
+				w.walk(fmt.Sprintf("%s[%d]", path, i), pattern+"[]", item)
+			}
 		}
 	}
-	return append(lines, m.gone...)
 }
 
-// scalars reports whether an array holds plain values alone: it is one line of the report.
-func scalars(v *value) bool {
+// isScalarArray reports whether a value is an array of scalars: it is one line of the report.
+func isScalarArray(v *value) bool {
 	if v.kind != '[' {
 		return false
 	}
--- a/internal/migrate/value.go
+++ b/internal/migrate/value.go
@@ -10,11 +10,10 @@
 	"unicode/utf8"
 )
 
-// mostDepth bounds how deep objects and arrays may stand in each other: a file of brackets alone must not use up the
-// stack.
-const mostDepth = 64
+// maxDepth bounds the nesting of objects and arrays, and so the stack of the parser.
+const maxDepth = 64
 
-// value is a JSON value that keeps the order of its keys, its figures as written and its line.
+// value is a JSON value that keeps the order of its keys, its numbers as written, and its line.
 type value struct {
 	line   int
 	kind   byte // '{', '[' or 0 for a scalar
@@ -23,7 +22,7 @@
 	items  []*value // of an object or array
 }
 
-// Error is what is wrong in the old configuration. Line is 0 where it is not known, Field "" where it is the whole.
+// Error is a fault of the old configuration. Line is 0 where it is not known, Field "" for the whole file.
 type Error struct {
 	Line  int
 	Field string
@@ -41,100 +40,100 @@
 	return text
 }
 
-// Unwrap returns the reason.
+// Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// reader reads JSON into values.
-type reader struct {
-	text []byte
-	dec  *json.Decoder
-	at   int // the text counted so far, and its lines
-	line int
+// jsonReader parses JSON into values.
+type jsonReader struct {
+	text      []byte
+	decoder   *json.Decoder
+	countedTo int // the offset up to which lines are counted
+	line      int
 }
 
-// parse reads one JSON value and nothing behind it. Errors are *Error.
+// parse parses one JSON value and nothing behind it. Errors are *Error.
 func parse(text []byte) (*value, error) {
-	if !utf8.Valid(text) { // what is no text would be written as something else
+	if !utf8.Valid(text) { // invalid bytes would be written as others
 		return nil, &Error{Err: errors.New("is no UTF-8 text")}
 	}
-	r := &reader{text: text, dec: json.NewDecoder(bytes.NewReader(text)), line: 1}
-	r.dec.UseNumber()
-	v, err := r.value("", 0)
+	r := &jsonReader{text: text, decoder: json.NewDecoder(bytes.NewReader(text)), line: 1}
+	r.decoder.UseNumber()
+	v, err := r.readValue("", 0)
 	if err != nil {
 		return nil, err
 	}
-	if _, err := r.dec.Token(); !errors.Is(err, io.EOF) {
-		return nil, &Error{r.here(), "", errors.New("text after the end of the configuration")}
+	if _, err := r.decoder.Token(); !errors.Is(err, io.EOF) {
+		return nil, &Error{r.currentLine(), "", errors.New("text after the end of the configuration")}
 	}
 	return v, nil
 }
 
-// here is the line that has been read up to.
-func (r *reader) here() int {
-	to := min(int(r.dec.InputOffset()), len(r.text))
-	r.line += bytes.Count(r.text[r.at:to], []byte{'\n'})
-	r.at = to
+// currentLine returns the line up to which the text was read.
+func (r *jsonReader) currentLine() int {
+	to := min(int(r.decoder.InputOffset()), len(r.text))
+	r.line += bytes.Count(r.text[r.countedTo:to], []byte{'\n'})
+	r.countedTo = to
 	return r.line
 }
 
-func (r *reader) token(path string) (json.Token, error) {
-	t, err := r.dec.Token()
+func (r *jsonReader) readToken(path string) (json.Token, error) {
+	t, err := r.decoder.Token()
 	if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
 		return nil, &Error{1 + bytes.Count(r.text, []byte{'\n'}), path, errors.New("the file ends in the middle")}
 	}
 	if err != nil {
-		return nil, &Error{r.here(), path, err}
+		return nil, &Error{r.currentLine(), path, err}
 	}
 	return t, nil
 }
 
-func (r *reader) value(path string, depth int) (*value, error) {
-	t, err := r.token(path)
+func (r *jsonReader) readValue(path string, depth int) (*value, error) {
+	t, err := r.readToken(path)
 	if err != nil {
 		return nil, err
 	}
-	v := &value{line: r.here(), scalar: t}
+	v := &value{line: r.currentLine(), scalar: t}
 	d, nested := t.(json.Delim)
 	if !nested {
 		return v, nil
 	}
-	if depth >= mostDepth {
-		return nil, &Error{v.line, path, fmt.Errorf("more than %d levels", mostDepth)}
+	if depth >= maxDepth {
+		return nil, &Error{v.line, path, fmt.Errorf("more than %d levels", maxDepth)}
 	}
 	v.kind, v.scalar = byte(d), nil
 	seen := map[string]bool{}
-	for r.dec.More() {
+	for r.decoder.More() {
 		at := fmt.Sprintf("%s[%d]", path, len(v.items))
 		if v.kind == '{' {
-			t, err := r.token(path)
+			t, err := r.readToken(path)
 			if err != nil {
 				return nil, err
 			}
 			key, _ := t.(string)
-			if at = join(path, key); seen[key] {
-				return nil, &Error{r.here(), at, errors.New("stands there twice")}
+			if at = joinPath(path, key); seen[key] {
+				return nil, &Error{r.currentLine(), at, errors.New("stands there twice")}
 			}
 			seen[key] = true
 			v.keys = append(v.keys, key)
 		}
-		item, err := r.value(at, depth+1)
+		item, err := r.readValue(at, depth+1)
 		if err != nil {
 			return nil, err
 		}
 		v.items = append(v.items, item)
 	}
-	_, err = r.token(path) // the closing bracket
+	_, err = r.readToken(path) // the closing bracket
 	return v, err
 }
 
-func join(path, key string) string {
+func joinPath(path, key string) string {
 	if path == "" {
 		return key
 	}
 	return path + "." + key
 }
 
-// get finds a value by its path of keys; nil where there is none.
+// get returns the value at a path of keys, nil where there is none.
 func (v *value) get(path string) *value {
 	key, rest, more := strings.Cut(path, ".")
 	for i, k := range v.keys {
@@ -148,7 +147,7 @@
 	return nil
 }
 
-// put sets the value at a path and makes the objects on the way.
+// put sets the value at a path and creates the objects on the way.
 func (v *value) put(path string, to *value) {
 	key, rest, more := strings.Cut(path, ".")
 	at := -1
@@ -161,7 +160,7 @@
 		v.keys, v.items, at = append(v.keys, key), append(v.items, &value{kind: '{'}), len(v.items)
 	}
 	if more {
-		if v.items[at].kind == 0 { // null, as good as missing; a node refuses all else
+		if v.items[at].kind == 0 { // null counts as missing; a node rejects other scalars
 			v.items[at] = &value{kind: '{'}
 		}
 		v.items[at].put(rest, to)
@@ -170,8 +169,8 @@
 	v.items[at] = to
 }
 
-// of makes a value of Go's; what json can write, it takes.
-func of(x any) *value {
+// newValue converts a Go value that encoding/json can write.
+func newValue(x any) *value {
 	text, err := json.Marshal(x)
 	if err != nil {
 		return &value{}
@@ -207,11 +206,11 @@
 		}
 		out.Write(text)
 	}
-	out.WriteByte(v.kind + 2) // '}' and ']' stand two behind their opening ones
+	out.WriteByte(v.kind + 2) // in ASCII '}' and ']' follow their opening ones by two
 	return out.Bytes(), nil
 }
 
-// text is the value on one line, as the report shows it.
+// text returns the value as JSON on one line, "" for nil.
 func (v *value) text() string {
 	if v == nil {
 		return ""
