--- a/internal/lifecycle/control.go
+++ b/internal/lifecycle/control.go
@@ -53,8 +53,8 @@
 		if err != nil {
 			return listeners, err
 		}
-		roleOf := func(s *tls.ConnectionState) control.Role { return controlRole(keys.Role(s)) }
-		listener, err := control.ListenTLS(cfg.Listen, maxConnections, keys.Server(), roleOf)
+		roleOf := func(s *tls.ConnectionState) control.Role { return controlRole(keys.PeerRole(s)) }
+		listener, err := control.ListenTLS(cfg.Listen, maxConnections, keys.ServerConfig(), roleOf)
 		if err != nil {
 			return listeners, err
 		}
@@ -64,16 +64,16 @@
 }
 
 // openKeys opens certificate files that are read again when they are renewed.
-func openKeys(files pki.Files, log *zap.Logger) (*pki.Keeper, error) {
+func openKeys(files pki.Files, log *zap.Logger) (*pki.KeyStore, error) {
 	return pki.Open(files, func(err error) { log.Error("certificate reload failed", zap.Error(err)) })
 }
 
 // controlRole maps the role in a certificate to that on the control listener.
 func controlRole(certificateRole string) control.Role {
 	switch certificateRole {
-	case pki.Operate:
+	case pki.RoleOperator:
 		return control.Operator
-	case pki.Look:
+	case pki.RoleViewer:
 		return control.Viewer
 	}
 	return control.NoRole
--- a/internal/lifecycle/peerpoll.go
+++ b/internal/lifecycle/peerpoll.go
@@ -70,11 +70,11 @@
 }
 
 // openKeys opens the client certificate; nil where none is configured. It retries while the system lacks resources.
-func (p *peerPoller) openKeys(ctx context.Context) (*pki.Keeper, error) {
+func (p *peerPoller) openKeys(ctx context.Context) (*pki.KeyStore, error) {
 	if p.options.Keys == nil {
 		return nil, nil
 	}
-	return retryWhileExhausted(ctx, p.log, func() (*pki.Keeper, error) { return openKeys(*p.options.Keys, p.log) })
+	return retryWhileExhausted(ctx, p.log, func() (*pki.KeyStore, error) { return openKeys(*p.options.Keys, p.log) })
 }
 
 func (p *peerPoller) maxBackoff() time.Duration {
@@ -86,10 +86,10 @@
 }
 
 // pollPeer polls a peer for as long as that brings newer lists; succeeded tells whether one call did.
-func (p *peerPoller) pollPeer(ctx context.Context, peer nodeconfig.Peer, keys *pki.Keeper) (succeeded bool, err error) {
+func (p *peerPoller) pollPeer(ctx context.Context, peer nodeconfig.Peer, keys *pki.KeyStore) (succeeded bool, err error) {
 	var tlsConfig *tls.Config
 	if keys != nil {
-		tlsConfig = keys.Client(peer.Name)
+		tlsConfig = keys.ClientConfig(peer.Name)
 	}
 	client, err := control.Dial(peer.Addr, tlsConfig)
 	if err != nil {
--- a/internal/lifecycle/peerpoll_test.go
+++ b/internal/lifecycle/peerpoll_test.go
@@ -25,7 +25,7 @@
 	if err := pki.Create(dir, "test"); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := pki.Issue(dir, "n1", pki.Look, time.Hour); err != nil {
+	if _, err := pki.Issue(dir, "n1", pki.RoleViewer, time.Hour); err != nil {
 		t.Fatal(err)
 	}
 	files := &pki.Files{
