--- a/internal/node/ending_test.go
+++ b/internal/node/ending_test.go
@@ -14,19 +14,19 @@
 func TestTheEndAnswersAllThatIsOwed(t *testing.T) {
 	n, _, _ := held(t, entry("s1", wire.Serving), entry("s2", wire.Serving))
 	up, waits, dials, mid := arrive(t, n, "up"), arrive(t, n, "waits"), arrive(t, n, "dials"), &port{}
-	n.take(event{kind: evConnected, id: "up"})
-	n.take(opened("up", 0))
-	n.take(event{kind: evConnected, id: "waits"})
-	n.take(event{kind: evArrive, id: "mid", opening: opening(t, "OPEN mid key c=chat,t=acme,d=2000,mid=1"),
+	n.handle(event{kind: evConnected, id: "up"})
+	n.handle(opened("up", 0))
+	n.handle(event{kind: evConnected, id: "waits"})
+	n.handle(event{kind: evArrive, id: "mid", opening: opening(t, "OPEN mid key c=chat,t=acme,d=2000,mid=1"),
 		until: time.Now().Add(2 * time.Second), port: mid})
-	n.take(event{kind: evEnd, until: time.Now().Add(time.Hour)})
-	if n.endsIn(time.Now()) == 0 || n.InFlightRequests() != 3 {
-		t.Fatalf("ends in %v, %d owed", n.endsIn(time.Now()), n.InFlightRequests())
+	n.handle(event{kind: evEnd, until: time.Now().Add(time.Hour)})
+	if n.timeToShutdown(time.Now()) == 0 || n.InFlightRequests() != 3 {
+		t.Fatalf("ends in %v, %d owed", n.timeToShutdown(time.Now()), n.InFlightRequests())
 	}
-	n.conclude()
-	n.take(event{kind: evConnected, id: "dials"})
+	n.answerInFlight()
+	n.handle(event{kind: evConnected, id: "dials"})
 	for _, id := range []string{"waits", "dials", "mid"} {
-		n.take(settled(id, 0, balancer.Cancelled))
+		n.handle(settled(id, 0, balancer.Cancelled))
 	}
 	late := arrive(t, n, "late")
 	for name, p := range map[string]*port{"waits": waits, "dials": dials, "mid": mid, "late": late} {
@@ -46,7 +46,7 @@
 // What comes to a node that ends soon has only as long as the node: another host is tried in time.
 func TestWhoComesToANodeThatEndsHasAsLongAsTheNode(t *testing.T) {
 	n, _, _ := held(t, entry("s1", wire.Serving))
-	n.take(event{kind: evEnd, until: time.Now().Add(50 * time.Millisecond)})
+	n.handle(event{kind: evEnd, until: time.Now().Add(50 * time.Millisecond)})
 	p := arrive(t, n, "r")
 	if len(p.sent) != 1 || p.sent[0].Timeout > 50*time.Millisecond {
 		t.Errorf("sent %+v", p.sent)
--- a/internal/node/events.go
+++ b/internal/node/events.go
@@ -51,7 +51,7 @@
 	at      time.Time
 	list    *wire.EndpointList
 	call    uint64
-	reply   chan place
+	reply   chan resumePoint
 	view    chan View
 	facts   []PingBaseline
 	tell    chan []PingBaseline
@@ -117,8 +117,8 @@
 	n.post(event{kind: evGone, id: id, port: p, attempt: taken})
 }
 
-// place is where a connection stands that stood before the run.
-type place struct {
+// resumePoint is where a connection stands that stood before the run.
+type resumePoint struct {
 	addr string // "" where that is not known yet
 	ok   bool   // it may be taken up
 }
@@ -126,7 +126,7 @@
 // ResumeConnection takes in a connection that stood at its host before the run and asks where that is, "" where that is not
 // known yet; false where its id is held already, or the loop has ended. Inherit or Gone must follow.
 func (n *Node) ResumeConnection(o *wire.Opening, p ClientConn) (addr string, ok bool) {
-	reply := make(chan place, 1)
+	reply := make(chan resumePoint, 1)
 	n.post(event{kind: evResume, id: balancer.RequestID(o.ID), opening: o, port: p, reply: reply})
 	select {
 	case at := <-reply:
@@ -139,9 +139,9 @@
 // HasClassAndTenant reports whether the settings have the class and the tenant that a client names. It may be asked from
 // anywhere: the names never change.
 func (n *Node) HasClassAndTenant(o *wire.Opening) bool {
-	_, class := n.classes[o.Class]
-	_, tenant := n.tenants[o.Tenant]
-	return class && (tenant || len(n.tenants) == 0)
+	_, class := n.classIndex[o.Class]
+	_, tenant := n.tenantIndex[o.Tenant]
+	return class && (tenant || len(n.tenantIndex) == 0)
 }
 
 // ListReceived hands over news that a call to discovery brought.
@@ -168,7 +168,7 @@
 func (n *Node) MigrateAll(by time.Time) { n.post(event{kind: evMoveAll, until: by}) }
 
 // InFlightRequests tells how many requests wait for their final answer; Open how many connections stand.
-func (n *Node) InFlightRequests() int64 { return n.owed.Load() }
+func (n *Node) InFlightRequests() int64 { return n.inFlight.Load() }
 
 // EstablishedConnections tells how many connections stand.
-func (n *Node) EstablishedConnections() int64 { return n.open.Load() }
+func (n *Node) EstablishedConnections() int64 { return n.established.Load() }
--- /dev/null
+++ b/internal/node/events_bench_test.go
@@ -0,0 +1,35 @@
+package node
+
+import (
+	"testing"
+	"time"
+
+	"go.uber.org/zap"
+
+	"onyxstream/balancer"
+	"onyxstream/internal/wire"
+)
+
+// BenchmarkLoadReport measures a load report of an established connection from the connection's goroutine through the
+// channel to the balancer. It must not allocate: open connections report every second.
+func BenchmarkLoadReport(b *testing.B) {
+	known := wire.EndpointList{Revision: 7, Complete: true, Endpoints: []wire.Endpoint{entry("s1", wire.Serving)}}
+	n := New(testSettings(), known, "d:1", &world{}, zap.NewNop())
+	p := &port{}
+	_, o, err := wire.ParseOpening([]byte("OPEN r key c=chat,t=acme,d=2000"))
+	if err != nil {
+		b.Fatal(err)
+	}
+	n.RequestArrived(&o, time.Now().Add(2*time.Second), p)
+	n.handle(<-n.events)
+	n.ConnectionEstablished("r", p, 0, time.Millisecond)
+	n.handle(<-n.events)
+	if n.EstablishedConnections() != 1 {
+		b.Fatal("connection is not established")
+	}
+	b.ReportAllocs()
+	for b.Loop() {
+		n.ReportLoad(balancer.RequestID("r"), p, 5)
+		n.handle(<-n.events)
+	}
+}
--- a/internal/node/facts.go
+++ b/internal/node/facts.go
@@ -30,21 +30,21 @@
 // MergePingBaselines takes in what another process has learnt.
 func (n *Node) MergePingBaselines(facts []PingBaseline) { n.post(event{kind: evLearn, facts: facts}) }
 
-func (n *Node) facts() (out []PingBaseline) {
-	for id, m := range n.members {
-		if m.best > 0 {
-			out = append(out, PingBaseline{id, m.since, m.best})
+func (n *Node) pingBaselines() (out []PingBaseline) {
+	for id, m := range n.hosts {
+		if m.bestPing > 0 {
+			out = append(out, PingBaseline{id, m.startedAtMS, m.bestPing})
 		}
 	}
 	slices.SortFunc(out, func(a, b PingBaseline) int { return cmp.Compare(a.Host, b.Host) })
 	return out
 }
 
-// learn believes a fact of a host as long as that is the same start of it.
-func (n *Node) learn(facts []PingBaseline) {
+// mergePingBaselines believes a fact of a host as long as that is the same start of it.
+func (n *Node) mergePingBaselines(facts []PingBaseline) {
 	for _, f := range facts {
-		if m := n.members[f.Host]; m != nil && m.since == f.StartedAtMS && f.BestPing > 0 && (m.best == 0 || f.BestPing < m.best) {
-			m.best = f.BestPing
+		if m := n.hosts[f.Host]; m != nil && m.startedAtMS == f.StartedAtMS && f.BestPing > 0 && (m.bestPing == 0 || f.BestPing < m.bestPing) {
+			m.bestPing = f.BestPing
 		}
 	}
 }
--- a/internal/node/guard_test.go
+++ b/internal/node/guard_test.go
@@ -15,24 +15,24 @@
 	for _, c := range []struct {
 		name   string
 		change func(n *Node, r *request)
-		want   denial
+		want   writeDenial
 	}{
 		{"it may", func(*Node, *request) {}, ""},
-		{"the attempt has ended", func(_ *Node, r *request) { r.out = false }, denyOver},
-		{"it is up", func(_ *Node, r *request) { r.up = true }, denyOver},
-		{"another was sent", func(_ *Node, r *request) { r.attempts++ }, denySecondOut},
-		{"the node has ended", func(n *Node, _ *request) { n.ended = true }, denyEnded},
-		{"the node drains", func(n *Node, _ *request) { n.shutAt = long }, denyDraining},
-		{"the node drains, mid-flow", func(n *Node, r *request) { n.shutAt, r.mid = long, true }, ""},
-		{"the host drains", func(_ *Node, r *request) { r.on.state, r.on.toldAt = balancer.Draining, long }, denyHost},
-		{"the host has just begun to drain", func(_ *Node, r *request) { r.on.state, r.on.toldAt = balancer.Draining, time.Now() }, ""},
+		{"the attempt has ended", func(_ *Node, r *request) { r.attemptInFlight = false }, denyAttemptOver},
+		{"it is up", func(_ *Node, r *request) { r.established = true }, denyAttemptOver},
+		{"another was sent", func(_ *Node, r *request) { r.attempts++ }, denyConcurrentAttempt},
+		{"the node has ended", func(n *Node, _ *request) { n.shutDown = true }, denyShutdown},
+		{"the node drains", func(n *Node, _ *request) { n.admissionCutoff = long }, denyNodeDraining},
+		{"the node drains, mid-flow", func(n *Node, r *request) { n.admissionCutoff, r.midFlow = long, true }, ""},
+		{"the host drains", func(_ *Node, r *request) { r.host.state, r.host.notifiedAt = balancer.Draining, long }, denyHostDraining},
+		{"the host has just begun to drain", func(_ *Node, r *request) { r.host.state, r.host.notifiedAt = balancer.Draining, time.Now() }, ""},
 		{"an unsafe one that may have run", func(n *Node, r *request) {
-			n.set.Classes[0].Effect, r.mayHave = balancer.NonIdempotent, long
-		}, denyRepeat},
+			n.settings.Classes[0].Effect, r.mayHaveExecutedAt = balancer.NonIdempotent, long
+		}, denyUnsafeRetry},
 	} {
 		n, _, _ := held(t, entry("a", wire.Serving))
 		arrive(t, n, "r")
-		r := n.reqs["r"]
+		r := n.requests["r"]
 		c.change(n, r)
 		if got := n.mayWrite(r, 0); got != c.want {
 			t.Errorf("%s: %q, want %q", c.name, got, c.want)
@@ -49,17 +49,17 @@
 	}{
 		{"a right one", func(*Node, *request) {}, nil},
 		{"to a drained host", func(n *Node, r *request) {
-			r.on.state, r.on.toldAt = balancer.Removed, time.Now().Add(-n.set.DrainGrace-time.Millisecond)
+			r.host.state, r.host.notifiedAt = balancer.Removed, time.Now().Add(-n.settings.DrainGrace-time.Millisecond)
 		}, map[invariant.Rule]uint64{invariant.SentToDrained: 1}},
 		{"a repeat", func(n *Node, r *request) {
-			n.set.Classes[0].Effect, r.mayHave = balancer.NonIdempotent, time.Now()
+			n.settings.Classes[0].Effect, r.mayHaveExecutedAt = balancer.NonIdempotent, time.Now()
 		}, map[invariant.Rule]uint64{invariant.UnsafeRetry: 1}},
 		{"beside another", func(_ *Node, r *request) { r.attempts++ }, map[invariant.Rule]uint64{invariant.ConcurrentAttempt: 1}},
 	} {
 		n, _, _ := held(t, entry("a", wire.Serving))
 		p := arrive(t, n, "r")
-		c.change(n, n.reqs["r"])
-		n.take(event{kind: evWritten, id: "r", port: p, at: time.Now()})
+		c.change(n, n.requests["r"])
+		n.handle(event{kind: evWritten, id: "r", port: p, at: time.Now()})
 		for _, rule := range invariant.Rules() {
 			if got := n.Monitor().Count(rule); got != c.want[rule] {
 				t.Errorf("%s: %q is counted %d times, want %d", c.name, rule, got, c.want[rule])
@@ -78,15 +78,15 @@
 		want  bool
 	}{{"at once", 0, 0, true}, {"spread", 0, 200 * time.Millisecond, false}, {"warm", time.Hour, 0, false}} {
 		n, _, _ := held(t, entry("a", wire.Serving))
-		n.set.Tenants = []balancer.Tenant{{ConnectionQuota: 5}}
-		n.set.SlowStartDuration = 10 * time.Second
+		n.settings.Tenants = []balancer.Tenant{{ConnectionQuota: 5}}
+		n.settings.SlowStartDuration = 10 * time.Second
 		arrive(t, n, "r")
-		r, now := n.reqs["r"], time.Now()
-		r.on.start = n.at(now) - c.age
-		budget := n.slowStartBudget(r.on, c.age)
+		r, now := n.requests["r"], time.Now()
+		r.host.startedAt = n.clockTime(now) - c.age
+		budget := n.slowStartBudget(r.host, c.age)
 		lines := int(invariant.SlowStartLimit(budget)) + 1
 		for i := range lines {
-			n.written(event{kind: evWritten, id: "r", at: now.Add(time.Duration(i) * c.apart)}, r)
+			n.handleWritten(event{kind: evWritten, id: "r", at: now.Add(time.Duration(i) * c.apart)}, r)
 		}
 		if got := n.Monitor().Count(invariant.SlowStartExceeded) > 0; got != c.want {
 			t.Errorf("%s: %d lines with a budget of %.1f, found %v", c.name, lines, budget, got)
--- a/internal/node/list_test.go
+++ b/internal/node/list_test.go
@@ -14,13 +14,13 @@
 
 func TestCompleteListDropsWhatItLacks(t *testing.T) {
 	n, _, _ := held(t, entry("s1", wire.Serving), entry("s2", wire.Serving))
-	n.take(event{kind: evList, list: &wire.EndpointList{Revision: 8, Complete: true, Endpoints: []wire.Endpoint{entry("s2", wire.Serving)}}})
-	if n.members["s1"].state != balancer.Removed || n.members["s2"].state != balancer.Live || n.revision != 8 {
-		t.Errorf("s1 %v, s2 %v, revision %d", n.members["s1"].state, n.members["s2"].state, n.revision)
+	n.handle(event{kind: evList, list: &wire.EndpointList{Revision: 8, Complete: true, Endpoints: []wire.Endpoint{entry("s2", wire.Serving)}}})
+	if n.hosts["s1"].state != balancer.Removed || n.hosts["s2"].state != balancer.Live || n.revision != 8 {
+		t.Errorf("s1 %v, s2 %v, revision %d", n.hosts["s1"].state, n.hosts["s2"].state, n.revision)
 	}
-	n.members["s1"].toldAt = time.Now().Add(-2 * forgetAfter)
-	n.list(&wire.EndpointList{Revision: 9}, balancer.ListDelta, false)
-	if n.members["s1"] != nil {
+	n.hosts["s1"].notifiedAt = time.Now().Add(-2 * removedHostTTL)
+	n.applyList(&wire.EndpointList{Revision: 9}, balancer.ListDelta, false)
+	if n.hosts["s1"] != nil {
 		t.Error("a host gone for long is kept")
 	}
 }
@@ -33,8 +33,8 @@
 	if p := arrive(t, n, "r"); p.heard() != "refuse true" || n.InFlightRequests() != 0 {
 		t.Errorf("%s; %d owed", p.heard(), n.InFlightRequests())
 	}
-	if p := arrive(t, n, "q"); p.heard() != "refuse true" || len(n.reqs) != 0 {
-		t.Errorf("%s; %d kept", p.heard(), len(n.reqs))
+	if p := arrive(t, n, "q"); p.heard() != "refuse true" || len(n.requests) != 0 {
+		t.Errorf("%s; %d kept", p.heard(), len(n.requests))
 	}
 }
 
@@ -48,8 +48,8 @@
 	if len(w.watches) != 1 || w.watches[0] != (ListRequest{1, "d:1", 7}) {
 		t.Fatalf("watches %v, want one from version 7", w.watches)
 	}
-	n.take(event{kind: evList, call: 1, list: &wire.EndpointList{Revision: 9, Endpoints: []wire.Endpoint{entry("s2", wire.Serving)}}})
-	if n.revision != 9 || n.members["s2"] == nil {
+	n.handle(event{kind: evList, call: 1, list: &wire.EndpointList{Revision: 9, Endpoints: []wire.Endpoint{entry("s2", wire.Serving)}}})
+	if n.revision != 9 || n.hosts["s2"] == nil {
 		t.Errorf("revision %d", n.revision)
 	}
 }
@@ -65,31 +65,31 @@
 			t.Errorf("%s: %q", when, p.heard())
 		}
 	}
-	n.take(event{kind: evFollow, text: "d:2"})
-	n.take(event{kind: evFollow, text: "d:3"})
+	n.handle(event{kind: evFollow, text: "d:2"})
+	n.handle(event{kind: evFollow, text: "d:3"})
 	if want := (ListRequest{3, "d:3", NoRevision}); len(w.watches) != 3 || w.watches[2] != want {
 		t.Fatalf("asked %v, want %v last", w.watches, want)
 	}
-	n.take(event{kind: evWatchFailed, call: 1})
-	n.take(event{kind: evWatchFailed, call: 2})
+	n.handle(event{kind: evWatchFailed, call: 1})
+	n.handle(event{kind: evWatchFailed, call: 2})
 	serves("the-old-watch-has-ended")
 	// What the old one wrote was told and holds, its version does not.
-	n.take(event{kind: evList, call: 1, list: &wire.EndpointList{Revision: 900, Endpoints: []wire.Endpoint{entry("s1", wire.Draining)}}})
-	if n.revision != NoRevision || n.members["s1"].state != balancer.Draining {
-		t.Errorf("revision %d, s1 %v", n.revision, n.members["s1"].state)
+	n.handle(event{kind: evList, call: 1, list: &wire.EndpointList{Revision: 900, Endpoints: []wire.Endpoint{entry("s1", wire.Draining)}}})
+	if n.revision != NoRevision || n.hosts["s1"].state != balancer.Draining {
+		t.Errorf("revision %d, s1 %v", n.revision, n.hosts["s1"].state)
 	}
-	n.take(event{kind: evWatchFailed, call: 3})
+	n.handle(event{kind: evWatchFailed, call: 3})
 	n.watch()
 	if got := w.watches[len(w.watches)-1]; got != (ListRequest{4, "d:3", NoRevision}) {
 		t.Errorf("after a failure asked %v", got)
 	}
-	n.take(event{kind: evList, call: 4, list: &wire.EndpointList{Revision: 2, Complete: true,
+	n.handle(event{kind: evList, call: 4, list: &wire.EndpointList{Revision: 2, Complete: true,
 		Endpoints: []wire.Endpoint{entry("s1", wire.Serving)}}})
 	n.watch()
 	if got := w.watches[len(w.watches)-1]; got != (ListRequest{5, "d:3", 2}) {
 		t.Errorf("after the list asked %v", got)
 	}
-	if n.members["s2"].state != balancer.Removed || n.members["s1"].state != balancer.Live {
+	if n.hosts["s2"].state != balancer.Removed || n.hosts["s1"].state != balancer.Live {
 		t.Error("the whole list does not hold")
 	}
 	serves("with-the-new-list")
@@ -98,15 +98,15 @@
 // Sites that need not be asked have no module that asks: the node watches by itself, and again.
 func TestPushSitesAreWatchedAgain(t *testing.T) {
 	n, w, _ := held(t)
-	n.set.PollList = false
+	n.settings.PollList = false
 	n.watch()
-	n.take(event{kind: evWatchFailed, call: 1})
-	n.pulse(time.Now())
+	n.handle(event{kind: evWatchFailed, call: 1})
+	n.handleTick(time.Now())
 	if len(w.watches) != 1 {
 		t.Fatal("watched again at once")
 	}
-	n.pulse(time.Now().Add(time.Second))
-	n.pulse(time.Now().Add(2 * time.Second))
+	n.handleTick(time.Now().Add(time.Second))
+	n.handleTick(time.Now().Add(2 * time.Second))
 	if len(w.watches) != 2 {
 		t.Errorf("%d watches, want 2", len(w.watches))
 	}
@@ -120,18 +120,18 @@
 		for _, ask := range []bool{true, false} {
 			t.Run(fmt.Sprintf("%s, asked for %v", name, ask), func(t *testing.T) {
 				n, w, _ := held(t, entry("s1", wire.Serving))
-				n.set.PollList = ask
+				n.settings.PollList = ask
 				n.watch()
 				for _, e := range order {
-					n.take(e)
+					n.handle(e)
 				}
 				if last := w.watches[len(w.watches)-1]; len(w.watches) != 2 || last.Addr != "new:1" || last.AfterRevision != NoRevision {
 					t.Fatalf("calls %v", w.watches)
 				}
 				list := wire.EndpointList{Revision: 3, Complete: true, Endpoints: []wire.Endpoint{entry("s2", wire.Serving)}}
-				n.take(event{kind: evList, call: 2, list: &list})
-				n.take(refused)
-				n.pulse(time.Now().Add(time.Minute))
+				n.handle(event{kind: evList, call: 2, list: &list})
+				n.handle(refused)
+				n.handleTick(time.Now().Add(time.Minute))
 				if len(w.watches) != 2 || n.revision != 3 {
 					t.Errorf("calls %v, revision %d", w.watches, n.revision)
 				}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -63,61 +63,61 @@
 
 // Node is the memory of one node.
 type Node struct {
-	set     settings.Settings
-	brain   *balancer.Balancer
-	outside Transport
-	log     *zap.Logger
-	monitor *invariant.Monitor
-	base    time.Time
-	events  chan event
-	done    chan struct{}
+	settings  settings.Settings
+	balancer  *balancer.Balancer
+	transport Transport
+	log       *zap.Logger
+	monitor   *invariant.Monitor
+	startedAt time.Time
+	events    chan event
+	done      chan struct{}
 
-	queue   []balancer.Event // not yet handled by the module
-	reqs    map[balancer.RequestID]*request
-	members map[balancer.ServerID]*member
-	classes map[string]int
-	tenants map[string]int
-	zones   map[string]int
+	pendingEvents []balancer.Event // not yet handled by the module
+	requests      map[balancer.RequestID]*request
+	hosts         map[balancer.ServerID]*hostRecord
+	classIndex    map[string]int
+	tenantIndex   map[string]int
+	zoneIndex     map[string]int
 
-	discovery string // where the list is asked for
-	call      uint64 // the last question to it
-	revision  int64  // as of its list there, NoRevision where that knows none of ours
+	discoveryAddr string // where the list is asked for
+	watchSequence uint64 // the last question to it
+	revision      int64  // as of its list there, NoRevision where that knows none of ours
 
-	wall     wallClock     // by which starts of hosts are listed
-	memoryMB int           // that the process may take, 0 for no bound on the list
-	slowFrom time.Duration // the time of a message from which on the module is told, 0 for never
-	timers   timers
-	watching bool      // sites that need not be asked: a watch is on or under way
-	watchAt  time.Time // when to watch again there
-	tick     int
-	moveBy   time.Time // all clients are to be gone by then; zero while the node stays
-	orders
-	starting
-	ending
+	wallClock            wallClock     // by which starts of hosts are listed
+	memoryLimitMB        int           // that the process may take, 0 for no bound on the list
+	slowMessageThreshold time.Duration // the time of a message from which on the module is told, 0 for never
+	timers               timers
+	watching             bool      // sites that need not be asked: a watch is on or under way
+	nextWatchAt          time.Time // when to watch again there
+	tickCount            int
+	migrateAllBy         time.Time // all clients are to be gone by then; zero while the node stays
+	operatorState
+	coldStartState
+	shutdownState
 
-	owed, open atomic.Int64
-	givenUp    map[balancer.Reason]int // requests that were refused or failed, by why; the loop's own
+	inFlight, established atomic.Int64
+	givenUp               map[balancer.Reason]int // requests that were refused or failed, by why; the loop's own
 }
 
 // New makes a node that knows its settings, the list as it was last held, and where to ask for it.
 func New(set settings.Settings, known wire.EndpointList, discovery string, outside Transport, log *zap.Logger) *Node {
-	n := &Node{set: set, brain: balancer.New(set.Settings), outside: outside, log: log, monitor: invariant.NewMonitor(log), base: time.Now(), discovery: discovery,
+	n := &Node{settings: set, balancer: balancer.New(set.Settings), transport: outside, log: log, monitor: invariant.NewMonitor(log), startedAt: time.Now(), discoveryAddr: discovery,
 		events: make(chan event, 1024), done: make(chan struct{}),
-		reqs: map[balancer.RequestID]*request{}, givenUp: map[balancer.Reason]int{}, members: map[balancer.ServerID]*member{},
-		orders: orders{overrides: map[balancer.ServerID]bool{}, returning: map[balancer.ServerID]time.Duration{}}, starting: starting{empty: make(chan struct{}), dead: map[string]time.Time{}},
-		classes: index(set.ClassNames), tenants: index(set.TenantNames), zones: index(set.ZoneNames)}
+		requests: map[balancer.RequestID]*request{}, givenUp: map[balancer.Reason]int{}, hosts: map[balancer.ServerID]*hostRecord{},
+		operatorState: operatorState{overrides: map[balancer.ServerID]bool{}, reenabledAt: map[balancer.ServerID]time.Duration{}}, coldStartState: coldStartState{listAvailable: make(chan struct{}), unreachable: map[string]time.Time{}},
+		classIndex: indexByName(set.ClassNames), tenantIndex: indexByName(set.TenantNames), zoneIndex: indexByName(set.ZoneNames)}
 	// The simulator tells of messages that take over a third of the shortest aim, so the module expects that.
 	for _, c := range set.Classes {
-		if from := c.MessageLatencyObjective / 3; from > 0 && (n.slowFrom == 0 || from < n.slowFrom) {
-			n.slowFrom = from
+		if from := c.MessageLatencyObjective / 3; from > 0 && (n.slowMessageThreshold == 0 || from < n.slowMessageThreshold) {
+			n.slowMessageThreshold = from
 		}
 	}
-	n.list(&known, balancer.ListCached, false)
+	n.applyList(&known, balancer.ListCached, false)
 	n.revision = known.Revision
 	return n
 }
 
-func index(names []string) map[string]int {
+func indexByName(names []string) map[string]int {
 	out := make(map[string]int, len(names))
 	for i, name := range names {
 		out[name] = i
@@ -127,16 +127,16 @@
 
 // now is the node's clock: Unix time as of the start, moved on by the monotonic clock alone, so that
 // a step of the machine's clock moves no timer.
-func (n *Node) now() time.Duration { return n.at(time.Now()) }
+func (n *Node) now() time.Duration { return n.clockTime(time.Now()) }
 
-func (n *Node) at(t time.Time) time.Duration {
-	return time.Duration(n.base.UnixNano()) + t.Sub(n.base)
+func (n *Node) clockTime(t time.Time) time.Duration {
+	return time.Duration(n.startedAt.UnixNano()) + t.Sub(n.startedAt)
 }
 
 // observeClock looks whether the machine's clock was stepped. Nothing but the listed starts of hosts hangs on it.
 func (n *Node) observeClock(now time.Time) {
-	if n.wall.observe(time.Duration(now.UnixNano()), n.at(now)) {
-		n.log.Warn("the machine's clock was stepped", zap.Duration("from the node's own clock", n.wall.offsets[0]))
+	if n.wallClock.observe(time.Duration(now.UnixNano()), n.clockTime(now)) {
+		n.log.Warn("the machine's clock was stepped", zap.Duration("from the node's own clock", n.wallClock.offsets[0]))
 	}
 }
 
@@ -145,72 +145,72 @@
 	defer close(n.done)
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	ticks := time.NewTicker(tickEvery)
+	ticks := time.NewTicker(tickInterval)
 	defer ticks.Stop()
-	if !n.set.PollList && n.start == nil {
+	if !n.settings.PollList && n.scheduler == nil {
 		n.watch()
 	}
 	for {
-		timer.Reset(min(n.timers.wait(n.now()), n.endsIn(time.Now()), n.callIn()))
+		timer.Reset(min(n.timers.wait(n.now()), n.timeToShutdown(time.Now()), n.nextCallIn()))
 		select {
 		case <-ctx.Done():
 			return nil
 		case e := <-n.events:
-			n.guard(func() { n.take(e) })
+			n.recoverPanics(func() { n.handle(e) })
 		case <-timer.C:
 		case now := <-ticks.C:
-			n.guard(func() { n.pulse(now) })
+			n.recoverPanics(func() { n.handleTick(now) })
 		}
 		now := n.now() // one reading: timers set meanwhile wait for the next turn
 		for token, due := n.timers.next(now); due; token, due = n.timers.next(now) {
-			n.guard(func() { n.decide(balancer.Timer{Token: token}) })
+			n.recoverPanics(func() { n.decide(balancer.Timer{Token: token}) })
 		}
-		if n.callIn() == 0 {
-			n.guard(n.ask)
+		if n.nextCallIn() == 0 {
+			n.recoverPanics(n.callIfDue)
 		}
-		if n.endsIn(time.Now()) == 0 {
-			n.guard(n.conclude)
+		if n.timeToShutdown(time.Now()) == 0 {
+			n.recoverPanics(n.answerInFlight)
 		}
 	}
 }
 
-// guard keeps a failure in the handling of one event from ending the node, which would cut off every
+// recoverPanics keeps a failure in the handling of one event from ending the node, which would cut off every
 // client; the request at fault is answered by its connection's own backstop.
-func (n *Node) guard(f func()) {
+func (n *Node) recoverPanics(f func()) {
 	defer func() {
 		if p := recover(); p != nil {
-			n.queue = n.queue[:0]
+			n.pendingEvents = n.pendingEvents[:0]
 			n.log.Error("an event could not be handled", zap.Any("panic", p), zap.ByteString("stack", debug.Stack()))
 		}
 	}()
 	f()
 }
 
-// take handles one event.
-func (n *Node) take(e event) {
-	r := n.reqs[e.id]
-	if r != nil && e.port != nil && r.port != e.port && e.kind != evArrive && e.kind != evResume {
+// handle handles one event.
+func (n *Node) handle(e event) {
+	r := n.requests[e.id]
+	if r != nil && e.port != nil && r.conn != e.port && e.kind != evArrive && e.kind != evResume {
 		r = nil // the request belongs to another connection, which must not feel it
 	}
 	switch e.kind {
 	case evArrive, evResume, evInherit, evConnected, evWritten, evOpened, evSettled, evLoad, evGone:
-		n.takeRequest(e, r)
+		n.handleRequestEvent(e, r)
 	case evList, evFollow, evWatchFailed, evPinged:
 		n.takeList(e)
 	case evMoveAll:
-		n.moveBy = e.until
+		n.migrateAllBy = e.until
 	case evFacts:
-		e.tell <- n.facts() // has room
+		e.tell <- n.pingBaselines() // has room
 	case evLearn:
-		n.learn(e.facts)
+		n.mergePingBaselines(e.facts)
 	case evLeave, evWord, evView:
 		n.order(e)
 	case evBeat, evPassed, evHeard, evStart:
-		n.starts(e)
+		n.handleColdStartEvent(e)
 	case evEnd:
-		n.endsAt = e.until
+		n.shutdownAt = e.until
 	}
-	n.closeUp(e.id, n.reqs[e.id])
+	n.failIfHeldBack(e.id, n.requests[e.id])
 }
 
 // takeList handles what discovery and the pings tell.
@@ -221,85 +221,85 @@
 		if e.list.Complete {
 			kind = balancer.ListSnapshot
 		}
-		n.list(e.list, kind, e.call != n.call)
-		if e.call == n.call { // a version of the discovery that was left means nothing to the one that is followed
+		n.applyList(e.list, kind, e.call != n.watchSequence)
+		if e.call == n.watchSequence { // a version of the discovery that was left means nothing to the one that is followed
 			n.revision = e.list.Revision
-			n.told()
+			n.recordListReceived()
 		}
 	case evFollow:
 		// The module hears of it by the list alone: neither the end of the old watch nor a list that is not
 		// there yet is a failure, and what is known of the hosts holds until the new list is there.
-		n.discovery, n.revision = e.text, NoRevision
-		if n.start != nil {
+		n.discoveryAddr, n.revision = e.text, NoRevision
+		if n.scheduler != nil {
 			n.service.Store(&e.text)
-			n.start.SetService(n.now(), e.text)
-			n.ask()
+			n.scheduler.SetService(n.now(), e.text)
+			n.callIfDue()
 			return
 		}
 		n.watch()
 	case evWatchFailed:
-		if e.call != n.call { // it was given up for another, which is to tell
+		if e.call != n.watchSequence { // it was given up for another, which is to tell
 			return
 		}
-		if n.start != nil {
-			n.start.CallFailed(n.now(), e.took)
+		if n.scheduler != nil {
+			n.scheduler.CallFailed(n.now(), e.took)
 			return
 		}
-		if n.set.PollList {
+		if n.settings.PollList {
 			n.decide(balancer.ListEvent{Kind: balancer.ListFailed, Revision: n.revision})
 			return
 		}
-		n.watching, n.watchAt = false, time.Now().Add(rewatch(n.set.NodeIndex))
+		n.watching, n.nextWatchAt = false, time.Now().Add(rewatchDelay(n.settings.NodeIndex))
 	case evPinged:
-		if m := n.members[balancer.ServerID(e.id)]; m != nil {
-			n.pinged(m, e.took)
+		if m := n.hosts[balancer.ServerID(e.id)]; m != nil {
+			n.handlePingResult(m, e.took)
 		}
 	}
 }
 
 // decide hands an event to the module and carries out its actions, and those of what follows from them.
 func (n *Node) decide(ev balancer.Event) {
-	n.queue = append(n.queue, ev)
-	for i := 0; i < len(n.queue); i++ {
-		for _, a := range n.brain.Handle(n.now(), n.queue[i]) {
-			n.act(a)
+	n.pendingEvents = append(n.pendingEvents, ev)
+	for i := 0; i < len(n.pendingEvents); i++ {
+		for _, a := range n.balancer.Handle(n.now(), n.pendingEvents[i]) {
+			n.perform(a)
 		}
 	}
-	clear(n.queue)
-	n.queue = n.queue[:0]
+	clear(n.pendingEvents)
+	n.pendingEvents = n.pendingEvents[:0]
 }
 
-func (n *Node) act(a balancer.Action) {
+func (n *Node) perform(a balancer.Action) {
 	switch a := a.(type) {
 	case balancer.Send:
-		n.send(a)
+		n.startAttempt(a)
 	case balancer.Reject:
-		if r := n.reqs[a.ID]; r != nil && !r.answered {
-			n.answer(r)
-			n.gaveUp(a.ID, r, true, a.Reason)
-			r.port.Reject(a.RetryAfter)
-			n.drop(a.ID, r)
+		if r := n.requests[a.ID]; r != nil && !r.answered {
+			n.markAnswered(r)
+			n.recordGivenUp(a.ID, r, true, a.Reason)
+			r.conn.Reject(a.RetryAfter)
+			n.releaseRequest(a.ID, r)
 		}
 	case balancer.Fail:
-		if r := n.reqs[a.ID]; r != nil && !r.answered {
-			n.answer(r)
-			n.gaveUp(a.ID, r, false, a.Reason)
-			r.port.Fail()
-			n.drop(a.ID, r)
+		if r := n.requests[a.ID]; r != nil && !r.answered {
+			n.markAnswered(r)
+			n.recordGivenUp(a.ID, r, false, a.Reason)
+			r.conn.Fail()
+			n.releaseRequest(a.ID, r)
 		}
 	case balancer.Cancel:
-		if r := n.reqs[a.ID]; r != nil && r.out && !r.up {
-			r.port.Cancel(a.Attempt)
+		if r := n.requests[a.ID]; r != nil && r.attemptInFlight && !r.established {
+			r.conn.Cancel(a.Attempt)
 		}
 	case balancer.Migrate:
-		if r := n.reqs[a.ID]; r != nil {
-			n.move(r)
+		if r := n.requests[a.ID]; r != nil {
+			n.migrate(r)
 		}
 	case balancer.SetTimer:
 		n.timers.add(a.At, a.Token)
 	case balancer.WatchList:
-		if n.start != nil { // it paces the calls; the module wishes for one
-			n.ask()
+		if n.scheduler != nil { // it paces the calls; the module wishes for one
+			n.callIfDue()
 			return
 		}
 		n.watch()
@@ -310,10 +310,10 @@
 
 func (n *Node) watch() {
 	n.watching = true
-	n.call++
+	n.watchSequence++
 	after := n.revision
-	if n.doubt {
+	if n.needsSnapshot {
 		after = NoRevision
 	}
-	n.outside.Watch(ListRequest{Sequence: n.call, Addr: n.discovery, AfterRevision: after})
+	n.transport.Watch(ListRequest{Sequence: n.watchSequence, Addr: n.discoveryAddr, AfterRevision: after})
 }
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -109,7 +109,7 @@
 func arrive(t *testing.T, n *Node, id string) *port {
 	t.Helper()
 	p := &port{}
-	n.take(event{kind: evArrive, id: balancer.RequestID(id), opening: opening(t, "OPEN "+id+" key c=chat,t=acme,d=2000"),
+	n.handle(event{kind: evArrive, id: balancer.RequestID(id), opening: opening(t, "OPEN "+id+" key c=chat,t=acme,d=2000"),
 		until: time.Now().Add(2 * time.Second), port: p})
 	return p
 }
@@ -128,28 +128,28 @@
 	if p.heard() != "send 0 s1:1" || n.InFlightRequests() != 1 {
 		t.Fatalf("%s; %d owed", p.heard(), n.InFlightRequests())
 	}
-	n.take(event{kind: evConnected, id: "r"})
-	n.take(opened("r", 0))
+	n.handle(event{kind: evConnected, id: "r"})
+	n.handle(opened("r", 0))
 	if p.heard() != "send 0 s1:1, go 0 true" || n.InFlightRequests() != 0 || n.EstablishedConnections() != 1 {
 		t.Fatalf("%s; %d owed, %d open", p.heard(), n.InFlightRequests(), n.EstablishedConnections())
 	}
-	n.take(event{kind: evLoad, id: "r", load: 5})
-	n.take(settled("r", 0, balancer.Served))
-	if n.EstablishedConnections() != 0 || len(n.reqs) != 0 {
-		t.Errorf("%d open, %d requests kept", n.EstablishedConnections(), len(n.reqs))
+	n.handle(event{kind: evLoad, id: "r", load: 5})
+	n.handle(settled("r", 0, balancer.Served))
+	if n.EstablishedConnections() != 0 || len(n.requests) != 0 {
+		t.Errorf("%d open, %d requests kept", n.EstablishedConnections(), len(n.requests))
 	}
 }
 
 func TestFailoverThenRefusedAtOnce(t *testing.T) {
 	n, _, _ := held(t, entry("s1", wire.Serving), entry("s2", wire.Serving))
 	p := arrive(t, n, "r")
-	n.take(settled("r", 0, balancer.ConnectFailed))
+	n.handle(settled("r", 0, balancer.ConnectFailed))
 	if len(p.sent) != 2 || p.sent[0].Addr == p.sent[1].Addr {
 		t.Fatalf("sent to %v", p.sent)
 	}
-	n.take(settled("r", 1, balancer.Rejected))
-	if !strings.HasSuffix(p.heard(), "refuse true") || n.InFlightRequests() != 0 || len(n.reqs) != 0 {
-		t.Errorf("%s; %d owed, %d kept", p.heard(), n.InFlightRequests(), len(n.reqs))
+	n.handle(settled("r", 1, balancer.Rejected))
+	if !strings.HasSuffix(p.heard(), "refuse true") || n.InFlightRequests() != 0 || len(n.requests) != 0 {
+		t.Errorf("%s; %d owed, %d kept", p.heard(), n.InFlightRequests(), len(n.requests))
 	}
 }
 
@@ -157,17 +157,17 @@
 func TestLateAndDoubledEventsDoNothing(t *testing.T) {
 	n, _, _ := held(t, entry("s1", wire.Serving), entry("s2", wire.Serving))
 	p := arrive(t, n, "r")
-	n.take(settled("r", 0, balancer.Errored))
+	n.handle(settled("r", 0, balancer.Errored))
 	said := p.heard()
-	n.take(settled("r", 0, balancer.Errored))
-	n.take(opened("r", 0))
-	n.take(settled("r", 7, balancer.Rejected))
-	n.take(settled("other", 0, balancer.Rejected))
-	n.take(event{kind: evLoad, id: "r", load: 1})
+	n.handle(settled("r", 0, balancer.Errored))
+	n.handle(opened("r", 0))
+	n.handle(settled("r", 7, balancer.Rejected))
+	n.handle(settled("other", 0, balancer.Rejected))
+	n.handle(event{kind: evLoad, id: "r", load: 1})
 	if p.heard() != said {
 		t.Errorf("then also %s", p.heard())
 	}
-	n.take(event{kind: evConnected, id: "r", attempt: 0})
+	n.handle(event{kind: evConnected, id: "r", attempt: 0})
 	if !strings.HasSuffix(p.heard(), "go 0 false") {
 		t.Errorf("an attempt that is over may go: %s", p.heard())
 	}
@@ -180,19 +180,19 @@
 func TestClientGoneFreesEverything(t *testing.T) {
 	n, _, _ := held(t, entry("s1", wire.Serving))
 	p := arrive(t, n, "r")
-	n.take(event{kind: evGone, id: "r", attempt: 1})
-	if !strings.HasSuffix(p.heard(), "cancel 0") || n.InFlightRequests() != 0 || len(n.reqs) != 1 {
-		t.Fatalf("%s; %d owed, %d kept", p.heard(), n.InFlightRequests(), len(n.reqs))
+	n.handle(event{kind: evGone, id: "r", attempt: 1})
+	if !strings.HasSuffix(p.heard(), "cancel 0") || n.InFlightRequests() != 0 || len(n.requests) != 1 {
+		t.Fatalf("%s; %d owed, %d kept", p.heard(), n.InFlightRequests(), len(n.requests))
 	}
-	n.take(settled("r", 0, balancer.Cancelled))
-	if len(n.reqs) != 0 || strings.Contains(p.heard(), "refuse") {
-		t.Errorf("%s; %d kept", p.heard(), len(n.reqs))
+	n.handle(settled("r", 0, balancer.Cancelled))
+	if len(n.requests) != 0 || strings.Contains(p.heard(), "refuse") {
+		t.Errorf("%s; %d kept", p.heard(), len(n.requests))
 	}
 	// A send that meets a connection which has ended is taken by no one and would be kept for ever.
 	arrive(t, n, "q")
-	n.take(event{kind: evGone, id: "q", attempt: 0})
-	if len(n.reqs) != 0 || n.InFlightRequests() != 0 {
-		t.Errorf("%d kept, %d owed", len(n.reqs), n.InFlightRequests())
+	n.handle(event{kind: evGone, id: "q", attempt: 0})
+	if len(n.requests) != 0 || n.InFlightRequests() != 0 {
+		t.Errorf("%d kept, %d owed", len(n.requests), n.InFlightRequests())
 	}
 }
 
@@ -200,23 +200,23 @@
 func TestNothingIsWrittenAfterTheDrainsGrace(t *testing.T) {
 	n, _, _ := held(t, entry("s1", wire.Serving))
 	p := arrive(t, n, "r")
-	n.list(&wire.EndpointList{Revision: 8, Endpoints: []wire.Endpoint{entry("s1", wire.Draining)}}, balancer.ListDelta, false)
-	n.take(event{kind: evConnected, id: "r"})
+	n.applyList(&wire.EndpointList{Revision: 8, Endpoints: []wire.Endpoint{entry("s1", wire.Draining)}}, balancer.ListDelta, false)
+	n.handle(event{kind: evConnected, id: "r"})
 	if !strings.HasSuffix(p.heard(), "go 0 true") {
 		t.Fatalf("within the grace: %s", p.heard())
 	}
-	n.members["s1"].toldAt = time.Now().Add(-n.set.DrainGrace)
-	n.take(event{kind: evConnected, id: "r"})
+	n.hosts["s1"].notifiedAt = time.Now().Add(-n.settings.DrainGrace)
+	n.handle(event{kind: evConnected, id: "r"})
 	if !strings.HasSuffix(p.heard(), "go 0 false") {
 		t.Fatalf("after the grace: %s", p.heard())
 	}
 	// Being told again, or that it is gone, does not start another grace.
-	n.list(&wire.EndpointList{Revision: 9, Endpoints: []wire.Endpoint{entry("s1", wire.Removed)}}, balancer.ListDelta, false)
-	if n.sendable(n.members["s1"]) {
+	n.applyList(&wire.EndpointList{Revision: 9, Endpoints: []wire.Endpoint{entry("s1", wire.Removed)}}, balancer.ListDelta, false)
+	if n.hostAcceptsWrites(n.hosts["s1"]) {
 		t.Error("a second notice gives a second grace")
 	}
-	n.list(&wire.EndpointList{Revision: 10, Endpoints: []wire.Endpoint{entry("s1", wire.Serving)}}, balancer.ListDelta, false)
-	if !n.sendable(n.members["s1"]) {
+	n.applyList(&wire.EndpointList{Revision: 10, Endpoints: []wire.Endpoint{entry("s1", wire.Serving)}}, balancer.ListDelta, false)
+	if !n.hostAcceptsWrites(n.hosts["s1"]) {
 		t.Error("a host called back gets nothing")
 	}
 }
@@ -224,21 +224,21 @@
 func TestUnknownClassIsAnsweredAtOnce(t *testing.T) {
 	n, _, logs := held(t, entry("s1", wire.Serving))
 	p := &port{}
-	n.take(event{kind: evArrive, id: "r", opening: opening(t, "OPEN r key c=odd"), until: time.Now().Add(time.Second), port: p})
-	if p.heard() != "fail" || len(n.reqs) != 0 || logs.FilterMessageSnippet("class").Len() != 1 {
-		t.Errorf("%s; %d kept", p.heard(), len(n.reqs))
+	n.handle(event{kind: evArrive, id: "r", opening: opening(t, "OPEN r key c=odd"), until: time.Now().Add(time.Second), port: p})
+	if p.heard() != "fail" || len(n.requests) != 0 || logs.FilterMessageSnippet("class").Len() != 1 {
+		t.Errorf("%s; %d kept", p.heard(), len(n.requests))
 	}
 }
 
 func TestMidFlowAndGroupReachTheModule(t *testing.T) {
 	n, _, _ := held(t)
-	a := n.arrival(opening(t, "OPEN r key c=chat,t=acme,g=grp,mid=1,again=1,r=1"), time.Second)
+	a := n.toArrival(opening(t, "OPEN r key c=chat,t=acme,g=grp,mid=1,again=1,r=1"), time.Second)
 	want := balancer.Arrival{ID: "r", Key: "key", Group: "grp", TimeLeft: time.Second, MidFlow: true, Reconnect: true, Retry: true}
 	if a != want {
 		t.Errorf("%+v, want %+v", a, want)
 	}
-	n.set.ConnectionGroups = false
-	if a := n.arrival(opening(t, "OPEN r key c=chat,g=client"), 0); a.Group != "" || a.Tenant != -1 {
+	n.settings.ConnectionGroups = false
+	if a := n.toArrival(opening(t, "OPEN r key c=chat,g=client"), 0); a.Group != "" || a.Tenant != -1 {
 		t.Errorf("without groups: %+v", a)
 	}
 }
@@ -247,19 +247,19 @@
 	n, _, _ := held(t, entry("s1", wire.Serving))
 	for i, host := range []string{"s1", "unlisted"} {
 		id := balancer.RequestID(fmt.Sprint("r", i))
-		at := event{kind: evResume, id: id, opening: opening(t, "OPEN "+string(id)+" key c=chat,at="+host), port: &port{}, reply: make(chan place, 1)}
-		n.take(at)
+		at := event{kind: evResume, id: id, opening: opening(t, "OPEN "+string(id)+" key c=chat,at="+host), port: &port{}, reply: make(chan resumePoint, 1)}
+		n.handle(at)
 		if got := <-at.reply; !got.ok || (got.addr != "") != (host == "s1") {
 			t.Errorf("%s is at %+v", host, got)
 		}
 		at.kind = evInherit
-		n.take(at)
+		n.handle(at)
 		if n.EstablishedConnections() != 1 || n.InFlightRequests() != 0 {
 			t.Errorf("at %s: %d open, %d owed", host, n.EstablishedConnections(), n.InFlightRequests())
 		}
-		n.take(settled(string(id), 0, balancer.Served))
-		if n.EstablishedConnections() != 0 || len(n.reqs) != 0 {
-			t.Errorf("at %s: %d open, %d kept after the end", host, n.EstablishedConnections(), len(n.reqs))
+		n.handle(settled(string(id), 0, balancer.Served))
+		if n.EstablishedConnections() != 0 || len(n.requests) != 0 {
+			t.Errorf("at %s: %d open, %d kept after the end", host, n.EstablishedConnections(), len(n.requests))
 		}
 	}
 }
@@ -275,41 +275,41 @@
 		if second.heard() != "fail" {
 			t.Errorf("the second heard %q", second.heard())
 		}
-		at := event{kind: evResume, id: "r", opening: opening(t, "OPEN r key c=chat,at=s1"), port: &port{}, reply: make(chan place, 1)}
-		n.take(at)
+		at := event{kind: evResume, id: "r", opening: opening(t, "OPEN r key c=chat,at=s1"), port: &port{}, reply: make(chan resumePoint, 1)}
+		n.handle(at)
 		if got := <-at.reply; got.ok {
 			t.Error("it may be taken up beside the first")
 		}
 		for _, e := range []event{{kind: evGone}, {kind: evConnected}, {kind: evOpened, took: time.Hour}, {kind: evLoad, load: 5},
 			{kind: evInherit, opening: at.opening}, {kind: evSettled, outcome: balancer.ConnectionReset}} {
 			e.id, e.port = "r", second
-			n.take(e)
+			n.handle(e)
 		}
 	}
 	intrude()
 	if n.InFlightRequests() != 1 || first.heard() != "send 0 s1:1" {
 		t.Fatalf("%d owed; the first heard %q", n.InFlightRequests(), first.heard())
 	}
-	n.take(event{kind: evOpened, id: "r", port: first, took: time.Millisecond})
+	n.handle(event{kind: evOpened, id: "r", port: first, took: time.Millisecond})
 	intrude()
 	if n.InFlightRequests() != 0 || n.EstablishedConnections() != 1 {
 		t.Errorf("%d owed, %d open", n.InFlightRequests(), n.EstablishedConnections())
 	}
-	n.take(event{kind: evSettled, id: "r", port: first, outcome: balancer.Served})
-	if n.EstablishedConnections() != 0 || len(n.reqs) != 0 {
-		t.Errorf("%d open, %d kept after the end", n.EstablishedConnections(), len(n.reqs))
+	n.handle(event{kind: evSettled, id: "r", port: first, outcome: balancer.Served})
+	if n.EstablishedConnections() != 0 || len(n.requests) != 0 {
+		t.Errorf("%d open, %d kept after the end", n.EstablishedConnections(), len(n.requests))
 	}
 }
 
 // A connection from before the run that never comes up leaves nothing behind.
 func TestWhatIsNotTakenUpIsForgotten(t *testing.T) {
 	n, _, _ := held(t, entry("s1", wire.Serving))
-	at := event{kind: evResume, id: "r", opening: opening(t, "OPEN r key c=chat,at=s1"), port: &port{}, reply: make(chan place, 2)}
-	n.take(at)
-	n.take(at) // it is tried again
-	n.take(event{kind: evGone, id: "r", port: at.port})
-	if len(n.reqs) != 0 || n.InFlightRequests() != 0 || n.EstablishedConnections() != 0 {
-		t.Errorf("%d kept, %d owed, %d open", len(n.reqs), n.InFlightRequests(), n.EstablishedConnections())
+	at := event{kind: evResume, id: "r", opening: opening(t, "OPEN r key c=chat,at=s1"), port: &port{}, reply: make(chan resumePoint, 2)}
+	n.handle(at)
+	n.handle(at) // it is tried again
+	n.handle(event{kind: evGone, id: "r", port: at.port})
+	if len(n.requests) != 0 || n.InFlightRequests() != 0 || n.EstablishedConnections() != 0 {
+		t.Errorf("%d kept, %d owed, %d open", len(n.requests), n.InFlightRequests(), n.EstablishedConnections())
 	}
 }
 
@@ -327,14 +327,14 @@
 func up(t *testing.T, n *Node, id string) *port {
 	t.Helper()
 	p := arrive(t, n, id)
-	n.take(opened(id, 0))
+	n.handle(opened(id, 0))
 	return p
 }
 
 // A failure in the handling of one event must not end the node.
 func TestAPanicStopsAtItsEvent(t *testing.T) {
 	n, _, logs := held(t, entry("s1", wire.Serving))
-	n.guard(func() { n.take(event{kind: evList}) }) // a list event without a list
+	n.recoverPanics(func() { n.handle(event{kind: evList}) }) // a list event without a list
 	if logs.FilterMessage("an event could not be handled").Len() != 1 {
 		t.Error("no trace of the failure in the log")
 	}
@@ -426,14 +426,14 @@
 			known := wire.EndpointList{Revision: 7, Complete: true, Endpoints: []wire.Endpoint{entry("s1", wire.Serving), entry("s2", wire.Serving)}}
 			n := New(set, known, "d:1", &world{}, zap.NewNop())
 			p := arrive(t, n, "r")
-			n.take(settled("r", 0, c.first))
+			n.handle(settled("r", 0, c.first))
 			if len(p.sent) != 2 {
 				t.Fatalf("sent to %v", p.sent)
 			}
 			if c.past { // the dial is held until the window is over
 				time.Sleep(window)
 			}
-			n.take(event{kind: evConnected, id: "r", attempt: 1})
+			n.handle(event{kind: evConnected, id: "r", attempt: 1})
 			if !strings.HasSuffix(p.heard(), c.want) {
 				t.Errorf("%s; want %s", p.heard(), c.want)
 			}
--- a/internal/node/orders.go
+++ b/internal/node/orders.go
@@ -18,23 +18,23 @@
 // What operators order of a node while it runs. The module is told by events and decides who is turned away and moved;
 // here is only what must hold whatever it decides: nothing new is written once the grace of a drain has run.
 
-// orders is what holds.
-type orders struct {
-	leaving   atomic.Bool // the node drains: it is not ready
-	shutAt    time.Time   // from when on it takes nothing new; zero while it does not drain
-	overrides map[balancer.ServerID]bool
+// operatorState is what holds.
+type operatorState struct {
+	draining        atomic.Bool // the node drains: it is not ready
+	admissionCutoff time.Time   // from when on it takes nothing new; zero while it does not drain
+	overrides       map[balancer.ServerID]bool
 
-	returning map[balancer.ServerID]time.Duration // when hosts were called back, by the node's clock
+	reenabledAt map[balancer.ServerID]time.Duration // when hosts were called back, by the node's clock
 
 	// What holds now, for whoever asks without waiting for the loop.
-	targets, avoided atomic.Int64
+	listedHosts, avoidedHosts atomic.Int64
 }
 
 // maxOverrides bounds the hosts of which an operator's word is held.
 const maxOverrides = 1024
 
-// orderWithin bounds the wait for the loop: whoever gives an order has the answer within half a second.
-const orderWithin = 400 * time.Millisecond
+// commandTimeout bounds the wait for the loop: whoever gives an order has the answer within half a second.
+const commandTimeout = 400 * time.Millisecond
 
 // Why an order does not hold.
 var (
@@ -54,25 +54,27 @@
 
 // Drain has the node drain. It returns once the loop has taken it in.
 func (n *Node) Drain(a DrainPlan) error {
-	return n.wait(event{kind: evLeave, away: &a})
+	return n.postAndWait(event{kind: evLeave, away: &a})
 }
 
 // CancelDrain ends a drain, at any point of it.
-func (n *Node) CancelDrain() error { return n.wait(event{kind: evLeave}) }
+func (n *Node) CancelDrain() error { return n.postAndWait(event{kind: evLeave}) }
 
 // HostCounts tells how many hosts the list has, and how many of them the node avoids: by an operator's word, by the
 // list's, or by the module's choice. It waits for nothing.
-func (n *Node) HostCounts() (listed, avoided int64) { return n.targets.Load(), n.avoided.Load() }
+func (n *Node) HostCounts() (listed, avoided int64) {
+	return n.listedHosts.Load(), n.avoidedHosts.Load()
+}
 
 // IsDraining reports whether the node drains.
-func (n *Node) IsDraining() bool { return n.leaving.Load() }
+func (n *Node) IsDraining() bool { return n.draining.Load() }
 
 // SetHostOverride is an operator's word that a host drains, whatever the list says, or the end of that. A host that is not known
 // yet is held to it when it comes; with known that is an error. A host is taken to have been restarted at the time at
 // which it is called back, or zero for not: whoever takes one out does so for that, and the list tells of it only later.
 // It returns once the loop has taken it in.
 func (n *Node) SetHostOverride(id balancer.ServerID, drains, known bool, at time.Time) error {
-	return n.wait(event{kind: evWord, id: balancer.RequestID(id), attempt: flag(drains), must: known, until: at})
+	return n.postAndWait(event{kind: evWord, id: balancer.RequestID(id), attempt: flag(drains), must: known, until: at})
 }
 
 func flag(on bool) int {
@@ -82,10 +84,10 @@
 	return 0
 }
 
-// wait posts an event and waits until the loop has handled it, and says whether it holds.
-func (n *Node) wait(e event) error {
+// postAndWait posts an event and waits until the loop has handled it, and says whether it holds.
+func (n *Node) postAndWait(e event) error {
 	e.verdict = make(chan error, 1)
-	late := time.NewTimer(orderWithin)
+	late := time.NewTimer(commandTimeout)
 	defer late.Stop()
 	select {
 	case n.events <- e:
@@ -134,28 +136,28 @@
 func (n *Node) order(e event) {
 	switch e.kind {
 	case evLeave:
-		if n.ended { // no word of operators brings it back
+		if n.shutDown { // no word of operators brings it back
 			e.verdict <- ErrStopped
 			return
 		}
-		n.leaving.Store(e.away != nil)
-		if n.shutAt = (time.Time{}); e.away == nil {
+		n.draining.Store(e.away != nil)
+		if n.admissionCutoff = (time.Time{}); e.away == nil {
 			n.decide(balancer.Drain{})
 		} else {
-			n.shutAt = e.away.AdmissionCutoff
-			n.decide(balancer.Drain{Active: true, Deadline: n.at(e.away.Deadline), AdmissionCutoff: n.at(e.away.AdmissionCutoff), RetryAfter: e.away.RetryAfter,
-				KeepConnections: e.away.KeepConnections && n.set.PassThrough})
+			n.admissionCutoff = e.away.AdmissionCutoff
+			n.decide(balancer.Drain{Active: true, Deadline: n.clockTime(e.away.Deadline), AdmissionCutoff: n.clockTime(e.away.AdmissionCutoff), RetryAfter: e.away.RetryAfter,
+				KeepConnections: e.away.KeepConnections && n.settings.PassThrough})
 		}
 		e.verdict <- nil
 	case evWord:
-		e.verdict <- n.word(balancer.ServerID(e.id), e.attempt == 1, e.must, e.until)
+		e.verdict <- n.overrideHost(balancer.ServerID(e.id), e.attempt == 1, e.must, e.until)
 	case evView:
-		e.view <- n.view() // has room
+		e.view <- n.buildView() // has room
 	}
 }
 
-func (n *Node) word(id balancer.ServerID, drains, known bool, at time.Time) error {
-	m, was := n.members[id], n.overrides[id]
+func (n *Node) overrideHost(id balancer.ServerID, drains, known bool, at time.Time) error {
+	m, was := n.hosts[id], n.overrides[id]
 	switch {
 	case known && m == nil && !was:
 		return ErrUnknownHost
@@ -167,67 +169,67 @@
 	default:
 		delete(n.overrides, id)
 		if !at.IsZero() && (was || !known) {
-			n.called(id, at)
+			n.recordReenabled(id, at)
 		}
 	}
 	if m != nil && m.state != balancer.Removed {
-		n.list(&wire.EndpointList{Revision: n.revision, Endpoints: []wire.Endpoint{m.listed}}, balancer.ListOverride, false)
+		n.applyList(&wire.EndpointList{Revision: n.revision, Endpoints: []wire.Endpoint{m.endpoint}}, balancer.ListOverride, false)
 	}
 	return nil
 }
 
-// called notes that a host was called back; what is long past is forgotten.
-func (n *Node) called(id balancer.ServerID, at time.Time) {
+// recordReenabled notes that a host was called back; what is long past is forgotten.
+func (n *Node) recordReenabled(id balancer.ServerID, at time.Time) {
 	now := time.Now()
 	n.observeClock(now)
-	for other, back := range n.returning {
-		if n.at(now)-back > n.set.SlowStartDuration {
-			delete(n.returning, other)
+	for other, back := range n.reenabledAt {
+		if n.clockTime(now)-back > n.settings.SlowStartDuration {
+			delete(n.reenabledAt, other)
 		}
 	}
-	if len(n.returning) < maxOverrides { // the word may be one that another process has written down
-		n.returning[id] = max(n.returning[id], n.wall.started(at.UnixMilli(), n.at(now)))
+	if len(n.reenabledAt) < maxOverrides { // the word may be one that another process has written down
+		n.reenabledAt[id] = max(n.reenabledAt[id], n.wallClock.started(at.UnixMilli(), n.clockTime(now)))
 	}
 }
 
-// tally counts the hosts of the list, and those that the node avoids now.
-func (n *Node) tally() {
+// countHosts counts the hosts of the list, and those that the node avoids now.
+func (n *Node) countHosts() {
 	listed, avoided := int64(0), int64(0)
-	for id, m := range n.members {
-		if m.out {
+	for id, m := range n.hosts {
+		if m.unlisted {
 			continue
 		}
 		listed++
-		if m.state != balancer.Live || n.brain.Avoids(id) {
+		if m.state != balancer.Live || n.balancer.Avoids(id) {
 			avoided++
 		}
 	}
-	n.targets.Store(listed)
-	n.avoided.Store(avoided)
+	n.listedHosts.Store(listed)
+	n.avoidedHosts.Store(avoided)
 }
 
-// worded is the state that holds for a member: the list's, or what an operator says of it.
-func (n *Node) worded(id balancer.ServerID, listed balancer.ServerState) balancer.ServerState {
+// effectiveState is the state that holds for a member: the list's, or what an operator says of it.
+func (n *Node) effectiveState(id balancer.ServerID, listed balancer.ServerState) balancer.ServerState {
 	if listed == balancer.Live && n.overrides[id] {
 		return balancer.Draining
 	}
 	return listed
 }
 
-// late reports whether the node drains, and its own grace has run: nothing new may be written any more.
-func (n *Node) late() bool {
-	return !n.shutAt.IsZero() && time.Since(n.shutAt) >= n.set.DrainGrace-graceMargin
+// drainGraceExpired reports whether the node drains, and its own grace has run: nothing new may be written any more.
+func (n *Node) drainGraceExpired() bool {
+	return !n.admissionCutoff.IsZero() && time.Since(n.admissionCutoff) >= n.settings.DrainGrace-graceMargin
 }
 
-func (n *Node) view() View {
+func (n *Node) buildView() View {
 	v := View{Revision: n.revision, GivenUp: maps.Clone(n.givenUp)}
 	open := map[balancer.ServerID]int{}
-	for _, r := range n.reqs {
-		if r.up && r.out {
-			open[r.on.id]++
+	for _, r := range n.requests {
+		if r.established && r.attemptInFlight {
+			open[r.host.id]++
 		}
 	}
-	for id, m := range n.members {
+	for id, m := range n.hosts {
 		v.Hosts = append(v.Hosts, HostView{ID: id, State: m.state, Overridden: n.overrides[id], Connections: open[id]})
 	}
 	slices.SortFunc(v.Hosts, func(a, b HostView) int { return cmp.Compare(a.ID, b.ID) })
--- a/internal/node/orders_test.go
+++ b/internal/node/orders_test.go
@@ -14,14 +14,14 @@
 func TestAWordBeforeTheFirstListDoesNotPassForAWatch(t *testing.T) {
 	n, w, _ := held(t, entry("a", wire.Serving), entry("b", wire.Serving))
 	for _, out := range []bool{true, false} {
-		if err := n.word("a", out, false, time.Now()); err != nil {
+		if err := n.overrideHost("a", out, false, time.Now()); err != nil {
 			t.Fatal(err)
 		}
 	}
-	deadline := n.now() + n.set.PollInterval
+	deadline := n.now() + n.settings.PollInterval
 	for now := n.now(); now < deadline && len(w.watches) == 0; now += 200 * time.Millisecond {
-		for _, a := range n.brain.Handle(now, balancer.Timer{Token: "sweep"}) {
-			n.act(a)
+		for _, a := range n.balancer.Handle(now, balancer.Timer{Token: "sweep"}) {
+			n.perform(a)
 		}
 	}
 	if len(w.watches) != 1 {
@@ -34,33 +34,33 @@
 func TestAHostThatIsCalledBackIsCold(t *testing.T) {
 	n, _, _ := held(t, entry("a", wire.Serving), entry("b", wire.Serving))
 	at := time.Now()
-	back := n.at(at).Truncate(time.Millisecond)
+	back := n.clockTime(at).Truncate(time.Millisecond)
 	for _, step := range []struct {
 		out  bool
 		want time.Duration
 	}{{false, 0}, {true, 0}, {true, 0}, {false, back}} {
-		if err := n.word("a", step.out, true, at); err != nil {
+		if err := n.overrideHost("a", step.out, true, at); err != nil {
 			t.Fatal(err)
 		}
-		if (n.returning["a"] - step.want).Abs() >= time.Millisecond { // a word's time is kept to the millisecond
-			t.Errorf("out %v: called back at %d, want %d", step.out, n.returning["a"], step.want)
+		if (n.reenabledAt["a"] - step.want).Abs() >= time.Millisecond { // a word's time is kept to the millisecond
+			t.Errorf("out %v: called back at %d, want %d", step.out, n.reenabledAt["a"], step.want)
 		}
 	}
-	if n.overrides["a"] || n.members["a"].state != balancer.Live {
+	if n.overrides["a"] || n.hosts["a"].state != balancer.Live {
 		t.Error("two words out need one back")
 	}
-	if err := n.word("nobody", false, true, at); err != ErrUnknownHost {
+	if err := n.overrideHost("nobody", false, true, at); err != ErrUnknownHost {
 		t.Errorf("an id that nobody has: %v", err)
 	}
-	if err := n.word("later", true, false, at); err != nil || !n.overrides["later"] {
+	if err := n.overrideHost("later", true, false, at); err != nil || !n.overrides["later"] {
 		t.Errorf("an id that is listed only later: %v", err)
 	}
-	n.list(&wire.EndpointList{Revision: 8, Endpoints: []wire.Endpoint{entry("later", wire.Serving)}}, balancer.ListDelta, false)
-	if n.members["later"].state != balancer.Draining {
+	n.applyList(&wire.EndpointList{Revision: 8, Endpoints: []wire.Endpoint{entry("later", wire.Serving)}}, balancer.ListDelta, false)
+	if n.hosts["later"].state != balancer.Draining {
 		t.Error("it is used when it comes")
 	}
-	if n.tally(); n.targets.Load() != 3 || n.avoided.Load() != 1 {
-		t.Errorf("%d hosts, %d avoided", n.targets.Load(), n.avoided.Load())
+	if n.countHosts(); n.listedHosts.Load() != 3 || n.avoidedHosts.Load() != 1 {
+		t.Errorf("%d hosts, %d avoided", n.listedHosts.Load(), n.avoidedHosts.Load())
 	}
 }
 
@@ -72,11 +72,11 @@
 	if got := p.heard(); got == "" {
 		t.Fatal("it was not sent")
 	}
-	if err := n.word("a", true, true, time.Now()); err != nil {
+	if err := n.overrideHost("a", true, true, time.Now()); err != nil {
 		t.Fatal(err)
 	}
-	n.members["a"].toldAt = time.Now().Add(-time.Second)
-	n.take(event{kind: evConnected, id: "r"})
+	n.hosts["a"].notifiedAt = time.Now().Add(-time.Second)
+	n.handle(event{kind: evConnected, id: "r"})
 	if got := p.heard(); !strings.HasSuffix(got, "go 0 false") {
 		t.Errorf("a dial that comes up late: %q", got)
 	}
@@ -87,8 +87,8 @@
 		m    wire.Endpoint
 		kind balancer.ListKind
 	}{{again, balancer.ListDelta}, {gone, balancer.ListDelta}, {again, balancer.ListDelta}, {again, balancer.ListSnapshot}} {
-		n.list(&wire.EndpointList{Revision: n.revision + 1, Complete: c.kind == balancer.ListSnapshot, Endpoints: []wire.Endpoint{c.m}}, c.kind, false)
-		if n.members["a"].state == balancer.Live {
+		n.applyList(&wire.EndpointList{Revision: n.revision + 1, Complete: c.kind == balancer.ListSnapshot, Endpoints: []wire.Endpoint{c.m}}, c.kind, false)
+		if n.hosts["a"].state == balancer.Live {
 			t.Errorf("with %+v it is used", c.m)
 		}
 	}
@@ -102,19 +102,19 @@
 // host that is three times as slow passes for well.
 func TestTheBestPingGoesOver(t *testing.T) {
 	old, _, _ := held(t, entry("a", wire.Serving), entry("b", wire.Serving))
-	old.members["a"].best = time.Millisecond
+	old.hosts["a"].bestPing = time.Millisecond
 	n, _, _ := held(t, entry("a", wire.Serving), entry("b", wire.Serving))
-	n.members["a"].best = 3 * time.Millisecond
-	n.learn(old.facts())
-	if n.members["a"].best != time.Millisecond || n.members["b"].best != 0 {
-		t.Errorf("learnt %v, %v", n.members["a"].best, n.members["b"].best)
+	n.hosts["a"].bestPing = 3 * time.Millisecond
+	n.mergePingBaselines(old.pingBaselines())
+	if n.hosts["a"].bestPing != time.Millisecond || n.hosts["b"].bestPing != 0 {
+		t.Errorf("learnt %v, %v", n.hosts["a"].bestPing, n.hosts["b"].bestPing)
 	}
-	n.members["a"].best, n.members["a"].since = 0, 7 // it has restarted
-	if n.learn(old.facts()); n.members["a"].best != 0 {
+	n.hosts["a"].bestPing, n.hosts["a"].startedAtMS = 0, 7 // it has restarted
+	if n.mergePingBaselines(old.pingBaselines()); n.hosts["a"].bestPing != 0 {
 		t.Error("another start of the host is taken for the same")
 	}
-	n.learn([]PingBaseline{{"nobody", 0, 1}, {"a", 7, -1}})
-	if n.members["a"].best != 0 || len(n.members) != 2 {
+	n.mergePingBaselines([]PingBaseline{{"nobody", 0, 1}, {"a", 7, -1}})
+	if n.hosts["a"].bestPing != 0 || len(n.hosts) != 2 {
 		t.Error("nonsense is learnt")
 	}
 }
--- a/internal/node/pings_test.go
+++ b/internal/node/pings_test.go
@@ -14,23 +14,23 @@
 // seven seconds are over.
 func TestSilentHostsClientsAreMovedOnce(t *testing.T) {
 	n, _, logs := held(t, entry("s1", wire.Serving))
-	n.slowFrom = 0 // slow messages are not what this is about
+	n.slowMessageThreshold = 0 // slow messages are not what this is about
 	p, q := up(t, n, "r"), up(t, n, "q")
-	p.pulse = MessageStats{OldestWait: silence + time.Millisecond}
-	q.pulse = MessageStats{OldestWait: silence - time.Millisecond}
-	n.pulse(time.Now())
+	p.pulse = MessageStats{OldestWait: unresponsiveAfter + time.Millisecond}
+	q.pulse = MessageStats{OldestWait: unresponsiveAfter - time.Millisecond}
+	n.handleTick(time.Now())
 	if strings.Contains(p.heard(), "move") {
 		t.Error("moved at the first sign, which a node that stood still itself sees at every host")
 	}
 	p.pulse = MessageStats{}
-	n.pulse(time.Now())
-	p.pulse = MessageStats{OldestWait: silence + time.Millisecond}
-	n.pulse(time.Now())
+	n.handleTick(time.Now())
+	p.pulse = MessageStats{OldestWait: unresponsiveAfter + time.Millisecond}
+	n.handleTick(time.Now())
 	if strings.Contains(p.heard(), "move") {
 		t.Error("moved though the host had answered in between")
 	}
-	n.pulse(time.Now())
-	n.pulse(time.Now())
+	n.handleTick(time.Now())
+	n.handleTick(time.Now())
 	if strings.Count(p.heard(), "move") != 1 || strings.Contains(q.heard(), "move") || logs.FilterMessageSnippet("says nothing").Len() != 1 {
 		t.Errorf("silent: %s; well: %s", p.heard(), q.heard())
 	}
@@ -41,7 +41,7 @@
 func TestSlowNotesFollowTheMiddleMessage(t *testing.T) {
 	n, _, _ := held(t, entry("s1", wire.Serving))
 	ports := []*port{up(t, n, "r0"), up(t, n, "r1"), up(t, n, "r2")}
-	m := n.members["s1"]
+	m := n.hosts["s1"]
 	second := func(took ...time.Duration) {
 		for i, p := range ports {
 			if took[i] > 0 {
@@ -49,8 +49,8 @@
 				p.pulse.LastLatency = took[i]
 			}
 		}
-		for range noteEvery {
-			n.pulse(time.Now())
+		for range ticksPerMeasurement {
+			n.handleTick(time.Now())
 		}
 	}
 	for i, c := range []struct {
@@ -62,14 +62,14 @@
 		{[]time.Duration{0, 0, 0}, true}, // nothing was said, so nothing is new
 		{[]time.Duration{1e6, 2e6, 90e6}, false},
 	} {
-		if second(c.took...); m.slow != c.slow || len(m.took) != 0 {
-			t.Errorf("second %d: slow %v, want %v; %d figures kept", i, m.slow, c.slow, len(m.took))
+		if second(c.took...); m.reportedSlow != c.slow || len(m.latencySamples) != 0 {
+			t.Errorf("second %d: slow %v, want %v; %d figures kept", i, m.reportedSlow, c.slow, len(m.latencySamples))
 		}
 	}
 	for _, p := range ports { // all three: the module may have sent some away for the slow second
 		p.pulse.OldestWait = 40 * time.Millisecond
 	}
-	if second(0, 0, 0); !m.slow {
+	if second(0, 0, 0); !m.reportedSlow {
 		t.Error("messages that wait for their answer are no news")
 	}
 }
@@ -78,20 +78,20 @@
 // without an answer tells by how long it waits.
 func TestPingsTellWhatAMessageTakes(t *testing.T) {
 	n, w, _ := held(t, entry("s1", wire.Serving), entry("s2", wire.Serving))
-	n.set.ReportsLatency, n.set.MayProbe = true, true
+	n.settings.ReportsLatency, n.settings.MayProbe = true, true
 	p := up(t, n, "r")
-	on := n.reqs["r"].on
+	on := n.requests["r"].host
 	if len(w.pings) != 1 || w.pings[0] != on.id {
 		t.Fatalf("pings %v with a first connection, want one to its host", w.pings)
 	}
-	n.take(event{kind: evPinged, id: balancer.RequestID(on.id), took: 80 * time.Millisecond})
+	n.handle(event{kind: evPinged, id: balancer.RequestID(on.id), took: 80 * time.Millisecond})
 	w.pings = nil
 	p.pulse = MessageStats{Answered: 1, LastLatency: time.Millisecond}
 	now := time.Now()
 	second := func() {
-		for range noteEvery {
-			now = now.Add(tickEvery)
-			n.pulse(now)
+		for range ticksPerMeasurement {
+			now = now.Add(tickInterval)
+			n.handleTick(now)
 		}
 	}
 	second()
@@ -99,13 +99,13 @@
 		t.Fatalf("pings %v in two seconds, want one to the host where a client stands", w.pings)
 	}
 	pinged := func(took time.Duration) {
-		n.take(event{kind: evPinged, id: balancer.RequestID(on.id), took: took})
+		n.handle(event{kind: evPinged, id: balancer.RequestID(on.id), took: took})
 	}
 	// A host far away takes long to answer at its best too.
 	pinged(70 * time.Millisecond)
 	second()
 	second()
-	if pinged(75 * time.Millisecond); on.slow || on.doubt > 0 {
+	if pinged(75 * time.Millisecond); on.reportedSlow || on.unconfirmedPing > 0 {
 		t.Error("the way to a host counts as its message time")
 	}
 	pinged(2 * time.Millisecond) // its best
@@ -130,11 +130,11 @@
 		if c.again > 0 {
 			pinged(c.again)
 		}
-		if on.slow != c.slow {
-			t.Errorf("after %v and %v: slow %v", c.first, c.again, on.slow)
+		if on.reportedSlow != c.slow {
+			t.Errorf("after %v and %v: slow %v", c.first, c.again, on.reportedSlow)
 		}
 	}
-	n.reqs["r"].leaving = false // the module has moved it: have it back
+	n.requests["r"].migrating = false // the module has moved it: have it back
 	before := len(w.pings)
 	if second(); len(w.pings) != before+1 {
 		t.Errorf("%d pings a second after a slow one, want 1", len(w.pings)-before)
@@ -143,17 +143,17 @@
 	second()
 	second()
 	pinged(-1)
-	if second(); on.slow {
+	if second(); on.reportedSlow {
 		t.Error("a host that could not be asked counts as slow")
 	}
 	for range 4 {
 		second()
 	}
-	if !on.slow {
+	if !on.reportedSlow {
 		t.Error("a ping without an answer is no news")
 	}
-	n.list(&wire.EndpointList{Endpoints: []wire.Endpoint{{ID: string(on.id), StartedAtMS: 5, Size: 1}}}, balancer.ListDelta, false)
-	if on.best != 0 {
+	n.applyList(&wire.EndpointList{Endpoints: []wire.Endpoint{{ID: string(on.id), StartedAtMS: 5, Size: 1}}}, balancer.ListDelta, false)
+	if on.bestPing != 0 {
 		t.Error("a host that has restarted is measured by what it was")
 	}
 }
@@ -161,18 +161,18 @@
 // Where no descriptor is left for a ping, its host is not asked: that is no news of it, and it does not pass for silent.
 func TestAPingThatIsNotSentSaysNothing(t *testing.T) {
 	n, w, _ := held(t, entry("s1", wire.Serving))
-	n.set.ReportsLatency, n.set.MayProbe = true, true
+	n.settings.ReportsLatency, n.settings.MayProbe = true, true
 	w.full = true
 	p := up(t, n, "r")
-	for range 8 * noteEvery {
-		n.pulse(time.Now())
+	for range 8 * ticksPerMeasurement {
+		n.handleTick(time.Now())
 	}
-	if on := n.reqs["r"].on; on.slow || strings.Contains(p.heard(), "move") {
-		t.Errorf("slow %v; %s", on.slow, p.heard())
+	if on := n.requests["r"].host; on.reportedSlow || strings.Contains(p.heard(), "move") {
+		t.Errorf("slow %v; %s", on.reportedSlow, p.heard())
 	}
 	w.full = false
-	for range 2 * noteEvery {
-		n.pulse(time.Now())
+	for range 2 * ticksPerMeasurement {
+		n.handleTick(time.Now())
 	}
 	if len(w.pings) != 1 {
 		t.Errorf("%d pings once there is room, want 1", len(w.pings))
@@ -183,16 +183,16 @@
 // of its clients are to leave at once, not a sixth.
 func TestFirstNoteOfASlowedHostTellsOfThePile(t *testing.T) {
 	n, _, _ := held(t, entry("s1", wire.Serving))
-	n.set.ReportsLatency, n.set.MayProbe = true, true
+	n.settings.ReportsLatency, n.settings.MayProbe = true, true
 	var ports []*port
 	for i := range 20 {
 		ports = append(ports, up(t, n, fmt.Sprint("r", i)))
 	}
-	for range noteEvery {
-		n.pulse(time.Now())
+	for range ticksPerMeasurement {
+		n.handleTick(time.Now())
 	}
 	for _, took := range []time.Duration{3, 24, 24} {
-		n.take(event{kind: evPinged, id: "s1", took: took * time.Millisecond})
+		n.handle(event{kind: evPinged, id: "s1", took: took * time.Millisecond})
 	}
 	moved := 0
 	for _, p := range ports {
@@ -206,16 +206,16 @@
 // What passes for jitter must not hide a crowd at a fast host, whose pings are short at twice and more of their best.
 func TestACrowdAtAFastHostIsNoJitter(t *testing.T) {
 	n, _, _ := held(t, entry("s1", wire.Serving))
-	n.set.ReportsLatency, n.set.MayProbe = true, true
+	n.settings.ReportsLatency, n.settings.MayProbe = true, true
 	up(t, n, "r")
-	m := n.members["s1"]
-	m.some = "r"
+	m := n.hosts["s1"]
+	m.representative = "r"
 	for _, c := range []struct {
 		micros time.Duration
 		slow   bool
 	}{{1000, false}, {2100, false}, {2500, false}, {2500, true}, {2100, false}} {
-		if n.pinged(m, c.micros*time.Microsecond); m.slow != c.slow {
-			t.Errorf("after %v: slow %v", c.micros*time.Microsecond, m.slow)
+		if n.handlePingResult(m, c.micros*time.Microsecond); m.reportedSlow != c.slow {
+			t.Errorf("after %v: slow %v", c.micros*time.Microsecond, m.reportedSlow)
 		}
 	}
 }
@@ -224,15 +224,15 @@
 // rest a second would let it stay so, and it gives up a third.
 func TestAHostThatStaysSlowPilesUpMoreEachSecond(t *testing.T) {
 	n, _, _ := held(t, entry("s1", wire.Serving))
-	n.set.ReportsLatency, n.set.MayProbe = true, true
+	n.settings.ReportsLatency, n.settings.MayProbe = true, true
 	up(t, n, "r")
-	n.pulse(time.Now())
-	m := n.members["s1"]
-	m.some = "r"
+	n.handleTick(time.Now())
+	m := n.hosts["s1"]
+	m.representative = "r"
 	for i, c := range []struct{ took, pile time.Duration }{{4, 0}, {10, 0}, {10, 250}, {10, 500}, {10, 750}, {7, 625}, {4, 0}} {
-		n.pinged(m, c.took*time.Millisecond)
-		if m.pile != c.pile*time.Millisecond {
-			t.Errorf("ping %d: %v piled up, want %v", i, m.pile, c.pile*time.Millisecond)
+		n.handlePingResult(m, c.took*time.Millisecond)
+		if m.backlog != c.pile*time.Millisecond {
+			t.Errorf("ping %d: %v piled up, want %v", i, m.backlog, c.pile*time.Millisecond)
 		}
 	}
 }
@@ -250,9 +250,9 @@
 		return k
 	}
 	now := time.Now()
-	n.take(event{kind: evMoveAll, until: now.Add(4 * tickEvery)})
+	n.handle(event{kind: evMoveAll, until: now.Add(4 * tickInterval)})
 	for i := range 4 {
-		n.pulse(now.Add(time.Duration(i) * tickEvery))
+		n.handleTick(now.Add(time.Duration(i) * tickInterval))
 		if i == 0 && (moved() == 0 || moved() > 6) {
 			t.Errorf("%d of 20 moved at the first of four turns", moved())
 		}
--- a/internal/node/sizes.go
+++ b/internal/node/sizes.go
@@ -10,13 +10,13 @@
 	"onyxstream/internal/wire"
 )
 
-// memoryPart is the part of the memory, one in so many, that what is known of hosts may take: the collector wants as much
+// memoryDivisor is the part of the memory, one in so many, that what is known of hosts may take: the collector wants as much
 // again, and clients the rest.
-const memoryPart = 3
+const memoryDivisor = 3
 
 // MaxHosts is how many hosts a list may have in so much memory.
 func MaxHosts(memoryMB int) int {
-	return sort.Search(1<<20, func(n int) bool { return balancer.EstimateMemory(n+1) > memoryMB<<20/memoryPart })
+	return sort.Search(1<<20, func(n int) bool { return balancer.EstimateMemory(n+1) > memoryMB<<20/memoryDivisor })
 }
 
 // CheckSize says whether a list fits into so much memory.
@@ -28,24 +28,24 @@
 }
 
 // SetMemoryLimit has the node take no more hosts than fit into so much memory. It is called before Run.
-func (n *Node) SetMemoryLimit(memoryMB int) { n.memoryMB = memoryMB }
+func (n *Node) SetMemoryLimit(memoryMB int) { n.memoryLimitMB = memoryMB }
 
-// bounded is news of the hosts as far as there is memory for them. Of a list that is too large no new host is taken; what
+// limitToMemory is news of the hosts as far as there is memory for them. Of a list that is too large no new host is taken; what
 // it says of those that are held binds, as the node has been told of it.
-func (n *Node) bounded(c *wire.EndpointList) *wire.EndpointList {
-	if n.memoryMB == 0 {
+func (n *Node) limitToMemory(c *wire.EndpointList) *wire.EndpointList {
+	if n.memoryLimitMB == 0 {
 		return c
 	}
 	hosts, fresh := 0, 0
-	for _, m := range n.members {
-		if !m.out {
+	for _, m := range n.hosts {
+		if !m.unlisted {
 			hosts++
 		}
 	}
 	held := make([]wire.Endpoint, 0, len(c.Endpoints))
 	for _, e := range c.Endpoints {
-		switch m := n.members[balancer.ServerID(e.ID)]; {
-		case m != nil && !m.out:
+		switch m := n.hosts[balancer.ServerID(e.ID)]; {
+		case m != nil && !m.unlisted:
 			held = append(held, e)
 		case e.Phase != wire.Removed:
 			fresh++
@@ -54,7 +54,7 @@
 	if c.Complete {
 		hosts = len(held)
 	}
-	err := CheckSize(hosts+fresh, n.memoryMB)
+	err := CheckSize(hosts+fresh, n.memoryLimitMB)
 	if fresh == 0 || err == nil {
 		return c
 	}
--- a/internal/node/sizes_bench_test.go
+++ b/internal/node/sizes_bench_test.go
@@ -19,12 +19,12 @@
 			node := New(testSettings(), wire.EndpointList{Revision: 7, Complete: true, Endpoints: hosts(n, wire.Serving)}, "d:1", &world{}, zap.NewNop())
 			at := node.now()
 			for range b.N {
-				for range time.Second / tickEvery {
-					node.pulse(time.Now())
+				for range time.Second / tickInterval {
+					node.handleTick(time.Now())
 				}
 				for range 5 { // sweeps of the module
 					at += time.Second / 5
-					node.brain.Handle(at, balancer.Timer{Token: "sweep"})
+					node.balancer.Handle(at, balancer.Timer{Token: "sweep"})
 				}
 			}
 		})
--- a/internal/node/sizes_test.go
+++ b/internal/node/sizes_test.go
@@ -22,24 +22,24 @@
 func TestAListTooLargeForTheMemoryIsNotTaken(t *testing.T) {
 	n, _, logs := held(t)
 	n.SetMemoryLimit(64)
-	n.list(&wire.EndpointList{Revision: 1, Complete: true, Endpoints: hosts(3200, wire.Serving)}, balancer.ListSnapshot, false)
-	if len(n.members) != 3200 || logs.Len() != 0 {
-		t.Fatalf("%d hosts are held; %v", len(n.members), logs.All())
+	n.applyList(&wire.EndpointList{Revision: 1, Complete: true, Endpoints: hosts(3200, wire.Serving)}, balancer.ListSnapshot, false)
+	if len(n.hosts) != 3200 || logs.Len() != 0 {
+		t.Fatalf("%d hosts are held; %v", len(n.hosts), logs.All())
 	}
 	large := append([]wire.Endpoint{entry("s00000", wire.Draining)}, hosts(9000, wire.Serving)[2:]...) // s00001 is gone
-	n.list(&wire.EndpointList{Revision: 2, Complete: true, Endpoints: large}, balancer.ListSnapshot, false)
-	if len(n.members) != 3200 || n.members["s00000"].state != balancer.Draining || n.members["s00001"].state != balancer.Removed ||
-		n.members["s00002"].state != balancer.Live {
-		t.Errorf("%d hosts; the first are %+v", len(n.members), []balancer.ServerState{n.members["s00000"].state,
-			n.members["s00001"].state, n.members["s00002"].state})
+	n.applyList(&wire.EndpointList{Revision: 2, Complete: true, Endpoints: large}, balancer.ListSnapshot, false)
+	if len(n.hosts) != 3200 || n.hosts["s00000"].state != balancer.Draining || n.hosts["s00001"].state != balancer.Removed ||
+		n.hosts["s00002"].state != balancer.Live {
+		t.Errorf("%d hosts; the first are %+v", len(n.hosts), []balancer.ServerState{n.hosts["s00000"].state,
+			n.hosts["s00001"].state, n.hosts["s00002"].state})
 	}
 	lines := logs.FilterMessage("a list is too large: no new host of it is taken").All()
 	if len(lines) != 1 || lines[0].ContextMap()["error"] != "members: 8999 hosts, 8192 are the most in 64 MB" {
 		t.Errorf("logged %v", lines)
 	}
 	// Changes add up to too many as well.
-	n.list(&wire.EndpointList{Revision: 3, Endpoints: slices.Concat(hosts(2, wire.Draining), hosts(9000, wire.Serving)[3200:])}, balancer.ListDelta, false)
-	if n.members["s03250"] != nil {
+	n.applyList(&wire.EndpointList{Revision: 3, Endpoints: slices.Concat(hosts(2, wire.Draining), hosts(9000, wire.Serving)[3200:])}, balancer.ListDelta, false)
+	if n.hosts["s03250"] != nil {
 		t.Error("a change brought too many hosts")
 	}
 }
--- a/internal/node/wallclock.go
+++ b/internal/node/wallclock.go
@@ -9,10 +9,10 @@
 }
 
 const (
-	// minStep is the change of the offset from which on the wall clock counts as stepped; less is taken for slewing.
-	minStep = 200 * time.Millisecond
-	// maxOffsets bounds the offsets that are remembered. A start by an older one passes for an earlier or later one.
-	maxOffsets = 4
+	// minClockStep is the change of the offset from which on the wall clock counts as stepped; less is taken for slewing.
+	minClockStep = 200 * time.Millisecond
+	// maxClockOffsets bounds the offsets that are remembered. A start by an older one passes for an earlier or later one.
+	maxClockOffsets = 4
 )
 
 // observe takes in a reading of both clocks at one instant, and reports whether the wall clock was stepped since the last.
@@ -22,11 +22,11 @@
 		c.offsets = []time.Duration{offset}
 		return false
 	}
-	if (offset - c.offsets[0]).Abs() < minStep {
+	if (offset - c.offsets[0]).Abs() < minClockStep {
 		c.offsets[0] = offset
 		return false
 	}
-	c.offsets = append([]time.Duration{offset}, c.offsets[:min(len(c.offsets), maxOffsets-1)]...)
+	c.offsets = append([]time.Duration{offset}, c.offsets[:min(len(c.offsets), maxClockOffsets-1)]...)
 	return true
 }
 
--- a/internal/node/wallclock_test.go
+++ b/internal/node/wallclock_test.go
@@ -44,18 +44,18 @@
 func TestSendable_HeldUpBeforeTheWrite_KeepsTheGrace(t *testing.T) {
 	const heldUp = 150 * time.Millisecond
 	n, _, _ := held(t, entry("a", wire.Serving))
-	m := n.members["a"]
+	m := n.hosts["a"]
 	m.state = balancer.Draining
 	for _, grace := range []time.Duration{50 * time.Millisecond, 100 * time.Millisecond, 400 * time.Millisecond, 2 * time.Second} {
-		n.set.DrainGrace = grace
-		m.toldAt = time.Now().Add(heldUp - grace) // a write after the hold-up comes just past the grace
-		if n.sendable(m) {
+		n.settings.DrainGrace = grace
+		m.notifiedAt = time.Now().Add(heldUp - grace) // a write after the hold-up comes just past the grace
+		if n.hostAcceptsWrites(m) {
 			t.Errorf("a grace of %v: a line may go %v before its end", grace, heldUp)
 		}
 	}
-	n.set.DrainGrace = 2 * time.Second
-	m.toldAt = time.Now()
-	if !n.sendable(m) {
+	n.settings.DrainGrace = 2 * time.Second
+	m.notifiedAt = time.Now()
+	if !n.hostAcceptsWrites(m) {
 		t.Error("nothing may go within a long grace")
 	}
 }
