--- a/internal/node/ending_test.go
+++ b/internal/node/ending_test.go
@@ -11,9 +11,9 @@
 
 // A client may wait for longer than a node lasts that was told to stop: whoever is owed an answer at the end has one
 // from the module, and nothing new is begun for it.
-func TestTheEndAnswersAllThatIsOwed(t *testing.T) {
-	n, _, _ := held(t, entry("s1", wire.Serving), entry("s2", wire.Serving))
-	up, waits, dials, mid := arrive(t, n, "up"), arrive(t, n, "waits"), arrive(t, n, "dials"), &port{}
+func TestShutdown_RequestsInFlight_EachAnsweredOnce(t *testing.T) {
+	n, _, _ := newTestNode(t, endpoint("s1", wire.Serving), endpoint("s2", wire.Serving))
+	up, waits, dials, mid := arrive(t, n, "up"), arrive(t, n, "waits"), arrive(t, n, "dials"), &fakeConn{}
 	n.handle(event{kind: evConnected, id: "up"})
 	n.handle(opened("up", 0))
 	n.handle(event{kind: evConnected, id: "waits"})
@@ -29,23 +29,23 @@
 		n.handle(settled(id, 0, balancer.Cancelled))
 	}
 	late := arrive(t, n, "late")
-	for name, p := range map[string]*port{"waits": waits, "dials": dials, "mid": mid, "late": late} {
-		said := p.heard()
+	for name, p := range map[string]*fakeConn{"waits": waits, "dials": dials, "mid": mid, "late": late} {
+		said := p.recorded()
 		if strings.Count(said, "refuse")+strings.Count(said, "fail") != 1 || strings.Count(said, "send") > 1 {
 			t.Errorf("%s: %s", name, said)
 		}
 	}
-	if !strings.Contains(dials.heard(), "go 0 false") || !strings.Contains(late.heard(), "refuse") {
-		t.Errorf("%s; %s", dials.heard(), late.heard())
+	if !strings.Contains(dials.recorded(), "go 0 false") || !strings.Contains(late.recorded(), "refuse") {
+		t.Errorf("%s; %s", dials.recorded(), late.recorded())
 	}
-	if n.InFlightRequests() != 0 || n.EstablishedConnections() != 1 || strings.Contains(up.heard(), "cancel") {
-		t.Errorf("%d owed, %d open; %s", n.InFlightRequests(), n.EstablishedConnections(), up.heard())
+	if n.InFlightRequests() != 0 || n.EstablishedConnections() != 1 || strings.Contains(up.recorded(), "cancel") {
+		t.Errorf("%d owed, %d open; %s", n.InFlightRequests(), n.EstablishedConnections(), up.recorded())
 	}
 }
 
 // What comes to a node that ends soon has only as long as the node: another host is tried in time.
-func TestWhoComesToANodeThatEndsHasAsLongAsTheNode(t *testing.T) {
-	n, _, _ := held(t, entry("s1", wire.Serving))
+func TestArrival_NodeShuttingDown_TimeLeftIsBounded(t *testing.T) {
+	n, _, _ := newTestNode(t, endpoint("s1", wire.Serving))
 	n.handle(event{kind: evEnd, until: time.Now().Add(50 * time.Millisecond)})
 	p := arrive(t, n, "r")
 	if len(p.sent) != 1 || p.sent[0].Timeout > 50*time.Millisecond {
--- a/internal/node/guard_test.go
+++ b/internal/node/guard_test.go
@@ -10,7 +10,7 @@
 )
 
 // The guard says why a line may not be written, for each reason that there is.
-func TestMayWrite_EachReason(t *testing.T) {
+func TestMayWrite_EachDenial_IsReturned(t *testing.T) {
 	long := time.Now().Add(-time.Hour)
 	for _, c := range []struct {
 		name   string
@@ -30,7 +30,7 @@
 			n.settings.Classes[0].Effect, r.mayHaveExecutedAt = balancer.NonIdempotent, long
 		}, denyUnsafeRetry},
 	} {
-		n, _, _ := held(t, entry("a", wire.Serving))
+		n, _, _ := newTestNode(t, endpoint("a", wire.Serving))
 		arrive(t, n, "r")
 		r := n.requests["r"]
 		c.change(n, r)
@@ -41,7 +41,7 @@
 }
 
 // What was written past the guard is counted by the rule that it breaks.
-func TestWritten_PastTheGuard_IsCounted(t *testing.T) {
+func TestAttemptWritten_RuleViolated_IsCounted(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		change func(n *Node, r *request)
@@ -56,7 +56,7 @@
 		}, map[invariant.Rule]uint64{invariant.UnsafeRetry: 1}},
 		{"beside another", func(_ *Node, r *request) { r.attempts++ }, map[invariant.Rule]uint64{invariant.ConcurrentAttempt: 1}},
 	} {
-		n, _, _ := held(t, entry("a", wire.Serving))
+		n, _, _ := newTestNode(t, endpoint("a", wire.Serving))
 		p := arrive(t, n, "r")
 		c.change(n, n.requests["r"])
 		n.handle(event{kind: evWritten, id: "r", port: p, at: time.Now()})
@@ -70,14 +70,14 @@
 
 // What a node sends a cold host past what all nodes may is counted, by the time in which the host falls, and nothing is of a
 // host that is warm.
-func TestWritten_OverSlowStart_IsCounted(t *testing.T) {
+func TestAttemptWritten_SlowStartExceeded_IsCounted(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		age   time.Duration
 		apart time.Duration // between two lines
 		want  bool
 	}{{"at once", 0, 0, true}, {"spread", 0, 200 * time.Millisecond, false}, {"warm", time.Hour, 0, false}} {
-		n, _, _ := held(t, entry("a", wire.Serving))
+		n, _, _ := newTestNode(t, endpoint("a", wire.Serving))
 		n.settings.Tenants = []balancer.Tenant{{ConnectionQuota: 5}}
 		n.settings.SlowStartDuration = 10 * time.Second
 		arrive(t, n, "r")
--- a/internal/node/list_test.go
+++ b/internal/node/list_test.go
@@ -12,9 +12,9 @@
 	"onyxstream/internal/wire"
 )
 
-func TestCompleteListDropsWhatItLacks(t *testing.T) {
-	n, _, _ := held(t, entry("s1", wire.Serving), entry("s2", wire.Serving))
-	n.handle(event{kind: evList, list: &wire.EndpointList{Revision: 8, Complete: true, Endpoints: []wire.Endpoint{entry("s2", wire.Serving)}}})
+func TestList_SnapshotLacksHost_HostRemoved(t *testing.T) {
+	n, _, _ := newTestNode(t, endpoint("s1", wire.Serving), endpoint("s2", wire.Serving))
+	n.handle(event{kind: evList, list: &wire.EndpointList{Revision: 8, Complete: true, Endpoints: []wire.Endpoint{endpoint("s2", wire.Serving)}}})
 	if n.hosts["s1"].state != balancer.Removed || n.hosts["s2"].state != balancer.Live || n.revision != 8 {
 		t.Errorf("s1 %v, s2 %v, revision %d", n.hosts["s1"].state, n.hosts["s2"].state, n.revision)
 	}
@@ -26,29 +26,29 @@
 }
 
 // A member without an address can't be sent to: the module must hear that nothing was passed on.
-func TestMemberWithoutAnAddressIsNeverPassed(t *testing.T) {
-	m := entry("s1", wire.Serving)
+func TestAttempt_HostWithoutAddress_Rejected(t *testing.T) {
+	m := endpoint("s1", wire.Serving)
 	m.Addr = ""
-	n, _, _ := held(t, m)
-	if p := arrive(t, n, "r"); p.heard() != "refuse true" || n.InFlightRequests() != 0 {
-		t.Errorf("%s; %d owed", p.heard(), n.InFlightRequests())
+	n, _, _ := newTestNode(t, m)
+	if p := arrive(t, n, "r"); p.recorded() != "refuse true" || n.InFlightRequests() != 0 {
+		t.Errorf("%s; %d owed", p.recorded(), n.InFlightRequests())
 	}
-	if p := arrive(t, n, "q"); p.heard() != "refuse true" || len(n.requests) != 0 {
-		t.Errorf("%s; %d kept", p.heard(), len(n.requests))
+	if p := arrive(t, n, "q"); p.recorded() != "refuse true" || len(n.requests) != 0 {
+		t.Errorf("%s; %d kept", p.recorded(), len(n.requests))
 	}
 }
 
-func TestListEventsAndWatches(t *testing.T) {
+func TestWatch_PollDue_AsksFromHeldRevision(t *testing.T) {
 	set := testSettings()
 	set.PollInterval = time.Millisecond // the module asks within a twentieth of it
-	w := &world{}
+	w := &fakeTransport{}
 	n := New(set, wire.EndpointList{Revision: 7}, "d:1", w, zap.NewNop())
 	time.Sleep(time.Millisecond)
 	n.decide(balancer.Timer{Token: "sweep"})
 	if len(w.watches) != 1 || w.watches[0] != (ListRequest{1, "d:1", 7}) {
 		t.Fatalf("watches %v, want one from version 7", w.watches)
 	}
-	n.handle(event{kind: evList, call: 1, list: &wire.EndpointList{Revision: 9, Endpoints: []wire.Endpoint{entry("s2", wire.Serving)}}})
+	n.handle(event{kind: evList, call: 1, list: &wire.EndpointList{Revision: 9, Endpoints: []wire.Endpoint{endpoint("s2", wire.Serving)}}})
 	if n.revision != 9 || n.hosts["s2"] == nil {
 		t.Errorf("revision %d", n.revision)
 	}
@@ -56,13 +56,13 @@
 
 // Another discovery is asked for the whole list, the versions of the old one mean nothing there, and the module
 // sees neither a failure nor an empty fleet until the new list is there.
-func TestFollowingAnotherDiscovery(t *testing.T) {
-	n, w, _ := held(t, entry("s1", wire.Serving), entry("s2", wire.Serving))
+func TestDiscoveryAddr_Changed_AsksForSnapshot(t *testing.T) {
+	n, w, _ := newTestNode(t, endpoint("s1", wire.Serving), endpoint("s2", wire.Serving))
 	n.watch()
 	serves := func(when string) {
 		t.Helper()
-		if p := arrive(t, n, when); !strings.HasPrefix(p.heard(), "send 0 ") {
-			t.Errorf("%s: %q", when, p.heard())
+		if p := arrive(t, n, when); !strings.HasPrefix(p.recorded(), "send 0 ") {
+			t.Errorf("%s: %q", when, p.recorded())
 		}
 	}
 	n.handle(event{kind: evFollow, text: "d:2"})
@@ -74,7 +74,7 @@
 	n.handle(event{kind: evWatchFailed, call: 2})
 	serves("the-old-watch-has-ended")
 	// What the old one wrote was told and holds, its version does not.
-	n.handle(event{kind: evList, call: 1, list: &wire.EndpointList{Revision: 900, Endpoints: []wire.Endpoint{entry("s1", wire.Draining)}}})
+	n.handle(event{kind: evList, call: 1, list: &wire.EndpointList{Revision: 900, Endpoints: []wire.Endpoint{endpoint("s1", wire.Draining)}}})
 	if n.revision != NoRevision || n.hosts["s1"].state != balancer.Draining {
 		t.Errorf("revision %d, s1 %v", n.revision, n.hosts["s1"].state)
 	}
@@ -84,7 +84,7 @@
 		t.Errorf("after a failure asked %v", got)
 	}
 	n.handle(event{kind: evList, call: 4, list: &wire.EndpointList{Revision: 2, Complete: true,
-		Endpoints: []wire.Endpoint{entry("s1", wire.Serving)}}})
+		Endpoints: []wire.Endpoint{endpoint("s1", wire.Serving)}}})
 	n.watch()
 	if got := w.watches[len(w.watches)-1]; got != (ListRequest{5, "d:3", 2}) {
 		t.Errorf("after the list asked %v", got)
@@ -96,8 +96,8 @@
 }
 
 // Sites that need not be asked have no module that asks: the node watches by itself, and again.
-func TestPushSitesAreWatchedAgain(t *testing.T) {
-	n, w, _ := held(t)
+func TestWatch_FailsWithoutPolling_RetriedAfterDelay(t *testing.T) {
+	n, w, _ := newTestNode(t)
 	n.settings.PollList = false
 	n.watch()
 	n.handle(event{kind: evWatchFailed, call: 1})
@@ -114,12 +114,12 @@
 
 // A watch that is refused in the moment in which discovery is named anew, on either side of that: the new one is asked for
 // the whole list, the refusal of the old one is none of its, and nothing is asked twice once its list is there.
-func TestAWatchRefusedAsDiscoveryIsNamedAnew(t *testing.T) {
+func TestDiscoveryAddr_ChangedAsWatchFails_AsksOnce(t *testing.T) {
 	refused, named := event{kind: evWatchFailed, call: 1}, event{kind: evFollow, text: "new:1"}
 	for name, order := range map[string][]event{"refused first": {refused, named}, "named first": {named, refused}} {
 		for _, ask := range []bool{true, false} {
 			t.Run(fmt.Sprintf("%s, asked for %v", name, ask), func(t *testing.T) {
-				n, w, _ := held(t, entry("s1", wire.Serving))
+				n, w, _ := newTestNode(t, endpoint("s1", wire.Serving))
 				n.settings.PollList = ask
 				n.watch()
 				for _, e := range order {
@@ -128,7 +128,7 @@
 				if last := w.watches[len(w.watches)-1]; len(w.watches) != 2 || last.Addr != "new:1" || last.AfterRevision != NoRevision {
 					t.Fatalf("calls %v", w.watches)
 				}
-				list := wire.EndpointList{Revision: 3, Complete: true, Endpoints: []wire.Endpoint{entry("s2", wire.Serving)}}
+				list := wire.EndpointList{Revision: 3, Complete: true, Endpoints: []wire.Endpoint{endpoint("s2", wire.Serving)}}
 				n.handle(event{kind: evList, call: 2, list: &list})
 				n.handle(refused)
 				n.handleTick(time.Now().Add(time.Minute))
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -17,56 +17,56 @@
 	"onyxstream/internal/wire"
 )
 
-// port records what a connection is told.
-type port struct {
+// fakeConn records what a connection is told.
+type fakeConn struct {
 	mu    sync.Mutex
-	said  []string
+	calls []string
 	sent  []Attempt
-	pulse MessageStats
+	stats MessageStats
 }
 
-func (p *port) say(text string) {
+func (p *fakeConn) record(text string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.said = append(p.said, text)
+	p.calls = append(p.calls, text)
 }
 
-func (p *port) Send(a Attempt) {
+func (p *fakeConn) Send(a Attempt) {
 	p.mu.Lock()
 	p.sent = append(p.sent, a)
 	p.mu.Unlock()
-	p.say(fmt.Sprintf("send %d %s", a.Number, a.Addr))
+	p.record(fmt.Sprintf("send %d %s", a.Number, a.Addr))
 }
 
-func (p *port) Proceed(n int, ok bool) { p.say(fmt.Sprintf("go %d %v", n, ok)) }
+func (p *fakeConn) Proceed(n int, ok bool) { p.record(fmt.Sprintf("go %d %v", n, ok)) }
 
-func (p *port) Cancel(n int) { p.say(fmt.Sprintf("cancel %d", n)) }
+func (p *fakeConn) Cancel(n int) { p.record(fmt.Sprintf("cancel %d", n)) }
 
-func (p *port) Reject(d time.Duration) { p.say(fmt.Sprintf("refuse %v", d > 0)) }
+func (p *fakeConn) Reject(d time.Duration) { p.record(fmt.Sprintf("refuse %v", d > 0)) }
 
-func (p *port) Fail() { p.say("fail") }
+func (p *fakeConn) Fail() { p.record("fail") }
 
-func (p *port) Migrate() { p.say("move") }
+func (p *fakeConn) Migrate() { p.record("move") }
 
-func (p *port) MessageStats(now time.Time) MessageStats { return p.pulse }
+func (p *fakeConn) MessageStats(now time.Time) MessageStats { return p.stats }
 
-func (p *port) heard() string {
+func (p *fakeConn) recorded() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return strings.Join(p.said, ", ")
+	return strings.Join(p.calls, ", ")
 }
 
-// world records what the loop asks of the sockets beside its connections.
-type world struct {
-	watches []ListRequest
-	pings   []balancer.ServerID
-	full    bool // no ping is sent any more
+// fakeTransport records what the loop asks of the sockets beside its connections.
+type fakeTransport struct {
+	watches   []ListRequest
+	pings     []balancer.ServerID
+	pingsFail bool // no ping is sent any more
 }
 
-func (w *world) Watch(c ListRequest) { w.watches = append(w.watches, c) }
+func (w *fakeTransport) Watch(c ListRequest) { w.watches = append(w.watches, c) }
 
-func (w *world) Ping(id balancer.ServerID, _ string) bool {
-	if w.full {
+func (w *fakeTransport) Ping(id balancer.ServerID, _ string) bool {
+	if w.pingsFail {
 		return false
 	}
 	w.pings = append(w.pings, id)
@@ -84,15 +84,15 @@
 	}
 }
 
-func entry(id string, phase wire.Phase) wire.Endpoint {
+func endpoint(id string, phase wire.Phase) wire.Endpoint {
 	return wire.Endpoint{ID: id, Addr: id + ":1", Zone: "a", Size: 1, Phase: phase}
 }
 
-// held is a node that is not running: the test takes its events by hand.
-func held(t *testing.T, members ...wire.Endpoint) (*Node, *world, *observer.ObservedLogs) {
+// newTestNode is a node that is not running: the test takes its events by hand.
+func newTestNode(t *testing.T, members ...wire.Endpoint) (*Node, *fakeTransport, *observer.ObservedLogs) {
 	t.Helper()
 	core, logs := observer.New(zap.InfoLevel)
-	w := &world{}
+	w := &fakeTransport{}
 	return New(testSettings(), wire.EndpointList{Revision: 7, Complete: true, Endpoints: members}, "d:1", w, zap.New(core)), w, logs
 }
 
@@ -106,9 +106,9 @@
 }
 
 // arrive hands the node a client's line.
-func arrive(t *testing.T, n *Node, id string) *port {
+func arrive(t *testing.T, n *Node, id string) *fakeConn {
 	t.Helper()
-	p := &port{}
+	p := &fakeConn{}
 	n.handle(event{kind: evArrive, id: balancer.RequestID(id), opening: opening(t, "OPEN "+id+" key c=chat,t=acme,d=2000"),
 		until: time.Now().Add(2 * time.Second), port: p})
 	return p
@@ -122,16 +122,16 @@
 	return event{kind: evOpened, id: balancer.RequestID(id), attempt: n, took: time.Millisecond}
 }
 
-func TestServeAndEnd(t *testing.T) {
-	n, _, _ := held(t, entry("s1", wire.Serving))
+func TestRequest_ServedAndEnded_IsReleased(t *testing.T) {
+	n, _, _ := newTestNode(t, endpoint("s1", wire.Serving))
 	p := arrive(t, n, "r")
-	if p.heard() != "send 0 s1:1" || n.InFlightRequests() != 1 {
-		t.Fatalf("%s; %d owed", p.heard(), n.InFlightRequests())
+	if p.recorded() != "send 0 s1:1" || n.InFlightRequests() != 1 {
+		t.Fatalf("%s; %d owed", p.recorded(), n.InFlightRequests())
 	}
 	n.handle(event{kind: evConnected, id: "r"})
 	n.handle(opened("r", 0))
-	if p.heard() != "send 0 s1:1, go 0 true" || n.InFlightRequests() != 0 || n.EstablishedConnections() != 1 {
-		t.Fatalf("%s; %d owed, %d open", p.heard(), n.InFlightRequests(), n.EstablishedConnections())
+	if p.recorded() != "send 0 s1:1, go 0 true" || n.InFlightRequests() != 0 || n.EstablishedConnections() != 1 {
+		t.Fatalf("%s; %d owed, %d open", p.recorded(), n.InFlightRequests(), n.EstablishedConnections())
 	}
 	n.handle(event{kind: evLoad, id: "r", load: 5})
 	n.handle(settled("r", 0, balancer.Served))
@@ -140,53 +140,53 @@
 	}
 }
 
-func TestFailoverThenRefusedAtOnce(t *testing.T) {
-	n, _, _ := held(t, entry("s1", wire.Serving), entry("s2", wire.Serving))
+func TestRequest_AllHostsFail_RejectedAtOnce(t *testing.T) {
+	n, _, _ := newTestNode(t, endpoint("s1", wire.Serving), endpoint("s2", wire.Serving))
 	p := arrive(t, n, "r")
 	n.handle(settled("r", 0, balancer.ConnectFailed))
 	if len(p.sent) != 2 || p.sent[0].Addr == p.sent[1].Addr {
 		t.Fatalf("sent to %v", p.sent)
 	}
 	n.handle(settled("r", 1, balancer.Rejected))
-	if !strings.HasSuffix(p.heard(), "refuse true") || n.InFlightRequests() != 0 || len(n.requests) != 0 {
-		t.Errorf("%s; %d owed, %d kept", p.heard(), n.InFlightRequests(), len(n.requests))
+	if !strings.HasSuffix(p.recorded(), "refuse true") || n.InFlightRequests() != 0 || len(n.requests) != 0 {
+		t.Errorf("%s; %d owed, %d kept", p.recorded(), n.InFlightRequests(), len(n.requests))
 	}
 }
 
 // Whatever comes twice, late or for another attempt changes nothing.
-func TestLateAndDoubledEventsDoNothing(t *testing.T) {
-	n, _, _ := held(t, entry("s1", wire.Serving), entry("s2", wire.Serving))
+func TestRequest_LateOrDuplicateEvents_Ignored(t *testing.T) {
+	n, _, _ := newTestNode(t, endpoint("s1", wire.Serving), endpoint("s2", wire.Serving))
 	p := arrive(t, n, "r")
 	n.handle(settled("r", 0, balancer.Errored))
-	said := p.heard()
+	said := p.recorded()
 	n.handle(settled("r", 0, balancer.Errored))
 	n.handle(opened("r", 0))
 	n.handle(settled("r", 7, balancer.Rejected))
 	n.handle(settled("other", 0, balancer.Rejected))
 	n.handle(event{kind: evLoad, id: "r", load: 1})
-	if p.heard() != said {
-		t.Errorf("then also %s", p.heard())
+	if p.recorded() != said {
+		t.Errorf("then also %s", p.recorded())
 	}
 	n.handle(event{kind: evConnected, id: "r", attempt: 0})
-	if !strings.HasSuffix(p.heard(), "go 0 false") {
-		t.Errorf("an attempt that is over may go: %s", p.heard())
+	if !strings.HasSuffix(p.recorded(), "go 0 false") {
+		t.Errorf("an attempt that is over may go: %s", p.recorded())
 	}
 	again := arrive(t, n, "r")
-	if again.heard() != "fail" || n.InFlightRequests() != 1 {
-		t.Errorf("an id that is held: %s; %d owed", again.heard(), n.InFlightRequests())
+	if again.recorded() != "fail" || n.InFlightRequests() != 1 {
+		t.Errorf("an id that is held: %s; %d owed", again.recorded(), n.InFlightRequests())
 	}
 }
 
-func TestClientGoneFreesEverything(t *testing.T) {
-	n, _, _ := held(t, entry("s1", wire.Serving))
+func TestClientDisconnected_AttemptInFlight_Released(t *testing.T) {
+	n, _, _ := newTestNode(t, endpoint("s1", wire.Serving))
 	p := arrive(t, n, "r")
 	n.handle(event{kind: evGone, id: "r", attempt: 1})
-	if !strings.HasSuffix(p.heard(), "cancel 0") || n.InFlightRequests() != 0 || len(n.requests) != 1 {
-		t.Fatalf("%s; %d owed, %d kept", p.heard(), n.InFlightRequests(), len(n.requests))
+	if !strings.HasSuffix(p.recorded(), "cancel 0") || n.InFlightRequests() != 0 || len(n.requests) != 1 {
+		t.Fatalf("%s; %d owed, %d kept", p.recorded(), n.InFlightRequests(), len(n.requests))
 	}
 	n.handle(settled("r", 0, balancer.Cancelled))
-	if len(n.requests) != 0 || strings.Contains(p.heard(), "refuse") {
-		t.Errorf("%s; %d kept", p.heard(), len(n.requests))
+	if len(n.requests) != 0 || strings.Contains(p.recorded(), "refuse") {
+		t.Errorf("%s; %d kept", p.recorded(), len(n.requests))
 	}
 	// A send that meets a connection which has ended is taken by no one and would be kept for ever.
 	arrive(t, n, "q")
@@ -197,41 +197,41 @@
 }
 
 // A send counts at its first byte: a dial that comes up after the grace must not be written to.
-func TestNothingIsWrittenAfterTheDrainsGrace(t *testing.T) {
-	n, _, _ := held(t, entry("s1", wire.Serving))
+func TestAttempt_HostDrainGraceOver_NotWritten(t *testing.T) {
+	n, _, _ := newTestNode(t, endpoint("s1", wire.Serving))
 	p := arrive(t, n, "r")
-	n.applyList(&wire.EndpointList{Revision: 8, Endpoints: []wire.Endpoint{entry("s1", wire.Draining)}}, balancer.ListDelta, false)
+	n.applyList(&wire.EndpointList{Revision: 8, Endpoints: []wire.Endpoint{endpoint("s1", wire.Draining)}}, balancer.ListDelta, false)
 	n.handle(event{kind: evConnected, id: "r"})
-	if !strings.HasSuffix(p.heard(), "go 0 true") {
-		t.Fatalf("within the grace: %s", p.heard())
+	if !strings.HasSuffix(p.recorded(), "go 0 true") {
+		t.Fatalf("within the grace: %s", p.recorded())
 	}
 	n.hosts["s1"].notifiedAt = time.Now().Add(-n.settings.DrainGrace)
 	n.handle(event{kind: evConnected, id: "r"})
-	if !strings.HasSuffix(p.heard(), "go 0 false") {
-		t.Fatalf("after the grace: %s", p.heard())
+	if !strings.HasSuffix(p.recorded(), "go 0 false") {
+		t.Fatalf("after the grace: %s", p.recorded())
 	}
 	// Being told again, or that it is gone, does not start another grace.
-	n.applyList(&wire.EndpointList{Revision: 9, Endpoints: []wire.Endpoint{entry("s1", wire.Removed)}}, balancer.ListDelta, false)
+	n.applyList(&wire.EndpointList{Revision: 9, Endpoints: []wire.Endpoint{endpoint("s1", wire.Removed)}}, balancer.ListDelta, false)
 	if n.hostAcceptsWrites(n.hosts["s1"]) {
 		t.Error("a second notice gives a second grace")
 	}
-	n.applyList(&wire.EndpointList{Revision: 10, Endpoints: []wire.Endpoint{entry("s1", wire.Serving)}}, balancer.ListDelta, false)
+	n.applyList(&wire.EndpointList{Revision: 10, Endpoints: []wire.Endpoint{endpoint("s1", wire.Serving)}}, balancer.ListDelta, false)
 	if !n.hostAcceptsWrites(n.hosts["s1"]) {
 		t.Error("a host called back gets nothing")
 	}
 }
 
-func TestUnknownClassIsAnsweredAtOnce(t *testing.T) {
-	n, _, logs := held(t, entry("s1", wire.Serving))
-	p := &port{}
+func TestArrival_UnknownClass_Failed(t *testing.T) {
+	n, _, logs := newTestNode(t, endpoint("s1", wire.Serving))
+	p := &fakeConn{}
 	n.handle(event{kind: evArrive, id: "r", opening: opening(t, "OPEN r key c=odd"), until: time.Now().Add(time.Second), port: p})
-	if p.heard() != "fail" || len(n.requests) != 0 || logs.FilterMessageSnippet("class").Len() != 1 {
-		t.Errorf("%s; %d kept", p.heard(), len(n.requests))
+	if p.recorded() != "fail" || len(n.requests) != 0 || logs.FilterMessageSnippet("class").Len() != 1 {
+		t.Errorf("%s; %d kept", p.recorded(), len(n.requests))
 	}
 }
 
-func TestMidFlowAndGroupReachTheModule(t *testing.T) {
-	n, _, _ := held(t)
+func TestArrival_OpeningFields_ReachBalancer(t *testing.T) {
+	n, _, _ := newTestNode(t)
 	a := n.toArrival(opening(t, "OPEN r key c=chat,t=acme,g=grp,mid=1,again=1,r=1"), time.Second)
 	want := balancer.Arrival{ID: "r", Key: "key", Group: "grp", TimeLeft: time.Second, MidFlow: true, Reconnect: true, Retry: true}
 	if a != want {
@@ -243,11 +243,11 @@
 	}
 }
 
-func TestInheritedConnectionsAreCountedAndEnd(t *testing.T) {
-	n, _, _ := held(t, entry("s1", wire.Serving))
+func TestInherited_ConnectionEnds_IsReleased(t *testing.T) {
+	n, _, _ := newTestNode(t, endpoint("s1", wire.Serving))
 	for i, host := range []string{"s1", "unlisted"} {
 		id := balancer.RequestID(fmt.Sprint("r", i))
-		at := event{kind: evResume, id: id, opening: opening(t, "OPEN "+string(id)+" key c=chat,at="+host), port: &port{}, reply: make(chan resumePoint, 1)}
+		at := event{kind: evResume, id: id, opening: opening(t, "OPEN "+string(id)+" key c=chat,at="+host), port: &fakeConn{}, reply: make(chan resumePoint, 1)}
 		n.handle(at)
 		if got := <-at.reply; !got.ok || (got.addr != "") != (host == "s1") {
 			t.Errorf("%s is at %+v", host, got)
@@ -266,16 +266,16 @@
 
 // A client chooses its id. One that takes that of an open request gets an error, and whatever becomes of it the
 // first one does not feel: its request, its attempt, its connection.
-func TestASecondClientWithAnOpenIdIsNotServed(t *testing.T) {
-	n, _, _ := held(t, entry("s1", wire.Serving))
+func TestRequest_DuplicateID_SecondFailsFirstUnaffected(t *testing.T) {
+	n, _, _ := newTestNode(t, endpoint("s1", wire.Serving))
 	first := arrive(t, n, "r")
 	intrude := func() {
 		t.Helper()
 		second := arrive(t, n, "r")
-		if second.heard() != "fail" {
-			t.Errorf("the second heard %q", second.heard())
+		if second.recorded() != "fail" {
+			t.Errorf("the second heard %q", second.recorded())
 		}
-		at := event{kind: evResume, id: "r", opening: opening(t, "OPEN r key c=chat,at=s1"), port: &port{}, reply: make(chan resumePoint, 1)}
+		at := event{kind: evResume, id: "r", opening: opening(t, "OPEN r key c=chat,at=s1"), port: &fakeConn{}, reply: make(chan resumePoint, 1)}
 		n.handle(at)
 		if got := <-at.reply; got.ok {
 			t.Error("it may be taken up beside the first")
@@ -287,8 +287,8 @@
 		}
 	}
 	intrude()
-	if n.InFlightRequests() != 1 || first.heard() != "send 0 s1:1" {
-		t.Fatalf("%d owed; the first heard %q", n.InFlightRequests(), first.heard())
+	if n.InFlightRequests() != 1 || first.recorded() != "send 0 s1:1" {
+		t.Fatalf("%d owed; the first heard %q", n.InFlightRequests(), first.recorded())
 	}
 	n.handle(event{kind: evOpened, id: "r", port: first, took: time.Millisecond})
 	intrude()
@@ -302,9 +302,9 @@
 }
 
 // A connection from before the run that never comes up leaves nothing behind.
-func TestWhatIsNotTakenUpIsForgotten(t *testing.T) {
-	n, _, _ := held(t, entry("s1", wire.Serving))
-	at := event{kind: evResume, id: "r", opening: opening(t, "OPEN r key c=chat,at=s1"), port: &port{}, reply: make(chan resumePoint, 2)}
+func TestResume_ConnectionNeverUp_IsReleased(t *testing.T) {
+	n, _, _ := newTestNode(t, endpoint("s1", wire.Serving))
+	at := event{kind: evResume, id: "r", opening: opening(t, "OPEN r key c=chat,at=s1"), port: &fakeConn{}, reply: make(chan resumePoint, 2)}
 	n.handle(at)
 	n.handle(at) // it is tried again
 	n.handle(event{kind: evGone, id: "r", port: at.port})
@@ -313,8 +313,8 @@
 	}
 }
 
-func TestKnowsTheNamesOfTheSettings(t *testing.T) {
-	n, _, _ := held(t)
+func TestHasClassAndTenant_NamesInSettings_Reported(t *testing.T) {
+	n, _, _ := newTestNode(t)
 	for list, want := range map[string]bool{"c=chat,t=acme": true, "c=chats,t=acme": false, "t=acme": false, "c=chat,t=acne": false,
 		"c=chat": false} {
 		if got := n.HasClassAndTenant(opening(t, "OPEN r key "+list)); got != want {
@@ -323,8 +323,8 @@
 	}
 }
 
-// up is a connection that stands.
-func up(t *testing.T, n *Node, id string) *port {
+// establish is a connection that stands.
+func establish(t *testing.T, n *Node, id string) *fakeConn {
 	t.Helper()
 	p := arrive(t, n, id)
 	n.handle(opened(id, 0))
@@ -332,18 +332,18 @@
 }
 
 // A failure in the handling of one event must not end the node.
-func TestAPanicStopsAtItsEvent(t *testing.T) {
-	n, _, logs := held(t, entry("s1", wire.Serving))
+func TestEvent_HandlerPanics_LoopGoesOn(t *testing.T) {
+	n, _, logs := newTestNode(t, endpoint("s1", wire.Serving))
 	n.recoverPanics(func() { n.handle(event{kind: evList}) }) // a list event without a list
 	if logs.FilterMessage("an event could not be handled").Len() != 1 {
 		t.Error("no trace of the failure in the log")
 	}
-	if p := arrive(t, n, "r"); p.heard() != "send 0 s1:1" {
-		t.Errorf("after it: %s", p.heard())
+	if p := arrive(t, n, "r"); p.recorded() != "send 0 s1:1" {
+		t.Errorf("after it: %s", p.recorded())
 	}
 }
 
-func TestTimersFallDueInOrder(t *testing.T) {
+func TestTimers_SameAndDifferentTimes_DueInOrder(t *testing.T) {
 	var ts timers
 	for i, at := range []time.Duration{5, 3, 5, 1} {
 		ts.add(at, fmt.Sprint(i))
@@ -361,8 +361,8 @@
 }
 
 // The loop under the race detector: many connections post and are told at once, and all of it ends.
-func TestRunWithManyConnections(t *testing.T) {
-	n, _, _ := held(t, entry("s1", wire.Serving), entry("s2", wire.Serving))
+func TestRun_ManyConcurrentConnections_AllEnd(t *testing.T) {
+	n, _, _ := newTestNode(t, endpoint("s1", wire.Serving), endpoint("s2", wire.Serving))
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() {
@@ -376,18 +376,18 @@
 			defer all.Done()
 			id := balancer.RequestID(fmt.Sprint(i))
 			o := opening(t, fmt.Sprintf("OPEN %d key%d c=chat,d=2000", i, i))
-			p := &port{}
+			p := &fakeConn{}
 			n.RequestArrived(o, time.Now().Add(2*time.Second), p)
 			n.AttemptConnected(id, p, 0)
 			n.ConnectionEstablished(id, p, 0, time.Millisecond)
 			n.ReportLoad(id, p, float64(i))
-			n.ListReceived(1, &wire.EndpointList{Revision: int64(i), Endpoints: []wire.Endpoint{entry(fmt.Sprint("n", i%5), wire.Serving)}})
+			n.ListReceived(1, &wire.EndpointList{Revision: int64(i), Endpoints: []wire.Endpoint{endpoint(fmt.Sprint("n", i%5), wire.Serving)}})
 			n.AttemptEnded(id, p, 0, time.Millisecond, balancer.Served)
 		}()
 	}
 	all.Wait()
 	// What was posted before has been taken once this is answered.
-	if addr, ok := n.ResumeConnection(opening(t, "OPEN stood key c=chat,t=acme,at=s1"), &port{}); addr != "s1:1" || !ok {
+	if addr, ok := n.ResumeConnection(opening(t, "OPEN stood key c=chat,t=acme,at=s1"), &fakeConn{}); addr != "s1:1" || !ok {
 		t.Errorf("resumed at %q, %v", addr, ok)
 	}
 	if n.InFlightRequests() != 0 || n.EstablishedConnections() != 0 {
@@ -395,15 +395,15 @@
 	}
 	cancel()
 	<-ended
-	n.ClientDisconnected("1", &port{}, 0) // must not block
-	if _, ok := n.ResumeConnection(opening(t, "OPEN stood key c=chat,t=acme,at=s1"), &port{}); ok {
+	n.ClientDisconnected("1", &fakeConn{}, 0) // must not block
+	if _, ok := n.ResumeConnection(opening(t, "OPEN stood key c=chat,t=acme,at=s1"), &fakeConn{}); ok {
 		t.Error("an ended loop answers")
 	}
 }
 
 // A repeat is dropped only so long after the first attempt: one whose dial came up later than that must not be written,
 // whenever it was chosen.
-func TestNoRepeatIsWrittenPastItsWindow(t *testing.T) {
+func TestRetry_IdempotencyWindowOver_NotWritten(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		effect balancer.Effect
@@ -423,8 +423,8 @@
 			}
 			set := testSettings()
 			set.Classes[0].Effect, set.Classes[0].IdempotencyWindow = c.effect, window
-			known := wire.EndpointList{Revision: 7, Complete: true, Endpoints: []wire.Endpoint{entry("s1", wire.Serving), entry("s2", wire.Serving)}}
-			n := New(set, known, "d:1", &world{}, zap.NewNop())
+			known := wire.EndpointList{Revision: 7, Complete: true, Endpoints: []wire.Endpoint{endpoint("s1", wire.Serving), endpoint("s2", wire.Serving)}}
+			n := New(set, known, "d:1", &fakeTransport{}, zap.NewNop())
 			p := arrive(t, n, "r")
 			n.handle(settled("r", 0, c.first))
 			if len(p.sent) != 2 {
@@ -434,8 +434,8 @@
 				time.Sleep(window)
 			}
 			n.handle(event{kind: evConnected, id: "r", attempt: 1})
-			if !strings.HasSuffix(p.heard(), c.want) {
-				t.Errorf("%s; want %s", p.heard(), c.want)
+			if !strings.HasSuffix(p.recorded(), c.want) {
+				t.Errorf("%s; want %s", p.recorded(), c.want)
 			}
 		})
 	}
--- a/internal/node/orders_test.go
+++ b/internal/node/orders_test.go
@@ -11,8 +11,8 @@
 
 // A word that comes before the first list, as over an upgrade, must not pass for news of discovery: the node that took
 // it for that never asked.
-func TestAWordBeforeTheFirstListDoesNotPassForAWatch(t *testing.T) {
-	n, w, _ := held(t, entry("a", wire.Serving), entry("b", wire.Serving))
+func TestHostOverride_BeforeFirstList_ListStillPolled(t *testing.T) {
+	n, w, _ := newTestNode(t, endpoint("a", wire.Serving), endpoint("b", wire.Serving))
 	for _, out := range []bool{true, false} {
 		if err := n.overrideHost("a", out, false, time.Now()); err != nil {
 			t.Fatal(err)
@@ -31,8 +31,8 @@
 
 // A host that an operator calls back is cold from then on, though the list says that it started long ago; one that was
 // never out is as warm as it was.
-func TestAHostThatIsCalledBackIsCold(t *testing.T) {
-	n, _, _ := held(t, entry("a", wire.Serving), entry("b", wire.Serving))
+func TestHostOverride_Lifted_HostWarmsUp(t *testing.T) {
+	n, _, _ := newTestNode(t, endpoint("a", wire.Serving), endpoint("b", wire.Serving))
 	at := time.Now()
 	back := n.clockTime(at).Truncate(time.Millisecond)
 	for _, step := range []struct {
@@ -55,7 +55,7 @@
 	if err := n.overrideHost("later", true, false, at); err != nil || !n.overrides["later"] {
 		t.Errorf("an id that is listed only later: %v", err)
 	}
-	n.applyList(&wire.EndpointList{Revision: 8, Endpoints: []wire.Endpoint{entry("later", wire.Serving)}}, balancer.ListDelta, false)
+	n.applyList(&wire.EndpointList{Revision: 8, Endpoints: []wire.Endpoint{endpoint("later", wire.Serving)}}, balancer.ListDelta, false)
 	if n.hosts["later"].state != balancer.Draining {
 		t.Error("it is used when it comes")
 	}
@@ -66,10 +66,10 @@
 
 // The list and the address of a host may change as they like while it is out, and a connection that was on its way
 // there when the word came is not written once the grace has run.
-func TestAHostThatIsOutStaysOut(t *testing.T) {
-	n, _, _ := held(t, entry("a", wire.Serving))
+func TestHostOverride_ListChanges_HostStaysOut(t *testing.T) {
+	n, _, _ := newTestNode(t, endpoint("a", wire.Serving))
 	p := arrive(t, n, "r")
-	if got := p.heard(); got == "" {
+	if got := p.recorded(); got == "" {
 		t.Fatal("it was not sent")
 	}
 	if err := n.overrideHost("a", true, true, time.Now()); err != nil {
@@ -77,12 +77,12 @@
 	}
 	n.hosts["a"].notifiedAt = time.Now().Add(-time.Second)
 	n.handle(event{kind: evConnected, id: "r"})
-	if got := p.heard(); !strings.HasSuffix(got, "go 0 false") {
+	if got := p.recorded(); !strings.HasSuffix(got, "go 0 false") {
 		t.Errorf("a dial that comes up late: %q", got)
 	}
-	again := entry("a", wire.Serving)
+	again := endpoint("a", wire.Serving)
 	again.Addr, again.StartedAtMS = "elsewhere:1", time.Now().UnixMilli()
-	gone := entry("a", wire.Removed)
+	gone := endpoint("a", wire.Removed)
 	for _, c := range []struct {
 		m    wire.Endpoint
 		kind balancer.ListKind
@@ -93,17 +93,17 @@
 		}
 	}
 	q := arrive(t, n, "s")
-	if got := q.heard(); got != "refuse true" {
+	if got := q.recorded(); got != "refuse true" {
 		t.Errorf("with all hosts out: %q", got)
 	}
 }
 
 // A process that takes over under load holds pings against the best that the one before has seen: by its own first one a
 // host that is three times as slow passes for well.
-func TestTheBestPingGoesOver(t *testing.T) {
-	old, _, _ := held(t, entry("a", wire.Serving), entry("b", wire.Serving))
+func TestPingBaselines_Merged_ShortestOfSameStartKept(t *testing.T) {
+	old, _, _ := newTestNode(t, endpoint("a", wire.Serving), endpoint("b", wire.Serving))
 	old.hosts["a"].bestPing = time.Millisecond
-	n, _, _ := held(t, entry("a", wire.Serving), entry("b", wire.Serving))
+	n, _, _ := newTestNode(t, endpoint("a", wire.Serving), endpoint("b", wire.Serving))
 	n.hosts["a"].bestPing = 3 * time.Millisecond
 	n.mergePingBaselines(old.pingBaselines())
 	if n.hosts["a"].bestPing != time.Millisecond || n.hosts["b"].bestPing != 0 {
--- a/internal/node/pings_test.go
+++ b/internal/node/pings_test.go
@@ -12,41 +12,41 @@
 
 // A host that is cut off says nothing and breaks nothing; its clients must be sent away, and long before the
 // seven seconds are over.
-func TestSilentHostsClientsAreMovedOnce(t *testing.T) {
-	n, _, logs := held(t, entry("s1", wire.Serving))
+func TestUnresponsiveHost_TwoTicks_ClientMigratedOnce(t *testing.T) {
+	n, _, logs := newTestNode(t, endpoint("s1", wire.Serving))
 	n.slowMessageThreshold = 0 // slow messages are not what this is about
-	p, q := up(t, n, "r"), up(t, n, "q")
-	p.pulse = MessageStats{OldestWait: unresponsiveAfter + time.Millisecond}
-	q.pulse = MessageStats{OldestWait: unresponsiveAfter - time.Millisecond}
+	p, q := establish(t, n, "r"), establish(t, n, "q")
+	p.stats = MessageStats{OldestWait: unresponsiveAfter + time.Millisecond}
+	q.stats = MessageStats{OldestWait: unresponsiveAfter - time.Millisecond}
 	n.handleTick(time.Now())
-	if strings.Contains(p.heard(), "move") {
+	if strings.Contains(p.recorded(), "move") {
 		t.Error("moved at the first sign, which a node that stood still itself sees at every host")
 	}
-	p.pulse = MessageStats{}
+	p.stats = MessageStats{}
 	n.handleTick(time.Now())
-	p.pulse = MessageStats{OldestWait: unresponsiveAfter + time.Millisecond}
+	p.stats = MessageStats{OldestWait: unresponsiveAfter + time.Millisecond}
 	n.handleTick(time.Now())
-	if strings.Contains(p.heard(), "move") {
+	if strings.Contains(p.recorded(), "move") {
 		t.Error("moved though the host had answered in between")
 	}
 	n.handleTick(time.Now())
 	n.handleTick(time.Now())
-	if strings.Count(p.heard(), "move") != 1 || strings.Contains(q.heard(), "move") || logs.FilterMessageSnippet("says nothing").Len() != 1 {
-		t.Errorf("silent: %s; well: %s", p.heard(), q.heard())
+	if strings.Count(p.recorded(), "move") != 1 || strings.Contains(q.recorded(), "move") || logs.FilterMessageSnippet("says nothing").Len() != 1 {
+		t.Errorf("silent: %s; well: %s", p.recorded(), q.recorded())
 	}
 }
 
 // The module is told as the simulator tells it: of the middle message of a second while that is over a
 // third of the shortest aim, and once more when it is under. One slow message among many is no news.
-func TestSlowNotesFollowTheMiddleMessage(t *testing.T) {
-	n, _, _ := held(t, entry("s1", wire.Serving))
-	ports := []*port{up(t, n, "r0"), up(t, n, "r1"), up(t, n, "r2")}
+func TestLatencyReport_SlowMedian_ReportedUntilWell(t *testing.T) {
+	n, _, _ := newTestNode(t, endpoint("s1", wire.Serving))
+	ports := []*fakeConn{establish(t, n, "r0"), establish(t, n, "r1"), establish(t, n, "r2")}
 	m := n.hosts["s1"]
 	second := func(took ...time.Duration) {
 		for i, p := range ports {
 			if took[i] > 0 {
-				p.pulse.Answered++
-				p.pulse.LastLatency = took[i]
+				p.stats.Answered++
+				p.stats.LastLatency = took[i]
 			}
 		}
 		for range ticksPerMeasurement {
@@ -67,7 +67,7 @@
 		}
 	}
 	for _, p := range ports { // all three: the module may have sent some away for the slow second
-		p.pulse.OldestWait = 40 * time.Millisecond
+		p.stats.OldestWait = 40 * time.Millisecond
 	}
 	if second(0, 0, 0); !m.reportedSlow {
 		t.Error("messages that wait for their answer are no news")
@@ -76,17 +76,17 @@
 
 // A host answers lines at once however much is piled up there; where probes are allowed a ping tells, and one
 // without an answer tells by how long it waits.
-func TestPingsTellWhatAMessageTakes(t *testing.T) {
-	n, w, _ := held(t, entry("s1", wire.Serving), entry("s2", wire.Serving))
+func TestPing_SlowHost_ReportedWhenConfirmed(t *testing.T) {
+	n, w, _ := newTestNode(t, endpoint("s1", wire.Serving), endpoint("s2", wire.Serving))
 	n.settings.ReportsLatency, n.settings.MayProbe = true, true
-	p := up(t, n, "r")
+	p := establish(t, n, "r")
 	on := n.requests["r"].host
 	if len(w.pings) != 1 || w.pings[0] != on.id {
 		t.Fatalf("pings %v with a first connection, want one to its host", w.pings)
 	}
 	n.handle(event{kind: evPinged, id: balancer.RequestID(on.id), took: 80 * time.Millisecond})
 	w.pings = nil
-	p.pulse = MessageStats{Answered: 1, LastLatency: time.Millisecond}
+	p.stats = MessageStats{Answered: 1, LastLatency: time.Millisecond}
 	now := time.Now()
 	second := func() {
 		for range ticksPerMeasurement {
@@ -159,18 +159,18 @@
 }
 
 // Where no descriptor is left for a ping, its host is not asked: that is no news of it, and it does not pass for silent.
-func TestAPingThatIsNotSentSaysNothing(t *testing.T) {
-	n, w, _ := held(t, entry("s1", wire.Serving))
+func TestPing_NotSent_NoReport(t *testing.T) {
+	n, w, _ := newTestNode(t, endpoint("s1", wire.Serving))
 	n.settings.ReportsLatency, n.settings.MayProbe = true, true
-	w.full = true
-	p := up(t, n, "r")
+	w.pingsFail = true
+	p := establish(t, n, "r")
 	for range 8 * ticksPerMeasurement {
 		n.handleTick(time.Now())
 	}
-	if on := n.requests["r"].host; on.reportedSlow || strings.Contains(p.heard(), "move") {
-		t.Errorf("slow %v; %s", on.reportedSlow, p.heard())
+	if on := n.requests["r"].host; on.reportedSlow || strings.Contains(p.recorded(), "move") {
+		t.Errorf("slow %v; %s", on.reportedSlow, p.recorded())
 	}
-	w.full = false
+	w.pingsFail = false
 	for range 2 * ticksPerMeasurement {
 		n.handleTick(time.Now())
 	}
@@ -181,12 +181,12 @@
 
 // A host that has slowed to an eighth is asked four times what it can do if it was half used: four fifths
 // of its clients are to leave at once, not a sixth.
-func TestFirstNoteOfASlowedHostTellsOfThePile(t *testing.T) {
-	n, _, _ := held(t, entry("s1", wire.Serving))
+func TestPing_HostSlowsToAnEighth_ReportIncludesBacklog(t *testing.T) {
+	n, _, _ := newTestNode(t, endpoint("s1", wire.Serving))
 	n.settings.ReportsLatency, n.settings.MayProbe = true, true
-	var ports []*port
+	var ports []*fakeConn
 	for i := range 20 {
-		ports = append(ports, up(t, n, fmt.Sprint("r", i)))
+		ports = append(ports, establish(t, n, fmt.Sprint("r", i)))
 	}
 	for range ticksPerMeasurement {
 		n.handleTick(time.Now())
@@ -196,7 +196,7 @@
 	}
 	moved := 0
 	for _, p := range ports {
-		moved += strings.Count(p.heard(), "move")
+		moved += strings.Count(p.recorded(), "move")
 	}
 	if moved < 15 || moved > 17 {
 		t.Errorf("%d of 20 moved, want four fifths", moved)
@@ -205,9 +205,9 @@
 
 // What passes for jitter must not hide a crowd at a fast host, whose pings are short at twice and more of their best.
 func TestACrowdAtAFastHostIsNoJitter(t *testing.T) {
-	n, _, _ := held(t, entry("s1", wire.Serving))
+	n, _, _ := newTestNode(t, endpoint("s1", wire.Serving))
 	n.settings.ReportsLatency, n.settings.MayProbe = true, true
-	up(t, n, "r")
+	establish(t, n, "r")
 	m := n.hosts["s1"]
 	m.representative = "r"
 	for _, c := range []struct {
@@ -222,10 +222,10 @@
 
 // A host that stays at 2.5 times its best is asked more than it can do each second anew: shedding a seventh of the
 // rest a second would let it stay so, and it gives up a third.
-func TestAHostThatStaysSlowPilesUpMoreEachSecond(t *testing.T) {
-	n, _, _ := held(t, entry("s1", wire.Serving))
+func TestBacklog_HostStaysSlow_GrowsEachPing(t *testing.T) {
+	n, _, _ := newTestNode(t, endpoint("s1", wire.Serving))
 	n.settings.ReportsLatency, n.settings.MayProbe = true, true
-	up(t, n, "r")
+	establish(t, n, "r")
 	n.handleTick(time.Now())
 	m := n.hosts["s1"]
 	m.representative = "r"
@@ -237,15 +237,15 @@
 	}
 }
 
-func TestMoveAllSpreadsOverTheTime(t *testing.T) {
-	n, _, _ := held(t, entry("s1", wire.Serving))
-	var ports []*port
+func TestMigrateAll_ManyClients_SpreadOverTime(t *testing.T) {
+	n, _, _ := newTestNode(t, endpoint("s1", wire.Serving))
+	var ports []*fakeConn
 	for i := range 20 {
-		ports = append(ports, up(t, n, fmt.Sprint("r", i)))
+		ports = append(ports, establish(t, n, fmt.Sprint("r", i)))
 	}
 	moved := func() (k int) {
 		for _, p := range ports {
-			k += strings.Count(p.heard(), "move")
+			k += strings.Count(p.recorded(), "move")
 		}
 		return k
 	}
--- a/internal/node/sizes_bench_test.go
+++ b/internal/node/sizes_bench_test.go
@@ -16,7 +16,7 @@
 	for _, n := range []int{200, 1600, 3200} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			b.ReportAllocs()
-			node := New(testSettings(), wire.EndpointList{Revision: 7, Complete: true, Endpoints: hosts(n, wire.Serving)}, "d:1", &world{}, zap.NewNop())
+			node := New(testSettings(), wire.EndpointList{Revision: 7, Complete: true, Endpoints: endpoints(n, wire.Serving)}, "d:1", &fakeTransport{}, zap.NewNop())
 			at := node.now()
 			for range b.N {
 				for range time.Second / tickInterval {
--- a/internal/node/starting_test.go
+++ b/internal/node/starting_test.go
@@ -14,16 +14,16 @@
 	"onyxstream/internal/wire"
 )
 
-// asked is an outside that notes the calls to discovery.
-type asked struct{ calls chan ListRequest }
+// watchRecorder is an outside that notes the calls to discovery.
+type watchRecorder struct{ calls chan ListRequest }
 
-func (a *asked) Watch(c ListRequest)                 { a.calls <- c }
-func (a *asked) Ping(balancer.ServerID, string) bool { return true }
+func (a *watchRecorder) Watch(c ListRequest)                 { a.calls <- c }
+func (a *watchRecorder) Ping(balancer.ServerID, string) bool { return true }
 
-func starts(t *testing.T, cold bool) (*Node, *asked) {
+func startNode(t *testing.T, cold bool) (*Node, *watchRecorder) {
 	t.Helper()
 	set := settings.Settings{Settings: balancer.Settings{PollList: true, PollInterval: 2 * time.Second, NodeCount: 1}}
-	out := &asked{make(chan ListRequest, 64)}
+	out := &watchRecorder{make(chan ListRequest, 64)}
 	n := New(set, wire.EndpointList{}, "disco", out, zap.NewNop())
 	if cold {
 		n.EnableColdStart(coldstart.New(coldstart.Config{NodeCount: 1, PollInterval: 2 * time.Second, Service: "s"}, rand.New(rand.NewPCG(1, 2)), n.now(),
@@ -38,8 +38,8 @@
 
 // A node that the service itself tells was answered with a newer list of a service put back since by each node that it
 // asked, at once, passed it over each time, and asked again without a pause.
-func TestAListThatIsPassedOverIsOfNoUse(t *testing.T) {
-	n, out := starts(t, true)
+func TestPeerList_ServiceHasAnswered_Ignored(t *testing.T) {
+	n, out := startNode(t, true)
 	var c ListRequest
 	select {
 	case c = <-out.calls:
@@ -62,8 +62,8 @@
 
 // A drain that is kept against a list that was passed on is this node's own: passed on as the service's word it held at
 // others, whom nothing made ask, for as long as the list did not change.
-func TestAKeptDrainIsNotPassedOn(t *testing.T) {
-	n, out := starts(t, true)
+func TestPeerList_LiftsDrain_DrainKeptButNotGossiped(t *testing.T) {
+	n, out := startNode(t, true)
 	c := <-out.calls
 	h1 := wire.Endpoint{ID: "h1", Addr: "127.0.0.1:1", Size: 1, Phase: wire.Draining}
 	n.ListReceived(c.Sequence, &wire.EndpointList{Revision: 5, Complete: true, Endpoints: []wire.Endpoint{h1}})
@@ -90,8 +90,8 @@
 }
 
 // Without a cold start nothing is held for others, and beats and words of others do nothing.
-func TestNothingIsHeldWithoutAColdStart(t *testing.T) {
-	n, out := starts(t, false)
+func TestColdStart_Disabled_NoListCached(t *testing.T) {
+	n, out := startNode(t, false)
 	n.Heartbeat(1)
 	select {
 	case <-out.calls: // the module's first wish is a call
--- a/internal/node/startspread_test.go
+++ b/internal/node/startspread_test.go
@@ -36,7 +36,7 @@
 
 // Calls to the list service that nodes started in one instant spread over a time are made when they are due. They were made
 // at the next turn of each node's ticker, and all tickers had begun together: what was drawn apart came in bursts.
-func TestStart_NodesOfOneInstant_CallApart(t *testing.T) {
+func TestColdStart_NodesStartTogether_CallsSpread(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const nodes = 40
 		var mu sync.Mutex
--- a/internal/node/wallclock_test.go
+++ b/internal/node/wallclock_test.go
@@ -10,7 +10,7 @@
 
 // A host that has just started is known as that after the machine's clock was stepped, and one that started before the
 // step is taken for no older than it is.
-func TestWallClock_Stepped_StartsAreSpansOfRealTime(t *testing.T) {
+func TestWallClock_Stepped_StartAgesKept(t *testing.T) {
 	const begin, age = 1000 * time.Hour, 2 * time.Second
 	for _, step := range []time.Duration{0, time.Hour, -time.Hour, 3 * time.Second, -3 * time.Second} {
 		var c wallClock
@@ -41,9 +41,9 @@
 }
 
 // A node that is held up for 0.15 s between its last look and the write keeps to the grace of a drain.
-func TestSendable_HeldUpBeforeTheWrite_KeepsTheGrace(t *testing.T) {
+func TestHostAcceptsWrites_DelayBeforeWrite_GraceKept(t *testing.T) {
 	const heldUp = 150 * time.Millisecond
-	n, _, _ := held(t, entry("a", wire.Serving))
+	n, _, _ := newTestNode(t, endpoint("a", wire.Serving))
 	m := n.hosts["a"]
 	m.state = balancer.Draining
 	for _, grace := range []time.Duration{50 * time.Millisecond, 100 * time.Millisecond, 400 * time.Millisecond, 2 * time.Second} {
