--- a/internal/coldstart/kept.go
+++ b/internal/coldstart/kept.go
@@ -18,13 +18,13 @@
 	List      wire.EndpointList `json:"list"`
 }
 
-// format is the first word of a document and its version. A later version has another word: it is refused, not guessed at.
-const format = "onyxstream-list-1"
+// formatVersion is the first word of a document and its version. A later version has another word: it is refused, not guessed at.
+const formatVersion = "onyxstream-list-1"
 
-// mostKept bounds a document: a list of some 50,000 hosts.
-const mostKept = 16 << 20
+// maxDocumentBytes bounds a document: a list of some 50,000 hosts.
+const maxDocumentBytes = 16 << 20
 
-var table = crc32.MakeTable(crc32.Castagnoli)
+var crcTable = crc32.MakeTable(crc32.Castagnoli)
 
 // Encode writes a document: a line with the format, the length and the checksum of what follows, and the list.
 func (k CachedList) Encode() ([]byte, error) {
@@ -32,7 +32,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return append(fmt.Appendf(nil, "%s %d %08x\n", format, len(body), crc32.Checksum(body, table)), body...), nil
+	return append(fmt.Appendf(nil, "%s %d %08x\n", formatVersion, len(body), crc32.Checksum(body, crcTable)), body...), nil
 }
 
 // Why a document is not taken.
@@ -50,10 +50,10 @@
 	var word string
 	var size int
 	var sum uint32
-	if n, _ := fmt.Sscanf(string(head), "%s %d %x", &word, &size, &sum); !ok || n != 3 || word != format || len(text) > mostKept {
+	if n, _ := fmt.Sscanf(string(head), "%s %d %x", &word, &size, &sum); !ok || n != 3 || word != formatVersion || len(text) > maxDocumentBytes {
 		return list, 0, ErrFormat
 	}
-	if len(body) != size || crc32.Checksum(body, table) != sum {
+	if len(body) != size || crc32.Checksum(body, crcTable) != sum {
 		return list, 0, ErrCorrupt
 	}
 	var k CachedList
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -25,17 +25,17 @@
 	AnsweredTwice                   // a request had a second final answer
 	AnsweredLate                    // a final answer came too long after the client's time
 	SlowStartExceeded               // this node alone sent a cold host more than all nodes together may
-	rules
+	ruleCount
 )
 
-var names = [rules]string{"sent to drained", "repeated unsafely", "second copy", "begun for leaver", "not answered",
+var ruleNames = [ruleCount]string{"sent to drained", "repeated unsafely", "second copy", "begun for leaver", "not answered",
 	"answered twice", "answered late", "over slow start"}
 
-func (r Rule) String() string { return names[r] }
+func (r Rule) String() string { return ruleNames[r] }
 
 // Rules lists all of them.
 func Rules() []Rule {
-	all := make([]Rule, rules)
+	all := make([]Rule, ruleCount)
 	for i := range all {
 		all[i] = Rule(i)
 	}
@@ -43,10 +43,10 @@
 }
 
 const (
-	// leftFor is how long after its client has left a line may still begin.
-	leftFor = 100 * time.Millisecond
-	// lateFor is how long after the client's time an answer still counts as given.
-	lateFor = 500 * time.Millisecond
+	// disconnectSlack is how long after its client has left a line may still begin.
+	disconnectSlack = 100 * time.Millisecond
+	// answerSlack is how long after the client's time an answer still counts as given.
+	answerSlack = 500 * time.Millisecond
 )
 
 // Violation is a rule that was broken.
@@ -99,19 +99,19 @@
 
 // CheckStart finds whether a line began for a client that had left; left is zero where it has not.
 func CheckStart(request, host string, began, left time.Time) (Violation, bool) {
-	by := began.Sub(left) - leftFor
+	by := began.Sub(left) - disconnectSlack
 	return Violation{SentAfterDisconnect, request, host, by}, !left.IsZero() && by > 0
 }
 
 const (
-	// smallBudget is the budget of a cold host under which chance is allowed for more generously.
-	smallBudget = 30
+	// smallSlowStartBudget is the budget of a cold host under which chance is allowed for more generously.
+	smallSlowStartBudget = 30
 )
 
 // SlowStartLimit is how many requests of mean work a cold host may get in the time in which it falls: budget is what the
 // settings allow it then, and chance is allowed for.
 func SlowStartLimit(budget float64) float64 {
-	if budget < smallBudget {
+	if budget < smallSlowStartBudget {
 		return budget + 3*math.Sqrt(budget) + 3
 	}
 	return budget + 2*math.Sqrt(budget) + 2
@@ -128,7 +128,7 @@
 	Request, Host string
 	Answers       int       // final answers that were given
 	AnsweredAt    time.Time // the first of them
-	Until         time.Time // the client's time
+	Deadline      time.Time // the client's time
 	Disconnected  bool      // the client left before it was answered
 }
 
@@ -140,7 +140,7 @@
 	case e.Answers > 1:
 		broken = append(broken, Violation{AnsweredTwice, e.Request, e.Host, 0})
 	}
-	if late := e.AnsweredAt.Sub(e.Until) - lateFor; e.Answers > 0 && late > 0 {
+	if late := e.AnsweredAt.Sub(e.Deadline) - answerSlack; e.Answers > 0 && late > 0 {
 		broken = append(broken, Violation{AnsweredLate, e.Request, e.Host, late})
 	}
 	return broken
--- a/internal/invariant/invariant_test.go
+++ b/internal/invariant/invariant_test.go
@@ -22,7 +22,7 @@
 	return out
 }
 
-func same(a, b []Rule) bool {
+func equalRules(a, b []Rule) bool {
 	if len(a) != len(b) {
 		return false
 	}
@@ -34,7 +34,7 @@
 	return true
 }
 
-func TestCheckSend_EachRule(t *testing.T) {
+func TestCheckSend_EachRule_Found(t *testing.T) {
 	const grace, window = 400 * time.Millisecond, 5 * time.Second
 	for _, c := range []struct {
 		name string
@@ -54,13 +54,13 @@
 		{"all at once", Send{At: after(time.Hour), Draining: true, NotifiedAt: begin, ConcurrentAttempts: 1, Effect: balancer.NonIdempotent, MayHaveExecutedAt: begin},
 			[]Rule{SentToDrained, ConcurrentAttempt, UnsafeRetry}},
 	} {
-		if got := rulesOf(CheckSend(c.send)); !same(got, c.want) {
+		if got := rulesOf(CheckSend(c.send)); !equalRules(got, c.want) {
 			t.Errorf("%s: %v, want %v", c.name, got, c.want)
 		}
 	}
 }
 
-func TestCheckStart_ClientLeft(t *testing.T) {
+func TestCheckStart_ClientDisconnected_FoundPastLimit(t *testing.T) {
 	for _, c := range []struct {
 		name        string
 		began, left time.Time
@@ -77,27 +77,27 @@
 	}
 }
 
-func TestCheckEnd_EachRule(t *testing.T) {
+func TestCheckCompletion_EachRule_Found(t *testing.T) {
 	until := after(time.Second)
 	for _, c := range []struct {
 		name string
 		end  Completion
 		want []Rule
 	}{
-		{"answered", Completion{Answers: 1, AnsweredAt: until, Until: until}, nil},
-		{"within the slack", Completion{Answers: 1, AnsweredAt: after(1500 * time.Millisecond), Until: until}, nil},
-		{"late", Completion{Answers: 1, AnsweredAt: after(1501 * time.Millisecond), Until: until}, []Rule{AnsweredLate}},
-		{"never", Completion{Until: until}, []Rule{Unanswered}},
-		{"nobody is there", Completion{Until: until, Disconnected: true}, nil},
-		{"twice", Completion{Answers: 2, AnsweredAt: begin, Until: until}, []Rule{AnsweredTwice}},
+		{"answered", Completion{Answers: 1, AnsweredAt: until, Deadline: until}, nil},
+		{"within the slack", Completion{Answers: 1, AnsweredAt: after(1500 * time.Millisecond), Deadline: until}, nil},
+		{"late", Completion{Answers: 1, AnsweredAt: after(1501 * time.Millisecond), Deadline: until}, []Rule{AnsweredLate}},
+		{"never", Completion{Deadline: until}, []Rule{Unanswered}},
+		{"nobody is there", Completion{Deadline: until, Disconnected: true}, nil},
+		{"twice", Completion{Answers: 2, AnsweredAt: begin, Deadline: until}, []Rule{AnsweredTwice}},
 	} {
-		if got := rulesOf(CheckCompletion(c.end)); !same(got, c.want) {
+		if got := rulesOf(CheckCompletion(c.end)); !equalRules(got, c.want) {
 			t.Errorf("%s: %v, want %v", c.name, got, c.want)
 		}
 	}
 }
 
-func TestMonitor_CountsAndLogsEach(t *testing.T) {
+func TestMonitor_Violations_CountedAndLogged(t *testing.T) {
 	core, logs := observer.New(zap.ErrorLevel)
 	m := NewMonitor(zap.New(core))
 	m.Report()
@@ -115,7 +115,7 @@
 	}
 }
 
-func TestCheckSlowStart_SmallAndLargeBudgets(t *testing.T) {
+func TestCheckSlowStart_AnyBudget_LimitApplied(t *testing.T) {
 	for _, c := range []struct {
 		budget float64
 		sent   int
--- a/internal/invariant/monitor.go
+++ b/internal/invariant/monitor.go
@@ -12,7 +12,7 @@
 // Monitor counts violations and logs each. It may be used from any goroutine.
 type Monitor struct {
 	log    *zap.Logger
-	counts [rules]atomic.Uint64
+	counts [ruleCount]atomic.Uint64
 }
 
 // NewMonitor makes a monitor that has found nothing.
--- a/internal/proxy/checks.go
+++ b/internal/proxy/checks.go
@@ -41,7 +41,7 @@
 		return
 	}
 	c.mu.Lock()
-	e := invariant.Completion{Request: c.open.ID, Host: c.on, Answers: c.answers.given, AnsweredAt: c.answers.first, Until: until,
+	e := invariant.Completion{Request: c.open.ID, Host: c.on, Answers: c.answers.given, AnsweredAt: c.answers.first, Deadline: until,
 		Disconnected: c.isGone() && !c.aborted}
 	c.mu.Unlock()
 	c.d.node.Monitor().Report(invariant.CheckCompletion(e)...)
