--- a/internal/node/list_test.go
+++ b/internal/node/discovery_test.go
@@ -14,7 +14,7 @@
 
 func TestList_SnapshotLacksHost_HostRemoved(t *testing.T) {
 	n, _, _ := newTestNode(t, endpoint("s1", wire.Serving), endpoint("s2", wire.Serving))
-	n.handle(event{kind: evList, list: &wire.EndpointList{Revision: 8, Complete: true, Endpoints: []wire.Endpoint{endpoint("s2", wire.Serving)}}})
+	n.handle(listReceived{list: &wire.EndpointList{Revision: 8, Complete: true, Endpoints: []wire.Endpoint{endpoint("s2", wire.Serving)}}})
 	if n.hosts["s1"].state != balancer.Removed || n.hosts["s2"].state != balancer.Live || n.revision != 8 {
 		t.Errorf("s1 %v, s2 %v, revision %d", n.hosts["s1"].state, n.hosts["s2"].state, n.revision)
 	}
@@ -48,7 +48,7 @@
 	if len(w.watches) != 1 || w.watches[0] != (ListRequest{1, "d:1", 7}) {
 		t.Fatalf("watches %v, want one from version 7", w.watches)
 	}
-	n.handle(event{kind: evList, call: 1, list: &wire.EndpointList{Revision: 9, Endpoints: []wire.Endpoint{endpoint("s2", wire.Serving)}}})
+	n.handle(listReceived{sequence: 1, list: &wire.EndpointList{Revision: 9, Endpoints: []wire.Endpoint{endpoint("s2", wire.Serving)}}})
 	if n.revision != 9 || n.hosts["s2"] == nil {
 		t.Errorf("revision %d", n.revision)
 	}
@@ -65,25 +65,25 @@
 			t.Errorf("%s: %q", when, p.recorded())
 		}
 	}
-	n.handle(event{kind: evFollow, text: "d:2"})
-	n.handle(event{kind: evFollow, text: "d:3"})
+	n.handle(discoveryAddrChanged{addr: "d:2"})
+	n.handle(discoveryAddrChanged{addr: "d:3"})
 	if want := (ListRequest{3, "d:3", NoRevision}); len(w.watches) != 3 || w.watches[2] != want {
 		t.Fatalf("asked %v, want %v last", w.watches, want)
 	}
-	n.handle(event{kind: evWatchFailed, call: 1})
-	n.handle(event{kind: evWatchFailed, call: 2})
+	n.handle(watchFailed{sequence: 1})
+	n.handle(watchFailed{sequence: 2})
 	serves("the-old-watch-has-ended")
 	// What the old one wrote was told and holds, its version does not.
-	n.handle(event{kind: evList, call: 1, list: &wire.EndpointList{Revision: 900, Endpoints: []wire.Endpoint{endpoint("s1", wire.Draining)}}})
+	n.handle(listReceived{sequence: 1, list: &wire.EndpointList{Revision: 900, Endpoints: []wire.Endpoint{endpoint("s1", wire.Draining)}}})
 	if n.revision != NoRevision || n.hosts["s1"].state != balancer.Draining {
 		t.Errorf("revision %d, s1 %v", n.revision, n.hosts["s1"].state)
 	}
-	n.handle(event{kind: evWatchFailed, call: 3})
+	n.handle(watchFailed{sequence: 3})
 	n.watch()
 	if got := w.watches[len(w.watches)-1]; got != (ListRequest{4, "d:3", NoRevision}) {
 		t.Errorf("after a failure asked %v", got)
 	}
-	n.handle(event{kind: evList, call: 4, list: &wire.EndpointList{Revision: 2, Complete: true,
+	n.handle(listReceived{sequence: 4, list: &wire.EndpointList{Revision: 2, Complete: true,
 		Endpoints: []wire.Endpoint{endpoint("s1", wire.Serving)}}})
 	n.watch()
 	if got := w.watches[len(w.watches)-1]; got != (ListRequest{5, "d:3", 2}) {
@@ -100,7 +100,7 @@
 	n, w, _ := newTestNode(t)
 	n.settings.PollList = false
 	n.watch()
-	n.handle(event{kind: evWatchFailed, call: 1})
+	n.handle(watchFailed{sequence: 1})
 	n.handleTick(time.Now())
 	if len(w.watches) != 1 {
 		t.Fatal("watched again at once")
@@ -115,7 +115,7 @@
 // A watch that is refused in the moment in which discovery is named anew, on either side of that: the new one is asked for
 // the whole list, the refusal of the old one is none of its, and nothing is asked twice once its list is there.
 func TestDiscoveryAddr_ChangedAsWatchFails_AsksOnce(t *testing.T) {
-	refused, named := event{kind: evWatchFailed, call: 1}, event{kind: evFollow, text: "new:1"}
+	refused, named := watchFailed{sequence: 1}, discoveryAddrChanged{addr: "new:1"}
 	for name, order := range map[string][]event{"refused first": {refused, named}, "named first": {named, refused}} {
 		for _, ask := range []bool{true, false} {
 			t.Run(fmt.Sprintf("%s, asked for %v", name, ask), func(t *testing.T) {
@@ -129,7 +129,7 @@
 					t.Fatalf("calls %v", w.watches)
 				}
 				list := wire.EndpointList{Revision: 3, Complete: true, Endpoints: []wire.Endpoint{endpoint("s2", wire.Serving)}}
-				n.handle(event{kind: evList, call: 2, list: &list})
+				n.handle(listReceived{sequence: 2, list: &list})
 				n.handle(refused)
 				n.handleTick(time.Now().Add(time.Minute))
 				if len(w.watches) != 2 || n.revision != 3 {
--- a/internal/node/events.go
+++ b/internal/node/events.go
@@ -1,6 +1,7 @@
 package node
 
 import (
+	"sync"
 	"time"
 
 	"onyxstream/balancer"
@@ -8,167 +9,190 @@
 	"onyxstream/internal/wire"
 )
 
-// The events of connections and discovery, as one flat type: a report of load costs no memory.
-type kind uint8
-
-const (
-	evArrive kind = iota
-	evInherit
-	evConnected
-	evWritten
-	evOpened
-	evSettled
-	evLoad
-	evGone
-	evList
-	evWatchFailed
-	evFollow
-	evPinged
-	evMoveAll
-	evResume
-	evLeave
-	evWord
-	evView
-	evFacts
-	evLearn
-	evBeat
-	evPassed
-	evHeard
-	evStart
-	evEnd
-)
-
-type event struct {
-	kind    kind
-	id      balancer.RequestID
-	attempt int
-	took    time.Duration
-	outcome balancer.Outcome
-	load    float64
-	port    ClientConn
-	opening *wire.Opening
-	until   time.Time
-	at      time.Time
-	list    *wire.EndpointList
-	call    uint64
-	reply   chan resumePoint
-	view    chan View
-	facts   []PingBaseline
-	tell    chan []PingBaseline
-	text    string
-	away    *DrainPlan
-	must    bool
-	verdict chan error
-	passed  *PeerList
-	use     chan bool
-	state   chan coldstart.State
-}
+// event is a message to the event loop. The loop handles events one at a time, in the order in which they were posted.
+type event interface{ event() }
 
-// post hands an event to the loop. Once the loop has ended, events are dropped.
-func (n *Node) post(e event) {
-	select {
-	case n.events <- e:
-	case <-n.done:
-	}
+// requestEvent is an event that concerns one request.
+type requestEvent interface {
+	event
+	source() requestRef
 }
 
-// RequestArrived tells of a client's first line; until is when the client stops waiting.
-func (n *Node) RequestArrived(o *wire.Opening, until time.Time, p ClientConn) {
-	n.post(event{kind: evArrive, id: balancer.RequestID(o.ID), opening: o, until: until, port: p})
+// requestRef names a request and the connection that reports on it. The client chooses the id, so an event of another
+// connection than the request's own is ignored.
+type requestRef struct {
+	id   balancer.RequestID
+	conn ClientConn
 }
 
-// Whatever a connection tells of its request, it tells with its own port: the id is the client's to choose, and a
-// second client with the id of an open request must not speak for the first.
+func (requestRef) event() {}
 
-// ConnectionInherited tells of a connection that stood at its host before the run and is up there again; Resume came before.
-func (n *Node) ConnectionInherited(o *wire.Opening, p ClientConn) {
-	n.post(event{kind: evInherit, id: balancer.RequestID(o.ID), opening: o, port: p})
-}
-
-// AttemptConnected asks whether an attempt whose connection has come up may still be written.
-func (n *Node) AttemptConnected(id balancer.RequestID, p ClientConn, attempt int) {
-	n.post(event{kind: evConnected, id: id, port: p, attempt: attempt})
-}
-
-// ConnectionEstablished tells that a host has taken the connection.
-func (n *Node) ConnectionEstablished(id balancer.RequestID, p ClientConn, attempt int, took time.Duration) {
-	n.post(event{kind: evOpened, id: id, port: p, attempt: attempt, took: took})
-}
-
-// AttemptEnded tells how an attempt ended; its connection must be closed by then.
-func (n *Node) AttemptEnded(id balancer.RequestID, p ClientConn, attempt int, took time.Duration, outcome balancer.Outcome) {
-	e := settledEvent(id, attempt, outcome)
-	e.took, e.port = took, p
-	n.post(e)
-}
+func (r requestRef) source() requestRef { return r }
 
-func settledEvent(id balancer.RequestID, attempt int, outcome balancer.Outcome) event {
-	return event{kind: evSettled, id: id, attempt: attempt, outcome: outcome}
-}
+// Events of connections.
+type (
+	requestArrived struct {
+		requestRef
+		opening  *wire.Opening
+		deadline time.Time // when the client stops waiting
+	}
+	connectionResumed struct {
+		requestRef
+		opening *wire.Opening
+		reply   chan<- resumePoint
+	}
+	connectionInherited struct {
+		requestRef
+		opening *wire.Opening
+	}
+	attemptConnected struct {
+		requestRef
+		attempt int
+	}
+	attemptWritten struct {
+		requestRef
+		attempt int
+		at      time.Time
+	}
+	connectionEstablished struct {
+		requestRef
+		attempt int
+		took    time.Duration
+	}
+	attemptEnded struct {
+		requestRef
+		attempt int
+		took    time.Duration
+		outcome balancer.Outcome
+	}
+	loadReported struct {
+		requestRef
+		load float64
+	}
+	clientDisconnected struct {
+		requestRef
+		attemptsTaken int // attempts that the connection has received
+	}
+)
 
-// ReportLoad tells a connection's load.
-func (n *Node) ReportLoad(id balancer.RequestID, p ClientConn, load float64) {
-	n.post(event{kind: evLoad, id: id, port: p, load: load})
-}
+// Events of discovery and health checks.
+type (
+	listReceived struct {
+		sequence uint64
+		list     *wire.EndpointList
+	}
+	watchFailed struct {
+		sequence   uint64
+		retryAfter time.Duration // as discovery asked for; 0 if it did not
+	}
+	discoveryAddrChanged struct{ addr string }
+	pingCompleted        struct {
+		host balancer.ServerID
+		took time.Duration // negative if the host could not be pinged
+	}
+)
 
-// ClientDisconnected tells that nothing more is owed to a client, and how many sends its connection has taken: a later one
-// is on its way to no one, and is settled here.
-func (n *Node) ClientDisconnected(id balancer.RequestID, p ClientConn, taken int) {
-	n.post(event{kind: evGone, id: id, port: p, attempt: taken})
-}
+// Events of operators and of the process that runs the node.
+type (
+	drainRequested struct {
+		plan  DrainPlan
+		reply chan<- error
+	}
+	drainCancelled       struct{ reply chan<- error }
+	hostOverrideReceived struct {
+		host        balancer.ServerID
+		drain       bool
+		mustExist   bool
+		reenabledAt time.Time // zero if the host was not restarted
+		reply       chan<- error
+	}
+	viewRequested          struct{ reply chan<- View }
+	migrateAllRequested    struct{ deadline time.Time }
+	shutdownRequested      struct{ deadline time.Time }
+	pingBaselinesRequested struct{ reply chan<- []PingBaseline }
+	pingBaselinesReceived  struct{ baselines []PingBaseline }
+)
 
-// resumePoint is where a connection stands that stood before the run.
-type resumePoint struct {
-	addr string // "" where that is not known yet
-	ok   bool   // it may be taken up
-}
+// Events of the cold start.
+type (
+	heartbeatReceived struct{ sequence uint64 }
+	peerListReceived  struct {
+		list  PeerList
+		reply chan<- bool
+	}
+	peerContacted           struct{}
+	coldStartStateRequested struct{ reply chan<- coldstart.State }
+)
 
-// ResumeConnection takes in a connection that stood at its host before the run and asks where that is, "" where that is not
-// known yet; false where its id is held already, or the loop has ended. Inherit or Gone must follow.
-func (n *Node) ResumeConnection(o *wire.Opening, p ClientConn) (addr string, ok bool) {
-	reply := make(chan resumePoint, 1)
-	n.post(event{kind: evResume, id: balancer.RequestID(o.ID), opening: o, port: p, reply: reply})
+func (listReceived) event()            {}
+func (watchFailed) event()             {}
+func (discoveryAddrChanged) event()    {}
+func (pingCompleted) event()           {}
+func (drainRequested) event()          {}
+func (drainCancelled) event()          {}
+func (hostOverrideReceived) event()    {}
+func (viewRequested) event()           {}
+func (migrateAllRequested) event()     {}
+func (shutdownRequested) event()       {}
+func (pingBaselinesRequested) event()  {}
+func (pingBaselinesReceived) event()   {}
+func (heartbeatReceived) event()       {}
+func (peerListReceived) event()        {}
+func (peerContacted) event()           {}
+func (coldStartStateRequested) event() {}
+
+// loadReports reuses load reports: each established connection sends one every second, so they must not allocate.
+var loadReports = sync.Pool{New: func() any { return new(loadReported) }}
+
+func newLoadReport(ref requestRef, load float64) *loadReported {
+	report := loadReports.Get().(*loadReported)
+	report.requestRef = ref
+	report.load = load
+	return report
+}
+
+// release returns a report that has been handled to the pool.
+func (report *loadReported) release() {
+	*report = loadReported{}
+	loadReports.Put(report)
+}
+
+// post hands an event to the loop. It blocks while the queue is full. Once the loop has ended, events are dropped.
+func (n *Node) post(e event) {
 	select {
-	case at := <-reply:
-		return at.addr, at.ok
+	case n.events <- e:
 	case <-n.done:
-		return "", false
 	}
 }
 
-// HasClassAndTenant reports whether the settings have the class and the tenant that a client names. It may be asked from
-// anywhere: the names never change.
-func (n *Node) HasClassAndTenant(o *wire.Opening) bool {
-	_, class := n.classIndex[o.Class]
-	_, tenant := n.tenantIndex[o.Tenant]
-	return class && (tenant || len(n.tenantIndex) == 0)
-}
-
-// ListReceived hands over news that a call to discovery brought.
-func (n *Node) ListReceived(call uint64, c *wire.EndpointList) {
-	n.post(event{kind: evList, call: call, list: c})
-}
-
-// WatchFailed tells that a call to discovery failed, or that its watch broke, and when discovery said to come again: 0
-// where it did not say.
-func (n *Node) WatchFailed(call uint64, after time.Duration) {
-	n.post(event{kind: evWatchFailed, call: call, took: after})
+// query posts an event and waits for the reply; ok is false once the loop has ended.
+func query[T any](n *Node, e event, reply <-chan T) (result T, ok bool) {
+	n.post(e)
+	select {
+	case result = <-reply:
+		return result, true
+	case <-n.done:
+		return result, false
+	}
 }
 
-// SetDiscoveryAddr has the list asked for at another address from now on.
-func (n *Node) SetDiscoveryAddr(addr string) { n.post(event{kind: evFollow, text: addr}) }
-
-// PingCompleted tells what a message took at a host, or that no answer came in that time; below 0 where the host could
-// not be asked, which says nothing of its messages.
-func (n *Node) PingCompleted(id balancer.ServerID, took time.Duration) {
-	n.post(event{kind: evPinged, id: balancer.RequestID(id), took: took})
+// postAndWait posts an event and waits until the loop has handled it, for at most commandTimeout.
+func (n *Node) postAndWait(e event, reply <-chan error) error {
+	timeout := time.NewTimer(commandTimeout)
+	defer timeout.Stop()
+	select {
+	case n.events <- e:
+	case <-timeout.C:
+		return ErrLoopBusy
+	case <-n.done:
+		return ErrStopped
+	}
+	select {
+	case err := <-reply:
+		return err
+	case <-timeout.C:
+		return ErrLoopBusy
+	case <-n.done:
+		return ErrStopped
+	}
 }
-
-// MigrateAll sends all clients away, spread evenly over the time there is.
-func (n *Node) MigrateAll(by time.Time) { n.post(event{kind: evMoveAll, until: by}) }
-
-// InFlightRequests tells how many requests wait for their final answer; Open how many connections stand.
-func (n *Node) InFlightRequests() int64 { return n.inFlight.Load() }
-
-// EstablishedConnections tells how many connections stand.
-func (n *Node) EstablishedConnections() int64 { return n.established.Load() }
--- /dev/null
+++ b/internal/node/hosts.go
@@ -0,0 +1,133 @@
+package node
+
+import (
+	"time"
+
+	"onyxstream/balancer"
+	"onyxstream/internal/wire"
+)
+
+// removedHostTTL is how long the address of a removed host is kept for attempts that are being started.
+const removedHostTTL = time.Minute
+
+var stateOfPhase = map[wire.Phase]balancer.ServerState{
+	wire.Serving:  balancer.Live,
+	wire.Draining: balancer.Draining,
+	wire.Removed:  balancer.Removed,
+}
+
+// hostRecord is what the event loop knows of a host.
+type hostRecord struct {
+	id          balancer.ServerID
+	addr        string
+	startedAtMS int64         // last start as listed, Unix time
+	startedAt   time.Duration // the same by the node's clock as of when it was listed; 0 for long ago
+	state       balancer.ServerState
+	notifiedAt  time.Time // when the node was notified that the host drains or is removed
+	endpoint    wire.Endpoint
+	unlisted    bool // the list does not have the host any more
+	// slowStartSends are the times at which something was sent to the host within the last CollapseWindow, while it
+	// warms up; in order.
+	slowStartSends []time.Time
+
+	hostLatency
+}
+
+// setState sets a host's state. The drain grace counts from the first notification.
+func (host *hostRecord) setState(state balancer.ServerState, now time.Time) {
+	if host.state == balancer.Live && state != balancer.Live {
+		host.notifiedAt = now
+	}
+	host.state = state
+}
+
+// applyList updates the hosts from a list and passes it to the balancer. superseded tells that a later list request was
+// made than the one that brought it.
+func (n *Node) applyList(list *wire.EndpointList, kind balancer.ListKind, superseded bool) {
+	now := time.Now()
+	n.observeClock(now)
+	list = n.limitToMemory(list)
+	event := balancer.ListEvent{
+		Kind:       kind,
+		Revision:   list.Revision,
+		Superseded: superseded,
+		Servers:    make([]balancer.Server, 0, len(list.Endpoints)),
+	}
+	listed := make(map[balancer.ServerID]bool, len(list.Endpoints))
+	for _, endpoint := range list.Endpoints {
+		host := n.updateHost(endpoint, now)
+		listed[host.id] = true
+		event.Servers = append(event.Servers, n.toServer(host))
+	}
+	isComplete := kind == balancer.ListSnapshot || kind == balancer.ListCached
+	n.removeHosts(isComplete, listed, now)
+	n.decide(event)
+	n.countHosts()
+}
+
+// updateHost updates or adds the host of a list entry.
+func (n *Node) updateHost(endpoint wire.Endpoint, now time.Time) *hostRecord {
+	id := balancer.ServerID(endpoint.ID)
+	host := n.hosts[id]
+	if host == nil {
+		host = &hostRecord{id: id}
+		n.hosts[id] = host
+	}
+	host.addr = endpoint.Addr
+	if host.startedAtMS != endpoint.StartedAtMS {
+		host.startedAtMS = endpoint.StartedAtMS
+		host.startedAt = n.wallClock.started(endpoint.StartedAtMS, n.clockTime(now))
+		host.resetBaseline()
+	}
+	host.endpoint = endpoint
+	host.unlisted = endpoint.Phase == wire.Removed
+	host.setState(n.effectiveState(id, stateOfPhase[endpoint.Phase]), now)
+	return host
+}
+
+// toServer converts a host to the balancer's terms.
+func (n *Node) toServer(host *hostRecord) balancer.Server {
+	server := balancer.Server{
+		ID:           host.id,
+		Zone:         -1,
+		Cell:         host.endpoint.Cell,
+		State:        host.state,
+		Weight:       host.endpoint.Size,
+		StartedAt:    max(host.startedAt, n.reenabledAt[host.id], n.assumedStartAt),
+		AssumedStart: n.assumedStartAt > 0,
+		EjectFor:     n.unreachableFor(host.id),
+	}
+	if zone, ok := n.zoneIndex[host.endpoint.Zone]; ok {
+		server.Zone = zone
+	}
+	return server
+}
+
+// removeHosts marks hosts that a complete list lacks as removed, and forgets those that were removed long ago.
+func (n *Node) removeHosts(isComplete bool, listed map[balancer.ServerID]bool, now time.Time) {
+	for id, host := range n.hosts {
+		if isComplete && !listed[id] {
+			host.setState(balancer.Removed, now)
+			host.unlisted = true
+		}
+		if host.state == balancer.Removed && now.Sub(host.notifiedAt) > removedHostTTL {
+			delete(n.hosts, id)
+		}
+	}
+}
+
+// countHosts counts the hosts of the list, and those that the node avoids now.
+func (n *Node) countHosts() {
+	listed, avoided := int64(0), int64(0)
+	for id, host := range n.hosts {
+		if host.unlisted {
+			continue
+		}
+		listed++
+		if host.state != balancer.Live || n.balancer.Avoids(id) {
+			avoided++
+		}
+	}
+	n.listedHosts.Store(listed)
+	n.avoidedHosts.Store(avoided)
+}
--- a/internal/node/pings_test.go
+++ b/internal/node/latency_test.go
@@ -31,7 +31,7 @@
 	}
 	n.handleTick(time.Now())
 	n.handleTick(time.Now())
-	if strings.Count(p.recorded(), "move") != 1 || strings.Contains(q.recorded(), "move") || logs.FilterMessageSnippet("says nothing").Len() != 1 {
+	if strings.Count(p.recorded(), "move") != 1 || strings.Contains(q.recorded(), "move") || logs.FilterMessageSnippet("host unresponsive").Len() != 1 {
 		t.Errorf("silent: %s; well: %s", p.recorded(), q.recorded())
 	}
 }
@@ -84,7 +84,7 @@
 	if len(w.pings) != 1 || w.pings[0] != on.id {
 		t.Fatalf("pings %v with a first connection, want one to its host", w.pings)
 	}
-	n.handle(event{kind: evPinged, id: balancer.RequestID(on.id), took: 80 * time.Millisecond})
+	n.handle(pingCompleted{host: on.id, took: 80 * time.Millisecond})
 	w.pings = nil
 	p.stats = MessageStats{Answered: 1, LastLatency: time.Millisecond}
 	now := time.Now()
@@ -99,7 +99,7 @@
 		t.Fatalf("pings %v in two seconds, want one to the host where a client stands", w.pings)
 	}
 	pinged := func(took time.Duration) {
-		n.handle(event{kind: evPinged, id: balancer.RequestID(on.id), took: took})
+		n.handle(pingCompleted{host: on.id, took: took})
 	}
 	// A host far away takes long to answer at its best too.
 	pinged(70 * time.Millisecond)
@@ -192,7 +192,7 @@
 		n.handleTick(time.Now())
 	}
 	for _, took := range []time.Duration{3, 24, 24} {
-		n.handle(event{kind: evPinged, id: "s1", took: took * time.Millisecond})
+		n.handle(pingCompleted{host: "s1", took: took * time.Millisecond})
 	}
 	moved := 0
 	for _, p := range ports {
@@ -250,7 +250,7 @@
 		return k
 	}
 	now := time.Now()
-	n.handle(event{kind: evMoveAll, until: now.Add(4 * tickInterval)})
+	n.handle(migrateAllRequested{deadline: now.Add(4 * tickInterval)})
 	for i := range 4 {
 		n.handleTick(now.Add(time.Duration(i) * tickInterval))
 		if i == 0 && (moved() == 0 || moved() > 6) {
--- a/internal/node/sizes_test.go
+++ b/internal/node/memorylimit_test.go
@@ -33,7 +33,7 @@
 		t.Errorf("%d hosts; the first are %+v", len(n.hosts), []balancer.ServerState{n.hosts["s00000"].state,
 			n.hosts["s00001"].state, n.hosts["s00002"].state})
 	}
-	lines := logs.FilterMessage("a list is too large: no new host of it is taken").All()
+	lines := logs.FilterMessage("endpoint list exceeds memory limit, new hosts ignored").All()
 	if len(lines) != 1 || lines[0].ContextMap()["error"] != "members: 8999 hosts, 8192 are the most in 64 MB" {
 		t.Errorf("logged %v", lines)
 	}
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -109,17 +109,29 @@
 func arrive(t *testing.T, n *Node, id string) *fakeConn {
 	t.Helper()
 	p := &fakeConn{}
-	n.handle(event{kind: evArrive, id: balancer.RequestID(id), opening: opening(t, "OPEN "+id+" key c=chat,t=acme,d=2000"),
-		until: time.Now().Add(2 * time.Second), port: p})
+	n.handle(requestArrived{
+		requestRef: requestRef{id: balancer.RequestID(id), conn: p},
+		opening:    opening(t, "OPEN "+id+" key c=chat,t=acme,d=2000"),
+		deadline:   time.Now().Add(2 * time.Second),
+	})
 	return p
 }
 
 func settled(id string, n int, o balancer.Outcome) event {
-	return event{kind: evSettled, id: balancer.RequestID(id), attempt: n, outcome: o, took: time.Millisecond}
+	return attemptEnded{
+		requestRef: requestRef{id: balancer.RequestID(id)},
+		attempt:    n,
+		took:       time.Millisecond,
+		outcome:    o,
+	}
 }
 
 func opened(id string, n int) event {
-	return event{kind: evOpened, id: balancer.RequestID(id), attempt: n, took: time.Millisecond}
+	return connectionEstablished{
+		requestRef: requestRef{id: balancer.RequestID(id)},
+		attempt:    n,
+		took:       time.Millisecond,
+	}
 }
 
 func TestRequest_ServedAndEnded_IsReleased(t *testing.T) {
@@ -128,12 +140,12 @@
 	if p.recorded() != "send 0 s1:1" || n.InFlightRequests() != 1 {
 		t.Fatalf("%s; %d owed", p.recorded(), n.InFlightRequests())
 	}
-	n.handle(event{kind: evConnected, id: "r"})
+	n.handle(attemptConnected{requestRef: requestRef{id: "r"}})
 	n.handle(opened("r", 0))
 	if p.recorded() != "send 0 s1:1, go 0 true" || n.InFlightRequests() != 0 || n.EstablishedConnections() != 1 {
 		t.Fatalf("%s; %d owed, %d open", p.recorded(), n.InFlightRequests(), n.EstablishedConnections())
 	}
-	n.handle(event{kind: evLoad, id: "r", load: 5})
+	n.handle(&loadReported{requestRef: requestRef{id: "r"}, load: 5})
 	n.handle(settled("r", 0, balancer.Served))
 	if n.EstablishedConnections() != 0 || len(n.requests) != 0 {
 		t.Errorf("%d open, %d requests kept", n.EstablishedConnections(), len(n.requests))
@@ -163,11 +175,11 @@
 	n.handle(opened("r", 0))
 	n.handle(settled("r", 7, balancer.Rejected))
 	n.handle(settled("other", 0, balancer.Rejected))
-	n.handle(event{kind: evLoad, id: "r", load: 1})
+	n.handle(&loadReported{requestRef: requestRef{id: "r"}, load: 1})
 	if p.recorded() != said {
 		t.Errorf("then also %s", p.recorded())
 	}
-	n.handle(event{kind: evConnected, id: "r", attempt: 0})
+	n.handle(attemptConnected{requestRef: requestRef{id: "r"}, attempt: 0})
 	if !strings.HasSuffix(p.recorded(), "go 0 false") {
 		t.Errorf("an attempt that is over may go: %s", p.recorded())
 	}
@@ -180,7 +192,7 @@
 func TestClientDisconnected_AttemptInFlight_Released(t *testing.T) {
 	n, _, _ := newTestNode(t, endpoint("s1", wire.Serving))
 	p := arrive(t, n, "r")
-	n.handle(event{kind: evGone, id: "r", attempt: 1})
+	n.handle(clientDisconnected{requestRef: requestRef{id: "r"}, attemptsTaken: 1})
 	if !strings.HasSuffix(p.recorded(), "cancel 0") || n.InFlightRequests() != 0 || len(n.requests) != 1 {
 		t.Fatalf("%s; %d owed, %d kept", p.recorded(), n.InFlightRequests(), len(n.requests))
 	}
@@ -190,7 +202,7 @@
 	}
 	// A send that meets a connection which has ended is taken by no one and would be kept for ever.
 	arrive(t, n, "q")
-	n.handle(event{kind: evGone, id: "q", attempt: 0})
+	n.handle(clientDisconnected{requestRef: requestRef{id: "q"}, attemptsTaken: 0})
 	if len(n.requests) != 0 || n.InFlightRequests() != 0 {
 		t.Errorf("%d kept, %d owed", len(n.requests), n.InFlightRequests())
 	}
@@ -201,12 +213,12 @@
 	n, _, _ := newTestNode(t, endpoint("s1", wire.Serving))
 	p := arrive(t, n, "r")
 	n.applyList(&wire.EndpointList{Revision: 8, Endpoints: []wire.Endpoint{endpoint("s1", wire.Draining)}}, balancer.ListDelta, false)
-	n.handle(event{kind: evConnected, id: "r"})
+	n.handle(attemptConnected{requestRef: requestRef{id: "r"}})
 	if !strings.HasSuffix(p.recorded(), "go 0 true") {
 		t.Fatalf("within the grace: %s", p.recorded())
 	}
 	n.hosts["s1"].notifiedAt = time.Now().Add(-n.settings.DrainGrace)
-	n.handle(event{kind: evConnected, id: "r"})
+	n.handle(attemptConnected{requestRef: requestRef{id: "r"}})
 	if !strings.HasSuffix(p.recorded(), "go 0 false") {
 		t.Fatalf("after the grace: %s", p.recorded())
 	}
@@ -224,7 +236,11 @@
 func TestArrival_UnknownClass_Failed(t *testing.T) {
 	n, _, logs := newTestNode(t, endpoint("s1", wire.Serving))
 	p := &fakeConn{}
-	n.handle(event{kind: evArrive, id: "r", opening: opening(t, "OPEN r key c=odd"), until: time.Now().Add(time.Second), port: p})
+	n.handle(requestArrived{
+		requestRef: requestRef{id: "r", conn: p},
+		opening:    opening(t, "OPEN r key c=odd"),
+		deadline:   time.Now().Add(time.Second),
+	})
 	if p.recorded() != "fail" || len(n.requests) != 0 || logs.FilterMessageSnippet("class").Len() != 1 {
 		t.Errorf("%s; %d kept", p.recorded(), len(n.requests))
 	}
@@ -247,13 +263,14 @@
 	n, _, _ := newTestNode(t, endpoint("s1", wire.Serving))
 	for i, host := range []string{"s1", "unlisted"} {
 		id := balancer.RequestID(fmt.Sprint("r", i))
-		at := event{kind: evResume, id: id, opening: opening(t, "OPEN "+string(id)+" key c=chat,at="+host), port: &fakeConn{}, reply: make(chan resumePoint, 1)}
-		n.handle(at)
-		if got := <-at.reply; !got.ok || (got.addr != "") != (host == "s1") {
+		ref := requestRef{id: id, conn: &fakeConn{}}
+		line := opening(t, "OPEN "+string(id)+" key c=chat,at="+host)
+		reply := make(chan resumePoint, 1)
+		n.handle(connectionResumed{requestRef: ref, opening: line, reply: reply})
+		if got := <-reply; !got.available || (got.addr != "") != (host == "s1") {
 			t.Errorf("%s is at %+v", host, got)
 		}
-		at.kind = evInherit
-		n.handle(at)
+		n.handle(connectionInherited{requestRef: ref, opening: line})
 		if n.EstablishedConnections() != 1 || n.InFlightRequests() != 0 {
 			t.Errorf("at %s: %d open, %d owed", host, n.EstablishedConnections(), n.InFlightRequests())
 		}
@@ -275,14 +292,21 @@
 		if second.recorded() != "fail" {
 			t.Errorf("the second heard %q", second.recorded())
 		}
-		at := event{kind: evResume, id: "r", opening: opening(t, "OPEN r key c=chat,at=s1"), port: &fakeConn{}, reply: make(chan resumePoint, 1)}
-		n.handle(at)
-		if got := <-at.reply; got.ok {
+		line := opening(t, "OPEN r key c=chat,at=s1")
+		reply := make(chan resumePoint, 1)
+		n.handle(connectionResumed{requestRef: requestRef{id: "r", conn: &fakeConn{}}, opening: line, reply: reply})
+		if got := <-reply; got.available {
 			t.Error("it may be taken up beside the first")
 		}
-		for _, e := range []event{{kind: evGone}, {kind: evConnected}, {kind: evOpened, took: time.Hour}, {kind: evLoad, load: 5},
-			{kind: evInherit, opening: at.opening}, {kind: evSettled, outcome: balancer.ConnectionReset}} {
-			e.id, e.port = "r", second
+		ref := requestRef{id: "r", conn: second}
+		for _, e := range []event{
+			clientDisconnected{requestRef: ref},
+			attemptConnected{requestRef: ref},
+			connectionEstablished{requestRef: ref, took: time.Hour},
+			&loadReported{requestRef: ref, load: 5},
+			connectionInherited{requestRef: ref, opening: line},
+			attemptEnded{requestRef: ref, outcome: balancer.ConnectionReset},
+		} {
 			n.handle(e)
 		}
 	}
@@ -290,12 +314,12 @@
 	if n.InFlightRequests() != 1 || first.recorded() != "send 0 s1:1" {
 		t.Fatalf("%d owed; the first heard %q", n.InFlightRequests(), first.recorded())
 	}
-	n.handle(event{kind: evOpened, id: "r", port: first, took: time.Millisecond})
+	n.handle(connectionEstablished{requestRef: requestRef{id: "r", conn: first}, took: time.Millisecond})
 	intrude()
 	if n.InFlightRequests() != 0 || n.EstablishedConnections() != 1 {
 		t.Errorf("%d owed, %d open", n.InFlightRequests(), n.EstablishedConnections())
 	}
-	n.handle(event{kind: evSettled, id: "r", port: first, outcome: balancer.Served})
+	n.handle(attemptEnded{requestRef: requestRef{id: "r", conn: first}, outcome: balancer.Served})
 	if n.EstablishedConnections() != 0 || len(n.requests) != 0 {
 		t.Errorf("%d open, %d kept after the end", n.EstablishedConnections(), len(n.requests))
 	}
@@ -304,10 +328,15 @@
 // A connection from before the run that never comes up leaves nothing behind.
 func TestResume_ConnectionNeverUp_IsReleased(t *testing.T) {
 	n, _, _ := newTestNode(t, endpoint("s1", wire.Serving))
-	at := event{kind: evResume, id: "r", opening: opening(t, "OPEN r key c=chat,at=s1"), port: &fakeConn{}, reply: make(chan resumePoint, 2)}
-	n.handle(at)
-	n.handle(at) // it is tried again
-	n.handle(event{kind: evGone, id: "r", port: at.port})
+	ref := requestRef{id: "r", conn: &fakeConn{}}
+	resume := connectionResumed{
+		requestRef: ref,
+		opening:    opening(t, "OPEN r key c=chat,at=s1"),
+		reply:      make(chan resumePoint, 2),
+	}
+	n.handle(resume)
+	n.handle(resume) // it is tried again
+	n.handle(clientDisconnected{requestRef: ref})
 	if len(n.requests) != 0 || n.InFlightRequests() != 0 || n.EstablishedConnections() != 0 {
 		t.Errorf("%d kept, %d owed, %d open", len(n.requests), n.InFlightRequests(), n.EstablishedConnections())
 	}
@@ -334,8 +363,8 @@
 // A failure in the handling of one event must not end the node.
 func TestEvent_HandlerPanics_LoopGoesOn(t *testing.T) {
 	n, _, logs := newTestNode(t, endpoint("s1", wire.Serving))
-	n.recoverPanics(func() { n.handle(event{kind: evList}) }) // a list event without a list
-	if logs.FilterMessage("an event could not be handled").Len() != 1 {
+	n.recoverPanics(func() { n.handle(listReceived{}) }) // a list event without a list
+	if logs.FilterMessage("panic while handling event").Len() != 1 {
 		t.Error("no trace of the failure in the log")
 	}
 	if p := arrive(t, n, "r"); p.recorded() != "send 0 s1:1" {
@@ -433,7 +462,7 @@
 			if c.past { // the dial is held until the window is over
 				time.Sleep(window)
 			}
-			n.handle(event{kind: evConnected, id: "r", attempt: 1})
+			n.handle(attemptConnected{requestRef: requestRef{id: "r"}, attempt: 1})
 			if !strings.HasSuffix(p.recorded(), c.want) {
 				t.Errorf("%s; want %s", p.recorded(), c.want)
 			}
--- a/internal/node/orders_test.go
+++ b/internal/node/overrides_test.go
@@ -76,7 +76,7 @@
 		t.Fatal(err)
 	}
 	n.hosts["a"].notifiedAt = time.Now().Add(-time.Second)
-	n.handle(event{kind: evConnected, id: "r"})
+	n.handle(attemptConnected{requestRef: requestRef{id: "r"}})
 	if got := p.recorded(); !strings.HasSuffix(got, "go 0 false") {
 		t.Errorf("a dial that comes up late: %q", got)
 	}
--- a/internal/node/requests.go
+++ b/internal/node/requests.go
@@ -6,202 +6,225 @@
 	"go.uber.org/zap"
 
 	"onyxstream/balancer"
-	"onyxstream/internal/invariant"
 	"onyxstream/internal/wire"
 )
 
-// request is a client's connection, wanted or open.
+// noClass stands for a class that the settings don't have, or that is not known of an inherited connection.
+const noClass = -1
+
+// request is a client's request, from its opening line to the end of its connection.
 type request struct {
-	conn            ClientConn
-	host            *hostRecord
-	attempts        int  // sends so far
-	attemptInFlight bool // the last of them has brought no outcome yet
-	established     bool
-	answered        bool   // has had its final answer
-	migrating       bool   // told to move
-	midFlow         bool   // open elsewhere already when it came: no new work
-	unresponsive    bool   // a message of it waited too long when last looked at
-	countedMessages uint64 // messages of it that were counted
-
-	class             int       // its index in the settings, or -1
-	lastSentAt        time.Time // when the last attempt was sent
-	mayHaveExecutedAt time.Time // when the first attempt was sent that may have run; zero while none has
+	conn          ClientConn
+	host          *hostRecord // of the last attempt
+	attempts      int         // attempts so far
+	attemptActive bool        // the last attempt has not ended
+	established   bool
+	answered      bool // the final answer has been given, or the client has left
+	migrating     bool // the client has been asked to reconnect
+	midFlow       bool // its connection was established through another node: it is no new work
+
+	unresponsive    bool   // a message had waited for too long at the last tick
+	countedMessages uint64 // answered messages whose latency has been sampled
+
+	class             int
+	lastSentAt        time.Time // when the last attempt was started
+	mayHaveExecutedAt time.Time // start of the first attempt that may have been executed; zero if there is none
 }
 
-// handleRequestEvent handles what a connection tells; r is its request, nil where there is none of it.
-func (n *Node) handleRequestEvent(e event, r *request) {
-	switch e.kind {
-	case evArrive:
+// isEstablished reports whether the request's connection is established and has not ended.
+func (r *request) isEstablished() bool { return r.established && r.attemptActive }
+
+// isLastAttempt reports whether attempt is the last one that was started.
+func (r *request) isLastAttempt(attempt int) bool { return attempt == r.attempts-1 }
+
+// handleRequestEvent handles an event of a connection.
+func (n *Node) handleRequestEvent(e requestEvent) {
+	ref := e.source()
+	r := n.requests[ref.id]
+	switch e := e.(type) {
+	case requestArrived:
 		n.handleArrival(e, r)
-	case evResume:
+	case connectionResumed:
 		n.handleResume(e, r)
-	case evInherit:
-		if r != nil && !r.established {
-			n.handleInherited(e, r)
+	default:
+		fromOtherConn := r != nil && ref.conn != nil && r.conn != ref.conn
+		if r != nil && !fromOtherConn {
+			n.handleConnEvent(e, r)
 		}
-	case evConnected:
-		if r != nil {
-			n.handleConnected(e, r)
-		}
-	case evWritten:
-		if r != nil {
-			n.handleWritten(e, r)
+	}
+	if report, ok := e.(*loadReported); ok {
+		report.release()
+	}
+	n.failIfHeldBack(ref.id, n.requests[ref.id])
+}
+
+// handleConnEvent handles an event of the connection of request r.
+func (n *Node) handleConnEvent(e requestEvent, r *request) {
+	switch e := e.(type) {
+	case connectionInherited:
+		if !r.established {
+			n.handleInherited(e, r)
 		}
-	case evOpened:
-		if r != nil && r.attemptInFlight && !r.established && e.attempt == r.attempts-1 {
-			r.established = true
-			n.established.Add(1)
-			n.markAnswered(r)
-			n.pingNewHost(r.host)
-			n.decide(balancer.Established{ID: e.id, Attempt: e.attempt, Server: r.host.id, Took: e.took})
-			if n.shutDown && !n.settings.PassThrough { // it came up just before it was withdrawn
-				n.migrate(r)
-			}
+	case attemptConnected:
+		n.handleConnected(e, r)
+	case attemptWritten:
+		n.handleWritten(e, r)
+	case connectionEstablished:
+		if r.attemptActive && !r.established && r.isLastAttempt(e.attempt) {
+			n.handleEstablished(e, r)
 		}
-	case evSettled:
-		if r != nil && r.attemptInFlight && e.attempt == r.attempts-1 {
+	case attemptEnded:
+		if r.attemptActive && r.isLastAttempt(e.attempt) {
 			n.endAttempt(e, r)
 		}
-	case evLoad:
-		if r != nil && r.established {
+	case *loadReported:
+		if r.established {
 			n.decide(balancer.LoadReport{ID: e.id, Load: e.load})
 		}
-	case evGone:
-		if r != nil && !r.established {
-			n.markAnswered(r)
-			n.decide(balancer.ClientDisconnected{ID: e.id})
-			if r.attemptInFlight && r.attempts > e.attempt {
-				n.endAttempt(settledEvent(e.id, r.attempts-1, balancer.NotSent), r)
-			}
-			n.releaseRequest(e.id, r)
+	case clientDisconnected:
+		if !r.established {
+			n.handleDisconnected(e, r)
 		}
 	}
 }
 
-// handleResume takes in a connection that stood before the run and tells where.
-func (n *Node) handleResume(e event, r *request) {
-	if r == nil {
-		r = &request{conn: e.port, answered: true, class: -1}
-		n.requests[e.id] = r
-	}
-	at := resumePoint{ok: r.conn == e.port}
-	if m := n.hosts[balancer.ServerID(e.opening.CurrentHost)]; m != nil {
-		at.addr = m.addr
-	}
-	e.reply <- at // has room
-}
-
-// handleInherited notes that such a connection is up at its host again.
-func (n *Node) handleInherited(e event, r *request) {
-	a := n.toArrival(e.opening, 0)
-	id := balancer.ServerID(e.opening.CurrentHost)
-	m := n.hosts[id]
-	if m == nil { // a host that the list has forgotten still has its clients
-		m = &hostRecord{id: id, state: balancer.Removed}
-	}
-	r.host, r.attempts, r.attemptInFlight, r.established = m, 1, true, true
-	n.established.Add(1)
-	n.decide(balancer.Inherited{Arrival: a, Server: id})
-}
-
-func (n *Node) handleArrival(e event, r *request) {
+func (n *Node) handleArrival(e requestArrived, r *request) {
 	if r != nil {
-		n.log.Info("a connection's id is held already", zap.String("request", e.opening.ID))
-		e.port.Fail()
+		n.log.Info("request id already in use", zap.String("request", e.opening.ID))
+		e.conn.Fail()
 		return
 	}
-	a := n.toArrival(e.opening, n.timeLeft(e.until))
-	if a.Class < 0 {
-		n.log.Info("a client names a class that the settings lack", zap.String("class", e.opening.Class))
-		e.port.Fail()
+	arrival := n.toArrival(e.opening, n.timeLeft(e.deadline))
+	if arrival.Class == noClass {
+		n.log.Info("unknown class in opening line", zap.String("class", e.opening.Class))
+		e.conn.Fail()
 		return
 	}
-	n.requests[e.id] = &request{conn: e.port, midFlow: e.opening.MidFlow, class: a.Class}
+	n.requests[e.id] = &request{conn: e.conn, midFlow: e.opening.MidFlow, class: arrival.Class}
 	n.inFlight.Add(1)
-	n.decide(a)
+	n.decide(arrival)
 }
 
-// toArrival puts a client's line in the module's terms; the class is -1 where the settings lack it.
-func (n *Node) toArrival(o *wire.Opening, left time.Duration) balancer.Arrival {
-	a := balancer.Arrival{ID: balancer.RequestID(o.ID), Class: -1, Tenant: -1, Key: o.Key, TimeLeft: left, Load: o.Load,
-		Retry: o.Retry, MidFlow: o.MidFlow, Reconnect: o.Reconnect}
-	if i, ok := n.classIndex[o.Class]; ok {
-		a.Class = i
-	}
-	if i, ok := n.tenantIndex[o.Tenant]; ok {
-		a.Tenant = i
+// toArrival converts an opening line to the balancer's event. Its class is noClass if the settings don't have it.
+func (n *Node) toArrival(opening *wire.Opening, timeLeft time.Duration) balancer.Arrival {
+	arrival := balancer.Arrival{
+		ID:        balancer.RequestID(opening.ID),
+		Class:     noClass,
+		Tenant:    -1,
+		Key:       opening.Key,
+		TimeLeft:  timeLeft,
+		Load:      opening.Load,
+		Retry:     opening.Retry,
+		MidFlow:   opening.MidFlow,
+		Reconnect: opening.Reconnect,
+	}
+	if i, ok := n.classIndex[opening.Class]; ok {
+		arrival.Class = i
+	}
+	if i, ok := n.tenantIndex[opening.Tenant]; ok {
+		arrival.Tenant = i
 	}
 	if n.settings.ConnectionGroups {
-		a.Group = o.Group
+		arrival.Group = opening.Group
 	}
-	return a
+	return arrival
 }
 
-func (n *Node) endAttempt(e event, r *request) {
-	r.attemptInFlight = false
-	if r.mayHaveExecutedAt.IsZero() && !e.outcome.ProvesNotExecuted() {
-		r.mayHaveExecutedAt = r.lastSentAt
-	}
-	if e.outcome == balancer.ConnectFailed || e.outcome == balancer.ConnectionReset && !r.established {
-		n.recordDialFailure(r.host)
+// handleResume registers a connection of an earlier process and replies with its host's address.
+func (n *Node) handleResume(e connectionResumed, r *request) {
+	if r == nil {
+		r = &request{conn: e.conn, answered: true, class: noClass}
+		n.requests[e.id] = r
 	}
-	final := r.established || r.answered
-	if r.established {
-		n.established.Add(-1)
+	point := resumePoint{available: r.conn == e.conn}
+	if host := n.hosts[balancer.ServerID(e.opening.CurrentHost)]; host != nil {
+		point.addr = host.addr
 	}
-	n.decide(balancer.AttemptEnded{ID: e.id, Attempt: e.attempt, Server: r.host.id, Took: e.took, Outcome: e.outcome, Final: final})
-	n.releaseRequest(e.id, r)
+	e.reply <- point
 }
 
-// markAnswered notes that a request has had its final answer.
-func (n *Node) markAnswered(r *request) {
-	if !r.answered {
-		r.answered = true
-		n.inFlight.Add(-1)
+// handleInherited records that a connection of an earlier process is connected to its host again.
+func (n *Node) handleInherited(e connectionInherited, r *request) {
+	arrival := n.toArrival(e.opening, 0)
+	id := balancer.ServerID(e.opening.CurrentHost)
+	host := n.hosts[id]
+	if host == nil { // the list may lack a host that still has connections
+		host = &hostRecord{id: id, state: balancer.Removed}
+	}
+	r.host = host
+	r.attempts = 1
+	r.attemptActive = true
+	r.established = true
+	n.established.Add(1)
+	n.decide(balancer.Inherited{Arrival: arrival, Server: id})
+}
+
+func (n *Node) handleEstablished(e connectionEstablished, r *request) {
+	r.established = true
+	n.established.Add(1)
+	n.markAnswered(r)
+	n.pingNewHost(r.host)
+	n.decide(balancer.Established{ID: e.id, Attempt: e.attempt, Server: r.host.id, Took: e.took})
+	if n.shutDown && !n.settings.PassThrough { // it was established just before it could be cancelled
+		n.migrate(r)
 	}
 }
 
-// releaseRequest frees a request that has its answer and no attempt out.
-func (n *Node) releaseRequest(id balancer.RequestID, r *request) {
-	if r.answered && !r.attemptInFlight && n.requests[id] == r {
-		delete(n.requests, id)
+func (n *Node) handleDisconnected(e clientDisconnected, r *request) {
+	n.markAnswered(r)
+	n.decide(balancer.ClientDisconnected{ID: e.id})
+	if r.attemptActive && r.attempts > e.attemptsTaken {
+		n.endAttempt(attemptEnded{
+			requestRef: requestRef{id: e.id},
+			attempt:    r.attempts - 1,
+			outcome:    balancer.NotSent,
+		}, r)
 	}
+	n.releaseRequest(e.id, r)
 }
 
-// startAttempt starts an attempt. One that can't be made is settled at once, as the module waits for exactly
-// one outcome of each.
-func (n *Node) startAttempt(a balancer.Send) {
-	r := n.requests[a.ID]
+// rejectRequest gives the final answer BUSY.
+func (n *Node) rejectRequest(action balancer.Reject) {
+	r := n.requests[action.ID]
 	if r == nil || r.answered {
-		n.pendingEvents = append(n.pendingEvents, balancer.AttemptEnded{ID: a.ID, Attempt: attemptOf(r), Server: a.Server,
-			Outcome: balancer.NotSent, Final: true})
 		return
 	}
-	if r.attemptInFlight {
-		n.monitor.Report(invariant.Violation{Rule: invariant.ConcurrentAttempt, Request: string(a.ID), Host: string(a.Server)})
-	}
-	m := n.hosts[a.Server]
-	at := r.attempts
-	r.attempts++
-	if m == nil || m.addr == "" || n.shutDown {
-		n.pendingEvents = append(n.pendingEvents, balancer.AttemptEnded{ID: a.ID, Attempt: at, Server: a.Server, Outcome: balancer.NotSent})
+	n.markAnswered(r)
+	n.recordGivenUp(action.ID, r, true, action.Reason)
+	r.conn.Reject(action.RetryAfter)
+	n.releaseRequest(action.ID, r)
+}
+
+// failRequest gives the final answer ERR.
+func (n *Node) failRequest(action balancer.Fail) {
+	r := n.requests[action.ID]
+	if r == nil || r.answered {
 		return
 	}
-	r.host, r.attemptInFlight, r.lastSentAt = m, true, time.Now()
-	r.conn.Send(Attempt{Number: at, Host: m.id, Addr: m.addr, Timeout: a.Timeout})
+	n.markAnswered(r)
+	n.recordGivenUp(action.ID, r, false, action.Reason)
+	r.conn.Fail()
+	n.releaseRequest(action.ID, r)
 }
 
-// migrate sends a client away whose connection stands; once is enough.
-func (n *Node) migrate(r *request) {
-	if r.established && r.attemptInFlight && !r.migrating {
-		r.migrating = true
-		r.conn.Migrate()
+// recordGivenUp counts a request that is rejected or failed, by reason.
+func (n *Node) recordGivenUp(id balancer.RequestID, r *request, rejected bool, reason balancer.Reason) {
+	n.givenUpCounts[reason]++
+	n.log.Debug("request given up", zap.String("request", string(id)), zap.Bool("rejected", rejected),
+		zap.String("reason", string(reason)), zap.Int("attempts", r.attempts))
+}
+
+// markAnswered records that a request needs no final answer any more.
+func (n *Node) markAnswered(r *request) {
+	if !r.answered {
+		r.answered = true
+		n.inFlight.Add(-1)
 	}
 }
 
-func attemptOf(r *request) int {
-	if r == nil {
-		return 0
+// releaseRequest forgets a request that has been answered and has no active attempt.
+func (n *Node) releaseRequest(id balancer.RequestID, r *request) {
+	if r.answered && !r.attemptActive && n.requests[id] == r {
+		delete(n.requests, id)
 	}
-	return r.attempts
 }
--- a/internal/node/ending_test.go
+++ b/internal/node/shutdown_test.go
@@ -14,17 +14,20 @@
 func TestShutdown_RequestsInFlight_EachAnsweredOnce(t *testing.T) {
 	n, _, _ := newTestNode(t, endpoint("s1", wire.Serving), endpoint("s2", wire.Serving))
 	up, waits, dials, mid := arrive(t, n, "up"), arrive(t, n, "waits"), arrive(t, n, "dials"), &fakeConn{}
-	n.handle(event{kind: evConnected, id: "up"})
+	n.handle(attemptConnected{requestRef: requestRef{id: "up"}})
 	n.handle(opened("up", 0))
-	n.handle(event{kind: evConnected, id: "waits"})
-	n.handle(event{kind: evArrive, id: "mid", opening: opening(t, "OPEN mid key c=chat,t=acme,d=2000,mid=1"),
-		until: time.Now().Add(2 * time.Second), port: mid})
-	n.handle(event{kind: evEnd, until: time.Now().Add(time.Hour)})
+	n.handle(attemptConnected{requestRef: requestRef{id: "waits"}})
+	n.handle(requestArrived{
+		requestRef: requestRef{id: "mid", conn: mid},
+		opening:    opening(t, "OPEN mid key c=chat,t=acme,d=2000,mid=1"),
+		deadline:   time.Now().Add(2 * time.Second),
+	})
+	n.handle(shutdownRequested{deadline: time.Now().Add(time.Hour)})
 	if n.timeToShutdown(time.Now()) == 0 || n.InFlightRequests() != 3 {
 		t.Fatalf("ends in %v, %d owed", n.timeToShutdown(time.Now()), n.InFlightRequests())
 	}
 	n.answerInFlight()
-	n.handle(event{kind: evConnected, id: "dials"})
+	n.handle(attemptConnected{requestRef: requestRef{id: "dials"}})
 	for _, id := range []string{"waits", "dials", "mid"} {
 		n.handle(settled(id, 0, balancer.Cancelled))
 	}
@@ -46,7 +49,7 @@
 // What comes to a node that ends soon has only as long as the node: another host is tried in time.
 func TestArrival_NodeShuttingDown_TimeLeftIsBounded(t *testing.T) {
 	n, _, _ := newTestNode(t, endpoint("s1", wire.Serving))
-	n.handle(event{kind: evEnd, until: time.Now().Add(50 * time.Millisecond)})
+	n.handle(shutdownRequested{deadline: time.Now().Add(50 * time.Millisecond)})
 	p := arrive(t, n, "r")
 	if len(p.sent) != 1 || p.sent[0].Timeout > 50*time.Millisecond {
 		t.Errorf("sent %+v", p.sent)
--- /dev/null
+++ b/internal/node/tick.go
@@ -0,0 +1,59 @@
+package node
+
+import (
+	"time"
+
+	"go.uber.org/zap"
+
+	"onyxstream/balancer"
+)
+
+const (
+	// tickInterval is the time between two ticks of the loop.
+	tickInterval = 250 * time.Millisecond
+	// ticksPerMeasurement gives a latency measurement once a second, as often as the simulator reports slow messages.
+	ticksPerMeasurement = 4
+	// maxHostsCountedEachTick bounds the hosts that are counted at each tick. Larger fleets are counted once a second.
+	maxHostsCountedEachTick = 512
+	// unresponsiveAfter is how long a message may wait for its reply, at two ticks in a row, before its client is
+	// migrated. Two ticks, as a node that was itself suspended sees all messages waiting at the first.
+	unresponsiveAfter = 750 * time.Millisecond
+)
+
+// handleTick does the periodic work: it counts hosts, checks the watch, migrates clients, and measures latency.
+func (n *Node) handleTick(now time.Time) {
+	n.tickCount++
+	n.observeClock(now)
+	measure := n.tickCount%ticksPerMeasurement == 0
+	if measure || len(n.hosts) <= maxHostsCountedEachTick { // the hosts that the balancer avoids change with time
+		n.countHosts()
+	}
+	n.checkWatch(now)
+	n.migrateNextBatch(now)
+	if measure {
+		n.resetRepresentatives()
+	}
+	for id, r := range n.requests {
+		if r.isEstablished() && !r.migrating {
+			n.checkConnection(id, r, now, measure)
+		}
+	}
+	if measure && n.slowMessageThreshold > 0 {
+		n.measureLatency(now)
+	}
+}
+
+// checkConnection migrates the client of an unresponsive host, and collects latency samples if measure is set.
+func (n *Node) checkConnection(id balancer.RequestID, r *request, now time.Time, measure bool) {
+	stats := r.conn.MessageStats(now)
+	wasUnresponsive := r.unresponsive
+	r.unresponsive = stats.OldestWait > unresponsiveAfter
+	if wasUnresponsive && r.unresponsive {
+		n.log.Info("host unresponsive, migrating client", zap.String("host", string(r.host.id)),
+			zap.Duration("waiting", stats.OldestWait))
+		n.migrate(r)
+	}
+	if measure {
+		n.collectSamples(id, r, stats)
+	}
+}
--- a/internal/node/timers.go
+++ b/internal/node/timers.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// timers holds the module's wakes, the earliest first.
+// timers is the queue of the balancer's timers, the earliest first.
 type timers struct{ heap timerHeap }
 
 type timer struct {
 	at    time.Duration
-	order uint64 // timers of one time fall due in the order they were set
+	order uint64 // timers of the same time fall due in the order in which they were set
 	token string
 }
 
@@ -34,20 +34,21 @@
 	return last
 }
 
+// add sets a timer; token is returned by next.
 func (t *timers) add(at time.Duration, token string) {
 	t.heap.last++
-	heap.Push(&t.heap, timer{at, t.heap.last, token})
+	heap.Push(&t.heap, timer{at: at, order: t.heap.last, token: token})
 }
 
-// wait tells how long until the next one falls due.
+// wait returns the time until the next timer falls due, idleWait if there is none.
 func (t *timers) wait(now time.Duration) time.Duration {
 	if t.heap.Len() == 0 {
-		return time.Hour
+		return idleWait
 	}
 	return max(t.heap.all[0].at-now, 0)
 }
 
-// next takes a timer that has fallen due.
+// next removes and returns a timer that has fallen due; due is false if there is none.
 func (t *timers) next(now time.Duration) (token string, due bool) {
 	if t.heap.Len() == 0 || t.heap.all[0].at > now {
 		return "", false
--- /dev/null
+++ b/internal/node/view.go
@@ -0,0 +1,51 @@
+package node
+
+import (
+	"cmp"
+	"maps"
+	"slices"
+
+	"onyxstream/balancer"
+)
+
+// HostView describes a host as the node knows it.
+type HostView struct {
+	ID          balancer.ServerID
+	State       balancer.ServerState
+	Overridden  bool // an operator's override makes it drain
+	Connections int  // established through this node
+}
+
+// View describes the node's state.
+type View struct {
+	Revision int64                   // of the endpoint list
+	Hosts    []HostView              // by id
+	GivenUp  map[balancer.Reason]int // requests that were rejected or failed, by reason
+}
+
+// View returns the node's state; empty once the loop has ended. It may be called from any goroutine.
+func (n *Node) View() View {
+	reply := make(chan View, 1)
+	view, _ := query(n, viewRequested{reply: reply}, reply)
+	return view
+}
+
+func (n *Node) buildView() View {
+	view := View{Revision: n.revision, GivenUp: maps.Clone(n.givenUpCounts)}
+	connections := map[balancer.ServerID]int{}
+	for _, r := range n.requests {
+		if r.isEstablished() {
+			connections[r.host.id]++
+		}
+	}
+	for id, host := range n.hosts {
+		view.Hosts = append(view.Hosts, HostView{
+			ID:          id,
+			State:       host.state,
+			Overridden:  n.overrides[id],
+			Connections: connections[id],
+		})
+	}
+	slices.SortFunc(view.Hosts, func(a, b HostView) int { return cmp.Compare(a.ID, b.ID) })
+	return view
+}
--- a/internal/node/guard_test.go
+++ b/internal/node/writecheck_test.go
@@ -18,7 +18,7 @@
 		want   writeDenial
 	}{
 		{"it may", func(*Node, *request) {}, ""},
-		{"the attempt has ended", func(_ *Node, r *request) { r.attemptInFlight = false }, denyAttemptOver},
+		{"the attempt has ended", func(_ *Node, r *request) { r.attemptActive = false }, denyAttemptOver},
 		{"it is up", func(_ *Node, r *request) { r.established = true }, denyAttemptOver},
 		{"another was sent", func(_ *Node, r *request) { r.attempts++ }, denyConcurrentAttempt},
 		{"the node has ended", func(n *Node, _ *request) { n.shutDown = true }, denyShutdown},
@@ -34,7 +34,7 @@
 		arrive(t, n, "r")
 		r := n.requests["r"]
 		c.change(n, r)
-		if got := n.mayWrite(r, 0); got != c.want {
+		if got := n.checkWrite(r, 0); got != c.want {
 			t.Errorf("%s: %q, want %q", c.name, got, c.want)
 		}
 	}
@@ -59,7 +59,7 @@
 		n, _, _ := newTestNode(t, endpoint("a", wire.Serving))
 		p := arrive(t, n, "r")
 		c.change(n, n.requests["r"])
-		n.handle(event{kind: evWritten, id: "r", port: p, at: time.Now()})
+		n.handle(attemptWritten{requestRef: requestRef{id: "r", conn: p}, at: time.Now()})
 		for _, rule := range invariant.Rules() {
 			if got := n.Monitor().Count(rule); got != c.want[rule] {
 				t.Errorf("%s: %q is counted %d times, want %d", c.name, rule, got, c.want[rule])
@@ -86,7 +86,10 @@
 		budget := n.slowStartBudget(r.host, c.age)
 		lines := int(invariant.SlowStartLimit(budget)) + 1
 		for i := range lines {
-			n.handleWritten(event{kind: evWritten, id: "r", at: now.Add(time.Duration(i) * c.apart)}, r)
+			n.handleWritten(attemptWritten{
+				requestRef: requestRef{id: "r"},
+				at:         now.Add(time.Duration(i) * c.apart),
+			}, r)
 		}
 		if got := n.Monitor().Count(invariant.SlowStartExceeded) > 0; got != c.want {
 			t.Errorf("%s: %d lines with a budget of %.1f, found %v", c.name, lines, budget, got)
