--- a/cmd/onyxstream/main_test.go
+++ b/cmd/onyxstream/main_test.go
@@ -374,7 +374,7 @@
 		line, _ := p.open(t, "").r.ReadString('\n')
 		return strings.HasPrefix(line, "UP from-hb")
 	})
-	if strings.Contains(p.log.String(), "too large") {
+	if strings.Contains(p.log.String(), "exceeds memory limit") {
 		t.Error("the list is too large")
 	}
 }
--- a/cmd/onyxstream/sizes_test.go
+++ b/cmd/onyxstream/sizes_test.go
@@ -61,7 +61,7 @@
 		reg.tell(list(int64(2+step), false, changed...))
 		p.open(t, "").hears("UP from-ha")
 	}
-	if strings.Contains(p.log.String(), "too large") {
+	if strings.Contains(p.log.String(), "exceeds memory limit") {
 		t.Errorf("a list of %d hosts is too large", n)
 	}
 	return peakKB(t, p.cmd.Process.Pid)
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -1,7 +1,7 @@
-// Package invariant holds the rules that a node keeps as checks on what it did: on a line that was written to a host, and
-// on the end of a client's connection. The guards that keep the rules stand before the deed, in node and driver; the checks
-// here look at the deed itself, by the rules' own limits, and know nothing of the guards. A Monitor counts what they find.
-// The checks are pure: times are arguments.
+// Package invariant checks at run time the rules that a node must keep: on each opening line that was written to a host,
+// and on the end of each client's connection. Packages node and proxy enforce the rules beforehand; the checks look at
+// what was done, by the rules' own limits, and share no code with the enforcement. A Monitor counts the violations. The
+// checks are pure: times are arguments.
 package invariant
 
 import (
@@ -12,28 +12,37 @@
 	"onyxstream/balancer"
 )
 
-// Rule names what was broken.
+// Rule identifies a rule.
 type Rule uint8
 
-// The rules.
+// The rules, by what violates them.
 const (
-	SentToDrained       Rule = iota // a line began after the grace of its host's drain
-	UnsafeRetry                     // an attempt was written though an earlier one may have run and repeats are not dropped
-	ConcurrentAttempt               // an attempt was written while an earlier one of the request was out
-	SentAfterDisconnect             // a line began too long after its client had left
-	Unanswered                      // a request was read, and its connection ended without a final answer
-	AnsweredTwice                   // a request had a second final answer
-	AnsweredLate                    // a final answer came too long after the client's time
-	SlowStartExceeded               // this node alone sent a cold host more than all nodes together may
+	SentToDrained       Rule = iota // a line was begun after its host's drain grace
+	UnsafeRetry                     // an attempt was written though an earlier one may have been executed
+	ConcurrentAttempt               // an attempt was written while another one of the request was active
+	SentAfterDisconnect             // a line was begun too long after its client had disconnected
+	Unanswered                      // a connection ended without a final answer to its request
+	AnsweredTwice                   // a request got a second final answer
+	AnsweredLate                    // a final answer was given too long after the client's deadline
+	SlowStartExceeded               // this node alone sent a warming host more than all nodes together may
 	ruleCount
 )
 
-var ruleNames = [ruleCount]string{"sent to drained", "repeated unsafely", "second copy", "begun for leaver", "not answered",
-	"answered twice", "answered late", "over slow start"}
+var ruleNames = [ruleCount]string{
+	SentToDrained:       "sent to drained host",
+	UnsafeRetry:         "unsafe retry",
+	ConcurrentAttempt:   "concurrent attempt",
+	SentAfterDisconnect: "sent after disconnect",
+	Unanswered:          "unanswered",
+	AnsweredTwice:       "answered twice",
+	AnsweredLate:        "answered late",
+	SlowStartExceeded:   "slow start exceeded",
+}
 
+// String returns the rule's name in log lines.
 func (r Rule) String() string { return ruleNames[r] }
 
-// Rules lists all of them.
+// Rules returns all rules.
 func Rules() []Rule {
 	all := make([]Rule, ruleCount)
 	for i := range all {
@@ -43,73 +52,76 @@
 }
 
 const (
-	// disconnectSlack is how long after its client has left a line may still begin.
+	// disconnectSlack is how long after its client has disconnected a line may still be begun.
 	disconnectSlack = 100 * time.Millisecond
-	// answerSlack is how long after the client's time an answer still counts as given.
+	// answerSlack is how long after the client's deadline a final answer is not late.
 	answerSlack = 500 * time.Millisecond
 )
 
-// Violation is a rule that was broken.
+// Violation is a violation of a rule.
 type Violation struct {
 	Rule    Rule
 	Request string
 	Host    string
-	Excess  time.Duration // past the rule's limit, where it has one
+	Excess  time.Duration // beyond the rule's limit, 0 if it has none
 }
 
+// String describes the violation in one line.
 func (v Violation) String() string {
 	return fmt.Sprintf("%s: request %s, host %s, by %v", v.Rule, v.Request, v.Host, v.Excess)
 }
 
-// Send is a line that was written to a host, as it was when its first byte went.
+// Send is an opening line that was written to a host, with the state at its first byte.
 type Send struct {
-	Request, Host      string
+	Request            string
+	Host               string
 	At                 time.Time
-	Draining           bool // the host drains, or is gone
-	NotifiedAt         time.Time
+	Draining           bool      // the host drains or is removed
+	NotifiedAt         time.Time // when the node was notified of that
 	Grace              time.Duration
 	Effect             balancer.Effect
-	Window             time.Duration
-	MayHaveExecutedAt  time.Time // when the first attempt was sent that may have run; zero for none
-	ConcurrentAttempts int       // further attempts of the request that were out
+	Window             time.Duration // idempotency window
+	MayHaveExecutedAt  time.Time     // start of the first attempt that may have been executed; zero if there is none
+	ConcurrentAttempts int           // other attempts of the request that were active
 }
 
-// CheckSend finds what a written line breaks.
-func CheckSend(s Send) (broken []Violation) {
-	found := func(rule Rule, by time.Duration) {
-		broken = append(broken, Violation{rule, s.Request, s.Host, by})
+// CheckSend returns the violations of a written line.
+func CheckSend(s Send) (violations []Violation) {
+	add := func(rule Rule, excess time.Duration) {
+		violations = append(violations, Violation{Rule: rule, Request: s.Request, Host: s.Host, Excess: excess})
 	}
-	if age := s.At.Sub(s.NotifiedAt); s.Draining && age > s.Grace {
-		found(SentToDrained, age-s.Grace)
+	sinceNotified := s.At.Sub(s.NotifiedAt)
+	if s.Draining && sinceNotified > s.Grace {
+		add(SentToDrained, sinceNotified-s.Grace)
 	}
 	if s.ConcurrentAttempts > 0 {
-		found(ConcurrentAttempt, 0)
+		add(ConcurrentAttempt, 0)
 	}
 	if s.MayHaveExecutedAt.IsZero() {
-		return broken
+		return violations
 	}
-	switch age := s.At.Sub(s.MayHaveExecutedAt); {
+	sinceExecuted := s.At.Sub(s.MayHaveExecutedAt)
+	switch {
 	case s.Effect == balancer.NonIdempotent:
-		found(UnsafeRetry, 0)
-	case s.Effect == balancer.IdempotentByKey && age > s.Window:
-		found(UnsafeRetry, age-s.Window)
+		add(UnsafeRetry, 0)
+	case s.Effect == balancer.IdempotentByKey && sinceExecuted > s.Window:
+		add(UnsafeRetry, sinceExecuted-s.Window)
 	}
-	return broken
+	return violations
 }
 
-// CheckStart finds whether a line began for a client that had left; left is zero where it has not.
-func CheckStart(request, host string, began, left time.Time) (Violation, bool) {
-	by := began.Sub(left) - disconnectSlack
-	return Violation{SentAfterDisconnect, request, host, by}, !left.IsZero() && by > 0
+// CheckStart checks a line that was begun at a time; disconnectedAt is zero if its client has not disconnected.
+func CheckStart(request, host string, begunAt, disconnectedAt time.Time) (violation Violation, found bool) {
+	excess := begunAt.Sub(disconnectedAt) - disconnectSlack
+	violation = Violation{Rule: SentAfterDisconnect, Request: request, Host: host, Excess: excess}
+	return violation, !disconnectedAt.IsZero() && excess > 0
 }
 
-const (
-	// smallSlowStartBudget is the budget of a cold host under which chance is allowed for more generously.
-	smallSlowStartBudget = 30
-)
+// smallSlowStartBudget is the budget below which a wider margin is allowed, as few requests vary more.
+const smallSlowStartBudget = 30
 
-// SlowStartLimit is how many requests of mean work a cold host may get in the time in which it falls: budget is what the
-// settings allow it then, and chance is allowed for.
+// SlowStartLimit returns how many requests a warming host may get in the window in which it can collapse, for a budget by
+// the settings: the budget and a margin for random variation.
 func SlowStartLimit(budget float64) float64 {
 	if budget < smallSlowStartBudget {
 		return budget + 3*math.Sqrt(budget) + 3
@@ -117,31 +129,38 @@
 	return budget + 2*math.Sqrt(budget) + 2
 }
 
-// CheckSlowStart finds whether one node alone sent a cold host more than all may in that time, by what is reckoned of its
-// capacity: the settings do not tell that. What all sent is not known here: a node that passes may still take part in a fall.
-func CheckSlowStart(request, host string, sent int, budget float64) (Violation, bool) {
-	return Violation{SlowStartExceeded, request, host, 0}, float64(sent) > SlowStartLimit(budget)
+// CheckSlowStart checks what one node alone has sent to a warming host against what all nodes together may send. The
+// budget is an estimate, as the settings don't tell the host's capacity, and what the other nodes have sent is not known:
+// a host may be overloaded though each node passes.
+func CheckSlowStart(request, host string, sent int, budget float64) (violation Violation, found bool) {
+	violation = Violation{Rule: SlowStartExceeded, Request: request, Host: host}
+	return violation, float64(sent) > SlowStartLimit(budget)
 }
 
-// Completion is a client's connection that has ended, or one that has had its final answer.
+// Completion describes a request whose connection has ended, or that has been answered.
 type Completion struct {
-	Request, Host string
-	Answers       int       // final answers that were given
-	AnsweredAt    time.Time // the first of them
-	Deadline      time.Time // the client's time
-	Disconnected  bool      // the client left before it was answered
+	Request      string
+	Host         string
+	Answers      int       // final answers that were given
+	AnsweredAt   time.Time // of the first of them
+	Deadline     time.Time // of the client
+	Disconnected bool      // the client disconnected before it was answered
 }
 
-// CheckCompletion finds what the end of a client's connection breaks.
-func CheckCompletion(e Completion) (broken []Violation) {
+// CheckCompletion returns the violations of a completed request.
+func CheckCompletion(c Completion) (violations []Violation) {
+	add := func(rule Rule, excess time.Duration) {
+		violations = append(violations, Violation{Rule: rule, Request: c.Request, Host: c.Host, Excess: excess})
+	}
 	switch {
-	case e.Answers == 0 && !e.Disconnected:
-		broken = append(broken, Violation{Unanswered, e.Request, e.Host, 0})
-	case e.Answers > 1:
-		broken = append(broken, Violation{AnsweredTwice, e.Request, e.Host, 0})
+	case c.Answers == 0 && !c.Disconnected:
+		add(Unanswered, 0)
+	case c.Answers > 1:
+		add(AnsweredTwice, 0)
 	}
-	if late := e.AnsweredAt.Sub(e.Deadline) - answerSlack; e.Answers > 0 && late > 0 {
-		broken = append(broken, Violation{AnsweredLate, e.Request, e.Host, late})
+	late := c.AnsweredAt.Sub(c.Deadline) - answerSlack
+	if c.Answers > 0 && late > 0 {
+		add(AnsweredLate, late)
 	}
-	return broken
+	return violations
 }
--- a/internal/invariant/monitor.go
+++ b/internal/invariant/monitor.go
@@ -6,8 +6,8 @@
 	"go.uber.org/zap"
 )
 
-// LogMessage is the line that tells of a violation: who follows the log looks for it.
-const LogMessage = "a rule was broken"
+// LogMessage is the message of the log line of each violation.
+const LogMessage = "rule violated"
 
 // Monitor counts violations and logs each. It may be used from any goroutine.
 type Monitor struct {
@@ -15,22 +15,22 @@
 	counts [ruleCount]atomic.Uint64
 }
 
-// NewMonitor makes a monitor that has found nothing.
+// NewMonitor creates a Monitor that logs to log.
 func NewMonitor(log *zap.Logger) *Monitor { return &Monitor{log: log} }
 
-// Report counts violations.
-func (m *Monitor) Report(found ...Violation) {
-	for _, v := range found {
+// Report counts and logs violations.
+func (m *Monitor) Report(violations ...Violation) {
+	for _, v := range violations {
 		m.counts[v.Rule].Add(1)
-		m.log.Error(LogMessage, zap.Stringer("rule", v.Rule), zap.String("request", v.Request), zap.String("host", v.Host),
-			zap.Duration("by", v.Excess))
+		m.log.Error(LogMessage, zap.Stringer("rule", v.Rule), zap.String("request", v.Request),
+			zap.String("host", v.Host), zap.Duration("excess", v.Excess))
 	}
 }
 
-// Count tells how often a rule was broken.
+// Count returns the number of violations of a rule.
 func (m *Monitor) Count(r Rule) uint64 { return m.counts[r].Load() }
 
-// Total tells how often any rule was broken.
+// Total returns the number of violations of all rules.
 func (m *Monitor) Total() (total uint64) {
 	for _, r := range Rules() {
 		total += m.Count(r)
--- a/internal/soaktest/run.go
+++ b/internal/soaktest/run.go
@@ -93,7 +93,7 @@
 		return nil, fmt.Errorf("%d records are lost", lost)
 	}
 	report := &Report{Verdict: Judge(recs, Usual, p.facts(begin, r.Clock.Now())), Log: log.bytes(), Records: recs}
-	report.ClockSteps = bytes.Count(report.Log, []byte("clock was stepped"))
+	report.ClockSteps = bytes.Count(report.Log, []byte("wall clock stepped"))
 	report.CallsFailed = calls.injected()
 	report.Violations, report.Crashes = sift(report.Log)
 	return report, errors.Join(run.failure(), r.Failed())
