--- a/internal/node/discovery.go
+++ b/internal/node/discovery.go
@@ -78,7 +78,7 @@
 	n.revision = NoRevision
 	if n.scheduler != nil {
 		n.service.Store(&e.addr)
-		n.scheduler.SetService(n.now(), e.addr)
+		n.scheduler.SetService(e.addr)
 		n.callIfDue()
 		return
 	}
