--- a/internal/node/coldstart_spread_test.go
+++ b/internal/node/coldstart_spread_test.go
@@ -17,7 +17,7 @@
 	"onyxstream/internal/wire"
 )
 
-// callTimes is an outside that notes when discovery is called for the first time.
+// callTimes is a Transport that records when discovery is first called.
 type callTimes struct {
 	mu    *sync.Mutex
 	at    *[]time.Duration
@@ -34,8 +34,7 @@
 
 func (callTimes) Ping(balancer.ServerID, string) bool { return true }
 
-// Calls to the list service that nodes started in one instant spread over a time are made when they are due. They were made
-// at the next turn of each node's ticker, and all tickers had begun together: what was drawn apart came in bursts.
+// Nodes that start in the same instant call the list service spread over an interval, and not in bursts at their ticks.
 func TestColdStart_NodesStartTogether_CallsSpread(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const nodes = 40
@@ -45,17 +44,23 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		out := callTimes{&mu, &at, time.Now()}
 		for i := range nodes {
-			set := settings.Settings{Settings: balancer.Settings{PollList: true, PollInterval: 3 * time.Second, NodeCount: nodes, NodeIndex: i}}
+			set := settings.Settings{Settings: balancer.Settings{
+				PollList:     true,
+				PollInterval: 3 * time.Second,
+				NodeCount:    nodes,
+				NodeIndex:    i,
+			}}
 			n := New(set, wire.EndpointList{}, "disco", out, zap.NewNop())
-			n.EnableColdStart(coldstart.New(coldstart.Config{NodeCount: nodes, Index: i, PollInterval: set.PollInterval, Service: "s"},
-				rand.New(rand.NewPCG(7, uint64(i))), n.now(), coldstart.NoSource, coldstart.Offer{}), "s")
+			cfg := coldstart.Config{NodeCount: nodes, Index: i, PollInterval: set.PollInterval, Service: "s"}
+			rng := rand.New(rand.NewPCG(7, uint64(i)))
+			n.EnableColdStart(coldstart.New(cfg, rng, n.now(), coldstart.NoSource, coldstart.Offer{}), "s")
 			ended.Go(func() { _ = n.Run(ctx) })
 		}
 		time.Sleep(3 * time.Second)
 		cancel()
 		ended.Wait()
 		if len(at) != nodes {
-			t.Fatalf("%d of %d nodes have called", len(at), nodes)
+			t.Fatalf("%d of %d nodes have called the service", len(at), nodes)
 		}
 		slices.Sort(at)
 		const together, most = 5 * time.Millisecond, 6
--- a/internal/node/events_bench_test.go
+++ b/internal/node/events_bench_test.go
@@ -13,7 +13,7 @@
 // BenchmarkLoadReport measures a load report of an established connection from the connection's goroutine through the
 // channel to the balancer. It must not allocate: open connections report every second.
 func BenchmarkLoadReport(b *testing.B) {
-	known := wire.EndpointList{Revision: 7, Complete: true, Endpoints: []wire.Endpoint{endpoint("s1", wire.Serving)}}
+	known := *snapshotOf(7, endpoint("s1", wire.Serving))
 	n := New(testSettings(), known, "d:1", &fakeTransport{}, zap.NewNop())
 	p := &fakeConn{}
 	_, o, err := wire.ParseOpening([]byte("OPEN r key c=chat,t=acme,d=2000"))
--- /dev/null
+++ b/internal/node/fixtures_test.go
@@ -0,0 +1,173 @@
+package node
+
+import (
+	"fmt"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"go.uber.org/zap"
+	"go.uber.org/zap/zaptest/observer"
+
+	"onyxstream/balancer"
+	"onyxstream/internal/settings"
+	"onyxstream/internal/wire"
+)
+
+// fakeConn is a ClientConn that records the calls of the loop.
+type fakeConn struct {
+	mu    sync.Mutex
+	calls []string
+	sent  []Attempt
+	stats MessageStats
+}
+
+func (p *fakeConn) record(text string) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.calls = append(p.calls, text)
+}
+
+func (p *fakeConn) Send(a Attempt) {
+	p.mu.Lock()
+	p.sent = append(p.sent, a)
+	p.mu.Unlock()
+	p.record(fmt.Sprintf("send %d %s", a.Number, a.Addr))
+}
+
+func (p *fakeConn) Proceed(n int, ok bool) { p.record(fmt.Sprintf("proceed %d %v", n, ok)) }
+
+func (p *fakeConn) Cancel(n int) { p.record(fmt.Sprintf("cancel %d", n)) }
+
+func (p *fakeConn) Reject(d time.Duration) { p.record(fmt.Sprintf("reject %v", d > 0)) }
+
+func (p *fakeConn) Fail() { p.record("fail") }
+
+func (p *fakeConn) Migrate() { p.record("migrate") }
+
+func (p *fakeConn) MessageStats(now time.Time) MessageStats { return p.stats }
+
+func (p *fakeConn) recorded() string {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return strings.Join(p.calls, ", ")
+}
+
+// fakeTransport is a Transport that records the calls of the loop.
+type fakeTransport struct {
+	watches   []ListRequest
+	pings     []balancer.ServerID
+	pingsFail bool
+}
+
+func (w *fakeTransport) Watch(c ListRequest) { w.watches = append(w.watches, c) }
+
+func (w *fakeTransport) Ping(id balancer.ServerID, _ string) bool {
+	if w.pingsFail {
+		return false
+	}
+	w.pings = append(w.pings, id)
+	return true
+}
+
+// testSettings returns settings with one class, one tenant and two zones.
+func testSettings() settings.Settings {
+	return settings.Settings{
+		Settings: balancer.Settings{
+			NodeCount:         1,
+			PollList:          true,
+			MaxAttempts:       4,
+			MayCancel:         true,
+			MaxRetryAfter:     time.Second,
+			DrainGrace:        400 * time.Millisecond,
+			SlowStartDuration: time.Second,
+			SlowStartFraction: 0.5,
+			CollapseMultiple:  4,
+			CollapseWindow:    time.Second,
+			PollInterval:      10 * time.Second,
+			Classes: []balancer.Class{{
+				SetupLatencyObjective:   300 * time.Millisecond,
+				Deadline:                2 * time.Second,
+				MessageLatencyObjective: 60 * time.Millisecond,
+				PriorityWeight:          1,
+			}},
+		},
+		ClassNames:       []string{"chat"},
+		TenantNames:      []string{"acme"},
+		ZoneNames:        []string{"a", "b"},
+		ConnectionGroups: true,
+	}
+}
+
+// endpoint returns an entry of the endpoint list.
+func endpoint(id string, phase wire.Phase) wire.Endpoint {
+	return wire.Endpoint{ID: id, Addr: id + ":1", Zone: "a", Size: 1, Phase: phase}
+}
+
+// snapshotOf returns a complete endpoint list.
+func snapshotOf(revision int64, endpoints ...wire.Endpoint) *wire.EndpointList {
+	return &wire.EndpointList{Revision: revision, Complete: true, Endpoints: endpoints}
+}
+
+// changesOf returns a list of changed endpoints.
+func changesOf(revision int64, endpoints ...wire.Endpoint) *wire.EndpointList {
+	return &wire.EndpointList{Revision: revision, Endpoints: endpoints}
+}
+
+// newTestNode returns a node whose loop does not run: the test passes events to handle.
+func newTestNode(t *testing.T, known ...wire.Endpoint) (*Node, *fakeTransport, *observer.ObservedLogs) {
+	t.Helper()
+	core, logs := observer.New(zap.InfoLevel)
+	transport := &fakeTransport{}
+	return New(testSettings(), *snapshotOf(7, known...), "d:1", transport, zap.New(core)), transport, logs
+}
+
+// parseOpening parses an opening line.
+func parseOpening(t *testing.T, line string) *wire.Opening {
+	t.Helper()
+	_, o, err := wire.ParseOpening([]byte(line))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return &o
+}
+
+// arrive passes a client's opening line to the node.
+func arrive(t *testing.T, n *Node, id string) *fakeConn {
+	t.Helper()
+	p := &fakeConn{}
+	n.handle(requestArrived{
+		requestRef: requestRef{id: balancer.RequestID(id), conn: p},
+		opening:    parseOpening(t, "OPEN "+id+" key c=chat,t=acme,d=2000"),
+		deadline:   time.Now().Add(2 * time.Second),
+	})
+	return p
+}
+
+// endAttemptEvent returns the event of an attempt's outcome.
+func endAttemptEvent(id string, n int, o balancer.Outcome) event {
+	return attemptEnded{
+		requestRef: requestRef{id: balancer.RequestID(id)},
+		attempt:    n,
+		took:       time.Millisecond,
+		outcome:    o,
+	}
+}
+
+// establishedEvent returns the event of an established connection.
+func establishedEvent(id string, n int) event {
+	return connectionEstablished{
+		requestRef: requestRef{id: balancer.RequestID(id)},
+		attempt:    n,
+		took:       time.Millisecond,
+	}
+}
+
+// establish passes an opening line to the node and establishes its connection.
+func establish(t *testing.T, n *Node, id string) *fakeConn {
+	t.Helper()
+	p := arrive(t, n, id)
+	n.handle(establishedEvent(id, 0))
+	return p
+}
--- /dev/null
+++ b/internal/node/loop_test.go
@@ -0,0 +1,66 @@
+package node
+
+import (
+	"context"
+	"fmt"
+	"sync"
+	"testing"
+	"time"
+
+	"onyxstream/balancer"
+	"onyxstream/internal/wire"
+)
+
+// A panic in the handling of one event must not end the loop.
+func TestEvent_HandlerPanics_LoopGoesOn(t *testing.T) {
+	n, _, logs := newTestNode(t, endpoint("s1", wire.Serving))
+	n.recoverPanics(func() { n.handle(listReceived{}) }) // without a list
+	if logs.FilterMessage("panic while handling event").Len() != 1 {
+		t.Error("the panic is not logged")
+	}
+	if p := arrive(t, n, "r"); p.recorded() != "send 0 s1:1" {
+		t.Errorf("after it: %s", p.recorded())
+	}
+}
+
+// Many connections post events while the loop runs; all requests end. Meant for the race detector.
+func TestRun_ManyConcurrentConnections_AllEnd(t *testing.T) {
+	n, _, _ := newTestNode(t, endpoint("s1", wire.Serving), endpoint("s2", wire.Serving))
+	ctx, cancel := context.WithCancel(context.Background())
+	ended := make(chan struct{})
+	go func() {
+		defer close(ended)
+		_ = n.Run(ctx)
+	}()
+	var all sync.WaitGroup
+	for i := range 50 {
+		all.Add(1)
+		go func() {
+			defer all.Done()
+			id := balancer.RequestID(fmt.Sprint(i))
+			o := parseOpening(t, fmt.Sprintf("OPEN %d key%d c=chat,d=2000", i, i))
+			p := &fakeConn{}
+			n.RequestArrived(o, time.Now().Add(2*time.Second), p)
+			n.AttemptConnected(id, p, 0)
+			n.ConnectionEstablished(id, p, 0, time.Millisecond)
+			n.ReportLoad(id, p, float64(i))
+			n.ListReceived(1, changesOf(int64(i), endpoint(fmt.Sprint("n", i%5), wire.Serving)))
+			n.AttemptEnded(id, p, 0, time.Millisecond, balancer.Served)
+		}()
+	}
+	all.Wait()
+	// Earlier events have been handled once this one is answered.
+	resumed := parseOpening(t, "OPEN resumed key c=chat,t=acme,at=s1")
+	if addr, ok := n.ResumeConnection(resumed, &fakeConn{}); addr != "s1:1" || !ok {
+		t.Errorf("resumed at %q, %v", addr, ok)
+	}
+	if n.InFlightRequests() != 0 || n.EstablishedConnections() != 0 {
+		t.Errorf("%d in flight, %d established", n.InFlightRequests(), n.EstablishedConnections())
+	}
+	cancel()
+	<-ended
+	n.ClientDisconnected("1", &fakeConn{}, 0) // must not block
+	if _, ok := n.ResumeConnection(resumed, &fakeConn{}); ok {
+		t.Error("an ended loop answers")
+	}
+}
--- /dev/null
+++ b/internal/node/requests_test.go
@@ -0,0 +1,218 @@
+package node
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+	"time"
+
+	"onyxstream/balancer"
+	"onyxstream/internal/wire"
+)
+
+func TestRequest_ServedAndEnded_IsReleased(t *testing.T) {
+	n, _, _ := newTestNode(t, endpoint("s1", wire.Serving))
+	p := arrive(t, n, "r")
+	if p.recorded() != "send 0 s1:1" || n.InFlightRequests() != 1 {
+		t.Fatalf("%s; %d in flight", p.recorded(), n.InFlightRequests())
+	}
+	n.handle(attemptConnected{requestRef: requestRef{id: "r"}})
+	n.handle(establishedEvent("r", 0))
+	if p.recorded() != "send 0 s1:1, proceed 0 true" || n.InFlightRequests() != 0 || n.EstablishedConnections() != 1 {
+		t.Fatalf("%s; %d in flight, %d established", p.recorded(), n.InFlightRequests(), n.EstablishedConnections())
+	}
+	n.handle(&loadReported{requestRef: requestRef{id: "r"}, load: 5})
+	n.handle(endAttemptEvent("r", 0, balancer.Served))
+	if n.EstablishedConnections() != 0 || len(n.requests) != 0 {
+		t.Errorf("%d established, %d requests kept", n.EstablishedConnections(), len(n.requests))
+	}
+}
+
+func TestRequest_AllHostsFail_RejectedAtOnce(t *testing.T) {
+	n, _, _ := newTestNode(t, endpoint("s1", wire.Serving), endpoint("s2", wire.Serving))
+	p := arrive(t, n, "r")
+	n.handle(endAttemptEvent("r", 0, balancer.ConnectFailed))
+	if len(p.sent) != 2 || p.sent[0].Addr == p.sent[1].Addr {
+		t.Fatalf("sent to %v", p.sent)
+	}
+	n.handle(endAttemptEvent("r", 1, balancer.Rejected))
+	if !strings.HasSuffix(p.recorded(), "reject true") || n.InFlightRequests() != 0 || len(n.requests) != 0 {
+		t.Errorf("%s; %d in flight, %d requests kept", p.recorded(), n.InFlightRequests(), len(n.requests))
+	}
+}
+
+// Events that come twice, late or for another attempt are ignored.
+func TestRequest_LateOrDuplicateEvents_Ignored(t *testing.T) {
+	n, _, _ := newTestNode(t, endpoint("s1", wire.Serving), endpoint("s2", wire.Serving))
+	p := arrive(t, n, "r")
+	n.handle(endAttemptEvent("r", 0, balancer.Errored))
+	calls := p.recorded()
+	n.handle(endAttemptEvent("r", 0, balancer.Errored))
+	n.handle(establishedEvent("r", 0))
+	n.handle(endAttemptEvent("r", 7, balancer.Rejected))
+	n.handle(endAttemptEvent("other", 0, balancer.Rejected))
+	n.handle(&loadReported{requestRef: requestRef{id: "r"}, load: 1})
+	if p.recorded() != calls {
+		t.Errorf("then also %s", p.recorded())
+	}
+	n.handle(attemptConnected{requestRef: requestRef{id: "r"}, attempt: 0})
+	if !strings.HasSuffix(p.recorded(), "proceed 0 false") {
+		t.Errorf("an attempt that is over may be written: %s", p.recorded())
+	}
+	again := arrive(t, n, "r")
+	if again.recorded() != "fail" || n.InFlightRequests() != 1 {
+		t.Errorf("id in use: %s; %d in flight", again.recorded(), n.InFlightRequests())
+	}
+}
+
+func TestClientDisconnected_AttemptInFlight_Released(t *testing.T) {
+	n, _, _ := newTestNode(t, endpoint("s1", wire.Serving))
+	p := arrive(t, n, "r")
+	n.handle(clientDisconnected{requestRef: requestRef{id: "r"}, attemptsTaken: 1})
+	if !strings.HasSuffix(p.recorded(), "cancel 0") || n.InFlightRequests() != 0 || len(n.requests) != 1 {
+		t.Fatalf("%s; %d in flight, %d requests kept", p.recorded(), n.InFlightRequests(), len(n.requests))
+	}
+	n.handle(endAttemptEvent("r", 0, balancer.Cancelled))
+	if len(n.requests) != 0 || strings.Contains(p.recorded(), "reject") {
+		t.Errorf("%s; %d requests kept", p.recorded(), len(n.requests))
+	}
+	// An attempt that the ended connection never received must be released by the loop.
+	arrive(t, n, "q")
+	n.handle(clientDisconnected{requestRef: requestRef{id: "q"}, attemptsTaken: 0})
+	if len(n.requests) != 0 || n.InFlightRequests() != 0 {
+		t.Errorf("%d requests kept, %d in flight", len(n.requests), n.InFlightRequests())
+	}
+}
+
+func TestArrival_UnknownClass_Failed(t *testing.T) {
+	n, _, logs := newTestNode(t, endpoint("s1", wire.Serving))
+	p := &fakeConn{}
+	n.handle(requestArrived{
+		requestRef: requestRef{id: "r", conn: p},
+		opening:    parseOpening(t, "OPEN r key c=odd"),
+		deadline:   time.Now().Add(time.Second),
+	})
+	if p.recorded() != "fail" || len(n.requests) != 0 || logs.FilterMessageSnippet("class").Len() != 1 {
+		t.Errorf("%s; %d requests kept", p.recorded(), len(n.requests))
+	}
+}
+
+func TestArrival_OpeningFields_ReachBalancer(t *testing.T) {
+	n, _, _ := newTestNode(t)
+	a := n.toArrival(parseOpening(t, "OPEN r key c=chat,t=acme,g=grp,mid=1,again=1,r=1"), time.Second)
+	want := balancer.Arrival{
+		ID:        "r",
+		Key:       "key",
+		Group:     "grp",
+		TimeLeft:  time.Second,
+		MidFlow:   true,
+		Reconnect: true,
+		Retry:     true,
+	}
+	if a != want {
+		t.Errorf("%+v, want %+v", a, want)
+	}
+	n.settings.ConnectionGroups = false
+	if a := n.toArrival(parseOpening(t, "OPEN r key c=chat,g=client"), 0); a.Group != "" || a.Tenant != -1 {
+		t.Errorf("without groups: %+v", a)
+	}
+}
+
+func TestInherited_ConnectionEnds_IsReleased(t *testing.T) {
+	n, _, _ := newTestNode(t, endpoint("s1", wire.Serving))
+	for i, host := range []string{"s1", "unlisted"} {
+		id := balancer.RequestID(fmt.Sprint("r", i))
+		ref := requestRef{id: id, conn: &fakeConn{}}
+		line := parseOpening(t, "OPEN "+string(id)+" key c=chat,at="+host)
+		reply := make(chan resumePoint, 1)
+		n.handle(connectionResumed{requestRef: ref, opening: line, reply: reply})
+		if got := <-reply; !got.available || (got.addr != "") != (host == "s1") {
+			t.Errorf("%s is at %+v", host, got)
+		}
+		n.handle(connectionInherited{requestRef: ref, opening: line})
+		if n.EstablishedConnections() != 1 || n.InFlightRequests() != 0 {
+			t.Errorf("at %s: %d established, %d in flight", host, n.EstablishedConnections(), n.InFlightRequests())
+		}
+		n.handle(endAttemptEvent(string(id), 0, balancer.Served))
+		if n.EstablishedConnections() != 0 || len(n.requests) != 0 {
+			t.Errorf("at %s: %d established, %d requests kept after the end", host, n.EstablishedConnections(), len(n.requests))
+		}
+	}
+}
+
+// The client chooses the request id. A second client with the id of an open request gets an error, and its events don't
+// affect the first one.
+func TestRequest_DuplicateID_SecondFailsFirstUnaffected(t *testing.T) {
+	n, _, _ := newTestNode(t, endpoint("s1", wire.Serving))
+	first := arrive(t, n, "r")
+	sendDuplicate := func() {
+		t.Helper()
+		second := arrive(t, n, "r")
+		if second.recorded() != "fail" {
+			t.Errorf("the second got %q", second.recorded())
+		}
+		line := parseOpening(t, "OPEN r key c=chat,at=s1")
+		reply := make(chan resumePoint, 1)
+		n.handle(connectionResumed{requestRef: requestRef{id: "r", conn: &fakeConn{}}, opening: line, reply: reply})
+		if got := <-reply; got.available {
+			t.Error("the id is available to a second connection")
+		}
+		ref := requestRef{id: "r", conn: second}
+		for _, e := range []event{
+			clientDisconnected{requestRef: ref},
+			attemptConnected{requestRef: ref},
+			connectionEstablished{requestRef: ref, took: time.Hour},
+			&loadReported{requestRef: ref, load: 5},
+			connectionInherited{requestRef: ref, opening: line},
+			attemptEnded{requestRef: ref, outcome: balancer.ConnectionReset},
+		} {
+			n.handle(e)
+		}
+	}
+	sendDuplicate()
+	if n.InFlightRequests() != 1 || first.recorded() != "send 0 s1:1" {
+		t.Fatalf("%d in flight; the first got %q", n.InFlightRequests(), first.recorded())
+	}
+	n.handle(connectionEstablished{requestRef: requestRef{id: "r", conn: first}, took: time.Millisecond})
+	sendDuplicate()
+	if n.InFlightRequests() != 0 || n.EstablishedConnections() != 1 {
+		t.Errorf("%d in flight, %d established", n.InFlightRequests(), n.EstablishedConnections())
+	}
+	n.handle(attemptEnded{requestRef: requestRef{id: "r", conn: first}, outcome: balancer.Served})
+	if n.EstablishedConnections() != 0 || len(n.requests) != 0 {
+		t.Errorf("%d established, %d requests kept after the end", n.EstablishedConnections(), len(n.requests))
+	}
+}
+
+// A connection of an earlier process that never reconnects to its host is released.
+func TestResume_ConnectionNeverUp_IsReleased(t *testing.T) {
+	n, _, _ := newTestNode(t, endpoint("s1", wire.Serving))
+	ref := requestRef{id: "r", conn: &fakeConn{}}
+	resume := connectionResumed{
+		requestRef: ref,
+		opening:    parseOpening(t, "OPEN r key c=chat,at=s1"),
+		reply:      make(chan resumePoint, 2),
+	}
+	n.handle(resume)
+	n.handle(resume) // a retry
+	n.handle(clientDisconnected{requestRef: ref})
+	if len(n.requests) != 0 || n.InFlightRequests() != 0 || n.EstablishedConnections() != 0 {
+		t.Errorf("%d requests kept, %d in flight, %d established",
+			len(n.requests), n.InFlightRequests(), n.EstablishedConnections())
+	}
+}
+
+func TestHasClassAndTenant_NamesInSettings_Reported(t *testing.T) {
+	n, _, _ := newTestNode(t)
+	for fields, want := range map[string]bool{
+		"c=chat,t=acme":  true,
+		"c=chats,t=acme": false,
+		"t=acme":         false,
+		"c=chat,t=acne":  false,
+		"c=chat":         false,
+	} {
+		if got := n.HasClassAndTenant(parseOpening(t, "OPEN r key "+fields)); got != want {
+			t.Errorf("%s: known %v, want %v", fields, got, want)
+		}
+	}
+}
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -9,44 +9,48 @@
 	"onyxstream/internal/wire"
 )
 
-// A client may wait for longer than a node lasts that was told to stop: whoever is owed an answer at the end has one
-// from the module, and nothing new is begun for it.
+// A client's deadline may lie after the shutdown: each request in flight gets one final answer at the shutdown, and no
+// attempt is started after it.
 func TestShutdown_RequestsInFlight_EachAnsweredOnce(t *testing.T) {
 	n, _, _ := newTestNode(t, endpoint("s1", wire.Serving), endpoint("s2", wire.Serving))
-	up, waits, dials, mid := arrive(t, n, "up"), arrive(t, n, "waits"), arrive(t, n, "dials"), &fakeConn{}
+	established := arrive(t, n, "up")
+	waiting := arrive(t, n, "waits")
+	dialling := arrive(t, n, "dials")
+	midFlow := &fakeConn{}
 	n.handle(attemptConnected{requestRef: requestRef{id: "up"}})
-	n.handle(opened("up", 0))
+	n.handle(establishedEvent("up", 0))
 	n.handle(attemptConnected{requestRef: requestRef{id: "waits"}})
 	n.handle(requestArrived{
-		requestRef: requestRef{id: "mid", conn: mid},
-		opening:    opening(t, "OPEN mid key c=chat,t=acme,d=2000,mid=1"),
+		requestRef: requestRef{id: "mid", conn: midFlow},
+		opening:    parseOpening(t, "OPEN mid key c=chat,t=acme,d=2000,mid=1"),
 		deadline:   time.Now().Add(2 * time.Second),
 	})
 	n.handle(shutdownRequested{deadline: time.Now().Add(time.Hour)})
 	if n.timeToShutdown(time.Now()) == 0 || n.InFlightRequests() != 3 {
-		t.Fatalf("ends in %v, %d owed", n.timeToShutdown(time.Now()), n.InFlightRequests())
+		t.Fatalf("shutdown in %v, %d in flight", n.timeToShutdown(time.Now()), n.InFlightRequests())
 	}
 	n.answerInFlight()
 	n.handle(attemptConnected{requestRef: requestRef{id: "dials"}})
 	for _, id := range []string{"waits", "dials", "mid"} {
-		n.handle(settled(id, 0, balancer.Cancelled))
+		n.handle(endAttemptEvent(id, 0, balancer.Cancelled))
 	}
 	late := arrive(t, n, "late")
-	for name, p := range map[string]*fakeConn{"waits": waits, "dials": dials, "mid": mid, "late": late} {
-		said := p.recorded()
-		if strings.Count(said, "refuse")+strings.Count(said, "fail") != 1 || strings.Count(said, "send") > 1 {
-			t.Errorf("%s: %s", name, said)
+	for name, p := range map[string]*fakeConn{"waits": waiting, "dials": dialling, "mid": midFlow, "late": late} {
+		calls := p.recorded()
+		if strings.Count(calls, "reject")+strings.Count(calls, "fail") != 1 || strings.Count(calls, "send") > 1 {
+			t.Errorf("%s: %s", name, calls)
 		}
 	}
-	if !strings.Contains(dials.recorded(), "go 0 false") || !strings.Contains(late.recorded(), "refuse") {
-		t.Errorf("%s; %s", dials.recorded(), late.recorded())
+	if !strings.Contains(dialling.recorded(), "proceed 0 false") || !strings.Contains(late.recorded(), "reject") {
+		t.Errorf("%s; %s", dialling.recorded(), late.recorded())
 	}
-	if n.InFlightRequests() != 0 || n.EstablishedConnections() != 1 || strings.Contains(up.recorded(), "cancel") {
-		t.Errorf("%d owed, %d open; %s", n.InFlightRequests(), n.EstablishedConnections(), up.recorded())
+	if n.InFlightRequests() != 0 || n.EstablishedConnections() != 1 || strings.Contains(established.recorded(), "cancel") {
+		t.Errorf("%d in flight, %d established; %s", n.InFlightRequests(), n.EstablishedConnections(), established.recorded())
 	}
 }
 
-// What comes to a node that ends soon has only as long as the node: another host is tried in time.
+// A request that arrives during a graceful shutdown has time only until its deadline, so that another host is tried in
+// time.
 func TestArrival_NodeShuttingDown_TimeLeftIsBounded(t *testing.T) {
 	n, _, _ := newTestNode(t, endpoint("s1", wire.Serving))
 	n.handle(shutdownRequested{deadline: time.Now().Add(50 * time.Millisecond)})
--- a/internal/node/wallclock_test.go
+++ b/internal/node/wallclock_test.go
@@ -8,8 +8,8 @@
 	"onyxstream/internal/wire"
 )
 
-// A host that has just started is known as that after the machine's clock was stepped, and one that started before the
-// step is taken for no older than it is.
+// A host that has started after a step of the wall clock has its real age, and one that has started before it passes
+// for no older than it is.
 func TestWallClock_Stepped_StartAgesKept(t *testing.T) {
 	const begin, age = 1000 * time.Hour, 2 * time.Second
 	for _, step := range []time.Duration{0, time.Hour, -time.Hour, 3 * time.Second, -3 * time.Second} {
@@ -31,7 +31,7 @@
 	}
 }
 
-// A start that lies ahead of the clock is one of now: nobody starts later than told.
+// A start in the future counts as now.
 func TestWallClock_StartAhead_IsNow(t *testing.T) {
 	var c wallClock
 	c.observe(time.Hour, time.Hour)
@@ -40,17 +40,19 @@
 	}
 }
 
-// A node that is held up for 0.15 s between its last look and the write keeps to the grace of a drain.
+// A process that is suspended for 0.15 s between the check and the write keeps the drain grace.
 func TestHostAcceptsWrites_DelayBeforeWrite_GraceKept(t *testing.T) {
-	const heldUp = 150 * time.Millisecond
+	const delay = 150 * time.Millisecond
 	n, _, _ := newTestNode(t, endpoint("a", wire.Serving))
 	m := n.hosts["a"]
 	m.state = balancer.Draining
-	for _, grace := range []time.Duration{50 * time.Millisecond, 100 * time.Millisecond, 400 * time.Millisecond, 2 * time.Second} {
+	for _, grace := range []time.Duration{
+		50 * time.Millisecond, 100 * time.Millisecond, 400 * time.Millisecond, 2 * time.Second,
+	} {
 		n.settings.DrainGrace = grace
-		m.notifiedAt = time.Now().Add(heldUp - grace) // a write after the hold-up comes just past the grace
+		m.notifiedAt = time.Now().Add(delay - grace) // a write after the delay comes just after the grace
 		if n.hostAcceptsWrites(m) {
-			t.Errorf("a grace of %v: a line may go %v before its end", grace, heldUp)
+			t.Errorf("a grace of %v: a line may go %v before its end", grace, delay)
 		}
 	}
 	n.settings.DrainGrace = 2 * time.Second
--- a/internal/node/writecheck_test.go
+++ b/internal/node/writecheck_test.go
@@ -1,32 +1,39 @@
 package node
 
 import (
+	"strings"
 	"testing"
 	"time"
 
+	"go.uber.org/zap"
+
 	"onyxstream/balancer"
 	"onyxstream/internal/invariant"
 	"onyxstream/internal/wire"
 )
 
-// The guard says why a line may not be written, for each reason that there is.
-func TestMayWrite_EachDenial_IsReturned(t *testing.T) {
+// checkWrite returns the reason for which a write is denied.
+func TestCheckWrite_EachDenial_IsReturned(t *testing.T) {
 	long := time.Now().Add(-time.Hour)
 	for _, c := range []struct {
 		name   string
 		change func(n *Node, r *request)
 		want   writeDenial
 	}{
-		{"it may", func(*Node, *request) {}, ""},
-		{"the attempt has ended", func(_ *Node, r *request) { r.attemptActive = false }, denyAttemptOver},
-		{"it is up", func(_ *Node, r *request) { r.established = true }, denyAttemptOver},
-		{"another was sent", func(_ *Node, r *request) { r.attempts++ }, denyConcurrentAttempt},
-		{"the node has ended", func(n *Node, _ *request) { n.shutDown = true }, denyShutdown},
-		{"the node drains", func(n *Node, _ *request) { n.admissionCutoff = long }, denyNodeDraining},
-		{"the node drains, mid-flow", func(n *Node, r *request) { n.admissionCutoff, r.midFlow = long, true }, ""},
-		{"the host drains", func(_ *Node, r *request) { r.host.state, r.host.notifiedAt = balancer.Draining, long }, denyHostDraining},
-		{"the host has just begun to drain", func(_ *Node, r *request) { r.host.state, r.host.notifiedAt = balancer.Draining, time.Now() }, ""},
-		{"an unsafe one that may have run", func(n *Node, r *request) {
+		{"allowed", func(*Node, *request) {}, ""},
+		{"attempt has ended", func(_ *Node, r *request) { r.attemptActive = false }, denyAttemptOver},
+		{"established", func(_ *Node, r *request) { r.established = true }, denyAttemptOver},
+		{"another attempt was started", func(_ *Node, r *request) { r.attempts++ }, denyConcurrentAttempt},
+		{"node has shut down", func(n *Node, _ *request) { n.shutDown = true }, denyShutdown},
+		{"node drains", func(n *Node, _ *request) { n.admissionCutoff = long }, denyNodeDraining},
+		{"node drains, mid-flow", func(n *Node, r *request) { n.admissionCutoff, r.midFlow = long, true }, ""},
+		{"host drains", func(_ *Node, r *request) {
+			r.host.state, r.host.notifiedAt = balancer.Draining, long
+		}, denyHostDraining},
+		{"within the drain grace", func(_ *Node, r *request) {
+			r.host.state, r.host.notifiedAt = balancer.Draining, time.Now()
+		}, ""},
+		{"unsafe retry", func(n *Node, r *request) {
 			n.settings.Classes[0].Effect, r.mayHaveExecutedAt = balancer.NonIdempotent, long
 		}, denyUnsafeRetry},
 	} {
@@ -40,21 +47,23 @@
 	}
 }
 
-// What was written past the guard is counted by the rule that it breaks.
+// A write that violates a rule is counted by that rule.
 func TestAttemptWritten_RuleViolated_IsCounted(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		change func(n *Node, r *request)
 		want   map[invariant.Rule]uint64
 	}{
-		{"a right one", func(*Node, *request) {}, nil},
+		{"valid", func(*Node, *request) {}, nil},
 		{"to a drained host", func(n *Node, r *request) {
 			r.host.state, r.host.notifiedAt = balancer.Removed, time.Now().Add(-n.settings.DrainGrace-time.Millisecond)
 		}, map[invariant.Rule]uint64{invariant.SentToDrained: 1}},
-		{"a repeat", func(n *Node, r *request) {
+		{"unsafe retry", func(n *Node, r *request) {
 			n.settings.Classes[0].Effect, r.mayHaveExecutedAt = balancer.NonIdempotent, time.Now()
 		}, map[invariant.Rule]uint64{invariant.UnsafeRetry: 1}},
-		{"beside another", func(_ *Node, r *request) { r.attempts++ }, map[invariant.Rule]uint64{invariant.ConcurrentAttempt: 1}},
+		{"concurrent attempt", func(_ *Node, r *request) {
+			r.attempts++
+		}, map[invariant.Rule]uint64{invariant.ConcurrentAttempt: 1}},
 	} {
 		n, _, _ := newTestNode(t, endpoint("a", wire.Serving))
 		p := arrive(t, n, "r")
@@ -62,14 +71,13 @@
 		n.handle(attemptWritten{requestRef: requestRef{id: "r", conn: p}, at: time.Now()})
 		for _, rule := range invariant.Rules() {
 			if got := n.Monitor().Count(rule); got != c.want[rule] {
-				t.Errorf("%s: %q is counted %d times, want %d", c.name, rule, got, c.want[rule])
+				t.Errorf("%s: %q counted %d times, want %d", c.name, rule, got, c.want[rule])
 			}
 		}
 	}
 }
 
-// What a node sends a cold host past what all nodes may is counted, by the time in which the host falls, and nothing is of a
-// host that is warm.
+// Sends to a warming host beyond the budget of all nodes are counted per CollapseWindow. A warm host has no limit.
 func TestAttemptWritten_SlowStartExceeded_IsCounted(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -96,3 +104,67 @@
 		}
 	}
 }
+
+// An attempt counts as sent at its first byte: one that connects after the grace must not be written.
+func TestAttempt_HostDrainGraceOver_NotWritten(t *testing.T) {
+	n, _, _ := newTestNode(t, endpoint("s1", wire.Serving))
+	p := arrive(t, n, "r")
+	n.applyList(changesOf(8, endpoint("s1", wire.Draining)), balancer.ListDelta, false)
+	n.handle(attemptConnected{requestRef: requestRef{id: "r"}})
+	if !strings.HasSuffix(p.recorded(), "proceed 0 true") {
+		t.Fatalf("within the grace: %s", p.recorded())
+	}
+	n.hosts["s1"].notifiedAt = time.Now().Add(-n.settings.DrainGrace)
+	n.handle(attemptConnected{requestRef: requestRef{id: "r"}})
+	if !strings.HasSuffix(p.recorded(), "proceed 0 false") {
+		t.Fatalf("after the grace: %s", p.recorded())
+	}
+	// A second notification, or the removal, does not start another grace.
+	n.applyList(changesOf(9, endpoint("s1", wire.Removed)), balancer.ListDelta, false)
+	if n.hostAcceptsWrites(n.hosts["s1"]) {
+		t.Error("a second notification starts another grace")
+	}
+	n.applyList(changesOf(10, endpoint("s1", wire.Serving)), balancer.ListDelta, false)
+	if !n.hostAcceptsWrites(n.hosts["s1"]) {
+		t.Error("a host that serves again is not written to")
+	}
+}
+
+// A retry that connects after the idempotency window must not be written, whenever it was chosen.
+func TestRetry_IdempotencyWindowOver_NotWritten(t *testing.T) {
+	for _, c := range []struct {
+		name   string
+		effect balancer.Effect
+		first  balancer.Outcome
+		past   bool // the window is over when the retry connects
+		want   string
+	}{
+		{"in time", balancer.IdempotentByKey, balancer.ResponseTimeout, false, "proceed 1 true"},
+		{"late", balancer.IdempotentByKey, balancer.ResponseTimeout, true, "proceed 1 false"},
+		{"late, first attempt not executed", balancer.IdempotentByKey, balancer.ConnectFailed, true, "proceed 1 true"},
+		{"late, idempotent class", balancer.Idempotent, balancer.ResponseTimeout, true, "proceed 1 true"},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			window := time.Hour
+			if c.past {
+				window = 100 * time.Millisecond
+			}
+			set := testSettings()
+			set.Classes[0].Effect, set.Classes[0].IdempotencyWindow = c.effect, window
+			known := *snapshotOf(7, endpoint("s1", wire.Serving), endpoint("s2", wire.Serving))
+			n := New(set, known, "d:1", &fakeTransport{}, zap.NewNop())
+			p := arrive(t, n, "r")
+			n.handle(endAttemptEvent("r", 0, c.first))
+			if len(p.sent) != 2 {
+				t.Fatalf("sent to %v", p.sent)
+			}
+			if c.past {
+				time.Sleep(window)
+			}
+			n.handle(attemptConnected{requestRef: requestRef{id: "r"}, attempt: 1})
+			if !strings.HasSuffix(p.recorded(), c.want) {
+				t.Errorf("%s; want %s", p.recorded(), c.want)
+			}
+		})
+	}
+}
