--- a/internal/coldstart/coldstart.go
+++ b/internal/coldstart/coldstart.go
@@ -40,8 +40,8 @@
 	return s
 }
 
-// CallDue reports whether the service is to be called now. If so the call counts as in flight until CallFailed. It may be
-// asked at any time.
+// CallDue reports whether the service is to be called now. If so the call counts as in flight until CallFailed. It
+// may be asked at any time.
 func (s *Scheduler) CallDue(now time.Duration) bool {
 	if s.callInFlight {
 		return false
@@ -118,8 +118,8 @@
 	return time.Duration(s.rng.Float64() * float64(interval))
 }
 
-// CallFailed records that a call failed, or that its watch broke. retryAfter is what the service asked for, 0 for nothing;
-// it is honoured up to the longest backoff.
+// CallFailed records that a call failed, or that its watch broke. retryAfter is what the service asked for, 0 for
+// nothing; it is honoured up to the longest backoff.
 func (s *Scheduler) CallFailed(now time.Duration, retryAfter time.Duration) {
 	longest := maxBackoffPolls * s.cfg.PollInterval
 	s.callInFlight = false
--- a/internal/coldstart/coldstart_test.go
+++ b/internal/coldstart/coldstart_test.go
@@ -12,135 +12,52 @@
 	"onyxstream/internal/wire"
 )
 
-// The same verdict every time: other draws are had by -rapid.seed.
+// The properties are checked with the same draws each time; -rapid.seed overrides that.
 func init() { _ = flag.Set("rapid.seed", "1") }
 
-const (
-	ms           = time.Millisecond
-	pollInterval = 10 * time.Second
-)
-
-// fakeService is a list service in virtual time: calls in turn, 10 ms each, those that would wait a second turned away then.
-type fakeService struct {
-	freeAt     time.Duration
-	downUntil  time.Duration // until then every call is reset
-	retryAfter time.Duration // the Retry-After of what is turned away
-	calledAt   []time.Duration
-	rejected   int
-}
-
-// runFleet plays n starts against a service, with peers that pass on to all within 100 ms where they do, and says when each
-// node was told first.
-func runFleet(n int, peers bool, s *fakeService, until time.Duration) (receivedAt []time.Duration) {
-	type answer struct {
-		node int
-		at   time.Duration
-		ok   bool
-	}
-	var all []*Scheduler
-	var answers []answer
-	receivedAt = make([]time.Duration, n)
-	for i := range n {
-		all = append(all, New(Config{NodeCount: n, Index: i, PollInterval: pollInterval, Peers: peers, Service: "s"},
-			rand.New(rand.NewPCG(uint64(i), 7)), 0, NoSource, Offer{}))
-	}
-	first := time.Duration(0)
-	for now := time.Duration(0); now < until; now += 10 * ms {
-		left := answers[:0]
-		for _, a := range answers {
-			switch {
-			case a.at > now:
-				left = append(left, a)
-			case a.ok:
-				all[a.node].ListReceived(now, 1, 5)
-				if receivedAt[a.node] == 0 {
-					receivedAt[a.node] = now
-				}
-				if first == 0 {
-					first = now
-				}
-			default:
-				all[a.node].CallFailed(now, s.retryAfter)
-			}
-		}
-		answers = left
-		for i, x := range all {
-			if peers && now%(2*time.Second) == time.Duration(i%200)*10*ms { // each hears of others every other second
-				x.PeerContacted(now)
-			}
-			if peers && first > 0 && now >= first+100*ms && !x.listReceived {
-				if v, _ := x.ConsiderPeerList(now, Offer{Service: "s", Revision: 1, Age: 50 * ms, Hosts: 5}); v == Adopt && receivedAt[i] == 0 {
-					receivedAt[i] = now
-				}
-			}
-			if !x.CallDue(now) {
-				continue
-			}
-			s.calledAt = append(s.calledAt, now)
-			switch begins := max(s.freeAt, now); {
-			case now < s.downUntil:
-				answers = append(answers, answer{i, now + 10*ms, false})
-			case begins-now > time.Second:
-				s.rejected++
-				answers = append(answers, answer{i, now + time.Second, false})
-			default:
-				s.freeAt = begins + 10*ms
-				answers = append(answers, answer{i, s.freeAt, true})
-			}
-		}
-	}
-	return receivedAt
-}
-
-func lastReceived(told []time.Duration) (most time.Duration) {
-	for _, at := range told {
-		if at == 0 {
-			return time.Hour
-		}
-		most = max(most, at)
-	}
-	return most
-}
-
-// Hundreds that ask at once jam the service; what one told passes on spares it. Calls may not grow with the fleet.
+// Hundreds of simultaneous calls overload the service. With gossip the number of calls must not grow with the fleet.
 func TestCalls_FleetStarts_StayFew(t *testing.T) {
 	for _, n := range []int{3, 50, 150, 300, 600} {
 		s := &fakeService{}
-		told := runFleet(n, true, s, 5*time.Second)
-		if len(s.calledAt) > 12 || s.rejected > 0 || lastReceived(told) > 2*time.Second {
-			t.Errorf("%d nodes, lists passed on: %d calls, %d turned away, all told after %v", n, len(s.calledAt), s.rejected, lastReceived(told))
+		receivedAt := runFleet(n, true, s, 5*time.Second)
+		if len(s.calledAt) > 12 || s.rejected > 0 || lastReceived(receivedAt) > 2*time.Second {
+			t.Errorf("%d nodes with gossip: %d calls, %d rejected, all have the list after %v",
+				n, len(s.calledAt), s.rejected, lastReceived(receivedAt))
 		}
 		s = &fakeService{}
-		told = runFleet(n, false, s, 15*time.Second)
-		if len(s.calledAt) > n*11/10 || lastReceived(told) > pollInterval {
-			t.Errorf("%d nodes, each for itself: %d calls, %d turned away, all told after %v", n, len(s.calledAt), s.rejected, lastReceived(told))
+		receivedAt = runFleet(n, false, s, 15*time.Second)
+		if len(s.calledAt) > n*11/10 || lastReceived(receivedAt) > pollInterval {
+			t.Errorf("%d nodes without gossip: %d calls, %d rejected, all have the list after %v",
+				n, len(s.calledAt), s.rejected, lastReceived(receivedAt))
 		}
 	}
 }
 
-// A service that is down was called faster the larger the fleet was. Its calls stay under a quarter of the 100 a second
-// that it can do, also while half a minute passes, and all are told soon once it is back.
+// Calls to a service that is down stay below a quarter of its capacity of 100 per second, and all nodes have the list
+// soon after it has recovered.
 func TestCalls_ServiceDown_StayBelowItsCapacity(t *testing.T) {
 	for _, down := range []time.Duration{5 * time.Second, 60 * time.Second} {
 		for _, n := range []int{50, 300, 600} {
 			s := &fakeService{downUntil: down}
-			told := runFleet(n, true, s, down+20*time.Second)
-			in := 0
+			receivedAt := runFleet(n, true, s, down+20*time.Second)
+			callsWhileDown := 0
 			for _, at := range s.calledAt {
 				if at < down {
-					in++
+					callsWhileDown++
 				}
 			}
-			if rate := float64(in) / down.Seconds(); rate > 25 || lastReceived(told) > down+4*time.Second {
-				t.Errorf("%d nodes, down for %v: %.1f calls a second, all told after %v", n, down, rate, lastReceived(told))
+			rate := float64(callsWhileDown) / down.Seconds()
+			if rate > 25 || lastReceived(receivedAt) > down+4*time.Second {
+				t.Errorf("%d nodes, down for %v: %.1f calls per second, all have the list after %v",
+					n, down, rate, lastReceived(receivedAt))
 			}
 		}
 	}
 }
 
-// What the service says of when to come again holds, and neither nothing nor an hour makes a node call at once or never.
+// Retry-After is honoured; neither a missing one nor one of an hour makes a node call at once or never.
 func TestCallFailed_AnyRetryAfter_CalledAgainInTime(t *testing.T) {
-	for _, after := range []time.Duration{0, time.Second, time.Hour, -time.Hour, 1 << 62} {
+	for _, retryAfter := range []time.Duration{0, time.Second, time.Hour, -time.Hour, 1 << 62} {
 		s := New(Config{NodeCount: 300, PollInterval: pollInterval}, rand.New(rand.NewPCG(1, 2)), 0, NoSource, Offer{})
 		now := time.Duration(0)
 		next := func() time.Duration {
@@ -149,113 +66,134 @@
 					return now - from
 				}
 				if now-from > 10*maxBackoffPolls*pollInterval {
-					t.Fatalf("after %v it never calls again", after)
+					t.Fatalf("after Retry-After %v it never calls again", retryAfter)
 				}
 			}
 		}
 		next()
-		s.CallFailed(now, after)
-		if waited := next(); waited < min(after, maxBackoffPolls*pollInterval) || waited < 100*ms {
-			t.Errorf("told to come after %v it called after %v", after, waited)
+		s.CallFailed(now, retryAfter)
+		if waited := next(); waited < min(retryAfter, maxBackoffPolls*pollInterval) || waited < 100*ms {
+			t.Errorf("Retry-After %v: called after %v", retryAfter, waited)
 		}
 	}
 }
 
-// Offers in any order, of any age and of any service: what is held never goes back behind a newer one, is never counted
-// as younger than it is, and never takes the place of what the service itself tells.
+// For offers in any order, of any age and service: the held revision never decreases, its age is never understated, and
+// no offer replaces what the service keeps current.
 func TestPeerList_AnyOffers_RevisionNeverGoesBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := New(Config{NodeCount: 3, PollInterval: pollInterval, Peers: true, Service: "s"}, rand.New(rand.NewPCG(1, 2)), 0, NoSource, Offer{})
-		now, held, confirmed, own := time.Duration(0), int64(-1), time.Duration(-1), false
-		for range rapid.IntRange(1, 40).Draw(t, "n") {
+		cfg := Config{NodeCount: 3, PollInterval: pollInterval, Peers: true, Service: "s"}
+		s := New(cfg, rand.New(rand.NewPCG(1, 2)), 0, NoSource, Offer{})
+		now := time.Duration(0)
+		held := int64(-1)
+		confirmedAt := time.Duration(-1)
+		watching := false // the service keeps the node current
+		for range rapid.IntRange(1, 40).Draw(t, "events") {
 			now += time.Duration(rapid.IntRange(1, 5000).Draw(t, "ms")) * ms
-			switch rapid.IntRange(0, 5).Draw(t, "what") {
+			switch rapid.IntRange(0, 5).Draw(t, "event") {
 			case 0:
-				if own = own || s.CallDue(now); own {
-					held, confirmed = int64(rapid.IntRange(0, 9).Draw(t, "told")), now // also a lower one: it is the service
+				watching = watching || s.CallDue(now)
+				if watching {
+					held = int64(rapid.IntRange(0, 9).Draw(t, "service revision")) // the service may go back
+					confirmedAt = now
 					s.ListReceived(now, held, 3)
 				}
 			case 1:
-				if own {
+				if watching {
 					s.CallFailed(now, 0)
-					own = false
+					watching = false
 				}
 			default:
-				o := Offer{Service: rapid.SampledFrom([]string{"s", "s", "s", "other"}).Draw(t, "service"),
-					Revision: int64(rapid.IntRange(0, 9).Draw(t, "revision")), Hosts: rapid.IntRange(0, 3).Draw(t, "hosts"),
-					Age: time.Duration(rapid.IntRange(0, 30000).Draw(t, "age")) * ms}
-				v, why := s.ConsiderPeerList(now, o)
-				at := now - o.Age
-				fits := o.Service == "s" && o.Hosts > 0 && !own
+				offer := Offer{
+					Service:  rapid.SampledFrom([]string{"s", "s", "s", "other"}).Draw(t, "service"),
+					Revision: int64(rapid.IntRange(0, 9).Draw(t, "revision")),
+					Hosts:    rapid.IntRange(0, 3).Draw(t, "hosts"),
+					Age:      time.Duration(rapid.IntRange(0, 30000).Draw(t, "age")) * ms,
+				}
+				verdict, reason := s.ConsiderPeerList(now, offer)
+				offeredAt := now - offer.Age
+				usable := offer.Service == "s" && offer.Hosts > 0 && !watching
 				switch {
-				case v == Adopt && (!fits || o.Revision <= held), v == Confirm && (!fits || o.Revision != held || at <= confirmed):
-					t.Fatalf("%+v: verdict %d, held %d", o, v, held)
-				case v == Ignore && why == "":
-					t.Fatal("an offer is passed over without a reason")
-				case v == Adopt:
-					held, confirmed = o.Revision, at
-				case v == Confirm:
-					confirmed = at
+				case verdict == Adopt && (!usable || offer.Revision <= held),
+					verdict == Confirm && (!usable || offer.Revision != held || offeredAt <= confirmedAt):
+					t.Fatalf("%+v: verdict %d, held %d", offer, verdict, held)
+				case verdict == Ignore && reason == "":
+					t.Fatal("an offer is ignored without a reason")
+				case verdict == Adopt:
+					held = offer.Revision
+					confirmedAt = offeredAt
+				case verdict == Confirm:
+					confirmedAt = offeredAt
 				}
 			}
-			st := s.State(now)
-			if held >= 0 && (st.Revision != held || st.Age != now-confirmed) || st.Phase == CurrentList && st.Age > pollInterval {
-				t.Fatalf("held %d of %v, state %+v at %v", held, confirmed, st, now)
+			state := s.State(now)
+			wrongState := held >= 0 && (state.Revision != held || state.Age != now-confirmedAt)
+			if wrongState || state.Phase == CurrentList && state.Age > pollInterval {
+				t.Fatalf("held %d of %v, state %+v at %v", held, confirmedAt, state, now)
 			}
 		}
 	})
 }
 
-// A node whose others have fallen silent asks for itself as if there were none.
+// A node whose peers have fallen silent calls the service as if it had none.
 func TestCallDue_PeersFallSilent_NodeCalls(t *testing.T) {
-	s := New(Config{NodeCount: 300, Index: 99, PollInterval: pollInterval, Peers: true}, rand.New(rand.NewPCG(9, 2)), 0, NoSource, Offer{})
+	cfg := Config{NodeCount: 300, Index: 99, PollInterval: pollInterval, Peers: true}
+	s := New(cfg, rand.New(rand.NewPCG(9, 2)), 0, NoSource, Offer{})
 	now := time.Duration(0)
 	for ; !s.CallDue(now); now += 50 * ms {
 		if now > peerSilenceTimeout+pollInterval {
-			t.Fatal("it waits for others that say nothing")
+			t.Fatal("it waits for peers that don't answer")
 		}
 	}
 }
 
-// What others told and nobody confirms any more is asked for in time; what they confirm is not.
+// A peer's list that no peer confirms any more is refreshed in time by a call; one that is confirmed is not.
 func TestCallDue_PeerListAges_NodeCalls(t *testing.T) {
-	s := New(Config{NodeCount: 10, Index: 9, PollInterval: pollInterval, Peers: true, Service: "s"}, rand.New(rand.NewPCG(9, 2)), 0, NoSource, Offer{})
+	cfg := Config{NodeCount: 10, Index: 9, PollInterval: pollInterval, Peers: true, Service: "s"}
+	s := New(cfg, rand.New(rand.NewPCG(9, 2)), 0, NoSource, Offer{})
 	now := time.Duration(0)
 	for ; now < time.Minute; now += 100 * ms {
 		s.ConsiderPeerList(now, Offer{Service: "s", Revision: 1, Age: time.Second, Hosts: 2})
 		if s.CallDue(now) {
-			t.Fatal("it asks though others do")
+			t.Fatal("it calls though its peers confirm the list")
 		}
 	}
 	for ; !s.CallDue(now); now += 100 * ms {
 		if now > time.Minute+pollInterval {
-			t.Fatalf("what is held is %v old and is not asked for", s.State(now).Age)
+			t.Fatalf("the list is %v old and the service is not called", s.State(now).Age)
 		}
 	}
 }
 
-// A folder's list cut at any byte, changed in any byte, of another service, too old, or from the future: it is whole and
-// right or not there, and never younger than it is.
+// A document that is truncated at any byte, changed in any byte, of another service, or too old is refused. The age of
+// one from the future is not understated.
 func TestDecode_DamagedOrForeign_Refused(t *testing.T) {
-	wrote := time.UnixMilli(1_700_000_000_000)
-	k := CachedList{Service: "s", Confirmed: wrote.UnixMilli(), List: wire.EndpointList{Revision: 41, Complete: true, Endpoints: []wire.Endpoint{
-		{ID: "h1", Addr: "127.0.0.1:1", Zone: "a", Size: 1}, {ID: "h2", Addr: "127.0.0.1:2", Phase: wire.Draining, Size: 2}}}}
-	text, err := k.Encode()
+	confirmed := time.UnixMilli(1_700_000_000_000)
+	endpoints := []wire.Endpoint{
+		{ID: "h1", Addr: "127.0.0.1:1", Zone: "a", Size: 1},
+		{ID: "h2", Addr: "127.0.0.1:2", Phase: wire.Draining, Size: 2},
+	}
+	document, err := CachedList{
+		Service:   "s",
+		Confirmed: confirmed.UnixMilli(),
+		List:      wire.EndpointList{Revision: 41, Complete: true, Endpoints: endpoints},
+	}.Encode()
 	if err != nil {
 		t.Fatal(err)
 	}
-	list, age, err := Decode(text, "s", wrote.Add(time.Minute))
-	if err != nil || age != time.Minute || list.Revision != 41 || len(list.Endpoints) != 2 || list.Endpoints[1] != k.List.Endpoints[1] {
+	list, age, err := Decode(document, "s", confirmed.Add(time.Minute))
+	if err != nil || age != time.Minute || list.Revision != 41 ||
+		len(list.Endpoints) != 2 || list.Endpoints[1] != endpoints[1] {
 		t.Fatalf("read %+v, %v, %v", list, age, err)
 	}
-	for i := range text {
-		if _, _, err := Decode(text[:i], "s", wrote); err == nil {
-			t.Fatalf("cut at byte %d it is taken", i)
+	for i := range document {
+		if _, _, err := Decode(document[:i], "s", confirmed); err == nil {
+			t.Fatalf("truncated at byte %d it is read", i)
 		}
-		changed := append([]byte(nil), text...)
+		changed := append([]byte(nil), document...)
 		changed[i] ^= 0x40
-		if _, _, err := Decode(changed, "s", wrote); err == nil {
-			t.Fatalf("changed in byte %d it is taken", i)
+		if _, _, err := Decode(changed, "s", confirmed); err == nil {
+			t.Fatalf("changed in byte %d it is read", i)
 		}
 	}
 	for _, c := range []struct {
@@ -263,12 +201,18 @@
 		now     time.Time
 		err     error
 		age     time.Duration
-	}{{"other", wrote, ErrOtherService, 0}, {"s", wrote.Add(MaxAge + time.Second), ErrTooOld, MaxAge + time.Second}, {"s", wrote.Add(-time.Hour), nil, UnknownAge}} {
-		if _, age, err := Decode(text, c.service, c.now); !errors.Is(err, c.err) || c.err != ErrOtherService && age != c.age {
+	}{
+		{"other", confirmed, ErrOtherService, 0},
+		{"s", confirmed.Add(MaxAge + time.Second), ErrTooOld, MaxAge + time.Second},
+		{"s", confirmed.Add(-time.Hour), nil, UnknownAge},
+	} {
+		_, age, err := Decode(document, c.service, c.now)
+		if !errors.Is(err, c.err) || c.err != ErrOtherService && age != c.age {
 			t.Errorf("of %q at %v: age %v, error %v", c.service, c.now, age, err)
 		}
 	}
-	if _, _, err := Decode(append([]byte("onyxstream-list-2"), text[len(formatVersion):]...), "s", wrote); !errors.Is(err, ErrFormat) {
-		t.Errorf("of a later version: %v", err)
+	laterVersion := append([]byte("onyxstream-list-2"), document[len(formatVersion):]...)
+	if _, _, err := Decode(laterVersion, "s", confirmed); !errors.Is(err, ErrFormat) {
+		t.Errorf("later version: %v", err)
 	}
 }
--- a/internal/coldstart/config.go
+++ b/internal/coldstart/config.go
@@ -1,6 +1,6 @@
-// Package coldstart decides how a node obtains the endpoint list when hundreds of nodes start at once: when it calls the
-// list service, which lists of its peers it uses, and how stale the list is that it holds. It is pure: events and the time
-// are arguments, on the node's monotonic clock. Packages node, control and lifecycle do the I/O.
+// Package coldstart decides how a node obtains the endpoint list when hundreds of nodes start at once: when it calls
+// the list service, which lists of its peers it uses, and how stale the list is that it holds. It is pure: events and
+// the time are arguments, on the node's monotonic clock. Packages node, control and lifecycle do the I/O.
 package coldstart
 
 import "time"
@@ -42,15 +42,15 @@
 const (
 	// smallFleetSize is the number of nodes whose calls may be spread over the shortest interval.
 	smallFleetSize = 25
-	// fullSpreadFleets is the multiple of smallFleetSize from which nodes with peers spread their calls over the longest
-	// interval.
+	// fullSpreadFleets is the multiple of smallFleetSize from which nodes with peers spread their calls over the
+	// longest interval.
 	fullSpreadFleets = 8
 	// minSpreadDivisor gives the shortest interval over which calls are spread, as a part of PollInterval.
 	minSpreadDivisor = 20
 	// firstCallerDivisor gives the interval over which the first callers spread their first calls.
 	firstCallerDivisor = 100
-	// maxBackoffPolls bounds the backoff, and the interval of nodes with peers, in PollIntervals. The service can answer
-	// each node once per PollInterval, so that such calls take at most a quarter of its capacity.
+	// maxBackoffPolls bounds the backoff, and the interval of nodes with peers, in PollIntervals. The service can
+	// answer each node once per PollInterval, so that such calls take at most a quarter of its capacity.
 	maxBackoffPolls = 4
 	// firstCallers is how many nodes, by index, call at once on behalf of their peers.
 	firstCallers = 4
--- /dev/null
+++ b/internal/coldstart/fleet_test.go
@@ -0,0 +1,129 @@
+package coldstart
+
+import (
+	"math/rand/v2"
+	"time"
+)
+
+const (
+	ms           = time.Millisecond
+	pollInterval = 10 * time.Second
+
+	simulationStep = 10 * ms
+	callDuration   = 10 * ms     // of a call to the simulated service
+	callTimeout    = time.Second // calls that would wait for longer are rejected
+	gossipDelay    = 100 * ms    // until all peers have a list
+)
+
+// fakeService is a list service in virtual time that answers calls one after the other.
+type fakeService struct {
+	freeAt     time.Duration
+	downUntil  time.Duration // calls are reset until then
+	retryAfter time.Duration // sent with rejections
+	calledAt   []time.Duration
+	rejected   int
+}
+
+// response is the response to a node's call.
+type response struct {
+	node int
+	at   time.Duration
+	ok   bool
+}
+
+// call returns the response to a call.
+func (s *fakeService) call(node int, now time.Duration) response {
+	s.calledAt = append(s.calledAt, now)
+	begin := max(s.freeAt, now)
+	if now < s.downUntil {
+		return response{node: node, at: now + callDuration}
+	}
+	if begin-now > callTimeout {
+		s.rejected++
+		return response{node: node, at: now + callTimeout}
+	}
+	s.freeAt = begin + callDuration
+	return response{node: node, at: s.freeAt, ok: true}
+}
+
+// fleet simulates nodes that start together.
+type fleet struct {
+	schedulers  []*Scheduler
+	peers       bool // nodes pass lists on
+	service     *fakeService
+	responses   []response
+	firstListAt time.Duration   // when the first node received the list
+	receivedAt  []time.Duration // when each node received the list, 0 for never
+}
+
+// runFleet simulates a start of nodes until a time, and returns when each of them received the list.
+func runFleet(nodes int, peers bool, service *fakeService, until time.Duration) []time.Duration {
+	f := &fleet{peers: peers, service: service, receivedAt: make([]time.Duration, nodes)}
+	for i := range nodes {
+		cfg := Config{NodeCount: nodes, Index: i, PollInterval: pollInterval, Peers: peers, Service: "s"}
+		f.schedulers = append(f.schedulers, New(cfg, rand.New(rand.NewPCG(uint64(i), 7)), 0, NoSource, Offer{}))
+	}
+	for now := time.Duration(0); now < until; now += simulationStep {
+		f.deliverResponses(now)
+		for i, scheduler := range f.schedulers {
+			f.gossip(i, scheduler, now)
+			if scheduler.CallDue(now) {
+				f.responses = append(f.responses, service.call(i, now))
+			}
+		}
+	}
+	return f.receivedAt
+}
+
+func (f *fleet) deliverResponses(now time.Duration) {
+	pending := f.responses[:0]
+	for _, r := range f.responses {
+		switch {
+		case r.at > now:
+			pending = append(pending, r)
+		case r.ok:
+			f.schedulers[r.node].ListReceived(now, 1, 5)
+			f.recordReceived(r.node, now)
+			if f.firstListAt == 0 {
+				f.firstListAt = now
+			}
+		default:
+			f.schedulers[r.node].CallFailed(now, f.service.retryAfter)
+		}
+	}
+	f.responses = pending
+}
+
+// gossip contacts a node's peers every other second, and offers it the list once a peer has it.
+func (f *fleet) gossip(node int, scheduler *Scheduler, now time.Duration) {
+	if !f.peers {
+		return
+	}
+	if now%(2*time.Second) == time.Duration(node%200)*simulationStep {
+		scheduler.PeerContacted(now)
+	}
+	if f.firstListAt == 0 || now < f.firstListAt+gossipDelay || scheduler.listReceived {
+		return
+	}
+	verdict, _ := scheduler.ConsiderPeerList(now, Offer{Service: "s", Revision: 1, Age: 50 * ms, Hosts: 5})
+	if verdict == Adopt {
+		f.recordReceived(node, now)
+	}
+}
+
+func (f *fleet) recordReceived(node int, now time.Duration) {
+	if f.receivedAt[node] == 0 {
+		f.receivedAt[node] = now
+	}
+}
+
+// lastReceived returns when the last node received the list, an hour if one never did.
+func lastReceived(receivedAt []time.Duration) (last time.Duration) {
+	for _, at := range receivedAt {
+		if at == 0 {
+			return time.Hour
+		}
+		last = max(last, at)
+	}
+	return last
+}
--- a/internal/coldstart/stored_test.go
+++ b/internal/coldstart/stored_test.go
@@ -10,7 +10,7 @@
 	"onyxstream/internal/wire"
 )
 
-// The file in testdata was written by the release before the names in the code changed: a node's folder outlives it.
+// The file in testdata was written by an earlier release: a node's data folder outlives the release.
 func TestStoredList_FromEarlierRelease_IsReadAndWrittenAlike(t *testing.T) {
 	text, err := os.ReadFile("testdata/hosts-v1.list")
 	if err != nil {
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -1,7 +1,7 @@
-// Package invariant checks at run time the rules that a node must keep: on each opening line that was written to a host,
-// and on the end of each client's connection. Packages node and proxy enforce the rules beforehand; the checks look at
-// what was done, by the rules' own limits, and share no code with the enforcement. A Monitor counts the violations. The
-// checks are pure: times are arguments.
+// Package invariant checks at run time the rules that a node must keep: on each opening line that was written to a
+// host, and on the end of each client's connection. Packages node and proxy enforce the rules beforehand; the checks
+// look at what was done, by the rules' own limits, and share no code with the enforcement. A Monitor counts the
+// violations. The checks are pure: times are arguments.
 package invariant
 
 import (
@@ -120,8 +120,8 @@
 // smallSlowStartBudget is the budget below which a wider margin is allowed, as few requests vary more.
 const smallSlowStartBudget = 30
 
-// SlowStartLimit returns how many requests a warming host may get in the window in which it can collapse, for a budget by
-// the settings: the budget and a margin for random variation.
+// SlowStartLimit returns how many requests a warming host may get in the window in which it can collapse, for a
+// budget by the settings: the budget and a margin for random variation.
 func SlowStartLimit(budget float64) float64 {
 	if budget < smallSlowStartBudget {
 		return budget + 3*math.Sqrt(budget) + 3
@@ -130,8 +130,8 @@
 }
 
 // CheckSlowStart checks what one node alone has sent to a warming host against what all nodes together may send. The
-// budget is an estimate, as the settings don't tell the host's capacity, and what the other nodes have sent is not known:
-// a host may be overloaded though each node passes.
+// budget is an estimate, as the settings don't tell the host's capacity, and what the other nodes have sent is not
+// known: a host may be overloaded though each node passes.
 func CheckSlowStart(request, host string, sent int, budget float64) (violation Violation, found bool) {
 	violation = Violation{Rule: SlowStartExceeded, Request: request, Host: host}
 	return violation, float64(sent) > SlowStartLimit(budget)
--- a/internal/invariant/invariant_test.go
+++ b/internal/invariant/invariant_test.go
@@ -1,6 +1,7 @@
 package invariant
 
 import (
+	"slices"
 	"testing"
 	"time"
 
@@ -12,9 +13,10 @@
 
 var begin = time.Date(2026, 12, 2, 9, 0, 0, 0, time.UTC)
 
+// after returns the time d after begin.
 func after(d time.Duration) time.Time { return begin.Add(d) }
 
-// rulesOf are the rules of violations, in order.
+// rulesOf returns the rules of violations, in order.
 func rulesOf(found []Violation) (out []Rule) {
 	for _, v := range found {
 		out = append(out, v.Rule)
@@ -22,18 +24,6 @@
 	return out
 }
 
-func equalRules(a, b []Rule) bool {
-	if len(a) != len(b) {
-		return false
-	}
-	for i := range a {
-		if a[i] != b[i] {
-			return false
-		}
-	}
-	return true
-}
-
 func TestCheckSend_EachRule_Found(t *testing.T) {
 	const grace, window = 400 * time.Millisecond, 5 * time.Second
 	for _, c := range []struct {
@@ -41,20 +31,46 @@
 		send Send
 		want []Rule
 	}{
-		{"a first line", Send{At: begin}, nil},
+		{"first attempt", Send{At: begin}, nil},
 		{"within the grace", Send{At: after(grace), Draining: true, NotifiedAt: begin, Grace: grace}, nil},
-		{"past the grace", Send{At: after(grace + 1), Draining: true, NotifiedAt: begin, Grace: grace}, []Rule{SentToDrained}},
-		{"a host that stays", Send{At: after(time.Hour), NotifiedAt: begin, Grace: grace}, nil},
-		{"a safe repeat", Send{At: after(time.Hour), MayHaveExecutedAt: begin}, nil},
-		{"an unsafe repeat", Send{At: begin, Effect: balancer.NonIdempotent, MayHaveExecutedAt: begin}, []Rule{UnsafeRetry}},
-		{"an unsafe one again that never ran", Send{At: begin, Effect: balancer.NonIdempotent}, nil},
-		{"within the window", Send{At: after(window), Effect: balancer.IdempotentByKey, Window: window, MayHaveExecutedAt: begin}, nil},
-		{"past the window", Send{At: after(window + 1), Effect: balancer.IdempotentByKey, Window: window, MayHaveExecutedAt: begin}, []Rule{UnsafeRetry}},
-		{"beside another", Send{At: begin, ConcurrentAttempts: 1}, []Rule{ConcurrentAttempt}},
-		{"all at once", Send{At: after(time.Hour), Draining: true, NotifiedAt: begin, ConcurrentAttempts: 1, Effect: balancer.NonIdempotent, MayHaveExecutedAt: begin},
-			[]Rule{SentToDrained, ConcurrentAttempt, UnsafeRetry}},
+		{
+			"after the grace",
+			Send{At: after(grace + 1), Draining: true, NotifiedAt: begin, Grace: grace},
+			[]Rule{SentToDrained},
+		},
+		{"host does not drain", Send{At: after(time.Hour), NotifiedAt: begin, Grace: grace}, nil},
+		{"idempotent retry", Send{At: after(time.Hour), MayHaveExecutedAt: begin}, nil},
+		{
+			"non-idempotent retry",
+			Send{At: begin, Effect: balancer.NonIdempotent, MayHaveExecutedAt: begin},
+			[]Rule{UnsafeRetry},
+		},
+		{"non-idempotent retry, not executed", Send{At: begin, Effect: balancer.NonIdempotent}, nil},
+		{
+			"within the window",
+			Send{At: after(window), Effect: balancer.IdempotentByKey, Window: window, MayHaveExecutedAt: begin},
+			nil,
+		},
+		{
+			"after the window",
+			Send{At: after(window + 1), Effect: balancer.IdempotentByKey, Window: window, MayHaveExecutedAt: begin},
+			[]Rule{UnsafeRetry},
+		},
+		{"concurrent attempt", Send{At: begin, ConcurrentAttempts: 1}, []Rule{ConcurrentAttempt}},
+		{
+			"all rules",
+			Send{
+				At:                 after(time.Hour),
+				Draining:           true,
+				NotifiedAt:         begin,
+				ConcurrentAttempts: 1,
+				Effect:             balancer.NonIdempotent,
+				MayHaveExecutedAt:  begin,
+			},
+			[]Rule{SentToDrained, ConcurrentAttempt, UnsafeRetry},
+		},
 	} {
-		if got := rulesOf(CheckSend(c.send)); !equalRules(got, c.want) {
+		if got := rulesOf(CheckSend(c.send)); !slices.Equal(got, c.want) {
 			t.Errorf("%s: %v, want %v", c.name, got, c.want)
 		}
 	}
@@ -62,36 +78,37 @@
 
 func TestCheckStart_ClientDisconnected_FoundPastLimit(t *testing.T) {
 	for _, c := range []struct {
-		name        string
-		began, left time.Time
-		want        bool
+		name           string
+		begunAt        time.Time
+		disconnectedAt time.Time
+		want           bool
 	}{
-		{"it is there", begin, time.Time{}, false},
-		{"it leaves later", begin, after(time.Second), false},
-		{"it has just left", after(100 * time.Millisecond), begin, false},
-		{"it left before", after(101 * time.Millisecond), begin, true},
+		{"connected", begin, time.Time{}, false},
+		{"disconnects later", begin, after(time.Second), false},
+		{"within the slack", after(100 * time.Millisecond), begin, false},
+		{"after the slack", after(101 * time.Millisecond), begin, true},
 	} {
-		if _, got := CheckStart("r", "h", c.began, c.left); got != c.want {
+		if _, got := CheckStart("r", "h", c.begunAt, c.disconnectedAt); got != c.want {
 			t.Errorf("%s: %v", c.name, got)
 		}
 	}
 }
 
 func TestCheckCompletion_EachRule_Found(t *testing.T) {
-	until := after(time.Second)
+	deadline := after(time.Second)
 	for _, c := range []struct {
-		name string
-		end  Completion
-		want []Rule
+		name       string
+		completion Completion
+		want       []Rule
 	}{
-		{"answered", Completion{Answers: 1, AnsweredAt: until, Deadline: until}, nil},
-		{"within the slack", Completion{Answers: 1, AnsweredAt: after(1500 * time.Millisecond), Deadline: until}, nil},
-		{"late", Completion{Answers: 1, AnsweredAt: after(1501 * time.Millisecond), Deadline: until}, []Rule{AnsweredLate}},
-		{"never", Completion{Deadline: until}, []Rule{Unanswered}},
-		{"nobody is there", Completion{Deadline: until, Disconnected: true}, nil},
-		{"twice", Completion{Answers: 2, AnsweredAt: begin, Deadline: until}, []Rule{AnsweredTwice}},
+		{"answered", Completion{Answers: 1, AnsweredAt: deadline, Deadline: deadline}, nil},
+		{"within the slack", Completion{Answers: 1, AnsweredAt: after(1500 * time.Millisecond), Deadline: deadline}, nil},
+		{"late", Completion{Answers: 1, AnsweredAt: after(1501 * time.Millisecond), Deadline: deadline}, []Rule{AnsweredLate}},
+		{"unanswered", Completion{Deadline: deadline}, []Rule{Unanswered}},
+		{"client disconnected", Completion{Deadline: deadline, Disconnected: true}, nil},
+		{"twice", Completion{Answers: 2, AnsweredAt: begin, Deadline: deadline}, []Rule{AnsweredTwice}},
 	} {
-		if got := rulesOf(CheckCompletion(c.end)); !equalRules(got, c.want) {
+		if got := rulesOf(CheckCompletion(c.completion)); !slices.Equal(got, c.want) {
 			t.Errorf("%s: %v, want %v", c.name, got, c.want)
 		}
 	}
@@ -103,7 +120,8 @@
 	m.Report()
 	m.Report(Violation{Rule: Unanswered, Request: "r"}, Violation{Rule: Unanswered}, Violation{Rule: ConcurrentAttempt})
 	if m.Count(Unanswered) != 2 || m.Count(ConcurrentAttempt) != 1 || m.Count(AnsweredLate) != 0 || m.Total() != 3 {
-		t.Errorf("counted %d, %d, %d of %d", m.Count(Unanswered), m.Count(ConcurrentAttempt), m.Count(AnsweredLate), m.Total())
+		t.Errorf("counted %d, %d, %d of %d",
+			m.Count(Unanswered), m.Count(ConcurrentAttempt), m.Count(AnsweredLate), m.Total())
 	}
 	if lines := logs.FilterMessage(LogMessage).All(); len(lines) != 3 || lines[0].ContextMap()["request"] != "r" {
 		t.Errorf("logged %v", lines)
--- a/internal/node/attempts.go
+++ b/internal/node/attempts.go
@@ -7,8 +7,8 @@
 	"onyxstream/internal/invariant"
 )
 
-// startAttempt starts an attempt. One that can't be started ends at once, as the balancer expects exactly one outcome of
-// each.
+// startAttempt starts an attempt. One that can't be started ends at once, as the balancer expects exactly one outcome
+// of each.
 func (n *Node) startAttempt(action balancer.Send) {
 	r := n.requests[action.ID]
 	if r == nil || r.answered {
--- a/internal/node/coldstart.go
+++ b/internal/node/coldstart.go
@@ -19,11 +19,11 @@
 	scheduler   *coldstart.Scheduler
 	service     atomic.Pointer[string] // the name by which all nodes know the list service
 	loggedPhase coldstart.Phase
-	// needsSnapshot is set while a drain is kept that a peer's list has lifted: changes since that list's revision would
-	// not show the drain.
+	// needsSnapshot is set while a drain is kept that a peer's list has lifted: changes since that list's revision
+	// would not show the drain.
 	needsSnapshot bool
-	// assumedStartAt is when all hosts count as started, by the node's clock, while no service or peer has confirmed the
-	// cached list: after a power failure all of them may have been. 0 once the list is confirmed.
+	// assumedStartAt is when all hosts count as started, by the node's clock, while no service or peer has confirmed
+	// the cached list: after a power failure all of them may have been. 0 once the list is confirmed.
 	assumedStartAt time.Duration
 	unreachable    map[string]time.Time // hosts that could not be connected to while the list is unconfirmed
 	cachedList     atomic.Pointer[CachedList]
@@ -42,7 +42,8 @@
 	n.logPhaseChange()
 }
 
-// ListService returns the name of the list service. The cold start must be enabled. It may be called from any goroutine.
+// ListService returns the name of the list service. The cold start must be enabled. It may be called from any
+// goroutine.
 func (n *Node) ListService() string { return *n.service.Load() }
 
 // Heartbeat reports that discovery has confirmed an idle watch. It may be called from any goroutine.
--- a/internal/node/coldstart_peers.go
+++ b/internal/node/coldstart_peers.go
@@ -28,8 +28,8 @@
 	return used
 }
 
-// handlePeerList considers a peer's list and its unreachable hosts. The reply is sent even on a panic, as the caller waits
-// for it.
+// handlePeerList considers a peer's list and its unreachable hosts. The reply is sent even on a panic, as the caller
+// waits for it.
 func (n *Node) handlePeerList(e peerListReceived) {
 	n.scheduler.PeerContacted(n.now())
 	used := false
@@ -39,8 +39,8 @@
 	n.logPhaseChange()
 }
 
-// considerPeerList adopts a peer's list, takes it as a confirmation of the held one, or ignores it. It reports whether the
-// list was used.
+// considerPeerList adopts a peer's list, takes it as a confirmation of the held one, or ignores it. It reports
+// whether the list was used.
 func (n *Node) considerPeerList(peerList PeerList) bool {
 	now := n.now()
 	offer := n.completeOffer(peerList)
@@ -59,8 +59,8 @@
 	return true
 }
 
-// completeOffer adds to an offer its present age and its number of hosts. A peer that states to hold the same list has as
-// many hosts as this node, unless the service has changed since.
+// completeOffer adds to an offer its present age and its number of hosts. A peer that states to hold the same list
+// has as many hosts as this node, unless the service has changed since.
 func (n *Node) completeOffer(peerList PeerList) coldstart.Offer {
 	offer := peerList.Offer
 	offer.Age += time.Since(peerList.At)
@@ -92,8 +92,8 @@
 	n.publishList(&published)
 }
 
-// keepDrainingHosts marks hosts of a peer's list as draining that drain at this node, and returns how many. Only the list
-// service or a later start of the host ends a drain.
+// keepDrainingHosts marks hosts of a peer's list as draining that drain at this node, and returns how many. Only the
+// list service or a later start of the host ends a drain.
 func (n *Node) keepDrainingHosts(list *wire.EndpointList) (kept int) {
 	list.Endpoints = slices.Clone(list.Endpoints)
 	for i, endpoint := range list.Endpoints {
--- a/internal/node/coldstart_unreachable.go
+++ b/internal/node/coldstart_unreachable.go
@@ -21,8 +21,8 @@
 const (
 	// maxUnreachable bounds the unreachable hosts that are kept and passed on.
 	maxUnreachable = 4096
-	// unreachableObjectives is for how many setup latency objectives an unreachable host gets nothing new: twice as many
-	// as the balancer ejects one for by itself.
+	// unreachableObjectives is for how many setup latency objectives an unreachable host gets nothing new: twice as
+	// many as the balancer ejects one for by itself.
 	unreachableObjectives = 8
 	// unreachableSpread is the number of objectives over which nodes spread their retries, by their index in
 	// unreachableSlots, so that few nodes retry first and inform the others.
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -7,8 +7,8 @@
 	"onyxstream/balancer"
 )
 
-// drainState is the state of the node's own drain. The balancer decides which clients are rejected and migrated; the loop
-// ensures that nothing is written after the drain grace.
+// drainState is the state of the node's own drain. The balancer decides which clients are rejected and migrated; the
+// loop ensures that nothing is written after the drain grace.
 type drainState struct {
 	draining        atomic.Bool
 	admissionCutoff time.Time // zero if the node does not drain
@@ -22,8 +22,8 @@
 	KeepConnections bool          // established connections stay, if packets pass through other nodes
 }
 
-// Drain starts draining the node. It returns once the loop has handled it, or ErrLoopBusy or ErrStopped. It may be called
-// from any goroutine.
+// Drain starts draining the node. It returns once the loop has handled it, or ErrLoopBusy or ErrStopped. It may be
+// called from any goroutine.
 func (n *Node) Drain(plan DrainPlan) error {
 	reply := make(chan error, 1)
 	return n.postAndWait(drainRequested{plan: plan, reply: reply}, reply)
--- a/internal/node/latency.go
+++ b/internal/node/latency.go
@@ -7,9 +7,9 @@
 	"onyxstream/balancer"
 )
 
-// Once a second the node measures the message latency of each host that has connections. Where the settings allow it, by
-// a ping: a host answers lines on established connections at once, however long its queue is, so that messages show
-// less. Elsewhere by the median of the second's messages, as a single slow message may be due to this machine.
+// Once a second the node measures the message latency of each host that has connections. Where the settings allow it,
+// by a ping: a host answers lines on established connections at once, however long its queue is, so that messages
+// show less. Elsewhere by the median of the second's messages, as a single slow message may be due to this machine.
 
 // hostLatency is what the node knows of a host's message latency.
 type hostLatency struct {
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -52,8 +52,8 @@
 	}
 }
 
-// recoverPanics keeps a panic in the handling of one event from ending the node, which would break every connection. The
-// request concerned is answered by its connection when its deadline has passed.
+// recoverPanics keeps a panic in the handling of one event from ending the node, which would break every connection.
+// The request concerned is answered by its connection when its deadline has passed.
 func (n *Node) recoverPanics(f func()) {
 	defer func() {
 		if p := recover(); p != nil {
--- a/internal/node/memorylimit.go
+++ b/internal/node/memorylimit.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// memoryDivisor gives the part of the memory that the hosts may take. The garbage collector needs as much again, and
-	// the connections the rest.
+	// memoryDivisor gives the part of the memory that the hosts may take. The garbage collector needs as much again,
+	// and the connections the rest.
 	memoryDivisor = 3
 	// hostLimitCeiling is the largest number of hosts that MaxHosts considers.
 	hostLimitCeiling = 1 << 20
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,6 +1,7 @@
-// Package node runs the event loop of a balancer node. One goroutine, Run, owns the balancer, the requests, the hosts and
-// the timers. Connections and discovery post events and receive commands through ClientConn and Transport, whose methods
-// never block, so that neither side can wait for the other in a cycle. All placement decisions are package balancer's.
+// Package node runs the event loop of a balancer node. One goroutine, Run, owns the balancer, the requests, the hosts
+// and the timers. Connections and discovery post events and receive commands through ClientConn and Transport, whose
+// methods never block, so that neither side can wait for the other in a cycle. All placement decisions are package
+// balancer's.
 package node
 
 import (
@@ -66,8 +67,8 @@
 // latency objective. The simulator reports from there on, too.
 const slowMessageDivisor = 3
 
-// New creates a node from its settings, the endpoint list as last known, and the address of discovery. The caller starts
-// it by Run.
+// New creates a node from its settings, the endpoint list as last known, and the address of discovery. The caller
+// starts it by Run.
 func New(
 	set settings.Settings, known wire.EndpointList, discoveryAddr string, transport Transport, log *zap.Logger,
 ) *Node {
@@ -139,8 +140,8 @@
 	}
 }
 
-// HasClassAndTenant reports whether the settings have the class and the tenant of an opening line. It may be called from
-// any goroutine.
+// HasClassAndTenant reports whether the settings have the class and the tenant of an opening line. It may be called
+// from any goroutine.
 func (n *Node) HasClassAndTenant(opening *wire.Opening) bool {
 	_, hasClass := n.classIndex[opening.Class]
 	_, hasTenant := n.tenantIndex[opening.Tenant]
--- a/internal/node/notify.go
+++ b/internal/node/notify.go
@@ -60,8 +60,8 @@
 	n.post(newLoadReport(requestRef{id: id, conn: conn}, load))
 }
 
-// ClientDisconnected reports that the client needs no answer any more. attemptsTaken is how many attempts its connection
-// has received: a later one reaches nobody, and the loop ends it itself.
+// ClientDisconnected reports that the client needs no answer any more. attemptsTaken is how many attempts its
+// connection has received: a later one reaches nobody, and the loop ends it itself.
 func (n *Node) ClientDisconnected(id balancer.RequestID, conn ClientConn, attemptsTaken int) {
 	n.post(clientDisconnected{requestRef: requestRef{id: id, conn: conn}, attemptsTaken: attemptsTaken})
 }
--- a/internal/node/overrides.go
+++ b/internal/node/overrides.go
@@ -32,10 +32,11 @@
 	reenabledAt map[balancer.ServerID]time.Duration // when overrides were lifted, by the node's clock
 }
 
-// SetHostOverride makes a host drain whatever the list says, or lifts that. An override of a host that is not listed yet
-// applies once it is; with mustExist that returns ErrUnknownHost. When an override is lifted the host counts as restarted
-// at reenabledAt, as the list may show the restart only later; zero if it was not restarted. SetHostOverride returns once
-// the loop has applied the override, or ErrLoopBusy, ErrStopped or ErrOverrideLimit. It may be called from any goroutine.
+// SetHostOverride makes a host drain whatever the list says, or lifts that. An override of a host that is not listed
+// yet applies once it is; with mustExist that returns ErrUnknownHost. When an override is lifted the host counts as
+// restarted at reenabledAt, as the list may show the restart only later; zero if it was not restarted.
+// SetHostOverride returns once the loop has applied the override, or ErrLoopBusy, ErrStopped or ErrOverrideLimit. It
+// may be called from any goroutine.
 func (n *Node) SetHostOverride(id balancer.ServerID, drain, mustExist bool, reenabledAt time.Time) error {
 	reply := make(chan error, 1)
 	return n.postAndWait(hostOverrideReceived{
@@ -70,8 +71,8 @@
 	return nil
 }
 
-// liftOverride lifts an override. Without mustExist another process of the node may have set it, so that the time counts
-// even if it is not known here.
+// liftOverride lifts an override. Without mustExist another process of the node may have set it, so that the time
+// counts even if it is not known here.
 func (n *Node) liftOverride(id balancer.ServerID, wasOverridden, mustExist bool, reenabledAt time.Time) {
 	delete(n.overrides, id)
 	if !reenabledAt.IsZero() && (wasOverridden || !mustExist) {
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -37,8 +37,8 @@
 	return max(n.shutdownAt.Sub(now), 0)
 }
 
-// answerInFlight has each request in flight answered: the balancer rejects or fails what waits, and each attempt that has
-// had no response is cancelled. Established connections are not touched.
+// answerInFlight has each request in flight answered: the balancer rejects or fails what waits, and each attempt that
+// has had no response is cancelled. Established connections are not touched.
 func (n *Node) answerInFlight() {
 	n.shutDown = true
 	n.log.Info("graceful shutdown deadline reached, answering in-flight requests",
@@ -69,8 +69,8 @@
 	return shortest
 }
 
-// failIfHeldBack fails a request that the balancer still holds back after the shutdown, such as a mid-flow one that waits
-// for its turn: no timer will release it.
+// failIfHeldBack fails a request that the balancer still holds back after the shutdown, such as a mid-flow one that
+// waits for its turn: no timer will release it.
 func (n *Node) failIfHeldBack(id balancer.RequestID, r *request) {
 	if !n.shutDown || r == nil || r.answered || r.attemptActive || n.requests[id] != r {
 		return
--- a/internal/node/wallclock.go
+++ b/internal/node/wallclock.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// wallClock relates the machine's wall clock, by which the hosts' start times are listed, to the node's own clock, which
-// is not affected by steps of the other. It is pure: times are arguments, both as durations since 1970.
+// wallClock relates the machine's wall clock, by which the hosts' start times are listed, to the node's own clock,
+// which is not affected by steps of the other. It is pure: times are arguments, both as durations since 1970.
 type wallClock struct {
 	offsets []time.Duration // of the wall clock from the node's clock, the present one first
 }
@@ -31,9 +31,9 @@
 	return true
 }
 
-// started converts a host's listed start to the node's clock; 0 for long ago. It is not known whether the start was read
-// before or after a step of the wall clock: the latest possible one counts, so that no host passes for warmer than it is.
-// A start in the future counts as now.
+// started converts a host's listed start to the node's clock; 0 for long ago. It is not known whether the start was
+// read before or after a step of the wall clock: the latest possible one counts, so that no host passes for warmer
+// than it is. A start in the future counts as now.
 func (c *wallClock) started(startedAtMS int64, now time.Duration) time.Duration {
 	if startedAtMS == 0 {
 		return 0
