--- a/internal/node/events.go
+++ b/internal/node/events.go
@@ -27,7 +27,12 @@
 
 func (requestRef) event() {}
 
-func (r requestRef) source() requestRef { return r }
+func (ref requestRef) source() requestRef { return ref }
+
+// concerns reports whether r is the request of the connection. A nil connection stands for the request's own.
+func (ref requestRef) concerns(r *request) bool {
+	return r != nil && (ref.conn == nil || ref.conn == r.conn)
+}
 
 // Events of connections.
 type (
--- a/internal/node/fixtures_test.go
+++ b/internal/node/fixtures_test.go
@@ -23,35 +23,35 @@
 	stats MessageStats
 }
 
-func (p *fakeConn) record(text string) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.calls = append(p.calls, text)
+func (c *fakeConn) record(text string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.calls = append(c.calls, text)
 }
 
-func (p *fakeConn) Send(a Attempt) {
-	p.mu.Lock()
-	p.sent = append(p.sent, a)
-	p.mu.Unlock()
-	p.record(fmt.Sprintf("send %d %s", a.Number, a.Addr))
+func (c *fakeConn) Send(a Attempt) {
+	c.mu.Lock()
+	c.sent = append(c.sent, a)
+	c.mu.Unlock()
+	c.record(fmt.Sprintf("send %d %s", a.Number, a.Addr))
 }
 
-func (p *fakeConn) Proceed(n int, ok bool) { p.record(fmt.Sprintf("proceed %d %v", n, ok)) }
+func (c *fakeConn) Proceed(n int, ok bool) { c.record(fmt.Sprintf("proceed %d %v", n, ok)) }
 
-func (p *fakeConn) Cancel(n int) { p.record(fmt.Sprintf("cancel %d", n)) }
+func (c *fakeConn) Cancel(n int) { c.record(fmt.Sprintf("cancel %d", n)) }
 
-func (p *fakeConn) Reject(d time.Duration) { p.record(fmt.Sprintf("reject %v", d > 0)) }
+func (c *fakeConn) Reject(d time.Duration) { c.record(fmt.Sprintf("reject %v", d > 0)) }
 
-func (p *fakeConn) Fail() { p.record("fail") }
+func (c *fakeConn) Fail() { c.record("fail") }
 
-func (p *fakeConn) Migrate() { p.record("migrate") }
+func (c *fakeConn) Migrate() { c.record("migrate") }
 
-func (p *fakeConn) MessageStats(now time.Time) MessageStats { return p.stats }
+func (c *fakeConn) MessageStats(now time.Time) MessageStats { return c.stats }
 
-func (p *fakeConn) recorded() string {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return strings.Join(p.calls, ", ")
+func (c *fakeConn) recorded() string {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return strings.Join(c.calls, ", ")
 }
 
 // fakeTransport is a Transport that records the calls of the loop.
--- a/internal/node/hosts.go
+++ b/internal/node/hosts.go
@@ -89,7 +89,7 @@
 func (n *Node) toServer(host *hostRecord) balancer.Server {
 	server := balancer.Server{
 		ID:           host.id,
-		Zone:         -1,
+		Zone:         noZone,
 		Cell:         host.endpoint.Cell,
 		State:        host.state,
 		Weight:       host.endpoint.Size,
--- a/internal/node/latency_test.go
+++ b/internal/node/latency_test.go
@@ -74,41 +74,70 @@
 	}
 }
 
+// pingTest is a node that measures its hosts by pings and has one established connection.
+type pingTest struct {
+	node      *Node
+	transport *fakeTransport
+	conn      *fakeConn
+	host      *hostRecord // of the connection
+	now       time.Time
+}
+
+func newPingTest(t *testing.T) *pingTest {
+	t.Helper()
+	n, transport, _ := newTestNode(t, endpoint("s1", wire.Serving), endpoint("s2", wire.Serving))
+	n.settings.ReportsLatency, n.settings.MayProbe = true, true
+	conn := establish(t, n, "r")
+	return &pingTest{node: n, transport: transport, conn: conn, host: n.requests["r"].host, now: time.Now()}
+}
+
+// second passes the ticks of a second.
+func (p *pingTest) second() {
+	for range ticksPerMeasurement {
+		p.now = p.now.Add(tickInterval)
+		p.node.handleTick(p.now)
+	}
+}
+
+// completed passes the result of a ping.
+func (p *pingTest) completed(took time.Duration) {
+	p.node.handle(pingCompleted{host: p.host.id, took: took})
+}
+
 // A host answers lines at once however long its queue is. Where probes are allowed latency is measured by pings, and by
 // the wait for a ping without an answer.
 func TestPing_SlowHost_ReportedWhenConfirmed(t *testing.T) {
-	n, w, _ := newTestNode(t, endpoint("s1", wire.Serving), endpoint("s2", wire.Serving))
-	n.settings.ReportsLatency, n.settings.MayProbe = true, true
-	p := establish(t, n, "r")
-	host := n.requests["r"].host
-	if len(w.pings) != 1 || w.pings[0] != host.id {
-		t.Fatalf("pings %v with a first connection, want one to its host", w.pings)
+	p := newPingTest(t)
+	if len(p.transport.pings) != 1 || p.transport.pings[0] != p.host.id {
+		t.Fatalf("pings %v with a first connection, want one to its host", p.transport.pings)
 	}
-	n.handle(pingCompleted{host: host.id, took: 80 * time.Millisecond})
-	w.pings = nil
-	p.stats = MessageStats{Answered: 1, LastLatency: time.Millisecond}
-	now := time.Now()
-	second := func() {
-		for range ticksPerMeasurement {
-			now = now.Add(tickInterval)
-			n.handleTick(now)
-		}
-	}
-	second()
-	if second(); len(w.pings) != 1 || w.pings[0] != host.id {
-		t.Fatalf("pings %v in two seconds, want one to the host with a connection", w.pings)
-	}
-	pinged := func(took time.Duration) {
-		n.handle(pingCompleted{host: host.id, took: took})
+	p.completed(80 * time.Millisecond)
+	p.transport.pings = nil
+	p.conn.stats = MessageStats{Answered: 1, LastLatency: time.Millisecond}
+	p.second()
+	if p.second(); len(p.transport.pings) != 1 || p.transport.pings[0] != p.host.id {
+		t.Fatalf("pings %v in two seconds, want one to the host with a connection", p.transport.pings)
 	}
 	// The round trip to a distant host is no message latency.
-	pinged(70 * time.Millisecond)
-	second()
-	second()
-	if pinged(75 * time.Millisecond); host.reportedSlow || host.unconfirmedPing > 0 {
+	p.completed(70 * time.Millisecond)
+	p.second()
+	p.second()
+	if p.completed(75 * time.Millisecond); p.host.reportedSlow || p.host.unconfirmedPing > 0 {
 		t.Error("the round trip counts as message latency")
 	}
-	pinged(2 * time.Millisecond) // its best
+	p.completed(2 * time.Millisecond) // its best
+	checkSlowPings(t, p)
+	checkRecovery(t, p)
+	restarted := wire.Endpoint{ID: string(p.host.id), StartedAtMS: 5, Size: 1}
+	p.node.applyList(changesOf(0, restarted), balancer.ListDelta, false)
+	if p.host.bestPing != 0 {
+		t.Error("the best ping is kept over a restart of the host")
+	}
+}
+
+// checkSlowPings checks which pings of a host, at its best 2 ms, are confirmed and reported as slow.
+func checkSlowPings(t *testing.T, p *pingTest) {
+	t.Helper()
 	for _, c := range []struct {
 		first, again time.Duration
 		slow         bool
@@ -120,43 +149,43 @@
 		{3 * time.Millisecond, 0, false},                     // recovered
 		{30 * time.Millisecond, 30 * time.Millisecond, true}, // slow by any measure
 	} {
-		second()
-		second()
-		before := len(w.pings)
-		pinged(c.first)
-		if (len(w.pings) > before) != (c.again > 0) {
-			t.Errorf("after %v: pinged again %v", c.first, len(w.pings) > before)
+		p.second()
+		p.second()
+		before := len(p.transport.pings)
+		p.completed(c.first)
+		if (len(p.transport.pings) > before) != (c.again > 0) {
+			t.Errorf("after %v: pinged again %v", c.first, len(p.transport.pings) > before)
 		}
 		if c.again > 0 {
-			pinged(c.again)
+			p.completed(c.again)
 		}
-		if host.reportedSlow != c.slow {
-			t.Errorf("after %v and %v: slow %v", c.first, c.again, host.reportedSlow)
+		if p.host.reportedSlow != c.slow {
+			t.Errorf("after %v and %v: slow %v", c.first, c.again, p.host.reportedSlow)
 		}
 	}
-	n.requests["r"].migrating = false // undo the balancer's migration
-	before := len(w.pings)
-	if second(); len(w.pings) != before+1 {
-		t.Errorf("%d pings a second after a slow one, want 1", len(w.pings)-before)
-	}
-	pinged(2 * time.Millisecond)
-	second()
-	second()
-	pinged(-1)
-	if second(); host.reportedSlow {
+}
+
+// checkRecovery checks that a slow host is pinged each second, and that it is slow again when a ping is not answered.
+func checkRecovery(t *testing.T, p *pingTest) {
+	t.Helper()
+	p.node.requests["r"].migrating = false // undo the balancer's migration
+	before := len(p.transport.pings)
+	if p.second(); len(p.transport.pings) != before+1 {
+		t.Errorf("%d pings a second after a slow one, want 1", len(p.transport.pings)-before)
+	}
+	p.completed(2 * time.Millisecond)
+	p.second()
+	p.second()
+	p.completed(-1)
+	if p.second(); p.host.reportedSlow {
 		t.Error("a host that could not be pinged counts as slow")
 	}
 	for range 4 {
-		second()
+		p.second()
 	}
-	if !host.reportedSlow {
+	if !p.host.reportedSlow {
 		t.Error("a ping without an answer is not reported")
 	}
-	restarted := wire.Endpoint{ID: string(host.id), StartedAtMS: 5, Size: 1}
-	n.applyList(changesOf(0, restarted), balancer.ListDelta, false)
-	if host.bestPing != 0 {
-		t.Error("the best ping is kept over a restart of the host")
-	}
 }
 
 // A ping that could not be sent, as without a free descriptor, says nothing of the host.
@@ -238,28 +267,3 @@
 		}
 	}
 }
-
-func TestMigrateAll_ManyClients_SpreadOverTime(t *testing.T) {
-	n, _, _ := newTestNode(t, endpoint("s1", wire.Serving))
-	var conns []*fakeConn
-	for i := range 20 {
-		conns = append(conns, establish(t, n, fmt.Sprint("r", i)))
-	}
-	migrated := func() (k int) {
-		for _, p := range conns {
-			k += strings.Count(p.recorded(), "migrate")
-		}
-		return k
-	}
-	now := time.Now()
-	n.handle(migrateAllRequested{deadline: now.Add(4 * tickInterval)})
-	for i := range 4 {
-		n.handleTick(now.Add(time.Duration(i) * tickInterval))
-		if i == 0 && (migrated() == 0 || migrated() > 6) {
-			t.Errorf("%d of 20 migrated at the first of four ticks", migrated())
-		}
-	}
-	if migrated() != 20 {
-		t.Errorf("%d of 20 migrated, want each once", migrated())
-	}
-}
--- /dev/null
+++ b/internal/node/migrate_test.go
@@ -0,0 +1,35 @@
+package node
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+	"time"
+
+	"onyxstream/internal/wire"
+)
+
+func TestMigrateAll_ManyClients_SpreadOverTime(t *testing.T) {
+	n, _, _ := newTestNode(t, endpoint("s1", wire.Serving))
+	var conns []*fakeConn
+	for i := range 20 {
+		conns = append(conns, establish(t, n, fmt.Sprint("r", i)))
+	}
+	migrated := func() (k int) {
+		for _, p := range conns {
+			k += strings.Count(p.recorded(), "migrate")
+		}
+		return k
+	}
+	now := time.Now()
+	n.handle(migrateAllRequested{deadline: now.Add(4 * tickInterval)})
+	for i := range 4 {
+		n.handleTick(now.Add(time.Duration(i) * tickInterval))
+		if i == 0 && (migrated() == 0 || migrated() > 6) {
+			t.Errorf("%d of 20 migrated at the first of four ticks", migrated())
+		}
+	}
+	if migrated() != 20 {
+		t.Errorf("%d of 20 migrated, want each once", migrated())
+	}
+}
--- a/internal/node/requests.go
+++ b/internal/node/requests.go
@@ -9,8 +9,12 @@
 	"onyxstream/internal/wire"
 )
 
-// noClass stands for a class that the settings don't have, or that is not known of an inherited connection.
-const noClass = -1
+// Indexes of what the settings don't have. An inherited connection's class is not known either.
+const (
+	noClass  = -1
+	noTenant = -1
+	noZone   = -1
+)
 
 // request is a client's request, from its opening line to the end of its connection.
 type request struct {
@@ -47,8 +51,7 @@
 	case connectionResumed:
 		n.handleResume(e, r)
 	default:
-		fromOtherConn := r != nil && ref.conn != nil && r.conn != ref.conn
-		if r != nil && !fromOtherConn {
+		if ref.concerns(r) {
 			n.handleConnEvent(e, r)
 		}
 	}
@@ -110,7 +113,7 @@
 	arrival := balancer.Arrival{
 		ID:        balancer.RequestID(opening.ID),
 		Class:     noClass,
-		Tenant:    -1,
+		Tenant:    noTenant,
 		Key:       opening.Key,
 		TimeLeft:  timeLeft,
 		Load:      opening.Load,
