--- a/internal/node/hosts.go
+++ b/internal/node/hosts.go
@@ -47,7 +47,7 @@
 	now := time.Now()
 	n.observeClock(now)
 	list = n.limitToMemory(list)
-	event := balancer.ListEvent{
+	listEvent := balancer.ListEvent{
 		Kind:       kind,
 		Revision:   list.Revision,
 		Superseded: superseded,
@@ -57,11 +57,11 @@
 	for _, endpoint := range list.Endpoints {
 		host := n.updateHost(endpoint, now)
 		listed[host.id] = true
-		event.Servers = append(event.Servers, n.toServer(host))
+		listEvent.Servers = append(listEvent.Servers, n.toServer(host))
 	}
 	isComplete := kind == balancer.ListSnapshot || kind == balancer.ListCached
 	n.removeHosts(isComplete, listed, now)
-	n.decide(event)
+	n.decide(listEvent)
 	n.countHosts()
 }
 
