--- /dev/null
+++ b/internal/node/latency_test.go
@@ -0,0 +1,269 @@
+package node
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+	"time"
+
+	"onyxstream/balancer"
+	"onyxstream/internal/wire"
+)
+
+// A host that is cut off sends nothing and closes nothing: its clients must be migrated before their messages time out.
+func TestUnresponsiveHost_TwoTicks_ClientMigratedOnce(t *testing.T) {
+	n, _, logs := newTestNode(t, endpoint("s1", wire.Serving))
+	n.slowMessageThreshold = 0 // no latency reports
+	p, q := establish(t, n, "r"), establish(t, n, "q")
+	p.stats = MessageStats{OldestWait: unresponsiveAfter + time.Millisecond}
+	q.stats = MessageStats{OldestWait: unresponsiveAfter - time.Millisecond}
+	n.handleTick(time.Now())
+	if strings.Contains(p.recorded(), "migrate") {
+		t.Error("migrated at the first tick, as every client would be of a node that was suspended")
+	}
+	p.stats = MessageStats{}
+	n.handleTick(time.Now())
+	p.stats = MessageStats{OldestWait: unresponsiveAfter + time.Millisecond}
+	n.handleTick(time.Now())
+	if strings.Contains(p.recorded(), "migrate") {
+		t.Error("migrated though the host had answered in between")
+	}
+	n.handleTick(time.Now())
+	n.handleTick(time.Now())
+	if strings.Count(p.recorded(), "migrate") != 1 || strings.Contains(q.recorded(), "migrate") ||
+		logs.FilterMessageSnippet("host unresponsive").Len() != 1 {
+		t.Errorf("unresponsive: %s; healthy: %s", p.recorded(), q.recorded())
+	}
+}
+
+// The balancer is notified of the median message of a second while that is above a third of the shortest objective, and
+// once more when it is below. One slow message among many is not reported.
+func TestLatencyReport_SlowMedian_ReportedUntilWell(t *testing.T) {
+	n, _, _ := newTestNode(t, endpoint("s1", wire.Serving))
+	conns := []*fakeConn{establish(t, n, "r0"), establish(t, n, "r1"), establish(t, n, "r2")}
+	host := n.hosts["s1"]
+	second := func(took ...time.Duration) {
+		for i, p := range conns {
+			if took[i] > 0 {
+				p.stats.Answered++
+				p.stats.LastLatency = took[i]
+			}
+		}
+		for range ticksPerMeasurement {
+			n.handleTick(time.Now())
+		}
+	}
+	for i, c := range []struct {
+		took []time.Duration
+		slow bool
+	}{
+		{[]time.Duration{1e6, 1e6, 90e6}, false},
+		{[]time.Duration{1e6, 30e6, 90e6}, true},
+		{[]time.Duration{0, 0, 0}, true}, // no messages
+		{[]time.Duration{1e6, 2e6, 90e6}, false},
+	} {
+		if second(c.took...); host.reportedSlow != c.slow || len(host.latencySamples) != 0 {
+			t.Errorf("second %d: slow %v, want %v; %d samples kept", i, host.reportedSlow, c.slow, len(host.latencySamples))
+		}
+	}
+	for _, p := range conns { // all three: the balancer may have migrated some of them
+		p.stats.OldestWait = 40 * time.Millisecond
+	}
+	if second(0, 0, 0); !host.reportedSlow {
+		t.Error("messages without a reply are not reported")
+	}
+}
+
+// pingTest is a node that measures its hosts by pings and has one established connection.
+type pingTest struct {
+	node      *Node
+	transport *fakeTransport
+	conn      *fakeConn
+	host      *hostRecord // of the connection
+	now       time.Time
+}
+
+func newPingTest(t *testing.T) *pingTest {
+	t.Helper()
+	n, transport, _ := newTestNode(t, endpoint("s1", wire.Serving), endpoint("s2", wire.Serving))
+	n.settings.ReportsLatency, n.settings.MayProbe = true, true
+	conn := establish(t, n, "r")
+	return &pingTest{node: n, transport: transport, conn: conn, host: n.requests["r"].host, now: time.Now()}
+}
+
+// second passes the ticks of a second.
+func (p *pingTest) second() {
+	for range ticksPerMeasurement {
+		p.now = p.now.Add(tickInterval)
+		p.node.handleTick(p.now)
+	}
+}
+
+// completed passes the result of a ping.
+func (p *pingTest) completed(took time.Duration) {
+	p.node.handle(pingCompleted{host: p.host.id, took: took})
+}
+
+// A host answers lines at once however long its queue is. Where probes are allowed latency is measured by pings, and by
+// the wait for a ping without an answer.
+func TestPing_SlowHost_ReportedWhenConfirmed(t *testing.T) {
+	p := newPingTest(t)
+	if len(p.transport.pings) != 1 || p.transport.pings[0] != p.host.id {
+		t.Fatalf("pings %v with a first connection, want one to its host", p.transport.pings)
+	}
+	p.completed(80 * time.Millisecond)
+	p.transport.pings = nil
+	p.conn.stats = MessageStats{Answered: 1, LastLatency: time.Millisecond}
+	p.second()
+	if p.second(); len(p.transport.pings) != 1 || p.transport.pings[0] != p.host.id {
+		t.Fatalf("pings %v in two seconds, want one to the host with a connection", p.transport.pings)
+	}
+	// The round trip to a distant host is no message latency.
+	p.completed(70 * time.Millisecond)
+	p.second()
+	p.second()
+	if p.completed(75 * time.Millisecond); p.host.reportedSlow || p.host.unconfirmedPing > 0 {
+		t.Error("the round trip counts as message latency")
+	}
+	p.completed(2 * time.Millisecond) // its best
+	checkSlowPings(t, p)
+	checkRecovery(t, p)
+	restarted := wire.Endpoint{ID: string(p.host.id), StartedAtMS: 5, Size: 1}
+	p.node.applyList(changesOf(0, restarted), balancer.ListDelta, false)
+	if p.host.bestPing != 0 {
+		t.Error("the best ping is kept over a restart of the host")
+	}
+}
+
+// checkSlowPings checks which pings of a host, at its best 2 ms, are confirmed and reported as slow.
+func checkSlowPings(t *testing.T, p *pingTest) {
+	t.Helper()
+	for _, c := range []struct {
+		first, again time.Duration
+		slow         bool
+	}{
+		{3 * time.Millisecond, 0, false},                     // jitter
+		{30 * time.Millisecond, 2 * time.Millisecond, false}, // not confirmed
+		{7 * time.Millisecond, 6 * time.Millisecond, true},   // three times slower than at its best
+		{5 * time.Millisecond, 0, true},                      // still slow
+		{3 * time.Millisecond, 0, false},                     // recovered
+		{30 * time.Millisecond, 30 * time.Millisecond, true}, // slow by any measure
+	} {
+		p.second()
+		p.second()
+		before := len(p.transport.pings)
+		p.completed(c.first)
+		if (len(p.transport.pings) > before) != (c.again > 0) {
+			t.Errorf("after %v: pinged again %v", c.first, len(p.transport.pings) > before)
+		}
+		if c.again > 0 {
+			p.completed(c.again)
+		}
+		if p.host.reportedSlow != c.slow {
+			t.Errorf("after %v and %v: slow %v", c.first, c.again, p.host.reportedSlow)
+		}
+	}
+}
+
+// checkRecovery checks that a slow host is pinged each second, and that it is slow again when a ping is not answered.
+func checkRecovery(t *testing.T, p *pingTest) {
+	t.Helper()
+	p.node.requests["r"].migrating = false // undo the balancer's migration
+	before := len(p.transport.pings)
+	if p.second(); len(p.transport.pings) != before+1 {
+		t.Errorf("%d pings a second after a slow one, want 1", len(p.transport.pings)-before)
+	}
+	p.completed(2 * time.Millisecond)
+	p.second()
+	p.second()
+	p.completed(-1)
+	if p.second(); p.host.reportedSlow {
+		t.Error("a host that could not be pinged counts as slow")
+	}
+	for range 4 {
+		p.second()
+	}
+	if !p.host.reportedSlow {
+		t.Error("a ping without an answer is not reported")
+	}
+}
+
+// A ping that could not be sent, as without a free descriptor, says nothing of the host.
+func TestPing_NotSent_NoReport(t *testing.T) {
+	n, w, _ := newTestNode(t, endpoint("s1", wire.Serving))
+	n.settings.ReportsLatency, n.settings.MayProbe = true, true
+	w.pingsFail = true
+	p := establish(t, n, "r")
+	for range 8 * ticksPerMeasurement {
+		n.handleTick(time.Now())
+	}
+	if on := n.requests["r"].host; on.reportedSlow || strings.Contains(p.recorded(), "migrate") {
+		t.Errorf("slow %v; %s", on.reportedSlow, p.recorded())
+	}
+	w.pingsFail = false
+	for range 2 * ticksPerMeasurement {
+		n.handleTick(time.Now())
+	}
+	if len(w.pings) != 1 {
+		t.Errorf("%d pings once they can be sent, want 1", len(w.pings))
+	}
+}
+
+// A host that was half used and slows to an eighth gets four times what it can do: four fifths of its clients must be
+// migrated at once.
+func TestPing_HostSlowsToAnEighth_ReportIncludesBacklog(t *testing.T) {
+	n, _, _ := newTestNode(t, endpoint("s1", wire.Serving))
+	n.settings.ReportsLatency, n.settings.MayProbe = true, true
+	var conns []*fakeConn
+	for i := range 20 {
+		conns = append(conns, establish(t, n, fmt.Sprint("r", i)))
+	}
+	for range ticksPerMeasurement {
+		n.handleTick(time.Now())
+	}
+	for _, took := range []time.Duration{3, 24, 24} {
+		n.handle(pingCompleted{host: "s1", took: took * time.Millisecond})
+	}
+	migrated := 0
+	for _, p := range conns {
+		migrated += strings.Count(p.recorded(), "migrate")
+	}
+	if migrated < 15 || migrated > 17 {
+		t.Errorf("%d of 20 migrated, want four fifths", migrated)
+	}
+}
+
+// The allowance for jitter must not hide the overload of a fast host, whose pings are short even at twice their best.
+func TestPing_FastHostOverloaded_NotTakenForJitter(t *testing.T) {
+	n, _, _ := newTestNode(t, endpoint("s1", wire.Serving))
+	n.settings.ReportsLatency, n.settings.MayProbe = true, true
+	establish(t, n, "r")
+	host := n.hosts["s1"]
+	host.representative = "r"
+	for _, c := range []struct {
+		micros time.Duration
+		slow   bool
+	}{{1000, false}, {2100, false}, {2500, false}, {2500, true}, {2100, false}} {
+		if n.handlePingResult(host, c.micros*time.Microsecond); host.reportedSlow != c.slow {
+			t.Errorf("after %v: slow %v", c.micros*time.Microsecond, host.reportedSlow)
+		}
+	}
+}
+
+// The backlog of a host that stays at 2.5 times its best grows with each ping.
+func TestBacklog_HostStaysSlow_GrowsEachPing(t *testing.T) {
+	n, _, _ := newTestNode(t, endpoint("s1", wire.Serving))
+	n.settings.ReportsLatency, n.settings.MayProbe = true, true
+	establish(t, n, "r")
+	n.handleTick(time.Now())
+	host := n.hosts["s1"]
+	host.representative = "r"
+	for i, c := range []struct{ took, backlog time.Duration }{
+		{4, 0}, {10, 0}, {10, 250}, {10, 500}, {10, 750}, {7, 625}, {4, 0},
+	} {
+		n.handlePingResult(host, c.took*time.Millisecond)
+		if host.backlog != c.backlog*time.Millisecond {
+			t.Errorf("ping %d: backlog %v, want %v", i, host.backlog, c.backlog*time.Millisecond)
+		}
+	}
+}
--- /dev/null
+++ b/internal/node/overrides_test.go
@@ -0,0 +1,104 @@
+package node
+
+import (
+	"strings"
+	"testing"
+	"time"
+
+	"onyxstream/balancer"
+	"onyxstream/internal/wire"
+)
+
+// An override before the first list, as in a hot restart, must not count as an answer of discovery.
+func TestHostOverride_BeforeFirstList_ListStillPolled(t *testing.T) {
+	n, w, _ := newTestNode(t, endpoint("a", wire.Serving), endpoint("b", wire.Serving))
+	for _, drain := range []bool{true, false} {
+		if err := n.overrideHost("a", drain, false, time.Now()); err != nil {
+			t.Fatal(err)
+		}
+	}
+	deadline := n.now() + n.settings.PollInterval
+	for now := n.now(); now < deadline && len(w.watches) == 0; now += 200 * time.Millisecond {
+		for _, a := range n.balancer.Handle(now, balancer.Timer{Token: "sweep"}) {
+			n.perform(a)
+		}
+	}
+	if len(w.watches) != 1 {
+		t.Errorf("%d list requests, want 1", len(w.watches))
+	}
+}
+
+// A host warms up after its override is lifted, though the list shows an old start; one without an override does not.
+func TestHostOverride_Lifted_HostWarmsUp(t *testing.T) {
+	n, _, _ := newTestNode(t, endpoint("a", wire.Serving), endpoint("b", wire.Serving))
+	at := time.Now()
+	reenabledAt := n.clockTime(at).Truncate(time.Millisecond)
+	for _, step := range []struct {
+		drain bool
+		want  time.Duration
+	}{{false, 0}, {true, 0}, {true, 0}, {false, reenabledAt}} {
+		if err := n.overrideHost("a", step.drain, true, at); err != nil {
+			t.Fatal(err)
+		}
+		if (n.reenabledAt["a"] - step.want).Abs() >= time.Millisecond { // kept to the millisecond
+			t.Errorf("drain %v: re-enabled at %d, want %d", step.drain, n.reenabledAt["a"], step.want)
+		}
+	}
+	if n.overrides["a"] || n.hosts["a"].state != balancer.Live {
+		t.Error("an override that was set twice is not lifted")
+	}
+	if err := n.overrideHost("unknown", false, true, at); err != ErrUnknownHost {
+		t.Errorf("unknown host: %v", err)
+	}
+	if err := n.overrideHost("later", true, false, at); err != nil || !n.overrides["later"] {
+		t.Errorf("host that is listed later: %v", err)
+	}
+	n.applyList(changesOf(8, endpoint("later", wire.Serving)), balancer.ListDelta, false)
+	if n.hosts["later"].state != balancer.Draining {
+		t.Error("host that is listed later is not drained")
+	}
+	if n.countHosts(); n.listedHosts.Load() != 3 || n.avoidedHosts.Load() != 1 {
+		t.Errorf("%d hosts, %d avoided", n.listedHosts.Load(), n.avoidedHosts.Load())
+	}
+}
+
+// An override holds whatever the list says of the host, and an attempt that connects after the drain grace is not
+// written.
+func TestHostOverride_ListChanges_HostStaysOut(t *testing.T) {
+	n, _, _ := newTestNode(t, endpoint("a", wire.Serving))
+	p := arrive(t, n, "r")
+	if got := p.recorded(); got == "" {
+		t.Fatal("no attempt was started")
+	}
+	if err := n.overrideHost("a", true, true, time.Now()); err != nil {
+		t.Fatal(err)
+	}
+	n.hosts["a"].notifiedAt = time.Now().Add(-time.Second)
+	n.handle(attemptConnected{requestRef: requestRef{id: "r"}})
+	if got := p.recorded(); !strings.HasSuffix(got, "proceed 0 false") {
+		t.Errorf("attempt that connects late: %q", got)
+	}
+	restarted := endpoint("a", wire.Serving)
+	restarted.Addr, restarted.StartedAtMS = "elsewhere:1", time.Now().UnixMilli()
+	removed := endpoint("a", wire.Removed)
+	for _, c := range []struct {
+		endpoint wire.Endpoint
+		kind     balancer.ListKind
+	}{
+		{restarted, balancer.ListDelta},
+		{removed, balancer.ListDelta},
+		{restarted, balancer.ListDelta},
+		{restarted, balancer.ListSnapshot},
+	} {
+		list := changesOf(n.revision+1, c.endpoint)
+		list.Complete = c.kind == balancer.ListSnapshot
+		n.applyList(list, c.kind, false)
+		if n.hosts["a"].state == balancer.Live {
+			t.Errorf("with %+v the host is used", c.endpoint)
+		}
+	}
+	q := arrive(t, n, "s")
+	if got := q.recorded(); got != "reject true" {
+		t.Errorf("with all hosts overridden: %q", got)
+	}
+}
--- /dev/null
+++ b/internal/node/shutdown_test.go
@@ -0,0 +1,61 @@
+package node
+
+import (
+	"strings"
+	"testing"
+	"time"
+
+	"onyxstream/balancer"
+	"onyxstream/internal/wire"
+)
+
+// A client's deadline may lie after the shutdown: each request in flight gets one final answer at the shutdown, and no
+// attempt is started after it.
+func TestShutdown_RequestsInFlight_EachAnsweredOnce(t *testing.T) {
+	n, _, _ := newTestNode(t, endpoint("s1", wire.Serving), endpoint("s2", wire.Serving))
+	established := arrive(t, n, "up")
+	waiting := arrive(t, n, "waits")
+	dialling := arrive(t, n, "dials")
+	midFlow := &fakeConn{}
+	n.handle(attemptConnected{requestRef: requestRef{id: "up"}})
+	n.handle(establishedEvent("up", 0))
+	n.handle(attemptConnected{requestRef: requestRef{id: "waits"}})
+	n.handle(requestArrived{
+		requestRef: requestRef{id: "mid", conn: midFlow},
+		opening:    parseOpening(t, "OPEN mid key c=chat,t=acme,d=2000,mid=1"),
+		deadline:   time.Now().Add(2 * time.Second),
+	})
+	n.handle(shutdownRequested{deadline: time.Now().Add(time.Hour)})
+	if n.timeToShutdown(time.Now()) == 0 || n.InFlightRequests() != 3 {
+		t.Fatalf("shutdown in %v, %d in flight", n.timeToShutdown(time.Now()), n.InFlightRequests())
+	}
+	n.answerInFlight()
+	n.handle(attemptConnected{requestRef: requestRef{id: "dials"}})
+	for _, id := range []string{"waits", "dials", "mid"} {
+		n.handle(endAttemptEvent(id, 0, balancer.Cancelled))
+	}
+	late := arrive(t, n, "late")
+	for name, p := range map[string]*fakeConn{"waits": waiting, "dials": dialling, "mid": midFlow, "late": late} {
+		calls := p.recorded()
+		if strings.Count(calls, "reject")+strings.Count(calls, "fail") != 1 || strings.Count(calls, "send") > 1 {
+			t.Errorf("%s: %s", name, calls)
+		}
+	}
+	if !strings.Contains(dialling.recorded(), "proceed 0 false") || !strings.Contains(late.recorded(), "reject") {
+		t.Errorf("%s; %s", dialling.recorded(), late.recorded())
+	}
+	if n.InFlightRequests() != 0 || n.EstablishedConnections() != 1 || strings.Contains(established.recorded(), "cancel") {
+		t.Errorf("%d in flight, %d established; %s", n.InFlightRequests(), n.EstablishedConnections(), established.recorded())
+	}
+}
+
+// A request that arrives during a graceful shutdown has time only until its deadline, so that another host is tried in
+// time.
+func TestArrival_NodeShuttingDown_TimeLeftIsBounded(t *testing.T) {
+	n, _, _ := newTestNode(t, endpoint("s1", wire.Serving))
+	n.handle(shutdownRequested{deadline: time.Now().Add(50 * time.Millisecond)})
+	p := arrive(t, n, "r")
+	if len(p.sent) != 1 || p.sent[0].Timeout > 50*time.Millisecond {
+		t.Errorf("sent %+v", p.sent)
+	}
+}
--- a/internal/node/wallclock_test.go
+++ b/internal/node/wallclock_test.go
@@ -8,9 +8,9 @@
 	"onyxstream/internal/wire"
 )
 
-// A host that has just started is known as that after the machine's clock was stepped, and one that started before the
-// step is taken for no older than it is.
-func TestWallClock_Stepped_StartsAreSpansOfRealTime(t *testing.T) {
+// A host that has started after a step of the wall clock has its real age, and one that has started before it passes
+// for no older than it is.
+func TestWallClock_Stepped_StartAgesKept(t *testing.T) {
 	const begin, age = 1000 * time.Hour, 2 * time.Second
 	for _, step := range []time.Duration{0, time.Hour, -time.Hour, 3 * time.Second, -3 * time.Second} {
 		var c wallClock
@@ -31,7 +31,7 @@
 	}
 }
 
-// A start that lies ahead of the clock is one of now: nobody starts later than told.
+// A start in the future counts as now.
 func TestWallClock_StartAhead_IsNow(t *testing.T) {
 	var c wallClock
 	c.observe(time.Hour, time.Hour)
@@ -40,22 +40,24 @@
 	}
 }
 
-// A node that is held up for 0.15 s between its last look and the write keeps to the grace of a drain.
-func TestSendable_HeldUpBeforeTheWrite_KeepsTheGrace(t *testing.T) {
-	const heldUp = 150 * time.Millisecond
-	n, _, _ := held(t, entry("a", wire.Serving))
-	m := n.members["a"]
+// A process that is suspended for 0.15 s between the check and the write keeps the drain grace.
+func TestHostAcceptsWrites_DelayBeforeWrite_GraceKept(t *testing.T) {
+	const delay = 150 * time.Millisecond
+	n, _, _ := newTestNode(t, endpoint("a", wire.Serving))
+	m := n.hosts["a"]
 	m.state = balancer.Draining
-	for _, grace := range []time.Duration{50 * time.Millisecond, 100 * time.Millisecond, 400 * time.Millisecond, 2 * time.Second} {
-		n.set.DrainGrace = grace
-		m.toldAt = time.Now().Add(heldUp - grace) // a write after the hold-up comes just past the grace
-		if n.sendable(m) {
-			t.Errorf("a grace of %v: a line may go %v before its end", grace, heldUp)
+	for _, grace := range []time.Duration{
+		50 * time.Millisecond, 100 * time.Millisecond, 400 * time.Millisecond, 2 * time.Second,
+	} {
+		n.settings.DrainGrace = grace
+		m.notifiedAt = time.Now().Add(delay - grace) // a write after the delay comes just after the grace
+		if n.hostAcceptsWrites(m) {
+			t.Errorf("a grace of %v: a line may go %v before its end", grace, delay)
 		}
 	}
-	n.set.DrainGrace = 2 * time.Second
-	m.toldAt = time.Now()
-	if !n.sendable(m) {
+	n.settings.DrainGrace = 2 * time.Second
+	m.notifiedAt = time.Now()
+	if !n.hostAcceptsWrites(m) {
 		t.Error("nothing may go within a long grace")
 	}
 }
