--- /dev/null
+++ b/internal/discovery/watcher_test.go
@@ -0,0 +1,231 @@
+package discovery
+
+import (
+	"bufio"
+	"context"
+	"fmt"
+	"io"
+	"net"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"go.uber.org/zap"
+
+	"onyxstream/balancer"
+	"onyxstream/internal/netio/netiotest"
+	"onyxstream/internal/node"
+	"onyxstream/internal/settings"
+	"onyxstream/internal/wire"
+)
+
+// withoutPings is what a node needs beside its connections, without pings.
+type withoutPings struct{ *Watcher }
+
+func (withoutPings) Ping(balancer.ServerID, string) bool { return false }
+
+// startNode starts a node without hosts that follows the discovery at addr, with settings as configure leaves them.
+func startNode(t *testing.T, addr string, configure func(*settings.Settings)) *node.Node {
+	t.Helper()
+	set := settings.Settings{
+		Settings: balancer.Settings{
+			NodeCount:    1,
+			MaxAttempts:  3,
+			MayCancel:    true,
+			PollList:     true,
+			PollInterval: time.Hour,
+			DrainGrace:   time.Second,
+			Classes:      []balancer.Class{{SetupLatencyObjective: 5 * time.Second, Deadline: 5 * time.Second, PriorityWeight: 1}},
+		},
+		ClassNames: []string{"chat"},
+	}
+	configure(&set)
+	watcher := NewWatcher(zap.NewNop())
+	n := node.New(set, wire.EndpointList{Complete: true}, addr, withoutPings{watcher}, zap.NewNop())
+	watcher.Attach(n)
+	ctx, cancel := context.WithCancel(context.Background())
+	var running sync.WaitGroup
+	running.Go(func() { _ = watcher.Run(ctx) })
+	running.Go(func() { _ = n.Run(ctx) })
+	t.Cleanup(func() {
+		cancel()
+		running.Wait()
+	})
+	return n
+}
+
+// The longest delays between a change and the next call: a watch falls silent right behind a heartbeat; a call is lost as
+// discovery recovers. What is left of the bound is for the answer.
+func TestTimeouts_WorstCase_WithinNotificationBound(t *testing.T) {
+	const answer = 400 * time.Millisecond
+	for name, longest := range map[string]time.Duration{
+		"polled, a watch falls silent": heartbeatTimeout + balancer.MaxRepollDelay,
+		"polled, a call is lost":       callTimeout + balancer.MaxRepollDelay,
+		"polled, a call is rejected":   2 * balancer.MaxRepollDelay,
+		"pushed, a watch falls silent": heartbeatTimeout + node.MaxRewatchDelay,
+		"pushed, a call is lost":       callTimeout + node.MaxRewatchDelay,
+	} {
+		if longest+answer > notifyWithin {
+			t.Errorf("%s: %v until the next call, of %v", name, longest, notifyWithin)
+		}
+	}
+	// After SIGHUP where polling is off: 4 s.
+	if longest := snapshotTimeout + node.MaxRewatchDelay; longest+answer > 4*time.Second {
+		t.Errorf("discovery reconfigured: %v until the second call", longest)
+	}
+}
+
+// chunk is one chunk of a response in chunked transfer coding.
+func chunk(text string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(text), text) }
+
+const chunkedHeader = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+
+// serveWatches starts a discovery whose n-th watch, from 0 on, is written by watch behind the header of its response.
+func serveWatches(t *testing.T, watch func(n int64, c *net.TCPConn)) (addr string, calls *atomic.Int64) {
+	calls = new(atomic.Int64)
+	return netiotest.Serve(t, func(c *net.TCPConn) {
+		in := bufio.NewReader(c)
+		for {
+			if line, err := in.ReadString('\n'); err != nil || line == "\r\n" {
+				break
+			}
+		}
+		_, _ = io.WriteString(c, chunkedHeader)
+		watch(calls.Add(1)-1, c)
+	}), calls
+}
+
+// serveList starts a discovery with one list, as a watch and, after a delay, as a snapshot.
+func serveList(t *testing.T, list string, delay time.Duration) (addr string) {
+	return netiotest.Serve(t, func(c *net.TCPConn) {
+		in := bufio.NewReader(c)
+		line, _ := in.ReadString('\n')
+		time.Sleep(delay)
+		if strings.Contains(line, "watch=1") {
+			_, _ = io.WriteString(c, chunkedHeader+chunk(list))
+			_, _ = io.Copy(io.Discard, c)
+			return
+		}
+		_, _ = io.WriteString(c, fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(list), list))
+	})
+}
+
+const listOfB = `{"revision":1,"complete":true,"members":[{"id":"b","host_port":"127.0.0.1:2","phase":"SERVING","size":1}]}` + "\n"
+
+// A watch that sends an endless list is as silent as one that sends nothing.
+func TestWatch_ListNeverEnds_Reopened(t *testing.T) {
+	addr, calls := serveWatches(t, func(n int64, c *net.TCPConn) {
+		_, _ = io.WriteString(c, chunk(`{"revision":1,"complete":true,"members":[]}`+"\n"))
+		if n > 0 {
+			_, _ = io.Copy(io.Discard, c)
+			return
+		}
+		_, err := io.WriteString(c, chunk(`{"revision":2,"complete":false,"members":[`))
+		for ; err == nil; time.Sleep(100 * time.Millisecond) {
+			_, err = io.WriteString(c, chunk(" "))
+		}
+	})
+	startNode(t, addr, func(s *settings.Settings) { s.PollList = false })
+	netiotest.Eventually(t, "the watch is reopened", func() bool { return calls.Load() > 1 })
+}
+
+// A list may stand on several lines, come in any pieces, and have anything between it and the next.
+func TestWatch_IndentedLists_Accepted(t *testing.T) {
+	first := "{\n  \"revision\": 1,\n  \"complete\": true,\n\n  \"members\": [\r\n" +
+		"    {\"id\": \"{a\\\"}\", \"host_port\": \"127.0.0.1:1\", \"phase\": \"SERVING\", \"size\": 1}\n  ]\n}\n"
+	second := "\r\n{\n \"revision\": 2,\n \"members\": [\n  {\"id\": \"b\", \"host_port\": \"127.0.0.1:2\", \"phase\": \"SERVING\", \"size\": 1}]}\n"
+	addr, calls := serveWatches(t, func(_ int64, c *net.TCPConn) {
+		_ = c.SetNoDelay(true)
+		for _, b := range []byte(first + second) {
+			_, _ = io.WriteString(c, chunk(string(b)))
+		}
+		_, _ = io.Copy(io.Discard, c)
+	})
+	n := startNode(t, addr, func(s *settings.Settings) { s.PollList = false })
+	netiotest.Eventually(t, "both lists are accepted", func() bool { return len(n.View().Hosts) == 2 })
+	if n := calls.Load(); n != 1 {
+		t.Errorf("%d watches", n)
+	}
+}
+
+// What a watch has received as it times out is no silence: the process may have been suspended.
+func TestReadLate_BytesUnread_NoTimeout(t *testing.T) {
+	listener, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
+	if err != nil {
+		t.Fatal(err)
+	}
+	peer, c := netiotest.Connect(t, listener)
+	buffer := make([]byte, 64)
+	timeout := io.ErrNoProgress
+	if n, err := readLate(c, buffer, timeout); n != 0 || err != timeout {
+		t.Errorf("silent: %d bytes, error %v", n, err)
+	}
+	_, _ = io.WriteString(peer, "2\r\n\r\n\r\n")
+	netiotest.Eventually(t, "the bytes are received", func() bool { return netiotest.UnreadBytes(t, c) > 0 })
+	if n, err := readLate(c, buffer, timeout); n != 7 || err != nil {
+		t.Errorf("%d bytes, error %v", n, err)
+	}
+	_ = peer.Close()
+	netiotest.Eventually(t, "the peer's close is received", func() bool {
+		_, err := readLate(c, buffer, timeout)
+		return err == io.EOF
+	})
+}
+
+// A call that is in flight as discovery is reconfigured is superseded: neither its failure nor its list counts as the new
+// call's.
+func TestWatch_Superseded_ListIgnored(t *testing.T) {
+	hold, called := make(chan struct{}), make(chan struct{}, 1)
+	oldAddr, _ := serveWatches(t, func(_ int64, c *net.TCPConn) {
+		called <- struct{}{}
+		<-hold // its list is in flight until the new one has been accepted
+		_, _ = io.WriteString(c, chunk(`{"revision":9,"complete":true,"members":[]}`+"\n"))
+	})
+	newAddr := serveList(t, listOfB, 0)
+	n := startNode(t, oldAddr, func(s *settings.Settings) { s.PollList = false })
+	<-called
+	n.SetDiscoveryAddr(newAddr)
+	hasNewList := func() bool {
+		hosts := n.View().Hosts
+		return len(hosts) == 1 && hosts[0].ID == "b"
+	}
+	netiotest.Eventually(t, "the new list is accepted", hasNewList)
+	close(hold)
+	n.MergePingBaselines(nil) // an event behind whatever the old call has posted
+	if !hasNewList() {
+		t.Errorf("the node holds %v", n.View().Hosts)
+	}
+}
+
+// The first snapshot of a discovery that is slow times out; the next one waits for longer.
+func TestSnapshot_SlowDiscovery_Received(t *testing.T) {
+	t.Parallel()
+	addr := serveList(t, listOfB, snapshotTimeout+500*time.Millisecond)
+	for _, poll := range []bool{false, true} {
+		n := startNode(t, netiotest.RefusedAddr(t), func(s *settings.Settings) { s.PollList, s.PollInterval = poll, 10*time.Second })
+		n.SetDiscoveryAddr(addr)
+		start := time.Now()
+		netiotest.Eventually(t, "the list is received", func() bool { return len(n.View().Hosts) == 1 })
+		if took := time.Since(start); took > notifyWithin {
+			t.Errorf("polled %v: received after %v", poll, took)
+		}
+	}
+}
+
+func TestExtendDeadline_ContextEnded_Fails(t *testing.T) {
+	listener, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
+	if err != nil {
+		t.Fatal(err)
+	}
+	_, c := netiotest.Connect(t, listener)
+	ctx, cancel := context.WithCancel(context.Background())
+	if err := extendDeadline(ctx, c, time.Minute); err != nil {
+		t.Errorf("while the context lasts: %v", err)
+	}
+	cancel()
+	if err := extendDeadline(ctx, c, time.Minute); err == nil {
+		t.Error("it reports no error")
+	}
+}
--- a/internal/lifecycle/operated_test.go
+++ b/internal/lifecycle/operated_test.go
@@ -10,6 +10,7 @@
 
 	"onyxstream/balancer"
 	"onyxstream/internal/control"
+	"onyxstream/internal/discovery"
 	"onyxstream/internal/node"
 	"onyxstream/internal/proxy"
 	"onyxstream/internal/settings"
@@ -28,7 +29,7 @@
 	log := zap.NewNop()
 	cfg := Config{Name: "n1", Sockets: 256, MemoryMB: 64, Management: "127.0.0.1:1"}
 	t.Setenv("TMPDIR", dir)
-	d, y := proxy.New(proxy.Config{MaxDescriptors: 256, Classes: []string{"chat"}}, log), proxy.NewDiscovery(log)
+	d, y := proxy.New(proxy.Config{MaxDescriptors: 256, Classes: []string{"chat"}}, log), discovery.NewWatcher(log)
 	set := settings.Settings{Settings: balancer.Settings{Classes: []balancer.Class{{Deadline: time.Second}}}, ClassNames: []string{"chat"}}
 	known := wire.EndpointList{Complete: true, Endpoints: []wire.Endpoint{{ID: "h1", Addr: "127.0.0.1:1", Size: 1}}}
 	n := node.New(set, known, "127.0.0.1:1", outside{y, d}, log)
--- a/internal/lifecycle/run.go
+++ b/internal/lifecycle/run.go
@@ -19,6 +19,7 @@
 	"onyxstream/balancer"
 	"onyxstream/internal/coldstart"
 	"onyxstream/internal/control"
+	"onyxstream/internal/discovery"
 	"onyxstream/internal/logging"
 	"onyxstream/internal/management"
 	"onyxstream/internal/node"
@@ -39,7 +40,7 @@
 
 // outside gives the loop the sockets beside its connections.
 type outside struct {
-	*proxy.Discovery
+	*discovery.Watcher
 	*proxy.Proxy
 }
 
@@ -64,7 +65,7 @@
 	debug.SetMemoryLimit(heap(cfg.MemoryMB))
 
 	conns := control.MaxConns(cfg.Sockets)
-	d, y := newDriver(cfg, own.Control.sockets(conns), log), proxy.NewDiscovery(log)
+	d, y := newDriver(cfg, own.Control.sockets(conns), log), discovery.NewWatcher(log)
 	cold := own.ColdStart
 	known, service := cfg.Known, ""
 	var start *coldstart.Scheduler
--- /dev/null
+++ b/internal/netio/available.go
@@ -0,0 +1,47 @@
+package netio
+
+import (
+	"io"
+	"net"
+	"os"
+
+	"golang.org/x/sys/unix"
+
+	"onyxstream/internal/syserr"
+)
+
+// ReadAvailable reads what a connection has received already, whatever its deadlines are, and never blocks. It returns 0
+// and no error where nothing has been received, and io.EOF where the peer has closed its side. Beside a blocking read on
+// the same connection either of the two gets the bytes.
+func ReadAvailable(c *net.TCPConn, into []byte) (n int, err error) {
+	raw, err := c.SyscallConn()
+	if err != nil {
+		return 0, err
+	}
+	controlErr := raw.Control(func(fd uintptr) { n, err = ReadNow(fd, into) })
+	if controlErr != nil {
+		return 0, controlErr
+	}
+	return n, err
+}
+
+// ReadNow is ReadAvailable on a descriptor in non-blocking mode.
+func ReadNow(fd uintptr, into []byte) (n int, err error) {
+	for retries := 0; ; {
+		n, err = unix.Read(int(fd), into)
+		switch {
+		case err == unix.EINTR:
+			continue
+		case syserr.LacksMemory(err) && retries < maxImmediateRetries:
+			retries++
+			continue
+		case err == unix.EAGAIN:
+			return 0, nil
+		case err != nil:
+			return 0, os.NewSyscallError("read", err)
+		case n == 0:
+			return 0, io.EOF
+		}
+		return n, nil
+	}
+}
--- /dev/null
+++ b/internal/netio/netio_test.go
@@ -0,0 +1,37 @@
+package netio
+
+import (
+	"io"
+	"net"
+	"os"
+	"syscall"
+	"testing"
+)
+
+// failedRead is a read that failed as the system reports it.
+func failedRead(errno syscall.Errno) error {
+	return &net.OpError{Op: "read", Net: "tcp", Err: os.NewSyscallError("read", errno)}
+}
+
+// A broken connection shows by many errors of the system. ETIMEDOUT is one of them and no deadline of this process: such
+// a connection must not be read again. The close of the peer's side alone is no break.
+func TestConnectionErrors_Classified(t *testing.T) {
+	deadline := &net.OpError{Op: "read", Net: "tcp", Err: os.ErrDeadlineExceeded}
+	for _, c := range []struct {
+		err                     error
+		deadlineExceeded, reset bool
+	}{
+		{deadline, true, false},
+		{io.EOF, false, false},
+		{failedRead(syscall.ECONNRESET), false, true},
+		{failedRead(syscall.EPIPE), false, true},
+		{failedRead(syscall.ETIMEDOUT), false, true},
+		{failedRead(syscall.EHOSTUNREACH), false, true},
+		{failedRead(syscall.ENETUNREACH), false, true},
+		{failedRead(syscall.ECONNABORTED), false, true},
+	} {
+		if IsDeadlineExceeded(c.err) != c.deadlineExceeded || IsReset(c.err) != c.reset {
+			t.Errorf("%v: deadline exceeded %v, reset %v", c.err, IsDeadlineExceeded(c.err), IsReset(c.err))
+		}
+	}
+}
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"onyxstream/balancer"
+	"onyxstream/internal/netio"
 	"onyxstream/internal/node"
 	"onyxstream/internal/syserr"
 	"onyxstream/internal/wire"
@@ -64,7 +65,7 @@
 		return balancer.Cancelled
 	case e.Stage == Answering:
 		return balancer.Errored
-	case timedOut(e.Err):
+	case netio.IsDeadlineExceeded(e.Err):
 		return balancer.ResponseTimeout
 	}
 	return balancer.ConnectionReset
@@ -111,7 +112,7 @@
 		return fail(Authorizing, err)
 	}
 	// Setting the deadline wakes whatever read or write is under way.
-	stop := context.AfterFunc(ctx, func() { _ = c.SetDeadline(past) })
+	stop := context.AfterFunc(ctx, func() { _ = c.SetDeadline(netio.Expired) })
 	began := time.Now()
 	line := o.Forward(by.Sub(began))
 	if n, err := host.Write(line); n < len(line) { // not made again here: each try follows a look of its own
@@ -137,7 +138,7 @@
 			}
 			return fail(Answering, errHost)
 		}
-		n, err := readSome(host, in.Space())
+		n, err := netio.Read(host, in.Space())
 		in.Advance(n)
 		if n == 0 && err != nil {
 			if err == io.EOF {
--- a/internal/proxy/attempt_test.go
+++ b/internal/proxy/attempt_test.go
@@ -11,36 +11,14 @@
 	"time"
 
 	"onyxstream/balancer"
+	"onyxstream/internal/netio/netiotest"
 	"onyxstream/internal/node"
 	"onyxstream/internal/wire"
 )
 
-// host is a listener that hands each connection to a function.
-func host(t *testing.T, serve func(*net.TCPConn)) string {
-	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { _ = l.Close() })
-	go func() {
-		for {
-			c, err := l.Accept()
-			if err != nil {
-				return
-			}
-			go func() {
-				defer c.Close()
-				serve(c.(*net.TCPConn))
-			}()
-		}
-	}()
-	return l.Addr().String()
-}
-
 // answering is a host that reads the first line and says something.
 func answering(t *testing.T, text string) string {
-	return host(t, func(c *net.TCPConn) {
+	return netiotest.Serve(t, func(c *net.TCPConn) {
 		if _, err := bufio.NewReader(c).ReadString('\n'); err == nil {
 			_, _ = io.WriteString(c, text)
 			_, _ = io.Copy(io.Discard, c)
@@ -48,17 +26,6 @@
 	})
 }
 
-// refusing is an address where nothing listens.
-func refusing(t *testing.T) string {
-	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer l.Close()
-	return l.Addr().String()
-}
-
 const hello = "OPEN id key c=chat,d=9000,new=1"
 
 func opening(t *testing.T, line string) *wire.Opening {
@@ -84,7 +51,7 @@
 		stage      Stage
 		want       balancer.Outcome
 	}{
-		{"refused", refusing(t), Dialing, balancer.ConnectFailed},
+		{"refused", netiotest.RefusedAddr(t), Dialing, balancer.ConnectFailed},
 		{"turned away", answering(t, "BUSY\r\n"), Answering, balancer.Rejected},
 		{"an error", answering(t, "ERR\r\n"), Answering, balancer.Errored},
 		{"sent away", answering(t, "MOVE\r\n"), Answering, balancer.Cancelled},
@@ -94,10 +61,10 @@
 		{"a line with no end", answering(t, long), Answering, balancer.Errored},
 		{"half an answer", answering(t, "UP r-1"), Awaiting, balancer.ResponseTimeout},
 		{"nothing", answering(t, ""), Awaiting, balancer.ResponseTimeout},
-		{"ended without an answer", host(t, func(c *net.TCPConn) {
+		{"ended without an answer", netiotest.Serve(t, func(c *net.TCPConn) {
 			_, _ = bufio.NewReader(c).ReadString('\n')
 		}), Awaiting, balancer.ConnectionReset},
-		{"broken without an answer", host(t, func(c *net.TCPConn) {
+		{"broken without an answer", netiotest.Serve(t, func(c *net.TCPConn) {
 			_, _ = bufio.NewReader(c).ReadString('\n')
 			_ = c.SetLinger(0)
 		}), Awaiting, balancer.ConnectionReset},
@@ -120,7 +87,7 @@
 
 func TestAttemptComesUpWithWhatFollows(t *testing.T) {
 	lines := make(chan string, 1)
-	addr := host(t, func(c *net.TCPConn) {
+	addr := netiotest.Serve(t, func(c *net.TCPConn) {
 		line, _ := bufio.NewReader(c).ReadString('\n')
 		lines <- line
 		_, _ = io.WriteString(c, "UP r-1 more\r\nM 1\r\nM")
@@ -149,7 +116,7 @@
 // The loop's word between connect and write: without it not a byte may reach the host.
 func TestAttemptThatMayNotGoWritesNothing(t *testing.T) {
 	got := make(chan int, 1)
-	addr := host(t, func(c *net.TCPConn) {
+	addr := netiotest.Serve(t, func(c *net.TCPConn) {
 		n, _ := c.Read(make([]byte, 1))
 		got <- n
 	})
@@ -166,7 +133,7 @@
 func TestWithdrawnAttemptEndsAtOnce(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	closed := make(chan struct{})
-	addr := host(t, func(c *net.TCPConn) {
+	addr := netiotest.Serve(t, func(c *net.TCPConn) {
 		_, _ = bufio.NewReader(c).ReadString('\n')
 		cancel()
 		_, _ = io.Copy(io.Discard, c)
--- a/internal/proxy/closing.go
+++ b/internal/proxy/closing.go
@@ -1,14 +1,10 @@
 package proxy
 
 import (
-	"io"
 	"net"
-	"os"
 	"time"
 
-	"golang.org/x/sys/unix"
-
-	"onyxstream/internal/syserr"
+	"onyxstream/internal/netio"
 	"onyxstream/internal/wire"
 )
 
@@ -26,7 +22,7 @@
 // finish gives the client a line as its last word and ends the connection by FIN.
 func (c *conn) finish(line string) {
 	_ = c.client.SetWriteDeadline(time.Now().Add(lingerFor))
-	_, _ = writeAll(c.client, []byte(line))
+	_, _ = netio.WriteAll(c.client, []byte(line))
 	c.linger()
 }
 
@@ -41,7 +37,7 @@
 	buf := wire.GetBuffer()
 	defer buf.Release()
 	for read := 0; read < mostLinger; {
-		n, err := readSome(c.client, buf[:])
+		n, err := netio.Read(c.client, buf[:])
 		if read += n; err != nil {
 			return
 		}
@@ -52,13 +48,13 @@
 func closeWithMessage(client *net.TCPConn, line string) {
 	_ = client.SetWriteDeadline(time.Now().Add(turn))
 	if line != "" {
-		_, _ = writeAll(client, []byte(line))
+		_, _ = netio.WriteAll(client, []byte(line))
 	}
 	_ = client.CloseWrite()
 	buf := wire.GetBuffer()
 	defer buf.Release()
 	for read := 0; read < mostLinger; {
-		n, err := arrived(client, buf[:])
+		n, err := netio.ReadAvailable(client, buf[:])
 		if read += n; n == 0 || err != nil {
 			break
 		}
@@ -66,44 +62,10 @@
 	_ = client.Close()
 }
 
-// arrived reads what has come on a connection already, whatever its deadlines say. Nothing has where n is 0 and there is
-// no error; the end of the other side is io.EOF. Beside a read that waits on the same connection either of the two gets it.
-func arrived(c *net.TCPConn, into []byte) (n int, err error) {
-	raw, err := c.SyscallConn()
-	if err != nil {
-		return 0, err
-	}
-	if over := raw.Control(func(fd uintptr) { n, err = readNow(fd, into) }); over != nil {
-		return 0, over
-	}
-	return n, err
-}
-
-// readNow is one read that waits for nothing: n is 0 without an error where nothing has come.
-func readNow(fd uintptr, into []byte) (n int, err error) {
-	for retries := 0; ; {
-		n, err = unix.Read(int(fd), into)
-		switch {
-		case err == unix.EINTR:
-			continue
-		case syserr.LacksMemory(err) && retries < retriesAtOnce:
-			retries++
-			continue
-		case err == unix.EAGAIN:
-			return 0, nil
-		case err != nil:
-			return 0, os.NewSyscallError("read", err)
-		case n == 0:
-			return 0, io.EOF
-		}
-		return n, nil
-	}
-}
-
 // stopReading ends upward, so that the client's last bytes are read by linger alone.
 func (c *conn) stopReading() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.over = true
-	_ = c.client.SetReadDeadline(past)
+	_ = c.client.SetReadDeadline(netio.Expired)
 }
--- a/internal/proxy/conn.go
+++ b/internal/proxy/conn.go
@@ -13,6 +13,7 @@
 	"go.uber.org/zap"
 
 	"onyxstream/balancer"
+	"onyxstream/internal/netio"
 	"onyxstream/internal/node"
 	"onyxstream/internal/wire"
 )
@@ -114,7 +115,7 @@
 	defer c.mu.Unlock()
 	if c.host != nil && !c.moving.Swap(true) {
 		_ = c.client.SetWriteDeadline(time.Now().Add(lingerFor))
-		_ = c.host.SetReadDeadline(past)
+		_ = c.host.SetReadDeadline(netio.Expired)
 	}
 }
 
@@ -157,7 +158,7 @@
 			c.withdraw()
 		}
 		if !c.charged && !c.over {
-			_ = c.client.SetReadDeadline(past)
+			_ = c.client.SetReadDeadline(netio.Expired)
 		}
 	}
 }
@@ -270,7 +271,7 @@
 			if c.d.node.IsDraining() { // not ready: the front is to deal it no one
 				pong = wire.Rejection(0)
 			}
-			if _, err := writeAll(c.client, []byte(pong)); err != nil || !c.d.asked(c) {
+			if _, err := netio.WriteAll(c.client, []byte(pong)); err != nil || !c.d.asked(c) {
 				return false
 			}
 			late = false
@@ -294,10 +295,10 @@
 func (c *conn) hear(in *wire.LineBuffer, late *bool) bool {
 	c.met.Store(true)
 	n, err := c.readFirst(in.Space())
-	over := n == 0 && timedOut(err)
+	over := n == 0 && netio.IsDeadlineExceeded(err)
 	if over && !*late {
 		*late = true
-		n, _ = arrived(c.client, in.Space())
+		n, _ = netio.ReadAvailable(c.client, in.Space())
 	}
 	switch in.Advance(n); {
 	case n > 0:
@@ -318,7 +319,7 @@
 	if err != nil {
 		return 0, err
 	}
-	err = retrying(func() error {
+	err = netio.RetryLowMemory(func() error {
 		n, err = c.readNoted(raw, into)
 		return err
 	})
@@ -335,7 +336,7 @@
 			n, err = 0, net.ErrClosed
 			return true
 		}
-		n, err = readNow(fd, into)
+		n, err = netio.ReadNow(fd, into)
 		if n > 0 {
 			c.begun.Store(true)
 		}
@@ -354,7 +355,7 @@
 	c.unheard = true
 	buf := wire.GetBuffer()
 	defer buf.Release()
-	n, _ := arrived(c.client, buf[:])
+	n, _ := netio.ReadAvailable(c.client, buf[:])
 	return n > 0 || c.begun.Load()
 }
 
@@ -363,7 +364,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.ending {
-		t = past
+		t = netio.Expired
 	}
 	_ = c.client.SetReadDeadline(t)
 }
--- a/internal/proxy/crossing_test.go
+++ b/internal/proxy/crossing_test.go
@@ -13,6 +13,7 @@
 	"go.uber.org/zap"
 	"golang.org/x/sys/unix"
 
+	"onyxstream/internal/netio/netiotest"
 	"onyxstream/internal/node"
 	"onyxstream/internal/wire"
 )
@@ -63,7 +64,7 @@
 // An attempt that is withdrawn while the loop says that it may go is not written.
 func TestAnAttemptWithdrawnAsItMayGoWritesNothing(t *testing.T) {
 	heard := make(chan string, 1)
-	addr := host(t, func(c *net.TCPConn) {
+	addr := netiotest.Serve(t, func(c *net.TCPConn) {
 		all, _ := io.ReadAll(c)
 		heard <- string(all)
 	})
@@ -86,11 +87,11 @@
 // A client that is mid-flow and has spoken early leaves like any other: its attempt is withdrawn, no other is begun.
 func TestAMidFlowClientThatSpokeEarlyIsSeenToLeave(t *testing.T) {
 	a, b := counting(t, ""), counting(t, "")
-	r := newRigOf(t, zap.NewNop(), true, refusing(t), patient, a.addr, b.addr)
+	r := newRigOf(t, zap.NewNop(), true, netiotest.RefusedAddr(t), patient, a.addr, b.addr)
 	c, _ := r.ask(t, "OPEN m key c=chat,d=500000,mid=1\r\nM 1")
-	waitFor(t, "a host has the line", func() bool { return a.lines.Load()+b.lines.Load() == 1 })
+	netiotest.Eventually(t, "a host has the line", func() bool { return a.lines.Load()+b.lines.Load() == 1 })
 	_ = c.Close()
-	waitFor(t, "the attempt is withdrawn", func() bool { return a.ended.Load()+b.ended.Load() == 1 })
+	netiotest.Eventually(t, "the attempt is withdrawn", func() bool { return a.ended.Load()+b.ended.Load() == 1 })
 	r.quiet(t)
 	if n := a.lines.Load() + b.lines.Load(); n != 1 {
 		t.Errorf("%d attempts", n)
@@ -105,7 +106,7 @@
 	c, _ := r.ask(t, "OPEN a key c=chat,d=5000,at=h0")
 	k := r.only(t)
 	_ = c.Close()
-	waitFor(t, "the node sees that it has left", k.isGone)
+	netiotest.Eventually(t, "the node sees that it has left", k.isGone)
 	if ctx, over := k.begin(0, "h0"); ctx.Err() == nil {
 		t.Error("an attempt may begin for a client that has left")
 	} else {
@@ -124,12 +125,12 @@
 func ending(t *testing.T, r *rig, c net.Conn, say string) {
 	t.Helper()
 	k := r.only(t)
-	waitFor(t, "it rests", func() bool { return k.rests.Load() && !k.begun.Load() })
+	netiotest.Eventually(t, "it rests", func() bool { return k.rests.Load() && !k.begun.Load() })
 	r.d.mu.Lock()
 	defer r.d.mu.Unlock()
 	if say != "" {
 		_, _ = io.WriteString(c, say)
-		waitFor(t, "it is read", k.begun.Load)
+		netiotest.Eventually(t, "it is read", k.begun.Load)
 	}
 	r.d.shut(false)
 }
@@ -186,7 +187,7 @@
 func TestTheEndRefusesWhatWasNeverSentOn(t *testing.T) {
 	r := newRig(t, zap.NewNop(), false)
 	_, in := r.ask(t, "OPEN a key c=chat,d=500000")
-	waitFor(t, "it is owed its answer", func() bool { return r.d.PendingRequests() == 1 })
+	netiotest.Eventually(t, "it is owed its answer", func() bool { return r.d.PendingRequests() == 1 })
 	r.d.mu.Lock()
 	r.d.shut(false)
 	r.d.mu.Unlock()
@@ -213,7 +214,7 @@
 func TestAFarewellReadsWhatHasCome(t *testing.T) {
 	client, server := pair(t)
 	_, _ = io.WriteString(client, strings.Repeat("x", 20000))
-	waitFor(t, "it lies there", func() bool { return unread(t, server) > 0 })
+	netiotest.Eventually(t, "it lies there", func() bool { return netiotest.UnreadBytes(t, server) > 0 })
 	closeWithMessage(server, "BUSY\r\n")
 	if state := tcpState(t, client); state != closeWait { // a reset would have ended it
 		t.Errorf("the client's side is in state %d", state)
@@ -250,34 +251,6 @@
 	}
 }
 
-// A pinger that is asked as it leaves for want of questions stays: nobody else would answer.
-func TestAPingerThatIsAskedJustThenStays(t *testing.T) {
-	d := New(Config{MaxDescriptors: 256}, zap.NewNop())
-	p := &pinger{asks: make(chan struct{}, 1)}
-	d.pingers["h"] = p
-	p.asks <- struct{}{}
-	if d.retire("h", p, false) || d.pingers["h"] != p {
-		t.Error("it left with a question")
-	}
-	<-p.asks
-	if !d.retire("h", p, false) || len(d.pingers) != 0 {
-		t.Error("it stayed without one")
-	}
-}
-
-// A watch that is given up as it is given more time ends at once.
-func TestAWatchGivenUpIsGivenNoMoreTime(t *testing.T) {
-	_, c := pair(t)
-	ctx, cancel := context.WithCancel(context.Background())
-	if err := extend(ctx, c, time.Minute); err != nil {
-		t.Errorf("one that stands: %v", err)
-	}
-	cancel()
-	if err := extend(ctx, c, time.Minute); err == nil {
-		t.Error("it goes on")
-	}
-}
-
 // A connection that the next process can't go on with is sent away between two lines; its client is not left alone.
 func TestWhatCanNotBeAdoptedIsSentAway(t *testing.T) {
 	r := newRig(t, zap.NewNop(), true)
@@ -327,7 +300,7 @@
 	for _, moved := range []bool{true, false} {
 		t.Run(fmt.Sprintf("moved first %v", moved), func(t *testing.T) {
 			broken := make(chan struct{})
-			addr := host(t, func(c *net.TCPConn) {
+			addr := netiotest.Serve(t, func(c *net.TCPConn) {
 				_, _ = bufio.NewReader(c).ReadString('\n')
 				_, _ = io.WriteString(c, "UP r\r\n")
 				<-broken
@@ -339,7 +312,7 @@
 				t.Fatalf("heard %q, error %v", line, err)
 			}
 			k := r.only(t)
-			waitFor(t, "the loop knows that it stands", func() bool { return r.n.EstablishedConnections() == 1 })
+			netiotest.Eventually(t, "the loop knows that it stands", func() bool { return r.n.EstablishedConnections() == 1 })
 			if moved {
 				k.Migrate()
 				close(broken)
@@ -351,7 +324,7 @@
 					close(done)
 				}()
 				close(broken)
-				waitFor(t, "it has ended", func() bool { return r.n.EstablishedConnections() == 0 })
+				netiotest.Eventually(t, "it has ended", func() bool { return r.n.EstablishedConnections() == 0 })
 				k.mu.Unlock()
 				<-done
 			}
@@ -370,7 +343,7 @@
 	r := newRig(t, zap.NewNop(), false, h.addr)
 	r.ask(t, "OPEN a key c=chat,d=500000")
 	k := r.only(t)
-	waitFor(t, "it waits for the loop", func() bool { return r.d.PendingRequests() == 1 })
+	netiotest.Eventually(t, "it waits for the loop", func() bool { return r.d.PendingRequests() == 1 })
 	k.Proceed(0, true) // late
 	var in wire.LineBuffer
 	defer in.Release()
--- a/internal/proxy/driver.go
+++ b/internal/proxy/driver.go
@@ -6,7 +6,6 @@
 	"container/list"
 	"context"
 	"errors"
-	"io"
 	"net"
 	"os"
 	"runtime/debug"
@@ -16,6 +15,7 @@
 	"go.uber.org/zap"
 
 	"onyxstream/balancer"
+	"onyxstream/internal/healthcheck"
 	"onyxstream/internal/node"
 	"onyxstream/internal/wire"
 )
@@ -62,21 +62,36 @@
 	used    int        // clients that hold two descriptors
 	early   *list.List // of *conn: those that hold one, the one that has had its turn for longest first
 	closed  bool
-	ending  chan struct{} // closed once it ends: who is owed an answer gets it now
-	pingers map[balancer.ServerID]*pinger
-	wg      sync.WaitGroup // of probes and pingers
+	ending  chan struct{}       // closed once it ends: who is owed an answer gets it now
+	pings   *healthcheck.Pinger // shares the descriptor budget, and mu
 	clients sync.WaitGroup
 }
 
 // New makes a driver. Attach must follow before Serve.
 func New(cfg Config, log *zap.Logger) *Proxy {
 	cfg.MaxDescriptors -= cfg.ReservedDescriptors
-	return &Proxy{cfg: cfg, log: log, figures: newFigures(cfg.Classes), early: list.New(), conns: map[*conn]struct{}{},
-		ending: make(chan struct{}), pingers: map[balancer.ServerID]*pinger{}}
+	d := &Proxy{cfg: cfg, log: log, figures: newFigures(cfg.Classes), early: list.New(), conns: map[*conn]struct{}{},
+		ending: make(chan struct{})}
+	d.pings = healthcheck.NewPinger(pingBudget{d}, log)
+	return d
 }
 
 // Attach names the node that decides.
-func (d *Proxy) Attach(n *node.Node) { d.node = n }
+func (d *Proxy) Attach(n *node.Node) {
+	d.node = n
+	d.pings.Attach(n)
+}
+
+// Ping begins to ping a host, and reports false where it does not, for want of a descriptor or because the proxy is shut
+// down. It does not block.
+func (d *Proxy) Ping(id balancer.ServerID, addr string) bool { return d.pings.Ping(id, addr) }
+
+// pingBudget is the descriptor budget as pings see it.
+type pingBudget struct{ d *Proxy }
+
+func (b pingBudget) Lock()                     { b.d.mu.Lock() }
+func (b pingBudget) Unlock()                   { b.d.mu.Unlock() }
+func (b pingBudget) Fits(descriptors int) bool { return b.d.fits(descriptors) }
 
 // Listener is where clients come from.
 type Listener interface{ AcceptTCP() (*net.TCPConn, error) }
@@ -116,7 +131,7 @@
 func (d *Proxy) DescriptorsHeld() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.used*perClient + d.early.Len() + len(d.pingers) + base
+	return d.used*perClient + d.early.Len() + d.pings.Count() + base
 }
 
 // heard is how many clients may hold one descriptor; mu is held. A few can always be: beside another process of the node
@@ -229,13 +244,7 @@
 	if d.closed {
 		return false, true
 	}
-	for id, p := range d.pingers { // a client goes before a ping
-		if d.fits(perClient) || len(d.pingers) <= firstPings {
-			break
-		}
-		delete(d.pingers, id)
-		close(p.asks)
-	}
+	d.pings.ReleaseUntil(func() bool { return d.fits(perClient) })
 	if !d.fits(perClient) {
 		c.since = time.Now()
 		d.early.MoveToBack(c.early)
@@ -257,7 +266,7 @@
 
 // fits reports whether so many more descriptors leave room to hear and refuse clients; mu is held.
 func (d *Proxy) fits(more int) bool {
-	return d.used*perClient+more+ownNeed+max(len(d.pingers)-firstPings, 0)+leastHeard <= d.cfg.MaxDescriptors
+	return d.used*perClient+more+ownNeed+d.pings.Unreserved()+leastHeard <= d.cfg.MaxDescriptors
 }
 
 // asked notes that a client has asked how the node is, and may ask again; false where it was closed for another one.
@@ -294,7 +303,7 @@
 	d.mu.Lock()
 	d.shut(pass)
 	d.mu.Unlock()
-	d.wg.Wait()
+	d.pings.Wait()
 	for by := time.Now().Add(shutDownWithin); len(d.remaining(pass)) > 0 && time.Now().Before(by); {
 		time.Sleep(time.Millisecond)
 	}
@@ -315,10 +324,7 @@
 	for c := range d.conns {
 		c.shutDown(pass)
 	}
-	for id, p := range d.pingers {
-		delete(d.pingers, id)
-		close(p.asks)
-	}
+	d.pings.Close()
 }
 
 // remaining lists the clients whose connections have not ended, but for those that the end leaves.
@@ -358,19 +364,6 @@
 	_ = c.Close()
 }
 
-// timedOut reports whether a deadline of this node's own has passed. The system's ETIMEDOUT, a broken connection, calls
-// itself a timeout too: who took it for one read a dead connection again and again.
-func timedOut(err error) bool {
-	return errors.Is(err, os.ErrDeadlineExceeded) || errors.Is(err, context.DeadlineExceeded)
-}
-
-// isReset tells a connection that broke, by whatever error of the system, from one that the other side ended.
-func isReset(err error) bool {
-	return err != nil && !errors.Is(err, io.EOF) && !errors.Is(err, net.ErrClosed) && !timedOut(err)
-}
-
-var past = time.Unix(1, 0)
-
 // Listen opens the listener. Multipath TCP is off: neither the front nor the hosts speak it.
 func Listen(ctx context.Context, addr string) (*net.TCPListener, error) {
 	var cfg net.ListenConfig
--- a/internal/proxy/driver_test.go
+++ b/internal/proxy/driver_test.go
@@ -16,6 +16,8 @@
 	"go.uber.org/zap/zapcore"
 
 	"onyxstream/balancer"
+	"onyxstream/internal/discovery"
+	"onyxstream/internal/netio/netiotest"
 	"onyxstream/internal/node"
 	"onyxstream/internal/settings"
 	"onyxstream/internal/wire"
@@ -32,15 +34,15 @@
 // newRig starts a driver; the node's loop runs only where loop is set.
 func newRig(t *testing.T, log *zap.Logger, loop bool, hosts ...string) *rig {
 	t.Helper()
-	return newRigOf(t, log, loop, refusing(t), func(*settings.Settings) {}, hosts...)
+	return newRigOf(t, log, loop, netiotest.RefusedAddr(t), func(*settings.Settings) {}, hosts...)
 }
 
 // newRigOf is newRig with a discovery, and with settings as change leaves them.
-func newRigOf(t *testing.T, log *zap.Logger, loop bool, discovery string, change func(*settings.Settings), hosts ...string) *rig {
+func newRigOf(t *testing.T, log *zap.Logger, loop bool, discoveryAddr string, change func(*settings.Settings), hosts ...string) *rig {
 	t.Helper()
 	d, y := New(Config{MaxDescriptors: 256, ConnectTimeout: time.Second, AnswerSlack: 10 * time.Millisecond, DefaultTimeout: time.Second,
 		Classes: []string{"chat"}}, log),
-		NewDiscovery(log)
+		discovery.NewWatcher(log)
 	set := settings.Settings{Settings: balancer.Settings{NodeCount: 1, MaxAttempts: 3, MayCancel: true, PollList: true,
 		PollInterval: time.Hour, DrainGrace: time.Second, Classes: []balancer.Class{{SetupLatencyObjective: 5 * time.Second, Deadline: 5 * time.Second, PriorityWeight: 1}}},
 		ClassNames: []string{"chat"}}
@@ -49,8 +51,8 @@
 	for i, addr := range hosts {
 		known.Endpoints = append(known.Endpoints, wire.Endpoint{ID: fmt.Sprint("h", i), Addr: addr, Size: 1})
 	}
-	n := node.New(set, known, discovery, struct {
-		*Discovery
+	n := node.New(set, known, discoveryAddr, struct {
+		*discovery.Watcher
 		*Proxy
 	}{y, d}, log)
 	d.Attach(n)
@@ -133,7 +135,7 @@
 			t.Errorf("answered %q, error %v", all, err)
 		}
 	}
-	waitFor(t, "nothing is owed", func() bool { return r.n.InFlightRequests() == 0 })
+	netiotest.Eventually(t, "nothing is owed", func() bool { return r.n.InFlightRequests() == 0 })
 }
 
 // A panic after the connection was up must not put an answer of the node's own among the host's lines.
@@ -150,7 +152,7 @@
 	if rest, err := io.ReadAll(in); len(rest) > 0 || err == nil {
 		t.Errorf("then %q, error %v", rest, err)
 	}
-	waitFor(t, "nothing is open", func() bool { return r.n.EstablishedConnections() == 0 })
+	netiotest.Eventually(t, "nothing is open", func() bool { return r.n.EstablishedConnections() == 0 })
 }
 
 // A process that the other one of its node leaves nothing refuses who comes, and serves again when it has its part.
@@ -168,16 +170,6 @@
 	}
 }
 
-// waitFor waits for what must become true.
-func waitFor(t *testing.T, what string, f func() bool) {
-	t.Helper()
-	for begin := time.Now(); !f(); time.Sleep(5 * time.Millisecond) {
-		if time.Since(begin) > 20*time.Second {
-			t.Fatalf("never: %s", what)
-		}
-	}
-}
-
 // A client that leaves while its attempt is out withdraws it, and no other host is tried for it.
 func TestLeavingClientWithdrawsItsAttempt(t *testing.T) {
 	var mu sync.Mutex
@@ -195,7 +187,7 @@
 		ended++
 		mu.Unlock()
 	}
-	r := newRig(t, zap.NewNop(), true, host(t, silent), host(t, silent))
+	r := newRig(t, zap.NewNop(), true, netiotest.Serve(t, silent), netiotest.Serve(t, silent))
 	c, _ := r.ask(t, "OPEN a key c=chat,d=5000")
 	count := func(n *int, want int) func() bool {
 		return func() bool {
@@ -204,10 +196,10 @@
 			return *n == want
 		}
 	}
-	waitFor(t, "the line reaches a host", count(&lines, 1))
+	netiotest.Eventually(t, "the line reaches a host", count(&lines, 1))
 	_ = c.Close()
-	waitFor(t, "the attempt is withdrawn", count(&ended, 1))
-	waitFor(t, "nothing is owed", func() bool { return r.n.InFlightRequests() == 0 })
+	netiotest.Eventually(t, "the attempt is withdrawn", count(&ended, 1))
+	netiotest.Eventually(t, "nothing is owed", func() bool { return r.n.InFlightRequests() == 0 })
 	if r.end(); !count(&lines, 1)() {
 		t.Error("another host was tried")
 	}
@@ -217,7 +209,7 @@
 // answered: a reset is no answer.
 func TestTheEndLeavesWhatPassesThrough(t *testing.T) {
 	sentOn := make(chan struct{})
-	r := newRig(t, zap.NewNop(), true, host(t, func(c *net.TCPConn) {
+	r := newRig(t, zap.NewNop(), true, netiotest.Serve(t, func(c *net.TCPConn) {
 		in := bufio.NewReader(c)
 		if line, _ := in.ReadString('\n'); strings.Contains(line, "wait") {
 			close(sentOn)
@@ -238,7 +230,7 @@
 		t.Fatalf("heard %q, error %v", line, err)
 	}
 	_, waits := r.ask(t, "OPEN wait key c=chat,d=5000")
-	waitFor(t, "the second is owed its answer", func() bool { return r.n.InFlightRequests() == 1 })
+	netiotest.Eventually(t, "the second is owed its answer", func() bool { return r.n.InFlightRequests() == 1 })
 	<-sentOn // until then it may be refused: it was sent nowhere
 	r.d.Shutdown(true)
 	if all, err := io.ReadAll(waits); string(all) != wire.Failure || err != nil {
--- a/internal/proxy/faults_test.go
+++ b/internal/proxy/faults_test.go
@@ -13,37 +13,10 @@
 	"go.uber.org/zap"
 
 	"onyxstream/balancer"
+	"onyxstream/internal/netio/netiotest"
 	"onyxstream/internal/wire"
 )
 
-// failedCall is a read that failed as the system reports it.
-func failedCall(errno syscall.Errno) error {
-	return &net.OpError{Op: "read", Net: "tcp", Err: os.NewSyscallError("read", errno)}
-}
-
-// A broken connection shows by many errors of the system. ETIMEDOUT is one of them: it is no deadline of this node's, and
-// a connection that has it is read no more. All but the end of the other side's sending are breaks.
-func TestEndOfConnection_ByError(t *testing.T) {
-	deadline := &net.OpError{Op: "read", Net: "tcp", Err: os.ErrDeadlineExceeded}
-	for _, c := range []struct {
-		err             error
-		deadline, broke bool
-	}{
-		{deadline, true, false},
-		{io.EOF, false, false},
-		{failedCall(syscall.ECONNRESET), false, true},
-		{failedCall(syscall.EPIPE), false, true},
-		{failedCall(syscall.ETIMEDOUT), false, true},
-		{failedCall(syscall.EHOSTUNREACH), false, true},
-		{failedCall(syscall.ENETUNREACH), false, true},
-		{failedCall(syscall.ECONNABORTED), false, true},
-	} {
-		if timedOut(c.err) != c.deadline || isReset(c.err) != c.broke {
-			t.Errorf("%v: a deadline %v, a break %v", c.err, timedOut(c.err), isReset(c.err))
-		}
-	}
-}
-
 // A client that is closed to make room, and whose request has come and was not read yet, is answered: what is read and
 // dropped with its connection is lost.
 func TestShed_RequestUnread_IsRefused(t *testing.T) {
@@ -55,7 +28,7 @@
 	if _, err := io.WriteString(client, "OPEN a key c=chat,d=5000\r\n"); err != nil {
 		t.Fatal(err)
 	}
-	waitFor(t, "the request has come", func() bool { return unread(t, server) > 0 })
+	netiotest.Eventually(t, "the request has come", func() bool { return netiotest.UnreadBytes(t, server) > 0 })
 	r.d.mu.Lock()
 	c.early = r.d.early.PushBack(c)
 	r.d.rejectOverload(c)
@@ -71,9 +44,9 @@
 	for _, end := range []string{"close", "reset"} {
 		t.Run(end, func(t *testing.T) {
 			a, b := counting(t, ""), counting(t, "")
-			r := newRigOf(t, zap.NewNop(), true, refusing(t), patient, a.addr, b.addr)
+			r := newRigOf(t, zap.NewNop(), true, netiotest.RefusedAddr(t), patient, a.addr, b.addr)
 			c, _ := r.ask(t, "OPEN m key c=chat,d=500000,mid=1")
-			waitFor(t, "a host has the line", func() bool { return a.lines.Load()+b.lines.Load() == 1 })
+			netiotest.Eventually(t, "a host has the line", func() bool { return a.lines.Load()+b.lines.Load() == 1 })
 			for i := range 1000 {
 				if _, err := fmt.Fprintf(c, "M %d %s\r\n", i, strings.Repeat("x", 40)); err != nil {
 					t.Fatal(err)
@@ -83,7 +56,7 @@
 				_ = c.(*net.TCPConn).SetLinger(0)
 			}
 			_ = c.Close()
-			waitFor(t, "the attempt is withdrawn", func() bool { return a.ended.Load()+b.ended.Load() == 1 })
+			netiotest.Eventually(t, "the attempt is withdrawn", func() bool { return a.ended.Load()+b.ended.Load() == 1 })
 			r.quiet(t)
 			if n := a.lines.Load() + b.lines.Load(); n != 1 {
 				t.Errorf("%d attempts", n)
@@ -131,7 +104,7 @@
 		t.Fatal(err)
 	}
 	_ = client.CloseWrite()
-	waitFor(t, "its end is here", func() bool { return hungUp(server) != nil })
+	netiotest.Eventually(t, "its end is here", func() bool { return hungUp(server) != nil })
 	if !c.raise(host) {
 		t.Fatal("it does not come up")
 	}
--- a/internal/proxy/leaving.go
+++ b/internal/proxy/leaving.go
@@ -9,6 +9,7 @@
 
 	"golang.org/x/sys/unix"
 
+	"onyxstream/internal/netio"
 	"onyxstream/internal/syserr"
 	"onyxstream/internal/wire"
 )
@@ -23,7 +24,7 @@
 // look takes in what the client has said or done since its first line, before anything is begun for it: one that has
 // waited in the listener's queue may have left long ago. False where it has.
 func (c *conn) look(in *wire.LineBuffer) bool {
-	n, err := arrived(c.client, in.Space())
+	n, err := netio.ReadAvailable(c.client, in.Space())
 	in.Advance(n)
 	if err == nil || syserr.LacksMemory(err) { // the latter tells nothing
 		return true
@@ -44,7 +45,7 @@
 				break
 			}
 			c.waiting.CompareAndSwap(0, nanos(time.Now()))
-			if _, err := writeAll(c.host, in.Buffered()); err != nil {
+			if _, err := netio.WriteAll(c.host, in.Buffered()); err != nil {
 				return // the other goroutine meets the broken host too, and ends the client like it
 			}
 			in.Discard(len(in.Buffered()))
@@ -59,9 +60,9 @@
 				continue
 			}
 		}
-		n, err := readSome(c.client, in.Space())
+		n, err := netio.Read(c.client, in.Space())
 		in.Advance(n)
-		if n == 0 && err != nil && timedOut(err) {
+		if n == 0 && err != nil && netio.IsDeadlineExceeded(err) {
 			if goOn, _ := c.rest(c.client, false, func(*parking) {}); goOn {
 				continue
 			}
@@ -198,9 +199,9 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if isReset(err) {
+	if netio.IsReset(err) {
 		c.leftRST.Store(true)
-		_ = c.host.SetReadDeadline(past)
+		_ = c.host.SetReadDeadline(netio.Expired)
 		return
 	}
 	c.leftFIN.Store(true)
--- a/internal/proxy/park.go
+++ b/internal/proxy/park.go
@@ -9,6 +9,7 @@
 	"go.uber.org/zap"
 
 	"onyxstream/balancer"
+	"onyxstream/internal/netio"
 	"onyxstream/internal/wire"
 )
 
@@ -91,8 +92,8 @@
 		return nil
 	}
 	c.parking = &parking{conn: c, host: c.host, hostAt: make(chan struct{}), clientAt: make(chan struct{}), decided: make(chan struct{})}
-	_ = c.host.SetReadDeadline(past)
-	_ = c.client.SetReadDeadline(past)
+	_ = c.host.SetReadDeadline(netio.Expired)
+	_ = c.client.SetReadDeadline(netio.Expired)
 	return c.parking
 }
 
--- a/internal/proxy/park_test.go
+++ b/internal/proxy/park_test.go
@@ -9,6 +9,8 @@
 	"time"
 
 	"go.uber.org/zap"
+
+	"onyxstream/internal/netio/netiotest"
 )
 
 // again is a copy of a socket, as another process has it.
@@ -28,7 +30,7 @@
 
 // echoing is a host that brings up all who come and says each line back; what it is given on say it says at once.
 func echoing(t *testing.T, say chan string) string {
-	return host(t, func(c *net.TCPConn) {
+	return netiotest.Serve(t, func(c *net.TCPConn) {
 		in := bufio.NewReader(c)
 		if _, err := in.ReadString('\n'); err != nil {
 			return
@@ -67,7 +69,7 @@
 	hears(t, in, "UP r\r\n")
 	hears(t, in, "LOAD 3\r\n")
 	say <- "half "
-	waitFor(t, "it rests with half a line", func() bool {
+	netiotest.Eventually(t, "it rests with half a line", func() bool {
 		standing, done := old.d.Quiesce(4)
 		if len(standing) != 1 {
 			return false
@@ -95,7 +97,7 @@
 		}
 		return true
 	})
-	waitFor(t, "the old one has nothing left", func() bool { return old.n.EstablishedConnections() == 0 && old.d.OpenClients() == 0 })
+	netiotest.Eventually(t, "the old one has nothing left", func() bool { return old.n.EstablishedConnections() == 0 && old.d.OpenClients() == 0 })
 	old.end()
 	say <- "a line\r\n"
 	hears(t, in, "half a line\r\n")
@@ -109,7 +111,7 @@
 	if _, err := in.ReadString('\n'); err != io.EOF {
 		t.Errorf("then %v", err)
 	}
-	waitFor(t, "nothing is left", func() bool { return next.n.EstablishedConnections() == 0 && next.d.OpenClients() == 0 })
+	netiotest.Eventually(t, "nothing is left", func() bool { return next.n.EstablishedConnections() == 0 && next.d.OpenClients() == 0 })
 }
 
 // One that is not taken goes on where it was, and one that ends meanwhile ends as always.
@@ -141,7 +143,7 @@
 	if _, err := in.ReadString('\n'); err != io.EOF {
 		t.Errorf("a client that left while it rested: %v", err)
 	}
-	waitFor(t, "one is left", func() bool { return r.n.EstablishedConnections() == 1 })
+	netiotest.Eventually(t, "one is left", func() bool { return r.n.EstablishedConnections() == 1 })
 }
 
 // A line without a connection, an id that is open already: the next process takes up neither, and goes on.
@@ -163,7 +165,7 @@
 	if err := r.d.Adopt(EstablishedConn{Line: "OPEN a key c=chat", Host: "h0", Client: c, Peer: d}); err != nil {
 		t.Error(err)
 	}
-	waitFor(t, "the second one ends", func() bool { return r.d.OpenClients() == 1 })
+	netiotest.Eventually(t, "the second one ends", func() bool { return r.d.OpenClients() == 1 })
 	if r.n.EstablishedConnections() != 1 {
 		t.Errorf("%d are open", r.n.EstablishedConnections())
 	}
--- a/internal/proxy/peers_test.go
+++ b/internal/proxy/peers_test.go
@@ -15,6 +15,7 @@
 
 	"golang.org/x/sys/unix"
 
+	"onyxstream/internal/netio/netiotest"
 	"onyxstream/internal/settings"
 )
 
@@ -69,7 +70,7 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	waitFor(t, "the last one is accepted", func() bool {
+	netiotest.Eventually(t, "the last one is accepted", func() bool {
 		h.mu.Lock()
 		defer h.mu.Unlock()
 		before = slices.Index(h.from, c.LocalAddr().String())
@@ -86,7 +87,7 @@
 // only is the one client's connection of a driver.
 func (r *rig) only(t *testing.T) (c *conn) {
 	t.Helper()
-	waitFor(t, "the client is accepted", func() bool {
+	netiotest.Eventually(t, "the client is accepted", func() bool {
 		r.d.mu.Lock()
 		defer r.d.mu.Unlock()
 		for c = range r.d.conns {
@@ -99,7 +100,7 @@
 // quiet waits until no client is left.
 func (r *rig) quiet(t *testing.T) {
 	t.Helper()
-	waitFor(t, "no client is left", func() bool { return len(r.d.remaining(false)) == 0 && r.n.InFlightRequests() == 0 })
+	netiotest.Eventually(t, "no client is left", func() bool { return len(r.d.remaining(false)) == 0 && r.n.InFlightRequests() == 0 })
 }
 
 // pair is a connection and its other side.
@@ -109,18 +110,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
-	c, err := net.Dial("tcp", l.Addr().String())
-	if err != nil {
-		t.Fatal(err)
-	}
-	if server, err = l.AcceptTCP(); err != nil {
-		t.Fatal(err)
-	}
-	client = c.(*net.TCPConn)
-	t.Cleanup(func() { _, _ = client.Close(), server.Close() })
-	_ = client.SetDeadline(time.Now().Add(20 * time.Second))
-	return client, server
+	return netiotest.Connect(t, l)
 }
 
 // closeWait is the state, by the system's figures, of a connection whose other side has ended by FIN.
@@ -139,17 +129,3 @@
 	}
 	return info.State
 }
-
-// unread is how many bytes lie unread on a connection.
-func unread(t *testing.T, c *net.TCPConn) (n int) {
-	t.Helper()
-	raw, err := c.SyscallConn()
-	if err != nil {
-		t.Fatal(err)
-	}
-	_ = raw.Control(func(fd uintptr) { n, err = unix.IoctlGetInt(int(fd), unix.TIOCINQ) })
-	if err != nil {
-		t.Fatal(err)
-	}
-	return n
-}
--- a/internal/proxy/push_test.go
+++ b/internal/proxy/push_test.go
@@ -13,6 +13,7 @@
 
 	"onyxstream/balancer"
 	"onyxstream/internal/fakeserver"
+	"onyxstream/internal/netio/netiotest"
 	"onyxstream/internal/settings"
 	"onyxstream/internal/wire"
 )
@@ -24,7 +25,7 @@
 	var asked [2]atomic.Int64
 	var members [2]wire.Endpoint
 	for i := range members {
-		addr := host(t, func(c *net.TCPConn) {
+		addr := netiotest.Serve(t, func(c *net.TCPConn) {
 			if line, err := bufio.NewReader(c).ReadString('\n'); err == nil && line[0] == 'O' {
 				asked[i].Add(1)
 				_, _ = io.WriteString(c, "UP r\r\nBYE\r\n")
@@ -54,7 +55,7 @@
 	// only waits until the node has been told of the drain, and its grace; from then on nothing new may go there.
 	only := func(what string, one int) {
 		t.Helper()
-		waitFor(t, what, func() bool {
+		netiotest.Eventually(t, what, func() bool {
 			v := r.n.View().Hosts
 			return len(v) == 2 && v[1-one].State == balancer.Draining && v[one].State == balancer.Live
 		})
@@ -63,7 +64,7 @@
 			t.Errorf("%s: asked %v of 16", what, at)
 		}
 	}
-	waitFor(t, "the first list comes unasked", func() bool { at := round(); return at[0] > 0 && at[1] > 0 })
+	netiotest.Eventually(t, "the first list comes unasked", func() bool { at := round(); return at[0] > 0 && at[1] > 0 })
 	members[0].Phase = wire.Draining
 	d.Set(members[0])
 	only("the first host drains", 1)
--- a/internal/proxy/relay.go
+++ b/internal/proxy/relay.go
@@ -9,6 +9,7 @@
 	"go.uber.org/zap"
 
 	"onyxstream/balancer"
+	"onyxstream/internal/netio"
 	"onyxstream/internal/wire"
 )
 
@@ -18,7 +19,7 @@
 	defer r.Release()
 	var err error
 	if len(upLine) > 0 {
-		_, err = writeAll(c.client, upLine)
+		_, err = netio.WriteAll(c.client, upLine)
 	}
 	stuck := err != nil // the client does not take what is for it
 	for err == nil {
@@ -36,17 +37,17 @@
 			c.d.node.ReportLoad(c.id, c, seen.Load)
 		}
 		if len(chunk) > 0 {
-			_, err = writeAll(c.client, chunk)
+			_, err = netio.WriteAll(c.client, chunk)
 			stuck = err != nil
 			continue
 		}
 		var n int
-		n, err = readSome(host, r.Space())
+		n, err = netio.Read(host, r.Space())
 		r.Advance(n)
 		if n > 0 {
 			err = nil
 		}
-		if err != nil && timedOut(err) {
+		if err != nil && netio.IsDeadlineExceeded(err) {
 			goOn, handed := c.rest(host, true, func(p *parking) {
 				p.partial, p.torn, p.load = append([]byte(nil), r.Buffered()...), !r.AtLineBoundary() || r.Ending(), c.load
 			})
@@ -87,7 +88,7 @@
 		c.stopReading()
 		c.finish(wire.Migration)
 	case errors.Is(err, io.EOF):
-		_, _ = writeAll(c.client, r.Buffered()) // a last line without its end
+		_, _ = netio.WriteAll(c.client, r.Buffered()) // a last line without its end
 		c.stopReading()
 		c.linger()
 	case left:
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -10,6 +10,7 @@
 	"go.uber.org/zap"
 
 	"onyxstream/balancer"
+	"onyxstream/internal/netio"
 	"onyxstream/internal/node"
 	"onyxstream/internal/wire"
 )
@@ -53,7 +54,7 @@
 		case c.half.Load() && !said:
 			// It has ended its side and may still read: its request is answered like any other.
 			_ = c.client.SetWriteDeadline(time.Now().Add(lingerFor))
-			_, _ = writeAll(c.client, []byte(wire.Failure))
+			_, _ = netio.WriteAll(c.client, []byte(wire.Failure))
 		}
 	}()
 	if c.open.CurrentHost != "" {
@@ -190,7 +191,7 @@
 	c.host = host
 	close(c.up)
 	if c.open.MidFlow { // what it said early goes on: whoever reads it is to see that it is up
-		_ = c.client.SetReadDeadline(past)
+		_ = c.client.SetReadDeadline(netio.Expired)
 	}
 	return true
 }
--- a/internal/scaletest/hollow.go
+++ b/internal/scaletest/hollow.go
@@ -12,17 +12,17 @@
 	"golang.org/x/sync/errgroup"
 
 	"onyxstream/balancer"
+	"onyxstream/internal/discovery"
 	"onyxstream/internal/lifecycle"
 	"onyxstream/internal/logging"
 	"onyxstream/internal/node"
-	"onyxstream/internal/proxy"
 )
 
 // restartCommand is a line on a hollow process's standard input: so many of its nodes start anew at once.
 const restartCommand = "restart"
 
 // sockets gives a hollow node's loop the list service, and no hosts to ping.
-type sockets struct{ *proxy.Discovery }
+type sockets struct{ *discovery.Watcher }
 
 // Ping sends none.
 func (sockets) Ping(balancer.ServerID, string) bool { return false }
@@ -67,7 +67,7 @@
 	set.NodeIndex, set.NodeCount = i, n
 	set.Seed += uint64(i)
 	log := logger.With(zap.String("node", fmt.Sprint("n", i+1)))
-	follower := proxy.NewDiscovery(log)
+	follower := discovery.NewWatcher(log)
 	loop := node.New(set, cfg.Known, cfg.Discovery, sockets{follower}, log)
 	follower.Attach(loop)
 	h := &hollow{index: i, done: make(chan struct{})}
--- a/internal/scaletest/receipts.go
+++ b/internal/scaletest/receipts.go
@@ -23,7 +23,7 @@
 }
 
 var (
-	newsLine = regexp.MustCompile(`^(\S+)\tdebug\tnews of the list\t.*"node": "([^"]+)", "revision": (\d+)`)
+	newsLine = regexp.MustCompile(`^(\S+)\tdebug\tendpoint list received\t.*"node": "([^"]+)", "revision": (\d+)`)
 	logTime  = "2006-01-02T15:04:05.000Z0700"
 )
 
--- a/internal/scaletest/scale_test.go
+++ b/internal/scaletest/scale_test.go
@@ -168,7 +168,7 @@
 func TestReceipts_RevisionsAndLateLines(t *testing.T) {
 	r := newReceipts()
 	line := func(at time.Time, node, revision string) string {
-		return at.Format(logTime) + "\tdebug\tnews of the list\t{\"node\": \"" + node + "\", \"revision\": " + revision + ", \"members\": 1}\n"
+		return at.Format(logTime) + "\tdebug\tendpoint list received\t{\"node\": \"" + node + "\", \"revision\": " + revision + ", \"endpoints\": 1}\n"
 	}
 	now := time.Now()
 	_, _ = r.Write([]byte(line(now.Add(-time.Second), "n1", "9")))
@@ -194,7 +194,7 @@
 	r.change(2)
 	text := ""
 	for _, node := range []string{"n1", "n2", "n3"} {
-		text += time.Now().Add(time.Second).Format(logTime) + "\tdebug\tnews of the list\t{\"node\": \"" + node + "\", \"revision\": 2, \"members\": 1}\n"
+		text += time.Now().Add(time.Second).Format(logTime) + "\tdebug\tendpoint list received\t{\"node\": \"" + node + "\", \"revision\": 2, \"endpoints\": 1}\n"
 	}
 	for cut := range len(text) {
 		r.change(2)
--- a/internal/soaktest/judge_test.go
+++ b/internal/soaktest/judge_test.go
@@ -124,7 +124,7 @@
 }
 
 func TestSift_FindsViolationsAndCrashes(t *testing.T) {
-	log := "1 info started\n2 error a rule was broken {}\n3 error an event could not be handled\n4 debug news of the list\n"
+	log := "1 info started\n2 error a rule was broken {}\n3 error an event could not be handled\n4 debug endpoint list received\n"
 	violations, crashes := sift([]byte(log))
 	if len(violations) != 1 || len(crashes) != 1 {
 		t.Errorf("violations %q, crashes %q", violations, crashes)
