--- a/internal/lifecycle/operated.go
+++ b/internal/lifecycle/operated.go
@@ -39,7 +39,7 @@
 func (o *operated) Stats() management.Stats {
 	f := management.Stats{Dispatches: o.driver.Dispatches(), Concurrent: o.driver.OpenClients()}
 	for _, r := range o.driver.Replies() {
-		f.Replies = append(f.Replies, management.Replies{Class: r.Class, Success: r.Success, Overload: r.Refused, Error: r.Error})
+		f.Replies = append(f.Replies, management.Replies{Class: r.Class, Success: r.Success, Overload: r.Rejected, Error: r.Error})
 	}
 	f.Targets, f.Disabled = o.node.HostCounts()
 	return f
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -43,25 +43,25 @@
 func (e *AttemptError) Unwrap() error { return e.Err }
 
 var (
-	errWithdrawn = errors.New("withdrawn")
-	errTooLate   = errors.New("the host may get nothing new any more")
-	errFull      = errors.New("the host turned it away")
-	errHost      = errors.New("the host answered with an error")
-	errMoved     = errors.New("the host sends its clients away")
+	errCanceled      = errors.New("withdrawn")
+	errNotAuthorized = errors.New("the host may get nothing new any more")
+	errRejected      = errors.New("the host turned it away")
+	errHostError     = errors.New("the host answered with an error")
+	errMigrated      = errors.New("the host sends its clients away")
 )
 
 // Outcome puts the error in the module's terms.
 func (e *AttemptError) Outcome() balancer.Outcome {
 	switch {
-	case e.Stage == Authorizing, e.Stage < Awaiting && errors.Is(e.Err, errWithdrawn), e.Stage < Awaiting && isLocal(e.Err):
+	case e.Stage == Authorizing, e.Stage < Awaiting && errors.Is(e.Err, errCanceled), e.Stage < Awaiting && isLocal(e.Err):
 		return balancer.NotSent // not the host's fault, and it never had the last byte
-	case errors.Is(e.Err, errWithdrawn):
+	case errors.Is(e.Err, errCanceled):
 		return balancer.Cancelled
 	case e.Stage < Awaiting:
 		return balancer.ConnectFailed
-	case errors.Is(e.Err, errFull):
+	case errors.Is(e.Err, errRejected):
 		return balancer.Rejected
-	case errors.Is(e.Err, errMoved):
+	case errors.Is(e.Err, errMigrated):
 		return balancer.Cancelled
 	case e.Stage == Answering:
 		return balancer.Errored
@@ -76,16 +76,16 @@
 	return syserr.LacksResources(err) || syserr.LacksAddress(err)
 }
 
-// permit is what an attempt is held to by its connection.
-type permit struct {
-	connect time.Duration         // the dial's limit, 0 for none
-	may     func() error          // asked between connect and write, since a send counts from its first byte
-	wrote   func(began time.Time) // told of a line that was written to its end, and when its first byte went
+// attemptHooks is what an attempt is held to by its connection.
+type attemptHooks struct {
+	connectTimeout time.Duration         // the dial's limit, 0 for none
+	authorize      func() error          // asked between connect and write, since a send counts from its first byte
+	written        func(began time.Time) // told of a line that was written to its end, and when its first byte went
 }
 
 // attempt makes one attempt: one dial, one line, one answer. On success the host's connection is up,
 // upLine is what the host gave and in holds what came behind it. On failure the connection is closed.
-func attempt(ctx context.Context, a node.Attempt, o *wire.Opening, p permit, in *wire.LineBuffer) (host *net.TCPConn, upLine []byte, failed *AttemptError) {
+func attempt(ctx context.Context, a node.Attempt, o *wire.Opening, p attemptHooks, in *wire.LineBuffer) (host *net.TCPConn, upLine []byte, failed *AttemptError) {
 	by := time.Now().Add(a.Timeout)
 	ctx, cancel := context.WithDeadline(ctx, by)
 	defer cancel()
@@ -94,17 +94,17 @@
 			_ = host.Close()
 		}
 		if errors.Is(ctx.Err(), context.Canceled) {
-			err = errWithdrawn
+			err = errCanceled
 		}
 		return nil, nil, &AttemptError{s, err}
 	}
-	dialer := net.Dialer{Timeout: p.connect, KeepAlive: -1}
+	dialer := net.Dialer{Timeout: p.connectTimeout, KeepAlive: -1}
 	c, err := dialer.DialContext(ctx, "tcp", a.Addr)
 	if err != nil {
 		return fail(Dialing, err)
 	}
 	host = c.(*net.TCPConn)
-	if err := p.may(); err != nil {
+	if err := p.authorize(); err != nil {
 		return fail(Authorizing, err)
 	}
 	// The last look before the first byte: it may have been withdrawn while the loop said that it may go.
@@ -118,7 +118,7 @@
 	if n, err := host.Write(line); n < len(line) { // not made again here: each try follows a look of its own
 		return fail(Writing, err)
 	}
-	p.wrote(began)
+	p.written(began)
 	for {
 		line, ok, err := in.Next()
 		if err != nil {
@@ -132,11 +132,11 @@
 				}
 				return host, append(append([]byte(nil), line...), '\r', '\n'), nil
 			case wire.ResponseRejected:
-				return fail(Answering, errFull)
+				return fail(Answering, errRejected)
 			case wire.ResponseMigrate:
-				return fail(Answering, errMoved)
+				return fail(Answering, errMigrated)
 			}
-			return fail(Answering, errHost)
+			return fail(Answering, errHostError)
 		}
 		n, err := netio.Read(host, in.Space())
 		in.Advance(n)
--- a/internal/proxy/attempt_test.go
+++ b/internal/proxy/attempt_test.go
@@ -40,8 +40,8 @@
 func may() error { return nil }
 
 // permitted holds an attempt to a dial's limit and to may alone.
-func permitted(connect time.Duration, may func() error) permit {
-	return permit{connect, may, func(time.Time) {}}
+func permitted(connect time.Duration, may func() error) attemptHooks {
+	return attemptHooks{connect, may, func(time.Time) {}}
 }
 
 func TestAttemptOutcomesByStage(t *testing.T) {
@@ -121,8 +121,8 @@
 		got <- n
 	})
 	var in wire.LineBuffer
-	_, _, failed := attempt(context.Background(), node.Attempt{Addr: addr, Timeout: time.Second}, opening(t, hello), permitted(time.Second, func() error { return errTooLate }), &in)
-	if failed == nil || failed.Stage != Authorizing || failed.Outcome() != balancer.NotSent || !errors.Is(failed, errTooLate) {
+	_, _, failed := attempt(context.Background(), node.Attempt{Addr: addr, Timeout: time.Second}, opening(t, hello), permitted(time.Second, func() error { return errNotAuthorized }), &in)
+	if failed == nil || failed.Stage != Authorizing || failed.Outcome() != balancer.NotSent || !errors.Is(failed, errNotAuthorized) {
 		t.Errorf("ended with %v", failed)
 	}
 	if n := <-got; n != 0 {
--- a/internal/proxy/checks_test.go
+++ b/internal/proxy/checks_test.go
@@ -17,16 +17,16 @@
 		end  func(c *conn)
 		want map[invariant.Rule]uint64
 	}{
-		{"answered once", func(c *conn) { c.count(refused) }, nil},
-		{"its client left", func(c *conn) { c.leave() }, nil},
-		{"stood before the run", func(c *conn) { c.open.CurrentHost = "h0" }, nil},
+		{"answered once", func(c *conn) { c.countReply(rejected) }, nil},
+		{"its client left", func(c *conn) { c.disconnect() }, nil},
+		{"stood before the run", func(c *conn) { c.opening.CurrentHost = "h0" }, nil},
 		{"never answered", func(*conn) {}, map[invariant.Rule]uint64{invariant.Unanswered: 1}},
-		{"cut off by this node", func(c *conn) { c.aborted = true; c.leave() }, map[invariant.Rule]uint64{invariant.Unanswered: 1}},
-		{"answered twice", func(c *conn) { c.count(refused); c.count(failed) }, map[invariant.Rule]uint64{invariant.AnsweredTwice: 1}},
-		{"answered late", func(c *conn) { c.noteAnswer(now.Add(2 * time.Second)) }, map[invariant.Rule]uint64{invariant.AnsweredLate: 1}},
+		{"cut off by this node", func(c *conn) { c.aborted = true; c.disconnect() }, map[invariant.Rule]uint64{invariant.Unanswered: 1}},
+		{"answered twice", func(c *conn) { c.countReply(rejected); c.countReply(errored) }, map[invariant.Rule]uint64{invariant.AnsweredTwice: 1}},
+		{"answered late", func(c *conn) { c.noteReply(now.Add(2 * time.Second)) }, map[invariant.Rule]uint64{invariant.AnsweredLate: 1}},
 		{"sent on for a leaver", func(c *conn) {
-			c.leave()
-			c.checkStart("h0", c.leftAt.Add(time.Second))
+			c.disconnect()
+			c.checkStart("h0", c.disconnectedAt.Add(time.Second))
 		}, map[invariant.Rule]uint64{invariant.SentAfterDisconnect: 1}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -34,7 +34,7 @@
 			_, server := pair(t)
 			k := r.d.newConn(server, now)
 			c.end(k)
-			k.checkEnd(now.Add(time.Second))
+			k.checkCompletion(now.Add(time.Second))
 			for _, rule := range invariant.Rules() {
 				if got := r.n.Monitor().Count(rule); got != c.want[rule] {
 					t.Errorf("%q is counted %d times, want %d", rule, got, c.want[rule])
--- a/internal/proxy/closing.go
+++ b/internal/proxy/closing.go
@@ -19,24 +19,24 @@
 //     wait for the client. What comes later meets a closed connection.
 //   - reset: nothing is promised. It passes on a reset from the other side, or ends what was broken.
 
-// finish gives the client a line as its last word and ends the connection by FIN.
-func (c *conn) finish(line string) {
-	_ = c.client.SetWriteDeadline(time.Now().Add(lingerFor))
+// reply gives the client a line as its last word and ends the connection by FIN.
+func (c *conn) reply(line string) {
+	_ = c.client.SetWriteDeadline(time.Now().Add(lingerTimeout))
 	_, _ = netio.WriteAll(c.client, []byte(line))
-	c.linger()
+	c.lingerClose()
 }
 
-// linger ends the node's side and waits for the client's end, but reads no flood.
-func (c *conn) linger() {
-	c.d.markAnswered(c)
+// lingerClose ends the node's side and waits for the client's end, but reads no flood.
+func (c *conn) lingerClose() {
+	c.proxy.markAnswered(c)
 	_ = c.client.CloseWrite()
 	c.mu.Lock()
-	c.over = true
+	c.readingStopped = true
 	c.mu.Unlock()
-	_ = c.client.SetReadDeadline(time.Now().Add(lingerFor))
+	_ = c.client.SetReadDeadline(time.Now().Add(lingerTimeout))
 	buf := wire.GetBuffer()
 	defer buf.Release()
-	for read := 0; read < mostLinger; {
+	for read := 0; read < maxLingerBytes; {
 		n, err := netio.Read(c.client, buf[:])
 		if read += n; err != nil {
 			return
@@ -46,14 +46,14 @@
 
 // closeWithMessage gives a client a line as its last word, "" for none, and closes the connection without waiting for anything.
 func closeWithMessage(client *net.TCPConn, line string) {
-	_ = client.SetWriteDeadline(time.Now().Add(turn))
+	_ = client.SetWriteDeadline(time.Now().Add(evictionGrace))
 	if line != "" {
 		_, _ = netio.WriteAll(client, []byte(line))
 	}
 	_ = client.CloseWrite()
 	buf := wire.GetBuffer()
 	defer buf.Release()
-	for read := 0; read < mostLinger; {
+	for read := 0; read < maxLingerBytes; {
 		n, err := netio.ReadAvailable(client, buf[:])
 		if read += n; n == 0 || err != nil {
 			break
@@ -66,6 +66,6 @@
 func (c *conn) stopReading() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.over = true
+	c.readingStopped = true
 	_ = c.client.SetReadDeadline(netio.Expired)
 }
--- a/internal/proxy/crossing_test.go
+++ b/internal/proxy/crossing_test.go
@@ -106,8 +106,8 @@
 	c, _ := r.ask(t, "OPEN a key c=chat,d=5000,at=h0")
 	k := r.only(t)
 	_ = c.Close()
-	netiotest.Eventually(t, "the node sees that it has left", k.isGone)
-	if ctx, over := k.begin(0, "h0"); ctx.Err() == nil {
+	netiotest.Eventually(t, "the node sees that it has left", k.isDisconnected)
+	if ctx, over := k.beginAttempt(0, "h0"); ctx.Err() == nil {
 		t.Error("an attempt may begin for a client that has left")
 	} else {
 		over()
@@ -125,14 +125,14 @@
 func ending(t *testing.T, r *rig, c net.Conn, say string) {
 	t.Helper()
 	k := r.only(t)
-	netiotest.Eventually(t, "it rests", func() bool { return k.rests.Load() && !k.begun.Load() })
+	netiotest.Eventually(t, "it rests", func() bool { return k.idle.Load() && !k.openingStarted.Load() })
 	r.d.mu.Lock()
 	defer r.d.mu.Unlock()
 	if say != "" {
 		_, _ = io.WriteString(c, say)
-		netiotest.Eventually(t, "it is read", k.begun.Load)
+		netiotest.Eventually(t, "it is read", k.openingStarted.Load)
 	}
-	r.d.shut(false)
+	r.d.beginShutdown(false)
 }
 
 // A request that comes on a resting connection in the very moment in which the node ends it is answered; half a line is
@@ -174,7 +174,7 @@
 	}
 	r.only(t)
 	r.d.mu.Lock()
-	r.d.shut(false) // its reader wakes, and finds what is written now, or nothing
+	r.d.beginShutdown(false) // its reader wakes, and finds what is written now, or nothing
 	_, _ = io.WriteString(k, "OPEN a key c=chat,d=5000\r\n")
 	r.d.mu.Unlock()
 	all, err := io.ReadAll(in)
@@ -189,7 +189,7 @@
 	_, in := r.ask(t, "OPEN a key c=chat,d=500000")
 	netiotest.Eventually(t, "it is owed its answer", func() bool { return r.d.PendingRequests() == 1 })
 	r.d.mu.Lock()
-	r.d.shut(false)
+	r.d.beginShutdown(false)
 	r.d.mu.Unlock()
 	if all, err := io.ReadAll(in); !strings.HasPrefix(string(all), "BUSY") || err != nil {
 		t.Errorf("heard %q, error %v", all, err)
@@ -202,7 +202,7 @@
 	r.end()
 	client, server := pair(t)
 	_, _ = io.WriteString(client, "OPEN a key c=chat,d=5000\r\n")
-	if !r.d.take(server) {
+	if !r.d.accept(server) {
 		t.Fatal("it is left in the queue")
 	}
 	if all, err := io.ReadAll(client); !strings.HasPrefix(string(all), "BUSY") || err != nil {
@@ -242,8 +242,8 @@
 		t.Fatalf("heard %q, error %v", line, err)
 	}
 	_, _ = io.WriteString(c, "OPEN a key c=chat,d=5000\r\n")
-	for begin := time.Now(); time.Since(begin) < firstLine+turn; { // the event is that this time is over
-		time.Sleep(turn)
+	for begin := time.Now(); time.Since(begin) < openingTimeout+evictionGrace; { // the event is that this time is over
+		time.Sleep(evictionGrace)
 	}
 	r.d.mu.Unlock()
 	if line, err := in.ReadString('\n'); line != "UP r\r\n" || err != nil {
@@ -347,7 +347,7 @@
 	k.Proceed(0, true) // late
 	var in wire.LineBuffer
 	defer in.Release()
-	_, _, failed := k.try(node.Attempt{Number: 1, Addr: h.addr, Timeout: 200 * time.Millisecond}, &in)
+	_, _, failed := k.tryHost(node.Attempt{Number: 1, Addr: h.addr, Timeout: 200 * time.Millisecond}, &in)
 	if failed == nil || failed.Stage != Authorizing {
 		t.Errorf("%v; want that it still asks", failed)
 	}
--- a/internal/proxy/driver.go
+++ b/internal/proxy/driver.go
@@ -35,19 +35,19 @@
 // wants. Before that, and once it has had its last word, it takes one and can be closed for one that comes. What the
 // process itself, discovery and probes need is kept free, and so is room to hear clients and refuse them politely.
 const (
-	perClient  = 2
-	ownNeed    = 40 // standard streams, poller, listener, one just accepted, watches, probes and the first pings
-	leastHeard = 16 // clients that can always be heard or refused at one time
-	heardPart  = 8  // the part of all descriptors, one in so many, that such clients may hold
+	descriptorsPerClient = 2
+	processDescriptors   = 40 // standard streams, poller, listener, one just accepted, watches, probes and the first pings
+	minUnadmitted        = 16 // clients that can always be heard or refused at one time
+	unadmittedDivisor    = 8  // the part of all descriptors, one in so many, that such clients may hold
 )
 
 const (
-	firstLine   = 2 * time.Second       // a connection that has said nothing whole by then is closed
-	turn        = 20 * time.Millisecond // a client that says nothing for so long may be closed for another one
-	mostPings   = 4                     // of one connection that come at once or in haste, sooner than a turn apart
-	lingerFor   = 500 * time.Millisecond
-	mostLinger  = 64 << 10              // bytes that are read of a client after its last word
-	acceptPause = 20 * time.Millisecond // after an accept that failed, as at the descriptor limit
+	openingTimeout = 2 * time.Second       // a connection that has said nothing whole by then is closed
+	evictionGrace  = 20 * time.Millisecond // a client that says nothing for so long may be closed for another one
+	maxRapidPings  = 4                     // of one connection that come at once or in haste, sooner than a turn apart
+	lingerTimeout  = 500 * time.Millisecond
+	maxLingerBytes = 64 << 10              // bytes that are read of a client after its last word
+	acceptBackoff  = 20 * time.Millisecond // after an accept that failed, as at the descriptor limit
 )
 
 // Proxy owns the sockets of a node.
@@ -55,23 +55,23 @@
 	cfg     Config
 	log     *zap.Logger
 	node    *node.Node
-	figures *figures
-
-	mu      sync.Mutex
-	conns   map[*conn]struct{}
-	used    int        // clients that hold two descriptors
-	early   *list.List // of *conn: those that hold one, the one that has had its turn for longest first
-	closed  bool
-	ending  chan struct{}       // closed once it ends: who is owed an answer gets it now
-	pings   *healthcheck.Pinger // shares the descriptor budget, and mu
-	clients sync.WaitGroup
+	metrics *metrics
+
+	mu         sync.Mutex
+	conns      map[*conn]struct{}
+	admitted   int        // clients that hold two descriptors
+	unadmitted *list.List // of *conn: those that hold one, the one that has had its turn for longest first
+	closed     bool
+	shutdown   chan struct{}       // closed once it ends: who is owed an answer gets it now
+	pings      *healthcheck.Pinger // shares the descriptor budget, and mu
+	clients    sync.WaitGroup
 }
 
 // New makes a driver. Attach must follow before Serve.
 func New(cfg Config, log *zap.Logger) *Proxy {
 	cfg.MaxDescriptors -= cfg.ReservedDescriptors
-	d := &Proxy{cfg: cfg, log: log, figures: newFigures(cfg.Classes), early: list.New(), conns: map[*conn]struct{}{},
-		ending: make(chan struct{})}
+	d := &Proxy{cfg: cfg, log: log, metrics: newMetrics(cfg.Classes), unadmitted: list.New(), conns: map[*conn]struct{}{},
+		shutdown: make(chan struct{})}
 	d.pings = healthcheck.NewPinger(pingBudget{d}, log)
 	return d
 }
@@ -105,13 +105,13 @@
 			return nil
 		case err != nil:
 			d.log.Info("a client could not be accepted", zap.Error(err))
-			time.Sleep(acceptPause)
+			time.Sleep(acceptBackoff)
 			continue
 		}
 		_ = client.SetNoDelay(true)
-		for !d.take(client) {
+		for !d.accept(client) {
 			// All who are heard have come just now. Whoever comes waits in the listener's queue for their turn to end.
-			time.Sleep(turn / 4)
+			time.Sleep(evictionGrace / 4)
 		}
 	}
 }
@@ -124,48 +124,48 @@
 	d.cfg.MaxDescriptors = max(sockets, 0) - d.cfg.ReservedDescriptors
 }
 
-// base is what a process has open beside its clients, hosts and pings.
-const base = 16
+// baseDescriptors is what a process has open beside its clients, hosts and pings.
+const baseDescriptors = 16
 
 // DescriptorsHeld tells how many descriptors this process has.
 func (d *Proxy) DescriptorsHeld() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.used*perClient + d.early.Len() + d.pings.Count() + base
+	return d.admitted*descriptorsPerClient + d.unadmitted.Len() + d.pings.Count() + baseDescriptors
 }
 
-// heard is how many clients may hold one descriptor; mu is held. A few can always be: beside another process of the node
+// maxUnadmitted is how many clients may hold one descriptor; mu is held. A few can always be: beside another process of the node
 // this one may be over its part, and who comes is still to be refused politely.
-func (d *Proxy) heard() int {
-	return max(min(max(d.cfg.MaxDescriptors/heardPart, leastHeard), d.cfg.MaxDescriptors-ownNeed-d.used*perClient), leastHeard)
+func (d *Proxy) maxUnadmitted() int {
+	return max(min(max(d.cfg.MaxDescriptors/unadmittedDivisor, minUnadmitted), d.cfg.MaxDescriptors-processDescriptors-d.admitted*descriptorsPerClient), minUnadmitted)
 }
 
-// take gives an accepted client its goroutine, and closes one that says nothing where there is no room else; false
+// accept gives an accepted client its goroutine, and closes one that says nothing where there is no room else; false
 // where there is none and all have come just now.
-func (d *Proxy) take(client *net.TCPConn) bool {
+func (d *Proxy) accept(client *net.TCPConn) bool {
 	now := time.Now()
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.closed { // accepted in the very moment: it may have asked for something already
-		closeWithMessage(client, d.comeAgain())
+		closeWithMessage(client, d.rejection())
 		return true
 	}
-	if d.early.Len() >= d.heard() {
-		first := d.spare(now)
+	if d.unadmitted.Len() >= d.maxUnadmitted() {
+		first := d.evictable(now)
 		if first == nil {
 			return false
 		}
-		d.rejectOverload(first)
+		d.evict(first)
 	}
 	c := d.newConn(client, now)
-	c.early = d.early.PushBack(c)
+	c.unadmitted = d.unadmitted.PushBack(c)
 	d.start(c, c.serve)
 	return true
 }
 
 func (d *Proxy) newConn(client *net.TCPConn, now time.Time) *conn {
-	return &conn{d: d, client: client, cmds: make(chan command, 8), verdict: make(chan bool, 1), since: now,
-		gone: make(chan struct{}), up: make(chan struct{}), ended: make(chan struct{})}
+	return &conn{proxy: d, client: client, commands: make(chan command, 8), authorization: make(chan bool, 1), lastActive: now,
+		disconnected: make(chan struct{}), established: make(chan struct{}), finished: make(chan struct{})}
 }
 
 // start gives a connection the goroutine that is its life; mu is held.
@@ -185,51 +185,51 @@
 	}()
 }
 
-// spare is who is closed for another one: the first of those that have had their last word, once it has had a turn to
+// evictable is who is closed for another one: the first of those that have had their last word, once it has had a turn to
 // read it; where there is none, the first of all, whose first line may be on its way. nil while they have come just now.
 // mu is held.
-func (d *Proxy) spare(now time.Time) *conn {
+func (d *Proxy) evictable(now time.Time) *conn {
 	var first *conn
-	for e := d.early.Front(); e != nil; e = e.Next() {
+	for e := d.unadmitted.Front(); e != nil; e = e.Next() {
 		c := e.Value.(*conn)
-		fresh := now.Sub(c.since) < turn
+		fresh := now.Sub(c.lastActive) < evictionGrace
 		switch {
-		case c.answeredLast && fresh:
+		case c.replied && fresh:
 			return nil
-		case c.answeredLast:
+		case c.replied:
 			return c
-		case first == nil && !fresh && c.met.Load():
+		case first == nil && !fresh && c.openingRead.Load():
 			first = c
 		}
 	}
 	return first
 }
 
-// rejectOverload closes a client that holds one descriptor. One that has begun its line is refused: a close alone would lose what
+// evict closes a client that holds one descriptor. One that has begun its line is refused: a close alone would lose what
 // it asks for. mu is held, and the write waits for nobody: nothing was written before.
-func (d *Proxy) rejectOverload(c *conn) {
+func (d *Proxy) evict(c *conn) {
 	line := ""
-	if !c.answeredLast && c.stopHearing() {
-		line = d.comeAgain()
+	if !c.replied && c.stopReadingOpening() {
+		line = d.rejection()
 	}
-	d.log.Info("a client is closed to make room for another one", zap.Bool("refused", line != ""), zap.Bool("answered", c.answeredLast))
+	d.log.Info("a client is closed to make room for another one", zap.Bool("refused", line != ""), zap.Bool("answered", c.replied))
 	d.release(c)
 	closeWithMessage(c.client, line)
 }
 
-// comeAgain is the refusal of the driver's own, of what was never sent on.
-func (d *Proxy) comeAgain() string { return wire.Rejection(min(time.Second, d.cfg.MaxRetryAfter)) }
+// rejection is the refusal of the driver's own, of what was never sent on.
+func (d *Proxy) rejection() string { return wire.Rejection(min(time.Second, d.cfg.MaxRetryAfter)) }
 
 // release takes a client out of the budget; mu is held.
 func (d *Proxy) release(c *conn) {
-	if c.early != nil {
-		d.early.Remove(c.early)
-		c.early = nil
+	if c.unadmitted != nil {
+		d.unadmitted.Remove(c.unadmitted)
+		c.unadmitted = nil
 	}
-	if c.charged {
-		d.figures.taken.Add(-1)
-		d.used--
-		c.charged = false
+	if c.admitted {
+		d.metrics.openClients.Add(-1)
+		d.admitted--
+		c.admitted = false
 	}
 }
 
@@ -238,46 +238,46 @@
 func (d *Proxy) admit(c *conn) (within, still bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if c.early == nil {
+	if c.unadmitted == nil {
 		return false, false
 	}
 	if d.closed {
 		return false, true
 	}
-	d.pings.ReleaseUntil(func() bool { return d.fits(perClient) })
-	if !d.fits(perClient) {
-		c.since = time.Now()
-		d.early.MoveToBack(c.early)
+	d.pings.ReleaseUntil(func() bool { return d.fits(descriptorsPerClient) })
+	if !d.fits(descriptorsPerClient) {
+		c.lastActive = time.Now()
+		d.unadmitted.MoveToBack(c.unadmitted)
 		return false, true
 	}
 	d.release(c)
-	d.used++
-	d.figures.taken.Add(1)
-	c.charged = true
-	for d.early.Len() > max(d.heard(), 0) {
-		first := d.spare(time.Now())
+	d.admitted++
+	d.metrics.openClients.Add(1)
+	c.admitted = true
+	for d.unadmitted.Len() > max(d.maxUnadmitted(), 0) {
+		first := d.evictable(time.Now())
 		if first == nil {
-			first = d.early.Front().Value.(*conn)
+			first = d.unadmitted.Front().Value.(*conn)
 		}
-		d.rejectOverload(first)
+		d.evict(first)
 	}
 	return true, true
 }
 
 // fits reports whether so many more descriptors leave room to hear and refuse clients; mu is held.
 func (d *Proxy) fits(more int) bool {
-	return d.used*perClient+more+ownNeed+d.pings.Unreserved()+leastHeard <= d.cfg.MaxDescriptors
+	return d.admitted*descriptorsPerClient+more+processDescriptors+d.pings.Unreserved()+minUnadmitted <= d.cfg.MaxDescriptors
 }
 
-// asked notes that a client has asked how the node is, and may ask again; false where it was closed for another one.
-func (d *Proxy) asked(c *conn) bool {
+// renew notes that a client has asked how the node is, and may ask again; false where it was closed for another one.
+func (d *Proxy) renew(c *conn) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if c.early == nil {
+	if c.unadmitted == nil {
 		return false
 	}
-	c.since = time.Now()
-	d.early.MoveToBack(c.early)
+	c.lastActive = time.Now()
+	d.unadmitted.MoveToBack(c.unadmitted)
 	return true
 }
 
@@ -285,15 +285,15 @@
 func (d *Proxy) markAnswered(c *conn) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if was := c.early != nil; was || c.charged {
+	if was := c.unadmitted != nil; was || c.admitted {
 		d.release(c)
-		c.since, c.answeredLast = time.Now(), true
-		c.early = d.early.PushBack(c)
+		c.lastActive, c.replied = time.Now(), true
+		c.unadmitted = d.unadmitted.PushBack(c)
 	}
 }
 
-// shutDownWithin is how long the end waits for those who are not up to have their last word, and to leave by it.
-const shutDownWithin = 100 * time.Millisecond
+// shutdownGrace is how long the end waits for those who are not up to have their last word, and to leave by it.
+const shutdownGrace = 100 * time.Millisecond
 
 // Shutdown ends what the driver has open, and waits for it. No client may be accepted any more. Who is owed an answer still
 // gets one, the same as from the backstop: a reset would leave it with none. Where packets pass through, connections that
@@ -301,13 +301,13 @@
 // set up anew at once, while those of a process that ends are found again by way of other nodes.
 func (d *Proxy) Shutdown(pass bool) {
 	d.mu.Lock()
-	d.shut(pass)
+	d.beginShutdown(pass)
 	d.mu.Unlock()
 	d.pings.Wait()
-	for by := time.Now().Add(shutDownWithin); len(d.remaining(pass)) > 0 && time.Now().Before(by); {
+	for by := time.Now().Add(shutdownGrace); len(d.unfinished(pass)) > 0 && time.Now().Before(by); {
 		time.Sleep(time.Millisecond)
 	}
-	for _, c := range d.remaining(pass) {
+	for _, c := range d.unfinished(pass) {
 		closeWithMessage(c.client, "") // it has had its last word, and does not leave
 	}
 	if !pass {
@@ -315,10 +315,10 @@
 	}
 }
 
-// shut begins the end; mu is held.
-func (d *Proxy) shut(pass bool) {
+// beginShutdown begins the end; mu is held.
+func (d *Proxy) beginShutdown(pass bool) {
 	if !d.closed {
-		close(d.ending)
+		close(d.shutdown)
 	}
 	d.closed = true
 	for c := range d.conns {
@@ -327,12 +327,12 @@
 	d.pings.Close()
 }
 
-// remaining lists the clients whose connections have not ended, but for those that the end leaves.
-func (d *Proxy) remaining(pass bool) (all []*conn) {
+// unfinished lists the clients whose connections have not ended, but for those that the end leaves.
+func (d *Proxy) unfinished(pass bool) (all []*conn) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for c := range d.conns {
-		if !pass || !c.isUp() {
+		if !pass || !c.isEstablished() {
 			all = append(all, c)
 		}
 	}
@@ -344,7 +344,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for c := range d.conns {
-		if c.charged && !c.isUp() {
+		if c.admitted && !c.isEstablished() {
 			owing++
 		}
 	}
--- a/internal/proxy/faults_test.go
+++ b/internal/proxy/faults_test.go
@@ -23,15 +23,15 @@
 	r := newRig(t, zap.NewNop(), false)
 	client, server := pair(t)
 	c := r.d.newConn(server, time.Now().Add(-time.Second))
-	c.met.Store(true)
-	c.rests.Store(true)
+	c.openingRead.Store(true)
+	c.idle.Store(true)
 	if _, err := io.WriteString(client, "OPEN a key c=chat,d=5000\r\n"); err != nil {
 		t.Fatal(err)
 	}
 	netiotest.Eventually(t, "the request has come", func() bool { return netiotest.UnreadBytes(t, server) > 0 })
 	r.d.mu.Lock()
-	c.early = r.d.early.PushBack(c)
-	r.d.rejectOverload(c)
+	c.unadmitted = r.d.unadmitted.PushBack(c)
+	r.d.evict(c)
 	r.d.mu.Unlock()
 	if heard, err := io.ReadAll(client); err != nil || !strings.HasPrefix(string(heard), "BUSY") {
 		t.Errorf("heard %q, %v", heard, err)
@@ -104,14 +104,14 @@
 		t.Fatal(err)
 	}
 	_ = client.CloseWrite()
-	netiotest.Eventually(t, "its end is here", func() bool { return hungUp(server) != nil })
-	if !c.raise(host) {
+	netiotest.Eventually(t, "its end is here", func() bool { return sendingEnded(server) != nil })
+	if !c.establish(host) {
 		t.Fatal("it does not come up")
 	}
-	if c.leftBeforeUp(hungUp(server)) || c.isGone() || c.leftFIN.Load() {
+	if c.disconnectUnestablished(sendingEnded(server)) || c.isDisconnected() || c.clientClosed.Load() {
 		t.Error("its end counts before its lines are read")
 	}
-	if !c.awaitUp() {
+	if !c.awaitEstablished() {
 		t.Error("its lines are not read on")
 	}
 }
@@ -123,14 +123,14 @@
 	_, server := pair(t)
 	c := r.d.newConn(server, time.Now())
 	r.d.mu.Lock()
-	c.early = r.d.early.PushBack(c)
+	c.unadmitted = r.d.unadmitted.PushBack(c)
 	r.d.start(c, func() { panic("a parser's") })
 	r.d.mu.Unlock()
 	r.d.clients.Wait()
 	r.d.mu.Lock()
 	defer r.d.mu.Unlock()
-	if len(r.d.conns) > 0 || r.d.early.Len() > 0 {
-		t.Errorf("%d connections and %d places are left", len(r.d.conns), r.d.early.Len())
+	if len(r.d.conns) > 0 || r.d.unadmitted.Len() > 0 {
+		t.Errorf("%d connections and %d places are left", len(r.d.conns), r.d.unadmitted.Len())
 	}
 }
 
@@ -139,7 +139,7 @@
 func TestServe_PanicsBehindTheFirstLine_IsAnswered(t *testing.T) {
 	d := New(Config{MaxDescriptors: 256}, zap.NewNop())
 	client, server := pair(t)
-	if !d.take(server) {
+	if !d.accept(server) {
 		t.Fatal("the client is not taken")
 	}
 	if _, err := io.WriteString(client, "OPEN id key c=chat,d=1000\r\n"); err != nil {
--- a/internal/proxy/leaving.go
+++ b/internal/proxy/leaving.go
@@ -17,44 +17,44 @@
 // Here is how a connection learns that its client leaves. A client that is gone gets no further attempt: whoever begins
 // one looks at gone under the mutex (begin), and once more before its first byte.
 
-// errSpoke says that a client said more than its first line, for which it is to wait for the answer. Where it is not
+// errEarlyData says that a client said more than its first line, for which it is to wait for the answer. Where it is not
 // one that packets pass through for, it does not speak the protocol: what it wants may be hundreds of things.
-var errSpoke = errors.New("it does not wait for the answer")
+var errEarlyData = errors.New("it does not wait for the answer")
 
-// look takes in what the client has said or done since its first line, before anything is begun for it: one that has
+// checkClient takes in what the client has said or done since its first line, before anything is begun for it: one that has
 // waited in the listener's queue may have left long ago. False where it has.
-func (c *conn) look(in *wire.LineBuffer) bool {
+func (c *conn) checkClient(in *wire.LineBuffer) bool {
 	n, err := netio.ReadAvailable(c.client, in.Space())
 	in.Advance(n)
 	if err == nil || syserr.LacksMemory(err) { // the latter tells nothing
 		return true
 	}
-	c.left(err)
+	c.clientEnded(err)
 	return false
 }
 
-// upward reads the client: before the connection is up to learn that it leaves, then to pass its lines on. What comes
+// forwardClient reads the client: before the connection is up to learn that it leaves, then to pass its lines on. What comes
 // early of a connection that is mid-flow waits in the buffer, and the client is read on as long as that has room: one
 // that has said something leaves like any other.
-func (c *conn) upward(in *wire.LineBuffer) {
+func (c *conn) forwardClient(in *wire.LineBuffer) {
 	for {
 		early := len(in.Buffered()) > 0
 		select {
-		case <-c.up:
+		case <-c.established:
 			if !early {
 				break
 			}
-			c.waiting.CompareAndSwap(0, nanos(time.Now()))
+			c.waitingSince.CompareAndSwap(0, monotonicNanos(time.Now()))
 			if _, err := netio.WriteAll(c.host, in.Buffered()); err != nil {
 				return // the other goroutine meets the broken host too, and ends the client like it
 			}
 			in.Discard(len(in.Buffered()))
 		default:
-			if early && !c.open.MidFlow && c.misspoke() {
+			if early && !c.opening.MidFlow && c.protocolViolation() {
 				return
 			}
 			if early && len(in.Space()) == 0 { // no room: it is read on once it is up
-				if !c.awaitUp() {
+				if !c.awaitEstablished() {
 					return
 				}
 				continue
@@ -63,64 +63,64 @@
 		n, err := netio.Read(c.client, in.Space())
 		in.Advance(n)
 		if n == 0 && err != nil && netio.IsDeadlineExceeded(err) {
-			if goOn, _ := c.rest(c.client, false, func(*parking) {}); goOn {
+			if goOn, _ := c.awaitHandOff(c.client, false, func(*quiescence) {}); goOn {
 				continue
 			}
 			return
 		}
 		if n == 0 && err != nil {
-			c.left(err)
+			c.clientEnded(err)
 			return
 		}
 	}
 }
 
-// lookEvery is how often a client that is not read is looked at: no attempt may begin a tenth of a second after it left.
-const lookEvery = 20 * time.Millisecond
+// disconnectPollInterval is how often a client that is not read is looked at: no attempt may begin a tenth of a second after it left.
+const disconnectPollInterval = 20 * time.Millisecond
 
-// awaitUp waits until a connection is up whose client's early lines leave no room to read more. It is not read meanwhile,
+// awaitEstablished waits until a connection is up whose client's early lines leave no room to read more. It is not read meanwhile,
 // so the system is asked whether it has left; one that goes on to send far more than lines is given up. False where there
 // is nothing more to read.
-func (c *conn) awaitUp() bool {
-	ticks := time.NewTicker(lookEvery)
+func (c *conn) awaitEstablished() bool {
+	ticks := time.NewTicker(disconnectPollInterval)
 	defer ticks.Stop()
 	for {
 		select {
-		case <-c.up:
+		case <-c.established:
 			return true
-		case <-c.ended:
+		case <-c.finished:
 			return false
 		case <-ticks.C:
-			if err := hungUp(c.client); err != nil && c.leftBeforeUp(err) {
+			if err := sendingEnded(c.client); err != nil && c.disconnectUnestablished(err) {
 				return false
 			}
-			if pending(c.client) > maxEarly && c.misspoke() {
+			if unreadBytes(c.client) > maxUnreadBytes && c.protocolViolation() {
 				return false
 			}
 		}
 	}
 }
 
-// leftBeforeUp notes that a client has ended its side before its connection is up; false where that is up by now: whatever
+// disconnectUnestablished notes that a client has ended its side before its connection is up; false where that is up by now: whatever
 // lies unread is read on then, and the end behind it.
-func (c *conn) leftBeforeUp(err error) bool {
+func (c *conn) disconnectUnestablished(err error) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.host != nil {
 		return false
 	}
-	c.half.Store(errors.Is(err, io.EOF))
-	c.leave()
+	c.halfClosed.Store(errors.Is(err, io.EOF))
+	c.disconnect()
 	return true
 }
 
-// maxEarly bounds what may lie unread of a client that is not up, beside what is buffered. An end behind more than the
+// maxUnreadBytes bounds what may lie unread of a client that is not up, beside what is buffered. An end behind more than the
 // system's own buffer holds could not be seen.
-const maxEarly = 32 << 10
+const maxUnreadBytes = 32 << 10
 
-// hungUp tells how the other side has ended its sending, behind whatever lies unread: io.EOF, or a break. It is nil where
+// sendingEnded tells how the other side has ended its sending, behind whatever lies unread: io.EOF, or a break. It is nil where
 // it has not, or the system does not tell.
-func hungUp(c *net.TCPConn) error {
+func sendingEnded(c *net.TCPConn) error {
 	raw, err := c.SyscallConn()
 	if err != nil {
 		return nil
@@ -141,8 +141,8 @@
 	return nil
 }
 
-// pending is how many bytes lie unread, 0 where the system does not tell.
-func pending(c *net.TCPConn) (n int) {
+// unreadBytes is how many bytes lie unread, 0 where the system does not tell.
+func unreadBytes(c *net.TCPConn) (n int) {
 	raw, err := c.SyscallConn()
 	if err != nil {
 		return 0
@@ -155,56 +155,56 @@
 	return n
 }
 
-// misspoke gives up a client that does not wait for its answer; false where it has come up just now.
-func (c *conn) misspoke() bool {
+// protocolViolation gives up a client that does not wait for its answer; false where it has come up just now.
+func (c *conn) protocolViolation() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.host != nil {
 		return false
 	}
-	c.spoke = true
-	c.leave()
+	c.violatedProtocol = true
+	c.disconnect()
 	return true
 }
 
-// leave closes gone once, and withdraws the attempt that is out; mu is held.
-func (c *conn) leave() {
-	if c.isGone() {
+// disconnect closes gone once, and withdraws the attempt that is out; mu is held.
+func (c *conn) disconnect() {
+	if c.isDisconnected() {
 		return
 	}
-	close(c.gone)
-	c.leftAt = time.Now()
-	if c.withdraw != nil {
-		c.withdraw()
+	close(c.disconnected)
+	c.disconnectedAt = time.Now()
+	if c.cancelAttempt != nil {
+		c.cancelAttempt()
 	}
 }
 
-// isGone reports whether the client has left before it was up.
-func (c *conn) isGone() bool {
+// isDisconnected reports whether the client has left before it was up.
+func (c *conn) isDisconnected() bool {
 	select {
-	case <-c.gone:
+	case <-c.disconnected:
 		return true
 	default:
 		return false
 	}
 }
 
-// left notes that the client has ended its side.
-func (c *conn) left(err error) {
+// clientEnded notes that the client has ended its side.
+func (c *conn) clientEnded(err error) {
 	if errors.Is(err, net.ErrClosed) { // this node's own doing
 		return
 	}
-	if c.leftBeforeUp(err) {
+	if c.disconnectUnestablished(err) {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if netio.IsReset(err) {
-		c.leftRST.Store(true)
+		c.clientReset.Store(true)
 		_ = c.host.SetReadDeadline(netio.Expired)
 		return
 	}
-	c.leftFIN.Store(true)
+	c.clientClosed.Store(true)
 	_ = c.host.CloseWrite()
-	_ = c.host.SetReadDeadline(time.Now().Add(lingerFor))
+	_ = c.host.SetReadDeadline(time.Now().Add(lingerTimeout))
 }
--- a/internal/proxy/park.go
+++ b/internal/proxy/park.go
@@ -26,44 +26,44 @@
 	Load         float64 // by its last report, 0 for none
 }
 
-// parking is a connection's way to rest. Both goroutines of it wait there until it is decided what becomes of it.
-type parking struct {
-	hostAt, clientAt chan struct{}
-	decided          chan struct{}
-	handed           bool   // another process has it
-	partial          []byte // by the relay, before hostAt is closed
-	torn             bool   // likewise: a line is passed on in pieces
-	load             float64
-	conn             *conn
-	host             *net.TCPConn
+// quiescence is a connection's way to rest. Both goroutines of it wait there until it is decided what becomes of it.
+type quiescence struct {
+	hostStopped, clientStopped chan struct{}
+	decided                    chan struct{}
+	handedOff                  bool   // another process has it
+	partial                    []byte // by the relay, before hostAt is closed
+	midLine                    bool   // likewise: a line is passed on in pieces
+	load                       float64
+	conn                       *conn
+	host                       *net.TCPConn
 }
 
-// restWithin is how long a connection is given to come to rest: one whose client or host does not take what is for it
+// quiesceTimeout is how long a connection is given to come to rest: one whose client or host does not take what is for it
 // stays where it is.
-const restWithin = 50 * time.Millisecond
+const quiesceTimeout = 50 * time.Millisecond
 
-// mostUnrest is how often a connection that could not be handed over is asked again: each time holds its lines back.
-const mostUnrest = 8
+// maxFailedHandOffs is how often a connection that could not be handed over is asked again: each time holds its lines back.
+const maxFailedHandOffs = 8
 
 // Quiesce brings up to n connections that stand to rest, and returns with them what becomes of each: with true it is
 // another process's, with false it goes on here. None may be forgotten: their clients wait.
 func (d *Proxy) Quiesce(n int) (out []EstablishedConn, done []func(handed bool)) {
-	var parked []*parking
+	var parked []*quiescence
 	d.mu.Lock()
 	for c := range d.conns {
 		if len(parked) == n {
 			break
 		}
-		if p := c.park(); p != nil {
+		if p := c.beginQuiesce(); p != nil {
 			parked = append(parked, p)
 		}
 	}
 	d.mu.Unlock()
-	late := time.NewTimer(restWithin)
+	late := time.NewTimer(quiesceTimeout)
 	defer late.Stop()
 	over := false
 	for _, p := range parked {
-		for _, at := range []chan struct{}{p.hostAt, p.clientAt} {
+		for _, at := range []chan struct{}{p.hostStopped, p.clientStopped} {
 			if over {
 				break
 			}
@@ -73,96 +73,96 @@
 				over = true
 			}
 		}
-		if !p.rests() {
+		if !p.complete() {
 			p.decide(false)
 			continue
 		}
-		out = append(out, EstablishedConn{Line: p.conn.open.Line(), Host: p.conn.on, Client: p.conn.client, Peer: p.host,
+		out = append(out, EstablishedConn{Line: p.conn.opening.Line(), Host: p.conn.hostID, Client: p.conn.client, Peer: p.host,
 			Partial: p.partial, Load: p.load})
 		done = append(done, p.decide)
 	}
 	return out, done
 }
 
-// park begins to bring a connection to rest; nil where it does not stand, or ends.
-func (c *conn) park() *parking {
+// beginQuiesce begins to bring a connection to rest; nil where it does not stand, or ends.
+func (c *conn) beginQuiesce() *quiescence {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.host == nil || c.parking != nil || c.ends() || c.unrest >= mostUnrest {
+	if c.host == nil || c.quiescing != nil || c.isEnding() || c.failedHandOffs >= maxFailedHandOffs {
 		return nil
 	}
-	c.parking = &parking{conn: c, host: c.host, hostAt: make(chan struct{}), clientAt: make(chan struct{}), decided: make(chan struct{})}
+	c.quiescing = &quiescence{conn: c, host: c.host, hostStopped: make(chan struct{}), clientStopped: make(chan struct{}), decided: make(chan struct{})}
 	_ = c.host.SetReadDeadline(netio.Expired)
 	_ = c.client.SetReadDeadline(netio.Expired)
-	return c.parking
+	return c.quiescing
 }
 
-// ends reports whether the connection is on its way to its end; mu is held.
-func (c *conn) ends() bool {
-	return c.aborted || c.over || c.moving.Load() || c.leftFIN.Load() || c.leftRST.Load()
+// isEnding reports whether the connection is on its way to its end; mu is held.
+func (c *conn) isEnding() bool {
+	return c.aborted || c.readingStopped || c.migrating.Load() || c.clientClosed.Load() || c.clientReset.Load()
 }
 
-// rests reports whether both goroutines wait, between two lines.
-func (p *parking) rests() bool {
-	for _, at := range []chan struct{}{p.hostAt, p.clientAt} {
+// complete reports whether both goroutines wait, between two lines.
+func (p *quiescence) complete() bool {
+	for _, at := range []chan struct{}{p.hostStopped, p.clientStopped} {
 		select {
 		case <-at:
 		default:
 			return false
 		}
 	}
-	return !p.torn
+	return !p.midLine
 }
 
 // decide ends the rest.
-func (p *parking) decide(handed bool) {
+func (p *quiescence) decide(handed bool) {
 	p.conn.mu.Lock()
-	p.handed = handed
-	p.conn.parking = nil
-	if p.conn.over = p.conn.over || handed; !handed { // one that went over is not brought to rest again while it ends here
-		p.conn.unrest++
+	p.handedOff = handed
+	p.conn.quiescing = nil
+	if p.conn.readingStopped = p.conn.readingStopped || handed; !handed { // one that went over is not brought to rest again while it ends here
+		p.conn.failedHandOffs++
 	}
 	p.conn.mu.Unlock()
 	close(p.decided)
 }
 
-// rest is where the goroutines of a connection wait, each after a read that has run out of time; host tells which, and
+// awaitHandOff is where the goroutines of a connection wait, each after a read that has run out of time; host tells which, and
 // says what the parking is to know of its side. goOn is true where it is to read on, handed where another process has
 // the connection now.
-func (c *conn) rest(side *net.TCPConn, host bool, say func(*parking)) (goOn, handed bool) {
+func (c *conn) awaitHandOff(side *net.TCPConn, host bool, say func(*quiescence)) (goOn, handed bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for {
-		p := c.parking
+		p := c.quiescing
 		switch {
-		case c.ends():
+		case c.isEnding():
 			return false, false
 		case p == nil:
 			_ = side.SetReadDeadline(time.Time{})
 			return true, false
 		}
 		if say(p); host {
-			close(p.hostAt)
+			close(p.hostStopped)
 		} else {
-			close(p.clientAt)
+			close(p.clientStopped)
 		}
 		c.mu.Unlock()
 		<-p.decided
 		c.mu.Lock()
-		if p.handed {
+		if p.handedOff {
 			return false, true
 		} // it may be brought to rest again already
 	}
 }
 
-// handOver ends this process's part of a connection that another one has. Its sockets are closed here and stay open
+// releaseHandedOff ends this process's part of a connection that another one has. Its sockets are closed here and stay open
 // there: nothing may be said on them, nor set.
-func (c *conn) handOver(host *net.TCPConn, attempt int, start time.Time) {
+func (c *conn) releaseHandedOff(host *net.TCPConn, attempt int, start time.Time) {
 	_ = host.Close()
-	c.d.node.AttemptEnded(c.id, c, attempt, time.Since(start), balancer.Cancelled)
+	c.proxy.node.AttemptEnded(c.requestID, c, attempt, time.Since(start), balancer.Cancelled)
 }
 
-var errGone = errors.New("the driver ends")
+var errShutDown = errors.New("the driver ends")
 
 // Adopt goes on with a connection that another process had. One with which it can't is sent away: it rests between two
 // lines, and its client has nobody else any more.
@@ -182,44 +182,44 @@
 	}
 	open.CurrentHost = s.Host
 	c := d.newConn(s.Client, time.Now())
-	c.open, c.id, c.on, c.host = open, balancer.RequestID(open.ID), s.Host, s.Peer
-	c.counted.Store(true) // by the process that brought it up
-	close(c.up)
+	c.opening, c.requestID, c.hostID, c.host = open, balancer.RequestID(open.ID), s.Host, s.Peer
+	c.replyCounted.Store(true) // by the process that brought it up
+	close(c.established)
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.closed {
-		return errGone
+		return errShutDown
 	}
-	d.used++
-	d.figures.taken.Add(1)
-	c.charged = true
-	d.start(c, func() { c.goOn(s) })
+	d.admitted++
+	d.metrics.openClients.Add(1)
+	c.admitted = true
+	d.start(c, func() { c.serveAdopted(s) })
 	return nil
 }
 
-// goOn is the life of a connection that was adopted.
-func (c *conn) goOn(s EstablishedConn) {
+// serveAdopted is the life of a connection that was adopted.
+func (c *conn) serveAdopted(s EstablishedConn) {
 	start, told := time.Now(), false
 	defer c.client.Close()
 	defer func() {
 		if p := recover(); p != nil {
-			c.d.log.Error("a connection failed badly", zap.Any("panic", p), zap.Stack("stack"))
+			c.proxy.log.Error("a connection failed badly", zap.Any("panic", p), zap.Stack("stack"))
 			c.abort()
 			if told {
-				c.d.node.AttemptEnded(c.id, c, 0, 0, balancer.ConnectionReset)
+				c.proxy.node.AttemptEnded(c.requestID, c, 0, 0, balancer.ConnectionReset)
 			}
 		}
 	}()
-	if _, ok := c.d.node.ResumeConnection(&c.open, c); !ok {
-		c.d.log.Info("a connection's id is held already")
+	if _, ok := c.proxy.node.ResumeConnection(&c.opening, c); !ok {
+		c.proxy.log.Info("a connection's id is held already")
 		c.abort()
 		return
 	}
 	told = true
-	c.d.node.ConnectionInherited(&c.open, c)
+	c.proxy.node.ConnectionInherited(&c.opening, c)
 	if s.Load > 0 {
 		c.load = s.Load
-		c.d.node.ReportLoad(c.id, c, s.Load)
+		c.proxy.node.ReportLoad(c.requestID, c, s.Load)
 	}
 	var host, client wire.LineBuffer
 	host.Advance(copy(host.Space(), s.Partial))
@@ -228,11 +228,11 @@
 	reader.Add(1)
 	go func() {
 		defer reader.Done()
-		defer c.d.caught("reading a client failed badly")
-		c.upward(&client)
+		defer c.proxy.caught("reading a client failed badly")
+		c.forwardClient(&client)
 	}()
 	defer reader.Wait()
-	defer c.endClient()
+	defer c.releaseClient()
 	c.relay(s.Peer, &host, nil, 0, start)
 }
 
@@ -241,8 +241,8 @@
 func (d *Proxy) PendingOpenings() (unheard int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for e := d.early.Front(); e != nil; e = e.Next() {
-		if !e.Value.(*conn).rests.Load() {
+	for e := d.unadmitted.Front(); e != nil; e = e.Next() {
+		if !e.Value.(*conn).idle.Load() {
 			unheard++
 		}
 	}
--- a/internal/proxy/park_test.go
+++ b/internal/proxy/park_test.go
@@ -91,7 +91,7 @@
 		defer old.d.mu.Unlock()
 		done[0](true)
 		for c := range old.d.conns { // it is still on its way to its end
-			if c.park() != nil {
+			if c.beginQuiesce() != nil {
 				t.Error("a connection that went over is brought to rest again")
 			}
 		}
@@ -127,7 +127,7 @@
 	_, _ = io.WriteString(c, "M 1\r\n") // while it rests
 	done[0](false)
 	hears(t, in, "M 1\r\n")
-	for range mostUnrest - 1 {
+	for range maxFailedHandOffs - 1 {
 		_, done = r.d.Quiesce(4)
 		done[0](false)
 	}
--- a/internal/proxy/peers_test.go
+++ b/internal/proxy/peers_test.go
@@ -100,7 +100,7 @@
 // quiet waits until no client is left.
 func (r *rig) quiet(t *testing.T) {
 	t.Helper()
-	netiotest.Eventually(t, "no client is left", func() bool { return len(r.d.remaining(false)) == 0 && r.n.InFlightRequests() == 0 })
+	netiotest.Eventually(t, "no client is left", func() bool { return len(r.d.unfinished(false)) == 0 && r.n.InFlightRequests() == 0 })
 }
 
 // pair is a connection and its other side.
--- a/internal/proxy/relay.go
+++ b/internal/proxy/relay.go
@@ -25,16 +25,16 @@
 	for err == nil {
 		chunk, seen := r.CompleteLines()
 		if seen.Responses > 0 {
-			if since := c.waiting.Swap(0); since != 0 {
-				took := nanos(time.Now()) - since
-				c.took.Store(took)
-				c.longest = max(c.longest, time.Duration(took))
-				c.answered.Add(1)
+			if since := c.waitingSince.Swap(0); since != 0 {
+				took := monotonicNanos(time.Now()) - since
+				c.lastLatency.Store(took)
+				c.maxLatency = max(c.maxLatency, time.Duration(took))
+				c.answeredMessages.Add(1)
 			}
 		}
 		if seen.Load > 0 {
 			c.load = seen.Load
-			c.d.node.ReportLoad(c.id, c, seen.Load)
+			c.proxy.node.ReportLoad(c.requestID, c, seen.Load)
 		}
 		if len(chunk) > 0 {
 			_, err = netio.WriteAll(c.client, chunk)
@@ -48,11 +48,11 @@
 			err = nil
 		}
 		if err != nil && netio.IsDeadlineExceeded(err) {
-			goOn, handed := c.rest(host, true, func(p *parking) {
-				p.partial, p.torn, p.load = append([]byte(nil), r.Buffered()...), !r.AtLineBoundary() || r.Ending(), c.load
+			goOn, handed := c.awaitHandOff(host, true, func(p *quiescence) {
+				p.partial, p.midLine, p.load = append([]byte(nil), r.Buffered()...), !r.AtLineBoundary() || r.Ending(), c.load
 			})
 			if handed {
-				c.handOver(host, attempt, start)
+				c.releaseHandedOff(host, attempt, start)
 				return
 			}
 			if goOn {
@@ -60,37 +60,37 @@
 			}
 		}
 	}
-	c.part(host, &r, err, stuck, attempt, start)
+	c.closePeer(host, &r, err, stuck, attempt, start)
 }
 
-// part ends both sides after the relay has: err is what ended it.
-func (c *conn) part(host *net.TCPConn, r *wire.Relay, err error, stuck bool, attempt int, start time.Time) {
+// closePeer ends both sides after the relay has: err is what ended it.
+func (c *conn) closePeer(host *net.TCPConn, r *wire.Relay, err error, stuck bool, attempt int, start time.Time) {
 	outcome := balancer.ConnectionReset
-	left, moved := c.leftFIN.Load() || c.leftRST.Load(), c.moving.Load() // as it ended: a word that comes now is too late
+	left, moved := c.clientClosed.Load() || c.clientReset.Load(), c.migrating.Load() // as it ended: a word that comes now is too late
 	switch {
 	case r.Last() == wire.ResponseClosed:
 		outcome = balancer.Served
 	case r.Last() == wire.ResponseMigrate || left || moved:
 		outcome = balancer.Cancelled
 	}
-	if c.leftRST.Load() {
+	if c.clientReset.Load() {
 		reset(host)
 	} else {
 		_ = host.Close()
 	}
-	c.d.log.Debug("a connection ended", zap.String("request", c.open.ID), zap.Stringer("host", host.RemoteAddr()),
+	c.proxy.log.Debug("a connection ended", zap.String("request", c.opening.ID), zap.Stringer("host", host.RemoteAddr()),
 		zap.Bool("moved", moved), zap.Bool("client left", left), zap.Duration("after", time.Since(start)),
-		zap.Duration("longest answer", c.longest),
+		zap.Duration("longest answer", c.maxLatency),
 		zap.Error(err))
-	c.d.node.AttemptEnded(c.id, c, attempt, time.Since(start), outcome)
+	c.proxy.node.AttemptEnded(c.requestID, c, attempt, time.Since(start), outcome)
 	switch {
 	case moved && !left && !stuck && r.AtLineBoundary() && !errors.Is(err, io.EOF):
 		c.stopReading()
-		c.finish(wire.Migration)
+		c.reply(wire.Migration)
 	case errors.Is(err, io.EOF):
 		_, _ = netio.WriteAll(c.client, r.Buffered()) // a last line without its end
 		c.stopReading()
-		c.linger()
+		c.lingerClose()
 	case left:
 	default:
 		reset(c.client)
