--- a/cmd/onyxstream/answers_test.go
+++ b/cmd/onyxstream/answers_test.go
@@ -113,7 +113,7 @@
 				silent = append(silent, c)
 			}
 		}
-		return strings.Contains(p.log.String(), "to make room")
+		return strings.Contains(p.log.String(), "client evicted")
 	})
 	second.hears("BUSY")
 	for _, c := range silent {
--- a/cmd/onyxstream/bad_test.go
+++ b/cmd/onyxstream/bad_test.go
@@ -165,7 +165,7 @@
 		}
 		first.hears("BUSY") // the host never answers, so it is the module's own word, in its time
 	}
-	if strings.Contains(p.log.String(), "backstop") {
+	if strings.Contains(p.log.String(), "request deadline exceeded") {
 		t.Error("a first client was forgotten")
 	}
 }
--- a/cmd/onyxstream/main_test.go
+++ b/cmd/onyxstream/main_test.go
@@ -303,7 +303,7 @@
 	for range 60 {
 		held = append(held, p.open(t, ""))
 	}
-	eventually(t, "an accept fails", func() bool { return strings.Contains(p.log.String(), "could not be accepted") })
+	eventually(t, "an accept fails", func() bool { return strings.Contains(p.log.String(), "accept failed") })
 	for _, k := range held {
 		_ = k.c.Close()
 	}
--- /dev/null
+++ b/internal/proxy/adopt.go
@@ -0,0 +1,83 @@
+package proxy
+
+import (
+	"errors"
+	"time"
+
+	"go.uber.org/zap"
+
+	"onyxstream/balancer"
+	"onyxstream/internal/wire"
+)
+
+var (
+	errNotEstablished = errors.New("not an established connection's opening line")
+	errShutDown       = errors.New("proxy is shut down")
+)
+
+// Adopt resumes a connection that another process of the node has handed off. One that cannot be resumed is migrated: it
+// rests between two lines, and no other process has its client.
+func (p *Proxy) Adopt(handedOff EstablishedConn) error {
+	err := p.adopt(handedOff)
+	if err != nil {
+		closeWithMessage(handedOff.Client, wire.Migration)
+		_ = handedOff.Peer.Close()
+	}
+	return err
+}
+
+func (p *Proxy) adopt(handedOff EstablishedConn) error {
+	kind, opening, err := wire.ParseOpening([]byte(handedOff.Line))
+	if err != nil || kind != wire.OpeningRequest || len(handedOff.Partial) > wire.BufferSize/2 {
+		return errNotEstablished
+	}
+	opening.CurrentHost = handedOff.Host
+	c := p.newConn(handedOff.Client, time.Now())
+	c.opening = opening
+	c.requestID = balancer.RequestID(opening.ID)
+	c.hostID = handedOff.Host
+	c.host = handedOff.Peer
+	c.replyCounted.Store(true) // by the process that established it
+	close(c.established)
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.closed {
+		return errShutDown
+	}
+	p.charge(c)
+	p.start(c, func() { c.serveAdopted(handedOff) })
+	return nil
+}
+
+// serveAdopted runs an adopted connection to its end.
+func (c *conn) serveAdopted(handedOff EstablishedConn) {
+	start := time.Now()
+	inherited := false // the node waits for the end of the connection
+	defer c.client.Close()
+	defer func() {
+		if panicked := recover(); panicked != nil {
+			c.proxy.log.Error("connection panicked", zap.Any("panic", panicked), zap.Stack("stack"))
+			c.abort()
+			if inherited {
+				c.proxy.node.AttemptEnded(c.requestID, c, 0, 0, balancer.ConnectionReset)
+			}
+		}
+	}()
+	if _, ok := c.proxy.node.ResumeConnection(&c.opening, c); !ok {
+		c.proxy.log.Info(duplicateIDMessage)
+		c.abort()
+		return
+	}
+	inherited = true
+	c.proxy.node.ConnectionInherited(&c.opening, c)
+	if handedOff.Load > 0 {
+		c.load = handedOff.Load
+		c.proxy.node.ReportLoad(c.requestID, c, handedOff.Load)
+	}
+	var host, client wire.LineBuffer
+	host.Advance(copy(host.Space(), handedOff.Partial))
+	defer client.Release()
+	c.whileReadingClient(&client, func() {
+		c.relay(handedOff.Peer, &host, nil, 0, start)
+	})
+}
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -14,24 +14,24 @@
 	"onyxstream/internal/wire"
 )
 
-// Stage says how far an attempt had come when it ended.
+// Stage is how far an attempt had come when it ended.
 type Stage uint8
 
 // The stages of an attempt.
 const (
 	Dialing     Stage = iota // no connection yet
-	Authorizing              // connected; the loop has not said that the line may still go
-	Writing                  // not all of the line was written
-	Awaiting                 // the host has it all
-	Answering                // the host has answered
+	Authorizing              // connected; the node has not confirmed that the opening line may still be written
+	Writing                  // the opening line is not written completely
+	Awaiting                 // it is; the host has not responded
+	Answering                // the host has responded
 )
 
 func (s Stage) String() string {
-	return [...]string{"dialing", "asking", "writing", "awaiting", "answering"}[s]
+	return [...]string{"dialing", "authorizing", "writing", "awaiting", "answering"}[s]
 }
 
-// AttemptError is the end of an attempt that did not bring the connection up, with how far it had
-// come: that decides whether the host may have run it.
+// AttemptError is why an attempt did not establish the connection. Its stage decides whether the host may have executed
+// the request.
 type AttemptError struct {
 	Stage Stage
 	Err   error
@@ -43,19 +43,20 @@
 func (e *AttemptError) Unwrap() error { return e.Err }
 
 var (
-	errCanceled      = errors.New("withdrawn")
-	errNotAuthorized = errors.New("the host may get nothing new any more")
-	errRejected      = errors.New("the host turned it away")
-	errHostError     = errors.New("the host answered with an error")
-	errMigrated      = errors.New("the host sends its clients away")
+	errCanceled      = errors.New("attempt canceled")
+	errNotAuthorized = errors.New("host may get no further requests")
+	errRejected      = errors.New("host rejected the request")
+	errHostError     = errors.New("host responded with an error")
+	errMigrated      = errors.New("host migrates its clients")
 )
 
-// Outcome puts the error in the module's terms.
+// Outcome returns what the attempt says of its host.
 func (e *AttemptError) Outcome() balancer.Outcome {
+	canceled := errors.Is(e.Err, errCanceled)
 	switch {
-	case e.Stage == Authorizing, e.Stage < Awaiting && errors.Is(e.Err, errCanceled), e.Stage < Awaiting && isLocal(e.Err):
-		return balancer.NotSent // not the host's fault, and it never had the last byte
-	case errors.Is(e.Err, errCanceled):
+	case e.Stage == Authorizing, e.Stage < Awaiting && canceled, e.Stage < Awaiting && isLocal(e.Err):
+		return balancer.NotSent // not the host's fault, and the host never had the complete line
+	case canceled:
 		return balancer.Cancelled
 	case e.Stage < Awaiting:
 		return balancer.ConnectFailed
@@ -71,72 +72,88 @@
 	return balancer.ConnectionReset
 }
 
-// isLocal reports whether a dial or a write failed for want of something on this machine: that says nothing of the host.
+// isLocal reports whether a dial or a write failed because this machine lacks something: that says nothing of the host.
 func isLocal(err error) bool {
 	return syserr.LacksResources(err) || syserr.LacksAddress(err)
 }
 
-// attemptHooks is what an attempt is held to by its connection.
+// attemptHooks are what an attempt asks and notifies.
 type attemptHooks struct {
-	connectTimeout time.Duration         // the dial's limit, 0 for none
-	authorize      func() error          // asked between connect and write, since a send counts from its first byte
-	written        func(began time.Time) // told of a line that was written to its end, and when its first byte went
+	connectTimeout time.Duration         // 0 for none
+	authorize      func() error          // whether the line may be written: a request counts from its first byte
+	written        func(began time.Time) // the line was written completely; its first byte went at began
 }
 
-// attempt makes one attempt: one dial, one line, one answer. On success the host's connection is up,
-// upLine is what the host gave and in holds what came behind it. On failure the connection is closed.
-func attempt(ctx context.Context, a node.Attempt, o *wire.Opening, p attemptHooks, in *wire.LineBuffer) (host *net.TCPConn, upLine []byte, failed *AttemptError) {
-	by := time.Now().Add(a.Timeout)
-	ctx, cancel := context.WithDeadline(ctx, by)
+// attempt makes one attempt: one dial, one opening line, one response. If the host establishes the connection, attempt
+// returns that connection and the host's line; in holds what came behind it. Otherwise the connection is closed.
+func attempt(ctx context.Context, target node.Attempt, opening *wire.Opening, hooks attemptHooks, in *wire.LineBuffer) (
+	*net.TCPConn, []byte, *AttemptError,
+) {
+	deadline := time.Now().Add(target.Timeout)
+	ctx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
-	fail := func(s Stage, err error) (*net.TCPConn, []byte, *AttemptError) {
-		if host != nil {
-			_ = host.Close()
-		}
-		if errors.Is(ctx.Err(), context.Canceled) {
-			err = errCanceled
-		}
-		return nil, nil, &AttemptError{s, err}
+	dialer := net.Dialer{Timeout: hooks.connectTimeout, KeepAlive: -1}
+	dialed, err := dialer.DialContext(ctx, "tcp", target.Addr)
+	if err != nil {
+		return nil, nil, attemptError(ctx, Dialing, err)
 	}
-	dialer := net.Dialer{Timeout: p.connectTimeout, KeepAlive: -1}
-	c, err := dialer.DialContext(ctx, "tcp", a.Addr)
+	host := dialed.(*net.TCPConn)
+	line, stage, err := sendOpening(ctx, host, deadline, opening, hooks, in)
 	if err != nil {
-		return fail(Dialing, err)
+		_ = host.Close()
+		return nil, nil, attemptError(ctx, stage, err)
 	}
-	host = c.(*net.TCPConn)
-	if err := p.authorize(); err != nil {
-		return fail(Authorizing, err)
+	return host, line, nil
+}
+
+// attemptError returns the error of an attempt that ended at a stage. A cancelled one may fail with any error.
+func attemptError(ctx context.Context, stage Stage, err error) *AttemptError {
+	if errors.Is(ctx.Err(), context.Canceled) {
+		err = errCanceled
+	}
+	return &AttemptError{stage, err}
+}
+
+// sendOpening writes the opening line to the host and awaits the response. It returns the stage at which it failed.
+func sendOpening(ctx context.Context, host *net.TCPConn, deadline time.Time, opening *wire.Opening, hooks attemptHooks,
+	in *wire.LineBuffer,
+) (line []byte, stage Stage, err error) {
+	if err := hooks.authorize(); err != nil {
+		return nil, Authorizing, err
 	}
-	// The last look before the first byte: it may have been withdrawn while the loop said that it may go.
+	// The last check before the first byte: it may have been cancelled while it was authorized.
 	if err := ctx.Err(); err != nil {
-		return fail(Authorizing, err)
+		return nil, Authorizing, err
 	}
-	// Setting the deadline wakes whatever read or write is under way.
-	stop := context.AfterFunc(ctx, func() { _ = c.SetDeadline(netio.Expired) })
+	// The deadline wakes a blocked read or write.
+	stop := context.AfterFunc(ctx, func() { _ = host.SetDeadline(netio.Expired) })
 	began := time.Now()
-	line := o.Forward(by.Sub(began))
-	if n, err := host.Write(line); n < len(line) { // not made again here: each try follows a look of its own
-		return fail(Writing, err)
+	request := opening.Forward(deadline.Sub(began))
+	// Not retried: each attempt to write needs an authorization of its own.
+	if n, err := host.Write(request); n < len(request) {
+		return nil, Writing, err
+	}
+	hooks.written(began)
+	line, stage, err = awaitResponse(host, in)
+	if err == nil && !stop() { // it was cancelled or its deadline passed just now
+		return nil, Awaiting, context.Cause(ctx)
 	}
-	p.written(began)
+	return line, stage, err
+}
+
+// awaitResponse reads the host's response, and returns its line where the connection is established.
+func awaitResponse(host *net.TCPConn, in *wire.LineBuffer) (line []byte, stage Stage, err error) {
 	for {
 		line, ok, err := in.Next()
 		if err != nil {
-			return fail(Answering, err)
+			return nil, Answering, err
 		}
 		if ok {
-			switch wire.ParseResponse(line) {
-			case wire.ResponseEstablished:
-				if !stop() { // the time was up, or it was withdrawn, just now
-					return fail(Awaiting, context.Cause(ctx))
-				}
-				return host, append(append([]byte(nil), line...), '\r', '\n'), nil
-			case wire.ResponseRejected:
-				return fail(Answering, errRejected)
-			case wire.ResponseMigrate:
-				return fail(Answering, errMigrated)
+			if err := responseError(line); err != nil {
+				return nil, Answering, err
 			}
-			return fail(Answering, errHostError)
+			established := append([]byte(nil), line...)
+			return append(established, '\r', '\n'), Answering, nil
 		}
 		n, err := netio.Read(host, in.Space())
 		in.Advance(n)
@@ -144,7 +161,20 @@
 			if err == io.EOF {
 				err = io.ErrUnexpectedEOF
 			}
-			return fail(Awaiting, err)
+			return nil, Awaiting, err
 		}
 	}
 }
+
+// responseError returns why a response does not establish the connection, nil where it does.
+func responseError(line []byte) error {
+	switch wire.ParseResponse(line) {
+	case wire.ResponseEstablished:
+		return nil
+	case wire.ResponseRejected:
+		return errRejected
+	case wire.ResponseMigrate:
+		return errMigrated
+	}
+	return errHostError
+}
--- /dev/null
+++ b/internal/proxy/command.go
@@ -0,0 +1,68 @@
+package proxy
+
+import (
+	"time"
+
+	"onyxstream/internal/netio"
+	"onyxstream/internal/node"
+	"onyxstream/internal/wire"
+)
+
+// The node's side of a connection, node.ClientConn. The node's event loop calls it, so nothing here may block.
+
+// maxQueuedCommands bounds the commands that a connection has not taken up. The node sends one at a time; a connection
+// whose queue is full is broken.
+const maxQueuedCommands = 8
+
+// command is what the node asks of a connection that is not established yet: an attempt, or the final reply.
+type command struct {
+	attempt *node.Attempt
+	reply   string // where attempt is nil
+}
+
+func (c *conn) enqueue(cmd command) {
+	select {
+	case c.commands <- cmd:
+	default:
+		c.abort()
+	}
+}
+
+// Send makes an attempt.
+func (c *conn) Send(a node.Attempt) { c.enqueue(command{attempt: &a}) }
+
+// Reject replies with a rejection, and with the advice to retry after a time.
+func (c *conn) Reject(after time.Duration) { c.enqueue(command{reply: wire.Rejection(after)}) }
+
+// Fail replies with a failure.
+func (c *conn) Fail() { c.enqueue(command{reply: wire.Failure}) }
+
+// Proceed answers AttemptConnected: whether the attempt may write to its host.
+func (c *conn) Proceed(_ int, ok bool) {
+	select {
+	case c.authorization <- ok:
+	default:
+	}
+}
+
+// Cancel cancels an attempt if it is still in flight.
+func (c *conn) Cancel(attempt int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.cancelAttempt != nil && c.attemptNumber == attempt {
+		c.cancelAttempt()
+	}
+}
+
+// Migrate wakes the relay, which alone knows where a line ends, to send the client to another node.
+func (c *conn) Migrate() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.host != nil && !c.migrating.Swap(true) {
+		_ = c.client.SetWriteDeadline(time.Now().Add(lingerTimeout))
+		_ = c.host.SetReadDeadline(netio.Expired)
+	}
+}
+
+// MessageStats returns how fast the host responds to messages.
+func (c *conn) MessageStats(now time.Time) node.MessageStats { return c.stats(now) }
--- a/internal/proxy/conn.go
+++ b/internal/proxy/conn.go
@@ -1,201 +1,84 @@
 package proxy
 
 import (
-	"container/list"
 	"context"
-	"errors"
 	"net"
 	"sync"
 	"sync/atomic"
-	"syscall"
 	"time"
 
 	"go.uber.org/zap"
 
 	"onyxstream/balancer"
+	"onyxstream/internal/logging"
 	"onyxstream/internal/netio"
 	"onyxstream/internal/node"
 	"onyxstream/internal/wire"
 )
 
-// command is what the loop tells a connection that is not up yet.
-type command struct {
-	attempt *node.Attempt
-	reply   string // a final answer, "" for none
-}
-
-// processStart is what pulses are timed from: the monotonic clock has no figure of its own.
-var processStart = time.Now()
-
-// monotonicNanos is a time as a figure that is never 0.
-func monotonicNanos(t time.Time) int64 { return int64(t.Sub(processStart)) + 1 }
-
-// conn is a client's connection. One goroutine, serve, drives it until it is up and then copies from
-// the host to the client; another, upward, reads the client.
+// conn is a client's connection. One goroutine, serve, reads the opening line, makes the attempts and then copies from the
+// host to the client; another, forwardClient, reads the client meanwhile. The node calls the methods of node.ClientConn.
 type conn struct {
+	budgetSlot
+	messageLatency
+
 	proxy     *Proxy
 	client    *net.TCPConn
 	opening   wire.Opening
 	requestID balancer.RequestID
 
 	commands      chan command
-	authorization chan bool     // the loop's answer to Connected
-	disconnected  chan struct{} // closed when the client has left before it was up
-	established   chan struct{} // closed when the connection is up
-	finished      chan struct{} // closed when serve has no more use for the client
+	authorization chan bool     // the node's answer to AttemptConnected
+	disconnected  chan struct{} // closed when the client has disconnected before it was established
+	established   chan struct{} // closed when a host has established the connection
+	finished      chan struct{} // closed when serve is done with the client
 
 	mu               sync.Mutex
-	cancelAttempt    context.CancelFunc // of the attempt under way
-	attemptNumber    int                // its number
-	host             *net.TCPConn       // set when up
-	aborted          bool
-	shuttingDown     bool        // the driver ends: no attempt comes up any more
-	evicted          bool        // it is closed for another one: its first line is read no more
-	readingStopped   bool        // nothing more is read of the client for its host
-	quiescing        *quiescence // it is brought to rest, nil while it is not
-	failedHandOffs   int         // how often it could not be handed to another process
-	violatedProtocol bool        // the client said more than its first line before it was up
-
-	unadmitted     *list.Element // its place among those that hold one descriptor; the driver's mu guards it
-	lastActive     time.Time     // when it came, or had its answer; likewise
-	admitted       bool          // it holds the descriptor of a host too; likewise
-	openingRead    atomic.Bool   // it was read from: what it had said by then is known
-	idle           atomic.Bool   // it has had its PONG and says nothing more for now
-	openingStarted atomic.Bool   // it has said a part of its first line
-	replied        bool          // it has had its last word; the driver's mu guards it
-
-	maxLatency     time.Duration // that a message waited for its answer; the relay's own
-	hostID         string        // the host of the attempt, or where it stands
-	load           float64       // by its last report; the relay's own
-	replyCounted   atomic.Bool   // its final answer is among the figures
-	replies        replyRecord   // that the client was given; mu guards it
-	disconnectedAt time.Time     // when it was seen to have left before it was up; mu guards it
-
-	migrating        atomic.Bool
-	halfClosed       atomic.Bool // the client ended its side before it was up
-	clientClosed     atomic.Bool // the client ended its side
-	clientReset      atomic.Bool // the client broke
-	waitingSince     atomic.Int64
-	lastLatency      atomic.Int64
-	answeredMessages atomic.Uint64
-}
-
-// The loop's side. None of it blocks: a connection that does not take its commands is broken.
-
-func (c *conn) enqueue(cmd command) {
-	select {
-	case c.commands <- cmd:
-	default:
-		c.abort()
-	}
-}
-
-func (c *conn) Send(a node.Attempt)        { c.enqueue(command{attempt: &a}) }
-func (c *conn) Reject(after time.Duration) { c.enqueue(command{reply: wire.Rejection(after)}) }
-func (c *conn) Fail()                      { c.enqueue(command{reply: wire.Failure}) }
-
-func (c *conn) Proceed(_ int, ok bool) {
-	select {
-	case c.authorization <- ok:
-	default:
-	}
-}
-
-func (c *conn) Cancel(attempt int) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.cancelAttempt != nil && c.attemptNumber == attempt {
-		c.cancelAttempt()
-	}
-}
-
-// Migrate wakes the copying goroutine, which alone knows where a line ends.
-func (c *conn) Migrate() {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.host != nil && !c.migrating.Swap(true) {
-		_ = c.client.SetWriteDeadline(time.Now().Add(lingerTimeout))
-		_ = c.host.SetReadDeadline(netio.Expired)
-	}
-}
-
-func (c *conn) MessageStats(now time.Time) node.MessageStats {
-	p := node.MessageStats{Answered: c.answeredMessages.Load(), LastLatency: time.Duration(c.lastLatency.Load())}
-	if since := c.waitingSince.Load(); since != 0 {
-		p.OldestWait = time.Duration(monotonicNanos(now) - since)
-	}
-	return p
-}
-
-// abort resets both sides; serve and upward end on it.
-func (c *conn) abort() {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.aborted = true
-	c.disconnect()
-	if c.cancelAttempt != nil {
-		c.cancelAttempt()
-	}
-	if c.host != nil {
-		reset(c.host)
-	}
-	reset(c.client)
-}
-
-// shutDown ends a connection with the driver, whose mutex is held: one that is up is reset, or left where packets pass
-// through. Any other ends by its own goroutine, which alone knows what was read: one that is owed its answer is given it
-// by drive; one that has not said whole what it wants may have by now, and is heard out by hello.
-func (c *conn) shutDown(pass bool) {
-	switch up := c.isEstablished(); {
-	case up && pass:
-	case up || c.admitted && c.opening.CurrentHost != "":
-		c.abort()
-	default:
-		c.mu.Lock()
-		defer c.mu.Unlock()
-		c.shuttingDown = true
-		if c.cancelAttempt != nil {
-			c.cancelAttempt()
-		}
-		if !c.admitted && !c.readingStopped {
-			_ = c.client.SetReadDeadline(netio.Expired)
-		}
-	}
-}
-
-// isShuttingDown reports whether the driver ends, and the connection with it.
-func (c *conn) isShuttingDown() bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.shuttingDown
-}
-
-// isEstablished reports whether a host holds the connection.
-func (c *conn) isEstablished() bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.host != nil
-}
-
-// serve is the life of the connection.
+	cancelAttempt    context.CancelFunc // of the attempt in flight, nil for none
+	attemptNumber    int                // of the attempt in flight
+	host             *net.TCPConn       // set when established
+	aborted          bool               // both sides were reset by this node
+	shuttingDown     bool               // no attempt may be established any more
+	evicted          bool               // the opening line is read no more
+	readingStopped   bool               // nothing more is read of the client for its host
+	quiescing        *quiescence        // while it is brought to rest for a hand-off, else nil
+	failedHandOffs   int
+	violatedProtocol bool        // the client sent more than its opening line before it was established
+	replies          replyRecord // the final replies that the client was given
+	disconnectedAt   time.Time   // when disconnected was closed
+
+	openingRead    atomic.Bool // the client was read from: what it had sent by then is known
+	openingStarted atomic.Bool // a part of the opening line has come
+	idle           atomic.Bool // a health check was answered, and nothing has come since
+	replyCounted   atomic.Bool // the final reply is among the metrics
+	migrating      atomic.Bool // the node migrates the client
+	halfClosed     atomic.Bool // the client closed its side before it was established
+	clientClosed   atomic.Bool // the client closed its side after it was established
+	clientReset    atomic.Bool // the client's side broke after it was established
+
+	hostID string  // of the attempt in flight, or of the host that established the connection
+	load   float64 // of the host's last load report; the relay's goroutine owns it
+}
+
+// serve runs the connection from its opening line to its end.
 func (c *conn) serve() {
 	defer c.client.Close()
-	defer c.answerPanic()
+	defer c.replyOnPanic()
 	var in wire.LineBuffer
 	defer in.Release()
 	if !c.readOpening(&in) {
 		return
 	}
-	until := time.Now().Add(c.opening.Timeout - sinceReceived(c.client))
+	deadline := time.Now().Add(c.opening.Timeout - sinceReceived(c.client))
 	c.requestID = balancer.RequestID(c.opening.ID)
-	defer c.checkCompletion(until)
-	switch within, still := c.proxy.admit(c); {
-	case !still:
+	defer c.checkCompletion(deadline)
+	switch c.proxy.admit(c) {
+	case admissionEvicted:
 		c.countReply(errored)
 		return
-	case !within:
+	case admissionRejected:
 		c.countReply(rejected)
-		c.proxy.log.Info("a client is refused: the sockets are used up, or the node ends")
+		c.proxy.log.Info("client rejected: descriptor limit reached or shutting down")
 		c.reply(c.proxy.rejection())
 		return
 	}
@@ -206,182 +89,143 @@
 		}
 		return
 	}
+	c.whileReadingClient(&in, func() { c.serveRequest(deadline) })
+}
+
+// whileReadingClient runs f while another goroutine reads the client, and waits for that goroutine.
+func (c *conn) whileReadingClient(in *wire.LineBuffer, f func()) {
 	var reader sync.WaitGroup
 	reader.Add(1)
 	go func() {
 		defer reader.Done()
-		defer c.proxy.caught("reading a client failed badly")
-		c.forwardClient(&in)
+		defer logging.RecoverPanic(c.proxy.log, "client reader panicked")
+		c.forwardClient(in)
 	}()
 	defer reader.Wait()
 	defer c.releaseClient()
-	c.serveRequest(until)
+	f()
 }
 
-// answerPanic answers a client whose goroutine fails before drive has it, which does the same: its line may have been read.
-func (c *conn) answerPanic() {
-	if p := recover(); p != nil {
-		c.proxy.log.Error("a connection failed badly", zap.Any("panic", p), zap.Stack("stack"))
-		c.reply(wire.Failure)
-	}
-}
-
-// releaseClient ends the client's side once serve has nothing more for it.
+// releaseClient ends the reading of the client once serve is done with it.
 func (c *conn) releaseClient() {
 	close(c.finished)
 	c.stopReading()
 }
 
-// readOpening reads the first line; false when there is nothing more to do. A half line or one that is no
-// OPEN ends with an answer or the end of the connection, never with a client that waits for ever. The time for it
-// runs from the start, or the last PING, whatever comes meanwhile: one that trickles would hold its descriptor as long
-// as it likes. A front may keep its connection and ask on it for as long as it does so at a pace.
-func (c *conn) readOpening(in *wire.LineBuffer) bool {
-	c.setOpeningDeadline(c.lastActive.Add(openingTimeout))
-	var asks pingRate
-	for late := false; ; {
-		line, ok, err := in.Next()
-		if err == nil && !ok {
-			if c.receiveOpening(in, &late) {
-				continue
-			}
-			return false
-		}
-		var kind wire.OpeningKind
-		if err == nil {
-			kind, c.opening, err = wire.ParseOpening(line)
-		}
-		switch {
-		case err != nil:
-		case kind == wire.OpeningHealthCheck:
-			err = asks.count(time.Now(), len(in.Buffered()) > 0)
-		case !c.proxy.node.HasClassAndTenant(&c.opening):
-			err = errors.New("a class or a tenant that the settings lack")
-		case len(in.Buffered()) > 0 && !c.opening.MidFlow:
-			err = errEarlyData
-		}
-		switch {
-		case err != nil:
-			c.proxy.log.Info("a client's first line can't be served", zap.Error(err))
-			c.countReply(errored)
-			c.reply(wire.Failure)
-			return false
-		case kind == wire.OpeningHealthCheck:
-			pong := wire.Pong
-			if c.proxy.node.IsDraining() { // not ready: the front is to deal it no one
-				pong = wire.Rejection(0)
-			}
-			if _, err := netio.WriteAll(c.client, []byte(pong)); err != nil || !c.proxy.renew(c) {
-				return false
-			}
-			late = false
-			c.setOpeningDeadline(asks.last.Add(openingTimeout))
-			c.idle.Store(len(in.Buffered()) == 0)
-			c.openingStarted.Store(len(in.Buffered()) > 0)
-		default:
-			if c.opening.Timeout <= 0 {
-				c.opening.Timeout = c.proxy.cfg.DefaultTimeout
-			}
-			_ = c.client.SetReadDeadline(time.Time{})
-			return true
-		}
+// replyOnPanic replies to a client whose goroutine panics outside serveRequest: its opening line may have been read.
+func (c *conn) replyOnPanic() {
+	if panicked := recover(); panicked != nil {
+		c.proxy.log.Error("connection panicked", zap.Any("panic", panicked), zap.Stack("stack"))
+		c.reply(wire.Failure)
 	}
 }
 
-// receiveOpening reads more of the first line. Once the time for it is over, or the node ends, what has come by then is still read,
-// once (late says that it was): its last byte may have come in that very moment, and a close over it would lose a request
-// with no answer. Who has asked for nothing then is left by FIN, and one in the middle of its line is told to come again
-// where the node ends. False when there is nothing more to do.
-func (c *conn) receiveOpening(in *wire.LineBuffer, late *bool) bool {
-	c.openingRead.Store(true)
-	n, err := c.awaitBytes(in.Space())
-	over := n == 0 && netio.IsDeadlineExceeded(err)
-	if over && !*late {
-		*late = true
-		n, _ = netio.ReadAvailable(c.client, in.Space())
+// abort resets both sides, which ends serve and forwardClient.
+func (c *conn) abort() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.aborted = true
+	c.disconnect()
+	if c.cancelAttempt != nil {
+		c.cancelAttempt()
 	}
-	switch in.Advance(n); {
-	case n > 0:
-		c.idle.Store(false)
-		c.openingStarted.Store(true) // where it was read late
-		return true
-	case over && c.isShuttingDown() && len(in.Buffered()) > 0:
-		c.reply(c.proxy.rejection())
-	case over:
-		c.lingerClose()
+	if c.host != nil {
+		reset(c.host)
 	}
-	return false
+	reset(c.client)
 }
 
-// awaitBytes waits for more of the first line.
-func (c *conn) awaitBytes(into []byte) (n int, err error) {
-	raw, err := c.client.SyscallConn()
-	if err != nil {
-		return 0, err
+// shutDown begins to end the connection; the proxy's mutex is held. An established one is reset, or left open with
+// passThrough. Any other ends by its own goroutine, which alone knows what was read: serveRequest replies to an admitted
+// client, readOpening still reads what has come of an opening line.
+func (c *conn) shutDown(passThrough bool) {
+	established := c.isEstablished()
+	if established && passThrough {
+		return
+	}
+	if established || c.admitted && c.opening.CurrentHost != "" {
+		c.abort()
+		return
+	}
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.shuttingDown = true
+	if c.cancelAttempt != nil {
+		c.cancelAttempt()
+	}
+	if !c.admitted && !c.readingStopped {
+		_ = c.client.SetReadDeadline(netio.Expired)
 	}
-	err = netio.RetryLowMemory(func() error {
-		n, err = c.readUnlessEvicted(raw, into)
-		return err
-	})
-	return n, err
 }
 
-// readUnlessEvicted waits for bytes. A read and the word that something was read are one step under mu: whoever closes the
-// connection meanwhile, see stopHearing, either finds the bytes itself or knows of them.
-func (c *conn) readUnlessEvicted(raw syscall.RawConn, into []byte) (n int, err error) {
-	waited := raw.Read(func(fd uintptr) bool {
-		c.mu.Lock()
-		defer c.mu.Unlock()
-		if c.evicted {
-			n, err = 0, net.ErrClosed
-			return true
-		}
-		n, err = netio.ReadNow(fd, into)
-		if n > 0 {
-			c.openingStarted.Store(true)
-		}
-		return n > 0 || err != nil
-	})
-	if waited != nil {
-		return 0, waited
-	}
-	return n, err
+func (c *conn) isShuttingDown() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.shuttingDown
 }
 
-// stopReadingOpening ends the reading of the first line, and reports whether any of it has come by now.
-func (c *conn) stopReadingOpening() (begun bool) {
+// isEstablished reports whether a host has established the connection.
+func (c *conn) isEstablished() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.evicted = true
-	buf := wire.GetBuffer()
-	defer buf.Release()
-	n, _ := netio.ReadAvailable(c.client, buf[:])
-	return n > 0 || c.openingStarted.Load()
+	return c.host != nil
 }
 
-// setOpeningDeadline sets until when the first line may come; it is over at once where the node ends.
-func (c *conn) setOpeningDeadline(t time.Time) {
+// establish sets the host of the connection. It reports false where the client has disconnected or the proxy shuts down.
+func (c *conn) establish(host *net.TCPConn) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.shuttingDown {
-		t = netio.Expired
+	if c.isDisconnected() || c.aborted || c.shuttingDown {
+		return false
 	}
-	_ = c.client.SetReadDeadline(t)
+	_ = host.SetDeadline(time.Time{})
+	c.host = host
+	close(c.established)
+	if c.opening.MidFlow { // its reader must notice, and forward what has come early
+		_ = c.client.SetReadDeadline(netio.Expired)
+	}
+	return true
+}
+
+// messageLatency measures how long the client waits for a host's response to a message.
+type messageLatency struct {
+	waitingSince     atomic.Int64  // the first message without a response, by monotonicNanos; 0 for none
+	lastLatency      atomic.Int64  // in nanoseconds
+	answeredMessages atomic.Uint64 // messages that had a response
+	maxLatency       time.Duration // the relay's goroutine owns it
 }
 
-// pingRate is how a connection asks how the node is.
-type pingRate struct {
-	rapid int
-	last  time.Time
+// processStart is the origin of monotonicNanos.
+var processStart = time.Now()
+
+// monotonicNanos returns a time in nanoseconds of the monotonic clock, never 0.
+func monotonicNanos(t time.Time) int64 { return int64(t.Sub(processStart)) + 1 }
+
+// messageSent notes that a message went to the host.
+func (l *messageLatency) messageSent(now time.Time) {
+	l.waitingSince.CompareAndSwap(0, monotonicNanos(now))
+}
+
+// responseReceived notes that a response came from the host.
+func (l *messageLatency) responseReceived() {
+	since := l.waitingSince.Swap(0)
+	if since == 0 {
+		return
+	}
+	latency := monotonicNanos(time.Now()) - since
+	l.lastLatency.Store(latency)
+	l.maxLatency = max(l.maxLatency, time.Duration(latency))
+	l.answeredMessages.Add(1)
 }
 
-// count counts a PING, and finds that there are too many. Others are those that come with it.
-func (a *pingRate) count(now time.Time, others bool) error {
-	if others || now.Sub(a.last) < evictionGrace {
-		a.rapid++
+// stats returns what the node wants to know.
+func (l *messageLatency) stats(now time.Time) node.MessageStats {
+	stats := node.MessageStats{
+		Answered:    l.answeredMessages.Load(),
+		LastLatency: time.Duration(l.lastLatency.Load()),
 	}
-	if a.last = now; a.rapid > maxRapidPings {
-		return errors.New("too many PINGs")
+	if since := l.waitingSince.Load(); since != 0 {
+		stats.OldestWait = time.Duration(monotonicNanos(now) - since)
 	}
-	return nil
+	return stats
 }
--- a/internal/proxy/driver_test.go
+++ b/internal/proxy/driver_test.go
@@ -127,7 +127,7 @@
 
 // A panic ends its own connection with an answer, frees what the loop holds of it, and stops there.
 func TestAPanicStopsAtItsConnection(t *testing.T) {
-	log := zap.New(panicking{zapcore.NewNopCore(), "an attempt failed"})
+	log := zap.New(panicking{zapcore.NewNopCore(), "attempt failed"})
 	r := newRig(t, log, true, answering(t, "ERR\r\n"))
 	for i := range 3 {
 		_, in := r.ask(t, fmt.Sprintf("OPEN a%d key c=chat,d=5000", i))
@@ -140,7 +140,7 @@
 
 // A panic after the connection was up must not put an answer of the node's own among the host's lines.
 func TestAPanicAfterUpResets(t *testing.T) {
-	log := zap.New(panicking{zapcore.NewNopCore(), "a connection ended"})
+	log := zap.New(panicking{zapcore.NewNopCore(), "connection closed"})
 	r := newRig(t, log, true, answering(t, "UP r\r\nBYE\r\n"))
 	c, in := r.ask(t, "OPEN a key c=chat,d=5000")
 	for _, want := range []string{"UP r\r\n", "BYE\r\n"} {
--- /dev/null
+++ b/internal/proxy/invariants.go
@@ -0,0 +1,57 @@
+package proxy
+
+import (
+	"time"
+
+	"onyxstream/internal/invariant"
+)
+
+// The invariants of a client's connection are checked here, on what was done. Violations are reported to the node's
+// monitor.
+
+// replyRecord is the final replies that a client was given.
+type replyRecord struct {
+	count   int
+	firstAt time.Time
+}
+
+// noteReply notes a final reply.
+func (c *conn) noteReply(now time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.replies.count++
+	if c.replies.count == 1 {
+		c.replies.firstAt = now
+	}
+}
+
+// checkStart counts a dispatch to a host, and checks that its client had not disconnected.
+func (c *conn) checkStart(hostID string, began time.Time) {
+	c.proxy.metrics.dispatches.Add(1)
+	c.mu.Lock()
+	disconnectedAt := c.disconnectedAt
+	c.mu.Unlock()
+	violation, violated := invariant.CheckStart(c.opening.ID, hostID, began, disconnectedAt)
+	if violated {
+		c.proxy.node.Monitor().Report(violation)
+	}
+}
+
+// checkCompletion checks that a request had one final reply by its deadline. One that its client resumes at its current
+// host is exempt.
+func (c *conn) checkCompletion(deadline time.Time) {
+	if c.opening.CurrentHost != "" {
+		return
+	}
+	c.mu.Lock()
+	completion := invariant.Completion{
+		Request:      c.opening.ID,
+		Host:         c.hostID,
+		Answers:      c.replies.count,
+		AnsweredAt:   c.replies.firstAt,
+		Until:        deadline,
+		Disconnected: c.isDisconnected() && !c.aborted,
+	}
+	c.mu.Unlock()
+	c.proxy.node.Monitor().Report(invariant.CheckCompletion(completion)...)
+}
--- /dev/null
+++ b/internal/proxy/metrics.go
@@ -0,0 +1,89 @@
+package proxy
+
+import (
+	"sync/atomic"
+	"time"
+
+	"onyxstream/internal/wire"
+)
+
+// Replies counts the final replies to clients of one class.
+type Replies struct {
+	Class                    string
+	Success, Rejected, Error uint64
+}
+
+// replyCounters counts Replies. Each client is counted once, by countReply.
+type replyCounters struct{ success, rejected, errored atomic.Uint64 }
+
+// metrics are counted from the start of the process. Any goroutine may read them.
+type metrics struct {
+	classes     []string
+	replies     map[string]*replyCounters // by class; the map never changes
+	dispatches  atomic.Uint64             // attempts whose opening line was written completely
+	openClients atomic.Int64              // admitted clients
+}
+
+func newMetrics(classes []string) *metrics {
+	m := &metrics{classes: classes, replies: make(map[string]*replyCounters, len(classes))}
+	for _, class := range classes {
+		m.replies[class] = &replyCounters{}
+	}
+	return m
+}
+
+// Replies returns the final replies of each class, in the order of the settings.
+func (p *Proxy) Replies() []Replies {
+	all := make([]Replies, 0, len(p.metrics.classes))
+	for _, class := range p.metrics.classes {
+		counters := p.metrics.replies[class]
+		all = append(all, Replies{
+			Class:    class,
+			Success:  counters.success.Load(),
+			Rejected: counters.rejected.Load(),
+			Error:    counters.errored.Load(),
+		})
+	}
+	return all
+}
+
+// Dispatches returns how many opening lines were written to hosts.
+func (p *Proxy) Dispatches() uint64 { return p.metrics.dispatches.Load() }
+
+// OpenClients returns how many clients are admitted.
+func (p *Proxy) OpenClients() int64 { return p.metrics.openClients.Load() }
+
+// replyResult is the kind of a final reply.
+type replyResult uint8
+
+const (
+	succeeded replyResult = iota // a host established the connection
+	rejected
+	errored
+)
+
+// countReply counts a client's first final reply.
+func (c *conn) countReply(result replyResult) {
+	c.noteReply(time.Now())
+	counters := c.proxy.metrics.replies[c.opening.Class]
+	if counters == nil || c.replyCounted.Swap(true) {
+		return
+	}
+	switch result {
+	case succeeded:
+		counters.success.Add(1)
+	case rejected:
+		counters.rejected.Add(1)
+	case errored:
+		counters.errored.Add(1)
+	}
+}
+
+// countReplyLine counts a final reply that is not a host's by its line.
+func (c *conn) countReplyLine(line string) {
+	if line == wire.Failure {
+		c.countReply(errored)
+	} else {
+		c.countReply(rejected)
+	}
+}
--- /dev/null
+++ b/internal/proxy/opening.go
@@ -0,0 +1,218 @@
+package proxy
+
+import (
+	"errors"
+	"net"
+	"syscall"
+	"time"
+
+	"go.uber.org/zap"
+
+	"onyxstream/internal/netio"
+	"onyxstream/internal/wire"
+)
+
+const (
+	// openingTimeout is how long a client has for its opening line, from its start or its last health check. Bytes that
+	// trickle in do not extend it: they would hold the descriptor for ever.
+	openingTimeout = 2 * time.Second
+	// maxRapidPings is how many health checks of one connection may come within evictionGrace of the one before, or
+	// together with further bytes.
+	maxRapidPings = 4
+)
+
+var (
+	errUnknownClass = errors.New("class or tenant is not configured")
+	errRapidPings   = errors.New("too many health checks in a row")
+	// errEarlyData is the violation of a client that does not wait for the answer to its opening line. Only a mid-flow
+	// client may send more: what it wants is known to its host.
+	errEarlyData = errors.New("data before the connection was established")
+)
+
+// openingReader reads a client's opening line, and answers the health checks before it.
+type openingReader struct {
+	*conn
+	in       *wire.LineBuffer
+	timedOut bool // what had come by the timeout was read
+	pings    pingRate
+}
+
+// readOpening reads the opening line into opening, and reports false where the connection has ended instead: by a
+// protocol violation, the timeout or the client. A front may keep its connection and repeat its health checks.
+func (c *conn) readOpening(in *wire.LineBuffer) bool {
+	r := openingReader{conn: c, in: in}
+	r.setOpeningDeadline(r.lastActive.Add(openingTimeout))
+	for {
+		line, ok, err := in.Next()
+		if err == nil && !ok {
+			if r.receive() {
+				continue
+			}
+			return false
+		}
+		var kind wire.OpeningKind
+		if err == nil {
+			kind, err = r.parse(line)
+		}
+		if err != nil {
+			r.rejectViolation(err)
+			return false
+		}
+		if kind != wire.OpeningHealthCheck {
+			break
+		}
+		if !r.answerHealthCheck() {
+			return false
+		}
+	}
+	if c.opening.Timeout <= 0 {
+		c.opening.Timeout = c.proxy.cfg.DefaultTimeout
+	}
+	_ = c.client.SetReadDeadline(time.Time{})
+	return true
+}
+
+// parse parses a line into opening, and checks it.
+func (r *openingReader) parse(line []byte) (wire.OpeningKind, error) {
+	kind, opening, err := wire.ParseOpening(line)
+	r.opening = opening
+	moreBytes := len(r.in.Buffered()) > 0
+	switch {
+	case err != nil:
+		return kind, err
+	case kind == wire.OpeningHealthCheck:
+		return kind, r.pings.count(time.Now(), moreBytes)
+	case !r.proxy.node.HasClassAndTenant(&r.opening):
+		return kind, errUnknownClass
+	case moreBytes && !r.opening.MidFlow:
+		return kind, errEarlyData
+	}
+	return kind, nil
+}
+
+// rejectViolation replies to a client whose opening line breaks the protocol.
+func (c *conn) rejectViolation(err error) {
+	c.proxy.log.Info(protocolViolationMessage, zap.Error(err))
+	c.countReply(errored)
+	c.reply(wire.Failure)
+}
+
+const protocolViolationMessage = "protocol violation in opening line"
+
+// answerHealthCheck tells a front whether the node accepts clients, and waits for its next line.
+func (r *openingReader) answerHealthCheck() bool {
+	reply := wire.Pong
+	if r.proxy.node.IsDraining() {
+		reply = wire.Rejection(0)
+	}
+	_, err := netio.WriteAll(r.client, []byte(reply))
+	if err != nil || !r.proxy.renew(r.conn) {
+		return false
+	}
+	r.timedOut = false
+	r.setOpeningDeadline(r.pings.last.Add(openingTimeout))
+	moreBytes := len(r.in.Buffered()) > 0
+	r.idle.Store(!moreBytes)
+	r.openingStarted.Store(moreBytes)
+	return true
+}
+
+// receive reads more of the opening line, and reports false where the connection has ended. On the timeout or a shutdown
+// what has come by then is read once more: a close over a request that has just come would lose it without a reply. With
+// an incomplete line a shutdown rejects the client; everyone else is closed without a reply.
+func (r *openingReader) receive() bool {
+	r.openingRead.Store(true)
+	n, err := r.awaitBytes(r.in.Space())
+	expired := n == 0 && netio.IsDeadlineExceeded(err)
+	if expired && !r.timedOut {
+		r.timedOut = true
+		n, _ = netio.ReadAvailable(r.client, r.in.Space())
+	}
+	r.in.Advance(n)
+	switch {
+	case n > 0:
+		r.idle.Store(false)
+		r.openingStarted.Store(true) // ReadAvailable does not set it
+		return true
+	case expired && r.isShuttingDown() && len(r.in.Buffered()) > 0:
+		r.reply(r.proxy.rejection())
+	case expired:
+		r.lingerClose()
+	}
+	return false
+}
+
+// awaitBytes waits for bytes of the opening line.
+func (c *conn) awaitBytes(into []byte) (n int, err error) {
+	raw, err := c.client.SyscallConn()
+	if err != nil {
+		return 0, err
+	}
+	err = netio.RetryLowMemory(func() error {
+		n, err = c.readUnlessEvicted(raw, into)
+		return err
+	})
+	return n, err
+}
+
+// readUnlessEvicted waits for bytes. The read and the note that bytes have come are one step under mu: whoever evicts the
+// connection, see stopReadingOpening, either finds the bytes unread or knows of them.
+func (c *conn) readUnlessEvicted(raw syscall.RawConn, into []byte) (n int, err error) {
+	waitErr := raw.Read(func(fd uintptr) bool {
+		c.mu.Lock()
+		defer c.mu.Unlock()
+		if c.evicted {
+			n, err = 0, net.ErrClosed
+			return true
+		}
+		n, err = netio.ReadNow(fd, into)
+		if n > 0 {
+			c.openingStarted.Store(true)
+		}
+		return n > 0 || err != nil
+	})
+	if waitErr != nil {
+		return 0, waitErr
+	}
+	return n, err
+}
+
+// stopReadingOpening ends the reading of the opening line, and reports whether any of it has come.
+func (c *conn) stopReadingOpening() (started bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.evicted = true
+	buffer := wire.GetBuffer()
+	defer buffer.Release()
+	n, _ := netio.ReadAvailable(c.client, buffer[:])
+	return n > 0 || c.openingStarted.Load()
+}
+
+// setOpeningDeadline sets until when the opening line may come; a shutdown ends the wait at once.
+func (c *conn) setOpeningDeadline(deadline time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.shuttingDown {
+		deadline = netio.Expired
+	}
+	_ = c.client.SetReadDeadline(deadline)
+}
+
+// pingRate limits the health checks of one connection.
+type pingRate struct {
+	rapid int
+	last  time.Time
+}
+
+// count counts a health check, and returns an error where there were too many rapid ones. moreBytes says that it came
+// together with further bytes.
+func (r *pingRate) count(now time.Time, moreBytes bool) error {
+	if moreBytes || now.Sub(r.last) < evictionGrace {
+		r.rapid++
+	}
+	r.last = now
+	if r.rapid > maxRapidPings {
+		return errRapidPings
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/proxy/quiesce.go
@@ -0,0 +1,193 @@
+package proxy
+
+import (
+	"net"
+	"time"
+
+	"onyxstream/balancer"
+	"onyxstream/internal/netio"
+)
+
+// The hand-off of established connections to the node's next process, for a hot restart, this process's side: a connection
+// is brought to rest between two lines, and either handed off or resumed. Package sharedstate passes the sockets.
+
+// EstablishedConn is an established connection at rest: what a process needs to resume it.
+type EstablishedConn struct {
+	Line         string // the client's opening line
+	Host         string // the host's id
+	Client, Peer *net.TCPConn
+	Partial      []byte  // the incomplete line that the host has sent
+	Load         float64 // of the host's last load report, 0 for none
+}
+
+const (
+	// quiesceTimeout bounds the wait for a connection to come to rest. One whose client or host does not read stays.
+	quiesceTimeout = 50 * time.Millisecond
+	// maxFailedHandOffs bounds how often a connection that was not handed off is brought to rest again: each time delays
+	// its messages.
+	maxFailedHandOffs = 8
+)
+
+// quiescence is a connection's way to rest. Both its goroutines stop there until the hand-off is decided.
+type quiescence struct {
+	conn          *conn
+	host          *net.TCPConn
+	hostStopped   chan struct{} // closed by the relay
+	clientStopped chan struct{} // closed by forwardClient
+	decided       chan struct{}
+	handedOff     bool // set before decided is closed
+
+	// The relay sets these before it closes hostStopped.
+	partial []byte
+	midLine bool // the client has had a part of a line
+	load    float64
+}
+
+// Quiesce brings up to n established connections to rest. It returns those that came to rest, and for each a function that
+// decides: with true another process has it, with false it is resumed here. Each must be called: the clients wait.
+func (p *Proxy) Quiesce(n int) (conns []EstablishedConn, decide []func(handedOff bool)) {
+	pending := p.beginQuiesce(n)
+	timeout := time.NewTimer(quiesceTimeout)
+	defer timeout.Stop()
+	expired := false
+	for _, q := range pending {
+		expired = expired || !q.await(timeout.C)
+		if !q.complete() {
+			q.decide(false)
+			continue
+		}
+		conns = append(conns, q.establishedConn())
+		decide = append(decide, q.decide)
+	}
+	return conns, decide
+}
+
+// beginQuiesce begins to bring up to n connections to rest.
+func (p *Proxy) beginQuiesce(n int) (pending []*quiescence) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for c := range p.conns {
+		if len(pending) == n {
+			break
+		}
+		if q := c.beginQuiesce(); q != nil {
+			pending = append(pending, q)
+		}
+	}
+	return pending
+}
+
+// beginQuiesce begins to bring a connection to rest. It returns nil where it is not established, is closing, or could not
+// be handed off too often.
+func (c *conn) beginQuiesce() *quiescence {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.host == nil || c.quiescing != nil || c.isClosing() || c.failedHandOffs >= maxFailedHandOffs {
+		return nil
+	}
+	c.quiescing = &quiescence{
+		conn:          c,
+		host:          c.host,
+		hostStopped:   make(chan struct{}),
+		clientStopped: make(chan struct{}),
+		decided:       make(chan struct{}),
+	}
+	_ = c.host.SetReadDeadline(netio.Expired)
+	_ = c.client.SetReadDeadline(netio.Expired)
+	return c.quiescing
+}
+
+// isClosing reports whether the connection is on its way to its end. mu is held.
+func (c *conn) isClosing() bool {
+	return c.aborted || c.readingStopped || c.migrating.Load() || c.clientClosed.Load() || c.clientReset.Load()
+}
+
+// await waits until both goroutines have stopped, and reports false where timeout fires first.
+func (q *quiescence) await(timeout <-chan time.Time) bool {
+	for _, stopped := range []chan struct{}{q.hostStopped, q.clientStopped} {
+		select {
+		case <-stopped:
+		case <-timeout:
+			return false
+		}
+	}
+	return true
+}
+
+// complete reports whether both goroutines have stopped, between two lines.
+func (q *quiescence) complete() bool {
+	for _, stopped := range []chan struct{}{q.hostStopped, q.clientStopped} {
+		select {
+		case <-stopped:
+		default:
+			return false
+		}
+	}
+	return !q.midLine
+}
+
+func (q *quiescence) establishedConn() EstablishedConn {
+	return EstablishedConn{
+		Line:    q.conn.opening.Line(),
+		Host:    q.conn.hostID,
+		Client:  q.conn.client,
+		Peer:    q.host,
+		Partial: q.partial,
+		Load:    q.load,
+	}
+}
+
+// decide ends the rest: the connection was handed off, or is resumed here.
+func (q *quiescence) decide(handedOff bool) {
+	q.conn.mu.Lock()
+	q.handedOff = handedOff
+	q.conn.quiescing = nil
+	if handedOff {
+		q.conn.readingStopped = true // not to be brought to rest again while it ends here
+	} else {
+		q.conn.failedHandOffs++
+	}
+	q.conn.mu.Unlock()
+	close(q.decided)
+}
+
+// handOff is what a goroutine does after a read that timed out.
+type handOff uint8
+
+const (
+	keepReading   handOff = iota // the connection was not handed off
+	stopClosing                  // it is closing
+	stopHandedOff                // another process has it
+)
+
+// awaitHandOff is where the goroutines of a connection wait, each after a read of its side that timed out. stopped notes
+// in a quiescence that this goroutine has stopped.
+func (c *conn) awaitHandOff(side *net.TCPConn, stopped func(*quiescence)) handOff {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for {
+		q := c.quiescing
+		switch {
+		case c.isClosing():
+			return stopClosing
+		case q == nil:
+			_ = side.SetReadDeadline(time.Time{})
+			return keepReading
+		}
+		stopped(q)
+		c.mu.Unlock()
+		<-q.decided
+		c.mu.Lock()
+		if q.handedOff {
+			return stopHandedOff
+		}
+		// It may be quiescing again already.
+	}
+}
+
+// releaseHandedOff ends this process's part of a connection that another one has. The sockets are closed here and stay
+// open there, so nothing may be written to them or set on them.
+func (c *conn) releaseHandedOff(host *net.TCPConn, attempt int, start time.Time) {
+	_ = host.Close()
+	c.proxy.node.AttemptEnded(c.requestID, c, attempt, time.Since(start), balancer.Cancelled)
+}
--- a/internal/proxy/relay.go
+++ b/internal/proxy/relay.go
@@ -13,86 +13,140 @@
 	"onyxstream/internal/wire"
 )
 
-// relay passes lines from the host to the client until one side ends, and ends the other alike.
-func (c *conn) relay(host *net.TCPConn, first *wire.LineBuffer, upLine []byte, attempt int, start time.Time) {
-	r := wire.Relay{LineBuffer: *first}
-	defer r.Release()
+// relay copies from the host to the client, a complete line at a time where it can.
+type relay struct {
+	*conn
+	host    *net.TCPConn
+	lines   wire.Relay
+	attempt int // that established the connection
+	start   time.Time
+	// clientBlocked says that the last write to the client failed.
+	clientBlocked bool
+}
+
+// relay copies from the host to the client until one side ends, and then ends the other alike. buffered holds what the
+// host has sent already, behind establishedLine.
+func (c *conn) relay(host *net.TCPConn, buffered *wire.LineBuffer, establishedLine []byte, attempt int, start time.Time) {
+	r := relay{
+		conn:    c,
+		host:    host,
+		lines:   wire.Relay{LineBuffer: *buffered},
+		attempt: attempt,
+		start:   start,
+	}
+	defer r.lines.Release()
 	var err error
-	if len(upLine) > 0 {
-		_, err = netio.WriteAll(c.client, upLine)
+	if len(establishedLine) > 0 {
+		err = r.writeClient(establishedLine)
 	}
-	stuck := err != nil // the client does not take what is for it
 	for err == nil {
-		chunk, seen := r.CompleteLines()
-		if seen.Responses > 0 {
-			if since := c.waitingSince.Swap(0); since != 0 {
-				took := monotonicNanos(time.Now()) - since
-				c.lastLatency.Store(took)
-				c.maxLatency = max(c.maxLatency, time.Duration(took))
-				c.answeredMessages.Add(1)
-			}
-		}
-		if seen.Load > 0 {
-			c.load = seen.Load
-			c.proxy.node.ReportLoad(c.requestID, c, seen.Load)
+		written, writeErr := r.writeLines()
+		if written {
+			err = writeErr
+			continue
 		}
-		if len(chunk) > 0 {
-			_, err = netio.WriteAll(c.client, chunk)
-			stuck = err != nil
+		err = r.readHost()
+		if err == nil || !netio.IsDeadlineExceeded(err) {
 			continue
 		}
-		var n int
-		n, err = netio.Read(host, r.Space())
-		r.Advance(n)
-		if n > 0 {
+		switch c.awaitHandOff(host, r.noteStopped) {
+		case stopHandedOff:
+			c.releaseHandedOff(host, attempt, start)
+			return
+		case keepReading:
 			err = nil
 		}
-		if err != nil && netio.IsDeadlineExceeded(err) {
-			goOn, handed := c.awaitHandOff(host, true, func(p *quiescence) {
-				p.partial, p.midLine, p.load = append([]byte(nil), r.Buffered()...), !r.AtLineBoundary() || r.Ending(), c.load
-			})
-			if handed {
-				c.releaseHandedOff(host, attempt, start)
-				return
-			}
-			if goOn {
-				err = nil
-			}
-		}
 	}
-	c.closePeer(host, &r, err, stuck, attempt, start)
+	r.close(err)
 }
 
-// closePeer ends both sides after the relay has: err is what ended it.
-func (c *conn) closePeer(host *net.TCPConn, r *wire.Relay, err error, stuck bool, attempt int, start time.Time) {
-	outcome := balancer.ConnectionReset
-	left, moved := c.clientClosed.Load() || c.clientReset.Load(), c.migrating.Load() // as it ended: a word that comes now is too late
-	switch {
-	case r.Last() == wire.ResponseClosed:
-		outcome = balancer.Served
-	case r.Last() == wire.ResponseMigrate || left || moved:
-		outcome = balancer.Cancelled
+// writeLines writes what is complete to the client, and notes what the lines say. It reports false where nothing is.
+func (r *relay) writeLines() (written bool, err error) {
+	chunk, stats := r.lines.CompleteLines()
+	if stats.Responses > 0 {
+		r.responseReceived()
+	}
+	if stats.Load > 0 {
+		r.load = stats.Load
+		r.proxy.node.ReportLoad(r.requestID, r.conn, stats.Load)
+	}
+	if len(chunk) == 0 {
+		return false, nil
+	}
+	return true, r.writeClient(chunk)
+}
+
+func (r *relay) writeClient(text []byte) error {
+	_, err := netio.WriteAll(r.client, text)
+	r.clientBlocked = err != nil
+	return err
+}
+
+// readHost reads more from the host.
+func (r *relay) readHost() error {
+	n, err := netio.Read(r.host, r.lines.Space())
+	r.lines.Advance(n)
+	if n > 0 {
+		return nil
 	}
-	if c.clientReset.Load() {
-		reset(host)
+	return err
+}
+
+// noteStopped notes that the relay has stopped for a hand-off, and where.
+func (r *relay) noteStopped(q *quiescence) {
+	q.partial = append([]byte(nil), r.lines.Buffered()...)
+	q.midLine = !r.lines.AtLineBoundary() || r.lines.Ending()
+	q.load = r.load
+	close(q.hostStopped)
+}
+
+// close closes both sides after the relay has ended with an error, and notifies the node.
+func (r *relay) close(err error) {
+	// As the relay ended: what changes from now on is too late.
+	clientLeft := r.clientClosed.Load() || r.clientReset.Load()
+	migrating := r.migrating.Load()
+	outcome := r.outcome(clientLeft, migrating)
+	if r.clientReset.Load() {
+		reset(r.host)
 	} else {
-		_ = host.Close()
+		_ = r.host.Close()
 	}
-	c.proxy.log.Debug("a connection ended", zap.String("request", c.opening.ID), zap.Stringer("host", host.RemoteAddr()),
-		zap.Bool("moved", moved), zap.Bool("client left", left), zap.Duration("after", time.Since(start)),
-		zap.Duration("longest answer", c.maxLatency),
+	r.proxy.log.Debug("connection closed",
+		zap.String("request", r.opening.ID),
+		zap.Stringer("host", r.host.RemoteAddr()),
+		zap.Bool("migrated", migrating),
+		zap.Bool("client_closed", clientLeft),
+		zap.Duration("duration", time.Since(r.start)),
+		zap.Duration("max_latency", r.maxLatency),
 		zap.Error(err))
-	c.proxy.node.AttemptEnded(c.requestID, c, attempt, time.Since(start), outcome)
+	r.proxy.node.AttemptEnded(r.requestID, r.conn, r.attempt, time.Since(r.start), outcome)
+	r.closeClient(err, clientLeft, migrating)
+}
+
+// outcome returns what the end of the connection says of its host.
+func (r *relay) outcome(clientLeft, migrating bool) balancer.Outcome {
+	switch {
+	case r.lines.Last() == wire.ResponseClosed:
+		return balancer.Served
+	case r.lines.Last() == wire.ResponseMigrate || clientLeft || migrating:
+		return balancer.Cancelled
+	}
+	return balancer.ConnectionReset
+}
+
+// closeClient closes the client's side in the way that the host's side ended.
+func (r *relay) closeClient(err error, clientLeft, migrating bool) {
+	hostClosed := errors.Is(err, io.EOF)
 	switch {
-	case moved && !left && !stuck && r.AtLineBoundary() && !errors.Is(err, io.EOF):
-		c.stopReading()
-		c.reply(wire.Migration)
-	case errors.Is(err, io.EOF):
-		_, _ = netio.WriteAll(c.client, r.Buffered()) // a last line without its end
-		c.stopReading()
-		c.lingerClose()
-	case left:
+	case migrating && !clientLeft && !r.clientBlocked && r.lines.AtLineBoundary() && !hostClosed:
+		r.stopReading()
+		r.reply(wire.Migration)
+	case hostClosed:
+		_, _ = netio.WriteAll(r.client, r.lines.Buffered()) // a last line without its end
+		r.stopReading()
+		r.lingerClose()
+	case clientLeft:
 	default:
-		reset(c.client)
+		reset(r.client)
 	}
 }
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -3,141 +3,177 @@
 import (
 	"context"
 	"net"
-	"runtime/debug"
 	"strings"
 	"time"
 
 	"go.uber.org/zap"
 
 	"onyxstream/balancer"
-	"onyxstream/internal/netio"
 	"onyxstream/internal/node"
 	"onyxstream/internal/wire"
 )
 
-// serveRequest waits for the loop's word, makes the attempts and, once up, copies to the client.
-func (c *conn) serveRequest(until time.Time) {
-	final := false        // the client has had its answer, or has left
-	said := false         // it has had its answer from here
-	taken, out := 0, 0    // sends taken from the loop, and how many of them owe an outcome
-	reply := wire.Failure // from here, where it has had no answer
-	defer func() {
-		p := recover()
-		if p != nil {
-			c.proxy.log.Error("a connection failed badly", zap.Any("panic", p), zap.String("request", c.opening.ID),
-				zap.ByteString("stack", debug.Stack()))
-			c.mu.Lock()
-			if c.host != nil {
-				// It was up: an answer of this node's own would stand among the host's lines.
-				final = true
-				reset(c.host)
-				reset(c.client)
-			}
-			c.mu.Unlock()
-		}
-		if !final || p != nil {
-			c.proxy.node.ClientDisconnected(c.requestID, c, taken)
-		}
-		if out > 0 {
-			c.proxy.node.AttemptEnded(c.requestID, c, taken-1, 0, balancer.ConnectionReset)
-		}
-		c.mu.Lock()
-		spoke := c.violatedProtocol
-		c.mu.Unlock()
-		if spoke && !said {
-			c.proxy.log.Info("a client's first line can't be served", zap.Error(errEarlyData))
-		}
-		switch {
-		case !final || spoke && !said:
-			c.countReplyLine(reply)
-			c.reply(reply)
-		case c.halfClosed.Load() && !said:
-			// It has ended its side and may still read: its request is answered like any other.
-			_ = c.client.SetWriteDeadline(time.Now().Add(lingerTimeout))
-			_, _ = netio.WriteAll(c.client, []byte(wire.Failure))
-		}
-	}()
+// serveRequest executes what the node decides for a request until the client has its answer or, where a host establishes
+// the connection, until that has ended. A request that the node does not answer in time gets a reply of the proxy's own.
+func (c *conn) serveRequest(deadline time.Time) {
+	state := newRequestState()
+	defer c.finishRequest(&state)
 	if c.opening.CurrentHost != "" {
-		final = c.resume(&taken, &out)
+		c.resume(&state)
 		return
 	}
-	backstop := time.NewTimer(max(time.Until(until), 0) + c.proxy.cfg.AnswerSlack)
+	backstop := time.NewTimer(max(time.Until(deadline), 0) + c.proxy.cfg.AnswerSlack)
 	defer backstop.Stop()
-	c.proxy.node.RequestArrived(&c.opening, until, c)
-	for {
+	c.proxy.node.RequestArrived(&c.opening, deadline, c)
+	for state.isOpen() {
 		select {
 		case <-c.disconnected:
-			final = true
-			c.proxy.node.ClientDisconnected(c.requestID, c, taken)
-			return
+			state.conclude()
+			c.proxy.node.ClientDisconnected(c.requestID, c, state.attempts)
 		case <-c.proxy.shutdown:
-			// The loop has answered before that whatever it knew of.
-			c.proxy.log.Info("a request was answered as the node ended", zap.String("request", c.opening.ID))
-			if taken == 0 { // it was never sent on, and is sent nowhere any more: Gone says so to the loop
-				reply = c.proxy.rejection()
+			// The node has replied to all requests that it knew of before.
+			c.proxy.log.Info("shutting down, replying to in-flight request", zap.String("request", c.opening.ID))
+			if state.attempts == 0 { // it was forwarded nowhere, and will not be
+				state.fallback = c.proxy.rejection()
 			}
 			return
 		case <-backstop.C:
-			// The module answers in time; this is for what it never heard of, or what failed on the way.
-			c.proxy.log.Info("a request was answered by the backstop", zap.String("request", c.opening.ID))
+			c.proxy.log.Info("request deadline exceeded without a reply from the node", zap.String("request", c.opening.ID))
 			return
 		case cmd := <-c.commands:
-			if cmd.attempt == nil {
-				final, said = true, true
-				c.proxy.log.Debug("a request is answered", zap.String("request", c.opening.ID), zap.String("answer", strings.TrimSpace(cmd.reply)),
-					zap.Int("attempts", taken), zap.Duration("left", time.Until(until)))
-				c.countReplyLine(cmd.reply)
-				c.reply(cmd.reply)
-				return
-			}
-			taken, out = cmd.attempt.Number+1, 1
-			a := *cmd.attempt
-			a.Timeout = min(a.Timeout, time.Until(until)+c.proxy.cfg.AnswerSlack) // the backstop, while an attempt is out
-			final = c.attemptHost(a)
-			if out = 0; final {
-				return
-			}
+			c.execute(cmd, &state, deadline)
+		}
+	}
+}
+
+// execute executes a command of the node.
+func (c *conn) execute(cmd command, state *requestState, deadline time.Time) {
+	if cmd.attempt == nil {
+		state.answer()
+		c.proxy.log.Debug("request answered by the node",
+			zap.String("request", c.opening.ID),
+			zap.String("reply", strings.TrimSpace(cmd.reply)),
+			zap.Int("attempts", state.attempts),
+			zap.Duration("remaining", time.Until(deadline)))
+		c.countReplyLine(cmd.reply)
+		c.reply(cmd.reply)
+		return
+	}
+	target := *cmd.attempt
+	state.attemptStarted(target.Number)
+	target.Timeout = min(target.Timeout, time.Until(deadline)+c.proxy.cfg.AnswerSlack) // the backstop does not fire meanwhile
+	state.attemptReported(c.attemptHost(target))
+}
+
+// finishRequest ends a request in whatever state it is, a panic included: it notifies the node of what that still waits
+// for, and replies to a client without an answer. It must be deferred directly.
+func (c *conn) finishRequest(state *requestState) {
+	panicked := recover()
+	unreportedAttempt := state.phase == attempting
+	if panicked != nil {
+		c.proxy.log.Error("connection panicked", zap.Any("panic", panicked), zap.String("request", c.opening.ID),
+			zap.Stack("stack"))
+		if c.resetEstablished() {
+			state.conclude()
 		}
 	}
+	if state.isOpen() || panicked != nil {
+		c.proxy.node.ClientDisconnected(c.requestID, c, state.attempts)
+	}
+	if unreportedAttempt {
+		c.proxy.node.AttemptEnded(c.requestID, c, state.attempts-1, 0, balancer.ConnectionReset)
+	}
+	c.replyUnanswered(state)
 }
 
-// attemptHost makes one attempt and, where it comes up, is the rest of the connection's life. It reports whether the
-// client has had its answer or has left.
-func (c *conn) attemptHost(a node.Attempt) (final bool) {
+// replyUnanswered replies to a client that the node has not answered, if it may read a reply.
+func (c *conn) replyUnanswered(state *requestState) {
+	unanswered := state.phase != answered
+	violated := c.hasViolatedProtocol() && unanswered
+	if violated {
+		c.proxy.log.Info(protocolViolationMessage, zap.Error(errEarlyData))
+	}
+	switch {
+	case state.isOpen() || violated:
+		c.countReplyLine(state.fallback)
+		c.reply(state.fallback)
+	case c.halfClosed.Load() && unanswered: // it has closed its side and may still read
+		c.writeReply(wire.Failure)
+	}
+}
+
+// resetEstablished resets both sides of an established connection, where a reply would stand among the host's lines. It
+// reports false where the connection is not established.
+func (c *conn) resetEstablished() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.host == nil {
+		return false
+	}
+	reset(c.host)
+	reset(c.client)
+	return true
+}
+
+func (c *conn) hasViolatedProtocol() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.violatedProtocol
+}
+
+// attemptHost makes one attempt and, if it establishes the connection, relays until that ends. It notifies the node, and
+// reports whether the client needs no further attempt: a host has answered it, or it has disconnected.
+func (c *conn) attemptHost(target node.Attempt) (isConcluded bool) {
 	start := time.Now()
 	var in wire.LineBuffer
-	host, upLine, failed := c.tryHost(a, &in)
+	host, line, failure := c.tryHost(target, &in)
 	took := time.Since(start)
-	if failed == nil && !c.establish(host) {
+	if failure == nil && !c.establish(host) {
 		_ = host.Close()
-		failed = &AttemptError{Answering, errCanceled}
+		failure = &AttemptError{Answering, errCanceled}
 	}
-	if failed == nil {
-		c.proxy.log.Debug("a connection is up", zap.String("request", c.opening.ID), zap.String("host", a.Addr),
-			zap.Duration("took", took), zap.Bool("mid", c.opening.MidFlow), zap.Bool("again", c.opening.Reconnect),
-			zap.String("key", c.opening.Key), zap.String("group", c.opening.Group), zap.Int("attempt", a.Number))
+	if failure == nil {
+		c.logEstablished(target, took)
 		c.countReply(succeeded)
-		c.proxy.node.ConnectionEstablished(c.requestID, c, a.Number, took)
-		c.relay(host, &in, upLine, a.Number, start)
+		c.proxy.node.ConnectionEstablished(c.requestID, c, target.Number, took)
+		c.relay(host, &in, line, target.Number, start)
 		return true
 	}
 	in.Release()
-	c.proxy.log.Debug("an attempt failed", zap.String("request", c.opening.ID), zap.String("host", a.Addr),
-		zap.Duration("took", took), zap.Error(failed))
-	if final = c.isDisconnected(); final { // first, so that the module tries no other host for a client that has left
-		c.proxy.node.ClientDisconnected(c.requestID, c, a.Number+1)
+	c.proxy.log.Debug("attempt failed",
+		zap.String("request", c.opening.ID),
+		zap.String("host", target.Addr),
+		zap.Duration("took", took),
+		zap.Error(failure))
+	isConcluded = c.isDisconnected()
+	if isConcluded { // first, so that the node makes no further attempt for a client that has disconnected
+		c.proxy.node.ClientDisconnected(c.requestID, c, target.Number+1)
 	}
-	c.proxy.node.AttemptEnded(c.requestID, c, a.Number, took, failed.Outcome())
-	return final
+	c.proxy.node.AttemptEnded(c.requestID, c, target.Number, took, failure.Outcome())
+	return isConcluded
+}
+
+func (c *conn) logEstablished(target node.Attempt, took time.Duration) {
+	c.proxy.log.Debug("connection established",
+		zap.String("request", c.opening.ID),
+		zap.String("host", target.Addr),
+		zap.Duration("took", took),
+		zap.Bool("mid_flow", c.opening.MidFlow),
+		zap.Bool("reconnect", c.opening.Reconnect),
+		zap.String("key", c.opening.Key),
+		zap.String("group", c.opening.Group),
+		zap.Int("attempt", target.Number))
 }
 
-// beginAttempt says that an attempt is under way, which the loop, or the client by leaving, can withdraw; over ends that. Where
-// the client has left by now, or the node ends, it is withdrawn already: nothing is begun for one who is gone.
-func (c *conn) beginAttempt(n int, host string) (ctx context.Context, over func()) {
+// beginAttempt notes that an attempt is in flight, which the node or the client's disconnect can cancel, until end is
+// called. It is cancelled already where the client has disconnected or the proxy shuts down.
+func (c *conn) beginAttempt(number int, hostID string) (ctx context.Context, end func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.cancelAttempt, c.attemptNumber, c.hostID = cancel, n, host
+	c.cancelAttempt = cancel
+	c.attemptNumber = number
+	c.hostID = hostID
 	if c.aborted || c.shuttingDown || c.isDisconnected() {
 		cancel()
 	}
@@ -149,49 +185,39 @@
 	}
 }
 
-// tryHost makes one attempt.
-func (c *conn) tryHost(a node.Attempt, in *wire.LineBuffer) (*net.TCPConn, []byte, *AttemptError) {
-	ctx, over := c.beginAttempt(a.Number, string(a.Host))
-	defer over()
+// tryHost makes one attempt, with the node's authorization between the dial and the first byte.
+func (c *conn) tryHost(target node.Attempt, in *wire.LineBuffer) (*net.TCPConn, []byte, *AttemptError) {
+	ctx, end := c.beginAttempt(target.Number, string(target.Host))
+	defer end()
 	select {
-	case <-c.authorization: // an answer to an attempt that did not wait for it
+	case <-c.authorization: // of an attempt that did not wait for it
 	default:
 	}
-	late := time.NewTimer(a.Timeout) // a loop that does not answer must not hold the client past its time
-	defer late.Stop()
-	may := func() error {
-		c.proxy.node.AttemptConnected(c.requestID, c, a.Number)
-		select {
-		case ok := <-c.authorization:
-			if !ok {
-				return errNotAuthorized
-			}
-			return nil
-		case <-ctx.Done():
-			return ctx.Err()
-		case <-late.C:
-			return errNotAuthorized
-		}
-	}
-	wrote := func(began time.Time) {
-		c.checkStart(string(a.Host), began)
-		c.proxy.node.AttemptWritten(c.requestID, c, a.Number, began)
-	}
-	return attempt(ctx, a, &c.opening, attemptHooks{c.proxy.cfg.ConnectTimeout, may, wrote}, in)
+	timeout := time.NewTimer(target.Timeout)
+	defer timeout.Stop()
+	return attempt(ctx, target, &c.opening, attemptHooks{
+		connectTimeout: c.proxy.cfg.ConnectTimeout,
+		authorize:      func() error { return c.awaitAuthorization(ctx, target.Number, timeout.C) },
+		written: func(began time.Time) {
+			c.checkStart(string(target.Host), began)
+			c.proxy.node.AttemptWritten(c.requestID, c, target.Number, began)
+		},
+	}, in)
 }
 
-// establish marks the connection as up; false where the client has left or the node ends.
-func (c *conn) establish(host *net.TCPConn) bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.isDisconnected() || c.aborted || c.shuttingDown {
-		return false
-	}
-	_ = host.SetDeadline(time.Time{})
-	c.host = host
-	close(c.established)
-	if c.opening.MidFlow { // what it said early goes on: whoever reads it is to see that it is up
-		_ = c.client.SetReadDeadline(netio.Expired)
+// awaitAuthorization asks the node whether an attempt that has connected may write. A node that does not answer must not
+// hold the client beyond the attempt's timeout.
+func (c *conn) awaitAuthorization(ctx context.Context, number int, timeout <-chan time.Time) error {
+	c.proxy.node.AttemptConnected(c.requestID, c, number)
+	select {
+	case ok := <-c.authorization:
+		if !ok {
+			return errNotAuthorized
+		}
+		return nil
+	case <-ctx.Done():
+		return ctx.Err()
+	case <-timeout:
+		return errNotAuthorized
 	}
-	return true
 }
--- a/internal/proxy/resume.go
+++ b/internal/proxy/resume.go
@@ -1,6 +1,7 @@
 package proxy
 
 import (
+	"net"
 	"time"
 
 	"go.uber.org/zap"
@@ -11,62 +12,80 @@
 )
 
 const (
-	resumeTimeout = 30 * time.Second // how long a connection that stood before the run is tried to be taken up
+	resumeTimeout = 30 * time.Second
 	resumeBackoff = 250 * time.Millisecond
 )
 
-// resume takes up a connection that stood at its host before the run: its line goes there and nowhere
-// else. The host may not be ready yet, so what never reached it is tried again. It reports whether the
-// client has had its answer.
-func (c *conn) resume(taken, out *int) bool {
-	by := time.Now().Add(resumeTimeout)
-	for time.Now().Before(by) {
+const duplicateIDMessage = "request id is in use by another connection"
+
+// resume re-establishes a connection whose client names its current host: the opening line goes to that host alone. The
+// host may not be ready, or not in the endpoint list yet, so what never reached it is retried.
+func (c *conn) resume(state *requestState) {
+	deadline := time.Now().Add(resumeTimeout)
+	for time.Now().Before(deadline) {
 		addr, ok := c.proxy.node.ResumeConnection(&c.opening, c)
 		if !ok {
-			c.proxy.log.Info("a connection's id is held already")
-			return false
-		}
-		if addr == "" && c.awaitRetry() {
-			continue // the list may yet name it
-		} else if addr == "" {
-			c.proxy.node.ClientDisconnected(c.requestID, c, 0)
-			return true
-		}
-		var in wire.LineBuffer
-		start := time.Now()
-		ctx, over := c.beginAttempt(0, c.opening.CurrentHost)
-		host, upLine, failed := attempt(ctx, node.Attempt{Addr: addr, Timeout: max(c.opening.Timeout, c.proxy.cfg.DefaultTimeout)},
-			&c.opening, attemptHooks{c.proxy.cfg.ConnectTimeout, func() error { return nil }, func(began time.Time) { c.checkStart(c.opening.CurrentHost, began) }}, &in)
-		over()
-		if failed == nil {
-			if !c.establish(host) {
-				_ = host.Close()
-				c.proxy.node.ClientDisconnected(c.requestID, c, 0)
-				return true
-			}
-			*taken, *out = 1, 1
-			c.countReply(succeeded)
-			c.proxy.node.ConnectionInherited(&c.opening, c)
-			c.relay(host, &in, upLine, 0, start)
-			*out = 0
-			return true
+			c.proxy.log.Info(duplicateIDMessage)
+			return
 		}
-		in.Release()
-		c.proxy.log.Info("a connection could not be taken up", zap.String("host", c.opening.CurrentHost), zap.Error(failed))
-		switch failed.Outcome() {
-		case balancer.ConnectFailed, balancer.NotSent: // pause tells whether the client has left
-		default:
-			return false
+		if addr != "" && !c.resumeAt(addr, state) {
+			return
 		}
 		if !c.awaitRetry() {
 			c.proxy.node.ClientDisconnected(c.requestID, c, 0)
-			return true
+			state.conclude()
+			return
 		}
 	}
-	return false
 }
 
-// awaitRetry waits before the next try; false when the client has left.
+// resumeAt makes one attempt to resume at a host and, if that establishes the connection, relays until it ends. It reports
+// whether to retry.
+func (c *conn) resumeAt(addr string, state *requestState) (retry bool) {
+	var in wire.LineBuffer
+	start := time.Now()
+	host, line, failure := c.tryResume(addr, &in)
+	if failure == nil {
+		c.runResumed(host, &in, line, start, state)
+		return false
+	}
+	in.Release()
+	c.proxy.log.Info("connection resume failed", zap.String("host", c.opening.CurrentHost), zap.Error(failure))
+	outcome := failure.Outcome()
+	return outcome == balancer.ConnectFailed || outcome == balancer.NotSent // awaitRetry notices a disconnected client
+}
+
+// tryResume makes one attempt to resume at a host. The node's authorization is not needed: the request is the host's.
+func (c *conn) tryResume(addr string, in *wire.LineBuffer) (*net.TCPConn, []byte, *AttemptError) {
+	ctx, end := c.beginAttempt(0, c.opening.CurrentHost)
+	defer end()
+	target := node.Attempt{
+		Addr:    addr,
+		Timeout: max(c.opening.Timeout, c.proxy.cfg.DefaultTimeout),
+	}
+	return attempt(ctx, target, &c.opening, attemptHooks{
+		connectTimeout: c.proxy.cfg.ConnectTimeout,
+		authorize:      func() error { return nil },
+		written:        func(began time.Time) { c.checkStart(c.opening.CurrentHost, began) },
+	}, in)
+}
+
+// runResumed relays a connection that was resumed, unless its client has disconnected meanwhile.
+func (c *conn) runResumed(host *net.TCPConn, in *wire.LineBuffer, line []byte, start time.Time, state *requestState) {
+	if !c.establish(host) {
+		_ = host.Close()
+		c.proxy.node.ClientDisconnected(c.requestID, c, 0)
+		state.conclude()
+		return
+	}
+	state.attemptStarted(0)
+	c.countReply(succeeded)
+	c.proxy.node.ConnectionInherited(&c.opening, c)
+	c.relay(host, in, line, 0, start)
+	state.attemptReported(true)
+}
+
+// awaitRetry waits before a retry, and reports false where the client has disconnected.
 func (c *conn) awaitRetry() bool {
 	select {
 	case <-c.disconnected:
--- /dev/null
+++ b/internal/proxy/tcpinfo.go
@@ -0,0 +1,26 @@
+package proxy
+
+import (
+	"net"
+	"time"
+
+	"golang.org/x/sys/unix"
+)
+
+// sinceReceived returns how long ago this machine received the last bytes of a connection, at most openingTimeout, and 0
+// where the system does not say. A client's deadline counts from then: on a busy machine its opening line may lie unread
+// for long.
+func sinceReceived(c *net.TCPConn) time.Duration {
+	raw, err := c.SyscallConn()
+	if err != nil {
+		return 0
+	}
+	var info *unix.TCPInfo
+	controlErr := raw.Control(func(fd uintptr) {
+		info, err = unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO)
+	})
+	if controlErr != nil || err != nil {
+		return 0
+	}
+	return min(time.Duration(info.Last_data_recv)*time.Millisecond, openingTimeout)
+}
