--- a/internal/proxy/attempt_test.go
+++ b/internal/proxy/attempt_test.go
@@ -6,29 +6,23 @@
 	"errors"
 	"io"
 	"net"
+	"os"
 	"strings"
+	"syscall"
 	"testing"
 	"time"
 
+	"go.uber.org/zap"
+
 	"onyxstream/balancer"
 	"onyxstream/internal/netio/netiotest"
 	"onyxstream/internal/node"
 	"onyxstream/internal/wire"
 )
 
-// answering is a host that reads the first line and says something.
-func answering(t *testing.T, text string) string {
-	return netiotest.Serve(t, func(c *net.TCPConn) {
-		if _, err := bufio.NewReader(c).ReadString('\n'); err == nil {
-			_, _ = io.WriteString(c, text)
-			_, _ = io.Copy(io.Discard, c)
-		}
-	})
-}
+const openingLine = "OPEN id key c=chat,d=9000,new=1"
 
-const hello = "OPEN id key c=chat,d=9000,new=1"
-
-func opening(t *testing.T, line string) *wire.Opening {
+func parseOpening(t *testing.T, line string) *wire.Opening {
 	t.Helper()
 	_, o, err := wire.ParseOpening([]byte(line))
 	if err != nil {
@@ -37,14 +31,14 @@
 	return &o
 }
 
-func may() error { return nil }
+func allow() error { return nil }
 
-// permitted holds an attempt to a dial's limit and to may alone.
-func permitted(connect time.Duration, may func() error) attemptHooks {
+// hooksWith holds an attempt to a dial's limit and to may alone.
+func hooksWith(connect time.Duration, may func() error) attemptHooks {
 	return attemptHooks{connect, may, func(time.Time) {}}
 }
 
-func TestAttemptOutcomesByStage(t *testing.T) {
+func TestAttempt_HostResponse_Outcome(t *testing.T) {
 	long := strings.Repeat("x", wire.BufferSize)
 	for _, c := range []struct {
 		name, addr string
@@ -52,15 +46,15 @@
 		want       balancer.Outcome
 	}{
 		{"refused", netiotest.RefusedAddr(t), Dialing, balancer.ConnectFailed},
-		{"turned away", answering(t, "BUSY\r\n"), Answering, balancer.Rejected},
-		{"an error", answering(t, "ERR\r\n"), Answering, balancer.Errored},
-		{"sent away", answering(t, "MOVE\r\n"), Answering, balancer.Cancelled},
-		{"ended before it was up", answering(t, "BYE\r\n"), Answering, balancer.Errored},
-		{"no receipt", answering(t, "UP\r\n"), Answering, balancer.Errored},
-		{"garbage", answering(t, "HTTP/1.1 400 Bad Request\r\n"), Answering, balancer.Errored},
-		{"a line with no end", answering(t, long), Answering, balancer.Errored},
-		{"half an answer", answering(t, "UP r-1"), Awaiting, balancer.ResponseTimeout},
-		{"nothing", answering(t, ""), Awaiting, balancer.ResponseTimeout},
+		{"turned away", respondingHost(t, "BUSY\r\n"), Answering, balancer.Rejected},
+		{"an error", respondingHost(t, "ERR\r\n"), Answering, balancer.Errored},
+		{"sent away", respondingHost(t, "MOVE\r\n"), Answering, balancer.Cancelled},
+		{"ended before it was up", respondingHost(t, "BYE\r\n"), Answering, balancer.Errored},
+		{"no receipt", respondingHost(t, "UP\r\n"), Answering, balancer.Errored},
+		{"garbage", respondingHost(t, "HTTP/1.1 400 Bad Request\r\n"), Answering, balancer.Errored},
+		{"a line with no end", respondingHost(t, long), Answering, balancer.Errored},
+		{"half an answer", respondingHost(t, "UP r-1"), Awaiting, balancer.ResponseTimeout},
+		{"nothing", respondingHost(t, ""), Awaiting, balancer.ResponseTimeout},
 		{"ended without an answer", netiotest.Serve(t, func(c *net.TCPConn) {
 			_, _ = bufio.NewReader(c).ReadString('\n')
 		}), Awaiting, balancer.ConnectionReset},
@@ -73,7 +67,7 @@
 			var in wire.LineBuffer
 			defer in.Release()
 			conn, _, failed := attempt(context.Background(), node.Attempt{Addr: c.addr, Timeout: 200 * time.Millisecond},
-				opening(t, hello), permitted(time.Second, may), &in)
+				parseOpening(t, openingLine), hooksWith(time.Second, allow), &in)
 			if failed == nil {
 				_ = conn.Close()
 				t.Fatal("no error")
@@ -85,7 +79,7 @@
 	}
 }
 
-func TestAttemptComesUpWithWhatFollows(t *testing.T) {
+func TestAttempt_Established_ReturnsBufferedLines(t *testing.T) {
 	lines := make(chan string, 1)
 	addr := netiotest.Serve(t, func(c *net.TCPConn) {
 		line, _ := bufio.NewReader(c).ReadString('\n')
@@ -95,7 +89,7 @@
 	})
 	var in wire.LineBuffer
 	defer in.Release()
-	conn, up, failed := attempt(context.Background(), node.Attempt{Addr: addr, Timeout: 5 * time.Second}, opening(t, hello), permitted(time.Second, may), &in)
+	conn, up, failed := attempt(context.Background(), node.Attempt{Addr: addr, Timeout: 5 * time.Second}, parseOpening(t, openingLine), hooksWith(time.Second, allow), &in)
 	if failed != nil {
 		t.Fatal(failed)
 	}
@@ -114,14 +108,14 @@
 }
 
 // The loop's word between connect and write: without it not a byte may reach the host.
-func TestAttemptThatMayNotGoWritesNothing(t *testing.T) {
+func TestAttempt_NotAuthorized_WritesNothing(t *testing.T) {
 	got := make(chan int, 1)
 	addr := netiotest.Serve(t, func(c *net.TCPConn) {
 		n, _ := c.Read(make([]byte, 1))
 		got <- n
 	})
 	var in wire.LineBuffer
-	_, _, failed := attempt(context.Background(), node.Attempt{Addr: addr, Timeout: time.Second}, opening(t, hello), permitted(time.Second, func() error { return errNotAuthorized }), &in)
+	_, _, failed := attempt(context.Background(), node.Attempt{Addr: addr, Timeout: time.Second}, parseOpening(t, openingLine), hooksWith(time.Second, func() error { return errNotAuthorized }), &in)
 	if failed == nil || failed.Stage != Authorizing || failed.Outcome() != balancer.NotSent || !errors.Is(failed, errNotAuthorized) {
 		t.Errorf("ended with %v", failed)
 	}
@@ -130,7 +124,30 @@
 	}
 }
 
-func TestWithdrawnAttemptEndsAtOnce(t *testing.T) {
+// An attempt that is withdrawn while the loop says that it may go is not written.
+func TestAttempt_CancelledWhileAuthorized_WritesNothing(t *testing.T) {
+	heard := make(chan string, 1)
+	addr := netiotest.Serve(t, func(c *net.TCPConn) {
+		all, _ := io.ReadAll(c)
+		heard <- string(all)
+	})
+	ctx, withdraw := context.WithCancel(context.Background())
+	defer withdraw()
+	var in wire.LineBuffer
+	defer in.Release()
+	_, _, failed := attempt(ctx, node.Attempt{Addr: addr, Timeout: time.Minute}, parseOpening(t, openingLine), hooksWith(time.Second, func() error {
+		withdraw() // the client leaves between the loop's word and the line
+		return nil
+	}), &in)
+	if failed == nil || !failed.Outcome().ProvesNotExecuted() {
+		t.Errorf("%v; want an outcome that proves that it never ran", failed)
+	}
+	if got := <-heard; got != "" {
+		t.Errorf("the host heard %q", got)
+	}
+}
+
+func TestAttempt_Cancelled_ClosesHost(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	closed := make(chan struct{})
 	addr := netiotest.Serve(t, func(c *net.TCPConn) {
@@ -141,18 +158,65 @@
 	})
 	var in wire.LineBuffer
 	defer in.Release()
-	_, _, failed := attempt(ctx, node.Attempt{Addr: addr, Timeout: time.Minute}, opening(t, hello), permitted(time.Second, may), &in)
+	_, _, failed := attempt(ctx, node.Attempt{Addr: addr, Timeout: time.Minute}, parseOpening(t, openingLine), hooksWith(time.Second, allow), &in)
 	if failed == nil || failed.Outcome() != balancer.Cancelled {
 		t.Errorf("ended with %v", failed)
 	}
 	<-closed // the host saw the end
 }
 
-func TestAttemptWithoutTimeNeverRan(t *testing.T) {
-	addr := answering(t, "UP r\r\n")
+func TestAttempt_NoTimeLeft_NotExecuted(t *testing.T) {
+	addr := respondingHost(t, "UP r\r\n")
 	var in wire.LineBuffer
-	_, _, failed := attempt(context.Background(), node.Attempt{Addr: addr, Timeout: -time.Second}, opening(t, hello), permitted(time.Second, may), &in)
+	_, _, failed := attempt(context.Background(), node.Attempt{Addr: addr, Timeout: -time.Second}, parseOpening(t, openingLine), hooksWith(time.Second, allow), &in)
 	if failed == nil || !failed.Outcome().ProvesNotExecuted() {
 		t.Errorf("ended with %v", failed)
 	}
 }
+
+// A dial that this machine could not make says nothing of the host, and nothing was sent.
+func TestAttemptError_LocalFailure_BlamesNoHost(t *testing.T) {
+	for _, c := range []struct {
+		errno syscall.Errno
+		want  balancer.Outcome
+	}{
+		{syscall.EMFILE, balancer.NotSent},
+		{syscall.ENFILE, balancer.NotSent},
+		{syscall.ENOBUFS, balancer.NotSent},
+		{syscall.ENOMEM, balancer.NotSent},
+		{syscall.EADDRNOTAVAIL, balancer.NotSent},
+		{syscall.EADDRINUSE, balancer.NotSent},
+		{syscall.ECONNREFUSED, balancer.ConnectFailed},
+		{syscall.EHOSTUNREACH, balancer.ConnectFailed},
+		{syscall.ENETUNREACH, balancer.ConnectFailed},
+		{syscall.ETIMEDOUT, balancer.ConnectFailed},
+	} {
+		for _, failed := range []*AttemptError{
+			{Dialing, &net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError("socket", c.errno)}},
+			{Writing, &net.OpError{Op: "write", Net: "tcp", Err: os.NewSyscallError("write", c.errno)}},
+		} {
+			if got := failed.Outcome(); got != c.want {
+				t.Errorf("%v: outcome %v, want %v", failed, got, c.want)
+			}
+		}
+	}
+}
+
+// A word of the loop on an attempt that has ended is none on the next one: that waits for its own.
+func TestProceed_PreviousAttempt_Ignored(t *testing.T) {
+	h := startCountingHost(t, "UP r\r\n")
+	r := startNode(t, zap.NewNop(), false, h.addr)
+	r.open(t, "OPEN a key c=chat,d=500000")
+	k := r.onlyConn(t)
+	netiotest.Eventually(t, "it waits for the loop", func() bool { return r.proxy.PendingRequests() == 1 })
+	k.Proceed(0, true) // late
+	var in wire.LineBuffer
+	defer in.Release()
+	_, _, failed := k.tryHost(node.Attempt{Number: 1, Addr: h.addr, Timeout: 200 * time.Millisecond}, &in)
+	if failed == nil || failed.Stage != Authorizing {
+		t.Errorf("%v; want that it still asks", failed)
+	}
+	if n := h.lines.Load(); n != 0 {
+		t.Errorf("the host heard %d lines", n)
+	}
+}
--- a/internal/proxy/push_test.go
+++ b/internal/proxy/endpointlist_test.go
@@ -20,7 +20,7 @@
 
 // A list that comes unasked: the node follows it by itself, goes on with what it has while discovery says nothing, takes
 // up what it missed, and keeps a drain told that way, within 50 ms.
-func TestAListThatComesUnasked(t *testing.T) {
+func TestEndpointList_Pushed_DrainsWithinGrace(t *testing.T) {
 	const grace = 50 * time.Millisecond
 	var asked [2]atomic.Int64
 	var members [2]wire.Endpoint
@@ -39,14 +39,14 @@
 		t.Fatal(err)
 	}
 	defer d.Close()
-	r := newRigOf(t, zap.NewNop(), true, d.Addr(), func(s *settings.Settings) { s.PollList, s.DrainGrace = false, grace })
+	r := startNodeWith(t, zap.NewNop(), true, d.Addr(), func(s *settings.Settings) { s.PollList, s.DrainGrace = false, grace })
 	opened := 0
 	// round opens some connections and tells how many each host was asked for.
 	round := func() (at [2]int64) {
 		before := [2]int64{asked[0].Load(), asked[1].Load()}
 		for range 16 {
 			opened++
-			c, in := r.ask(t, fmt.Sprintf("OPEN r%d key%d c=chat,d=5000", opened, opened))
+			c, in := r.open(t, fmt.Sprintf("OPEN r%d key%d c=chat,d=5000", opened, opened))
 			_, _ = in.ReadString('\n')
 			_ = c.Close()
 		}
@@ -56,7 +56,7 @@
 	only := func(what string, one int) {
 		t.Helper()
 		netiotest.Eventually(t, what, func() bool {
-			v := r.n.View().Hosts
+			v := r.node.View().Hosts
 			return len(v) == 2 && v[1-one].State == balancer.Draining && v[one].State == balancer.Live
 		})
 		time.Sleep(grace)
--- /dev/null
+++ b/internal/proxy/harness_test.go
@@ -0,0 +1,141 @@
+package proxy
+
+import (
+	"bufio"
+	"context"
+	"fmt"
+	"io"
+	"net"
+	"sync"
+	"testing"
+	"time"
+
+	"go.uber.org/zap"
+
+	"onyxstream/balancer"
+	"onyxstream/internal/discovery"
+	"onyxstream/internal/netio/netiotest"
+	"onyxstream/internal/node"
+	"onyxstream/internal/settings"
+	"onyxstream/internal/wire"
+)
+
+// testNode is a driver and a node in this process.
+type testNode struct {
+	proxy *Proxy
+	node  *node.Node
+	addr  string
+	stop  func()
+}
+
+// startNode starts a driver; the node's loop runs only where loop is set.
+func startNode(t *testing.T, log *zap.Logger, loop bool, hosts ...string) *testNode {
+	t.Helper()
+	return startNodeWith(t, log, loop, netiotest.RefusedAddr(t), func(*settings.Settings) {}, hosts...)
+}
+
+// startNodeWith is newRig with a discovery, and with settings as change leaves them.
+func startNodeWith(t *testing.T, log *zap.Logger, loop bool, discoveryAddr string, change func(*settings.Settings), hosts ...string) *testNode {
+	t.Helper()
+	d, y := New(Config{MaxDescriptors: 256, ConnectTimeout: time.Second, AnswerSlack: 10 * time.Millisecond, DefaultTimeout: time.Second,
+		Classes: []string{"chat"}}, log),
+		discovery.NewWatcher(log)
+	set := settings.Settings{Settings: balancer.Settings{NodeCount: 1, MaxAttempts: 3, MayCancel: true, PollList: true,
+		PollInterval: time.Hour, DrainGrace: time.Second, Classes: []balancer.Class{{SetupLatencyObjective: 5 * time.Second, Deadline: 5 * time.Second, PriorityWeight: 1}}},
+		ClassNames: []string{"chat"}}
+	change(&set)
+	known := wire.EndpointList{Complete: true}
+	for i, addr := range hosts {
+		known.Endpoints = append(known.Endpoints, wire.Endpoint{ID: fmt.Sprint("h", i), Addr: addr, Size: 1})
+	}
+	n := node.New(set, known, discoveryAddr, struct {
+		*discovery.Watcher
+		*Proxy
+	}{y, d}, log)
+	d.Attach(n)
+	y.Attach(n)
+	l, err := Listen(context.Background(), "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	ctx, cancel := context.WithCancel(context.Background())
+	var all sync.WaitGroup
+	run := func(f func()) {
+		all.Add(1)
+		go func() {
+			defer all.Done()
+			f()
+		}()
+	}
+	run(func() { _ = d.Serve(l) })
+	run(func() { _ = y.Run(ctx) })
+	if loop {
+		run(func() { _ = n.Run(ctx) })
+	}
+	var once sync.Once
+	r := &testNode{proxy: d, node: n, addr: l.Addr().String()}
+	r.stop = func() {
+		once.Do(func() {
+			_ = l.Close()
+			d.Shutdown(false)
+			cancel()
+			all.Wait()
+		})
+	}
+	t.Cleanup(r.stop)
+	return r
+}
+
+// open opens a connection, sends a line and returns the reader behind it.
+func (r *testNode) open(t *testing.T, line string) (net.Conn, *bufio.Reader) {
+	t.Helper()
+	c, err := net.Dial("tcp", r.addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = c.Close() })
+	_ = c.SetDeadline(time.Now().Add(20 * time.Second))
+	_, _ = io.WriteString(c, line+"\r\n")
+	return c, bufio.NewReader(c)
+}
+
+// onlyConn is the one client's connection of a driver.
+func (r *testNode) onlyConn(t *testing.T) (c *conn) {
+	t.Helper()
+	netiotest.Eventually(t, "the client is accepted", func() bool {
+		r.proxy.mu.Lock()
+		defer r.proxy.mu.Unlock()
+		for c = range r.proxy.conns {
+		}
+		return c != nil
+	})
+	return c
+}
+
+// awaitNoClients waits until no client is left.
+func (r *testNode) awaitNoClients(t *testing.T) {
+	t.Helper()
+	netiotest.Eventually(t, "no client is left", func() bool { return len(r.proxy.unfinished(false)) == 0 && r.node.InFlightRequests() == 0 })
+}
+
+// withLongDeadline are settings under which an attempt lasts for as long as the test.
+func withLongDeadline(s *settings.Settings) {
+	s.Classes[0].SetupLatencyObjective, s.Classes[0].Deadline = 9*time.Minute, 9*time.Minute
+}
+
+// connect is a connection and its other side.
+func connect(t *testing.T) (client, server *net.TCPConn) {
+	t.Helper()
+	l, err := Listen(context.Background(), "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	return netiotest.Connect(t, l)
+}
+
+func expectLine(t *testing.T, in *bufio.Reader, want string) {
+	t.Helper()
+	if line, err := in.ReadString('\n'); line != want {
+		t.Fatalf("heard %q, error %v; want %q", line, err, want)
+	}
+}
--- /dev/null
+++ b/internal/proxy/hosts_test.go
@@ -0,0 +1,106 @@
+package proxy
+
+import (
+	"bufio"
+	"io"
+	"net"
+	"slices"
+	"sync"
+	"sync/atomic"
+	"testing"
+
+	"onyxstream/internal/netio/netiotest"
+)
+
+// respondingHost is a host that reads the first line and says something.
+func respondingHost(t *testing.T, text string) string {
+	return netiotest.Serve(t, func(c *net.TCPConn) {
+		if _, err := bufio.NewReader(c).ReadString('\n'); err == nil {
+			_, _ = io.WriteString(c, text)
+			_, _ = io.Copy(io.Discard, c)
+		}
+	})
+}
+
+// echoHost is a host that brings up all who come and says each line back; what it is given on say it says at once.
+func echoHost(t *testing.T, say chan string) string {
+	return netiotest.Serve(t, func(c *net.TCPConn) {
+		in := bufio.NewReader(c)
+		if _, err := in.ReadString('\n'); err != nil {
+			return
+		}
+		_, _ = io.WriteString(c, "UP r\r\nLOAD 3\r\n")
+		go func() {
+			for text := range say {
+				_, _ = io.WriteString(c, text)
+			}
+		}()
+		for {
+			line, err := in.ReadString('\n')
+			if err != nil {
+				return
+			}
+			_, _ = io.WriteString(c, line)
+		}
+	})
+}
+
+// countingHost is a host that counts what comes to it.
+type countingHost struct {
+	addr          string
+	lines, closed atomic.Int64
+
+	mu    sync.Mutex
+	peers []string // who has connected, in turn
+}
+
+// startCountingHost is a host that says what reply gives for a line, "" for nothing.
+func startCountingHost(t *testing.T, reply string) *countingHost {
+	t.Helper()
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = l.Close() })
+	h := &countingHost{addr: l.Addr().String()}
+	go func() {
+		for {
+			c, err := l.Accept()
+			if err != nil {
+				return
+			}
+			h.mu.Lock()
+			h.peers = append(h.peers, c.RemoteAddr().String())
+			h.mu.Unlock()
+			go func() {
+				defer c.Close()
+				defer h.closed.Add(1)
+				in := bufio.NewReader(c)
+				if _, err := in.ReadString('\n'); err != nil {
+					return
+				}
+				h.lines.Add(1)
+				_, _ = io.WriteString(c, reply)
+				_, _ = io.Copy(io.Discard, in)
+			}()
+		}
+	}()
+	return h
+}
+
+// connections tells how many connections have come. They are accepted in turn: one of the test's own is the last.
+func (h *countingHost) connections(t *testing.T) (before int) {
+	t.Helper()
+	c, err := net.Dial("tcp", h.addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer c.Close()
+	netiotest.Eventually(t, "the last one is accepted", func() bool {
+		h.mu.Lock()
+		defer h.mu.Unlock()
+		before = slices.Index(h.peers, c.LocalAddr().String())
+		return before >= 0
+	})
+	return before
+}
--- a/internal/proxy/invariants_test.go
+++ b/internal/proxy/invariants_test.go
@@ -10,7 +10,7 @@
 )
 
 // Each end of a request that breaks a rule is counted, and no other is.
-func TestCheckEnd_OnConnections(t *testing.T) {
+func TestCheckCompletion_ConnectionEnds(t *testing.T) {
 	now := time.Now()
 	for _, c := range []struct {
 		name string
@@ -30,13 +30,13 @@
 		}, map[invariant.Rule]uint64{invariant.SentAfterDisconnect: 1}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			r := newRig(t, zap.NewNop(), false)
-			_, server := pair(t)
-			k := r.d.newConn(server, now)
+			r := startNode(t, zap.NewNop(), false)
+			_, server := connect(t)
+			k := r.proxy.newConn(server, now)
 			c.end(k)
 			k.checkCompletion(now.Add(time.Second))
 			for _, rule := range invariant.Rules() {
-				if got := r.n.Monitor().Count(rule); got != c.want[rule] {
+				if got := r.node.Monitor().Count(rule); got != c.want[rule] {
 					t.Errorf("%q is counted %d times, want %d", rule, got, c.want[rule])
 				}
 			}
--- /dev/null
+++ b/internal/proxy/opening_test.go
@@ -0,0 +1,40 @@
+package proxy
+
+import (
+	"bufio"
+	"io"
+	"net"
+	"testing"
+	"time"
+
+	"go.uber.org/zap"
+
+	"onyxstream/internal/wire"
+)
+
+// A request that comes on a resting connection as its time is over is served: a close over it would lose it. The node is
+// held in the middle of its last PING until the time is over and the request lies there.
+func TestReadOpening_RequestAtTimeout_Served(t *testing.T) {
+	r := startNode(t, zap.NewNop(), true, startCountingHost(t, "UP r\r\n").addr)
+	c, err := net.Dial("tcp", r.addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer c.Close()
+	r.onlyConn(t)
+	r.proxy.mu.Lock()
+	_ = c.SetDeadline(time.Now().Add(20 * time.Second))
+	in := bufio.NewReader(c)
+	_, _ = io.WriteString(c, "PING\r\n")
+	if line, err := in.ReadString('\n'); line != wire.Pong || err != nil {
+		t.Fatalf("heard %q, error %v", line, err)
+	}
+	_, _ = io.WriteString(c, "OPEN a key c=chat,d=5000\r\n")
+	for begin := time.Now(); time.Since(begin) < openingTimeout+evictionGrace; { // the event is that this time is over
+		time.Sleep(evictionGrace)
+	}
+	r.proxy.mu.Unlock()
+	if line, err := in.ReadString('\n'); line != "UP r\r\n" || err != nil {
+		t.Errorf("heard %q, error %v", line, err)
+	}
+}
--- /dev/null
+++ b/internal/proxy/request_test.go
@@ -0,0 +1,82 @@
+package proxy
+
+import (
+	"bufio"
+	"context"
+	"io"
+	"net"
+	"sync"
+	"testing"
+
+	"go.uber.org/zap"
+
+	"onyxstream/internal/netio/netiotest"
+	"onyxstream/internal/wire"
+)
+
+// A request that the loop never answers must not wait for ever: the connection's own backstop answers.
+func TestRequest_NodeSilent_FailsAtDeadline(t *testing.T) {
+	r := startNode(t, zap.NewNop(), false)
+	_, in := r.open(t, "OPEN a key c=chat,d=50")
+	if all, err := io.ReadAll(in); string(all) != wire.Failure || err != nil {
+		t.Errorf("answered %q, error %v", all, err)
+	}
+}
+
+// A client that leaves while its attempt is out withdraws it, and no other host is tried for it.
+func TestClient_Disconnects_AttemptCancelled(t *testing.T) {
+	var mu sync.Mutex
+	lines, ended := 0, 0
+	silent := func(c *net.TCPConn) {
+		in := bufio.NewReader(c)
+		if _, err := in.ReadString('\n'); err != nil {
+			return
+		}
+		mu.Lock()
+		lines++
+		mu.Unlock()
+		_, _ = io.Copy(io.Discard, in)
+		mu.Lock()
+		ended++
+		mu.Unlock()
+	}
+	r := startNode(t, zap.NewNop(), true, netiotest.Serve(t, silent), netiotest.Serve(t, silent))
+	c, _ := r.open(t, "OPEN a key c=chat,d=5000")
+	count := func(n *int, want int) func() bool {
+		return func() bool {
+			mu.Lock()
+			defer mu.Unlock()
+			return *n == want
+		}
+	}
+	netiotest.Eventually(t, "the line reaches a host", count(&lines, 1))
+	_ = c.Close()
+	netiotest.Eventually(t, "the attempt is withdrawn", count(&ended, 1))
+	netiotest.Eventually(t, "nothing is owed", func() bool { return r.node.InFlightRequests() == 0 })
+	if r.stop(); !count(&lines, 1)() {
+		t.Error("another host was tried")
+	}
+}
+
+// A connection that stood before the run is taken up for a client that is there: one that leaves while the loop is asked
+// where its host is gets no dial.
+func TestResume_ClientDisconnected_NoRetry(t *testing.T) {
+	h := startCountingHost(t, "UP r\r\n")
+	r := startNode(t, zap.NewNop(), false, h.addr)
+	c, _ := r.open(t, "OPEN a key c=chat,d=5000,at=h0")
+	k := r.onlyConn(t)
+	_ = c.Close()
+	netiotest.Eventually(t, "the node sees that it has left", k.isDisconnected)
+	if ctx, over := k.beginAttempt(0, "h0"); ctx.Err() == nil {
+		t.Error("an attempt may begin for a client that has left")
+	} else {
+		over()
+	}
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	go func() { _ = r.node.Run(ctx) }() // and now the loop answers
+	r.awaitNoClients(t)
+	if n := h.connections(t); n != 0 {
+		t.Errorf("its host was connected to %d times", n)
+	}
+}
--- /dev/null
+++ b/internal/proxy/teardown_test.go
@@ -0,0 +1,116 @@
+package proxy
+
+import (
+	"bufio"
+	"fmt"
+	"io"
+	"net"
+	"strings"
+	"testing"
+
+	"go.uber.org/zap"
+	"golang.org/x/sys/unix"
+
+	"onyxstream/internal/netio/netiotest"
+	"onyxstream/internal/wire"
+)
+
+// closeWait is the state, by the system's figures, of a connection whose other side has ended by FIN.
+const closeWait = 8
+
+func tcpState(t *testing.T, c *net.TCPConn) uint8 {
+	t.Helper()
+	raw, err := c.SyscallConn()
+	if err != nil {
+		t.Fatal(err)
+	}
+	var info *unix.TCPInfo
+	_ = raw.Control(func(fd uintptr) { info, err = unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO) })
+	if err != nil {
+		t.Fatal(err)
+	}
+	return info.State
+}
+
+// A close at once is no close over unread bytes, whose reset may overtake the last word.
+func TestCloseWithMessage_UnreadBytes_NoReset(t *testing.T) {
+	client, server := connect(t)
+	_, _ = io.WriteString(client, strings.Repeat("x", 20000))
+	netiotest.Eventually(t, "it lies there", func() bool { return netiotest.UnreadBytes(t, server) > 0 })
+	closeWithMessage(server, "BUSY\r\n")
+	if state := tcpState(t, client); state != closeWait { // a reset would have ended it
+		t.Errorf("the client's side is in state %d", state)
+	}
+	if all, err := io.ReadAll(client); string(all) != "BUSY\r\n" || err != nil {
+		t.Errorf("heard %q, error %v", all, err)
+	}
+}
+
+// A connection that stands is moved and broken by its host, in either order: the client hears of the first alone, and the
+// host's side is closed. The driver's word is held, or the host's reset, until the other has come.
+func TestMigrate_HostResets_FirstEventWins(t *testing.T) {
+	for _, moved := range []bool{true, false} {
+		t.Run(fmt.Sprintf("moved first %v", moved), func(t *testing.T) {
+			broken := make(chan struct{})
+			addr := netiotest.Serve(t, func(c *net.TCPConn) {
+				_, _ = bufio.NewReader(c).ReadString('\n')
+				_, _ = io.WriteString(c, "UP r\r\n")
+				<-broken
+				_ = c.SetLinger(0)
+			})
+			r := startNode(t, zap.NewNop(), true, addr)
+			_, in := r.open(t, "OPEN a key c=chat,d=5000")
+			if line, err := in.ReadString('\n'); line != "UP r\r\n" || err != nil {
+				t.Fatalf("heard %q, error %v", line, err)
+			}
+			k := r.onlyConn(t)
+			netiotest.Eventually(t, "the loop knows that it stands", func() bool { return r.node.EstablishedConnections() == 1 })
+			if moved {
+				k.Migrate()
+				close(broken)
+			} else {
+				k.mu.Lock() // the move waits for the connection, which ends meanwhile
+				done := make(chan struct{})
+				go func() {
+					k.Migrate()
+					close(done)
+				}()
+				close(broken)
+				netiotest.Eventually(t, "it has ended", func() bool { return r.node.EstablishedConnections() == 0 })
+				k.mu.Unlock()
+				<-done
+			}
+			all, err := io.ReadAll(in)
+			if moved && (string(all) != wire.Migration || err != nil) || !moved && (len(all) > 0 || err == nil) {
+				t.Errorf("heard %q, error %v", all, err)
+			}
+			r.awaitNoClients(t)
+		})
+	}
+}
+
+// No socket holds back small writes: they would be lost with a reset that follows.
+func TestSockets_NoDelay(t *testing.T) {
+	client, ours := connect(t)
+	f, err := ours.File()
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer f.Close()
+	passed, err := net.FileConn(f) // as a process takes up what it was handed
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer passed.Close()
+	for name, c := range map[string]*net.TCPConn{"dialled": client, "accepted": ours, "passed on": passed.(*net.TCPConn)} {
+		raw, err := c.SyscallConn()
+		if err != nil {
+			t.Fatal(err)
+		}
+		on := 0
+		_ = raw.Control(func(fd uintptr) { on, err = unix.GetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_NODELAY) })
+		if err != nil || on == 0 {
+			t.Errorf("%s: %d, error %v", name, on, err)
+		}
+	}
+}
