--- a/internal/proxy/attempt_test.go
+++ b/internal/proxy/attempt_test.go
@@ -33,7 +33,7 @@
 
 func allow() error { return nil }
 
-// hooksWith holds an attempt to a dial's limit and to may alone.
+// hooksWith returns hooks with a connect timeout and an authorization.
 func hooksWith(connect time.Duration, may func() error) attemptHooks {
 	return attemptHooks{connect, may, func(time.Time) {}}
 }
@@ -45,20 +45,20 @@
 		stage      Stage
 		want       balancer.Outcome
 	}{
-		{"refused", netiotest.RefusedAddr(t), Dialing, balancer.ConnectFailed},
-		{"turned away", respondingHost(t, "BUSY\r\n"), Answering, balancer.Rejected},
+		{"connection refused", netiotest.RefusedAddr(t), Dialing, balancer.ConnectFailed},
+		{"rejected", respondingHost(t, "BUSY\r\n"), Answering, balancer.Rejected},
 		{"an error", respondingHost(t, "ERR\r\n"), Answering, balancer.Errored},
-		{"sent away", respondingHost(t, "MOVE\r\n"), Answering, balancer.Cancelled},
-		{"ended before it was up", respondingHost(t, "BYE\r\n"), Answering, balancer.Errored},
-		{"no receipt", respondingHost(t, "UP\r\n"), Answering, balancer.Errored},
+		{"migrated", respondingHost(t, "MOVE\r\n"), Answering, balancer.Cancelled},
+		{"closed before it was established", respondingHost(t, "BYE\r\n"), Answering, balancer.Errored},
+		{"established without a receipt", respondingHost(t, "UP\r\n"), Answering, balancer.Errored},
 		{"garbage", respondingHost(t, "HTTP/1.1 400 Bad Request\r\n"), Answering, balancer.Errored},
-		{"a line with no end", respondingHost(t, long), Answering, balancer.Errored},
-		{"half an answer", respondingHost(t, "UP r-1"), Awaiting, balancer.ResponseTimeout},
-		{"nothing", respondingHost(t, ""), Awaiting, balancer.ResponseTimeout},
-		{"ended without an answer", netiotest.Serve(t, func(c *net.TCPConn) {
+		{"an endless line", respondingHost(t, long), Answering, balancer.Errored},
+		{"a part of a response", respondingHost(t, "UP r-1"), Awaiting, balancer.ResponseTimeout},
+		{"no response", respondingHost(t, ""), Awaiting, balancer.ResponseTimeout},
+		{"closed without a response", netiotest.Serve(t, func(c *net.TCPConn) {
 			_, _ = bufio.NewReader(c).ReadString('\n')
 		}), Awaiting, balancer.ConnectionReset},
-		{"broken without an answer", netiotest.Serve(t, func(c *net.TCPConn) {
+		{"reset without a response", netiotest.Serve(t, func(c *net.TCPConn) {
 			_, _ = bufio.NewReader(c).ReadString('\n')
 			_ = c.SetLinger(0)
 		}), Awaiting, balancer.ConnectionReset},
@@ -95,7 +95,7 @@
 	}
 	defer conn.Close()
 	if string(up) != "UP r-1 more\r\n" {
-		t.Errorf("up line %q", up)
+		t.Errorf("established line %q", up)
 	}
 	line := <-lines
 	if !strings.HasPrefix(line, "OPEN id key c=chat,d=4") && !strings.HasPrefix(line, "OPEN id key c=chat,d=5000,") ||
@@ -103,11 +103,11 @@
 		t.Errorf("the host was sent %q", line)
 	}
 	if rest := string(in.Buffered()); !strings.HasPrefix("M 1\r\nM", rest) {
-		t.Errorf("behind it %q", rest)
+		t.Errorf("buffered %q", rest)
 	}
 }
 
-// The loop's word between connect and write: without it not a byte may reach the host.
+// The node authorizes between connect and write: otherwise not a byte may reach the host.
 func TestAttempt_NotAuthorized_WritesNothing(t *testing.T) {
 	got := make(chan int, 1)
 	addr := netiotest.Serve(t, func(c *net.TCPConn) {
@@ -124,26 +124,25 @@
 	}
 }
 
-// An attempt that is withdrawn while the loop says that it may go is not written.
 func TestAttempt_CancelledWhileAuthorized_WritesNothing(t *testing.T) {
 	heard := make(chan string, 1)
 	addr := netiotest.Serve(t, func(c *net.TCPConn) {
 		all, _ := io.ReadAll(c)
 		heard <- string(all)
 	})
-	ctx, withdraw := context.WithCancel(context.Background())
-	defer withdraw()
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
 	var in wire.LineBuffer
 	defer in.Release()
 	_, _, failed := attempt(ctx, node.Attempt{Addr: addr, Timeout: time.Minute}, parseOpening(t, openingLine), hooksWith(time.Second, func() error {
-		withdraw() // the client leaves between the loop's word and the line
+		cancel() // the client disconnects between the authorization and the line
 		return nil
 	}), &in)
 	if failed == nil || !failed.Outcome().ProvesNotExecuted() {
-		t.Errorf("%v; want an outcome that proves that it never ran", failed)
+		t.Errorf("%v; want an outcome that proves that it was not executed", failed)
 	}
 	if got := <-heard; got != "" {
-		t.Errorf("the host heard %q", got)
+		t.Errorf("the host read %q", got)
 	}
 }
 
@@ -162,7 +161,7 @@
 	if failed == nil || failed.Outcome() != balancer.Cancelled {
 		t.Errorf("ended with %v", failed)
 	}
-	<-closed // the host saw the end
+	<-closed // the host has read the close
 }
 
 func TestAttempt_NoTimeLeft_NotExecuted(t *testing.T) {
@@ -174,7 +173,7 @@
 	}
 }
 
-// A dial that this machine could not make says nothing of the host, and nothing was sent.
+// A dial that failed for want of local resources says nothing of the host, and nothing was sent.
 func TestAttemptError_LocalFailure_BlamesNoHost(t *testing.T) {
 	for _, c := range []struct {
 		errno syscall.Errno
@@ -202,21 +201,21 @@
 	}
 }
 
-// A word of the loop on an attempt that has ended is none on the next one: that waits for its own.
+// An authorization that comes after its attempt has ended must not authorize the next one.
 func TestProceed_PreviousAttempt_Ignored(t *testing.T) {
 	h := startCountingHost(t, "UP r\r\n")
 	r := startNode(t, zap.NewNop(), false, h.addr)
 	r.open(t, "OPEN a key c=chat,d=500000")
-	k := r.onlyConn(t)
-	netiotest.Eventually(t, "it waits for the loop", func() bool { return r.proxy.PendingRequests() == 1 })
-	k.Proceed(0, true) // late
+	c := r.onlyConn(t)
+	netiotest.Eventually(t, "the request waits for the node", func() bool { return r.proxy.PendingRequests() == 1 })
+	c.Proceed(0, true) // late
 	var in wire.LineBuffer
 	defer in.Release()
-	_, _, failed := k.tryHost(node.Attempt{Number: 1, Addr: h.addr, Timeout: 200 * time.Millisecond}, &in)
+	_, _, failed := c.tryHost(node.Attempt{Number: 1, Addr: h.addr, Timeout: 200 * time.Millisecond}, &in)
 	if failed == nil || failed.Stage != Authorizing {
-		t.Errorf("%v; want that it still asks", failed)
+		t.Errorf("%v; want that it is not authorized", failed)
 	}
 	if n := h.lines.Load(); n != 0 {
-		t.Errorf("the host heard %d lines", n)
+		t.Errorf("the host read %d lines", n)
 	}
 }
--- a/internal/proxy/budget_test.go
+++ b/internal/proxy/budget_test.go
@@ -11,8 +11,7 @@
 	"onyxstream/internal/netio/netiotest"
 )
 
-// A client that is closed to make room, and whose request has come and was not read yet, is answered: what is read and
-// dropped with its connection is lost.
+// A client that is evicted while its opening line lies unread is rejected: a close alone would lose its request.
 func TestEvict_RequestUnread_Rejected(t *testing.T) {
 	r := startNode(t, zap.NewNop(), false)
 	client, server := connect(t)
@@ -22,27 +21,27 @@
 	if _, err := io.WriteString(client, "OPEN a key c=chat,d=5000\r\n"); err != nil {
 		t.Fatal(err)
 	}
-	netiotest.Eventually(t, "the request has come", func() bool { return netiotest.UnreadBytes(t, server) > 0 })
+	netiotest.Eventually(t, "the request is received", func() bool { return netiotest.UnreadBytes(t, server) > 0 })
 	r.proxy.mu.Lock()
 	c.unadmitted = r.proxy.unadmitted.PushBack(c)
 	r.proxy.evict(c)
 	r.proxy.mu.Unlock()
 	if heard, err := io.ReadAll(client); err != nil || !strings.HasPrefix(string(heard), "BUSY") {
-		t.Errorf("heard %q, %v", heard, err)
+		t.Errorf("read %q, %v", heard, err)
 	}
 }
 
-// A process that the other one of its node leaves nothing refuses who comes, and serves again when it has its part.
+// A process to which the other process of its node leaves no descriptors rejects clients, until it has some again.
 func TestDescriptorLimit_Negative_Rejects(t *testing.T) {
 	r := startNode(t, zap.NewNop(), true, respondingHost(t, "UP r\r\n"))
 	r.proxy.SetDescriptorLimit(-100)
 	_, in := r.open(t, "OPEN a key c=chat,d=5000")
 	if line, err := in.ReadString('\n'); !strings.HasPrefix(line, "BUSY") {
-		t.Fatalf("heard %q, error %v", line, err)
+		t.Fatalf("read %q, error %v", line, err)
 	}
 	r.proxy.SetDescriptorLimit(256)
 	_, in = r.open(t, "OPEN b key c=chat,d=5000")
 	if line, err := in.ReadString('\n'); line != "UP r\r\n" {
-		t.Errorf("heard %q, error %v", line, err)
+		t.Errorf("read %q, error %v", line, err)
 	}
 }
--- a/internal/proxy/disconnect_test.go
+++ b/internal/proxy/disconnect_test.go
@@ -15,8 +15,8 @@
 	"onyxstream/internal/wire"
 )
 
-// A client that asked and left while it waited in the listener's queue is gone: it has its answer at once, the loop is not
-// told and no host hears of it. The loop's queue is full, so that whoever is handed to it waits.
+// A client that sent its opening line and closed while it waited in the listener's queue is replied to at once, without the
+// node or a host. The node's event queue is full, so that a request passed to it would block.
 func TestServe_ClientClosedInAcceptQueue_NotForwarded(t *testing.T) {
 	h := startCountingHost(t, "UP r\r\n")
 	r := startNode(t, zap.NewNop(), false, h.addr)
@@ -29,7 +29,7 @@
 		r.node.PeerContacted()
 	}
 	var waiting []net.Conn
-	for i := range 8 { // they are whole and at their end before the first of them is accepted
+	for i := range 8 { // complete and closed before the first one is accepted
 		c, err := net.Dial("tcp", door.Addr().String())
 		if err != nil {
 			t.Fatal(err)
@@ -43,7 +43,7 @@
 	go func() { _ = r.proxy.Serve(door) }()
 	for _, c := range waiting {
 		if all, err := io.ReadAll(c); string(all) != wire.Failure || err != nil {
-			t.Errorf("heard %q, error %v", all, err)
+			t.Errorf("read %q, error %v", all, err)
 		}
 	}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -51,33 +51,32 @@
 	go func() { _ = r.node.Run(ctx) }()
 	r.awaitNoClients(t)
 	if n := h.connections(t); n != 0 {
-		t.Errorf("its host was connected to %d times", n)
+		t.Errorf("the host was connected to %d times", n)
 	}
 }
 
-// A client that is mid-flow and has spoken early leaves like any other: its attempt is withdrawn, no other is begun.
+// A mid-flow client that has sent a message early disconnects like any other.
 func TestMidFlowClient_EarlyMessage_DisconnectNoticed(t *testing.T) {
 	a, b := startCountingHost(t, ""), startCountingHost(t, "")
 	r := startNodeWith(t, zap.NewNop(), true, netiotest.RefusedAddr(t), withLongDeadline, a.addr, b.addr)
 	c, _ := r.open(t, "OPEN m key c=chat,d=500000,mid=1\r\nM 1")
-	netiotest.Eventually(t, "a host has the line", func() bool { return a.lines.Load()+b.lines.Load() == 1 })
+	netiotest.Eventually(t, "a host has read the line", func() bool { return a.lines.Load()+b.lines.Load() == 1 })
 	_ = c.Close()
-	netiotest.Eventually(t, "the attempt is withdrawn", func() bool { return a.closed.Load()+b.closed.Load() == 1 })
+	netiotest.Eventually(t, "the attempt is cancelled", func() bool { return a.closed.Load()+b.closed.Load() == 1 })
 	r.awaitNoClients(t)
 	if n := a.lines.Load() + b.lines.Load(); n != 1 {
 		t.Errorf("%d attempts", n)
 	}
 }
 
-// A mid-flow client that says more than the node holds back for it, and leaves, is seen to leave: its attempt is
-// withdrawn, and no other begins.
+// The disconnect of a mid-flow client is noticed also where it has sent more than the node holds back.
 func TestMidFlowClient_BufferFull_DisconnectNoticed(t *testing.T) {
 	for _, end := range []string{"close", "reset"} {
 		t.Run(end, func(t *testing.T) {
 			a, b := startCountingHost(t, ""), startCountingHost(t, "")
 			r := startNodeWith(t, zap.NewNop(), true, netiotest.RefusedAddr(t), withLongDeadline, a.addr, b.addr)
 			c, _ := r.open(t, "OPEN m key c=chat,d=500000,mid=1")
-			netiotest.Eventually(t, "a host has the line", func() bool { return a.lines.Load()+b.lines.Load() == 1 })
+			netiotest.Eventually(t, "a host has read the line", func() bool { return a.lines.Load()+b.lines.Load() == 1 })
 			for i := range 1000 {
 				if _, err := fmt.Fprintf(c, "M %d %s\r\n", i, strings.Repeat("x", 40)); err != nil {
 					t.Fatal(err)
@@ -87,7 +86,7 @@
 				_ = c.(*net.TCPConn).SetLinger(0)
 			}
 			_ = c.Close()
-			netiotest.Eventually(t, "the attempt is withdrawn", func() bool { return a.closed.Load()+b.closed.Load() == 1 })
+			netiotest.Eventually(t, "the attempt is cancelled", func() bool { return a.closed.Load()+b.closed.Load() == 1 })
 			r.awaitNoClients(t)
 			if n := a.lines.Load() + b.lines.Load(); n != 1 {
 				t.Errorf("%d attempts", n)
@@ -96,8 +95,8 @@
 	}
 }
 
-// A client that has sent much and ended its sending as its connection comes up has all of it passed on: the end stands
-// behind what lies unread.
+// A client that closes its side as its connection is established has its early messages forwarded: the close stands behind
+// what lies unread.
 func TestMidFlowClient_ClosesAsEstablished_LinesForwarded(t *testing.T) {
 	r := startNode(t, zap.NewNop(), false)
 	client, server := connect(t)
@@ -107,14 +106,14 @@
 		t.Fatal(err)
 	}
 	_ = client.CloseWrite()
-	netiotest.Eventually(t, "its end is here", func() bool { return sendingEnded(server) != nil })
+	netiotest.Eventually(t, "its close is received", func() bool { return sendingEnded(server) != nil })
 	if !c.establish(host) {
-		t.Fatal("it does not come up")
+		t.Fatal("it is not established")
 	}
 	if c.disconnectUnestablished(sendingEnded(server)) || c.isDisconnected() || c.clientClosed.Load() {
-		t.Error("its end counts before its lines are read")
+		t.Error("its close counts before its lines are read")
 	}
 	if !c.awaitEstablished() {
-		t.Error("its lines are not read on")
+		t.Error("its lines are not read")
 	}
 }
--- a/internal/proxy/endpointlist_test.go
+++ b/internal/proxy/endpointlist_test.go
@@ -18,8 +18,8 @@
 	"onyxstream/internal/wire"
 )
 
-// A list that comes unasked: the node follows it by itself, goes on with what it has while discovery says nothing, takes
-// up what it missed, and keeps a drain told that way, within 50 ms.
+// With polling off the node watches the list, keeps it while discovery is silent, catches up on what it missed, and stops
+// forwarding to a draining host within the drain grace.
 func TestEndpointList_Pushed_DrainsWithinGrace(t *testing.T) {
 	const grace = 50 * time.Millisecond
 	var asked [2]atomic.Int64
@@ -34,15 +34,15 @@
 		members[i] = wire.Endpoint{ID: fmt.Sprint("h", i), Addr: addr, Size: 1}
 	}
 	clock := fakeserver.NewClock()
-	d, err := fakeserver.NewDiscovery("", clock, fakeserver.NewLedger(clock), 7, members[:]...)
+	service, err := fakeserver.NewDiscovery("", clock, fakeserver.NewLedger(clock), 7, members[:]...)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer d.Close()
-	r := startNodeWith(t, zap.NewNop(), true, d.Addr(), func(s *settings.Settings) { s.PollList, s.DrainGrace = false, grace })
+	defer service.Close()
+	r := startNodeWith(t, zap.NewNop(), true, service.Addr(), func(s *settings.Settings) { s.PollList, s.DrainGrace = false, grace })
 	opened := 0
-	// round opens some connections and tells how many each host was asked for.
-	round := func() (at [2]int64) {
+	// openRound opens connections and returns how many were forwarded to each host.
+	openRound := func() (at [2]int64) {
 		before := [2]int64{asked[0].Load(), asked[1].Load()}
 		for range 16 {
 			opened++
@@ -52,30 +52,30 @@
 		}
 		return [2]int64{asked[0].Load() - before[0], asked[1].Load() - before[1]}
 	}
-	// only waits until the node has been told of the drain, and its grace; from then on nothing new may go there.
-	only := func(what string, one int) {
+	// expectOnly waits until the node knows of the drain, and the grace; nothing may be forwarded to the other host then.
+	expectOnly := func(what string, one int) {
 		t.Helper()
 		netiotest.Eventually(t, what, func() bool {
 			v := r.node.View().Hosts
 			return len(v) == 2 && v[1-one].State == balancer.Draining && v[one].State == balancer.Live
 		})
 		time.Sleep(grace)
-		if at := round(); at[1-one] != 0 || at[one] != 16 {
-			t.Errorf("%s: asked %v of 16", what, at)
+		if at := openRound(); at[1-one] != 0 || at[one] != 16 {
+			t.Errorf("%s: forwarded %v of 16", what, at)
 		}
 	}
-	netiotest.Eventually(t, "the first list comes unasked", func() bool { at := round(); return at[0] > 0 && at[1] > 0 })
+	netiotest.Eventually(t, "the first list is received", func() bool { at := openRound(); return at[0] > 0 && at[1] > 0 })
 	members[0].Phase = wire.Draining
-	d.Set(members[0])
-	only("the first host drains", 1)
+	service.Set(members[0])
+	expectOnly("the first host is draining", 1)
 
-	d.Answer(fakeserver.Mute)
+	service.Answer(fakeserver.Mute)
 	members[0].Phase, members[1].Phase = wire.Serving, wire.Draining
-	d.Set(members[0])
-	d.Set(members[1])
-	if at := round(); at[1] != 16 {
-		t.Errorf("while discovery is silent: asked %v of 16", at)
+	service.Set(members[0])
+	service.Set(members[1])
+	if at := openRound(); at[1] != 16 {
+		t.Errorf("while discovery is silent: forwarded %v of 16", at)
 	}
-	d.Answer(fakeserver.Well)
-	only("what was missed is taken up", 0)
+	service.Answer(fakeserver.Well)
+	expectOnly("the missed change is known", 0)
 }
--- a/internal/proxy/harness_test.go
+++ b/internal/proxy/harness_test.go
@@ -20,7 +20,7 @@
 	"onyxstream/internal/wire"
 )
 
-// testNode is a driver and a node in this process.
+// testNode is a proxy and its node in this process.
 type testNode struct {
 	proxy *Proxy
 	node  *node.Node
@@ -28,22 +28,38 @@
 	stop  func()
 }
 
-// startNode starts a driver; the node's loop runs only where loop is set.
+// startNode starts a proxy; the node's event loop runs only where loop is set.
 func startNode(t *testing.T, log *zap.Logger, loop bool, hosts ...string) *testNode {
 	t.Helper()
 	return startNodeWith(t, log, loop, netiotest.RefusedAddr(t), func(*settings.Settings) {}, hosts...)
 }
 
-// startNodeWith is newRig with a discovery, and with settings as change leaves them.
-func startNodeWith(t *testing.T, log *zap.Logger, loop bool, discoveryAddr string, change func(*settings.Settings), hosts ...string) *testNode {
+// startNodeWith is startNode with a discovery, and with settings as configure leaves them.
+func startNodeWith(t *testing.T, log *zap.Logger, loop bool, discoveryAddr string,
+	configure func(*settings.Settings), hosts ...string,
+) *testNode {
 	t.Helper()
-	d, y := New(Config{MaxDescriptors: 256, ConnectTimeout: time.Second, AnswerSlack: 10 * time.Millisecond, DefaultTimeout: time.Second,
-		Classes: []string{"chat"}}, log),
-		discovery.NewWatcher(log)
-	set := settings.Settings{Settings: balancer.Settings{NodeCount: 1, MaxAttempts: 3, MayCancel: true, PollList: true,
-		PollInterval: time.Hour, DrainGrace: time.Second, Classes: []balancer.Class{{SetupLatencyObjective: 5 * time.Second, Deadline: 5 * time.Second, PriorityWeight: 1}}},
-		ClassNames: []string{"chat"}}
-	change(&set)
+	p := New(Config{
+		MaxDescriptors: 256,
+		ConnectTimeout: time.Second,
+		AnswerSlack:    10 * time.Millisecond,
+		DefaultTimeout: time.Second,
+		Classes:        []string{"chat"},
+	}, log)
+	watcher := discovery.NewWatcher(log)
+	set := settings.Settings{
+		Settings: balancer.Settings{
+			NodeCount:    1,
+			MaxAttempts:  3,
+			MayCancel:    true,
+			PollList:     true,
+			PollInterval: time.Hour,
+			DrainGrace:   time.Second,
+			Classes:      []balancer.Class{{SetupLatencyObjective: 5 * time.Second, Deadline: 5 * time.Second, PriorityWeight: 1}},
+		},
+		ClassNames: []string{"chat"},
+	}
+	configure(&set)
 	known := wire.EndpointList{Complete: true}
 	for i, addr := range hosts {
 		known.Endpoints = append(known.Endpoints, wire.Endpoint{ID: fmt.Sprint("h", i), Addr: addr, Size: 1})
@@ -51,42 +67,35 @@
 	n := node.New(set, known, discoveryAddr, struct {
 		*discovery.Watcher
 		*Proxy
-	}{y, d}, log)
-	d.Attach(n)
-	y.Attach(n)
-	l, err := Listen(context.Background(), "127.0.0.1:0")
+	}{watcher, p}, log)
+	p.Attach(n)
+	watcher.Attach(n)
+	listener, err := Listen(context.Background(), "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	var all sync.WaitGroup
-	run := func(f func()) {
-		all.Add(1)
-		go func() {
-			defer all.Done()
-			f()
-		}()
-	}
-	run(func() { _ = d.Serve(l) })
-	run(func() { _ = y.Run(ctx) })
+	var running sync.WaitGroup
+	running.Go(func() { _ = p.Serve(listener) })
+	running.Go(func() { _ = watcher.Run(ctx) })
 	if loop {
-		run(func() { _ = n.Run(ctx) })
+		running.Go(func() { _ = n.Run(ctx) })
 	}
 	var once sync.Once
-	r := &testNode{proxy: d, node: n, addr: l.Addr().String()}
+	r := &testNode{proxy: p, node: n, addr: listener.Addr().String()}
 	r.stop = func() {
 		once.Do(func() {
-			_ = l.Close()
-			d.Shutdown(false)
+			_ = listener.Close()
+			p.Shutdown(false)
 			cancel()
-			all.Wait()
+			running.Wait()
 		})
 	}
 	t.Cleanup(r.stop)
 	return r
 }
 
-// open opens a connection, sends a line and returns the reader behind it.
+// open opens a connection, sends a line and returns a reader of the replies.
 func (r *testNode) open(t *testing.T, line string) (net.Conn, *bufio.Reader) {
 	t.Helper()
 	c, err := net.Dial("tcp", r.addr)
@@ -99,7 +108,7 @@
 	return c, bufio.NewReader(c)
 }
 
-// onlyConn is the one client's connection of a driver.
+// onlyConn returns the connection of a proxy's only client.
 func (r *testNode) onlyConn(t *testing.T) (c *conn) {
 	t.Helper()
 	netiotest.Eventually(t, "the client is accepted", func() bool {
@@ -112,18 +121,18 @@
 	return c
 }
 
-// awaitNoClients waits until no client is left.
+// awaitNoClients waits until all connections have ended.
 func (r *testNode) awaitNoClients(t *testing.T) {
 	t.Helper()
 	netiotest.Eventually(t, "no client is left", func() bool { return len(r.proxy.unfinished(false)) == 0 && r.node.InFlightRequests() == 0 })
 }
 
-// withLongDeadline are settings under which an attempt lasts for as long as the test.
+// withLongDeadline lets an attempt last for as long as the test.
 func withLongDeadline(s *settings.Settings) {
 	s.Classes[0].SetupLatencyObjective, s.Classes[0].Deadline = 9*time.Minute, 9*time.Minute
 }
 
-// connect is a connection and its other side.
+// connect returns both sides of a connection.
 func connect(t *testing.T) (client, server *net.TCPConn) {
 	t.Helper()
 	l, err := Listen(context.Background(), "127.0.0.1:0")
@@ -136,6 +145,6 @@
 func expectLine(t *testing.T, in *bufio.Reader, want string) {
 	t.Helper()
 	if line, err := in.ReadString('\n'); line != want {
-		t.Fatalf("heard %q, error %v; want %q", line, err, want)
+		t.Fatalf("read %q, error %v; want %q", line, err, want)
 	}
 }
--- a/internal/proxy/hosts_test.go
+++ b/internal/proxy/hosts_test.go
@@ -12,7 +12,7 @@
 	"onyxstream/internal/netio/netiotest"
 )
 
-// respondingHost is a host that reads the first line and says something.
+// respondingHost starts a host that reads the opening line and writes text.
 func respondingHost(t *testing.T, text string) string {
 	return netiotest.Serve(t, func(c *net.TCPConn) {
 		if _, err := bufio.NewReader(c).ReadString('\n'); err == nil {
@@ -22,7 +22,7 @@
 	})
 }
 
-// echoHost is a host that brings up all who come and says each line back; what it is given on say it says at once.
+// echoHost starts a host that establishes every connection and echoes each line. It writes what it receives on say at once.
 func echoHost(t *testing.T, say chan string) string {
 	return netiotest.Serve(t, func(c *net.TCPConn) {
 		in := bufio.NewReader(c)
@@ -45,16 +45,16 @@
 	})
 }
 
-// countingHost is a host that counts what comes to it.
+// countingHost is a host that counts connections and opening lines.
 type countingHost struct {
 	addr          string
 	lines, closed atomic.Int64
 
 	mu    sync.Mutex
-	peers []string // who has connected, in turn
+	peers []string // addresses, in the order of their connections
 }
 
-// startCountingHost is a host that says what reply gives for a line, "" for nothing.
+// startCountingHost starts a host that answers an opening line with reply.
 func startCountingHost(t *testing.T, reply string) *countingHost {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -88,7 +88,7 @@
 	return h
 }
 
-// connections tells how many connections have come. They are accepted in turn: one of the test's own is the last.
+// connections returns how many connections have come. Hosts accept in order, so it connects and counts those before.
 func (h *countingHost) connections(t *testing.T) (before int) {
 	t.Helper()
 	c, err := net.Dial("tcp", h.addr)
@@ -96,7 +96,7 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	netiotest.Eventually(t, "the last one is accepted", func() bool {
+	netiotest.Eventually(t, "the last connection is accepted", func() bool {
 		h.mu.Lock()
 		defer h.mu.Unlock()
 		before = slices.Index(h.peers, c.LocalAddr().String())
--- a/internal/proxy/invariants_test.go
+++ b/internal/proxy/invariants_test.go
@@ -9,7 +9,7 @@
 	"onyxstream/internal/invariant"
 )
 
-// Each end of a request that breaks a rule is counted, and no other is.
+// Every violation at the end of a request is counted, and nothing else.
 func TestCheckCompletion_ConnectionEnds(t *testing.T) {
 	now := time.Now()
 	for _, c := range []struct {
@@ -18,13 +18,13 @@
 		want map[invariant.Rule]uint64
 	}{
 		{"answered once", func(c *conn) { c.countReply(rejected) }, nil},
-		{"its client left", func(c *conn) { c.disconnect() }, nil},
-		{"stood before the run", func(c *conn) { c.opening.CurrentHost = "h0" }, nil},
+		{"the client disconnected", func(c *conn) { c.disconnect() }, nil},
+		{"resumed at its current host", func(c *conn) { c.opening.CurrentHost = "h0" }, nil},
 		{"never answered", func(*conn) {}, map[invariant.Rule]uint64{invariant.Unanswered: 1}},
-		{"cut off by this node", func(c *conn) { c.aborted = true; c.disconnect() }, map[invariant.Rule]uint64{invariant.Unanswered: 1}},
+		{"aborted by this node", func(c *conn) { c.aborted = true; c.disconnect() }, map[invariant.Rule]uint64{invariant.Unanswered: 1}},
 		{"answered twice", func(c *conn) { c.countReply(rejected); c.countReply(errored) }, map[invariant.Rule]uint64{invariant.AnsweredTwice: 1}},
 		{"answered late", func(c *conn) { c.noteReply(now.Add(2 * time.Second)) }, map[invariant.Rule]uint64{invariant.AnsweredLate: 1}},
-		{"sent on for a leaver", func(c *conn) {
+		{"forwarded after the disconnect", func(c *conn) {
 			c.disconnect()
 			c.checkStart("h0", c.disconnectedAt.Add(time.Second))
 		}, map[invariant.Rule]uint64{invariant.SentAfterDisconnect: 1}},
@@ -32,9 +32,9 @@
 		t.Run(c.name, func(t *testing.T) {
 			r := startNode(t, zap.NewNop(), false)
 			_, server := connect(t)
-			k := r.proxy.newConn(server, now)
-			c.end(k)
-			k.checkCompletion(now.Add(time.Second))
+			clientConn := r.proxy.newConn(server, now)
+			c.end(clientConn)
+			clientConn.checkCompletion(now.Add(time.Second))
 			for _, rule := range invariant.Rules() {
 				if got := r.node.Monitor().Count(rule); got != c.want[rule] {
 					t.Errorf("%q is counted %d times, want %d", rule, got, c.want[rule])
--- a/internal/proxy/opening_test.go
+++ b/internal/proxy/opening_test.go
@@ -12,8 +12,8 @@
 	"onyxstream/internal/wire"
 )
 
-// A request that comes on a resting connection as its time is over is served: a close over it would lose it. The node is
-// held in the middle of its last PING until the time is over and the request lies there.
+// A request that comes as an idle connection times out is served: a close over it would lose it. The proxy's mutex is held
+// in the middle of the last health check until the timeout has passed and the request has come.
 func TestReadOpening_RequestAtTimeout_Served(t *testing.T) {
 	r := startNode(t, zap.NewNop(), true, startCountingHost(t, "UP r\r\n").addr)
 	c, err := net.Dial("tcp", r.addr)
@@ -27,14 +27,14 @@
 	in := bufio.NewReader(c)
 	_, _ = io.WriteString(c, "PING\r\n")
 	if line, err := in.ReadString('\n'); line != wire.Pong || err != nil {
-		t.Fatalf("heard %q, error %v", line, err)
+		t.Fatalf("read %q, error %v", line, err)
 	}
 	_, _ = io.WriteString(c, "OPEN a key c=chat,d=5000\r\n")
-	for begin := time.Now(); time.Since(begin) < openingTimeout+evictionGrace; { // the event is that this time is over
+	for begin := time.Now(); time.Since(begin) < openingTimeout+evictionGrace; { // until the timeout has passed
 		time.Sleep(evictionGrace)
 	}
 	r.proxy.mu.Unlock()
 	if line, err := in.ReadString('\n'); line != "UP r\r\n" || err != nil {
-		t.Errorf("heard %q, error %v", line, err)
+		t.Errorf("read %q, error %v", line, err)
 	}
 }
--- a/internal/proxy/panic_test.go
+++ b/internal/proxy/panic_test.go
@@ -14,7 +14,7 @@
 	"onyxstream/internal/wire"
 )
 
-// panickingCore is a log that fails when it is told of one thing.
+// panickingCore is a log core that panics on one message.
 type panickingCore struct {
 	zapcore.Core
 	message string
@@ -24,12 +24,12 @@
 
 func (p panickingCore) Check(e zapcore.Entry, c *zapcore.CheckedEntry) *zapcore.CheckedEntry {
 	if e.Message == p.message {
-		panic("a fault planted by the test")
+		panic("injected by the test")
 	}
 	return c
 }
 
-// A panic ends its own connection with an answer, frees what the loop holds of it, and stops there.
+// A panic ends its own connection with a reply, and the node keeps nothing of the request.
 func TestRequest_Panics_FailsAlone(t *testing.T) {
 	log := zap.New(panickingCore{zapcore.NewNopCore(), "attempt failed"})
 	r := startNode(t, log, true, respondingHost(t, "ERR\r\n"))
@@ -39,51 +39,49 @@
 			t.Errorf("answered %q, error %v", all, err)
 		}
 	}
-	netiotest.Eventually(t, "nothing is owed", func() bool { return r.node.InFlightRequests() == 0 })
+	netiotest.Eventually(t, "no request is in flight", func() bool { return r.node.InFlightRequests() == 0 })
 }
 
-// A panic after the connection was up must not put an answer of the node's own among the host's lines.
+// Once the connection is established, a reply of the node would stand among the host's lines.
 func TestRelay_Panics_ResetsClient(t *testing.T) {
 	log := zap.New(panickingCore{zapcore.NewNopCore(), "connection closed"})
 	r := startNode(t, log, true, respondingHost(t, "UP r\r\nBYE\r\n"))
 	c, in := r.open(t, "OPEN a key c=chat,d=5000")
 	for _, want := range []string{"UP r\r\n", "BYE\r\n"} {
 		if line, err := in.ReadString('\n'); line != want {
-			t.Fatalf("heard %q, error %v; want %q", line, err, want)
+			t.Fatalf("read %q, error %v; want %q", line, err, want)
 		}
 	}
 	_ = c.(*net.TCPConn).CloseWrite()
 	if rest, err := io.ReadAll(in); len(rest) > 0 || err == nil {
 		t.Errorf("then %q, error %v", rest, err)
 	}
-	netiotest.Eventually(t, "nothing is open", func() bool { return r.node.EstablishedConnections() == 0 })
+	netiotest.Eventually(t, "no connection is established", func() bool { return r.node.EstablishedConnections() == 0 })
 }
 
-// A connection whose goroutine fails before its first line is whole ends alone: the process and its other clients go on, and
-// its place is free again.
+// A connection whose goroutine panics before its opening line is complete ends alone, and its descriptor is free again.
 func TestStart_GoroutinePanics_EndsAlone(t *testing.T) {
 	r := startNode(t, zap.NewNop(), false)
 	_, server := connect(t)
 	c := r.proxy.newConn(server, time.Now())
 	r.proxy.mu.Lock()
 	c.unadmitted = r.proxy.unadmitted.PushBack(c)
-	r.proxy.start(c, func() { panic("a parser's") })
+	r.proxy.start(c, func() { panic("injected by the test") })
 	r.proxy.mu.Unlock()
 	r.proxy.clients.Wait()
 	r.proxy.mu.Lock()
 	defer r.proxy.mu.Unlock()
 	if len(r.proxy.conns) > 0 || r.proxy.unadmitted.Len() > 0 {
-		t.Errorf("%d connections and %d places are left", len(r.proxy.conns), r.proxy.unadmitted.Len())
+		t.Errorf("%d connections and %d unadmitted clients are left", len(r.proxy.conns), r.proxy.unadmitted.Len())
 	}
 }
 
-// A request whose line was read has its answer also where its goroutine fails right behind that. This driver has no node to
-// ask, so looking up the request's class fails.
+// A client whose opening line was read is replied to. This proxy has no node, so that looking up the request's class panics.
 func TestServe_PanicsAfterOpening_Replied(t *testing.T) {
-	d := New(Config{MaxDescriptors: 256}, zap.NewNop())
+	p := New(Config{MaxDescriptors: 256}, zap.NewNop())
 	client, server := connect(t)
-	if !d.accept(server) {
-		t.Fatal("the client is not taken")
+	if !p.accept(server) {
+		t.Fatal("the client is not accepted")
 	}
 	if _, err := io.WriteString(client, "OPEN id key c=chat,d=1000\r\n"); err != nil {
 		t.Fatal(err)
@@ -91,8 +89,8 @@
 	_ = client.SetDeadline(time.Now().Add(10 * time.Second))
 	answer := make([]byte, len(wire.Failure))
 	if n, err := io.ReadFull(client, answer); err != nil || string(answer) != wire.Failure {
-		t.Errorf("heard %q, error %v", answer[:n], err)
+		t.Errorf("read %q, error %v", answer[:n], err)
 	}
 	_ = client.Close()
-	d.clients.Wait()
+	p.clients.Wait()
 }
--- a/internal/proxy/request_test.go
+++ b/internal/proxy/request_test.go
@@ -14,7 +14,7 @@
 	"onyxstream/internal/wire"
 )
 
-// A request that the loop never answers must not wait for ever: the connection's own backstop answers.
+// A request that the node never answers gets a reply from the proxy.
 func TestRequest_NodeSilent_FailsAtDeadline(t *testing.T) {
 	r := startNode(t, zap.NewNop(), false)
 	_, in := r.open(t, "OPEN a key c=chat,d=50")
@@ -23,7 +23,7 @@
 	}
 }
 
-// A client that leaves while its attempt is out withdraws it, and no other host is tried for it.
+// A client that disconnects while its attempt is in flight cancels it, and no other host is tried.
 func TestClient_Disconnects_AttemptCancelled(t *testing.T) {
 	var mu sync.Mutex
 	lines, ended := 0, 0
@@ -49,34 +49,33 @@
 			return *n == want
 		}
 	}
-	netiotest.Eventually(t, "the line reaches a host", count(&lines, 1))
+	netiotest.Eventually(t, "a host reads the line", count(&lines, 1))
 	_ = c.Close()
-	netiotest.Eventually(t, "the attempt is withdrawn", count(&ended, 1))
-	netiotest.Eventually(t, "nothing is owed", func() bool { return r.node.InFlightRequests() == 0 })
+	netiotest.Eventually(t, "the attempt is cancelled", count(&ended, 1))
+	netiotest.Eventually(t, "no request is in flight", func() bool { return r.node.InFlightRequests() == 0 })
 	if r.stop(); !count(&lines, 1)() {
 		t.Error("another host was tried")
 	}
 }
 
-// A connection that stood before the run is taken up for a client that is there: one that leaves while the loop is asked
-// where its host is gets no dial.
+// A client that disconnects while the node is asked for its current host gets no dial.
 func TestResume_ClientDisconnected_NoRetry(t *testing.T) {
 	h := startCountingHost(t, "UP r\r\n")
 	r := startNode(t, zap.NewNop(), false, h.addr)
 	c, _ := r.open(t, "OPEN a key c=chat,d=5000,at=h0")
-	k := r.onlyConn(t)
+	pending := r.onlyConn(t)
 	_ = c.Close()
-	netiotest.Eventually(t, "the node sees that it has left", k.isDisconnected)
-	if ctx, over := k.beginAttempt(0, "h0"); ctx.Err() == nil {
-		t.Error("an attempt may begin for a client that has left")
+	netiotest.Eventually(t, "the disconnect is noticed", pending.isDisconnected)
+	if ctx, over := pending.beginAttempt(0, "h0"); ctx.Err() == nil {
+		t.Error("an attempt may begin for a client that has disconnected")
 	} else {
 		over()
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go func() { _ = r.node.Run(ctx) }() // and now the loop answers
+	go func() { _ = r.node.Run(ctx) }() // now the node answers
 	r.awaitNoClients(t)
 	if n := h.connections(t); n != 0 {
-		t.Errorf("its host was connected to %d times", n)
+		t.Errorf("the host was connected to %d times", n)
 	}
 }
--- a/internal/proxy/teardown_test.go
+++ b/internal/proxy/teardown_test.go
@@ -15,7 +15,7 @@
 	"onyxstream/internal/wire"
 )
 
-// closeWait is the state, by the system's figures, of a connection whose other side has ended by FIN.
+// closeWait is TCP_CLOSE_WAIT: the peer has closed its side by FIN.
 const closeWait = 8
 
 func tcpState(t *testing.T, c *net.TCPConn) uint8 {
@@ -32,25 +32,25 @@
 	return info.State
 }
 
-// A close at once is no close over unread bytes, whose reset may overtake the last word.
+// A close over unread bytes would send a reset, which may overtake the message.
 func TestCloseWithMessage_UnreadBytes_NoReset(t *testing.T) {
 	client, server := connect(t)
 	_, _ = io.WriteString(client, strings.Repeat("x", 20000))
-	netiotest.Eventually(t, "it lies there", func() bool { return netiotest.UnreadBytes(t, server) > 0 })
+	netiotest.Eventually(t, "bytes lie unread", func() bool { return netiotest.UnreadBytes(t, server) > 0 })
 	closeWithMessage(server, "BUSY\r\n")
-	if state := tcpState(t, client); state != closeWait { // a reset would have ended it
+	if state := tcpState(t, client); state != closeWait { // a reset would have closed it
 		t.Errorf("the client's side is in state %d", state)
 	}
 	if all, err := io.ReadAll(client); string(all) != "BUSY\r\n" || err != nil {
-		t.Errorf("heard %q, error %v", all, err)
+		t.Errorf("read %q, error %v", all, err)
 	}
 }
 
-// A connection that stands is moved and broken by its host, in either order: the client hears of the first alone, and the
-// host's side is closed. The driver's word is held, or the host's reset, until the other has come.
+// An established connection is migrated and reset by its host, in either order: the client sees the first event alone, and
+// the host's side is closed. Each event is held until the other has come.
 func TestMigrate_HostResets_FirstEventWins(t *testing.T) {
 	for _, moved := range []bool{true, false} {
-		t.Run(fmt.Sprintf("moved first %v", moved), func(t *testing.T) {
+		t.Run(fmt.Sprintf("migrated first %v", moved), func(t *testing.T) {
 			broken := make(chan struct{})
 			addr := netiotest.Serve(t, func(c *net.TCPConn) {
 				_, _ = bufio.NewReader(c).ReadString('\n')
@@ -61,35 +61,35 @@
 			r := startNode(t, zap.NewNop(), true, addr)
 			_, in := r.open(t, "OPEN a key c=chat,d=5000")
 			if line, err := in.ReadString('\n'); line != "UP r\r\n" || err != nil {
-				t.Fatalf("heard %q, error %v", line, err)
+				t.Fatalf("read %q, error %v", line, err)
 			}
-			k := r.onlyConn(t)
-			netiotest.Eventually(t, "the loop knows that it stands", func() bool { return r.node.EstablishedConnections() == 1 })
+			clientConn := r.onlyConn(t)
+			netiotest.Eventually(t, "the connection is established", func() bool { return r.node.EstablishedConnections() == 1 })
 			if moved {
-				k.Migrate()
+				clientConn.Migrate()
 				close(broken)
 			} else {
-				k.mu.Lock() // the move waits for the connection, which ends meanwhile
+				clientConn.mu.Lock() // Migrate waits for the mutex, while the connection ends
 				done := make(chan struct{})
 				go func() {
-					k.Migrate()
+					clientConn.Migrate()
 					close(done)
 				}()
 				close(broken)
-				netiotest.Eventually(t, "it has ended", func() bool { return r.node.EstablishedConnections() == 0 })
-				k.mu.Unlock()
+				netiotest.Eventually(t, "the connection has ended", func() bool { return r.node.EstablishedConnections() == 0 })
+				clientConn.mu.Unlock()
 				<-done
 			}
 			all, err := io.ReadAll(in)
 			if moved && (string(all) != wire.Migration || err != nil) || !moved && (len(all) > 0 || err == nil) {
-				t.Errorf("heard %q, error %v", all, err)
+				t.Errorf("read %q, error %v", all, err)
 			}
 			r.awaitNoClients(t)
 		})
 	}
 }
 
-// No socket holds back small writes: they would be lost with a reset that follows.
+// Small writes that a socket holds back would be lost with a reset that follows.
 func TestSockets_NoDelay(t *testing.T) {
 	client, ours := connect(t)
 	f, err := ours.File()
@@ -97,12 +97,12 @@
 		t.Fatal(err)
 	}
 	defer f.Close()
-	passed, err := net.FileConn(f) // as a process takes up what it was handed
+	passed, err := net.FileConn(f) // as a process adopts it
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer passed.Close()
-	for name, c := range map[string]*net.TCPConn{"dialled": client, "accepted": ours, "passed on": passed.(*net.TCPConn)} {
+	for name, c := range map[string]*net.TCPConn{"dialled": client, "accepted": ours, "adopted": passed.(*net.TCPConn)} {
 		raw, err := c.SyscallConn()
 		if err != nil {
 			t.Fatal(err)
