--- a/internal/ctxtime/sleep.go
+++ b/internal/ctxtime/sleep.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// Sleep waits, and reports false where ctx ended first.
+// Sleep waits for d, and reports false where ctx ended first.
 func Sleep(ctx context.Context, d time.Duration) bool {
-	t := time.NewTimer(d)
-	defer t.Stop()
+	timer := time.NewTimer(d)
+	defer timer.Stop()
 	select {
 	case <-ctx.Done():
 		return false
-	case <-t.C:
+	case <-timer.C:
 		return true
 	}
 }
--- a/internal/ctxtime/sleep_test.go
+++ b/internal/ctxtime/sleep_test.go
@@ -7,16 +7,16 @@
 	"time"
 )
 
-func TestSleep_EndsByTimeOrContext(t *testing.T) {
+func TestSleep_EndsWithTimeOrContext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
 		defer cancel()
-		begin := time.Now()
-		if !Sleep(ctx, 2*time.Second) || time.Since(begin) != 2*time.Second {
-			t.Errorf("it ended after %v", time.Since(begin))
+		start := time.Now()
+		if !Sleep(ctx, 2*time.Second) || time.Since(start) != 2*time.Second {
+			t.Errorf("it ended after %v", time.Since(start))
 		}
-		if Sleep(ctx, 2*time.Second) || time.Since(begin) != 3*time.Second {
-			t.Errorf("with its context it ended after %v", time.Since(begin))
+		if Sleep(ctx, 2*time.Second) || time.Since(start) != 3*time.Second {
+			t.Errorf("with its context it ended after %v", time.Since(start))
 		}
 	})
 }
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -112,12 +112,16 @@
 	})
 }
 
-const listOfB = `{"revision":1,"complete":true,"members":[{"id":"b","host_port":"127.0.0.1:2","phase":"SERVING","size":1}]}` + "\n"
+const (
+	emptyList = `{"revision":1,"complete":true,"members":[]}` + "\n"
+	listOfB   = `{"revision":1,"complete":true,` +
+		`"members":[{"id":"b","host_port":"127.0.0.1:2","phase":"SERVING","size":1}]}` + "\n"
+)
 
 // A watch that sends an endless list is as silent as one that sends nothing.
 func TestWatch_ListNeverEnds_Reopened(t *testing.T) {
 	addr, calls := serveWatches(t, func(n int64, c *net.TCPConn) {
-		_, _ = io.WriteString(c, chunk(`{"revision":1,"complete":true,"members":[]}`+"\n"))
+		_, _ = io.WriteString(c, chunk(emptyList))
 		if n > 0 {
 			_, _ = io.Copy(io.Discard, c)
 			return
@@ -135,7 +139,8 @@
 func TestWatch_IndentedLists_Accepted(t *testing.T) {
 	first := "{\n  \"revision\": 1,\n  \"complete\": true,\n\n  \"members\": [\r\n" +
 		"    {\"id\": \"{a\\\"}\", \"host_port\": \"127.0.0.1:1\", \"phase\": \"SERVING\", \"size\": 1}\n  ]\n}\n"
-	second := "\r\n{\n \"revision\": 2,\n \"members\": [\n  {\"id\": \"b\", \"host_port\": \"127.0.0.1:2\", \"phase\": \"SERVING\", \"size\": 1}]}\n"
+	second := "\r\n{\n \"revision\": 2,\n \"members\": [\n" +
+		"  {\"id\": \"b\", \"host_port\": \"127.0.0.1:2\", \"phase\": \"SERVING\", \"size\": 1}]}\n"
 	addr, calls := serveWatches(t, func(_ int64, c *net.TCPConn) {
 		_ = c.SetNoDelay(true)
 		for _, b := range []byte(first + second) {
@@ -177,7 +182,8 @@
 // A call that is in flight as discovery is reconfigured is superseded: neither its failure nor its list counts as the new
 // call's.
 func TestWatch_Superseded_ListIgnored(t *testing.T) {
-	hold, called := make(chan struct{}), make(chan struct{}, 1)
+	hold := make(chan struct{})
+	called := make(chan struct{}, 1)
 	oldAddr, _ := serveWatches(t, func(_ int64, c *net.TCPConn) {
 		called <- struct{}{}
 		<-hold // its list is in flight until the new one has been accepted
@@ -204,7 +210,10 @@
 	t.Parallel()
 	addr := serveList(t, listOfB, snapshotTimeout+500*time.Millisecond)
 	for _, poll := range []bool{false, true} {
-		n := startNode(t, netiotest.RefusedAddr(t), func(s *settings.Settings) { s.PollList, s.PollInterval = poll, 10*time.Second })
+		n := startNode(t, netiotest.RefusedAddr(t), func(s *settings.Settings) {
+			s.PollList = poll
+			s.PollInterval = 10 * time.Second
+		})
 		n.SetDiscoveryAddr(addr)
 		start := time.Now()
 		netiotest.Eventually(t, "the list is received", func() bool { return len(n.View().Hosts) == 1 })
--- a/internal/logging/writer.go
+++ b/internal/logging/writer.go
@@ -1,5 +1,5 @@
-// Package logging writes a log without holding up who logs. Lines go to a bounded queue, and one goroutine writes them:
-// a pipe that nobody reads, or a file system that hangs, costs lines of the log and nothing else.
+// Package logging writes a log without blocking who logs. Lines go to a bounded queue, from which one goroutine writes
+// them: where the log's pipe or file system hangs, lines are dropped and counted.
 package logging
 
 import (
@@ -10,23 +10,20 @@
 )
 
 const (
-	// maxQueued bounds the bytes that wait to be written. Lines that come beyond that are dropped, and counted.
-	maxQueued = 256 << 10
-	// syncWithin bounds how long Sync waits.
-	syncWithin = 100 * time.Millisecond
-	// syncPoll is how often Sync looks.
-	syncPoll = time.Millisecond
+	maxQueuedBytes   = 256 << 10 // lines beyond it are dropped
+	syncTimeout      = 100 * time.Millisecond
+	syncPollInterval = time.Millisecond
 )
 
-// Writer is a zapcore.WriteSyncer that never waits for what it writes to. Its methods may be called by any goroutine.
+// Writer is a zapcore.WriteSyncer that never blocks on what it writes to. Its methods may be called by any goroutine.
 type Writer struct {
 	out  io.Writer
-	wake chan struct{} // has room for one
+	wake chan struct{}
 
 	mu      sync.Mutex
 	queued  []byte
 	writing bool
-	dropped int // lines, since the last one that was written
+	dropped int // lines, since the last write that reported them
 }
 
 // New returns a writer to out, and starts its goroutine, which lasts as long as the process.
@@ -36,31 +33,35 @@
 	return w
 }
 
-// Write queues a line, or drops it where too many wait. It never fails and never waits.
+// Write queues a line, or drops it where the queue is full. It never fails and never blocks.
 func (w *Writer) Write(line []byte) (int, error) {
-	w.mu.Lock()
-	if len(w.queued)+len(line) > maxQueued {
-		w.dropped++
-	} else {
-		w.queued = append(w.queued, line...)
-	}
-	w.mu.Unlock()
+	w.enqueue(line)
 	select {
 	case w.wake <- struct{}{}:
-	default: // it is awake already
+	default: // the goroutine is awake
 	}
 	return len(line), nil
 }
 
-// Sync waits until all that was queued is written, for a tenth of a second at most: a log that can't be written must not
-// hold up the end of the process either.
+func (w *Writer) enqueue(line []byte) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if len(w.queued)+len(line) > maxQueuedBytes {
+		w.dropped++
+		return
+	}
+	w.queued = append(w.queued, line...)
+}
+
+// Sync waits until all that was queued is written. It returns an error after a tenth of a second: a log that cannot be
+// written must not delay the end of the process.
 func (w *Writer) Sync() error {
-	for by := time.Now().Add(syncWithin); time.Now().Before(by); time.Sleep(syncPoll) {
+	for deadline := time.Now().Add(syncTimeout); time.Now().Before(deadline); time.Sleep(syncPollInterval) {
 		if w.idle() {
 			return nil
 		}
 	}
-	return fmt.Errorf("the log was not written within %v", syncWithin)
+	return fmt.Errorf("log not written within %v", syncTimeout)
 }
 
 func (w *Writer) idle() bool {
@@ -69,38 +70,39 @@
 	return !w.writing && len(w.queued) == 0
 }
 
-// run writes what is queued. A write that fails loses what it was to write: the next one may succeed.
+// run writes what is queued. A write that fails loses its lines; the next one may succeed.
 func (w *Writer) run() {
 	for range w.wake {
 		for {
-			text, dropped := w.take()
-			if len(text) == 0 {
+			lines, dropped := w.dequeue()
+			if len(lines) == 0 {
 				break
 			}
-			_, err := w.out.Write(text)
+			_, err := w.out.Write(lines)
 			if err == nil && dropped > 0 {
-				_, err = fmt.Fprintf(w.out, "%d lines of the log were dropped: it could not be written\n", dropped)
+				_, err = fmt.Fprintf(w.out, "%d log lines dropped: the log could not be written\n", dropped)
 			}
-			w.wrote(dropped, err)
+			w.finishWrite(dropped, err)
 		}
 	}
 }
 
-// take returns what is queued, and how many lines were dropped.
-func (w *Writer) take() (text []byte, dropped int) {
+// dequeue returns what is queued, and how many lines were dropped.
+func (w *Writer) dequeue() (lines []byte, dropped int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	text, w.queued = w.queued, nil
-	w.writing = len(text) > 0
-	return text, w.dropped
+	lines = w.queued
+	w.queued = nil
+	w.writing = len(lines) > 0
+	return lines, w.dropped
 }
 
-// wrote notes the end of a write; lines that were told to be dropped are no longer counted.
-func (w *Writer) wrote(told int, err error) {
+// finishWrite notes the end of a write. Dropped lines that it reported are no longer counted.
+func (w *Writer) finishWrite(reported int, err error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if err == nil {
-		w.dropped -= told
+		w.dropped -= reported
 	}
 	w.writing = false
 }
--- a/internal/logging/writer_test.go
+++ b/internal/logging/writer_test.go
@@ -10,20 +10,20 @@
 	"time"
 )
 
-// sink is a log's file that can hang or fail.
+// sink is a log file that can hang or fail.
 type sink struct {
-	mu    sync.Mutex
-	text  strings.Builder
-	hangs chan struct{} // a write waits until it is closed; nil for none
-	err   error
+	mu   sync.Mutex
+	text strings.Builder
+	hang chan struct{} // blocks writes until it is closed; nil for none
+	err  error
 }
 
 func (s *sink) Write(p []byte) (int, error) {
 	s.mu.Lock()
-	hangs, err := s.hangs, s.err
+	hang, err := s.hang, s.err
 	s.mu.Unlock()
-	if hangs != nil {
-		<-hangs
+	if hang != nil {
+		<-hang
 	}
 	if err != nil {
 		return 0, err
@@ -33,7 +33,7 @@
 	return s.text.Write(p)
 }
 
-func (s *sink) fails(err error) {
+func (s *sink) setError(err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.err = err
@@ -49,19 +49,19 @@
 	return fmt.Sprintf("line %d of the log, which is about as long as others are\n", i)
 }
 
-func TestWriter_SinkHangs_WriteReturnsAndDropsAreTold(t *testing.T) {
-	const lines = 2 * maxQueued / 50
-	s := &sink{hangs: make(chan struct{})}
+func TestWriter_SinkHangs_DropsAreReported(t *testing.T) {
+	const lines = 2 * maxQueuedBytes / 50
+	s := &sink{hang: make(chan struct{})}
 	w := New(s)
-	for i := range lines { // none of them waits: the test would not end
+	for i := range lines { // none of them blocks: the test would not end
 		if n, err := w.Write([]byte(line(i))); n != len(line(i)) || err != nil {
-			t.Fatalf("line %d: %d bytes taken, error %v", i, n, err)
+			t.Fatalf("line %d: %d bytes accepted, error %v", i, n, err)
 		}
 	}
 	if w.Sync() == nil {
-		t.Error("Sync tells that all is written while nothing is")
+		t.Error("Sync succeeds while nothing is written")
 	}
-	close(s.hangs)
+	close(s.hang)
 	if err := w.Sync(); err != nil {
 		t.Fatal(err)
 	}
@@ -70,41 +70,42 @@
 		t.Errorf("the log begins with %q", text[:100])
 	}
 	written := strings.Count(text, "line ")
-	if told := fmt.Sprintf("\n%d lines of the log were dropped", lines-written); written == lines || !strings.Contains(text, told) {
-		t.Errorf("of %d lines %d were written, and the log does not say %q", lines, written, told)
+	report := fmt.Sprintf("\n%d log lines dropped", lines-written)
+	if written == lines || !strings.Contains(text, report) {
+		t.Errorf("of %d lines %d were written, and the log does not contain %q", lines, written, report)
 	}
-	if len(text) > 2*maxQueued+200 {
+	if len(text) > 2*maxQueuedBytes+200 {
 		t.Errorf("%d bytes were kept", len(text))
 	}
 }
 
-func TestWriter_SinkFailsForAWhile_LaterLinesAreWritten(t *testing.T) {
+func TestWriter_SinkFailsOnce_LaterLinesWritten(t *testing.T) {
 	s := &sink{err: errors.New("no space left on device")}
 	w := New(s)
 	_, _ = w.Write([]byte(line(1)))
 	if err := w.Sync(); err != nil {
 		t.Fatal(err)
 	}
-	s.fails(nil)
+	s.setError(nil)
 	_, _ = w.Write([]byte(line(2)))
 	if err := w.Sync(); err != nil || s.String() != line(2) {
-		t.Errorf("written is %q, error %v", s, err)
+		t.Errorf("wrote %q, error %v", s, err)
 	}
 }
 
-func TestWriter_ManyGoroutines_LinesStayWhole(t *testing.T) {
+func TestWriter_ConcurrentWrites_LinesComplete(t *testing.T) {
 	const writers, lines = 8, 100
 	s := &sink{}
 	w := New(s)
-	var all sync.WaitGroup
+	var running sync.WaitGroup
 	for range writers {
-		all.Go(func() {
+		running.Go(func() {
 			for i := range lines {
 				_, _ = w.Write([]byte(line(i)))
 			}
 		})
 	}
-	all.Wait()
+	running.Wait()
 	if err := w.Sync(); err != nil {
 		t.Fatal(err)
 	}
@@ -115,16 +116,16 @@
 	}
 }
 
-func TestWriter_SyncWhileSinkHangs_Ends(t *testing.T) {
+func TestSync_SinkHangs_TimesOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &sink{hangs: make(chan struct{})}
+		s := &sink{hang: make(chan struct{})}
 		w := New(s)
-		begin := time.Now()
+		start := time.Now()
 		_, _ = w.Write([]byte(line(1)))
-		if w.Sync() == nil || time.Since(begin) > 2*syncWithin {
-			t.Errorf("it ended after %v", time.Since(begin))
+		if w.Sync() == nil || time.Since(start) > 2*syncTimeout {
+			t.Errorf("it ended after %v", time.Since(start))
 		}
-		close(s.hangs)
+		close(s.hang)
 		synctest.Wait()
 		close(w.wake) // the goroutine must not outlive the test
 	})
--- a/internal/proxy/attempt_test.go
+++ b/internal/proxy/attempt_test.go
@@ -33,9 +33,17 @@
 
 func allow() error { return nil }
 
-// hooksWith returns hooks with a connect timeout and an authorization.
-func hooksWith(connect time.Duration, may func() error) attemptHooks {
-	return attemptHooks{connect, may, func(time.Time) {}}
+// attemptWith makes an attempt with openingLine and a connect timeout of a second.
+func attemptWith(ctx context.Context, t *testing.T, target node.Attempt, authorize func() error, in *wire.LineBuffer) (
+	*net.TCPConn, []byte, *AttemptError,
+) {
+	t.Helper()
+	hooks := attemptHooks{
+		connectTimeout: time.Second,
+		authorize:      authorize,
+		written:        func(time.Time) {},
+	}
+	return attempt(ctx, target, parseOpening(t, openingLine), hooks, in)
 }
 
 func TestAttempt_HostResponse_Outcome(t *testing.T) {
@@ -66,8 +74,8 @@
 		t.Run(c.name, func(t *testing.T) {
 			var in wire.LineBuffer
 			defer in.Release()
-			conn, _, failed := attempt(context.Background(), node.Attempt{Addr: c.addr, Timeout: 200 * time.Millisecond},
-				parseOpening(t, openingLine), hooksWith(time.Second, allow), &in)
+			target := node.Attempt{Addr: c.addr, Timeout: 200 * time.Millisecond}
+			conn, _, failed := attemptWith(context.Background(), t, target, allow, &in)
 			if failed == nil {
 				_ = conn.Close()
 				t.Fatal("no error")
@@ -89,13 +97,14 @@
 	})
 	var in wire.LineBuffer
 	defer in.Release()
-	conn, up, failed := attempt(context.Background(), node.Attempt{Addr: addr, Timeout: 5 * time.Second}, parseOpening(t, openingLine), hooksWith(time.Second, allow), &in)
+	target := node.Attempt{Addr: addr, Timeout: 5 * time.Second}
+	conn, established, failed := attemptWith(context.Background(), t, target, allow, &in)
 	if failed != nil {
 		t.Fatal(failed)
 	}
 	defer conn.Close()
-	if string(up) != "UP r-1 more\r\n" {
-		t.Errorf("established line %q", up)
+	if string(established) != "UP r-1 more\r\n" {
+		t.Errorf("established line %q", established)
 	}
 	line := <-lines
 	if !strings.HasPrefix(line, "OPEN id key c=chat,d=4") && !strings.HasPrefix(line, "OPEN id key c=chat,d=5000,") ||
@@ -109,39 +118,41 @@
 
 // The node authorizes between connect and write: otherwise not a byte may reach the host.
 func TestAttempt_NotAuthorized_WritesNothing(t *testing.T) {
-	got := make(chan int, 1)
+	bytesRead := make(chan int, 1)
 	addr := netiotest.Serve(t, func(c *net.TCPConn) {
 		n, _ := c.Read(make([]byte, 1))
-		got <- n
+		bytesRead <- n
 	})
 	var in wire.LineBuffer
-	_, _, failed := attempt(context.Background(), node.Attempt{Addr: addr, Timeout: time.Second}, parseOpening(t, openingLine), hooksWith(time.Second, func() error { return errNotAuthorized }), &in)
+	target := node.Attempt{Addr: addr, Timeout: time.Second}
+	_, _, failed := attemptWith(context.Background(), t, target, func() error { return errNotAuthorized }, &in)
 	if failed == nil || failed.Stage != Authorizing || failed.Outcome() != balancer.NotSent || !errors.Is(failed, errNotAuthorized) {
-		t.Errorf("ended with %v", failed)
+		t.Errorf("failed with %v", failed)
 	}
-	if n := <-got; n != 0 {
-		t.Error("the host got something")
+	if n := <-bytesRead; n != 0 {
+		t.Errorf("the host read %d bytes", n)
 	}
 }
 
 func TestAttempt_CancelledWhileAuthorized_WritesNothing(t *testing.T) {
-	heard := make(chan string, 1)
+	hostRead := make(chan string, 1)
 	addr := netiotest.Serve(t, func(c *net.TCPConn) {
 		all, _ := io.ReadAll(c)
-		heard <- string(all)
+		hostRead <- string(all)
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	var in wire.LineBuffer
 	defer in.Release()
-	_, _, failed := attempt(ctx, node.Attempt{Addr: addr, Timeout: time.Minute}, parseOpening(t, openingLine), hooksWith(time.Second, func() error {
+	cancelAndAllow := func() error {
 		cancel() // the client disconnects between the authorization and the line
 		return nil
-	}), &in)
+	}
+	_, _, failed := attemptWith(ctx, t, node.Attempt{Addr: addr, Timeout: time.Minute}, cancelAndAllow, &in)
 	if failed == nil || !failed.Outcome().ProvesNotExecuted() {
 		t.Errorf("%v; want an outcome that proves that it was not executed", failed)
 	}
-	if got := <-heard; got != "" {
+	if got := <-hostRead; got != "" {
 		t.Errorf("the host read %q", got)
 	}
 }
@@ -157,19 +168,20 @@
 	})
 	var in wire.LineBuffer
 	defer in.Release()
-	_, _, failed := attempt(ctx, node.Attempt{Addr: addr, Timeout: time.Minute}, parseOpening(t, openingLine), hooksWith(time.Second, allow), &in)
+	_, _, failed := attemptWith(ctx, t, node.Attempt{Addr: addr, Timeout: time.Minute}, allow, &in)
 	if failed == nil || failed.Outcome() != balancer.Cancelled {
-		t.Errorf("ended with %v", failed)
+		t.Errorf("failed with %v", failed)
 	}
 	<-closed // the host has read the close
 }
 
 func TestAttempt_NoTimeLeft_NotExecuted(t *testing.T) {
-	addr := respondingHost(t, "UP r\r\n")
+	addr := respondingHost(t, establishedLine)
 	var in wire.LineBuffer
-	_, _, failed := attempt(context.Background(), node.Attempt{Addr: addr, Timeout: -time.Second}, parseOpening(t, openingLine), hooksWith(time.Second, allow), &in)
+	target := node.Attempt{Addr: addr, Timeout: -time.Second}
+	_, _, failed := attemptWith(context.Background(), t, target, allow, &in)
 	if failed == nil || !failed.Outcome().ProvesNotExecuted() {
-		t.Errorf("ended with %v", failed)
+		t.Errorf("failed with %v", failed)
 	}
 }
 
@@ -203,19 +215,19 @@
 
 // An authorization that comes after its attempt has ended must not authorize the next one.
 func TestProceed_PreviousAttempt_Ignored(t *testing.T) {
-	h := startCountingHost(t, "UP r\r\n")
-	r := startNode(t, zap.NewNop(), false, h.addr)
+	host := startCountingHost(t, establishedLine)
+	r := startNode(t, zap.NewNop(), false, host.addr)
 	r.open(t, "OPEN a key c=chat,d=500000")
 	c := r.onlyConn(t)
 	netiotest.Eventually(t, "the request waits for the node", func() bool { return r.proxy.PendingRequests() == 1 })
 	c.Proceed(0, true) // late
 	var in wire.LineBuffer
 	defer in.Release()
-	_, _, failed := c.tryHost(node.Attempt{Number: 1, Addr: h.addr, Timeout: 200 * time.Millisecond}, &in)
+	_, _, failed := c.tryHost(node.Attempt{Number: 1, Addr: host.addr, Timeout: 200 * time.Millisecond}, &in)
 	if failed == nil || failed.Stage != Authorizing {
 		t.Errorf("%v; want that it is not authorized", failed)
 	}
-	if n := h.lines.Load(); n != 0 {
+	if n := host.lines.Load(); n != 0 {
 		t.Errorf("the host read %d lines", n)
 	}
 }
--- a/internal/proxy/budget_test.go
+++ b/internal/proxy/budget_test.go
@@ -18,7 +18,7 @@
 	c := r.proxy.newConn(server, time.Now().Add(-time.Second))
 	c.openingRead.Store(true)
 	c.idle.Store(true)
-	if _, err := io.WriteString(client, "OPEN a key c=chat,d=5000\r\n"); err != nil {
+	if _, err := io.WriteString(client, openRequest+"\r\n"); err != nil {
 		t.Fatal(err)
 	}
 	netiotest.Eventually(t, "the request is received", func() bool { return netiotest.UnreadBytes(t, server) > 0 })
@@ -26,22 +26,22 @@
 	c.unadmitted = r.proxy.unadmitted.PushBack(c)
 	r.proxy.evict(c)
 	r.proxy.mu.Unlock()
-	if heard, err := io.ReadAll(client); err != nil || !strings.HasPrefix(string(heard), "BUSY") {
+	if heard, err := io.ReadAll(client); err != nil || !strings.HasPrefix(string(heard), rejectionPrefix) {
 		t.Errorf("read %q, %v", heard, err)
 	}
 }
 
 // A process to which the other process of its node leaves no descriptors rejects clients, until it has some again.
 func TestDescriptorLimit_Negative_Rejects(t *testing.T) {
-	r := startNode(t, zap.NewNop(), true, respondingHost(t, "UP r\r\n"))
+	r := startNode(t, zap.NewNop(), true, respondingHost(t, establishedLine))
 	r.proxy.SetDescriptorLimit(-100)
-	_, in := r.open(t, "OPEN a key c=chat,d=5000")
-	if line, err := in.ReadString('\n'); !strings.HasPrefix(line, "BUSY") {
+	_, in := r.open(t, openRequest)
+	if line, err := in.ReadString('\n'); !strings.HasPrefix(line, rejectionPrefix) {
 		t.Fatalf("read %q, error %v", line, err)
 	}
 	r.proxy.SetDescriptorLimit(256)
 	_, in = r.open(t, "OPEN b key c=chat,d=5000")
-	if line, err := in.ReadString('\n'); line != "UP r\r\n" {
+	if line, err := in.ReadString('\n'); line != establishedLine {
 		t.Errorf("read %q, error %v", line, err)
 	}
 }
--- a/internal/proxy/disconnect_test.go
+++ b/internal/proxy/disconnect_test.go
@@ -18,7 +18,7 @@
 // A client that sent its opening line and closed while it waited in the listener's queue is replied to at once, without the
 // node or a host. The node's event queue is full, so that a request passed to it would block.
 func TestServe_ClientClosedInAcceptQueue_NotForwarded(t *testing.T) {
-	h := startCountingHost(t, "UP r\r\n")
+	h := startCountingHost(t, establishedLine)
 	r := startNode(t, zap.NewNop(), false, h.addr)
 	door, err := Listen(context.Background(), "127.0.0.1:0")
 	if err != nil {
--- a/internal/proxy/endpointlist_test.go
+++ b/internal/proxy/endpointlist_test.go
@@ -39,7 +39,10 @@
 		t.Fatal(err)
 	}
 	defer service.Close()
-	r := startNodeWith(t, zap.NewNop(), true, service.Addr(), func(s *settings.Settings) { s.PollList, s.DrainGrace = false, grace })
+	r := startNodeWith(t, zap.NewNop(), true, service.Addr(), func(s *settings.Settings) {
+		s.PollList = false
+		s.DrainGrace = grace
+	})
 	opened := 0
 	// openRound opens connections and returns how many were forwarded to each host.
 	openRound := func() (at [2]int64) {
--- a/internal/proxy/harness_test.go
+++ b/internal/proxy/harness_test.go
@@ -124,9 +124,24 @@
 // awaitNoClients waits until all connections have ended.
 func (r *testNode) awaitNoClients(t *testing.T) {
 	t.Helper()
-	netiotest.Eventually(t, "no client is left", func() bool { return len(r.proxy.unfinished(false)) == 0 && r.node.InFlightRequests() == 0 })
+	netiotest.Eventually(t, "no client is left", func() bool {
+		return len(r.proxy.unfinished(false)) == 0 && r.node.InFlightRequests() == 0
+	})
+}
+
+// hasNoClients reports whether no client is established or admitted.
+func (r *testNode) hasNoClients() bool {
+	return r.node.EstablishedConnections() == 0 && r.proxy.OpenClients() == 0
 }
 
+// Lines of clients and hosts.
+const (
+	openRequest     = "OPEN a key c=chat,d=5000"
+	healthCheck     = "PING"
+	establishedLine = "UP r\r\n"
+	rejectionPrefix = "BUSY"
+)
+
 // withLongDeadline lets an attempt last for as long as the test.
 func withLongDeadline(s *settings.Settings) {
 	s.Classes[0].SetupLatencyObjective, s.Classes[0].Deadline = 9*time.Minute, 9*time.Minute
@@ -142,6 +157,7 @@
 	return netiotest.Connect(t, l)
 }
 
+// expectLine reads a line and fails the test where it is not the one that is wanted.
 func expectLine(t *testing.T, in *bufio.Reader, want string) {
 	t.Helper()
 	if line, err := in.ReadString('\n'); line != want {
--- a/internal/proxy/invariants_test.go
+++ b/internal/proxy/invariants_test.go
@@ -9,6 +9,11 @@
 	"onyxstream/internal/invariant"
 )
 
+// violationOf is one violation of a rule.
+func violationOf(rule invariant.Rule) map[invariant.Rule]uint64 {
+	return map[invariant.Rule]uint64{rule: 1}
+}
+
 // Every violation at the end of a request is counted, and nothing else.
 func TestCheckCompletion_ConnectionEnds(t *testing.T) {
 	now := time.Now()
@@ -20,14 +25,20 @@
 		{"answered once", func(c *conn) { c.countReply(rejected) }, nil},
 		{"the client disconnected", func(c *conn) { c.disconnect() }, nil},
 		{"resumed at its current host", func(c *conn) { c.opening.CurrentHost = "h0" }, nil},
-		{"never answered", func(*conn) {}, map[invariant.Rule]uint64{invariant.Unanswered: 1}},
-		{"aborted by this node", func(c *conn) { c.aborted = true; c.disconnect() }, map[invariant.Rule]uint64{invariant.Unanswered: 1}},
-		{"answered twice", func(c *conn) { c.countReply(rejected); c.countReply(errored) }, map[invariant.Rule]uint64{invariant.AnsweredTwice: 1}},
-		{"answered late", func(c *conn) { c.noteReply(now.Add(2 * time.Second)) }, map[invariant.Rule]uint64{invariant.AnsweredLate: 1}},
+		{"never answered", func(*conn) {}, violationOf(invariant.Unanswered)},
+		{"aborted by this node", func(c *conn) {
+			c.aborted = true
+			c.disconnect()
+		}, violationOf(invariant.Unanswered)},
+		{"answered twice", func(c *conn) {
+			c.countReply(rejected)
+			c.countReply(errored)
+		}, violationOf(invariant.AnsweredTwice)},
+		{"answered late", func(c *conn) { c.noteReply(now.Add(2 * time.Second)) }, violationOf(invariant.AnsweredLate)},
 		{"forwarded after the disconnect", func(c *conn) {
 			c.disconnect()
 			c.checkStart("h0", c.disconnectedAt.Add(time.Second))
-		}, map[invariant.Rule]uint64{invariant.SentAfterDisconnect: 1}},
+		}, violationOf(invariant.SentAfterDisconnect)},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := startNode(t, zap.NewNop(), false)
--- a/internal/proxy/panic_test.go
+++ b/internal/proxy/panic_test.go
@@ -46,8 +46,8 @@
 func TestRelay_Panics_ResetsClient(t *testing.T) {
 	log := zap.New(panickingCore{zapcore.NewNopCore(), "connection closed"})
 	r := startNode(t, log, true, respondingHost(t, "UP r\r\nBYE\r\n"))
-	c, in := r.open(t, "OPEN a key c=chat,d=5000")
-	for _, want := range []string{"UP r\r\n", "BYE\r\n"} {
+	c, in := r.open(t, openRequest)
+	for _, want := range []string{establishedLine, "BYE\r\n"} {
 		if line, err := in.ReadString('\n'); line != want {
 			t.Fatalf("read %q, error %v; want %q", line, err, want)
 		}
--- a/internal/proxy/quiesce_test.go
+++ b/internal/proxy/quiesce_test.go
@@ -34,32 +34,34 @@
 	say := make(chan string, 1)
 	defer close(say)
 	addr := echoHost(t, say)
-	old, next := startNode(t, zap.NewNop(), true, addr), startNode(t, zap.NewNop(), true, addr)
-	c, in := old.open(t, "OPEN a key c=chat,d=5000")
-	expectLine(t, in, "UP r\r\n")
+	old := startNode(t, zap.NewNop(), true, addr)
+	next := startNode(t, zap.NewNop(), true, addr)
+	c, in := old.open(t, openRequest)
+	expectLine(t, in, establishedLine)
 	expectLine(t, in, "LOAD 3\r\n")
 	say <- "half "
 	netiotest.Eventually(t, "it rests with a part of a line", func() bool {
-		resting, done := old.proxy.Quiesce(4)
+		resting, decide := old.proxy.Quiesce(4)
 		if len(resting) != 1 {
 			return false
 		}
-		s := resting[0]
-		if string(s.Partial) != "half " {
-			done[0](false)
+		handedOff := resting[0]
+		if string(handedOff.Partial) != "half " {
+			decide[0](false)
 			time.Sleep(20 * time.Millisecond)
 			return false
 		}
-		if s.Host != "h0" || s.Load != 3 || !strings.HasPrefix(s.Line, "OPEN a key ") {
-			t.Errorf("handed off is %+v", s)
+		if handedOff.Host != "h0" || handedOff.Load != 3 || !strings.HasPrefix(handedOff.Line, "OPEN a key ") {
+			t.Errorf("handed off is %+v", handedOff)
 		}
-		s.Client, s.Peer = duplicateSocket(t, s.Client), duplicateSocket(t, s.Peer)
-		if err := next.proxy.Adopt(s); err != nil {
+		handedOff.Client = duplicateSocket(t, handedOff.Client)
+		handedOff.Peer = duplicateSocket(t, handedOff.Peer)
+		if err := next.proxy.Adopt(handedOff); err != nil {
 			t.Fatal(err)
 		}
 		old.proxy.mu.Lock()
 		defer old.proxy.mu.Unlock()
-		done[0](true)
+		decide[0](true)
 		for c := range old.proxy.conns { // it has not ended yet
 			if c.beginQuiesce() != nil {
 				t.Error("a connection that was handed off is brought to rest again")
@@ -67,49 +69,50 @@
 		}
 		return true
 	})
-	netiotest.Eventually(t, "the old process has no connection", func() bool { return old.node.EstablishedConnections() == 0 && old.proxy.OpenClients() == 0 })
+	netiotest.Eventually(t, "the old process has no connection", old.hasNoClients)
 	old.stop()
 	say <- "a line\r\n"
 	expectLine(t, in, "half a line\r\n")
 	_, _ = io.WriteString(c, "M 1\r\n")
 	expectLine(t, in, "M 1\r\n")
 	if next.node.EstablishedConnections() != 1 || next.proxy.OpenClients() != 1 || next.proxy.Replies()[0].Success != 0 {
-		t.Errorf("the new process has %d established, %d open, %+v", next.node.EstablishedConnections(), next.proxy.OpenClients(), next.proxy.Replies())
+		t.Errorf("the new process has %d established, %d open, %+v",
+			next.node.EstablishedConnections(), next.proxy.OpenClients(), next.proxy.Replies())
 	}
 	next.node.MigrateAll(time.Now())
 	expectLine(t, in, "MOVE\r\n")
 	if _, err := in.ReadString('\n'); err != io.EOF {
 		t.Errorf("then %v", err)
 	}
-	netiotest.Eventually(t, "no connection is left", func() bool { return next.node.EstablishedConnections() == 0 && next.proxy.OpenClients() == 0 })
+	netiotest.Eventually(t, "no connection is left", next.hasNoClients)
 }
 
 // A connection that is not handed off is resumed where it was, and one that ends at rest ends as usual.
 func TestQuiesce_NotHandedOff_ResumedHere(t *testing.T) {
 	r := startNode(t, zap.NewNop(), true, echoHost(t, nil))
-	c, in := r.open(t, "OPEN a key c=chat,d=5000")
-	expectLine(t, in, "UP r\r\n")
+	c, in := r.open(t, openRequest)
+	expectLine(t, in, establishedLine)
 	expectLine(t, in, "LOAD 3\r\n")
-	resting, done := r.proxy.Quiesce(4)
+	resting, decide := r.proxy.Quiesce(4)
 	if len(resting) != 1 {
 		t.Fatalf("%d at rest", len(resting))
 	}
 	_, _ = io.WriteString(c, "M 1\r\n") // while it rests
-	done[0](false)
+	decide[0](false)
 	expectLine(t, in, "M 1\r\n")
 	for range maxFailedHandOffs - 1 {
-		_, done = r.proxy.Quiesce(4)
-		done[0](false)
+		_, decide = r.proxy.Quiesce(4)
+		decide[0](false)
 	}
 	if more, _ := r.proxy.Quiesce(4); len(more) > 0 {
 		t.Error("it is brought to rest again without a limit")
 	}
-	left, in := r.open(t, "OPEN b key c=chat,d=5000")
-	expectLine(t, in, "UP r\r\n")
+	second, in := r.open(t, "OPEN b key c=chat,d=5000")
+	expectLine(t, in, establishedLine)
 	expectLine(t, in, "LOAD 3\r\n")
-	_, done = r.proxy.Quiesce(4)
-	_ = left.(*net.TCPConn).CloseWrite()
-	done[0](false)
+	_, decide = r.proxy.Quiesce(4)
+	_ = second.(*net.TCPConn).CloseWrite()
+	decide[0](false)
 	if _, err := in.ReadString('\n'); err != io.EOF {
 		t.Errorf("a client that closed at rest: %v", err)
 	}
@@ -118,8 +121,8 @@
 
 func TestAdopt_BadLineOrDuplicateID_NotAdopted(t *testing.T) {
 	r := startNode(t, zap.NewNop(), true, echoHost(t, nil))
-	_, in := r.open(t, "OPEN a key c=chat,d=5000")
-	expectLine(t, in, "UP r\r\n")
+	_, in := r.open(t, openRequest)
+	expectLine(t, in, establishedLine)
 	pair := func() (*net.TCPConn, *net.TCPConn) {
 		client, _ := r.open(t, "")
 		peer, _ := r.open(t, "")
@@ -145,7 +148,8 @@
 	r.stop()
 	client, ours := connect(t)
 	host, peer := connect(t)
-	if err := r.proxy.Adopt(EstablishedConn{Line: "OPEN a key c=chat,d=5000", Host: "h0", Client: ours, Peer: peer}); err == nil {
+	err := r.proxy.Adopt(EstablishedConn{Line: openRequest, Host: "h0", Client: ours, Peer: peer})
+	if err == nil {
 		t.Fatal("it was adopted after the shutdown")
 	}
 	if all, err := io.ReadAll(client); string(all) != wire.Migration || err != nil {
--- a/internal/proxy/request_test.go
+++ b/internal/proxy/request_test.go
@@ -41,7 +41,7 @@
 		mu.Unlock()
 	}
 	r := startNode(t, zap.NewNop(), true, netiotest.Serve(t, silent), netiotest.Serve(t, silent))
-	c, _ := r.open(t, "OPEN a key c=chat,d=5000")
+	c, _ := r.open(t, openRequest)
 	count := func(n *int, want int) func() bool {
 		return func() bool {
 			mu.Lock()
@@ -60,7 +60,7 @@
 
 // A client that disconnects while the node is asked for its current host gets no dial.
 func TestResume_ClientDisconnected_NoRetry(t *testing.T) {
-	h := startCountingHost(t, "UP r\r\n")
+	h := startCountingHost(t, establishedLine)
 	r := startNode(t, zap.NewNop(), false, h.addr)
 	c, _ := r.open(t, "OPEN a key c=chat,d=5000,at=h0")
 	pending := r.onlyConn(t)
--- a/internal/proxy/shutdown_test.go
+++ b/internal/proxy/shutdown_test.go
@@ -17,14 +17,16 @@
 )
 
 // shutDownMidRead begins a shutdown while what a client has sent was read and not parsed.
-func shutDownMidRead(t *testing.T, r *testNode, c net.Conn, say string) {
+func shutDownMidRead(t *testing.T, r *testNode, c net.Conn, text string) {
 	t.Helper()
 	clientConn := r.onlyConn(t)
-	netiotest.Eventually(t, "the connection is idle", func() bool { return clientConn.idle.Load() && !clientConn.openingStarted.Load() })
+	netiotest.Eventually(t, "the connection is idle", func() bool {
+		return clientConn.idle.Load() && !clientConn.openingStarted.Load()
+	})
 	r.proxy.mu.Lock()
 	defer r.proxy.mu.Unlock()
-	if say != "" {
-		_, _ = io.WriteString(c, say)
+	if text != "" {
+		_, _ = io.WriteString(c, text)
 		netiotest.Eventually(t, "the bytes are read", clientConn.openingStarted.Load)
 	}
 	r.proxy.beginShutdown(false)
@@ -33,27 +35,27 @@
 // A request or a part of one that comes on an idle connection as the shutdown begins is rejected; who has sent nothing is
 // closed by FIN. No client is reset.
 func TestShutdown_OpeningPartlyRead_Replied(t *testing.T) {
-	for _, c := range []struct{ name, first, then, want string }{
-		{"a complete line on an idle connection", "PING", "OPEN a key c=chat,d=5000\r\n", "BUSY"},
-		{"a part of a line", "PING", "OPEN a key c=ch", "BUSY"},
-		{"a health check", "PING", "PING\r\n", wire.Pong},
-		{"nothing", "PING", "", ""},
+	for _, c := range []struct{ name, text, want string }{
+		{"a complete line on an idle connection", openRequest + "\r\n", rejectionPrefix},
+		{"a part of a line", "OPEN a key c=ch", rejectionPrefix},
+		{"a health check", healthCheck + "\r\n", wire.Pong},
+		{"nothing", "", ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			h := startCountingHost(t, "UP r\r\n")
-			r := startNode(t, zap.NewNop(), true, h.addr)
-			k, in := r.open(t, c.first)
+			host := startCountingHost(t, establishedLine)
+			r := startNode(t, zap.NewNop(), true, host.addr)
+			client, in := r.open(t, healthCheck)
 			if line, err := in.ReadString('\n'); line != wire.Pong || err != nil {
 				t.Fatalf("read %q, error %v", line, err)
 			}
-			shutDownMidRead(t, r, k, c.then)
+			shutDownMidRead(t, r, client, c.text)
 			all, err := io.ReadAll(in)
 			if err != nil || !strings.HasPrefix(string(all), c.want) || (c.want == "") != (len(all) == 0) {
 				t.Errorf("read %q, error %v; want %q", all, err, c.want)
 			}
-			_ = k.Close()
+			_ = client.Close()
 			r.stop()
-			if n := h.connections(t); n != 0 {
+			if n := host.connections(t); n != 0 {
 				t.Errorf("the host was connected to %d times", n)
 			}
 		})
@@ -63,17 +65,17 @@
 // What lies unread as the shutdown begins is read before the close.
 func TestShutdown_OpeningUnread_ReadBeforeClose(t *testing.T) {
 	r := startNode(t, zap.NewNop(), true)
-	k, in := r.open(t, "PING")
+	client, in := r.open(t, healthCheck)
 	if line, err := in.ReadString('\n'); line != wire.Pong || err != nil {
 		t.Fatalf("read %q, error %v", line, err)
 	}
 	r.onlyConn(t)
 	r.proxy.mu.Lock()
 	r.proxy.beginShutdown(false) // wakes the reader, which finds what is written now, or nothing
-	_, _ = io.WriteString(k, "OPEN a key c=chat,d=5000\r\n")
+	_, _ = io.WriteString(client, openRequest+"\r\n")
 	r.proxy.mu.Unlock()
 	all, err := io.ReadAll(in)
-	if err != nil || len(all) > 0 && !strings.HasPrefix(string(all), "BUSY") {
+	if err != nil || len(all) > 0 && !strings.HasPrefix(string(all), rejectionPrefix) {
 		t.Errorf("read %q, error %v", all, err)
 	}
 }
@@ -86,7 +88,7 @@
 	r.proxy.mu.Lock()
 	r.proxy.beginShutdown(false)
 	r.proxy.mu.Unlock()
-	if all, err := io.ReadAll(in); !strings.HasPrefix(string(all), "BUSY") || err != nil {
+	if all, err := io.ReadAll(in); !strings.HasPrefix(string(all), rejectionPrefix) || err != nil {
 		t.Errorf("read %q, error %v", all, err)
 	}
 }
@@ -95,26 +97,26 @@
 	r := startNode(t, zap.NewNop(), true)
 	r.stop()
 	client, server := connect(t)
-	_, _ = io.WriteString(client, "OPEN a key c=chat,d=5000\r\n")
+	_, _ = io.WriteString(client, openRequest+"\r\n")
 	if !r.proxy.accept(server) {
 		t.Fatal("it is not accepted")
 	}
-	if all, err := io.ReadAll(client); !strings.HasPrefix(string(all), "BUSY") || err != nil {
+	if all, err := io.ReadAll(client); !strings.HasPrefix(string(all), rejectionPrefix) || err != nil {
 		t.Errorf("read %q, error %v", all, err)
 	}
 }
 
 // With pass-through, established connections stay open and other clients are replied to.
 func TestShutdown_PassThrough_EstablishedStays(t *testing.T) {
-	sentOn := make(chan struct{})
+	forwarded := make(chan struct{})
 	r := startNode(t, zap.NewNop(), true, netiotest.Serve(t, func(c *net.TCPConn) {
 		in := bufio.NewReader(c)
 		if line, _ := in.ReadString('\n'); strings.Contains(line, "wait") {
-			close(sentOn)
+			close(forwarded)
 			_, _ = io.Copy(io.Discard, in)
 			return
 		}
-		_, _ = io.WriteString(c, "UP r\r\n")
+		_, _ = io.WriteString(c, establishedLine)
 		for {
 			line, err := in.ReadString('\n')
 			if err != nil {
@@ -123,18 +125,18 @@
 			_, _ = io.WriteString(c, line)
 		}
 	}))
-	on, in := r.open(t, "OPEN up key c=chat,d=5000")
-	if line, err := in.ReadString('\n'); line != "UP r\r\n" {
+	established, in := r.open(t, "OPEN up key c=chat,d=5000")
+	if line, err := in.ReadString('\n'); line != establishedLine {
 		t.Fatalf("read %q, error %v", line, err)
 	}
-	_, waits := r.open(t, "OPEN wait key c=chat,d=5000")
+	_, pending := r.open(t, "OPEN wait key c=chat,d=5000")
 	netiotest.Eventually(t, "the second request is in flight", func() bool { return r.node.InFlightRequests() == 1 })
-	<-sentOn // until then it may be rejected: it was forwarded nowhere
+	<-forwarded // until then it may be rejected: it was forwarded nowhere
 	r.proxy.Shutdown(true)
-	if all, err := io.ReadAll(waits); string(all) != wire.Failure || err != nil {
+	if all, err := io.ReadAll(pending); string(all) != wire.Failure || err != nil {
 		t.Errorf("the pending client read %q, error %v", all, err)
 	}
-	_, _ = io.WriteString(on, "M\r\n")
+	_, _ = io.WriteString(established, "M\r\n")
 	if line, err := in.ReadString('\n'); line != "M\r\n" {
 		t.Errorf("read %q, error %v", line, err)
 	}
@@ -160,10 +162,10 @@
 				defer hosts.Done()
 				defer c.Close()
 				in := bufio.NewReader(c)
-				if line, err := in.ReadString('\n'); err != nil || strings.HasPrefix(line, "PING") {
+				if line, err := in.ReadString('\n'); err != nil || strings.HasPrefix(line, healthCheck) {
 					return
 				}
-				_, _ = io.WriteString(c, []string{"UP r\r\n", "ERR\r\n", "", "UP r\r\nM\r\nBYE\r\n"}[i%4])
+				_, _ = io.WriteString(c, []string{establishedLine, "ERR\r\n", "", "UP r\r\nM\r\nBYE\r\n"}[i%4])
 				if i%4 != 3 {
 					_, _ = io.Copy(io.Discard, in)
 				}
--- a/internal/proxy/teardown_test.go
+++ b/internal/proxy/teardown_test.go
@@ -54,13 +54,13 @@
 			broken := make(chan struct{})
 			addr := netiotest.Serve(t, func(c *net.TCPConn) {
 				_, _ = bufio.NewReader(c).ReadString('\n')
-				_, _ = io.WriteString(c, "UP r\r\n")
+				_, _ = io.WriteString(c, establishedLine)
 				<-broken
 				_ = c.SetLinger(0)
 			})
 			r := startNode(t, zap.NewNop(), true, addr)
-			_, in := r.open(t, "OPEN a key c=chat,d=5000")
-			if line, err := in.ReadString('\n'); line != "UP r\r\n" || err != nil {
+			_, in := r.open(t, openRequest)
+			if line, err := in.ReadString('\n'); line != establishedLine || err != nil {
 				t.Fatalf("read %q, error %v", line, err)
 			}
 			clientConn := r.onlyConn(t)
--- a/internal/syserr/syserr_test.go
+++ b/internal/syserr/syserr_test.go
@@ -8,24 +8,37 @@
 	"testing"
 )
 
-func TestSorting_EachError(t *testing.T) {
-	for _, c := range []struct {
-		errno                           syscall.Errno
-		memory, resources, address, now bool
-	}{
-		{syscall.ENOBUFS, true, true, false, true}, {syscall.ENOMEM, true, true, false, true},
-		{syscall.EMFILE, false, true, false, true}, {syscall.ENFILE, false, true, false, true},
-		{syscall.EADDRNOTAVAIL, false, false, true, false}, {syscall.EADDRINUSE, false, false, true, false},
-		{syscall.EIO, false, false, false, true}, {syscall.ECONNREFUSED, false, false, false, false}, {syscall.ENOENT, false, false, false, false},
+// wrappings are the forms in which an error of the system reaches a caller.
+func wrappings(errno syscall.Errno) []error {
+	return []error{
+		errno,
+		os.NewSyscallError("x", errno),
+		&os.PathError{Op: "open", Path: "p", Err: errno},
+		fmt.Errorf("wrapped: %w", &net.OpError{Op: "dial", Err: os.NewSyscallError("socket", errno)}),
+	}
+}
+
+func TestClassify_EachErrno(t *testing.T) {
+	type classes struct{ memory, resources, address, read bool }
+	for errno, want := range map[syscall.Errno]classes{
+		syscall.ENOBUFS:       {memory: true, resources: true, read: true},
+		syscall.ENOMEM:        {memory: true, resources: true, read: true},
+		syscall.EMFILE:        {resources: true, read: true},
+		syscall.ENFILE:        {resources: true, read: true},
+		syscall.EADDRNOTAVAIL: {address: true},
+		syscall.EADDRINUSE:    {address: true},
+		syscall.EIO:           {read: true},
+		syscall.ECONNREFUSED:  {},
+		syscall.ENOENT:        {},
 	} {
-		for _, err := range []error{c.errno, os.NewSyscallError("x", c.errno), &os.PathError{Op: "open", Path: "p", Err: c.errno},
-			fmt.Errorf("wrapped: %w", &net.OpError{Op: "dial", Err: os.NewSyscallError("socket", c.errno)})} {
-			if LacksMemory(err) != c.memory || LacksResources(err) != c.resources || LacksAddress(err) != c.address || ReadFailed(err) != c.now {
-				t.Errorf("%v: memory %v, resources %v, address %v, read %v", err, LacksMemory(err), LacksResources(err), LacksAddress(err), ReadFailed(err))
+		for _, err := range wrappings(errno) {
+			got := classes{LacksMemory(err), LacksResources(err), LacksAddress(err), ReadFailed(err)}
+			if got != want {
+				t.Errorf("%v: %+v, want %+v", err, got, want)
 			}
 		}
 	}
 	if LacksMemory(nil) || ReadFailed(nil) {
-		t.Error("no error is sorted")
+		t.Error("nil is classified")
 	}
 }
