--- a/internal/proxy/budget_test.go
+++ b/internal/proxy/budget_test.go
@@ -26,8 +26,8 @@
 	c.unadmitted = r.proxy.unadmitted.PushBack(c)
 	r.proxy.evict(c)
 	r.proxy.mu.Unlock()
-	if heard, err := io.ReadAll(client); err != nil || !strings.HasPrefix(string(heard), rejectionPrefix) {
-		t.Errorf("read %q, %v", heard, err)
+	if reply, err := io.ReadAll(client); err != nil || !strings.HasPrefix(string(reply), rejectionPrefix) {
+		t.Errorf("read %q, %v", reply, err)
 	}
 }
 
--- a/internal/proxy/disconnect_test.go
+++ b/internal/proxy/disconnect_test.go
@@ -18,19 +18,19 @@
 // A client that sent its opening line and closed while it waited in the listener's queue is replied to at once, without the
 // node or a host. The node's event queue is full, so that a request passed to it would block.
 func TestServe_ClientClosedInAcceptQueue_NotForwarded(t *testing.T) {
-	h := startCountingHost(t, establishedLine)
-	r := startNode(t, zap.NewNop(), false, h.addr)
-	door, err := Listen(context.Background(), "127.0.0.1:0")
+	host := startCountingHost(t, establishedLine)
+	r := startNode(t, zap.NewNop(), false, host.addr)
+	listener, err := Listen(context.Background(), "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer door.Close()
+	defer listener.Close()
 	for range 1024 {
 		r.node.PeerContacted()
 	}
 	var waiting []net.Conn
 	for i := range 8 { // complete and closed before the first one is accepted
-		c, err := net.Dial("tcp", door.Addr().String())
+		c, err := net.Dial("tcp", listener.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -40,7 +40,7 @@
 		_ = c.SetDeadline(time.Now().Add(20 * time.Second))
 		waiting = append(waiting, c)
 	}
-	go func() { _ = r.proxy.Serve(door) }()
+	go func() { _ = r.proxy.Serve(listener) }()
 	for _, c := range waiting {
 		if all, err := io.ReadAll(c); string(all) != wire.Failure || err != nil {
 			t.Errorf("read %q, error %v", all, err)
@@ -50,7 +50,7 @@
 	defer cancel()
 	go func() { _ = r.node.Run(ctx) }()
 	r.awaitNoClients(t)
-	if n := h.connections(t); n != 0 {
+	if n := host.connections(t); n != 0 {
 		t.Errorf("the host was connected to %d times", n)
 	}
 }
--- a/internal/proxy/harness_test.go
+++ b/internal/proxy/harness_test.go
@@ -28,14 +28,14 @@
 	stop  func()
 }
 
-// startNode starts a proxy; the node's event loop runs only where loop is set.
-func startNode(t *testing.T, log *zap.Logger, loop bool, hosts ...string) *testNode {
+// startNode starts a proxy; the node's event loop runs only where runNode is set.
+func startNode(t *testing.T, log *zap.Logger, runNode bool, hosts ...string) *testNode {
 	t.Helper()
-	return startNodeWith(t, log, loop, netiotest.RefusedAddr(t), func(*settings.Settings) {}, hosts...)
+	return startNodeWith(t, log, runNode, netiotest.RefusedAddr(t), func(*settings.Settings) {}, hosts...)
 }
 
 // startNodeWith is startNode with a discovery, and with settings as configure leaves them.
-func startNodeWith(t *testing.T, log *zap.Logger, loop bool, discoveryAddr string,
+func startNodeWith(t *testing.T, log *zap.Logger, runNode bool, discoveryAddr string,
 	configure func(*settings.Settings), hosts ...string,
 ) *testNode {
 	t.Helper()
@@ -78,7 +78,7 @@
 	var running sync.WaitGroup
 	running.Go(func() { _ = p.Serve(listener) })
 	running.Go(func() { _ = watcher.Run(ctx) })
-	if loop {
+	if runNode {
 		running.Go(func() { _ = n.Run(ctx) })
 	}
 	var once sync.Once
--- a/internal/proxy/hosts_test.go
+++ b/internal/proxy/hosts_test.go
@@ -22,8 +22,8 @@
 	})
 }
 
-// echoHost starts a host that establishes every connection and echoes each line. It writes what it receives on say at once.
-func echoHost(t *testing.T, say chan string) string {
+// echoHost starts a host that establishes every connection and echoes each line. It writes what it receives on texts at once.
+func echoHost(t *testing.T, texts chan string) string {
 	return netiotest.Serve(t, func(c *net.TCPConn) {
 		in := bufio.NewReader(c)
 		if _, err := in.ReadString('\n'); err != nil {
@@ -31,7 +31,7 @@
 		}
 		_, _ = io.WriteString(c, "UP r\r\nLOAD 3\r\n")
 		go func() {
-			for text := range say {
+			for text := range texts {
 				_, _ = io.WriteString(c, text)
 			}
 		}()
--- a/internal/proxy/opening.go
+++ b/internal/proxy/opening.go
@@ -97,8 +97,6 @@
 	c.reply(wire.Failure)
 }
 
-const protocolViolationMessage = "protocol violation in opening line"
-
 // answerHealthCheck tells a front whether the node accepts clients, and waits for its next line.
 func (r *openingReader) answerHealthCheck() bool {
 	reply := wire.Pong
--- a/internal/proxy/opening_test.go
+++ b/internal/proxy/opening_test.go
@@ -30,7 +30,7 @@
 		t.Fatalf("read %q, error %v", line, err)
 	}
 	_, _ = io.WriteString(c, openRequest+"\r\n")
-	for begin := time.Now(); time.Since(begin) < openingTimeout+evictionGrace; { // until the timeout has passed
+	for start := time.Now(); time.Since(start) < openingTimeout+evictionGrace; { // until the timeout has passed
 		time.Sleep(evictionGrace)
 	}
 	r.proxy.mu.Unlock()
--- a/internal/proxy/panic_test.go
+++ b/internal/proxy/panic_test.go
@@ -31,7 +31,7 @@
 
 // A panic ends its own connection with a reply, and the node keeps nothing of the request.
 func TestRequest_Panics_FailsAlone(t *testing.T) {
-	log := zap.New(panickingCore{zapcore.NewNopCore(), "attempt failed"})
+	log := zap.New(panickingCore{zapcore.NewNopCore(), attemptFailedMessage})
 	r := startNode(t, log, true, respondingHost(t, "ERR\r\n"))
 	for i := range 3 {
 		_, in := r.open(t, fmt.Sprintf("OPEN a%d key c=chat,d=5000", i))
@@ -44,7 +44,7 @@
 
 // Once the connection is established, a reply of the node would stand among the host's lines.
 func TestRelay_Panics_ResetsClient(t *testing.T) {
-	log := zap.New(panickingCore{zapcore.NewNopCore(), "connection closed"})
+	log := zap.New(panickingCore{zapcore.NewNopCore(), connectionClosedMessage})
 	r := startNode(t, log, true, respondingHost(t, "UP r\r\nBYE\r\n"))
 	c, in := r.open(t, openRequest)
 	for _, want := range []string{establishedLine, "BYE\r\n"} {
--- a/internal/proxy/quiesce_test.go
+++ b/internal/proxy/quiesce_test.go
@@ -31,15 +31,15 @@
 // A connection is handed off in the middle of a host's line: the client reads each line complete and once, and the old
 // process writes no more to it.
 func TestQuiesce_HandedOffMidLine_ResumedElsewhere(t *testing.T) {
-	say := make(chan string, 1)
-	defer close(say)
-	addr := echoHost(t, say)
+	texts := make(chan string, 1)
+	defer close(texts)
+	addr := echoHost(t, texts)
 	old := startNode(t, zap.NewNop(), true, addr)
 	next := startNode(t, zap.NewNop(), true, addr)
 	c, in := old.open(t, openRequest)
 	expectLine(t, in, establishedLine)
 	expectLine(t, in, "LOAD 3\r\n")
-	say <- "half "
+	texts <- "half "
 	netiotest.Eventually(t, "it rests with a part of a line", func() bool {
 		resting, decide := old.proxy.Quiesce(4)
 		if len(resting) != 1 {
@@ -71,7 +71,7 @@
 	})
 	netiotest.Eventually(t, "the old process has no connection", old.hasNoClients)
 	old.stop()
-	say <- "a line\r\n"
+	texts <- "a line\r\n"
 	expectLine(t, in, "half a line\r\n")
 	_, _ = io.WriteString(c, "M 1\r\n")
 	expectLine(t, in, "M 1\r\n")
@@ -146,9 +146,9 @@
 func TestAdopt_AfterShutdown_Migrated(t *testing.T) {
 	r := startNode(t, zap.NewNop(), true)
 	r.stop()
-	client, ours := connect(t)
+	client, accepted := connect(t)
 	host, peer := connect(t)
-	err := r.proxy.Adopt(EstablishedConn{Line: openRequest, Host: "h0", Client: ours, Peer: peer})
+	err := r.proxy.Adopt(EstablishedConn{Line: openRequest, Host: "h0", Client: accepted, Peer: peer})
 	if err == nil {
 		t.Fatal("it was adopted after the shutdown")
 	}
--- a/internal/proxy/relay.go
+++ b/internal/proxy/relay.go
@@ -111,7 +111,7 @@
 	} else {
 		_ = r.host.Close()
 	}
-	r.proxy.log.Debug("connection closed",
+	r.proxy.log.Debug(connectionClosedMessage,
 		zap.String("request", r.opening.ID),
 		zap.Stringer("host", r.host.RemoteAddr()),
 		zap.Bool("migrated", migrating),
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -121,6 +121,14 @@
 	return c.violatedProtocol
 }
 
+// Log messages that more than one place needs, tests included.
+const (
+	attemptFailedMessage     = "attempt failed"
+	connectionClosedMessage  = "connection closed"
+	duplicateIDMessage       = "request id is in use by another connection"
+	protocolViolationMessage = "protocol violation in opening line"
+)
+
 // attemptHost makes one attempt and, if it establishes the connection, relays until that ends. It notifies the node, and
 // reports whether the client needs no further attempt: a host has answered it, or it has disconnected.
 func (c *conn) attemptHost(target node.Attempt) (isConcluded bool) {
@@ -140,7 +148,7 @@
 		return true
 	}
 	in.Release()
-	c.proxy.log.Debug("attempt failed",
+	c.proxy.log.Debug(attemptFailedMessage,
 		zap.String("request", c.opening.ID),
 		zap.String("host", target.Addr),
 		zap.Duration("took", took),
--- a/internal/proxy/request_test.go
+++ b/internal/proxy/request_test.go
@@ -26,7 +26,7 @@
 // A client that disconnects while its attempt is in flight cancels it, and no other host is tried.
 func TestClient_Disconnects_AttemptCancelled(t *testing.T) {
 	var mu sync.Mutex
-	lines, ended := 0, 0
+	lines, closed := 0, 0
 	silent := func(c *net.TCPConn) {
 		in := bufio.NewReader(c)
 		if _, err := in.ReadString('\n'); err != nil {
@@ -37,7 +37,7 @@
 		mu.Unlock()
 		_, _ = io.Copy(io.Discard, in)
 		mu.Lock()
-		ended++
+		closed++
 		mu.Unlock()
 	}
 	r := startNode(t, zap.NewNop(), true, netiotest.Serve(t, silent), netiotest.Serve(t, silent))
@@ -51,7 +51,7 @@
 	}
 	netiotest.Eventually(t, "a host reads the line", count(&lines, 1))
 	_ = c.Close()
-	netiotest.Eventually(t, "the attempt is cancelled", count(&ended, 1))
+	netiotest.Eventually(t, "the attempt is cancelled", count(&closed, 1))
 	netiotest.Eventually(t, "no request is in flight", func() bool { return r.node.InFlightRequests() == 0 })
 	if r.stop(); !count(&lines, 1)() {
 		t.Error("another host was tried")
@@ -60,22 +60,22 @@
 
 // A client that disconnects while the node is asked for its current host gets no dial.
 func TestResume_ClientDisconnected_NoRetry(t *testing.T) {
-	h := startCountingHost(t, establishedLine)
-	r := startNode(t, zap.NewNop(), false, h.addr)
+	host := startCountingHost(t, establishedLine)
+	r := startNode(t, zap.NewNop(), false, host.addr)
 	c, _ := r.open(t, "OPEN a key c=chat,d=5000,at=h0")
 	pending := r.onlyConn(t)
 	_ = c.Close()
 	netiotest.Eventually(t, "the disconnect is noticed", pending.isDisconnected)
-	if ctx, over := pending.beginAttempt(0, "h0"); ctx.Err() == nil {
+	if ctx, end := pending.beginAttempt(0, "h0"); ctx.Err() == nil {
 		t.Error("an attempt may begin for a client that has disconnected")
 	} else {
-		over()
+		end()
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go func() { _ = r.node.Run(ctx) }() // now the node answers
 	r.awaitNoClients(t)
-	if n := h.connections(t); n != 0 {
+	if n := host.connections(t); n != 0 {
 		t.Errorf("the host was connected to %d times", n)
 	}
 }
--- a/internal/proxy/resume.go
+++ b/internal/proxy/resume.go
@@ -16,8 +16,6 @@
 	resumeBackoff = 250 * time.Millisecond
 )
 
-const duplicateIDMessage = "request id is in use by another connection"
-
 // resume re-establishes a connection whose client names its current host: the opening line goes to that host alone. The
 // host may not be ready, or not in the endpoint list yet, so what never reached it is retried.
 func (c *conn) resume(state *requestState) {
--- a/internal/proxy/teardown_test.go
+++ b/internal/proxy/teardown_test.go
@@ -49,13 +49,13 @@
 // An established connection is migrated and reset by its host, in either order: the client sees the first event alone, and
 // the host's side is closed. Each event is held until the other has come.
 func TestMigrate_HostResets_FirstEventWins(t *testing.T) {
-	for _, moved := range []bool{true, false} {
-		t.Run(fmt.Sprintf("migrated first %v", moved), func(t *testing.T) {
-			broken := make(chan struct{})
+	for _, migratedFirst := range []bool{true, false} {
+		t.Run(fmt.Sprintf("migrated first %v", migratedFirst), func(t *testing.T) {
+			hostResets := make(chan struct{})
 			addr := netiotest.Serve(t, func(c *net.TCPConn) {
 				_, _ = bufio.NewReader(c).ReadString('\n')
 				_, _ = io.WriteString(c, establishedLine)
-				<-broken
+				<-hostResets
 				_ = c.SetLinger(0)
 			})
 			r := startNode(t, zap.NewNop(), true, addr)
@@ -65,9 +65,9 @@
 			}
 			clientConn := r.onlyConn(t)
 			netiotest.Eventually(t, "the connection is established", func() bool { return r.node.EstablishedConnections() == 1 })
-			if moved {
+			if migratedFirst {
 				clientConn.Migrate()
-				close(broken)
+				close(hostResets)
 			} else {
 				clientConn.mu.Lock() // Migrate waits for the mutex, while the connection ends
 				done := make(chan struct{})
@@ -75,13 +75,13 @@
 					clientConn.Migrate()
 					close(done)
 				}()
-				close(broken)
+				close(hostResets)
 				netiotest.Eventually(t, "the connection has ended", func() bool { return r.node.EstablishedConnections() == 0 })
 				clientConn.mu.Unlock()
 				<-done
 			}
 			all, err := io.ReadAll(in)
-			if moved && (string(all) != wire.Migration || err != nil) || !moved && (len(all) > 0 || err == nil) {
+			if migratedFirst && (string(all) != wire.Migration || err != nil) || !migratedFirst && (len(all) > 0 || err == nil) {
 				t.Errorf("read %q, error %v", all, err)
 			}
 			r.awaitNoClients(t)
@@ -91,26 +91,26 @@
 
 // Small writes that a socket holds back would be lost with a reset that follows.
 func TestSockets_NoDelay(t *testing.T) {
-	client, ours := connect(t)
-	f, err := ours.File()
+	client, accepted := connect(t)
+	f, err := accepted.File()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer f.Close()
-	passed, err := net.FileConn(f) // as a process adopts it
+	adopted, err := net.FileConn(f) // as a process adopts it
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer passed.Close()
-	for name, c := range map[string]*net.TCPConn{"dialled": client, "accepted": ours, "adopted": passed.(*net.TCPConn)} {
+	defer adopted.Close()
+	for name, c := range map[string]*net.TCPConn{"dialled": client, "accepted": accepted, "adopted": adopted.(*net.TCPConn)} {
 		raw, err := c.SyscallConn()
 		if err != nil {
 			t.Fatal(err)
 		}
-		on := 0
-		_ = raw.Control(func(fd uintptr) { on, err = unix.GetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_NODELAY) })
-		if err != nil || on == 0 {
-			t.Errorf("%s: %d, error %v", name, on, err)
+		noDelay := 0
+		_ = raw.Control(func(fd uintptr) { noDelay, err = unix.GetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_NODELAY) })
+		if err != nil || noDelay == 0 {
+			t.Errorf("%s: %d, error %v", name, noDelay, err)
 		}
 	}
 }
