--- a/internal/proxy/opening.go
+++ b/internal/proxy/opening.go
@@ -25,7 +25,7 @@
 	errUnknownClass = errors.New("class or tenant is not configured")
 	errRapidPings   = errors.New("too many health checks in a row")
 	// errEarlyData is the violation of a client that does not wait for the answer to its opening line. Only a mid-flow
-	// client may send more: what it wants is known to its host.
+	// client may send more.
 	errEarlyData = errors.New("data before the connection was established")
 )
 
