--- a/internal/lifecycle/management.go
+++ b/internal/lifecycle/management.go
@@ -51,7 +51,7 @@
 		stats.Replies = append(stats.Replies, management.Replies{
 			Class:    replies.Class,
 			Success:  replies.Success,
-			Overload: replies.Refused,
+			Overload: replies.Rejected,
 			Error:    replies.Error,
 		})
 	}
--- a/internal/lifecycle/management_test.go
+++ b/internal/lifecycle/management_test.go
@@ -12,6 +12,7 @@
 
 	"onyxstream/balancer"
 	"onyxstream/internal/control"
+	"onyxstream/internal/discovery"
 	"onyxstream/internal/multiprocess"
 	"onyxstream/internal/node"
 	"onyxstream/internal/proxy"
@@ -30,7 +31,7 @@
 		ClassNames: []string{"chat"},
 	}
 	known := wire.EndpointList{Complete: true, Endpoints: []wire.Endpoint{{ID: "h1", Addr: "127.0.0.1:1", Size: 1}}}
-	n := node.New(parsed, known, "127.0.0.1:1", transport{proxy.NewDiscovery(log), clients}, log)
+	n := node.New(parsed, known, "127.0.0.1:1", transport{discovery.NewWatcher(log), clients}, log)
 	clients.Attach(n)
 	cfg := multiprocess.Config{Node: "n1", Folder: folder, Sockets: 256, MemoryMB: 64}
 	coordinator := multiprocess.NewCoordinator(cfg, n, clients, log)
--- a/internal/lifecycle/run.go
+++ b/internal/lifecycle/run.go
@@ -18,6 +18,7 @@
 	"golang.org/x/sync/errgroup"
 
 	"onyxstream/internal/control"
+	"onyxstream/internal/discovery"
 	"onyxstream/internal/management"
 	"onyxstream/internal/multiprocess"
 	"onyxstream/internal/node"
@@ -41,7 +42,7 @@
 
 	node        *node.Node
 	proxy       *proxy.Proxy
-	discovery   *proxy.Discovery
+	discovery   *discovery.Watcher
 	coordinator *multiprocess.Coordinator
 
 	maxControlConnections int
@@ -52,7 +53,7 @@
 
 // transport gives the event loop the sockets that are not clients' connections.
 type transport struct {
-	*proxy.Discovery
+	*discovery.Watcher
 	*proxy.Proxy
 }
 
@@ -101,7 +102,7 @@
 		stop:                  stop,
 		maxControlConnections: maxControlConnections,
 		proxy:                 newProxy(cfg, controlDescriptors(options.Control, maxControlConnections), log),
-		discovery:             proxy.NewDiscovery(log),
+		discovery:             discovery.NewWatcher(log),
 	}
 	if options.ColdStart != nil {
 		start := newColdStart(options.ColdStart, cfg, log)
--- a/internal/multiprocess/coordinator_test.go
+++ b/internal/multiprocess/coordinator_test.go
@@ -9,6 +9,7 @@
 
 	"onyxstream/balancer"
 	"onyxstream/internal/control"
+	"onyxstream/internal/discovery"
 	"onyxstream/internal/node"
 	"onyxstream/internal/proxy"
 	"onyxstream/internal/settings"
@@ -17,7 +18,7 @@
 
 // transport gives the event loop its sockets.
 type transport struct {
-	*proxy.Discovery
+	*discovery.Watcher
 	*proxy.Proxy
 }
 
@@ -42,7 +43,7 @@
 		ClassNames: []string{"chat"},
 	}
 	known := wire.EndpointList{Complete: true, Endpoints: []wire.Endpoint{{ID: "h1", Addr: "127.0.0.1:1", Size: 1}}}
-	n := node.New(parsed, known, "127.0.0.1:1", transport{proxy.NewDiscovery(log), clients}, log)
+	n := node.New(parsed, known, "127.0.0.1:1", transport{discovery.NewWatcher(log), clients}, log)
 	clients.Attach(n)
 	coordinator := NewCoordinator(Config{Node: "n1", Folder: folder, Sockets: 256, MemoryMB: 64}, n, clients, log)
 	t.Cleanup(coordinator.Close)
--- a/internal/proxy/attempt_test.go
+++ b/internal/proxy/attempt_test.go
@@ -6,62 +6,23 @@
 	"errors"
 	"io"
 	"net"
+	"os"
 	"strings"
+	"syscall"
 	"testing"
 	"time"
 
+	"go.uber.org/zap"
+
 	"onyxstream/balancer"
+	"onyxstream/internal/netio/netiotest"
 	"onyxstream/internal/node"
 	"onyxstream/internal/wire"
 )
 
-// host is a listener that hands each connection to a function.
-func host(t *testing.T, serve func(*net.TCPConn)) string {
-	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { _ = l.Close() })
-	go func() {
-		for {
-			c, err := l.Accept()
-			if err != nil {
-				return
-			}
-			go func() {
-				defer c.Close()
-				serve(c.(*net.TCPConn))
-			}()
-		}
-	}()
-	return l.Addr().String()
-}
-
-// answering is a host that reads the first line and says something.
-func answering(t *testing.T, text string) string {
-	return host(t, func(c *net.TCPConn) {
-		if _, err := bufio.NewReader(c).ReadString('\n'); err == nil {
-			_, _ = io.WriteString(c, text)
-			_, _ = io.Copy(io.Discard, c)
-		}
-	})
-}
+const openingLine = "OPEN id key c=chat,d=9000,new=1"
 
-// refusing is an address where nothing listens.
-func refusing(t *testing.T) string {
-	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer l.Close()
-	return l.Addr().String()
-}
-
-const hello = "OPEN id key c=chat,d=9000,new=1"
-
-func opening(t *testing.T, line string) *wire.Opening {
+func parseOpening(t *testing.T, line string) *wire.Opening {
 	t.Helper()
 	_, o, err := wire.ParseOpening([]byte(line))
 	if err != nil {
@@ -70,34 +31,42 @@
 	return &o
 }
 
-func may() error { return nil }
+func allow() error { return nil }
 
-// permitted holds an attempt to a dial's limit and to may alone.
-func permitted(connect time.Duration, may func() error) permit {
-	return permit{connect, may, func(time.Time) {}}
+// attemptWith makes an attempt with openingLine and a connect timeout of a second.
+func attemptWith(ctx context.Context, t *testing.T, target node.Attempt, authorize func() error, in *wire.LineBuffer) (
+	*net.TCPConn, []byte, *AttemptError,
+) {
+	t.Helper()
+	hooks := attemptHooks{
+		connectTimeout: time.Second,
+		authorize:      authorize,
+		written:        func(time.Time) {},
+	}
+	return attempt(ctx, target, parseOpening(t, openingLine), hooks, in)
 }
 
-func TestAttemptOutcomesByStage(t *testing.T) {
+func TestAttempt_HostResponse_Outcome(t *testing.T) {
 	long := strings.Repeat("x", wire.BufferSize)
 	for _, c := range []struct {
 		name, addr string
 		stage      Stage
 		want       balancer.Outcome
 	}{
-		{"refused", refusing(t), Dialing, balancer.ConnectFailed},
-		{"turned away", answering(t, "BUSY\r\n"), Answering, balancer.Rejected},
-		{"an error", answering(t, "ERR\r\n"), Answering, balancer.Errored},
-		{"sent away", answering(t, "MOVE\r\n"), Answering, balancer.Cancelled},
-		{"ended before it was up", answering(t, "BYE\r\n"), Answering, balancer.Errored},
-		{"no receipt", answering(t, "UP\r\n"), Answering, balancer.Errored},
-		{"garbage", answering(t, "HTTP/1.1 400 Bad Request\r\n"), Answering, balancer.Errored},
-		{"a line with no end", answering(t, long), Answering, balancer.Errored},
-		{"half an answer", answering(t, "UP r-1"), Awaiting, balancer.ResponseTimeout},
-		{"nothing", answering(t, ""), Awaiting, balancer.ResponseTimeout},
-		{"ended without an answer", host(t, func(c *net.TCPConn) {
+		{"connection refused", netiotest.RefusedAddr(t), Dialing, balancer.ConnectFailed},
+		{"rejected", respondingHost(t, "BUSY\r\n"), Answering, balancer.Rejected},
+		{"an error", respondingHost(t, "ERR\r\n"), Answering, balancer.Errored},
+		{"migrated", respondingHost(t, "MOVE\r\n"), Answering, balancer.Cancelled},
+		{"closed before it was established", respondingHost(t, "BYE\r\n"), Answering, balancer.Errored},
+		{"established without a receipt", respondingHost(t, "UP\r\n"), Answering, balancer.Errored},
+		{"garbage", respondingHost(t, "HTTP/1.1 400 Bad Request\r\n"), Answering, balancer.Errored},
+		{"an endless line", respondingHost(t, long), Answering, balancer.Errored},
+		{"a part of a response", respondingHost(t, "UP r-1"), Awaiting, balancer.ResponseTimeout},
+		{"no response", respondingHost(t, ""), Awaiting, balancer.ResponseTimeout},
+		{"closed without a response", netiotest.Serve(t, func(c *net.TCPConn) {
 			_, _ = bufio.NewReader(c).ReadString('\n')
 		}), Awaiting, balancer.ConnectionReset},
-		{"broken without an answer", host(t, func(c *net.TCPConn) {
+		{"reset without a response", netiotest.Serve(t, func(c *net.TCPConn) {
 			_, _ = bufio.NewReader(c).ReadString('\n')
 			_ = c.SetLinger(0)
 		}), Awaiting, balancer.ConnectionReset},
@@ -105,8 +74,8 @@
 		t.Run(c.name, func(t *testing.T) {
 			var in wire.LineBuffer
 			defer in.Release()
-			conn, _, failed := attempt(context.Background(), node.Attempt{Addr: c.addr, Timeout: 200 * time.Millisecond},
-				opening(t, hello), permitted(time.Second, may), &in)
+			target := node.Attempt{Addr: c.addr, Timeout: 200 * time.Millisecond}
+			conn, _, failed := attemptWith(context.Background(), t, target, allow, &in)
 			if failed == nil {
 				_ = conn.Close()
 				t.Fatal("no error")
@@ -118,9 +87,9 @@
 	}
 }
 
-func TestAttemptComesUpWithWhatFollows(t *testing.T) {
+func TestAttempt_Established_ReturnsBufferedLines(t *testing.T) {
 	lines := make(chan string, 1)
-	addr := host(t, func(c *net.TCPConn) {
+	addr := netiotest.Serve(t, func(c *net.TCPConn) {
 		line, _ := bufio.NewReader(c).ReadString('\n')
 		lines <- line
 		_, _ = io.WriteString(c, "UP r-1 more\r\nM 1\r\nM")
@@ -128,13 +97,14 @@
 	})
 	var in wire.LineBuffer
 	defer in.Release()
-	conn, up, failed := attempt(context.Background(), node.Attempt{Addr: addr, Timeout: 5 * time.Second}, opening(t, hello), permitted(time.Second, may), &in)
+	target := node.Attempt{Addr: addr, Timeout: 5 * time.Second}
+	conn, established, failed := attemptWith(context.Background(), t, target, allow, &in)
 	if failed != nil {
 		t.Fatal(failed)
 	}
 	defer conn.Close()
-	if string(up) != "UP r-1 more\r\n" {
-		t.Errorf("up line %q", up)
+	if string(established) != "UP r-1 more\r\n" {
+		t.Errorf("established line %q", established)
 	}
 	line := <-lines
 	if !strings.HasPrefix(line, "OPEN id key c=chat,d=4") && !strings.HasPrefix(line, "OPEN id key c=chat,d=5000,") ||
@@ -142,31 +112,55 @@
 		t.Errorf("the host was sent %q", line)
 	}
 	if rest := string(in.Buffered()); !strings.HasPrefix("M 1\r\nM", rest) {
-		t.Errorf("behind it %q", rest)
+		t.Errorf("buffered %q", rest)
 	}
 }
 
-// The loop's word between connect and write: without it not a byte may reach the host.
-func TestAttemptThatMayNotGoWritesNothing(t *testing.T) {
-	got := make(chan int, 1)
-	addr := host(t, func(c *net.TCPConn) {
+// The node authorizes between connect and write: otherwise not a byte may reach the host.
+func TestAttempt_NotAuthorized_WritesNothing(t *testing.T) {
+	bytesRead := make(chan int, 1)
+	addr := netiotest.Serve(t, func(c *net.TCPConn) {
 		n, _ := c.Read(make([]byte, 1))
-		got <- n
+		bytesRead <- n
 	})
 	var in wire.LineBuffer
-	_, _, failed := attempt(context.Background(), node.Attempt{Addr: addr, Timeout: time.Second}, opening(t, hello), permitted(time.Second, func() error { return errTooLate }), &in)
-	if failed == nil || failed.Stage != Authorizing || failed.Outcome() != balancer.NotSent || !errors.Is(failed, errTooLate) {
-		t.Errorf("ended with %v", failed)
+	target := node.Attempt{Addr: addr, Timeout: time.Second}
+	_, _, failed := attemptWith(context.Background(), t, target, func() error { return errNotAuthorized }, &in)
+	if failed == nil || failed.Stage != Authorizing || failed.Outcome() != balancer.NotSent || !errors.Is(failed, errNotAuthorized) {
+		t.Errorf("failed with %v", failed)
 	}
-	if n := <-got; n != 0 {
-		t.Error("the host got something")
+	if n := <-bytesRead; n != 0 {
+		t.Errorf("the host read %d bytes", n)
 	}
 }
 
-func TestWithdrawnAttemptEndsAtOnce(t *testing.T) {
+func TestAttempt_CancelledWhileAuthorized_WritesNothing(t *testing.T) {
+	hostRead := make(chan string, 1)
+	addr := netiotest.Serve(t, func(c *net.TCPConn) {
+		all, _ := io.ReadAll(c)
+		hostRead <- string(all)
+	})
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	var in wire.LineBuffer
+	defer in.Release()
+	cancelAndAllow := func() error {
+		cancel() // the client disconnects between the authorization and the line
+		return nil
+	}
+	_, _, failed := attemptWith(ctx, t, node.Attempt{Addr: addr, Timeout: time.Minute}, cancelAndAllow, &in)
+	if failed == nil || !failed.Outcome().ProvesNotExecuted() {
+		t.Errorf("%v; want an outcome that proves that it was not executed", failed)
+	}
+	if got := <-hostRead; got != "" {
+		t.Errorf("the host read %q", got)
+	}
+}
+
+func TestAttempt_Cancelled_ClosesHost(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	closed := make(chan struct{})
-	addr := host(t, func(c *net.TCPConn) {
+	addr := netiotest.Serve(t, func(c *net.TCPConn) {
 		_, _ = bufio.NewReader(c).ReadString('\n')
 		cancel()
 		_, _ = io.Copy(io.Discard, c)
@@ -174,18 +168,66 @@
 	})
 	var in wire.LineBuffer
 	defer in.Release()
-	_, _, failed := attempt(ctx, node.Attempt{Addr: addr, Timeout: time.Minute}, opening(t, hello), permitted(time.Second, may), &in)
+	_, _, failed := attemptWith(ctx, t, node.Attempt{Addr: addr, Timeout: time.Minute}, allow, &in)
 	if failed == nil || failed.Outcome() != balancer.Cancelled {
-		t.Errorf("ended with %v", failed)
+		t.Errorf("failed with %v", failed)
 	}
-	<-closed // the host saw the end
+	<-closed // the host has read the close
 }
 
-func TestAttemptWithoutTimeNeverRan(t *testing.T) {
-	addr := answering(t, "UP r\r\n")
+func TestAttempt_NoTimeLeft_NotExecuted(t *testing.T) {
+	addr := respondingHost(t, establishedLine)
 	var in wire.LineBuffer
-	_, _, failed := attempt(context.Background(), node.Attempt{Addr: addr, Timeout: -time.Second}, opening(t, hello), permitted(time.Second, may), &in)
+	target := node.Attempt{Addr: addr, Timeout: -time.Second}
+	_, _, failed := attemptWith(context.Background(), t, target, allow, &in)
 	if failed == nil || !failed.Outcome().ProvesNotExecuted() {
-		t.Errorf("ended with %v", failed)
+		t.Errorf("failed with %v", failed)
+	}
+}
+
+// A dial that failed for want of local resources says nothing of the host, and nothing was sent.
+func TestAttemptError_LocalFailure_BlamesNoHost(t *testing.T) {
+	for _, c := range []struct {
+		errno syscall.Errno
+		want  balancer.Outcome
+	}{
+		{syscall.EMFILE, balancer.NotSent},
+		{syscall.ENFILE, balancer.NotSent},
+		{syscall.ENOBUFS, balancer.NotSent},
+		{syscall.ENOMEM, balancer.NotSent},
+		{syscall.EADDRNOTAVAIL, balancer.NotSent},
+		{syscall.EADDRINUSE, balancer.NotSent},
+		{syscall.ECONNREFUSED, balancer.ConnectFailed},
+		{syscall.EHOSTUNREACH, balancer.ConnectFailed},
+		{syscall.ENETUNREACH, balancer.ConnectFailed},
+		{syscall.ETIMEDOUT, balancer.ConnectFailed},
+	} {
+		for _, failed := range []*AttemptError{
+			{Dialing, &net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError("socket", c.errno)}},
+			{Writing, &net.OpError{Op: "write", Net: "tcp", Err: os.NewSyscallError("write", c.errno)}},
+		} {
+			if got := failed.Outcome(); got != c.want {
+				t.Errorf("%v: outcome %v, want %v", failed, got, c.want)
+			}
+		}
+	}
+}
+
+// An authorization that comes after its attempt has ended must not authorize the next one.
+func TestProceed_PreviousAttempt_Ignored(t *testing.T) {
+	host := startCountingHost(t, establishedLine)
+	r := startNode(t, zap.NewNop(), false, host.addr)
+	r.open(t, "OPEN a key c=chat,d=500000")
+	c := r.onlyConn(t)
+	netiotest.Eventually(t, "the request waits for the node", func() bool { return r.proxy.PendingRequests() == 1 })
+	c.Proceed(0, true) // late
+	var in wire.LineBuffer
+	defer in.Release()
+	_, _, failed := c.tryHost(node.Attempt{Number: 1, Addr: host.addr, Timeout: 200 * time.Millisecond}, &in)
+	if failed == nil || failed.Stage != Authorizing {
+		t.Errorf("%v; want that it is not authorized", failed)
+	}
+	if n := host.lines.Load(); n != 0 {
+		t.Errorf("the host read %d lines", n)
 	}
 }
--- /dev/null
+++ b/internal/proxy/invariants_test.go
@@ -0,0 +1,56 @@
+package proxy
+
+import (
+	"testing"
+	"time"
+
+	"go.uber.org/zap"
+
+	"onyxstream/internal/invariant"
+)
+
+// violationOf is one violation of a rule.
+func violationOf(rule invariant.Rule) map[invariant.Rule]uint64 {
+	return map[invariant.Rule]uint64{rule: 1}
+}
+
+// Every violation at the end of a request is counted, and nothing else.
+func TestCheckCompletion_ConnectionEnds(t *testing.T) {
+	now := time.Now()
+	for _, c := range []struct {
+		name string
+		end  func(c *conn)
+		want map[invariant.Rule]uint64
+	}{
+		{"answered once", func(c *conn) { c.countReply(rejected) }, nil},
+		{"the client disconnected", func(c *conn) { c.disconnect() }, nil},
+		{"resumed at its current host", func(c *conn) { c.opening.CurrentHost = "h0" }, nil},
+		{"never answered", func(*conn) {}, violationOf(invariant.Unanswered)},
+		{"aborted by this node", func(c *conn) {
+			c.aborted = true
+			c.disconnect()
+		}, violationOf(invariant.Unanswered)},
+		{"answered twice", func(c *conn) {
+			c.countReply(rejected)
+			c.countReply(errored)
+		}, violationOf(invariant.AnsweredTwice)},
+		{"answered late", func(c *conn) { c.noteReply(now.Add(2 * time.Second)) }, violationOf(invariant.AnsweredLate)},
+		{"forwarded after the disconnect", func(c *conn) {
+			c.disconnect()
+			c.checkStart("h0", c.disconnectedAt.Add(time.Second))
+		}, violationOf(invariant.SentAfterDisconnect)},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			r := startNode(t, zap.NewNop(), false)
+			_, server := connect(t)
+			clientConn := r.proxy.newConn(server, now)
+			c.end(clientConn)
+			clientConn.checkCompletion(now.Add(time.Second))
+			for _, rule := range invariant.Rules() {
+				if got := r.node.Monitor().Count(rule); got != c.want[rule] {
+					t.Errorf("%q is counted %d times, want %d", rule, got, c.want[rule])
+				}
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/proxy/quiesce_test.go
@@ -0,0 +1,161 @@
+package proxy
+
+import (
+	"io"
+	"net"
+	"strings"
+	"testing"
+	"time"
+
+	"go.uber.org/zap"
+
+	"onyxstream/internal/netio/netiotest"
+	"onyxstream/internal/wire"
+)
+
+// duplicateSocket duplicates a socket, as another process has it.
+func duplicateSocket(t *testing.T, c *net.TCPConn) *net.TCPConn {
+	t.Helper()
+	f, err := c.File()
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer f.Close()
+	copied, err := net.FileConn(f)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return copied.(*net.TCPConn)
+}
+
+// A connection is handed off in the middle of a host's line: the client reads each line complete and once, and the old
+// process writes no more to it.
+func TestQuiesce_HandedOffMidLine_ResumedElsewhere(t *testing.T) {
+	texts := make(chan string, 1)
+	defer close(texts)
+	addr := echoHost(t, texts)
+	old := startNode(t, zap.NewNop(), true, addr)
+	next := startNode(t, zap.NewNop(), true, addr)
+	c, in := old.open(t, openRequest)
+	expectLine(t, in, establishedLine)
+	expectLine(t, in, "LOAD 3\r\n")
+	texts <- "half "
+	netiotest.Eventually(t, "it rests with a part of a line", func() bool {
+		resting, decide := old.proxy.Quiesce(4)
+		if len(resting) != 1 {
+			return false
+		}
+		handedOff := resting[0]
+		if string(handedOff.Partial) != "half " {
+			decide[0](false)
+			time.Sleep(20 * time.Millisecond)
+			return false
+		}
+		if handedOff.Host != "h0" || handedOff.Load != 3 || !strings.HasPrefix(handedOff.Line, "OPEN a key ") {
+			t.Errorf("handed off is %+v", handedOff)
+		}
+		handedOff.Client = duplicateSocket(t, handedOff.Client)
+		handedOff.Peer = duplicateSocket(t, handedOff.Peer)
+		if err := next.proxy.Adopt(handedOff); err != nil {
+			t.Fatal(err)
+		}
+		old.proxy.mu.Lock()
+		defer old.proxy.mu.Unlock()
+		decide[0](true)
+		for c := range old.proxy.conns { // it has not ended yet
+			if c.beginQuiesce() != nil {
+				t.Error("a connection that was handed off is brought to rest again")
+			}
+		}
+		return true
+	})
+	netiotest.Eventually(t, "the old process has no connection", old.hasNoClients)
+	old.stop()
+	texts <- "a line\r\n"
+	expectLine(t, in, "half a line\r\n")
+	_, _ = io.WriteString(c, "M 1\r\n")
+	expectLine(t, in, "M 1\r\n")
+	if next.node.EstablishedConnections() != 1 || next.proxy.OpenClients() != 1 || next.proxy.Replies()[0].Success != 0 {
+		t.Errorf("the new process has %d established, %d open, %+v",
+			next.node.EstablishedConnections(), next.proxy.OpenClients(), next.proxy.Replies())
+	}
+	next.node.MigrateAll(time.Now())
+	expectLine(t, in, "MOVE\r\n")
+	if _, err := in.ReadString('\n'); err != io.EOF {
+		t.Errorf("then %v", err)
+	}
+	netiotest.Eventually(t, "no connection is left", next.hasNoClients)
+}
+
+// A connection that is not handed off is resumed where it was, and one that ends at rest ends as usual.
+func TestQuiesce_NotHandedOff_ResumedHere(t *testing.T) {
+	r := startNode(t, zap.NewNop(), true, echoHost(t, nil))
+	c, in := r.open(t, openRequest)
+	expectLine(t, in, establishedLine)
+	expectLine(t, in, "LOAD 3\r\n")
+	resting, decide := r.proxy.Quiesce(4)
+	if len(resting) != 1 {
+		t.Fatalf("%d at rest", len(resting))
+	}
+	_, _ = io.WriteString(c, "M 1\r\n") // while it rests
+	decide[0](false)
+	expectLine(t, in, "M 1\r\n")
+	for range maxFailedHandOffs - 1 {
+		_, decide = r.proxy.Quiesce(4)
+		decide[0](false)
+	}
+	if more, _ := r.proxy.Quiesce(4); len(more) > 0 {
+		t.Error("it is brought to rest again without a limit")
+	}
+	second, in := r.open(t, "OPEN b key c=chat,d=5000")
+	expectLine(t, in, establishedLine)
+	expectLine(t, in, "LOAD 3\r\n")
+	_, decide = r.proxy.Quiesce(4)
+	_ = second.(*net.TCPConn).CloseWrite()
+	decide[0](false)
+	if _, err := in.ReadString('\n'); err != io.EOF {
+		t.Errorf("a client that closed at rest: %v", err)
+	}
+	netiotest.Eventually(t, "one connection is left", func() bool { return r.node.EstablishedConnections() == 1 })
+}
+
+func TestAdopt_BadLineOrDuplicateID_NotAdopted(t *testing.T) {
+	r := startNode(t, zap.NewNop(), true, echoHost(t, nil))
+	_, in := r.open(t, openRequest)
+	expectLine(t, in, establishedLine)
+	pair := func() (*net.TCPConn, *net.TCPConn) {
+		client, _ := r.open(t, "")
+		peer, _ := r.open(t, "")
+		return client.(*net.TCPConn), peer.(*net.TCPConn)
+	}
+	client, peer := pair()
+	for _, line := range []string{"", "PING", "OPEN"} {
+		if err := r.proxy.Adopt(EstablishedConn{Line: line, Client: client, Peer: peer}); err == nil {
+			t.Errorf("%q is adopted", line)
+		}
+	}
+	if err := r.proxy.Adopt(EstablishedConn{Line: "OPEN a key c=chat", Host: "h0", Client: client, Peer: peer}); err != nil {
+		t.Error(err)
+	}
+	netiotest.Eventually(t, "the second connection ends", func() bool { return r.proxy.OpenClients() == 1 })
+	if r.node.EstablishedConnections() != 1 {
+		t.Errorf("%d are established", r.node.EstablishedConnections())
+	}
+}
+
+func TestAdopt_AfterShutdown_Migrated(t *testing.T) {
+	r := startNode(t, zap.NewNop(), true)
+	r.stop()
+	client, accepted := connect(t)
+	host, peer := connect(t)
+	err := r.proxy.Adopt(EstablishedConn{Line: openRequest, Host: "h0", Client: accepted, Peer: peer})
+	if err == nil {
+		t.Fatal("it was adopted after the shutdown")
+	}
+	if all, err := io.ReadAll(client); string(all) != wire.Migration || err != nil {
+		t.Errorf("the client read %q, error %v", all, err)
+	}
+	if all, err := io.ReadAll(host); len(all) > 0 || err != nil {
+		t.Errorf("the host read %q, error %v", all, err)
+	}
+}
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"net"
-	"runtime/debug"
 	"strings"
 	"time"
 
@@ -14,183 +13,219 @@
 	"onyxstream/internal/wire"
 )
 
-// drive waits for the loop's word, makes the attempts and, once up, copies to the client.
-func (c *conn) drive(until time.Time) {
-	final := false        // the client has had its answer, or has left
-	said := false         // it has had its answer from here
-	taken, out := 0, 0    // sends taken from the loop, and how many of them owe an outcome
-	reply := wire.Failure // from here, where it has had no answer
-	defer func() {
-		p := recover()
-		if p != nil {
-			c.d.log.Error("a connection failed badly", zap.Any("panic", p), zap.String("request", c.open.ID),
-				zap.ByteString("stack", debug.Stack()))
-			c.mu.Lock()
-			if c.host != nil {
-				// It was up: an answer of this node's own would stand among the host's lines.
-				final = true
-				reset(c.host)
-				reset(c.client)
-			}
-			c.mu.Unlock()
-		}
-		if !final || p != nil {
-			c.d.node.ClientDisconnected(c.id, c, taken)
-		}
-		if out > 0 {
-			c.d.node.AttemptEnded(c.id, c, taken-1, 0, balancer.ConnectionReset)
-		}
-		c.mu.Lock()
-		spoke := c.spoke
-		c.mu.Unlock()
-		if spoke && !said {
-			c.d.log.Info("a client's first line can't be served", zap.Error(errSpoke))
-		}
-		switch {
-		case !final || spoke && !said:
-			c.countAs(reply)
-			c.finish(reply)
-		case c.half.Load() && !said:
-			// It has ended its side and may still read: its request is answered like any other.
-			_ = c.client.SetWriteDeadline(time.Now().Add(lingerFor))
-			_, _ = writeAll(c.client, []byte(wire.Failure))
-		}
-	}()
-	if c.open.CurrentHost != "" {
-		final = c.resume(&taken, &out)
+// serveRequest executes what the node decides for a request until the client has its answer or, where a host establishes
+// the connection, until that has ended. A request that the node does not answer in time gets a reply of the proxy's own.
+func (c *conn) serveRequest(deadline time.Time) {
+	state := newRequestState()
+	defer c.finishRequest(&state)
+	if c.opening.CurrentHost != "" {
+		c.resume(&state)
 		return
 	}
-	backstop := time.NewTimer(max(time.Until(until), 0) + c.d.cfg.AnswerSlack)
+	backstop := time.NewTimer(max(time.Until(deadline), 0) + c.proxy.cfg.AnswerSlack)
 	defer backstop.Stop()
-	c.d.node.RequestArrived(&c.open, until, c)
-	for {
+	c.proxy.node.RequestArrived(&c.opening, deadline, c)
+	for state.isOpen() {
 		select {
-		case <-c.gone:
-			final = true
-			c.d.node.ClientDisconnected(c.id, c, taken)
-			return
-		case <-c.d.ending:
-			// The loop has answered before that whatever it knew of.
-			c.d.log.Info("a request was answered as the node ended", zap.String("request", c.open.ID))
-			if taken == 0 { // it was never sent on, and is sent nowhere any more: Gone says so to the loop
-				reply = c.d.comeAgain()
+		case <-c.disconnected:
+			state.conclude()
+			c.proxy.node.ClientDisconnected(c.requestID, c, state.attempts)
+		case <-c.proxy.shutdown:
+			// The node has replied to all requests that it knew of before.
+			c.proxy.log.Info("shutting down, replying to in-flight request", zap.String("request", c.opening.ID))
+			if state.attempts == 0 { // it was forwarded nowhere, and will not be
+				state.fallback = c.proxy.rejection()
 			}
 			return
 		case <-backstop.C:
-			// The module answers in time; this is for what it never heard of, or what failed on the way.
-			c.d.log.Info("a request was answered by the backstop", zap.String("request", c.open.ID))
+			c.proxy.log.Info("request deadline exceeded without a reply from the node", zap.String("request", c.opening.ID))
 			return
-		case cmd := <-c.cmds:
-			if cmd.send == nil {
-				final, said = true, true
-				c.d.log.Debug("a request is answered", zap.String("request", c.open.ID), zap.String("answer", strings.TrimSpace(cmd.reply)),
-					zap.Int("attempts", taken), zap.Duration("left", time.Until(until)))
-				c.countAs(cmd.reply)
-				c.finish(cmd.reply)
-				return
-			}
-			taken, out = cmd.send.Number+1, 1
-			a := *cmd.send
-			a.Timeout = min(a.Timeout, time.Until(until)+c.d.cfg.AnswerSlack) // the backstop, while an attempt is out
-			final = c.send(a)
-			if out = 0; final {
-				return
-			}
+		case cmd := <-c.commands:
+			c.execute(cmd, &state, deadline)
+		}
+	}
+}
+
+// execute executes a command of the node.
+func (c *conn) execute(cmd command, state *requestState, deadline time.Time) {
+	if cmd.attempt == nil {
+		state.answer()
+		c.proxy.log.Debug("request answered by the node",
+			zap.String("request", c.opening.ID),
+			zap.String("reply", strings.TrimSpace(cmd.reply)),
+			zap.Int("attempts", state.attempts),
+			zap.Duration("remaining", time.Until(deadline)))
+		c.countReplyLine(cmd.reply)
+		c.reply(cmd.reply)
+		return
+	}
+	target := *cmd.attempt
+	state.attemptStarted(target.Number)
+	target.Timeout = min(target.Timeout, time.Until(deadline)+c.proxy.cfg.AnswerSlack) // the backstop does not fire meanwhile
+	state.attemptReported(c.attemptHost(target))
+}
+
+// finishRequest ends a request in whatever state it is, a panic included: it notifies the node of what that still waits
+// for, and replies to a client without an answer. It must be deferred directly.
+func (c *conn) finishRequest(state *requestState) {
+	panicked := recover()
+	unreportedAttempt := state.phase == attempting
+	if panicked != nil {
+		c.proxy.log.Error("connection panicked", zap.Any("panic", panicked), zap.String("request", c.opening.ID),
+			zap.Stack("stack"))
+		if c.resetEstablished() {
+			state.conclude()
 		}
 	}
+	if state.isOpen() || panicked != nil {
+		c.proxy.node.ClientDisconnected(c.requestID, c, state.attempts)
+	}
+	if unreportedAttempt {
+		c.proxy.node.AttemptEnded(c.requestID, c, state.attempts-1, 0, balancer.ConnectionReset)
+	}
+	c.replyUnanswered(state)
+}
+
+// replyUnanswered replies to a client that the node has not answered, if it may read a reply.
+func (c *conn) replyUnanswered(state *requestState) {
+	unanswered := state.phase != answered
+	violated := c.hasViolatedProtocol() && unanswered
+	if violated {
+		c.proxy.log.Info(protocolViolationMessage, zap.Error(errEarlyData))
+	}
+	switch {
+	case state.isOpen() || violated:
+		c.countReplyLine(state.fallback)
+		c.reply(state.fallback)
+	case c.halfClosed.Load() && unanswered: // it has closed its side and may still read
+		c.writeReply(wire.Failure)
+	}
+}
+
+// resetEstablished resets both sides of an established connection, where a reply would stand among the host's lines. It
+// reports false where the connection is not established.
+func (c *conn) resetEstablished() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.host == nil {
+		return false
+	}
+	reset(c.host)
+	reset(c.client)
+	return true
 }
 
-// send makes one attempt and, where it comes up, is the rest of the connection's life. It reports whether the
-// client has had its answer or has left.
-func (c *conn) send(a node.Attempt) (final bool) {
+func (c *conn) hasViolatedProtocol() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.violatedProtocol
+}
+
+// Log messages that more than one place needs, tests included.
+const (
+	attemptFailedMessage     = "attempt failed"
+	connectionClosedMessage  = "connection closed"
+	duplicateIDMessage       = "request id is in use by another connection"
+	protocolViolationMessage = "protocol violation in opening line"
+)
+
+// attemptHost makes one attempt and, if it establishes the connection, relays until that ends. It notifies the node, and
+// reports whether the client needs no further attempt: a host has answered it, or it has disconnected.
+func (c *conn) attemptHost(target node.Attempt) (isConcluded bool) {
 	start := time.Now()
 	var in wire.LineBuffer
-	host, upLine, failed := c.try(a, &in)
+	host, line, failure := c.tryHost(target, &in)
 	took := time.Since(start)
-	if failed == nil && !c.raise(host) {
+	if failure == nil && !c.establish(host) {
 		_ = host.Close()
-		failed = &AttemptError{Answering, errWithdrawn}
-	}
-	if failed == nil {
-		c.d.log.Debug("a connection is up", zap.String("request", c.open.ID), zap.String("host", a.Addr),
-			zap.Duration("took", took), zap.Bool("mid", c.open.MidFlow), zap.Bool("again", c.open.Reconnect),
-			zap.String("key", c.open.Key), zap.String("group", c.open.Group), zap.Int("attempt", a.Number))
-		c.count(brought)
-		c.d.node.ConnectionEstablished(c.id, c, a.Number, took)
-		c.relay(host, &in, upLine, a.Number, start)
+		failure = &AttemptError{Answering, errCanceled}
+	}
+	if failure == nil {
+		c.logEstablished(target, took)
+		c.countReply(succeeded)
+		c.proxy.node.ConnectionEstablished(c.requestID, c, target.Number, took)
+		c.relay(host, &in, line, target.Number, start)
 		return true
 	}
 	in.Release()
-	c.d.log.Debug("an attempt failed", zap.String("request", c.open.ID), zap.String("host", a.Addr),
-		zap.Duration("took", took), zap.Error(failed))
-	if final = c.isGone(); final { // first, so that the module tries no other host for a client that has left
-		c.d.node.ClientDisconnected(c.id, c, a.Number+1)
+	c.proxy.log.Debug(attemptFailedMessage,
+		zap.String("request", c.opening.ID),
+		zap.String("host", target.Addr),
+		zap.Duration("took", took),
+		zap.Error(failure))
+	isConcluded = c.isDisconnected()
+	if isConcluded { // first, so that the node makes no further attempt for a client that has disconnected
+		c.proxy.node.ClientDisconnected(c.requestID, c, target.Number+1)
 	}
-	c.d.node.AttemptEnded(c.id, c, a.Number, took, failed.Outcome())
-	return final
+	c.proxy.node.AttemptEnded(c.requestID, c, target.Number, took, failure.Outcome())
+	return isConcluded
+}
+
+func (c *conn) logEstablished(target node.Attempt, took time.Duration) {
+	c.proxy.log.Debug("connection established",
+		zap.String("request", c.opening.ID),
+		zap.String("host", target.Addr),
+		zap.Duration("took", took),
+		zap.Bool("mid_flow", c.opening.MidFlow),
+		zap.Bool("reconnect", c.opening.Reconnect),
+		zap.String("key", c.opening.Key),
+		zap.String("group", c.opening.Group),
+		zap.Int("attempt", target.Number))
 }
 
-// begin says that an attempt is under way, which the loop, or the client by leaving, can withdraw; over ends that. Where
-// the client has left by now, or the node ends, it is withdrawn already: nothing is begun for one who is gone.
-func (c *conn) begin(n int, host string) (ctx context.Context, over func()) {
+// beginAttempt notes that an attempt is in flight, which the node or the client's disconnect can cancel, until end is
+// called. It is cancelled already where the client has disconnected or the proxy shuts down.
+func (c *conn) beginAttempt(number int, hostID string) (ctx context.Context, end func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.withdraw, c.running, c.on = cancel, n, host
-	if c.aborted || c.ending || c.isGone() {
+	c.cancelAttempt = cancel
+	c.attemptNumber = number
+	c.hostID = hostID
+	if c.aborted || c.shuttingDown || c.isDisconnected() {
 		cancel()
 	}
 	return ctx, func() {
 		cancel()
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		c.withdraw = nil
+		c.cancelAttempt = nil
 	}
 }
 
-// try makes one attempt.
-func (c *conn) try(a node.Attempt, in *wire.LineBuffer) (*net.TCPConn, []byte, *AttemptError) {
-	ctx, over := c.begin(a.Number, string(a.Host))
-	defer over()
+// tryHost makes one attempt, with the node's authorization between the dial and the first byte.
+func (c *conn) tryHost(target node.Attempt, in *wire.LineBuffer) (*net.TCPConn, []byte, *AttemptError) {
+	ctx, end := c.beginAttempt(target.Number, string(target.Host))
+	defer end()
 	select {
-	case <-c.verdict: // an answer to an attempt that did not wait for it
+	case <-c.authorization: // of an attempt that did not wait for it
 	default:
 	}
-	late := time.NewTimer(a.Timeout) // a loop that does not answer must not hold the client past its time
-	defer late.Stop()
-	may := func() error {
-		c.d.node.AttemptConnected(c.id, c, a.Number)
-		select {
-		case ok := <-c.verdict:
-			if !ok {
-				return errTooLate
-			}
-			return nil
-		case <-ctx.Done():
-			return ctx.Err()
-		case <-late.C:
-			return errTooLate
-		}
-	}
-	wrote := func(began time.Time) {
-		c.checkStart(string(a.Host), began)
-		c.d.node.AttemptWritten(c.id, c, a.Number, began)
-	}
-	return attempt(ctx, a, &c.open, permit{c.d.cfg.ConnectTimeout, may, wrote}, in)
+	timeout := time.NewTimer(target.Timeout)
+	defer timeout.Stop()
+	return attempt(ctx, target, &c.opening, attemptHooks{
+		connectTimeout: c.proxy.cfg.ConnectTimeout,
+		authorize:      func() error { return c.awaitAuthorization(ctx, target.Number, timeout.C) },
+		written: func(began time.Time) {
+			c.checkStart(string(target.Host), began)
+			c.proxy.node.AttemptWritten(c.requestID, c, target.Number, began)
+		},
+	}, in)
 }
 
-// raise marks the connection as up; false where the client has left or the node ends.
-func (c *conn) raise(host *net.TCPConn) bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.isGone() || c.aborted || c.ending {
-		return false
-	}
-	_ = host.SetDeadline(time.Time{})
-	c.host = host
-	close(c.up)
-	if c.open.MidFlow { // what it said early goes on: whoever reads it is to see that it is up
-		_ = c.client.SetReadDeadline(past)
+// awaitAuthorization asks the node whether an attempt that has connected may write. A node that does not answer must not
+// hold the client beyond the attempt's timeout.
+func (c *conn) awaitAuthorization(ctx context.Context, number int, timeout <-chan time.Time) error {
+	c.proxy.node.AttemptConnected(c.requestID, c, number)
+	select {
+	case ok := <-c.authorization:
+		if !ok {
+			return errNotAuthorized
+		}
+		return nil
+	case <-ctx.Done():
+		return ctx.Err()
+	case <-timeout:
+		return errNotAuthorized
 	}
-	return true
 }
--- /dev/null
+++ b/internal/proxy/shutdown_test.go
@@ -0,0 +1,192 @@
+package proxy
+
+import (
+	"bufio"
+	"fmt"
+	"io"
+	"net"
+	"strings"
+	"sync"
+	"testing"
+
+	"go.uber.org/goleak"
+	"go.uber.org/zap"
+
+	"onyxstream/internal/netio/netiotest"
+	"onyxstream/internal/wire"
+)
+
+// shutDownMidRead begins a shutdown while what a client has sent was read and not parsed.
+func shutDownMidRead(t *testing.T, r *testNode, c net.Conn, text string) {
+	t.Helper()
+	clientConn := r.onlyConn(t)
+	netiotest.Eventually(t, "the connection is idle", func() bool {
+		return clientConn.idle.Load() && !clientConn.openingStarted.Load()
+	})
+	r.proxy.mu.Lock()
+	defer r.proxy.mu.Unlock()
+	if text != "" {
+		_, _ = io.WriteString(c, text)
+		netiotest.Eventually(t, "the bytes are read", clientConn.openingStarted.Load)
+	}
+	r.proxy.beginShutdown(false)
+}
+
+// A request or a part of one that comes on an idle connection as the shutdown begins is rejected; who has sent nothing is
+// closed by FIN. No client is reset.
+func TestShutdown_OpeningPartlyRead_Replied(t *testing.T) {
+	for _, c := range []struct{ name, text, want string }{
+		{"a complete line on an idle connection", openRequest + "\r\n", rejectionPrefix},
+		{"a part of a line", "OPEN a key c=ch", rejectionPrefix},
+		{"a health check", healthCheck + "\r\n", wire.Pong},
+		{"nothing", "", ""},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			host := startCountingHost(t, establishedLine)
+			r := startNode(t, zap.NewNop(), true, host.addr)
+			client, in := r.open(t, healthCheck)
+			if line, err := in.ReadString('\n'); line != wire.Pong || err != nil {
+				t.Fatalf("read %q, error %v", line, err)
+			}
+			shutDownMidRead(t, r, client, c.text)
+			all, err := io.ReadAll(in)
+			if err != nil || !strings.HasPrefix(string(all), c.want) || (c.want == "") != (len(all) == 0) {
+				t.Errorf("read %q, error %v; want %q", all, err, c.want)
+			}
+			_ = client.Close()
+			r.stop()
+			if n := host.connections(t); n != 0 {
+				t.Errorf("the host was connected to %d times", n)
+			}
+		})
+	}
+}
+
+// What lies unread as the shutdown begins is read before the close.
+func TestShutdown_OpeningUnread_ReadBeforeClose(t *testing.T) {
+	r := startNode(t, zap.NewNop(), true)
+	client, in := r.open(t, healthCheck)
+	if line, err := in.ReadString('\n'); line != wire.Pong || err != nil {
+		t.Fatalf("read %q, error %v", line, err)
+	}
+	r.onlyConn(t)
+	r.proxy.mu.Lock()
+	r.proxy.beginShutdown(false) // wakes the reader, which finds what is written now, or nothing
+	_, _ = io.WriteString(client, openRequest+"\r\n")
+	r.proxy.mu.Unlock()
+	all, err := io.ReadAll(in)
+	if err != nil || len(all) > 0 && !strings.HasPrefix(string(all), rejectionPrefix) {
+		t.Errorf("read %q, error %v", all, err)
+	}
+}
+
+// A request that the node does not know of was forwarded nowhere: it is rejected, not failed.
+func TestShutdown_RequestNotForwarded_Rejected(t *testing.T) {
+	r := startNode(t, zap.NewNop(), false)
+	_, in := r.open(t, "OPEN a key c=chat,d=500000")
+	netiotest.Eventually(t, "the request is pending", func() bool { return r.proxy.PendingRequests() == 1 })
+	r.proxy.mu.Lock()
+	r.proxy.beginShutdown(false)
+	r.proxy.mu.Unlock()
+	if all, err := io.ReadAll(in); !strings.HasPrefix(string(all), rejectionPrefix) || err != nil {
+		t.Errorf("read %q, error %v", all, err)
+	}
+}
+
+func TestAccept_AfterShutdown_Rejected(t *testing.T) {
+	r := startNode(t, zap.NewNop(), true)
+	r.stop()
+	client, server := connect(t)
+	_, _ = io.WriteString(client, openRequest+"\r\n")
+	if !r.proxy.accept(server) {
+		t.Fatal("it is not accepted")
+	}
+	if all, err := io.ReadAll(client); !strings.HasPrefix(string(all), rejectionPrefix) || err != nil {
+		t.Errorf("read %q, error %v", all, err)
+	}
+}
+
+// With pass-through, established connections stay open and other clients are replied to.
+func TestShutdown_PassThrough_EstablishedStays(t *testing.T) {
+	forwarded := make(chan struct{})
+	r := startNode(t, zap.NewNop(), true, netiotest.Serve(t, func(c *net.TCPConn) {
+		in := bufio.NewReader(c)
+		if line, _ := in.ReadString('\n'); strings.Contains(line, "wait") {
+			close(forwarded)
+			_, _ = io.Copy(io.Discard, in)
+			return
+		}
+		_, _ = io.WriteString(c, establishedLine)
+		for {
+			line, err := in.ReadString('\n')
+			if err != nil {
+				return
+			}
+			_, _ = io.WriteString(c, line)
+		}
+	}))
+	established, in := r.open(t, "OPEN up key c=chat,d=5000")
+	if line, err := in.ReadString('\n'); line != establishedLine {
+		t.Fatalf("read %q, error %v", line, err)
+	}
+	_, pending := r.open(t, "OPEN wait key c=chat,d=5000")
+	netiotest.Eventually(t, "the second request is in flight", func() bool { return r.node.InFlightRequests() == 1 })
+	<-forwarded // until then it may be rejected: it was forwarded nowhere
+	r.proxy.Shutdown(true)
+	if all, err := io.ReadAll(pending); string(all) != wire.Failure || err != nil {
+		t.Errorf("the pending client read %q, error %v", all, err)
+	}
+	_, _ = io.WriteString(established, "M\r\n")
+	if line, err := in.ReadString('\n'); line != "M\r\n" {
+		t.Errorf("read %q, error %v", line, err)
+	}
+}
+
+func TestShutdown_NoGoroutineLeaked(t *testing.T) {
+	before := goleak.IgnoreCurrent()
+	var hosts sync.WaitGroup
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	hosts.Add(1)
+	go func() {
+		defer hosts.Done()
+		for i := 0; ; i++ {
+			c, err := l.Accept()
+			if err != nil {
+				return
+			}
+			hosts.Add(1)
+			go func() {
+				defer hosts.Done()
+				defer c.Close()
+				in := bufio.NewReader(c)
+				if line, err := in.ReadString('\n'); err != nil || strings.HasPrefix(line, healthCheck) {
+					return
+				}
+				_, _ = io.WriteString(c, []string{establishedLine, "ERR\r\n", "", "UP r\r\nM\r\nBYE\r\n"}[i%4])
+				if i%4 != 3 {
+					_, _ = io.Copy(io.Discard, in)
+				}
+			}()
+		}
+	}()
+	r := startNode(t, zap.NewNop(), true, l.Addr().String())
+	for i := range 24 {
+		c, in := r.open(t, fmt.Sprintf("OPEN a%d key%d c=chat,d=300", i, i))
+		if i%3 > 0 {
+			_, _ = in.ReadString('\n')
+		}
+		if i%3 == 2 {
+			_ = c.Close()
+		}
+	}
+	r.proxy.Ping("h0", l.Addr().String())
+	r.stop()
+	_ = l.Close()
+	hosts.Wait()
+	if err := goleak.Find(before); err != nil {
+		t.Error(err)
+	}
+}
