--- a/cmd/onyxstream/agent_test.go
+++ b/cmd/onyxstream/agent_test.go
@@ -99,7 +99,7 @@
 func (f *three) told(t *testing.T, i int, operation string) (times []time.Duration) {
 	t.Helper()
 	for line := range strings.Lines(f.nodes[i].log.String()) {
-		if !strings.Contains(line, "a command took effect") || !strings.Contains(line, operation) {
+		if !strings.Contains(line, "command applied") || !strings.Contains(line, operation) {
 			continue
 		}
 		at, err := time.Parse("2006-01-02T15:04:05.000Z0700", strings.Fields(line)[0])
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -294,7 +294,7 @@
 		for _, s := range o.Steps {
 			n[s.State]++
 		}
-		a.log.Info("an operation moved on", zap.String("operation", o.ID), zap.Uint64("fence", o.Fence), zap.String("kind", o.Kind),
+		a.log.Info("an operation moved on", zap.String("operation", o.ID), zap.Uint64("fence", o.Fence), zap.String("kind", string(o.Kind)),
 			zap.String("state", string(o.State)), zap.String("why", o.Why), zap.Any("steps", n))
 	}
 }
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -64,7 +64,7 @@
 	return nil
 }
 
-func (x *instance) count(kind string) (n int) {
+func (x *instance) count(kind control.CommandKind) (n int) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	for _, c := range x.did {
--- a/internal/cli/instances.go
+++ b/internal/cli/instances.go
@@ -197,14 +197,14 @@
 	}
 }
 
-func instancesOrder(a *asking, kind string) *cobra.Command {
+func instancesOrder(a *asking, kind control.CommandKind) *cobra.Command {
 	s, o := &selecting{}, &ordering{}
 	c := &cobra.Command{
-		Use:   kind + " [NAME...]",
-		Short: map[string]string{control.Drain: "Have instances take nothing new and send their clients away", control.Resume: "Have drained instances take clients again"}[kind],
+		Use:   string(kind) + " [NAME...]",
+		Short: map[control.CommandKind]string{control.Drain: "Have instances take nothing new and send their clients away", control.Resume: "Have drained instances take clients again"}[kind],
 		Long: "Instances are told in waves of --at-once. Names may be patterns as of a shell; with --zone and --label all must fit.\n\n" +
 			statuses,
-		Example: "  onyxstream instances " + kind + " n2 --wait\n  onyxstream instances " + kind + " --zone cardiff --at-once 2 --dry-run",
+		Example: "  onyxstream instances " + string(kind) + " n2 --wait\n  onyxstream instances " + string(kind) + " --zone cardiff --at-once 2 --dry-run",
 		RunE: func(c *cobra.Command, names []string) error {
 			var views []fleet.View
 			if err := a.call(c.Context(), http.MethodGet, "/v1/instances", nil, &views); err != nil {
@@ -234,7 +234,7 @@
 		return nil
 	}
 	if r.ID = o.id; r.ID == "" {
-		r.ID = r.Kind + "-" + strings.ToLower(rand.Text()[:10])
+		r.ID = string(r.Kind) + "-" + strings.ToLower(rand.Text()[:10])
 	}
 	r.Options = o.options
 	var op fleet.Operation
@@ -292,7 +292,7 @@
 
 func hostsCommand() *cobra.Command {
 	a := &asking{}
-	verb := func(kind, use, short string) *cobra.Command {
+	verb := func(kind control.CommandKind, use, short string) *cobra.Command {
 		s, o := &selecting{}, &ordering{}
 		c := &cobra.Command{Use: use + " HOST", Short: short, Args: cobra.ExactArgs(1),
 			Example: "  onyxstream hosts " + use + " s-5be2a07c --all --wait",
--- a/internal/control/accept.go
+++ b/internal/control/accept.go
@@ -8,18 +8,18 @@
 	"go.uber.org/zap"
 )
 
-// acceptPause is how long a listener waits after an accept that failed.
-const acceptPause = 20 * time.Millisecond
+// acceptRetryDelay is the delay after a failed accept.
+const acceptRetryDelay = 20 * time.Millisecond
 
-// retryingListener goes on accepting after an error of the system. http.Server ends at most of them.
+// retryingListener retries a failed accept. http.Server would return after most errors.
 type retryingListener struct {
 	net.Listener
 	log    *zap.Logger
 	closed chan struct{}
 }
 
-// RetryAccept returns a listener whose Accept fails only once it is closed. An accept fails for want of descriptors, buffers
-// or memory, or for what the network says of the connection; the next one may succeed.
+// RetryAccept returns a listener whose Accept fails only once it is closed. An accept that fails for lack of descriptors
+// or memory, or because of the connection itself, is retried.
 func RetryAccept(l net.Listener, log *zap.Logger) net.Listener {
 	return &retryingListener{l, log, make(chan struct{})}
 }
@@ -31,16 +31,16 @@
 		if err == nil || errors.Is(err, net.ErrClosed) {
 			return conn, err
 		}
-		l.log.Info("a caller could not be accepted", zap.Error(err))
+		l.log.Info("control connection not accepted, retrying", zap.Error(err))
 		select {
-		case <-time.After(acceptPause):
+		case <-time.After(acceptRetryDelay):
 		case <-l.closed:
 			return nil, net.ErrClosed
 		}
 	}
 }
 
-// Close ends Accept. It is called once, as http.Server does.
+// Close ends Accept. It must be called once only, as http.Server does.
 func (l *retryingListener) Close() error {
 	close(l.closed)
 	return l.Listener.Close()
--- a/internal/control/client.go
+++ b/internal/control/client.go
@@ -14,24 +14,38 @@
 	"time"
 )
 
-// Client speaks to one control listener. Its connection is kept between calls.
+// Client calls one control listener. It keeps its connection between calls and is safe for concurrent use.
 type Client struct {
 	http *http.Client
 	base string
 }
 
-// mostAnswer bounds what is read of an answer: an instance with thousands of hosts has a long status.
-const mostAnswer = 4 << 20
+// The limits of a client's connections and calls.
+const (
+	maxClientConns        = 4
+	dialTimeout           = 5 * time.Second
+	handshakeTimeout      = 5 * time.Second
+	responseHeaderTimeout = 30 * time.Second
+	maxResponseBytes      = 4 << 20 // the status of an instance with thousands of hosts is long
+)
 
 // Dial makes a client for an address: "unix:PATH", or host and port with a TLS configuration. It connects with the
 // first call.
 func Dial(addr string, cfg *tls.Config) (*Client, error) {
-	t := &http.Transport{MaxConnsPerHost: 4, MaxIdleConnsPerHost: 1, IdleConnTimeout: idleFor / 2, TLSClientConfig: cfg,
-		TLSHandshakeTimeout: 5 * time.Second, ResponseHeaderTimeout: 30 * time.Second}
-	dialer := &net.Dialer{Timeout: 5 * time.Second}
+	transport := &http.Transport{
+		MaxConnsPerHost:       maxClientConns,
+		MaxIdleConnsPerHost:   1,
+		IdleConnTimeout:       idleTimeout / 2,
+		TLSClientConfig:       cfg,
+		TLSHandshakeTimeout:   handshakeTimeout,
+		ResponseHeaderTimeout: responseHeaderTimeout,
+	}
+	dialer := &net.Dialer{Timeout: dialTimeout}
 	if path, ok := strings.CutPrefix(addr, "unix:"); ok {
-		t.DialContext = func(ctx context.Context, _, _ string) (net.Conn, error) { return dialer.DialContext(ctx, "unix", path) }
-		return &Client{&http.Client{Transport: t}, "http://local"}, nil
+		transport.DialContext = func(ctx context.Context, _, _ string) (net.Conn, error) {
+			return dialer.DialContext(ctx, "unix", path)
+		}
+		return &Client{&http.Client{Transport: transport}, "http://local"}, nil
 	}
 	if _, _, err := net.SplitHostPort(addr); err != nil {
 		return nil, fmt.Errorf("%q is neither unix:PATH nor host and port", addr)
@@ -39,53 +53,53 @@
 	if cfg == nil {
 		return nil, fmt.Errorf("%s: a remote address needs a certificate", addr)
 	}
-	t.DialContext = dialer.DialContext
-	return &Client{&http.Client{Transport: t}, "https://" + addr}, nil
+	transport.DialContext = dialer.DialContext
+	return &Client{&http.Client{Transport: transport}, "https://" + addr}, nil
 }
 
-// Close drops the connections that are kept.
+// Close closes idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// Status asks how the instance is.
-func (c *Client) Status(ctx context.Context) (s Status, err error) {
-	return s, c.Call(ctx, http.MethodGet, "/v1/status", nil, &s)
+// Status returns the instance's status.
+func (c *Client) Status(ctx context.Context) (status Status, err error) {
+	return status, c.Call(ctx, http.MethodGet, "/v1/status", nil, &status)
 }
 
-// Do gives a command.
-func (c *Client) Do(ctx context.Context, cmd Command) (a Answer, err error) {
-	return a, c.Call(ctx, http.MethodPost, "/v1/command", cmd, &a)
+// Do sends a command and returns the instance's answer to it.
+func (c *Client) Do(ctx context.Context, command Command) (answer Answer, err error) {
+	return answer, c.Call(ctx, http.MethodPost, "/v1/command", command, &answer)
 }
 
-// RemoteError is a refusal that the other side gave a reason for; the call itself went through.
+// RemoteError is an error that the server answered with; the call itself succeeded.
 type RemoteError struct {
-	Code int
+	Code int // the HTTP status
 	Text string
 }
 
 func (e *RemoteError) Error() string { return e.Text }
 
-// Call makes one call and reads its answer.
+// Call makes one call with in as its JSON body, nil for none, and decodes the answer into out.
 func (c *Client) Call(ctx context.Context, method, path string, in, out any) error {
 	body, err := c.open(ctx, method, path, in)
 	if err != nil {
 		return err
 	}
 	defer body.Close()
-	text, err := io.ReadAll(io.LimitReader(body, mostAnswer+1))
+	text, err := io.ReadAll(io.LimitReader(body, maxResponseBytes+1))
 	switch {
 	case err != nil:
-		return fmt.Errorf("the answer broke off: %w", err)
-	case len(text) > mostAnswer:
-		return fmt.Errorf("the answer is over %d bytes", mostAnswer)
+		return fmt.Errorf("read the answer: %w", err)
+	case len(text) > maxResponseBytes:
+		return fmt.Errorf("the answer is over %d bytes", maxResponseBytes)
 	}
 	if err := json.Unmarshal(text, out); err != nil {
-		return fmt.Errorf("the answer can't be read: %w", err)
+		return fmt.Errorf("decode the answer: %w", err)
 	}
 	return nil
 }
 
-// Stream reads lines of an answer that stays open, and gives each to f until that says no more.
-func (c *Client) Stream(ctx context.Context, path string, f func(line []byte) bool) error {
+// Stream calls handle for each line of a streamed answer, until handle returns false or the stream ends.
+func (c *Client) Stream(ctx context.Context, path string, handle func(line []byte) bool) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	body, err := c.open(ctx, http.MethodGet, path, nil)
@@ -93,20 +107,23 @@
 		return err
 	}
 	defer body.Close()
-	dec := json.NewDecoder(body)
+	decoder := json.NewDecoder(body)
 	for {
 		var line json.RawMessage
-		if err := dec.Decode(&line); errors.Is(err, io.EOF) {
+		err := decoder.Decode(&line)
+		if errors.Is(err, io.EOF) {
 			return nil
-		} else if err != nil {
+		}
+		if err != nil {
 			return err
 		}
-		if !f(line) {
+		if !handle(line) {
 			return nil
 		}
 	}
 }
 
+// open makes a call and returns the body of its answer; one other than 200 is a RemoteError.
 func (c *Client) open(ctx context.Context, method, path string, in any) (io.ReadCloser, error) {
 	var body io.Reader
 	if in != nil {
@@ -116,24 +133,26 @@
 		}
 		body = bytes.NewReader(text)
 	}
-	q, err := http.NewRequestWithContext(ctx, method, c.base+path, body)
+	request, err := http.NewRequestWithContext(ctx, method, c.base+path, body)
 	if err != nil {
 		return nil, err
 	}
-	resp, err := c.http.Do(q)
+	response, err := c.http.Do(request)
 	if err != nil {
 		return nil, err
 	}
-	if resp.StatusCode == http.StatusOK {
-		return resp.Body, nil
-	}
-	defer resp.Body.Close()
-	text, _ := io.ReadAll(io.LimitReader(resp.Body, mostBody))
-	var e struct {
-		Error string `json:"error"`
+	if response.StatusCode == http.StatusOK {
+		return response.Body, nil
 	}
-	if json.Unmarshal(text, &e) != nil || e.Error == "" {
-		e.Error = resp.Status
+	defer response.Body.Close()
+	return nil, readRemoteError(response)
+}
+
+func readRemoteError(response *http.Response) *RemoteError {
+	text, _ := io.ReadAll(io.LimitReader(response.Body, maxCommandBytes))
+	var body errorBody
+	if json.Unmarshal(text, &body) != nil || body.Error == "" {
+		body.Error = response.Status
 	}
-	return nil, &RemoteError{resp.StatusCode, e.Error}
+	return &RemoteError{Code: response.StatusCode, Text: body.Error}
 }
--- a/internal/control/list.go
+++ b/internal/control/list.go
@@ -13,173 +13,196 @@
 	"onyxstream/internal/wire"
 )
 
-// PeerList is the list of hosts as one instance passes it on to another.
+// PeerList is an instance's endpoint list as it sends it to another instance.
 type PeerList struct {
-	Service     string             `json:"service"` // that told it first, by the name that all instances know it by
-	Age         time.Duration      `json:"age_ns"`  // since the service last told or confirmed it, as of the answer
+	Service     string             `json:"service"` // name of the list service that it came from, the same on all instances
+	Age         time.Duration      `json:"age_ns"`  // since the service last sent or confirmed it, as of the answer
 	Waited      time.Duration      `json:"waited_ns"`
 	Revision    int64              `json:"revision"`
-	List        *wire.EndpointList `json:"list,omitempty"` // nil where the asker's revision is this one
-	Unreachable []UnreachableHost  `json:"dead,omitempty"` // hosts that could not be connected to while the list is old
+	List        *wire.EndpointList `json:"list,omitempty"` // nil where the caller has this revision
+	Unreachable []UnreachableHost  `json:"dead,omitempty"` // while the list is not confirmed
 }
 
-// UnreachableHost is a host that a node could not connect to, and how long ago.
+// UnreachableHost is a host that an instance could not connect to, and how long ago.
 type UnreachableHost struct {
 	ID  string        `json:"id"`
 	Age time.Duration `json:"age_ns"`
 }
 
-// CachedList is the list that an instance holds now.
+// CachedList is the endpoint list that an instance has now. It does not change once it is returned.
 type CachedList struct {
 	Service       string
-	List          wire.EndpointList // complete; never changed once it is held
-	Confirmed     time.Time         // when the service last told or confirmed it
-	Replaced      chan struct{}
-	Unreachable   []string    // hosts that could not be connected to of late, and when
-	UnreachableAt []time.Time // of each
+	List          wire.EndpointList // complete
+	Confirmed     time.Time         // when the list service last sent or confirmed it
+	Replaced      chan struct{}     // closed once there is another list
+	Unreachable   []string          // hosts that the instance recently failed to connect to
+	UnreachableAt []time.Time       // when, for each of them
 }
 
-// ListProvider is an instance that passes its list on. CachedList returns nil where it has none; Replaced of what it returns is closed
-// once there is another, and ListAvailable once there is a first one.
+// ListProvider is an Instance that sends its endpoint list to others.
 type ListProvider interface {
+	// CachedList returns the list, or nil where there is none.
 	CachedList() *CachedList
+	// ListAvailable returns a channel that is closed once there is a first list.
 	ListAvailable() <-chan struct{}
 }
 
+// The bounds of a request for the list.
 const (
-	mostAsk  = 10 * time.Second          // the longest that such a call may wait
-	mostDead = 4096                      // hosts found dead that are told of
-	deadBody = mostDead * (mostName + 4) // bytes of their names, quoted
-	// fresher is how much younger than the asker's what is held must be to be worth an answer before the asked time.
-	fresher = 500 * time.Millisecond
+	maxListWait         = 10 * time.Second
+	maxUnreachable      = 4096 // hosts
+	maxListRequestBytes = maxUnreachable * (maxNameLength + 4)
+	// minAgeAdvantage is how much younger than the caller's the list must be to be sent before the caller's timeout.
+	minAgeAdvantage = 500 * time.Millisecond
 )
 
-// list answers a call for the list: at once where what is held is newer than the asker's, else when it is, or when the
-// asked time is over. An asker that knows the revision is told its age alone.
-func (s *Server) list(w http.ResponseWriter, q *http.Request) {
-	l, ok := s.instance.(ListProvider)
+// errNoList says that the instance has no list of the service.
+var errNoList = errors.New("no list")
+
+// knownUnreachable is the body of a POST: the unreachable hosts that the caller knows. With a GET the caller does not
+// want to be notified of them.
+type knownUnreachable struct {
+	IDs []string `json:"dead"`
+}
+
+// listQuery is what a caller has, and how long it waits for something newer.
+type listQuery struct {
+	service           string
+	revision          int64
+	age               time.Duration
+	timeout           time.Duration
+	notifyUnreachable bool
+	knownUnreachable  map[string]bool
+}
+
+// handleList answers a long poll for the endpoint list: at once if the instance's is newer than the caller's, otherwise
+// once it is, or when the timeout is over. A caller that has the same revision gets its age alone.
+func (s *Server) handleList(w http.ResponseWriter, request *http.Request) {
+	provider, ok := s.instance.(ListProvider)
 	if !ok {
-		WriteError(w, http.StatusNotFound, errors.New("this instance passes no list on"))
+		WriteError(w, http.StatusNotFound, errors.New("this instance does not share its endpoint list"))
 		return
 	}
-	select {
-	case s.askers <- struct{}{}:
-		defer func() { <-s.askers }()
-	default:
-		WriteError(w, http.StatusServiceUnavailable, fmt.Errorf("%d calls for the list wait, no more can", cap(s.askers)))
+	if !s.listSlots.tryAcquire() {
+		err := fmt.Errorf("too many list requests: %d are waiting", cap(s.listSlots))
+		WriteError(w, http.StatusServiceUnavailable, err)
 		return
 	}
-	began := time.Now()
-	service, known := q.URL.Query().Get("service"), knownDead{}
-	if q.Method == http.MethodPost {
-		if err := ReadJSON(http.MaxBytesReader(w, q.Body, deadBody), &known); err != nil {
-			WriteError(w, http.StatusBadRequest, fmt.Errorf("dead: %w", err))
-			return
-		}
-	}
-	dead := make(map[string]bool, len(known.Dead))
-	for _, id := range known.Dead {
-		dead[id] = true
-	}
-	after, age, within, err := asked(q.URL.Query())
+	defer s.listSlots.release()
+	start := time.Now()
+	query, err := parseListQuery(w, request)
 	if err != nil {
 		WriteError(w, http.StatusBadRequest, err)
 		return
 	}
-	late := time.NewTimer(within)
-	defer late.Stop()
+	list, err := waitForList(request.Context(), provider, query, start)
+	switch {
+	case errors.Is(err, errNoList):
+		WriteError(w, http.StatusNotFound, fmt.Errorf("this instance has no list of %q", query.service))
+	case err != nil: // the caller has disconnected
+	default:
+		writePeerList(w, list, query.revision, start)
+	}
+}
+
+// waitForList returns the list as soon as it is worth an answer. The error is errNoList or that of ctx.
+func waitForList(ctx context.Context, provider ListProvider, query listQuery, start time.Time) (*CachedList, error) {
+	timeout := time.NewTimer(query.timeout)
+	defer timeout.Stop()
 	for {
-		empty := l.ListAvailable() // before CachedList: what comes between the two is not missed
-		h := l.CachedList()
+		changed := provider.ListAvailable() // before CachedList, so that no change in between is missed
+		list := provider.CachedList()
 		now := time.Now()
-		over := now.Sub(began) >= within
-		changed := empty
-		if h != nil && h.Service != service { // of no use to the asker, nor will it be soon
-			changed, h = h.Replaced, nil
+		expired := now.Sub(start) >= query.timeout
+		if list != nil {
+			changed = list.Replaced
 		}
-		if h != nil {
-			ahead := now.Sub(began) + age - now.Sub(h.Confirmed) // by how much the asker's is older by now
-			news := q.Method == http.MethodPost && slices.ContainsFunc(h.Unreachable, func(id string) bool { return !dead[id] })
-			if h.List.Revision > after || over || (news || ahead >= fresher) && h.List.Revision == after {
-				s.pass(w, h, after, began)
-				return
-			}
-			changed = h.Replaced
-		} else if over {
-			WriteError(w, http.StatusNotFound, fmt.Errorf("this instance has no list of %q", service))
-			return
+		usable := list != nil && list.Service == query.service
+		switch {
+		case usable && (expired || query.isOutdatedBy(list, start, now)):
+			return list, nil
+		case !usable && expired:
+			return nil, errNoList
 		}
 		select {
-		case <-q.Context().Done():
-			return
+		case <-ctx.Done():
+			return nil, ctx.Err()
 		case <-changed:
-		case <-late.C:
+		case <-timeout.C:
 		}
 	}
 }
 
-// knownDead is what an asker knows of hosts found dead. A call without it does not want to be told.
-type knownDead struct {
-	Dead []string `json:"dead"`
-}
-
-func (s *Server) pass(w http.ResponseWriter, h *CachedList, after int64, began time.Time) {
-	now := time.Now()
-	p := PeerList{Service: h.Service, Age: now.Sub(h.Confirmed), Waited: now.Sub(began), Revision: h.List.Revision}
-	if h.List.Revision != after {
-		p.List = &h.List
+// isOutdatedBy reports whether a list is newer than the caller's, has been confirmed later, or has other unreachable
+// hosts. The caller's has aged since start.
+func (q *listQuery) isOutdatedBy(list *CachedList, start, now time.Time) bool {
+	if list.List.Revision != q.revision {
+		return list.List.Revision > q.revision
 	}
-	for i, id := range h.Unreachable[:min(len(h.Unreachable), mostDead)] {
-		p.Unreachable = append(p.Unreachable, UnreachableHost{id, now.Sub(h.UnreachableAt[i])})
+	callerAge := q.age + now.Sub(start)
+	ageAdvantage := callerAge - now.Sub(list.Confirmed)
+	if ageAdvantage >= minAgeAdvantage {
+		return true
 	}
-	_ = http.NewResponseController(w).SetWriteDeadline(now.Add(bodyWithin))
-	WriteJSON(w, p)
+	return q.notifyUnreachable && slices.ContainsFunc(list.Unreachable, func(id string) bool {
+		return !q.knownUnreachable[id]
+	})
 }
 
-// asked reads what an asker holds, and how long it waits.
-func asked(q url.Values) (after int64, age, within time.Duration, err error) {
-	if after, err = strconv.ParseInt(q.Get("after"), 10, 64); err != nil {
-		return 0, 0, 0, fmt.Errorf("after: %q is no revision", q.Get("after"))
+func writePeerList(w http.ResponseWriter, list *CachedList, callerRevision int64, start time.Time) {
+	now := time.Now()
+	peerList := PeerList{
+		Service:  list.Service,
+		Age:      now.Sub(list.Confirmed),
+		Waited:   now.Sub(start),
+		Revision: list.List.Revision,
 	}
-	for _, f := range []struct {
-		name string
-		into *time.Duration
-		most time.Duration
-	}{{"age_ms", &age, mostWithin}, {"within_ms", &within, mostAsk}} {
-		ms, err := strconv.ParseInt(q.Get(f.name), 10, 64)
-		if err != nil || ms < 0 || ms > f.most.Milliseconds() {
-			return 0, 0, 0, fmt.Errorf("%s: %q is not between 0 and %d", f.name, q.Get(f.name), f.most.Milliseconds())
-		}
-		*f.into = time.Duration(ms) * time.Millisecond
+	if list.List.Revision != callerRevision {
+		peerList.List = &list.List
+	}
+	for i, id := range list.Unreachable[:min(len(list.Unreachable), maxUnreachable)] {
+		host := UnreachableHost{ID: id, Age: now.Sub(list.UnreachableAt[i])}
+		peerList.Unreachable = append(peerList.Unreachable, host)
 	}
-	return after, age, within, nil
+	_ = http.NewResponseController(w).SetWriteDeadline(now.Add(bodyTimeout))
+	WriteJSON(w, peerList)
 }
 
-// List asks an instance for its list of a service: it answers as soon as it holds one that is newer than the revision given, or younger
-// than age, or other hosts found dead than those given (nil where they don't matter), and after within at the latest. The time at which the answer was true comes with it, as early as it can have
-// been: an answer that lay unread counts as old as it is.
-func (c *Client) List(ctx context.Context, service string, after int64, age, within time.Duration, dead *[]string) (p PeerList, at time.Time, err error) {
-	began := time.Now()
-	method, in := http.MethodGet, any(nil)
-	path := fmt.Sprintf("/v1/list?service=%s&after=%d&age_ms=%d&within_ms=%d", url.QueryEscape(service), after,
-		min(age, mostWithin).Milliseconds(), within.Milliseconds())
-	if dead != nil {
-		method, in = http.MethodPost, knownDead{(*dead)[:min(len(*dead), mostDead)]}
+func parseListQuery(w http.ResponseWriter, request *http.Request) (listQuery, error) {
+	values := request.URL.Query()
+	query := listQuery{
+		service:           values.Get("service"),
+		notifyUnreachable: request.Method == http.MethodPost,
+		knownUnreachable:  map[string]bool{},
 	}
-	if err = c.Call(ctx, method, path, in, &p); err != nil {
-		return p, began, err
+	if query.notifyUnreachable {
+		var known knownUnreachable
+		body := http.MaxBytesReader(w, request.Body, maxListRequestBytes)
+		if err := ReadJSON(body, &known); err != nil {
+			return query, fmt.Errorf("dead: %w", err)
+		}
+		for _, id := range known.IDs {
+			query.knownUnreachable[id] = true
+		}
 	}
-	if p.Age < 0 || p.Waited < 0 || p.Waited > time.Since(began) {
-		return p, began, errors.New("the answer's times can't be true")
+	var err error
+	query.revision, err = strconv.ParseInt(values.Get("after"), 10, 64)
+	if err != nil {
+		return query, fmt.Errorf("after: %q is not a revision", values.Get("after"))
 	}
-	if len(p.Unreachable) > mostDead {
-		return p, began, fmt.Errorf("the answer names over %d dead hosts", mostDead)
+	query.age, err = parseMilliseconds(values, "age_ms", maxDuration)
+	if err != nil {
+		return query, err
 	}
-	if p.List != nil {
-		if err := p.List.Check(); err != nil {
-			return p, began, fmt.Errorf("the list that was passed on: %w", err)
-		}
-		p.List.Complete, p.List.Revision = true, p.Revision
+	query.timeout, err = parseMilliseconds(values, "within_ms", maxListWait)
+	return query, err
+}
+
+func parseMilliseconds(values url.Values, name string, limit time.Duration) (time.Duration, error) {
+	text := values.Get(name)
+	ms, err := strconv.ParseInt(text, 10, 64)
+	if err != nil || ms < 0 || ms > limit.Milliseconds() {
+		return 0, fmt.Errorf("%s: %q is not between 0 and %d", name, text, limit.Milliseconds())
 	}
-	return p, began.Add(p.Waited), nil
+	return time.Duration(ms) * time.Millisecond, nil
 }
--- a/internal/control/list_test.go
+++ b/internal/control/list_test.go
@@ -13,142 +13,150 @@
 	"onyxstream/internal/wire"
 )
 
-// holder is an instance that passes a list on.
-type holder struct {
-	fake
-	mu    sync.Mutex
-	now   *CachedList
-	empty chan struct{}
+// fakeListInstance is a ListProvider.
+type fakeListInstance struct {
+	fakeInstance
+	mu        sync.Mutex
+	list      *CachedList
+	available chan struct{}
 }
 
-func (h *holder) CachedList() *CachedList {
+func (h *fakeListInstance) CachedList() *CachedList {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.now
+	return h.list
 }
 
-func (h *holder) ListAvailable() <-chan struct{} { return h.empty }
+func (h *fakeListInstance) ListAvailable() <-chan struct{} { return h.available }
 
-func (h *holder) holds(service string, revision int64, age time.Duration, dead ...string) {
+func (h *fakeListInstance) setList(service string, revision int64, age time.Duration, unreachable ...string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	was := h.now
-	h.now = &CachedList{Service: service, List: wire.EndpointList{Revision: revision, Endpoints: []wire.Endpoint{{ID: "h1", Addr: "127.0.0.1:1"}}},
-		Confirmed: time.Now().Add(-age), Replaced: make(chan struct{}), Unreachable: dead, UnreachableAt: make([]time.Time, len(dead))}
-	if was != nil {
-		close(was.Replaced)
+	previous := h.list
+	h.list = &CachedList{
+		Service:       service,
+		List:          wire.EndpointList{Revision: revision, Endpoints: []wire.Endpoint{{ID: "h1", Addr: "127.0.0.1:1"}}},
+		Confirmed:     time.Now().Add(-age),
+		Replaced:      make(chan struct{}),
+		Unreachable:   unreachable,
+		UnreachableAt: make([]time.Time, len(unreachable)),
+	}
+	if previous != nil {
+		close(previous.Replaced)
 	} else {
-		close(h.empty)
+		close(h.available)
 	}
 }
 
-func newHolder() *holder { return &holder{empty: make(chan struct{})} }
+func newFakeListInstance() *fakeListInstance {
+	return &fakeListInstance{available: make(chan struct{})}
+}
 
-// A call waits until there is something newer, and never longer than it asked.
-func TestACallForTheListWaitsForANewerOne(t *testing.T) {
-	h := newHolder()
-	_, c := servedBy(t, h)
-	var refused *RemoteError
-	if _, _, err := c.List(t.Context(), "s", -1, 0, 50*time.Millisecond, nil); !errors.As(err, &refused) || refused.Code != http.StatusNotFound {
+// A request waits until there is something newer, and never longer than its timeout.
+func TestList_NothingNewer_Waits(t *testing.T) {
+	h := newFakeListInstance()
+	_, c := startServer(t, h)
+	var rejected *RemoteError
+	if _, _, err := c.List(t.Context(), "s", -1, 0, 50*time.Millisecond, nil); !errors.As(err, &rejected) || rejected.Code != http.StatusNotFound {
 		t.Errorf("with no list: %v", err)
 	}
-	ask := func(service string, after int64, age time.Duration, dead *[]string) <-chan PeerList {
+	poll := func(service string, revision int64, age time.Duration, unreachable *[]string) <-chan PeerList {
 		got := make(chan PeerList, 1)
 		go func() {
 			defer close(got)
-			if p, _, err := c.List(t.Context(), service, after, age, 5*time.Second, dead); err == nil {
+			if p, _, err := c.List(t.Context(), service, revision, age, 5*time.Second, unreachable); err == nil {
 				got <- p
 			}
 		}()
 		return got
 	}
-	first, other := ask("s", -1, 0, nil), ask("other", -1, 0, nil)
+	first, other := poll("s", -1, 0, nil), poll("other", -1, 0, nil)
 	time.Sleep(50 * time.Millisecond)
-	h.holds("s", 4, time.Minute)
+	h.setList("s", 4, time.Minute)
 	if p := <-first; p.Revision != 4 || p.List == nil || p.Age < time.Minute || p.Waited < 40*time.Millisecond {
 		t.Errorf("the first list: %+v", p)
 	}
-	if p := <-ask("s", 3, 0, nil); p.List == nil {
-		t.Errorf("an older one is asked with: %+v", p)
+	if p := <-poll("s", 3, 0, nil); p.List == nil {
+		t.Errorf("the caller's revision is older: %+v", p)
 	}
-	same := ask("s", 4, time.Minute, nil)
-	dead := []string{"h2"}
-	knows := ask("s", 4, time.Minute, &dead)
+	same := poll("s", 4, time.Minute, nil)
+	known := []string{"h2"}
+	knowing := poll("s", 4, time.Minute, &known)
 	time.Sleep(50 * time.Millisecond)
 	select {
 	case p := <-same:
-		t.Errorf("the same one, as old, was answered at once: %+v", p)
+		t.Errorf("the same list of the same age was sent at once: %+v", p)
 	case p := <-other:
-		t.Errorf("a list of another service was passed on: %+v", p)
+		t.Errorf("a list of another service was sent: %+v", p)
 	default:
 	}
-	h.holds("s", 4, time.Minute, "h1", "h2")
-	if p := <-knows; len(p.Unreachable) != 2 || p.List != nil {
-		t.Errorf("a host found dead was not told: %+v", p)
+	h.setList("s", 4, time.Minute, "h1", "h2")
+	if p := <-knowing; len(p.Unreachable) != 2 || p.List != nil {
+		t.Errorf("an unreachable host was not sent: %+v", p)
 	}
-	h.holds("s", 4, 0)
+	h.setList("s", 4, 0)
 	if p := <-same; p.Age > 10*time.Second || p.List != nil {
 		t.Errorf("a confirmed one: %+v", p)
 	}
-	h.holds("other", 9, 0)
+	h.setList("other", 9, 0)
 	if p := <-other; p.Service != "other" || p.Revision != 9 {
 		t.Errorf("the other service's: %+v", p)
 	}
 }
 
-// Half of a fleet of thousands may be dead, under the longest names: all are told, and an asker that knows them waits.
-func TestManyDeadHostsAreTold(t *testing.T) {
-	h := newHolder()
-	_, c := servedBy(t, h)
+// Half of a large fleet may be unreachable, with the longest names: all are sent, and a caller that knows them waits.
+func TestList_ManyUnreachableHosts_SendsAll(t *testing.T) {
+	h := newFakeListInstance()
+	_, c := startServer(t, h)
 	var all []string
-	for i := range mostDead {
-		all = append(all, strings.Repeat("h", mostName-6)+fmt.Sprintf("%06d", i))
+	for i := range maxUnreachable {
+		all = append(all, strings.Repeat("h", maxNameLength-6)+fmt.Sprintf("%06d", i))
 	}
-	h.holds("s", 4, time.Minute, all...)
+	h.setList("s", 4, time.Minute, all...)
 	none := []string{}
-	if p, _, err := c.List(t.Context(), "s", 4, time.Minute, 5*time.Second, &none); err != nil || len(p.Unreachable) != mostDead {
-		t.Errorf("%d of %d are told, error %v", len(p.Unreachable), mostDead, err)
+	if p, _, err := c.List(t.Context(), "s", 4, time.Minute, 5*time.Second, &none); err != nil || len(p.Unreachable) != maxUnreachable {
+		t.Errorf("%d of %d are sent, error %v", len(p.Unreachable), maxUnreachable, err)
 	}
 	for i := range all {
-		all[i] = fmt.Sprintf("%0*d", mostName, i)
+		all[i] = fmt.Sprintf("%0*d", maxNameLength, i)
 	}
-	h.holds("s", 4, time.Minute, all...)
+	h.setList("s", 4, time.Minute, all...)
 	if p, _, err := c.List(t.Context(), "s", 4, time.Minute, 100*time.Millisecond, &all); err != nil || p.Waited < 100*time.Millisecond {
-		t.Errorf("who knows them all waited %v, error %v", p.Waited, err)
+		t.Errorf("a caller that knows all waited %v, error %v", p.Waited, err)
 	}
 }
 
-// Calls that wait are bounded, and leave the agent its own; what can't be meant is an error.
-func TestCallsForTheListAreBounded(t *testing.T) {
-	h := newHolder()
-	path, c := servedBy(t, h)
+// Waiting requests are bounded and leave capacity for the agent's; invalid ones are an error.
+func TestList_TooManyRequests_Rejects(t *testing.T) {
+	h := newFakeListInstance()
+	path, c := startServer(t, h)
 	ctx, cancel := context.WithCancel(t.Context())
 	var wg sync.WaitGroup
-	for range leastConns / askPart {
+	for range minConns / listDivisor {
 		wg.Go(func() {
-			own, err := Dial("unix:"+path, nil)
+			client, err := Dial("unix:"+path, nil)
 			if err != nil {
 				t.Error(err)
 				return
 			}
-			defer own.Close()
-			for ctx.Err() == nil { // the call of the test may have taken the last place for a moment
-				_, _, _ = own.List(ctx, "s", -1, 0, mostAsk, nil)
+			defer client.Close()
+			for ctx.Err() == nil { // the test's own request may have taken the last slot for a moment
+				_, _, _ = client.List(ctx, "s", -1, 0, maxListWait, nil)
 			}
 		})
 	}
-	var refused *RemoteError
+	var rejected *RemoteError
 	for begin := time.Now(); ; {
 		_, _, err := c.List(t.Context(), "s", -1, 0, 0, nil)
-		if errors.As(err, &refused) && refused.Code == http.StatusServiceUnavailable {
+		if errors.As(err, &rejected) && rejected.Code == http.StatusServiceUnavailable {
 			break
 		}
 		if time.Since(begin) > 10*time.Second {
-			t.Fatalf("%d calls wait, and one more: %v", leastConns/askPart, err)
+			t.Fatalf("%d requests wait, and one more: %v", minConns/listDivisor, err)
 		}
 	}
 	if s, err := c.Status(t.Context()); err != nil || s.Name == "" {
-		t.Errorf("the agent's call beside them: %+v, %v", s, err)
+		t.Errorf("the agent's call meanwhile: %+v, %v", s, err)
 	}
 	cancel()
 	wg.Wait()
@@ -157,8 +165,8 @@
 		var p PeerList
 		call := func() error { return c.Call(t.Context(), http.MethodGet, "/v1/list"+query, nil, &p) }
 		err := call()
-		for begin := time.Now(); errors.As(err, &refused) && refused.Code == http.StatusServiceUnavailable && time.Since(begin) < 10*time.Second; {
-			err = call() // those who waited have left, and the server has not seen all of them go yet
+		for begin := time.Now(); errors.As(err, &rejected) && rejected.Code == http.StatusServiceUnavailable && time.Since(begin) < 10*time.Second; {
+			err = call() // the server may not have noticed yet that all callers disconnected
 		}
 		if err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%q: %v, want %s", query, err, want)
@@ -166,11 +174,11 @@
 	}
 }
 
-// An instance that has no cold start passes nothing on.
-func TestAnInstanceWithoutAListPassesNothingOn(t *testing.T) {
-	_, c := served(t, &fake{})
-	var refused *RemoteError
-	if _, _, err := c.List(t.Context(), "s", -1, 0, time.Second, nil); !errors.As(err, &refused) || refused.Code != http.StatusNotFound {
+// An instance without cold start shares no list.
+func TestList_NoProvider_AnswersNotFound(t *testing.T) {
+	_, c := startFake(t, &fakeInstance{})
+	var rejected *RemoteError
+	if _, _, err := c.List(t.Context(), "s", -1, 0, time.Second, nil); !errors.As(err, &rejected) || rejected.Code != http.StatusNotFound {
 		t.Errorf("%v", err)
 	}
 }
--- /dev/null
+++ b/internal/control/register.go
@@ -0,0 +1,139 @@
+package control
+
+import "fmt"
+
+// The bounds of a register.
+const (
+	maxScopes  = 1024 // the instance, and hosts with an override
+	maxAnswers = 4096 // answers that are remembered for repeated commands
+)
+
+// errOverrideLimit goes to operators as it is, also by line calls.
+var errOverrideLimit = fmt.Errorf("words on %d hosts are held, no more can be", maxScopes)
+
+// Register applies each command once, and none after a newer one. Drain and resume of the instance share one scope;
+// the override of each host has its own. A Register is not safe for concurrent use.
+type Register struct {
+	boot           string
+	scopes         map[string]scopeState // by host; "" is the instance
+	answers        map[string]recordedAnswer
+	answerOrder    []string // keys of answers, the oldest first
+	manualCommands uint64   // commands given to AcceptManual
+}
+
+// scopeState is the command in effect for a scope.
+type scopeState struct {
+	operation string
+	fence     uint64
+	kind      CommandKind
+}
+
+type recordedAnswer struct {
+	command Command
+	answer  Answer
+}
+
+// Decision is what Accept decided on a command.
+type Decision struct {
+	Answer   Answer
+	MustRun  bool   // the instance must carry the command out now
+	Rollback func() // forgets the command; only before the next call of the register, and where MustRun is set
+}
+
+// NewRegister makes an empty register for one start of an instance.
+func NewRegister(boot string) *Register {
+	return &Register{
+		boot:    boot,
+		scopes:  map[string]scopeState{},
+		answers: map[string]recordedAnswer{},
+	}
+}
+
+// answerKey identifies a command among the recorded answers.
+func answerKey(c Command) string { return c.Operation + "\x00" + c.Host }
+
+// Accept decides on a command. An error means that the command is invalid, reuses an operation or a fence with other
+// contents, or exceeds the number of hosts with an override.
+func (r *Register) Accept(c Command) (Decision, error) {
+	if err := c.Check(); err != nil {
+		return Decision{}, err
+	}
+	key := answerKey(c)
+	if recorded, ok := r.answers[key]; ok {
+		if recorded.command != c {
+			return Decision{}, fmt.Errorf("operation: %q was given with other contents before", c.Operation)
+		}
+		return Decision{Answer: recorded.answer}, nil
+	}
+	current, known := r.scopes[c.Host]
+	switch {
+	case !known && len(r.scopes) >= maxScopes:
+		return Decision{}, fmt.Errorf("host: %w", errOverrideLimit)
+	case known && c.Fence == current.fence:
+		return Decision{}, fmt.Errorf("fence: %d is that of operation %q already", c.Fence, current.operation)
+	case known && c.Fence < current.fence:
+		answer := Answer{
+			Verdict: Rejected,
+			Reason:  fmt.Sprintf("operation %s with fence %d holds, %d is older", current.operation, current.fence, c.Fence),
+			Fence:   current.fence,
+			Boot:    r.boot,
+		}
+		r.record(key, c, answer)
+		return Decision{Answer: answer}, nil
+	}
+	r.scopes[c.Host] = scopeState{c.Operation, c.Fence, c.Kind}
+	answer := Answer{Verdict: Done, Fence: c.Fence, Boot: r.boot}
+	r.record(key, c, answer)
+	return Decision{
+		Answer:  answer,
+		MustRun: !known || current.kind != c.Kind || c.Kind == Drain, // a repeated drain may have another timeout
+		Rollback: func() {
+			r.restore(c.Host, current, known)
+			delete(r.answers, key)
+			r.answerOrder = r.answerOrder[:len(r.answerOrder)-1]
+		},
+	}, nil
+}
+
+// record remembers an answer and forgets the oldest one past the limit.
+func (r *Register) record(key string, c Command, answer Answer) {
+	if len(r.answerOrder) >= maxAnswers {
+		delete(r.answers, r.answerOrder[0])
+		r.answerOrder = r.answerOrder[1:]
+	}
+	r.answers[key] = recordedAnswer{c, answer}
+	r.answerOrder = append(r.answerOrder, key)
+}
+
+// AcceptManual completes a command of a caller that knows neither operations nor fences, and puts it in effect after all
+// earlier ones. It gets an operation of its own and keeps the fence in effect, so that commands with fences are neither
+// rejected nor contradicted because of it. rollback forgets the command where it could not be carried out.
+func (r *Register) AcceptManual(c Command) (full Command, rollback func(), err error) {
+	current, known := r.scopes[c.Host]
+	r.manualCommands++
+	c.Operation = fmt.Sprintf("by-hand-%s-%d", r.boot, r.manualCommands)
+	c.Fence = max(current.fence, 1)
+	if err := c.Check(); err != nil {
+		return c, nil, err
+	}
+	if !known && len(r.scopes) >= maxScopes {
+		return c, nil, errOverrideLimit
+	}
+	r.scopes[c.Host] = scopeState{c.Operation, current.fence, c.Kind}
+	return c, func() { r.restore(c.Host, current, known) }, nil
+}
+
+// restore sets a scope back to what it was.
+func (r *Register) restore(host string, previous scopeState, known bool) {
+	if !known {
+		delete(r.scopes, host)
+		return
+	}
+	r.scopes[host] = previous
+}
+
+// Current returns the operation in effect for the instance.
+func (r *Register) Current() (operation string, fence uint64) {
+	scope := r.scopes[""]
+	return scope.operation, scope.fence
+}
--- /dev/null
+++ b/internal/control/register_test.go
@@ -0,0 +1,85 @@
+package control
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+)
+
+// Commands in any order and number: fences in effect only rise, a repeated command gets the same answer, an older one is
+// rejected.
+func TestRegister_RandomCommands_AppliesEachOnceInOrder(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		r := NewRegister("b")
+		first := map[string]Answer{}
+		inEffect := map[string]uint64{}
+		for range rapid.IntRange(1, 60).Draw(t, "n") {
+			fence := rapid.Uint64Range(1, 12).Draw(t, "fence")
+			c := Command{Operation: fmt.Sprint("o", fence), Fence: fence, Kind: []CommandKind{Drain, Resume}[fence%2]}
+			if rapid.Bool().Draw(t, "host") {
+				c.Kind, c.Host = HostDrain, "h"
+			}
+			decision, err := r.Accept(c)
+			if err != nil {
+				t.Fatal(err)
+			}
+			a := decision.Answer
+			id := c.Operation + c.Host
+			previous, repeated := first[id]
+			switch {
+			case repeated && (a != previous || decision.MustRun):
+				t.Fatalf("%+v repeated: %+v, previous answer %+v", c, decision, previous)
+			case !repeated && (a.Verdict == Done) != (fence > inEffect[c.Host]):
+				t.Fatalf("%+v after %d: %+v", c, inEffect[c.Host], a)
+			case decision.MustRun && a.Verdict != Done:
+				t.Fatalf("%+v is rejected and applied", c)
+			}
+			first[id] = a
+			if a.Verdict == Done && !repeated {
+				inEffect[c.Host] = fence
+			}
+		}
+	})
+}
+
+func TestRegister_InvalidCommand_ReturnsError(t *testing.T) {
+	r := NewRegister("b")
+	good := Command{Operation: "o", Fence: 5, Kind: Drain, DrainTimeout: time.Second}
+	if decision, err := r.Accept(good); err != nil || !decision.MustRun {
+		t.Fatal(err)
+	}
+	for _, c := range []struct {
+		command Command
+		want    string
+	}{
+		{Command{Operation: "o", Fence: 5, Kind: Resume}, "other contents"},
+		{Command{Operation: "p", Fence: 5, Kind: Drain}, "fence"},
+		{Command{Fence: 6, Kind: Drain}, "operation"},
+		{Command{Operation: "p", Kind: Drain}, "fence"},
+		{Command{Operation: "p", Fence: 6, Kind: "x"}, "kind"},
+		{Command{Operation: "p", Fence: 6, Kind: HostDrain}, "host"},
+		{Command{Operation: "p", Fence: 6, Kind: Drain, DrainTimeout: -1}, "within"},
+		{Command{Operation: strings.Repeat("p", 200), Fence: 6, Kind: Drain}, "operation"},
+	} {
+		if decision, err := r.Accept(c.command); decision.MustRun || err == nil || !strings.Contains(err.Error(), c.want) {
+			t.Errorf("%+v: must run %v, error %v, want %s", c.command, decision.MustRun, err, c.want)
+		}
+	}
+	for i := range 3 * maxAnswers {
+		if _, err := r.Accept(Command{Operation: fmt.Sprint(i), Fence: uint64(i + 10), Kind: Drain}); err != nil {
+			t.Fatal(err)
+		}
+	}
+	for i := range maxScopes + 5 {
+		c := Command{Operation: fmt.Sprint("h", i), Fence: 1, Kind: HostDrain, Host: fmt.Sprint(i)}
+		if _, err := r.Accept(c); i > maxScopes && err == nil {
+			t.Fatal("the number of hosts with an override is not bounded")
+		}
+	}
+	if len(r.answers) > maxAnswers || len(r.scopes) > maxScopes {
+		t.Errorf("%d answers and %d scopes are stored", len(r.answers), len(r.scopes))
+	}
+}
--- /dev/null
+++ b/internal/control/server_test.go
@@ -0,0 +1,246 @@
+package control
+
+import (
+	"context"
+	"errors"
+	"flag"
+	"io"
+	"net"
+	"os"
+	"path/filepath"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"go.uber.org/goleak"
+	"go.uber.org/zap"
+)
+
+// A fixed seed makes runs alike; -rapid.seed sets another.
+func init() { _ = flag.Set("rapid.seed", "1") }
+
+func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
+
+// fakeInstance records the commands that it applies.
+type fakeInstance struct {
+	applyErr error
+	mu       sync.Mutex
+	applied  []Command
+	gate     chan struct{} // Apply waits for it; nil for none
+}
+
+func (f *fakeInstance) Status() Status {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return Status{Name: "n1", State: Serving, Established: int64(len(f.applied))}
+}
+
+func (f *fakeInstance) Apply(c Command) error {
+	if f.gate != nil {
+		<-f.gate
+	}
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if f.applyErr != nil {
+		return f.applyErr
+	}
+	f.applied = append(f.applied, c)
+	return nil
+}
+
+func (f *fakeInstance) appliedCount() int {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return len(f.applied)
+}
+
+// startFake runs a server for an instance on a Unix socket until the test ends.
+func startFake(t *testing.T, f *fakeInstance) (path string, c *Client) {
+	t.Helper()
+	return startServer(t, f)
+}
+
+func startServer(t *testing.T, f Instance) (path string, c *Client) {
+	t.Helper()
+	path = filepath.Join(t.TempDir(), "s")
+	l, err := ListenUnix(path, minConns)
+	if err != nil {
+		t.Fatal(err)
+	}
+	ctx, cancel := context.WithCancel(context.Background())
+	done := make(chan error, 1)
+	go func() { done <- NewServer(f, "boot", minConns, zap.NewNop()).Serve(ctx, l) }()
+	t.Cleanup(func() {
+		cancel()
+		if err := <-done; err != nil {
+			t.Error(err)
+		}
+	})
+	if c, err = Dial("unix:"+path, nil); err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(c.Close)
+	return path, c
+}
+
+// Concurrent and later repeats of a command get the same answer, and it is applied once.
+func TestServer_RepeatedCommand_AppliedOnce(t *testing.T) {
+	f := &fakeInstance{}
+	_, c := startFake(t, f)
+	cmd := Command{Operation: "o", Fence: 1, Kind: Drain, DrainTimeout: time.Second}
+	var wg sync.WaitGroup
+	answers := make(chan Answer, 20)
+	for range 20 {
+		wg.Go(func() {
+			a, err := c.Do(t.Context(), cmd)
+			if err != nil {
+				t.Error(err)
+			}
+			answers <- a
+		})
+	}
+	wg.Wait()
+	close(answers)
+	for a := range answers {
+		if a != (Answer{Verdict: Done, Fence: 1, Boot: "boot"}) {
+			t.Errorf("answered %+v", a)
+		}
+	}
+	if f.appliedCount() != 1 {
+		t.Errorf("it was applied %d times", f.appliedCount())
+	}
+	if a, err := c.Do(t.Context(), Command{Operation: "p", Fence: 9, Kind: Resume}); err != nil || a.Verdict != Done {
+		t.Errorf("a newer one: %+v, %v", a, err)
+	}
+	if a, err := c.Do(t.Context(), Command{Operation: "q", Fence: 3, Kind: Drain}); err != nil || a.Verdict != Rejected || a.Fence != 9 {
+		t.Errorf("an older one: %+v, %v", a, err)
+	}
+	if a, err := c.Do(t.Context(), cmd); err != nil || a.Verdict != Done || f.appliedCount() != 2 {
+		t.Errorf("the first repeated: %+v, %v; %d applied", a, err, f.appliedCount())
+	}
+	var remote *RemoteError
+	if _, err := c.Do(t.Context(), Command{Operation: "o", Fence: 1, Kind: Resume}); !errors.As(err, &remote) || remote.Code != 409 {
+		t.Errorf("the same operation with other contents: %v", err)
+	}
+	if s, err := c.Status(t.Context()); err != nil || s.Operation != "p" || s.Fence != 9 || s.Boot != "boot" {
+		t.Errorf("status %+v, error %v", s, err)
+	}
+}
+
+// Requests that are too large, incomplete, slow or malformed end with an error and delay no other.
+func TestServer_MalformedRequest_AnswersError(t *testing.T) {
+	f := &fakeInstance{}
+	path, c := startFake(t, f)
+	head := "POST /v1/command HTTP/1.1\r\nHost: x\r\nConnection: close\r\nContent-Length: "
+	for name, text := range map[string]string{
+		"huge":     head + "99999999\r\n\r\n{\"operation\":\"" + strings.Repeat("x", 200_000),
+		"half":     head + "100\r\n\r\n{\"operation\":",
+		"no json":  head + "5\r\n\r\nhello",
+		"two":      head + "4\r\n\r\n{}{}",
+		"unknown":  head + "9\r\n\r\n{\"x\":123}",
+		"trickle":  "POST /v1/comm",
+		"nonsense": "\x16\x03\x01\x02\x00",
+		"long":     "GET /" + strings.Repeat("y", 40_000) + " HTTP/1.1\r\n\r\n",
+	} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			p, err := net.Dial("unix", path)
+			if err != nil {
+				t.Fatal(err)
+			}
+			defer p.Close()
+			_ = p.SetDeadline(time.Now().Add(20 * time.Second))
+			_, _ = io.WriteString(p, text)
+			got, err := io.ReadAll(p)
+			var late net.Error
+			if errors.As(err, &late) && late.Timeout() {
+				t.Error("the connection is not closed")
+			}
+			if len(got) > 0 && !strings.HasPrefix(string(got), "HTTP/1.1 4") {
+				t.Errorf("answered %.60q", got)
+			}
+		})
+		if s, err := c.Status(t.Context()); err != nil || s.Name != "n1" {
+			t.Errorf("beside it: %+v, %v", s, err)
+		}
+	}
+	if f.appliedCount() != 0 {
+		t.Error("a command was applied")
+	}
+}
+
+func TestWatch_StatusChanges_StreamsLine(t *testing.T) {
+	f := &fakeInstance{}
+	_, c := startFake(t, f)
+	n := 0
+	err := c.Stream(t.Context(), "/v1/watch", func(line []byte) bool {
+		n++
+		if n == 1 {
+			if _, err := c.Do(t.Context(), Command{Operation: "o", Fence: 1, Kind: Drain}); err != nil {
+				t.Error(err)
+			}
+			return true
+		}
+		return !strings.Contains(string(line), `"operation":"o"`)
+	})
+	if err != nil || n < 2 {
+		t.Errorf("%d lines, error %v", n, err)
+	}
+}
+
+func TestListenUnix_PathInUse_Fails(t *testing.T) {
+	path, _ := startFake(t, &fakeInstance{})
+	if l, err := ListenUnix(path, minConns); err == nil {
+		_ = l.Close()
+		t.Error("two servers listen on one socket")
+	}
+	file := filepath.Join(t.TempDir(), "file")
+	if err := os.WriteFile(file, []byte("x"), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	if _, err := ListenUnix(file, minConns); err == nil {
+		t.Error("a regular file was replaced by a socket")
+	}
+	if info, err := os.Stat(path); err != nil || info.Mode().Perm() != 0o600 {
+		t.Errorf("the socket has mode %v, error %v", info.Mode(), err)
+	}
+}
+
+// A manual command keeps the fence in effect, so it neither rejects nor contradicts later commands with fences. A command
+// that the instance fails to apply is forgotten, with or without a fence.
+func TestApplyManual_BesideFencedCommands_KeepsFence(t *testing.T) {
+	f := &fakeInstance{}
+	s := NewServer(f, "boot", minConns, zap.NewNop())
+	apply := func(op string, fence uint64, kind CommandKind, verdict Verdict) {
+		t.Helper()
+		if a, err := s.Apply(Command{Operation: op, Fence: fence, Kind: kind}); err != nil || a.Verdict != verdict {
+			t.Errorf("%s: %+v, %v", op, a, err)
+		}
+	}
+	apply("first", 5, Drain, Done)
+	if err := s.ApplyManual(Command{Kind: Resume}); err != nil || f.appliedCount() != 2 {
+		t.Errorf("manual: %v, %d applied", err, f.appliedCount())
+	}
+	apply("older", 4, Drain, Rejected)
+	apply("first", 5, Drain, Done) // repeated, and not applied again
+	apply("next", 6, Drain, Done)
+	if f.appliedCount() != 3 {
+		t.Errorf("%d were applied", f.appliedCount())
+	}
+	f.applyErr = errors.New("timed out")
+	if err := s.ApplyManual(Command{Kind: Resume}); !errors.Is(err, f.applyErr) {
+		t.Errorf("manual: %v", err)
+	}
+	if _, err := s.Apply(Command{Operation: "last", Fence: 7, Kind: Resume}); !errors.Is(err, f.applyErr) {
+		t.Errorf("with a fence: %v", err)
+	}
+	if op, fence := s.register.Current(); op != "next" || fence != 6 || len(s.register.answerOrder) != len(s.register.answers) {
+		t.Errorf("%s with fence %d is in effect, %d places for %d answers", op, fence, len(s.register.answerOrder), len(s.register.answers))
+	}
+	f.applyErr = nil
+	apply("last", 7, Resume, Done)
+	if err := s.ApplyManual(Command{Kind: "reboot"}); err == nil || f.appliedCount() != 4 {
+		t.Errorf("unknown kind: %v, %d applied", err, f.appliedCount())
+	}
+}
--- a/internal/control/stored_test.go
+++ b/internal/control/stored_test.go
@@ -14,25 +14,25 @@
 // The files in testdata were written by the release before the names in the code changed, with a value in every field:
 // instances, agents and command lines of two releases speak with each other.
 
-// fill gives every exported field of a value one of its own that is not zero.
-func fill(v reflect.Value, n *int) {
+// fillFields gives every exported field of a value one of its own that is not zero.
+func fillFields(v reflect.Value, n *int) {
 	*n++
 	switch v.Kind() {
 	case reflect.Pointer:
 		v.Set(reflect.New(v.Type().Elem()))
-		fill(v.Elem(), n)
+		fillFields(v.Elem(), n)
 	case reflect.Struct:
 		if v.Type().PkgPath() == "time" {
 			return
 		}
 		for i := range v.NumField() {
 			if v.Type().Field(i).IsExported() && v.Type().Field(i).Tag.Get("json") != "-" {
-				fill(v.Field(i), n)
+				fillFields(v.Field(i), n)
 			}
 		}
 	case reflect.Slice:
 		v.Set(reflect.MakeSlice(v.Type(), 1, 1))
-		fill(v.Index(0), n)
+		fillFields(v.Index(0), n)
 	case reflect.Bool:
 		v.SetBool(true)
 	case reflect.String:
@@ -57,7 +57,7 @@
 		}
 		want := reflect.New(reflect.TypeOf(into).Elem())
 		n := 0
-		fill(want.Elem(), &n)
+		fillFields(want.Elem(), &n)
 		if err := json.Unmarshal(text, into); err != nil {
 			t.Errorf("%s: %v", name, err)
 			continue
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -108,10 +108,10 @@
 }
 
 // play answers all that is told, and says what instances are like then.
-func play(f *Fleet, now time.Duration, state string) (told []string) {
+func play(f *Fleet, now time.Duration, state control.InstanceState) (told []string) {
 	_, tells, _ := f.Next(now)
 	for _, t := range tells {
-		told = append(told, t.Instance.Name+" "+t.Command.Kind)
+		told = append(told, t.Instance.Name+" "+string(t.Command.Kind))
 		f.Answered(now, t, control.Answer{Verdict: control.Done, Fence: t.Command.Fence, Boot: "1"}, nil)
 		f.Observe(now+1, now+1, t.Instance.Name, control.Status{Boot: "1", State: state, Fence: t.Command.Fence}, nil)
 	}
--- a/internal/fleet/model_test.go
+++ b/internal/fleet/model_test.go
@@ -134,7 +134,7 @@
 
 func (x *instance) status(now time.Duration) control.Status {
 	s := control.Status{Name: x.name, Boot: fmt.Sprint(x.name, "-", x.boot), State: control.Serving}
-	s.Operation, s.Fence = x.register.Holds()
+	s.Operation, s.Fence = x.register.Current()
 	if x.leaving {
 		s.State = control.Draining
 		if now >= x.gone {
@@ -171,12 +171,12 @@
 		if !x.up {
 			return
 		}
-		a, act, e := x.register.Take(tl.Command)
+		decision, e := x.register.Accept(tl.Command)
 		if e != nil {
 			w.t.Fatalf("%v: %s finds fault with %+v: %v", w.now, name, tl.Command, e)
 		}
-		answer, err = a, nil
-		if act {
+		answer, err = decision.Answer, nil
+		if decision.MustRun {
 			x.do(w, tl.Command)
 		}
 	}
@@ -288,7 +288,7 @@
 		w.run(2*time.Second, func() int { return 0 })
 		ids := []string{}
 		for i := range rapid.IntRange(1, 8).Draw(t, "orders") {
-			kind := rapid.SampledFrom([]string{control.Drain, control.Drain, control.Resume, control.HostDrain, control.HostResume}).Draw(t, "kind")
+			kind := rapid.SampledFrom([]control.CommandKind{control.Drain, control.Drain, control.Resume, control.HostDrain, control.HostResume}).Draw(t, "kind")
 			r := Request{ID: fmt.Sprint("o", i), Kind: kind, Options: Options{AtOnce: rapid.IntRange(1, 4).Draw(t, "at once"), Unavailable: limit,
 				UnavailableZone: n, EmptyZone: true, Within: time.Second, StepWithin: 15 * time.Second,
 				OnFailure: rapid.SampledFrom([]string{"pause", "abort", "continue"}).Draw(t, "on failure")}}
--- a/internal/fleet/next.go
+++ b/internal/fleet/next.go
@@ -103,7 +103,7 @@
 	if s.Reach != Up {
 		return string(s.Reach)
 	}
-	return s.Status.State
+	return string(s.Status.State)
 }
 
 func (f *Fleet) end(o *Operation, s *Step, to StepState, why string) {
--- a/internal/fleet/operation.go
+++ b/internal/fleet/operation.go
@@ -70,11 +70,11 @@
 
 // Request is an operation as it is ordered.
 type Request struct {
-	ID      string   `json:"id"` // chosen by who orders: the same one again is the same operation
-	Kind    string   `json:"kind"`
-	Host    string   `json:"host,omitempty"`
-	Targets []string `json:"targets"` // in the order in which they are to be told
-	Options Options  `json:"options"`
+	ID      string              `json:"id"` // chosen by who orders: the same one again is the same operation
+	Kind    control.CommandKind `json:"kind"`
+	Host    string              `json:"host,omitempty"`
+	Targets []string            `json:"targets"` // in the order in which they are to be told
+	Options Options             `json:"options"`
 }
 
 // Operation is an order and how far it came.
--- a/internal/lifecycle/shared.go
+++ b/internal/lifecycle/shared.go
@@ -271,7 +271,7 @@
 	order := func(c control.Command) {
 		if err := s.orders.ApplyManual(c); err != nil {
 			s.seen = after // once more at the next look
-			s.log.Error("what another process was told could not be taken in", zap.String("kind", c.Kind), zap.String("host", c.Host),
+			s.log.Error("what another process was told could not be taken in", zap.String("kind", string(c.Kind)), zap.String("host", c.Host),
 				zap.Error(err))
 		}
 	}
