--- a/internal/management/call_test.go
+++ b/internal/management/call_test.go
@@ -5,11 +5,11 @@
 	"testing"
 )
 
-func TestWhatACallMayBe(t *testing.T) {
+func TestParse_Lines_CallOrError(t *testing.T) {
 	for _, c := range []struct {
-		line string
-		want Call
-		bad  string // part of the reason
+		line    string
+		want    Call
+		wantErr string // part of the error's text
 	}{
 		{"ready", Call{Kind: Ready}, ""},
 		{"show-stat", Call{Kind: ShowStat}, ""},
@@ -24,19 +24,19 @@
 		{"ready now", Call{}, "takes nothing more"},
 		{"disable-server", Call{}, "id of one host"},
 		{"disable-server a b", Call{}, "id of one host"},
-		{"enable-server " + strings.Repeat("x", mostName+1), Call{}, "at most"},
+		{"enable-server " + strings.Repeat("x", maxHostIDBytes+1), Call{}, "at most"},
 		{"drain\x00", Call{}, "no plain text"},
 		{"dis\xc3\xa9able-server a", Call{}, "no plain text"},
 		{"ready\rready", Call{}, "no plain text"},
 	} {
 		got, err := Parse(c.line)
-		if c.bad == "" && (err != nil || got != c.want) || c.bad != "" && (err == nil || !strings.Contains(err.Error(), c.bad)) {
+		if c.wantErr == "" && (err != nil || got != c.want) || c.wantErr != "" && (err == nil || !strings.Contains(err.Error(), c.wantErr)) {
 			t.Errorf("%q is read as %+v, %v", c.line, got, err)
 		}
 	}
 }
 
-// Whatever comes, the answer is one line: a caller that plants line ends in its call must not write the answer.
+// The answer to any line is one line: a caller must not be able to inject line ends into it.
 func FuzzParse(f *testing.F) {
 	for _, s := range []string{"ready", "disable-server a", "\r\nYES", "disable-server \x00", strings.Repeat("a", 600)} {
 		f.Add(s)
@@ -46,13 +46,13 @@
 		if (c.Host != "") != (err == nil && (c.Kind == DrainHost || c.Kind == ResumeHost)) {
 			t.Errorf("%q is read as %+v, %v", line, c, err)
 		}
-		if a := answer(err); strings.Count(a, "\n") != 1 || strings.Count(a, "\r") != 1 || !strings.HasPrefix(a, "YES") && !strings.HasPrefix(a, "NO ") {
+		if a := formatAnswer(err); strings.Count(a, "\n") != 1 || strings.Count(a, "\r") != 1 || !strings.HasPrefix(a, "YES") && !strings.HasPrefix(a, "NO ") {
 			t.Errorf("%q is answered %q", line, a)
 		}
 	})
 }
 
-func TestFiguresAsText(t *testing.T) {
+func TestStatsText_Counters_OneLineEach(t *testing.T) {
 	f := Stats{Replies: []Replies{{"chat", 812, 3, 1}, {"push", 0, 0, 0}}, Dispatches: 820, Concurrent: 14, Targets: 9, Disabled: 2}
 	want := "YES|svc.replies.chat.success=812|svc.replies.chat.overload=3|svc.replies.chat.error=1|" +
 		"svc.replies.push.success=0|svc.replies.push.overload=0|svc.replies.push.error=0|svc.dispatches=820|" +
--- /dev/null
+++ b/internal/management/server.go
@@ -0,0 +1,202 @@
+package management
+
+import (
+	"container/list"
+	"context"
+	"errors"
+	"net"
+	"runtime/debug"
+	"sync"
+	"time"
+
+	"go.uber.org/zap"
+)
+
+// Operations are what callers may ask for. Each returns within half a second; an error says why it was not done.
+type Operations interface {
+	Ready() error
+	Stats() Stats
+	DrainHost(id string) error
+	ResumeHost(id string) error
+	Drain() error
+	Resume() error
+}
+
+// MaxCallers is the number of concurrent callers. Each needs a descriptor, which the proxy's budget reserves.
+const MaxCallers = 16
+
+const (
+	acceptRetryDelay = 20 * time.Millisecond
+	// minCallerAge protects a caller from eviction: younger ones may not have sent their call yet.
+	minCallerAge       = 20 * time.Millisecond
+	evictRetryInterval = minCallerAge / 4
+)
+
+// Server answers line calls on the operators' address.
+type Server struct {
+	operations Operations
+	log        *zap.Logger
+
+	mu      sync.Mutex
+	callers *list.List // of *caller, the oldest first
+	wg      sync.WaitGroup
+}
+
+// caller is a connection with one call. Its fields are guarded by Server.mu once it is in the list.
+type caller struct {
+	net.Conn
+	since     time.Time // accepted, or executed
+	element   *list.Element
+	executing bool
+}
+
+// NewServer makes a server for the operations.
+func NewServer(operations Operations, log *zap.Logger) *Server {
+	return &Server{operations: operations, log: log, callers: list.New()}
+}
+
+// Serve answers until ctx ends, and waits for calls that are being executed.
+func (s *Server) Serve(ctx context.Context, l net.Listener) error {
+	stop := context.AfterFunc(ctx, func() {
+		_ = l.Close()
+		s.closeCallers()
+	})
+	defer stop()
+	defer s.wg.Wait()
+	for {
+		conn, err := l.Accept()
+		switch {
+		case ctx.Err() != nil:
+			if conn != nil {
+				_ = conn.Close()
+			}
+			return nil
+		case errors.Is(err, net.ErrClosed):
+			return err
+		case err != nil:
+			s.log.Info("management connection not accepted, retrying", zap.Error(err))
+			time.Sleep(acceptRetryDelay)
+			continue
+		}
+		for !s.start(ctx, conn) {
+			time.Sleep(evictRetryInterval)
+		}
+	}
+}
+
+// closeCallers disconnects all callers but those whose call is being executed: they still get their answer.
+func (s *Server) closeCallers() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for element := s.callers.Front(); element != nil; element = element.Next() {
+		c := element.Value.(*caller)
+		if !c.executing {
+			_ = c.Close()
+		}
+	}
+}
+
+// start begins to serve a caller, in place of an idle one where there are too many. It returns false where none can be
+// evicted now.
+func (s *Server) start(ctx context.Context, conn net.Conn) bool {
+	now := time.Now()
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.callers.Len() >= MaxCallers && !s.evictIdle(now) {
+		return false
+	}
+	c := &caller{Conn: conn, since: now}
+	c.element = s.callers.PushBack(c)
+	if ctx.Err() != nil { // closeCallers has run already
+		_ = conn.Close()
+	}
+	s.wg.Add(1)
+	go s.serveCaller(c)
+	return true
+}
+
+// evictIdle disconnects the oldest caller whose call is not being executed. It returns false where there is none, or it
+// was accepted a moment ago. The caller holds mu.
+func (s *Server) evictIdle(now time.Time) bool {
+	for element := s.callers.Front(); element != nil; element = element.Next() {
+		c := element.Value.(*caller)
+		if c.executing {
+			continue
+		}
+		if now.Sub(c.since) < minCallerAge {
+			return false
+		}
+		s.callers.Remove(element)
+		_ = c.Close()
+		return true
+	}
+	return false
+}
+
+func (s *Server) serveCaller(c *caller) {
+	defer s.wg.Done()
+	defer func() {
+		if p := recover(); p != nil {
+			s.log.Error("management call panicked", zap.Any("panic", p), zap.ByteString("stack", debug.Stack()))
+		}
+		_ = c.Close()
+		s.mu.Lock()
+		defer s.mu.Unlock()
+		s.callers.Remove(c.element) // no effect for an evicted caller
+	}()
+	s.answer(c)
+}
+
+// answer reads a call, executes it and writes the answer.
+func (s *Server) answer(c *caller) {
+	line, err := readLine(c, c.since.Add(lineTimeout))
+	if err != nil && line == "" {
+		return
+	}
+	s.mu.Lock()
+	c.executing = true
+	s.mu.Unlock()
+	var answer []byte
+	if err == nil {
+		answer, err = s.execute(line)
+	}
+	if answer == nil {
+		answer = []byte(formatAnswer(err))
+	}
+	s.mu.Lock()
+	c.executing = false
+	c.since = time.Now()
+	s.mu.Unlock()
+	_ = c.SetWriteDeadline(time.Now().Add(writeTimeout))
+	if _, err := c.Write(answer); err != nil {
+		return
+	}
+	lingerClose(c.Conn)
+}
+
+// execute carries a call out. It returns the whole answer where that is more than YES or NO, otherwise nil.
+func (s *Server) execute(line string) ([]byte, error) {
+	call, err := Parse(line)
+	if err != nil {
+		return nil, err
+	}
+	switch call.Kind {
+	case Ready:
+		return nil, s.operations.Ready()
+	case ShowStat:
+		stats := s.operations.Stats()
+		return stats.Text(), nil
+	case DrainHost:
+		err = s.operations.DrainHost(call.Host)
+	case ResumeHost:
+		err = s.operations.ResumeHost(call.Host)
+	case Drain:
+		err = s.operations.Drain()
+	case Resume:
+		err = s.operations.Resume()
+	}
+	if err != nil {
+		s.log.Warn("management call failed", zap.String("call", line), zap.Error(err))
+	}
+	return nil, err
+}
--- /dev/null
+++ b/internal/management/server_test.go
@@ -0,0 +1,165 @@
+package management
+
+import (
+	"bufio"
+	"context"
+	"errors"
+	"io"
+	"net"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"go.uber.org/goleak"
+	"go.uber.org/zap"
+)
+
+// fakeNode records the operations that it carries out.
+type fakeNode struct {
+	mu       sync.Mutex
+	executed []string
+	gate     chan struct{} // operations wait for it; nil for none
+	err      error         // that they return
+}
+
+func (f *fakeNode) record(operation string) error {
+	if f.gate != nil {
+		<-f.gate
+	}
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.executed = append(f.executed, operation)
+	return f.err
+}
+
+func (f *fakeNode) calls() string {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return strings.Join(f.executed, ",")
+}
+
+func (f *fakeNode) Ready() error               { return f.err }
+func (f *fakeNode) Stats() Stats               { return Stats{Replies: []Replies{{Class: "chat", Success: 7}}} }
+func (f *fakeNode) DrainHost(id string) error  { return f.record("drain-host " + id) }
+func (f *fakeNode) ResumeHost(id string) error { return f.record("resume-host " + id) }
+func (f *fakeNode) Drain() error               { return f.record("drain") }
+func (f *fakeNode) Resume() error              { return f.record("resume") }
+
+func serve(t *testing.T, f *fakeNode) (addr string) {
+	t.Helper()
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	ctx, cancel := context.WithCancel(context.Background())
+	done := make(chan error, 1)
+	go func() { done <- NewServer(f, zap.NewNop()).Serve(ctx, l) }()
+	t.Cleanup(func() {
+		cancel()
+		if err := <-done; err != nil {
+			t.Error(err)
+		}
+	})
+	return l.Addr().String()
+}
+
+func dial(t *testing.T, addr string) net.Conn {
+	t.Helper()
+	c, err := net.Dial("tcp", addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = c.Close() })
+	_ = c.SetDeadline(time.Now().Add(20 * time.Second))
+	return c
+}
+
+// call makes a call and returns all that is answered.
+func call(t *testing.T, addr, text string) string {
+	t.Helper()
+	c := dial(t, addr)
+	_, _ = io.WriteString(c, text)
+	all, err := io.ReadAll(c)
+	if err != nil {
+		t.Errorf("%.40q: %v after %q", text, err, all)
+	}
+	return string(all)
+}
+
+func TestServer_Calls_ExecutedAndAnswered(t *testing.T) {
+	f := &fakeNode{}
+	addr := serve(t, f)
+	for _, c := range []struct{ call, wantPrefix string }{
+		{"ready\r\n", "YES\r\n"}, {"ready\n", "YES\r\n"},
+		{"show-stat\r\n", "YES\r\nsvc.replies.chat.success=7\r\n"},
+		{"disable-server h1\r\n", "YES\r\n"}, {"enable-server h1\r\n", "YES\r\n"}, {"drain\r\n", "YES\r\n"}, {"resume\r\n", "YES\r\n"},
+		{"\r\n", "NO "}, {"stop\r\n", "NO "}, {"\x01\x02\n", "NO "},
+		{strings.Repeat("x", maxLineBytes), "NO "}, {strings.Repeat("x", 3*maxLineBytes) + "\n", "NO "}, // longer than the buffer
+		{"drain\r\nresume\r\n", "YES\r\n"}, // only the first line is a call
+	} {
+		if got := call(t, addr, c.call); !strings.HasPrefix(got, c.wantPrefix) {
+			t.Errorf("%.40q: %q", c.call, got)
+		}
+	}
+	if got := f.calls(); got != "drain-host h1,resume-host h1,drain,resume,drain" {
+		t.Errorf("executed %s", got)
+	}
+	f.mu.Lock()
+	f.err = errors.New("no host\r\nYES")
+	f.mu.Unlock()
+	if got := call(t, addr, "disable-server x\r\n"); got != "NO no host  YES\r\n" {
+		t.Errorf("a failed call: %q", got)
+	}
+}
+
+func TestServer_LineWithoutEnd_AnswersNo(t *testing.T) {
+	f := &fakeNode{}
+	c := dial(t, serve(t, f))
+	_, _ = io.WriteString(c, "drai")
+	_ = c.(*net.TCPConn).CloseWrite()
+	if all, _ := io.ReadAll(c); !strings.HasPrefix(string(all), "NO ") || f.calls() != "" {
+		t.Errorf("answered %q, executed %q", all, f.calls())
+	}
+}
+
+// Idle callers are evicted for new ones; those whose call is being executed are not.
+func TestServer_TooManyIdleCallers_EvictsOldest(t *testing.T) {
+	f := &fakeNode{gate: make(chan struct{})}
+	addr := serve(t, f)
+	executing := dial(t, addr)
+	_, _ = io.WriteString(executing, "drain\r\n")
+	for range 4 * MaxCallers {
+		_, _ = io.WriteString(dial(t, addr), "re")
+	}
+	if got := call(t, addr, "show-stat\r\n"); !strings.HasSuffix(got, "END\r\n") {
+		t.Errorf("beside idle callers: %q", got)
+	}
+	close(f.gate)
+	if line, err := bufio.NewReader(executing).ReadString('\n'); line != "YES\r\n" {
+		t.Errorf("the call being executed: %q, %v", line, err)
+	}
+}
+
+func TestServe_ContextEnds_ClosesAll(t *testing.T) {
+	before := goleak.IgnoreCurrent()
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	ctx, cancel := context.WithCancel(context.Background())
+	done := make(chan error, 1)
+	go func() { done <- NewServer(&fakeNode{}, zap.NewNop()).Serve(ctx, l) }()
+	idle := dial(t, l.Addr().String())
+	call(t, l.Addr().String(), "ready\r\n")
+	cancel()
+	if err := <-done; err != nil {
+		t.Error(err)
+	}
+	if _, err := idle.Read(make([]byte, 1)); err == nil {
+		t.Error("the idle caller is still connected")
+	}
+	if err := goleak.Find(before); err != nil {
+		t.Error(err)
+	}
+}
--- /dev/null
+++ b/internal/management/stats.go
@@ -0,0 +1,40 @@
+package management
+
+import "strconv"
+
+// Replies counts the final answers to clients of one class.
+type Replies struct {
+	Class                    string
+	Success, Overload, Error uint64 // established, rejected, failed
+}
+
+// Stats are the counters of a node since the start of its process, and its gauges.
+type Stats struct {
+	Replies           []Replies
+	Dispatches        uint64 // attempts completely written to hosts
+	Concurrent        int64  // client connections
+	Targets, Disabled int64  // hosts in the endpoint list, and those of them that the node avoids
+}
+
+// Text formats the answer to show-stat: one line a figure, and END.
+func (s *Stats) Text() []byte {
+	text := []byte("YES\r\n")
+	add := func(name string, value uint64) {
+		text = append(text, "svc."...)
+		text = append(text, name...)
+		text = append(text, '=')
+		text = strconv.AppendUint(text, value, 10)
+		text = append(text, "\r\n"...)
+	}
+	for _, replies := range s.Replies {
+		prefix := "replies." + replies.Class
+		add(prefix+".success", replies.Success)
+		add(prefix+".overload", replies.Overload)
+		add(prefix+".error", replies.Error)
+	}
+	add("dispatches", s.Dispatches)
+	add("concurrent", uint64(max(s.Concurrent, 0)))
+	add("targets", uint64(max(s.Targets, 0)))
+	add("targets_disabled", uint64(max(s.Disabled, 0)))
+	return append(text, "END\r\n"...)
+}
