--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -63,7 +63,7 @@
 	}
 	var field *fleet.FieldError
 	if err := fleet.CheckInventory(v.Instances); errors.As(err, &field) {
-		return &tomlfile.FieldError{Path: field.Path, Err: errors.New(field.Why)}
+		return &tomlfile.FieldError{Path: field.Path, Err: errors.New(field.Reason)}
 	}
 	return nil
 }
@@ -116,7 +116,7 @@
 // New opens the store and the inventory. Close must follow.
 func New(cfg Config, log *zap.Logger) (*Agent, error) {
 	a := &Agent{cfg: cfg, log: log, begin: time.Now(), do: make(chan func(), 1024), done: make(chan struct{}),
-		peers: map[string]*peer{}, watches: map[chan struct{}]bool{}, fleet: fleet.New(fleet.Usual(), rand.Uint64())}
+		peers: map[string]*peer{}, watches: map[chan struct{}]bool{}, fleet: fleet.New(fleet.DefaultConfig(), rand.Uint64())}
 	var err error
 	if cfg.Keys != nil {
 		if a.keys, err = pki.Open(*cfg.Keys, func(err error) { log.Error("renewed keys can't be taken", zap.Error(err)) }); err != nil {
@@ -136,7 +136,7 @@
 		return nil, errors.Join(fmt.Errorf("%s: %w", cfg.Store, err), a.store.Close())
 	}
 	a.fleet.Restore(ops, holds, fence)
-	if err := a.fleet.Inventory(0, inv.Instances); err != nil {
+	if err := a.fleet.SetInventory(0, inv.Instances); err != nil {
 		return nil, errors.Join(err, a.store.Close())
 	}
 	a.stamp = stamp(cfg.Inventory)
@@ -249,7 +249,7 @@
 	for _, t := range tells {
 		p := a.peers[t.Instance.Name]
 		if p == nil {
-			a.fleet.Answered(a.now(), t, control.Answer{}, errors.New("it is not followed"))
+			a.fleet.RecordAnswer(a.now(), t, control.Answer{}, errors.New("it is not followed"))
 			continue
 		}
 		a.wg.Go(func() { a.tell(ctx, p, t) })
@@ -295,11 +295,11 @@
 			n[s.State]++
 		}
 		a.log.Info("an operation moved on", zap.String("operation", o.ID), zap.Uint64("fence", o.Fence), zap.String("kind", string(o.Kind)),
-			zap.String("state", string(o.State)), zap.String("why", o.Why), zap.Any("steps", n))
+			zap.String("state", string(o.State)), zap.String("why", o.Reason), zap.Any("steps", n))
 	}
 }
 
-func (a *Agent) tell(ctx context.Context, p *peer, t fleet.Tell) {
+func (a *Agent) tell(ctx context.Context, p *peer, t fleet.Delivery) {
 	ctx, cancel := context.WithTimeout(ctx, tellWithin)
 	defer cancel()
 	var answer control.Answer
@@ -311,7 +311,7 @@
 		a.log.Info("an instance could not be told", zap.String("instance", t.Instance.Name), zap.String("operation", t.Command.Operation),
 			zap.Error(err))
 	}
-	a.post(func() { a.fleet.Answered(a.now(), t, answer, err) })
+	a.post(func() { a.fleet.RecordAnswer(a.now(), t, answer, err) })
 	select {
 	case p.wake <- struct{}{}:
 	default:
@@ -404,7 +404,7 @@
 	}
 	a.stamp = now
 	if err == nil {
-		err = a.fleet.Inventory(a.now(), inv.Instances)
+		err = a.fleet.SetInventory(a.now(), inv.Instances)
 	}
 	if err != nil {
 		a.log.Error("the inventory stays as it was", zap.Error(err))
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -166,7 +166,7 @@
 
 func drainAll(id string, names []string) fleet.Request {
 	return fleet.Request{ID: id, Kind: control.Drain, Targets: names,
-		Options: fleet.Options{AtOnce: 2, Unavailable: len(names), EmptyZone: true, OnFailure: "continue", Within: time.Second, StepWithin: long}}
+		Options: fleet.Options{WaveSize: 2, MaxUnavailable: len(names), AllowEmptyZone: true, OnFailure: "continue", DrainTimeout: time.Second, StepTimeout: long}}
 }
 
 func eventually(t testing.TB, what string, f func() bool) {
@@ -246,7 +246,7 @@
 			}
 			eventually(t, "it ends", func() bool { return operation(t, c, "d").State.Ended() })
 			if o = operation(t, c, "d"); o.State != fleet.Succeeded {
-				t.Fatalf("killed at write %d, after it %v: the operation is %s: %s", kill, after, o.State, o.Why)
+				t.Fatalf("killed at write %d, after it %v: the operation is %s: %s", kill, after, o.State, o.Reason)
 			}
 			for _, x := range r.instances {
 				if n := x.count(control.Drain); n != 1 {
@@ -298,7 +298,7 @@
 	if err := c.Call(t.Context(), http.MethodPost, "/v1/operations", other, &o); !errors.As(err, &remote) || remote.Code != 409 {
 		t.Errorf("the same name with other contents: %v", err)
 	}
-	other.ID, other.Options.EmptyZone = "e", false
+	other.ID, other.Options.AllowEmptyZone = "e", false
 	if err := c.Call(t.Context(), http.MethodPost, "/v1/operations", other, &o); !errors.As(err, &remote) || remote.Code != 412 {
 		t.Errorf("an order over its limits: %v", err)
 	}
@@ -321,7 +321,7 @@
 	}
 	eventually(t, "three are up", func() bool { return up() == 3 })
 	order := drainAll("d", r.names()[1:])
-	order.Options.Unavailable = 4 // the slow one is not known, and counts
+	order.Options.MaxUnavailable = 4 // the slow one is not known, and counts
 	var o fleet.Operation
 	if err := c.Call(t.Context(), http.MethodPost, "/v1/operations", order, &o); err != nil {
 		t.Fatal(err)
--- a/internal/agent/bench_test.go
+++ b/internal/agent/bench_test.go
@@ -53,7 +53,7 @@
 				names = append(names, x.name)
 			}
 			order := drainAll("d", names)
-			order.Options.AtOnce, order.Options.Unavailable = max(n/10, 1), n
+			order.Options.WaveSize, order.Options.MaxUnavailable = max(n/10, 1), n
 			var o fleet.Operation
 			begin = time.Now()
 			if err := c.Call(b.Context(), http.MethodPost, "/v1/operations", order, &o); err != nil {
@@ -110,7 +110,7 @@
 			b.Fatal(err)
 		}
 	}
-	if err := s.Save(fleet.Change{Fence: 10_000, Holds: []fleet.Hold{{Key: fleet.Key{Instance: "i0"}, Command: control.Command{Operation: "o1", Fence: 2, Kind: control.Drain}}}}); err != nil {
+	if err := s.Save(fleet.Change{Fence: 10_000, Desired: []fleet.DesiredState{{Scope: fleet.Scope{Instance: "i0"}, Command: control.Command{Operation: "o1", Fence: 2, Kind: control.Drain}}}}); err != nil {
 		b.Fatal(err)
 	}
 	if err := s.Close(); err != nil {
@@ -125,7 +125,7 @@
 		if err != nil || len(ops) != 10_000 {
 			b.Fatal(len(ops), err)
 		}
-		f := fleet.New(fleet.Usual(), 1)
+		f := fleet.New(fleet.DefaultConfig(), 1)
 		f.Restore(ops, holds, fence)
 		f.Next(time.Second)
 		_ = s.Close()
--- a/internal/agent/disk_test.go
+++ b/internal/agent/disk_test.go
@@ -39,7 +39,7 @@
 			}
 			eventually(t, "it ends", func() bool { return operation(t, c, "d").State.Ended() })
 			if o = operation(t, c, "d"); o.State != fleet.Succeeded {
-				t.Errorf("the operation is %s: %s", o.State, o.Why)
+				t.Errorf("the operation is %s: %s", o.State, o.Reason)
 			}
 			for _, x := range r.instances {
 				if n := x.count(control.Drain); n != 1 {
--- a/internal/agent/serve.go
+++ b/internal/agent/serve.go
@@ -77,7 +77,7 @@
 	}
 	var limit *fleet.LimitError
 	switch {
-	case errors.Is(err, fleet.ErrUnknown):
+	case errors.Is(err, fleet.ErrUnknownOperation):
 		control.WriteError(w, http.StatusNotFound, err)
 	case errors.As(err, &limit):
 		control.WriteError(w, http.StatusPreconditionFailed, err)
--- a/internal/agent/store.go
+++ b/internal/agent/store.go
@@ -63,7 +63,7 @@
 // Close closes the store.
 func (s *Store) Close() error { return s.db.Close() }
 
-func holdKey(k fleet.Key) []byte { return []byte(k.Instance + "\x00" + k.Host) }
+func holdKey(k fleet.Scope) []byte { return []byte(k.Instance + "\x00" + k.Host) }
 
 // Save writes a change, and returns once it is on disk.
 func (s *Store) Save(c fleet.Change) error {
@@ -84,22 +84,22 @@
 				return err
 			}
 		}
-		for _, id := range c.Forgotten {
+		for _, id := range c.ForgottenOperations {
 			if err := ops.Delete([]byte(id)); err != nil {
 				return err
 			}
 		}
-		for _, k := range c.Dropped {
+		for _, k := range c.Removed {
 			if err := holds.Delete(holdKey(k)); err != nil {
 				return err
 			}
 		}
-		for _, h := range c.Holds {
+		for _, h := range c.Desired {
 			text, err := json.Marshal(h)
 			if err != nil {
 				return err
 			}
-			if err := holds.Put(holdKey(h.Key), text); err != nil {
+			if err := holds.Put(holdKey(h.Scope), text); err != nil {
 				return err
 			}
 		}
@@ -108,7 +108,7 @@
 }
 
 // Load reads all that is kept.
-func (s *Store) Load() (ops []fleet.Operation, holds []fleet.Hold, fence uint64, err error) {
+func (s *Store) Load() (ops []fleet.Operation, holds []fleet.DesiredState, fence uint64, err error) {
 	err = s.db.View(func(tx *bolt.Tx) error {
 		if text := tx.Bucket(metaBucket).Get(fenceKey); text != nil {
 			if err := json.Unmarshal(text, &fence); err != nil {
@@ -127,7 +127,7 @@
 			return err
 		}
 		return tx.Bucket(holdsBucket).ForEach(func(k, v []byte) error {
-			var h fleet.Hold
+			var h fleet.DesiredState
 			if err := json.Unmarshal(v, &h); err != nil {
 				return fmt.Errorf("hold %q: %w", k, err)
 			}
--- a/internal/cli/instances.go
+++ b/internal/cli/instances.go
@@ -80,7 +80,7 @@
 		if op == "" {
 			op = "-"
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%.1fs ago\t%s\t%s\n", v.Name, v.Zone, v.Reach, state, listState(v), open, owed, float64(v.AgeMS)/1000, op, v.Why)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%.1fs ago\t%s\t%s\n", v.Name, v.Zone, v.Reach, state, listState(v), open, owed, float64(v.AgeMS)/1000, op, v.LastError)
 	}
 	return w.Flush()
 }
@@ -181,19 +181,19 @@
 func (o *ordering) add(c *cobra.Command, drain bool) {
 	f := c.Flags()
 	f.StringVar(&o.id, "operation", "", "name of the operation: the same again changes nothing (default: a new one)")
-	f.IntVar(&o.options.AtOnce, "at-once", 1, "instances under way at one time")
+	f.IntVar(&o.options.WaveSize, "at-once", 1, "instances under way at one time")
 	f.DurationVar(&o.options.Deadline, "deadline", time.Hour, "the operation fails where it has not ended by then")
-	f.DurationVar(&o.options.StepWithin, "step-within", 0, "an instance fails where it is not as told by then")
+	f.DurationVar(&o.options.StepTimeout, "step-within", 0, "an instance fails where it is not as told by then")
 	f.StringVar(&o.options.OnFailure, "on-failure", "pause", "pause, abort or continue where an instance fails")
 	f.BoolVar(&o.dry, "dry-run", false, "show the waves and order nothing")
 	f.BoolVar(&o.wait, "wait", false, "wait for the end; exit with 7 where it did not succeed")
 	f.DurationVar(&o.waitWithin, "wait-within", time.Hour, "with --wait, wait no longer")
 	if drain {
-		f.DurationVar(&o.options.Within, "within", 30*time.Second, "an instance sends all its clients away by then")
-		f.DurationVar(&o.options.After, "retry-after", time.Second, "what those who are turned away are told")
-		f.IntVar(&o.options.Unavailable, "max-unavailable", 0, "instances not available at one time (default: half of all)")
-		f.IntVar(&o.options.UnavailableZone, "max-unavailable-zone", 0, "the same in each zone (default: all but one)")
-		f.BoolVar(&o.options.EmptyZone, "empty-zone", false, "a zone may be left with no instance")
+		f.DurationVar(&o.options.DrainTimeout, "within", 30*time.Second, "an instance sends all its clients away by then")
+		f.DurationVar(&o.options.RetryAfter, "retry-after", time.Second, "what those who are turned away are told")
+		f.IntVar(&o.options.MaxUnavailable, "max-unavailable", 0, "instances not available at one time (default: half of all)")
+		f.IntVar(&o.options.MaxUnavailablePerZone, "max-unavailable-zone", 0, "the same in each zone (default: all but one)")
+		f.BoolVar(&o.options.AllowEmptyZone, "empty-zone", false, "a zone may be left with no instance")
 	}
 }
 
@@ -224,7 +224,7 @@
 // order gives an order to the agent, and waits for its end where asked to.
 func (o *ordering) order(c *cobra.Command, a *asking, r fleet.Request) error {
 	if o.dry {
-		waves := fleet.Waves(r.Targets, o.options.AtOnce)
+		waves := fleet.Waves(r.Targets, o.options.WaveSize)
 		if a.json {
 			return printJSON(c.OutOrStdout(), waves)
 		}
@@ -264,7 +264,7 @@
 				return err
 			}
 			if op.State != fleet.Succeeded {
-				return &status{ExitNotWell, fmt.Errorf("operation %s is %s: %s", id, op.State, op.Why)}
+				return &status{ExitNotWell, fmt.Errorf("operation %s is %s: %s", id, op.State, op.Reason)}
 			}
 			return nil
 		case time.Now().After(end):
@@ -282,10 +282,10 @@
 	if a.json {
 		return printJSON(out, op)
 	}
-	fmt.Fprintf(out, "operation %s (%s, fence %d): %s %s\n", op.ID, op.Kind, op.Fence, op.State, op.Why)
+	fmt.Fprintf(out, "operation %s (%s, fence %d): %s %s\n", op.ID, op.Kind, op.Fence, op.State, op.Reason)
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	for _, name := range op.Targets {
-		fmt.Fprintf(w, "  %s\t%s\t%s\n", name, op.Steps[name].State, op.Steps[name].Why)
+		fmt.Fprintf(w, "  %s\t%s\t%s\n", name, op.Steps[name].State, op.Steps[name].Reason)
 	}
 	return w.Flush()
 }
@@ -340,7 +340,7 @@
 					n[s.State]++
 				}
 				fmt.Fprintf(w, "%s\t%s\t%d\t%s\t%d\t%d\t%d\t%s\n", o.ID, o.Kind, o.Fence, o.State, len(o.Steps), n[fleet.StepDone],
-					n[fleet.StepFailed], o.Why)
+					n[fleet.StepFailed], o.Reason)
 			}
 			return w.Flush()
 		}}
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -16,8 +16,8 @@
 
 func serving(t *testing.T, list []Instance) *Fleet {
 	t.Helper()
-	f := New(Usual(), 1)
-	if err := f.Inventory(0, list); err != nil {
+	f := New(DefaultConfig(), 1)
+	if err := f.SetInventory(0, list); err != nil {
 		t.Fatal(err)
 	}
 	for _, x := range list {
@@ -53,10 +53,10 @@
 		want    string
 	}{
 		{"b1", Options{}, "zone b would be left with no instance"},
-		{"a1 a2", Options{Unavailable: 3}, "zone a would be left"},
-		{"a1 b1", Options{EmptyZone: true}, "2 of 3 instances would not be available, the limit is 1"},
-		{"a1 a2", Options{EmptyZone: true, Unavailable: 3, UnavailableZone: 1}, "2 instances of zone a"},
-		{"b1", Options{EmptyZone: true}, ""},
+		{"a1 a2", Options{MaxUnavailable: 3}, "zone a would be left"},
+		{"a1 b1", Options{AllowEmptyZone: true}, "2 of 3 instances would not be available, the limit is 1"},
+		{"a1 a2", Options{AllowEmptyZone: true, MaxUnavailable: 3, MaxUnavailablePerZone: 1}, "2 instances of zone a"},
+		{"b1", Options{AllowEmptyZone: true}, ""},
 	} {
 		_, err := f.Submit(2, Request{ID: c.targets + c.want, Kind: control.Drain, Targets: strings.Fields(c.targets), Options: c.o})
 		var limit *LimitError
@@ -85,7 +85,7 @@
 	}{
 		{func(r *Request) { r.ID = "" }, "operation"}, {func(r *Request) { r.Targets = nil }, "targets"},
 		{func(r *Request) { r.Targets = []string{"a1", "a1"} }, "twice"}, {func(r *Request) { r.Targets = []string{"c"} }, "inventory"},
-		{func(r *Request) { r.Kind = "stop" }, "kind"}, {func(r *Request) { r.Options.AtOnce = -1 }, "negative"},
+		{func(r *Request) { r.Kind = "stop" }, "kind"}, {func(r *Request) { r.Options.WaveSize = -1 }, "negative"},
 		{func(r *Request) { r.Options.OnFailure = "cry" }, "on_failure"}, {func(r *Request) { r.Host = "h" }, "host"},
 		{func(r *Request) { r.ID, r.Targets = "x", []string{"a2"} }, "other contents"},
 	} {
@@ -98,7 +98,7 @@
 	}
 	for _, list := range [][]Instance{{{Name: "a"}}, {{Addr: "x", Zone: "z"}}, {{Name: "a", Addr: "x", Zone: "z"}, {Name: "a", Addr: "y", Zone: "z"}},
 		{{Name: "a", Addr: "x", Zone: "z"}, {Name: "b", Addr: "x", Zone: "z"}}} {
-		if err := f.Inventory(3, list); err == nil {
+		if err := f.SetInventory(3, list); err == nil {
 			t.Errorf("the inventory %+v is taken", list)
 		}
 	}
@@ -112,7 +112,7 @@
 	_, tells, _ := f.Next(now)
 	for _, t := range tells {
 		told = append(told, t.Instance.Name+" "+string(t.Command.Kind))
-		f.Answered(now, t, control.Answer{Verdict: control.Done, Fence: t.Command.Fence, Boot: "1"}, nil)
+		f.RecordAnswer(now, t, control.Answer{Verdict: control.Done, Fence: t.Command.Fence, Boot: "1"}, nil)
 		f.Observe(now+1, now+1, t.Instance.Name, control.Status{Boot: "1", State: state, Fence: t.Command.Fence}, nil)
 	}
 	return told
@@ -120,25 +120,25 @@
 
 func TestDrainAndResumeCrossing(t *testing.T) {
 	f := serving(t, three())
-	opts := Options{AtOnce: 1, Unavailable: 2, EmptyZone: true}
+	opts := Options{WaveSize: 1, MaxUnavailable: 2, AllowEmptyZone: true}
 	if _, err := f.Submit(2, Request{ID: "d", Kind: control.Drain, Targets: []string{"a1", "a2"}, Options: opts}); err != nil {
 		t.Fatal(err)
 	}
 	_, tells, _ := f.Next(3) // a1 is being told
-	if _, err := f.Submit(4, Request{ID: "r", Kind: control.Resume, Targets: []string{"a1", "a2"}, Options: Options{AtOnce: 2}}); err != nil {
+	if _, err := f.Submit(4, Request{ID: "r", Kind: control.Resume, Targets: []string{"a1", "a2"}, Options: Options{WaveSize: 2}}); err != nil {
 		t.Fatal(err)
 	}
 	if got := play(f, 5, control.Serving); strings.Join(got, ", ") != "a2 resume" {
 		t.Errorf("while a1 is being told, %v are told", got)
 	}
-	f.Answered(6, tells[0], control.Answer{Verdict: control.Done, Fence: 1, Boot: "1"}, nil)
+	f.RecordAnswer(6, tells[0], control.Answer{Verdict: control.Done, Fence: 1, Boot: "1"}, nil)
 	if got := play(f, 7, control.Serving); strings.Join(got, ", ") != "a1 resume" {
 		t.Errorf("then %v are told", got)
 	}
 	f.Next(8)
 	d, _ := f.Operation("d")
 	r, _ := f.Operation("r")
-	if d.Steps["a1"].State != Superseded || d.Steps["a2"].State != Superseded || !d.State.Ended() || r.State != Succeeded {
+	if d.Steps["a1"].State != StepSuperseded || d.Steps["a2"].State != StepSuperseded || !d.State.Ended() || r.State != Succeeded {
 		t.Errorf("the drain is %s %v, the resume %s", d.State, d.Steps["a1"], r.State)
 	}
 }
@@ -147,7 +147,7 @@
 func TestAnInstanceThatCanNotBeReachedPausesTheOperation(t *testing.T) {
 	f := serving(t, three())
 	if _, err := f.Submit(2, Request{ID: "d", Kind: control.Drain, Targets: []string{"a1", "b1"},
-		Options: Options{Unavailable: 3, EmptyZone: true}}); err != nil {
+		Options: Options{MaxUnavailable: 3, AllowEmptyZone: true}}); err != nil {
 		t.Fatal(err)
 	}
 	n := 0
@@ -160,11 +160,11 @@
 			if n++; tl.Instance.Name != "a1" {
 				t.Fatalf("%s is told while a1 is not", tl.Instance.Name)
 			}
-			f.Answered(now, tl, control.Answer{}, errors.New("refused"))
+			f.RecordAnswer(now, tl, control.Answer{}, errors.New("refused"))
 		}
 	}
 	o, _ := f.Operation("d")
-	if n < 5 || n > 20 || o.State != Paused || o.Steps["a1"].State != StepFailed || o.Steps["b1"].State != Waiting {
+	if n < 5 || n > 20 || o.State != Paused || o.Steps["a1"].State != StepFailed || o.Steps["b1"].State != StepWaiting {
 		t.Errorf("told %d times; the operation is %s, a1 %s, b1 %s", n, o.State, o.Steps["a1"].State, o.Steps["b1"].State)
 	}
 	if _, err := f.Continue(time.Minute, "d"); err != nil {
@@ -221,7 +221,7 @@
 	play(f, 3, control.Draining)
 	renamed := three()
 	renamed[0].Name = "a9"
-	if err := f.Inventory(4, renamed); err != nil {
+	if err := f.SetInventory(4, renamed); err != nil {
 		t.Fatal(err)
 	}
 	f.Next(5)
--- a/internal/fleet/model_test.go
+++ b/internal/fleet/model_test.go
@@ -35,7 +35,7 @@
 
 	disk struct {
 		ops   map[string][]byte
-		holds map[Key]Hold
+		holds map[Scope]DesiredState
 		fence uint64
 	}
 	limit int
@@ -61,7 +61,7 @@
 
 func newWorld(t *rapid.T, n, limit int, seed uint64) *world {
 	w := &world{t: t, rng: rand.New(rand.NewPCG(seed, 1)), instances: map[string]*instance{}, limit: limit}
-	w.disk.ops, w.disk.holds = map[string][]byte{}, map[Key]Hold{}
+	w.disk.ops, w.disk.holds = map[string][]byte{}, map[Scope]DesiredState{}
 	for i := range n {
 		x := Instance{Name: fmt.Sprint("i", i), Addr: fmt.Sprint("unix:", i), Zone: fmt.Sprint("z", i%2)}
 		w.list = append(w.list, x)
@@ -85,8 +85,8 @@
 func (w *world) startAgent() {
 	w.life++
 	w.calls = map[string]int{}
-	w.fleet = New(Config{DownAfter: 3 * time.Second, TellFor: 8 * time.Second, RetryFirst: 100 * time.Millisecond, RetryMost: 2 * time.Second,
-		RetryRate: 20, RetryBurst: 20, Deadline: 90 * time.Second, KeepEnded: 50, MostRunning: 20}, uint64(w.life))
+	w.fleet = New(Config{DownAfter: 3 * time.Second, DeliveryTimeout: 8 * time.Second, RetryInitialDelay: 100 * time.Millisecond, RetryMaxDelay: 2 * time.Second,
+		RetryRate: 20, RetryBurst: 20, DefaultDeadline: 90 * time.Second, MaxEndedOperations: 50, MaxRunningOperations: 20}, uint64(w.life))
 	w.fleet.now = w.now
 	var ops []Operation
 	for _, text := range w.disk.ops {
@@ -96,12 +96,12 @@
 		}
 		ops = append(ops, o)
 	}
-	var holds []Hold
+	var holds []DesiredState
 	for _, h := range w.disk.holds {
 		holds = append(holds, h)
 	}
 	w.fleet.Restore(ops, holds, w.disk.fence)
-	if err := w.fleet.Inventory(w.now, w.list); err != nil {
+	if err := w.fleet.SetInventory(w.now, w.list); err != nil {
 		w.t.Fatal(err)
 	}
 }
@@ -158,7 +158,7 @@
 func (w *world) lost() bool { return !w.calm && w.rng.IntN(10) == 0 }
 
 // tell carries a command to an instance: it may get there or not, late, twice, and so may its answer.
-func (w *world) tell(tl Tell) {
+func (w *world) tell(tl Delivery) {
 	name, life := tl.Instance.Name, w.life
 	x := w.instances[name]
 	if w.calls[name]++; w.calls[name] > 1 {
@@ -195,7 +195,7 @@
 		if lost || x.cut {
 			err = errLost
 		}
-		w.fleet.Answered(w.now, tl, answer, err)
+		w.fleet.RecordAnswer(w.now, tl, answer, err)
 	})
 }
 
@@ -234,14 +234,14 @@
 		}
 		w.disk.ops[o.ID] = text
 	}
-	for _, id := range change.Forgotten {
+	for _, id := range change.ForgottenOperations {
 		delete(w.disk.ops, id)
 	}
-	for _, k := range change.Dropped {
+	for _, k := range change.Removed {
 		delete(w.disk.holds, k)
 	}
-	for _, h := range change.Holds {
-		w.disk.holds[h.Key] = h
+	for _, h := range change.Desired {
+		w.disk.holds[h.Scope] = h
 	}
 	w.disk.fence = max(w.disk.fence, change.Fence)
 	if crash == 2 && !change.Empty() {
@@ -289,8 +289,8 @@
 		ids := []string{}
 		for i := range rapid.IntRange(1, 8).Draw(t, "orders") {
 			kind := rapid.SampledFrom([]control.CommandKind{control.Drain, control.Drain, control.Resume, control.HostDrain, control.HostResume}).Draw(t, "kind")
-			r := Request{ID: fmt.Sprint("o", i), Kind: kind, Options: Options{AtOnce: rapid.IntRange(1, 4).Draw(t, "at once"), Unavailable: limit,
-				UnavailableZone: n, EmptyZone: true, Within: time.Second, StepWithin: 15 * time.Second,
+			r := Request{ID: fmt.Sprint("o", i), Kind: kind, Options: Options{WaveSize: rapid.IntRange(1, 4).Draw(t, "at once"), MaxUnavailable: limit,
+				MaxUnavailablePerZone: n, AllowEmptyZone: true, DrainTimeout: time.Second, StepTimeout: 15 * time.Second,
 				OnFailure: rapid.SampledFrom([]string{"pause", "abort", "continue"}).Draw(t, "on failure")}}
 			if kind == control.HostDrain || kind == control.HostResume {
 				r.Host = "h"
@@ -345,10 +345,10 @@
 		w.run(w.now+150*time.Second, func() int { return 0 })
 		for _, id := range ids {
 			if o, err := w.fleet.Operation(id); err != nil || !o.State.Ended() {
-				t.Fatalf("operation %s is %s (%s) after all, error %v", id, o.State, o.Why, err)
+				t.Fatalf("operation %s is %s (%s) after all, error %v", id, o.State, o.Reason, err)
 			}
 		}
-		for k, h := range w.fleet.holds {
+		for k, h := range w.fleet.desired {
 			x := w.instances[k.Instance]
 			if h.Command.Kind == control.Drain && !x.leaving {
 				t.Fatalf("%s is to be drained by %s and serves", k.Instance, h.Command.Operation)
--- a/internal/fleet/next.go
+++ b/internal/fleet/next.go
@@ -8,34 +8,34 @@
 	"onyxstream/internal/control"
 )
 
-// idle is when to look again where nothing else is due: instances age meanwhile.
-const idle = time.Second
+// maxWakeInterval is when to look again where nothing else is due: instances age meanwhile.
+const maxWakeInterval = time.Second
 
 // Next says what to do now: what to save, whom to tell once that is on disk, and when to ask again at the latest.
-func (f *Fleet) Next(now time.Duration) (save Change, tells []Tell, wake time.Duration) {
+func (f *Fleet) Next(now time.Duration) (save Change, tells []Delivery, wake time.Duration) {
 	f.now = max(f.now, now)
-	f.age()
-	wake = f.now + idle
+	f.expireObservations()
+	wake = f.now + maxWakeInterval
 	later := func(at time.Duration) { wake = min(wake, max(at, f.now+time.Millisecond)) }
 	for _, o := range slices.Clone(f.running) {
-		f.follow(o)
+		f.advance(o)
 		if o.State.Ended() {
 			continue
 		}
-		tells = f.repeat(o, tells, later)
+		tells = f.redeliver(o, tells, later)
 		if o.State == Running {
-			tells = f.begin(o, tells)
+			tells = f.startSteps(o, tells)
 		}
-		later(o.since + o.Options.Deadline - o.Spent)
+		later(o.elapsedAt + o.Options.Deadline - o.Elapsed)
 	}
-	tells = f.remind(tells, later)
+	tells = f.restoreDesired(tells, later)
 	save, f.change = f.change, Change{}
 	return save, tells, wake
 }
 
-// follow moves an operation on by what is known now.
-func (f *Fleet) follow(o *Operation) {
-	if o.Spent+f.now-o.since >= o.Options.Deadline {
+// advance moves an operation on by what is known now.
+func (f *Fleet) advance(o *Operation) {
+	if o.Elapsed+f.now-o.elapsedAt >= o.Options.Deadline {
 		f.finish(o, Failed, "its deadline has passed")
 		return
 	}
@@ -43,7 +43,7 @@
 	for _, name := range o.Targets {
 		s := o.Steps[name]
 		if !s.State.Ended() {
-			f.look(o, name, s)
+			f.advanceStep(o, name, s)
 		}
 		if s.State == StepFailed {
 			failed++
@@ -60,133 +60,133 @@
 	case failed > 0 && o.State == Running && o.Options.OnFailure == "abort":
 		f.finish(o, Aborted, fmt.Sprintf("%d instances failed", failed))
 	case failed > 0 && o.State == Running && o.Options.OnFailure == "pause":
-		o.State, o.Why = Paused, fmt.Sprintf("%d instances failed: continue or abort it", failed)
+		o.State, o.Reason = Paused, fmt.Sprintf("%d instances failed: continue or abort it", failed)
 		f.save(o)
 	}
 }
 
-// look takes what an instance last said into its step.
-func (f *Fleet) look(o *Operation, name string, s *Step) {
-	seen := f.seen[name]
+// advanceStep takes what an instance last said into its step.
+func (f *Fleet) advanceStep(o *Operation, name string, s *Step) {
+	seen := f.observations[name]
 	switch {
 	case seen == nil:
-		f.unhold(o, name)
-		f.end(o, s, StepFailed, "it is no longer in the inventory")
-	case s.State == Telling && f.now-s.since >= f.cfg.TellFor && !f.out(name):
-		f.unhold(o, name)
-		f.end(o, s, StepFailed, "it could not be told: "+seen.Why)
-	case s.State != Told:
-	case !o.instanceWide():
-		f.end(o, s, StepDone, "")
-	case seen.Reach == Up && seen.At > s.since && seen.Status.Boot != s.Boot:
+		f.withdraw(o, name)
+		f.endStep(o, s, StepFailed, "it is no longer in the inventory")
+	case s.State == StepDelivering && f.now-s.changedAt >= f.cfg.DeliveryTimeout && !f.hasCommandInFlight(name):
+		f.withdraw(o, name)
+		f.endStep(o, s, StepFailed, "it could not be told: "+seen.LastError)
+	case s.State != StepAccepted:
+	case !o.isInstanceWide():
+		f.endStep(o, s, StepDone, "")
+	case seen.Reach == Up && seen.ObservedAt > s.changedAt && seen.Status.Boot != s.Boot:
 		// Another start of the instance, which knows nothing of it. A drained one must be told again; one that was
 		// to take clients does.
 		if o.Kind == control.Drain {
-			s.Boot, s.next = "", f.now
-			f.turn(s, Telling, "it has restarted")
+			s.Boot, s.retryAt = "", f.now
+			f.setState(s, StepDelivering, "it has restarted")
 			f.save(o)
 		} else {
-			f.end(o, s, StepDone, "it has restarted")
+			f.endStep(o, s, StepDone, "it has restarted")
 		}
-	case seen.Reach == Up && seen.At > s.since && seen.Status.Fence > o.Fence:
-		f.end(o, s, Superseded, "the instance has a newer order")
-	case seen.Reach == Up && seen.At > s.since && (seen.Status.State == control.Drained && o.Kind == control.Drain ||
+	case seen.Reach == Up && seen.ObservedAt > s.changedAt && seen.Status.Fence > o.Fence:
+		f.endStep(o, s, StepSuperseded, "the instance has a newer order")
+	case seen.Reach == Up && seen.ObservedAt > s.changedAt && (seen.Status.State == control.Drained && o.Kind == control.Drain ||
 		seen.Status.State == control.Serving && o.Kind == control.Resume):
-		f.end(o, s, StepDone, "")
-	case f.now-s.since >= o.Options.StepWithin:
-		f.end(o, s, StepFailed, fmt.Sprintf("it is %s %s after it was told, with %d open and %d owed", seen.state(), f.now-s.since,
+		f.endStep(o, s, StepDone, "")
+	case f.now-s.changedAt >= o.Options.StepTimeout:
+		f.endStep(o, s, StepFailed, fmt.Sprintf("it is %s %s after it was told, with %d open and %d owed", seen.state(), f.now-s.changedAt,
 			seen.Status.Established, seen.Status.InFlight))
 	}
 }
 
-func (s *Seen) state() string {
+func (s *Observation) state() string {
 	if s.Reach != Up {
 		return string(s.Reach)
 	}
 	return string(s.Status.State)
 }
 
-func (f *Fleet) end(o *Operation, s *Step, to StepState, why string) {
-	f.turn(s, to, why)
+func (f *Fleet) endStep(o *Operation, s *Step, to StepState, why string) {
+	f.setState(s, to, why)
 	f.save(o)
 }
 
-func (f *Fleet) out(name string) bool { _, ok := f.busy[name]; return ok }
+func (f *Fleet) hasCommandInFlight(name string) bool { _, ok := f.inFlight[name]; return ok }
 
-// unhold takes back what was to hold by an order that failed before it was known to be taken.
-func (f *Fleet) unhold(o *Operation, name string) {
-	if h, ok := f.holds[o.key(name)]; ok && h.Command.Operation == o.ID {
-		f.drop(o.key(name))
-		f.doubt(name)
+// withdraw takes back what was to hold by an order that failed before it was known to be taken.
+func (f *Fleet) withdraw(o *Operation, name string) {
+	if h, ok := f.desired[o.scope(name)]; ok && h.Command.Operation == o.ID {
+		f.removeDesired(o.scope(name))
+		f.invalidate(name)
 	}
 }
 
-// repeat tells those again of whom no answer is known.
-func (f *Fleet) repeat(o *Operation, tells []Tell, later func(time.Duration)) []Tell {
+// redeliver tells those again of whom no answer is known.
+func (f *Fleet) redeliver(o *Operation, tells []Delivery, later func(time.Duration)) []Delivery {
 	for _, name := range o.Targets {
 		s := o.Steps[name]
-		if s.State == Telling {
-			later(s.since + f.cfg.TellFor)
+		if s.State == StepDelivering {
+			later(s.changedAt + f.cfg.DeliveryTimeout)
 		}
-		if s.State == Told {
-			later(s.since + o.Options.StepWithin)
+		if s.State == StepAccepted {
+			later(s.changedAt + o.Options.StepTimeout)
 		}
-		if s.State != Telling || f.out(name) {
+		if s.State != StepDelivering || f.hasCommandInFlight(name) {
 			continue
 		}
 		switch {
-		case s.next > f.now:
-			later(s.next)
-		case s.tries > 0 && !f.mayRetry():
-			later(f.now + f.cfg.RetryFirst)
+		case s.retryAt > f.now:
+			later(s.retryAt)
+		case s.attempts > 0 && !f.takeRetryToken():
+			later(f.now + f.cfg.RetryInitialDelay)
 		default:
-			tells = f.tell(tells, name, o.command())
+			tells = f.deliver(tells, name, o.command())
 		}
 	}
 	return tells
 }
 
-func (f *Fleet) tell(tells []Tell, name string, c control.Command) []Tell {
-	t := Tell{f.instances[name], c}
-	f.busy[name] = t
+func (f *Fleet) deliver(tells []Delivery, name string, c control.Command) []Delivery {
+	t := Delivery{f.instances[name], c}
+	f.inFlight[name] = t
 	return append(tells, t)
 }
 
-// begin starts steps as far as limits allow: those that are under way are one wave.
-func (f *Fleet) begin(o *Operation, tells []Tell) []Tell {
-	n := o.counts()
-	under := n[Telling] + n[Told]
+// startSteps starts steps as far as limits allow: those that are under way are one wave.
+func (f *Fleet) startSteps(o *Operation, tells []Delivery) []Delivery {
+	n := o.countSteps()
+	under := n[StepDelivering] + n[StepAccepted]
 	for _, name := range o.Targets {
 		s := o.Steps[name]
-		if s.State != Waiting {
+		if s.State != StepWaiting {
 			continue
 		}
-		if under >= o.Options.AtOnce && o.instanceWide() {
+		if under >= o.Options.WaveSize && o.isInstanceWide() {
 			return tells
 		}
-		if f.out(name) || !f.room(o, name) {
+		if f.hasCommandInFlight(name) || !f.mayDrain(o, name) {
 			continue
 		}
 		under++
-		f.turn(s, Telling, "")
-		s.next = f.now
-		f.hold(Hold{o.key(name), o.command()})
+		f.setState(s, StepDelivering, "")
+		s.retryAt = f.now
+		f.setDesired(DesiredState{o.scope(name), o.command()})
 		f.save(o)
-		tells = f.tell(tells, name, o.command())
+		tells = f.deliver(tells, name, o.command())
 	}
 	return tells
 }
 
-// room says whether one more instance may be taken away now. Those that are being told count as gone: whether the
+// mayDrain says whether one more instance may be taken away now. Those that are being told count as gone: whether the
 // command took effect is not known.
-func (f *Fleet) room(o *Operation, name string) bool {
-	if o.Kind != control.Drain || !f.counts(name) {
+func (f *Fleet) mayDrain(o *Operation, name string) bool {
+	if o.Kind != control.Drain || !f.countsAsAvailable(name) {
 		return true // it is not available as it is
 	}
 	zone := f.instances[name].Zone
 	whole, inZone := f.limits(&o.Options, zone)
 	for x := range f.instances {
-		if f.counts(x) {
+		if f.countsAsAvailable(x) {
 			continue
 		}
 		whole--
@@ -197,101 +197,101 @@
 	return whole > 0 && inZone > 0
 }
 
-// counts reports whether an instance counts as available: it says so, and nobody has told or is telling it otherwise.
-func (f *Fleet) counts(name string) bool {
-	if h, ok := f.holds[Key{Instance: name}]; ok && h.Command.Kind == control.Drain {
+// countsAsAvailable reports whether an instance counts as available: it says so, and nobody has told or is telling it otherwise.
+func (f *Fleet) countsAsAvailable(name string) bool {
+	if h, ok := f.desired[Scope{Instance: name}]; ok && h.Command.Kind == control.Drain {
 		return false
 	}
-	return f.seen[name].available()
+	return f.observations[name].available()
 }
 
-// Answered takes in what came of a call. The error says that no answer came: the command may have taken effect.
-func (f *Fleet) Answered(now time.Duration, t Tell, a control.Answer, err error) {
+// RecordAnswer takes in what came of a call. The error says that no answer came: the command may have taken effect.
+func (f *Fleet) RecordAnswer(now time.Duration, t Delivery, a control.Answer, err error) {
 	f.now = max(f.now, now)
 	name, c := t.Instance.Name, t.Command
-	if b, ok := f.busy[name]; ok && b.Command == c {
-		delete(f.busy, name)
+	if b, ok := f.inFlight[name]; ok && b.Command == c {
+		delete(f.inFlight, name)
 	}
-	key := Key{name, c.Host}
-	if r := f.again[key]; r != nil && f.holds[key].Command == c {
+	key := Scope{name, c.Host}
+	if r := f.redeliveries[key]; r != nil && f.desired[key].Command == c {
 		if err != nil {
-			r.tries++
-			r.at = f.now + f.backoff(r.tries)
+			r.attempts++
+			r.notBefore = f.now + f.backoff(r.attempts)
 		} else {
-			r.boot, r.tries = a.Boot, 0
+			r.deliveredTo, r.attempts = a.Boot, 0
 		}
 	}
-	if s := f.seen[name]; s != nil && err != nil {
-		s.Why = err.Error()
+	if s := f.observations[name]; s != nil && err != nil {
+		s.LastError = err.Error()
 	}
-	o := f.ops[c.Operation]
+	o := f.operations[c.Operation]
 	if o == nil || o.State.Ended() {
 		return
 	}
 	s := o.Steps[name]
-	if s == nil || s.State != Telling {
+	if s == nil || s.State != StepDelivering {
 		return
 	}
 	switch {
 	case err != nil:
-		s.tries++
-		s.next = f.now + f.backoff(s.tries)
-		s.Why = err.Error()
+		s.attempts++
+		s.retryAt = f.now + f.backoff(s.attempts)
+		s.Reason = err.Error()
 	case a.Verdict == control.Rejected:
-		f.unhold(o, name)
-		f.end(o, s, Superseded, a.Reason)
+		f.withdraw(o, name)
+		f.endStep(o, s, StepSuperseded, a.Reason)
 	default:
 		s.Boot = a.Boot
-		f.end(o, s, Told, "")
+		f.endStep(o, s, StepAccepted, "")
 	}
 }
 
-// remind tells an instance again what holds for it when it has come back without it: it restarted, or lost it.
-func (f *Fleet) remind(tells []Tell, later func(time.Duration)) []Tell {
-	for _, key := range f.keys() {
-		h := f.holds[key]
-		seen := f.seen[key.Instance]
-		if seen == nil || seen.Reach != Up || f.out(key.Instance) || f.following(h) {
+// restoreDesired tells an instance again what holds for it when it has come back without it: it restarted, or lost it.
+func (f *Fleet) restoreDesired(tells []Delivery, later func(time.Duration)) []Delivery {
+	for _, key := range f.sortedScopes() {
+		h := f.desired[key]
+		seen := f.observations[key.Instance]
+		if seen == nil || seen.Reach != Up || f.hasCommandInFlight(key.Instance) || f.isFollowed(h) {
 			continue
 		}
 		lacks := key.Host == "" && h.Command.Kind == control.Drain && seen.Status.Fence < h.Command.Fence
 		if key.Host != "" && h.Command.Kind == control.HostDrain {
 			lacks = true // the status does not tell by which order, so each start is told once
 		}
-		r := f.again[key]
+		r := f.redeliveries[key]
 		if r == nil {
-			r = &retry{}
+			r = &redelivery{}
 			if key.Host != "" {
 				if s := f.stepOf(h); s != nil {
-					r.boot = s.Boot
+					r.deliveredTo = s.Boot
 				}
 			}
-			f.again[key] = r
+			f.redeliveries[key] = r
 		}
-		if !lacks || r.boot == seen.Status.Boot {
+		if !lacks || r.deliveredTo == seen.Status.Boot {
 			continue
 		}
-		if r.at > f.now {
-			later(r.at)
+		if r.notBefore > f.now {
+			later(r.notBefore)
 			continue
 		}
-		if r.tries > 0 && !f.mayRetry() {
-			later(f.now + f.cfg.RetryFirst)
+		if r.attempts > 0 && !f.takeRetryToken() {
+			later(f.now + f.cfg.RetryInitialDelay)
 			continue
 		}
-		tells = f.tell(tells, key.Instance, h.Command)
+		tells = f.deliver(tells, key.Instance, h.Command)
 	}
 	return tells
 }
 
-// following reports whether an operation still sees to what holds.
-func (f *Fleet) following(h Hold) bool {
+// isFollowed reports whether an operation still sees to what holds.
+func (f *Fleet) isFollowed(h DesiredState) bool {
 	s := f.stepOf(h)
 	return s != nil && !s.State.Ended()
 }
 
-func (f *Fleet) stepOf(h Hold) *Step {
-	if o := f.ops[h.Command.Operation]; o != nil {
+func (f *Fleet) stepOf(h DesiredState) *Step {
+	if o := f.operations[h.Command.Operation]; o != nil {
 		return o.Steps[h.Instance]
 	}
 	return nil
--- a/internal/fleet/operation.go
+++ b/internal/fleet/operation.go
@@ -30,42 +30,42 @@
 
 // The states of a step.
 const (
-	Waiting    StepState = "waiting"
-	Telling    StepState = "telling" // a call was made or is to be made again; whether it took effect is not known
-	Told       StepState = "told"    // the instance has taken it
-	StepDone   StepState = "done"    // the instance is as it was told to be
-	StepFailed StepState = "failed"
-	Superseded StepState = "superseded" // a newer operation is about the same instance
-	Skipped    StepState = "skipped"    // the operation ended before
+	StepWaiting    StepState = "waiting"
+	StepDelivering StepState = "telling" // a call was made or is to be made again; whether it took effect is not known
+	StepAccepted   StepState = "told"    // the instance has taken it
+	StepDone       StepState = "done"    // the instance is as it was told to be
+	StepFailed     StepState = "failed"
+	StepSuperseded StepState = "superseded" // a newer operation is about the same instance
+	StepSkipped    StepState = "skipped"    // the operation ended before
 )
 
 // Ended reports whether nothing more is done for the step.
 func (s StepState) Ended() bool {
-	return s == StepDone || s == StepFailed || s == Superseded || s == Skipped
+	return s == StepDone || s == StepFailed || s == StepSuperseded || s == StepSkipped
 }
 
 // Step is one instance of an operation.
 type Step struct {
-	State StepState `json:"state"`
-	Why   string    `json:"why,omitempty"`
-	Boot  string    `json:"boot,omitempty"` // which start of the instance has taken it
+	State  StepState `json:"state"`
+	Reason string    `json:"why,omitempty"`
+	Boot   string    `json:"boot,omitempty"` // which start of the instance has taken it
 
-	tries int
-	next  time.Duration // when it may be told again
-	since time.Duration // when it came into its state
+	attempts  int
+	retryAt   time.Duration // when it may be told again
+	changedAt time.Duration // when it came into its state
 }
 
 // Options are how an operation goes about its work.
 type Options struct {
-	AtOnce          int           `json:"at_once"`          // instances under way at one time: a wave; 0 for one
-	Unavailable     int           `json:"unavailable"`      // instances not available at one time, in the whole; 0 for half of them
-	UnavailableZone int           `json:"unavailable_zone"` // in each zone; 0 for all but one
-	EmptyZone       bool          `json:"empty_zone"`       // a zone may be left with none
-	Within          time.Duration `json:"within_ns"`        // by when a drained instance sends all away; 0 for 30 s
-	After           time.Duration `json:"retry_after_ns"`   // what those who are turned away are told; 0 for 1 s
-	StepWithin      time.Duration `json:"step_within_ns"`   // by when a told instance is as told; 0 for Within and 10 s
-	Deadline        time.Duration `json:"deadline_ns"`      // of the whole; 0 for the agent's
-	OnFailure       string        `json:"on_failure"`       // "pause", "abort" or "continue"; "" for pause
+	WaveSize              int           `json:"at_once"`          // instances under way at one time: a wave; 0 for one
+	MaxUnavailable        int           `json:"unavailable"`      // instances not available at one time, in the whole; 0 for half of them
+	MaxUnavailablePerZone int           `json:"unavailable_zone"` // in each zone; 0 for all but one
+	AllowEmptyZone        bool          `json:"empty_zone"`       // a zone may be left with none
+	DrainTimeout          time.Duration `json:"within_ns"`        // by when a drained instance sends all away; 0 for 30 s
+	RetryAfter            time.Duration `json:"retry_after_ns"`   // what those who are turned away are told; 0 for 1 s
+	StepTimeout           time.Duration `json:"step_within_ns"`   // by when a told instance is as told; 0 for Within and 10 s
+	Deadline              time.Duration `json:"deadline_ns"`      // of the whole; 0 for the agent's
+	OnFailure             string        `json:"on_failure"`       // "pause", "abort" or "continue"; "" for pause
 }
 
 // Request is an operation as it is ordered.
@@ -80,16 +80,16 @@
 // Operation is an order and how far it came.
 type Operation struct {
 	Request
-	Fence uint64           `json:"fence"`
-	State State            `json:"state"`
-	Why   string           `json:"why,omitempty"`
-	Steps map[string]*Step `json:"steps"`
-	Spent time.Duration    `json:"spent_ns"` // of its deadline, as of the last save; clocks don't count
+	Fence   uint64           `json:"fence"`
+	State   State            `json:"state"`
+	Reason  string           `json:"why,omitempty"`
+	Steps   map[string]*Step `json:"steps"`
+	Elapsed time.Duration    `json:"spent_ns"` // of its deadline, as of the last save; clocks don't count
 
-	since time.Duration // when Spent was reckoned
+	elapsedAt time.Duration // when Spent was reckoned
 }
 
-func (o *Operation) copy() Operation {
+func (o *Operation) clone() Operation {
 	c := *o
 	c.Targets = slices.Clone(o.Targets)
 	c.Steps = map[string]*Step{}
@@ -100,20 +100,20 @@
 	return c
 }
 
-func (o *Operation) instanceWide() bool { return o.Kind == control.Drain || o.Kind == control.Resume }
+func (o *Operation) isInstanceWide() bool { return o.Kind == control.Drain || o.Kind == control.Resume }
 
 func (o *Operation) command() control.Command {
 	c := control.Command{Operation: o.ID, Fence: o.Fence, Kind: o.Kind, Host: o.Host}
 	if o.Kind == control.Drain {
-		c.DrainTimeout, c.RetryAfter = o.Options.Within, o.Options.After
+		c.DrainTimeout, c.RetryAfter = o.Options.DrainTimeout, o.Options.RetryAfter
 	}
 	return c
 }
 
-func (o *Operation) key(name string) Key { return Key{name, o.Host} }
+func (o *Operation) scope(name string) Scope { return Scope{name, o.Host} }
 
-// counts tells how many steps are in which state.
-func (o *Operation) counts() map[StepState]int {
+// countSteps tells how many steps are in which state.
+func (o *Operation) countSteps() map[StepState]int {
 	n := map[StepState]int{}
 	for _, s := range o.Steps {
 		n[s.State]++
@@ -121,20 +121,20 @@
 	return n
 }
 
-// ErrUnknown says that there is no such operation.
-var ErrUnknown = errors.New("there is no such operation")
+// ErrUnknownOperation says that there is no such operation.
+var ErrUnknownOperation = errors.New("there is no such operation")
 
 const (
-	usualWithin = 30 * time.Second
-	usualAfter  = time.Second
-	moreTime    = 10 * time.Second
-	mostTargets = 10_000
+	defaultDrainTimeout = 30 * time.Second
+	defaultRetryAfter   = time.Second
+	stepTimeoutMargin   = 10 * time.Second
+	maxTargets          = 10_000
 )
 
 // check fills in defaults and says what is wrong with a request.
 func (f *Fleet) check(r *Request) error {
-	if len(r.Targets) == 0 || len(r.Targets) > mostTargets {
-		return fmt.Errorf("targets: there are %d, not 1 to %d", len(r.Targets), mostTargets)
+	if len(r.Targets) == 0 || len(r.Targets) > maxTargets {
+		return fmt.Errorf("targets: there are %d, not 1 to %d", len(r.Targets), maxTargets)
 	}
 	seen := map[string]bool{}
 	for _, name := range r.Targets {
@@ -150,24 +150,24 @@
 	for _, d := range []struct {
 		v   *time.Duration
 		def time.Duration
-	}{{&o.Within, usualWithin}, {&o.After, usualAfter}, {&o.Deadline, f.cfg.Deadline}} {
+	}{{&o.DrainTimeout, defaultDrainTimeout}, {&o.RetryAfter, defaultRetryAfter}, {&o.Deadline, f.cfg.DefaultDeadline}} {
 		if *d.v == 0 {
 			*d.v = d.def
 		}
 	}
-	if o.StepWithin == 0 {
-		o.StepWithin = o.Within + moreTime
+	if o.StepTimeout == 0 {
+		o.StepTimeout = o.DrainTimeout + stepTimeoutMargin
 	}
-	if o.AtOnce == 0 {
-		o.AtOnce = 1
+	if o.WaveSize == 0 {
+		o.WaveSize = 1
 	}
 	if o.OnFailure == "" {
 		o.OnFailure = "pause"
 	}
 	switch {
-	case o.AtOnce < 0 || o.Unavailable < 0 || o.UnavailableZone < 0:
+	case o.WaveSize < 0 || o.MaxUnavailable < 0 || o.MaxUnavailablePerZone < 0:
 		return errors.New("options: a number is negative")
-	case o.StepWithin < 0 || o.Deadline < 0:
+	case o.StepTimeout < 0 || o.Deadline < 0:
 		return errors.New("options: a time is negative")
 	case o.OnFailure != "pause" && o.OnFailure != "abort" && o.OnFailure != "continue":
 		return fmt.Errorf("options: on_failure %q is neither pause, abort nor continue", o.OnFailure)
@@ -178,7 +178,7 @@
 
 // limits are how many may be unavailable at one time, in the whole and in a zone.
 func (f *Fleet) limits(o *Options, zone string) (whole, inZone int) {
-	whole, inZone = o.Unavailable, o.UnavailableZone
+	whole, inZone = o.MaxUnavailable, o.MaxUnavailablePerZone
 	size := 0
 	for _, x := range f.instances {
 		if x.Zone == zone {
@@ -188,9 +188,9 @@
 	if whole == 0 {
 		whole = max(len(f.instances)/2, 1)
 	}
-	if inZone == 0 || inZone >= size && !o.EmptyZone {
+	if inZone == 0 || inZone >= size && !o.AllowEmptyZone {
 		inZone = size
-		if !o.EmptyZone {
+		if !o.AllowEmptyZone {
 			inZone = size - 1
 		}
 	}
@@ -202,13 +202,13 @@
 
 func (e *LimitError) Error() string { return e.Text }
 
-// fits says whether a drain of all targets is within its limits, as things stand.
-func (f *Fleet) fits(r *Request) error {
+// checkLimits says whether a drain of all targets is within its limits, as things stand.
+func (f *Fleet) checkLimits(r *Request) error {
 	if r.Kind != control.Drain {
 		return nil
 	}
 	gone, zones := map[string]bool{}, map[string]int{}
-	for name, s := range f.seen {
+	for name, s := range f.observations {
 		if !s.available() {
 			gone[name] = true
 		}
@@ -222,7 +222,7 @@
 	for _, zone := range slices.Sorted(maps.Keys(zones)) {
 		whole, inZone := f.limits(&r.Options, zone)
 		switch {
-		case zones[zone] > inZone && !r.Options.EmptyZone && r.Options.UnavailableZone == 0:
+		case zones[zone] > inZone && !r.Options.AllowEmptyZone && r.Options.MaxUnavailablePerZone == 0:
 			return &LimitError{fmt.Sprintf("zone %s would be left with no instance: --empty-zone allows that", zone)}
 		case zones[zone] > inZone:
 			return &LimitError{fmt.Sprintf("%d instances of zone %s would not be available, the limit is %d: --max-unavailable-zone", zones[zone], zone, inZone)}
@@ -236,40 +236,40 @@
 // Submit takes an order. The same one again is the operation that it was; the same name with other contents is an error.
 func (f *Fleet) Submit(now time.Duration, r Request) (Operation, error) {
 	f.now = max(f.now, now)
-	f.age()
-	if o := f.ops[r.ID]; o != nil {
-		if !sameOrder(o.Request, r) {
+	f.expireObservations()
+	if o := f.operations[r.ID]; o != nil {
+		if !sameRequest(o.Request, r) {
 			return Operation{}, fmt.Errorf("operation %q was ordered with other contents before", r.ID)
 		}
-		return o.copy(), nil
+		return o.clone(), nil
 	}
 	if err := f.check(&r); err != nil {
 		return Operation{}, err
 	}
-	if err := f.fits(&r); err != nil {
+	if err := f.checkLimits(&r); err != nil {
 		return Operation{}, err
 	}
-	if len(f.running) >= f.cfg.MostRunning {
+	if len(f.running) >= f.cfg.MaxRunningOperations {
 		return Operation{}, fmt.Errorf("%d operations run, no more can", len(f.running))
 	}
-	for _, s := range f.seen { // of a store that was lost: the instances still know
+	for _, s := range f.observations { // of a store that was lost: the instances still know
 		f.fence = max(f.fence, s.Status.Fence)
 	}
 	f.fence++
 	f.change.Fence = f.fence
-	o := &Operation{Request: r, Fence: f.fence, State: Running, Steps: map[string]*Step{}, since: f.now}
+	o := &Operation{Request: r, Fence: f.fence, State: Running, Steps: map[string]*Step{}, elapsedAt: f.now}
 	for _, name := range r.Targets {
-		o.Steps[name] = &Step{State: Waiting, since: f.now}
+		o.Steps[name] = &Step{State: StepWaiting, changedAt: f.now}
 	}
 	f.supersede(o)
-	f.ops[o.ID] = o
+	f.operations[o.ID] = o
 	f.running = append(f.running, o)
 	f.save(o)
-	return o.copy(), nil
+	return o.clone(), nil
 }
 
-// sameOrder compares what was ordered; defaults that were filled in don't count.
-func sameOrder(a, b Request) bool {
+// sameRequest compares what was ordered; defaults that were filled in don't count.
+func sameRequest(a, b Request) bool {
 	return a.Kind == b.Kind && a.Host == b.Host && slices.Equal(a.Targets, b.Targets)
 }
 
@@ -278,8 +278,8 @@
 	for _, o := range f.running {
 		changed := false
 		for name, s := range o.Steps {
-			if _, ok := by.Steps[name]; ok && o.Host == by.Host && o.instanceWide() == by.instanceWide() && !s.State.Ended() {
-				f.turn(s, Superseded, "by "+by.ID)
+			if _, ok := by.Steps[name]; ok && o.Host == by.Host && o.isInstanceWide() == by.isInstanceWide() && !s.State.Ended() {
+				f.setState(s, StepSuperseded, "by "+by.ID)
 				changed = true
 			}
 		}
@@ -292,67 +292,69 @@
 // Abort ends an operation: nothing more is begun for it. What instances were told holds.
 func (f *Fleet) Abort(now time.Duration, id, why string) (Operation, error) {
 	f.now = max(f.now, now)
-	o := f.ops[id]
+	o := f.operations[id]
 	if o == nil {
-		return Operation{}, ErrUnknown
+		return Operation{}, ErrUnknownOperation
 	}
 	if !o.State.Ended() {
 		f.finish(o, Aborted, why)
 	}
-	return o.copy(), nil
+	return o.clone(), nil
 }
 
 // Continue goes on with an operation that was paused.
 func (f *Fleet) Continue(now time.Duration, id string) (Operation, error) {
 	f.now = max(f.now, now)
-	o := f.ops[id]
+	o := f.operations[id]
 	switch {
 	case o == nil:
-		return Operation{}, ErrUnknown
+		return Operation{}, ErrUnknownOperation
 	case o.State == Paused:
-		o.State, o.Why, o.Options.OnFailure = Running, "", "continue"
+		o.State, o.Reason, o.Options.OnFailure = Running, "", "continue"
 		f.save(o)
 	}
-	return o.copy(), nil
+	return o.clone(), nil
 }
 
 // finish ends an operation.
 func (f *Fleet) finish(o *Operation, s State, why string) {
-	o.State, o.Why = s, why
-	o.Spent += f.now - o.since
-	o.since = f.now
+	o.State, o.Reason = s, why
+	o.Elapsed += f.now - o.elapsedAt
+	o.elapsedAt = f.now
 	for name, step := range o.Steps {
 		if step.State.Ended() {
 			continue
 		}
 		// One that is told or being told holds; it is only not followed any more.
-		if step.State == Told {
-			f.turn(step, Skipped, "told; not followed to its end")
+		if step.State == StepAccepted {
+			f.setState(step, StepSkipped, "told; not followed to its end")
 		} else {
-			if step.State == Telling {
-				f.unhold(o, name)
+			if step.State == StepDelivering {
+				f.withdraw(o, name)
 			}
-			f.turn(step, Skipped, "the operation ended before")
+			f.setState(step, StepSkipped, "the operation ended before")
 		}
 	}
 	f.running = slices.DeleteFunc(f.running, func(x *Operation) bool { return x == o })
 	f.ended = append(f.ended, o.ID)
 	f.save(o)
-	for len(f.ended) > f.cfg.KeepEnded {
+	for len(f.ended) > f.cfg.MaxEndedOperations {
 		old := f.ended[0]
 		f.ended = f.ended[1:]
-		delete(f.ops, old)
-		f.change.Forgotten = append(f.change.Forgotten, old)
+		delete(f.operations, old)
+		f.change.ForgottenOperations = append(f.change.ForgottenOperations, old)
 		f.change.Operations = slices.DeleteFunc(f.change.Operations, func(x Operation) bool { return x.ID == old })
 	}
 }
 
-func (f *Fleet) turn(s *Step, to StepState, why string) { s.State, s.Why, s.since = to, why, f.now }
+func (f *Fleet) setState(s *Step, to StepState, why string) {
+	s.State, s.Reason, s.changedAt = to, why, f.now
+}
 
 // Operations lists operations, the newest first; Operation gives one.
 func (f *Fleet) Operations() (out []Operation) {
-	for _, o := range f.ops {
-		out = append(out, o.copy())
+	for _, o := range f.operations {
+		out = append(out, o.clone())
 	}
 	slices.SortFunc(out, func(a, b Operation) int { return int(int64(b.Fence) - int64(a.Fence)) })
 	return out
@@ -360,9 +362,9 @@
 
 // Operation gives one operation.
 func (f *Fleet) Operation(id string) (Operation, error) {
-	o := f.ops[id]
+	o := f.operations[id]
 	if o == nil {
-		return Operation{}, ErrUnknown
+		return Operation{}, ErrUnknownOperation
 	}
-	return o.copy(), nil
+	return o.clone(), nil
 }
