--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -192,7 +192,7 @@
 func allUp(c *control.Client) bool {
 	v := views(c)
 	for _, x := range v {
-		if x.Reach != fleet.Up {
+		if x.Reachability != fleet.Up {
 			return false
 		}
 	}
@@ -313,7 +313,7 @@
 	c, _ := r.agent(t, nil)
 	up := func() (n int) {
 		for _, v := range views(c) {
-			if v.Reach == fleet.Up {
+			if v.Reachability == fleet.Up {
 				n++
 			}
 		}
--- a/internal/cli/instances.go
+++ b/internal/cli/instances.go
@@ -80,7 +80,7 @@
 		if op == "" {
 			op = "-"
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%.1fs ago\t%s\t%s\n", v.Name, v.Zone, v.Reach, state, listState(v), open, owed, float64(v.AgeMS)/1000, op, v.LastError)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%.1fs ago\t%s\t%s\n", v.Name, v.Zone, v.Reachability, state, listState(v), open, owed, float64(v.AgeMS)/1000, op, v.LastError)
 	}
 	return w.Flush()
 }
@@ -120,7 +120,7 @@
 				at[name] = true
 			}
 			for _, v := range views {
-				if at[v.Name] && (v.Reach != fleet.Up || v.Status.State != control.Serving) {
+				if at[v.Name] && (v.Reachability != fleet.Up || v.Status.State != control.Serving) {
 					bad = append(bad, v)
 				}
 			}
@@ -184,7 +184,7 @@
 	f.IntVar(&o.options.WaveSize, "at-once", 1, "instances under way at one time")
 	f.DurationVar(&o.options.Deadline, "deadline", time.Hour, "the operation fails where it has not ended by then")
 	f.DurationVar(&o.options.StepTimeout, "step-within", 0, "an instance fails where it is not as told by then")
-	f.StringVar(&o.options.OnFailure, "on-failure", "pause", "pause, abort or continue where an instance fails")
+	f.StringVar((*string)(&o.options.OnFailure), "on-failure", "pause", "pause, abort or continue where an instance fails")
 	f.BoolVar(&o.dry, "dry-run", false, "show the waves and order nothing")
 	f.BoolVar(&o.wait, "wait", false, "wait for the end; exit with 7 where it did not succeed")
 	f.DurationVar(&o.waitWithin, "wait-within", time.Hour, "with --wait, wait no longer")
--- /dev/null
+++ b/internal/fleet/delivery.go
@@ -0,0 +1,109 @@
+package fleet
+
+import (
+	"time"
+
+	"onyxstream/internal/control"
+)
+
+// Delivery is a command to send to an instance. RecordAnswer must follow each.
+type Delivery struct {
+	Instance Instance
+	Command  control.Command
+}
+
+// redelivery is the state of a command that is delivered again to a restarted instance.
+type redelivery struct {
+	attempts    int
+	notBefore   time.Duration
+	deliveredTo string // the start of the instance that has answered; it does not get the command again
+}
+
+// maxBackoffShift keeps the doubled delay from overflowing.
+const maxBackoffShift = 16
+
+// hasCommandInFlight reports whether a delivery to the instance has not been answered.
+func (f *Fleet) hasCommandInFlight(name string) bool {
+	_, ok := f.inFlight[name]
+	return ok
+}
+
+func (f *Fleet) deliver(plan *plan, name string, command control.Command) {
+	delivery := Delivery{Instance: f.instances[name], Command: command}
+	f.inFlight[name] = delivery
+	plan.deliveries = append(plan.deliveries, delivery)
+}
+
+// mayAttempt reports whether a command may be delivered now, after its backoff and within the retry budget. Otherwise it
+// sets when to look again.
+func (f *Fleet) mayAttempt(plan *plan, attempts int, notBefore time.Duration) bool {
+	if notBefore > f.now {
+		plan.wakeBy(notBefore)
+		return false
+	}
+	if attempts > 0 && !f.takeRetryToken() {
+		plan.wakeBy(f.now + f.cfg.RetryInitialDelay)
+		return false
+	}
+	return true
+}
+
+// takeRetryToken takes one retry out of the fleet's budget.
+func (f *Fleet) takeRetryToken() bool { return f.retryBudget.AllowN(time.Unix(0, 0).Add(f.now), 1) }
+
+// backoff returns the delay before the next attempt: exponential, with jitter over its upper half.
+func (f *Fleet) backoff(attempts int) time.Duration {
+	delay := f.cfg.RetryInitialDelay << min(attempts, maxBackoffShift)
+	if delay > f.cfg.RetryMaxDelay || delay <= 0 {
+		delay = f.cfg.RetryMaxDelay
+	}
+	return delay/2 + time.Duration(f.rng.Float64()*float64(delay/2))
+}
+
+// RecordAnswer records an instance's answer to a delivery. With an error no answer arrived: the instance may have applied
+// the command or not.
+func (f *Fleet) RecordAnswer(now time.Duration, delivery Delivery, answer control.Answer, err error) {
+	f.advanceClock(now)
+	name, command := delivery.Instance.Name, delivery.Command
+	if current, ok := f.inFlight[name]; ok && current.Command == command {
+		delete(f.inFlight, name)
+	}
+	f.recordRedelivery(Scope{name, command.Host}, command, answer, err)
+	if observation := f.observations[name]; observation != nil && err != nil {
+		observation.LastError = err.Error()
+	}
+	o := f.operations[command.Operation]
+	if o == nil || o.State.Ended() {
+		return
+	}
+	step := o.Steps[name]
+	if step == nil || step.State != StepDelivering {
+		return
+	}
+	switch {
+	case err != nil:
+		step.attempts++
+		step.retryAt = f.now + f.backoff(step.attempts)
+		step.Reason = err.Error()
+	case answer.Verdict == control.Rejected:
+		f.withdraw(o, name)
+		f.updateStep(o, step, StepSuperseded, answer.Reason)
+	default:
+		step.Boot = answer.Boot
+		f.updateStep(o, step, StepAccepted, "")
+	}
+}
+
+func (f *Fleet) recordRedelivery(scope Scope, command control.Command, answer control.Answer, err error) {
+	pending := f.redeliveries[scope]
+	if pending == nil || f.desired[scope].Command != command {
+		return
+	}
+	if err != nil {
+		pending.attempts++
+		pending.notBefore = f.now + f.backoff(pending.attempts)
+		return
+	}
+	pending.deliveredTo = answer.Boot
+	pending.attempts = 0
+}
--- /dev/null
+++ b/internal/fleet/desired.go
@@ -0,0 +1,138 @@
+package fleet
+
+import (
+	"cmp"
+	"maps"
+	"slices"
+
+	"onyxstream/internal/control"
+)
+
+// Scope is what a command applies to: an instance, or an instance's override of a host.
+type Scope struct {
+	Instance string `json:"instance"`
+	Host     string `json:"host,omitempty"`
+}
+
+// DesiredState is the last command for a scope. It stays in force over restarts of the instance and the agent.
+type DesiredState struct {
+	Scope
+	Command control.Command `json:"command"`
+}
+
+// Change is what has to be saved before the deliveries that come with it are made.
+type Change struct {
+	Operations          []Operation
+	Desired             []DesiredState
+	Removed             []Scope  // without a desired state now
+	ForgottenOperations []string // ids
+	Fence               uint64   // 0 where it is unchanged
+}
+
+// Empty reports whether there is nothing to save.
+func (c *Change) Empty() bool {
+	return len(c.Operations)+len(c.Desired)+len(c.Removed)+len(c.ForgottenOperations) == 0 && c.Fence == 0
+}
+
+// save adds an operation to the pending change.
+func (f *Fleet) save(o *Operation) {
+	for i := range f.change.Operations {
+		if f.change.Operations[i].ID == o.ID {
+			f.change.Operations[i] = o.clone()
+			return
+		}
+	}
+	f.change.Operations = append(f.change.Operations, o.clone())
+}
+
+func (f *Fleet) setDesired(state DesiredState) {
+	f.desired[state.Scope] = state
+	f.change.Desired = append(f.change.Desired, state)
+	f.change.Removed = slices.DeleteFunc(f.change.Removed, func(s Scope) bool { return s == state.Scope })
+	delete(f.redeliveries, state.Scope)
+}
+
+func (f *Fleet) removeDesired(scope Scope) {
+	if _, ok := f.desired[scope]; ok {
+		delete(f.desired, scope)
+		f.change.Removed = append(f.change.Removed, scope)
+		f.change.Desired = slices.DeleteFunc(f.change.Desired, func(d DesiredState) bool { return d.Scope == scope })
+	}
+	delete(f.redeliveries, scope)
+}
+
+// withdraw removes the desired state of a step that failed before the instance accepted its command.
+func (f *Fleet) withdraw(o *Operation, name string) {
+	scope := o.scope(name)
+	state, ok := f.desired[scope]
+	if !ok || state.Command.Operation != o.ID {
+		return
+	}
+	f.removeDesired(scope)
+	f.invalidate(name)
+}
+
+// sortedScopes returns the scopes with a desired state. Their order must not vary: the jitter of retries is drawn in it.
+func (f *Fleet) sortedScopes() []Scope {
+	return slices.SortedFunc(maps.Keys(f.desired), func(a, b Scope) int {
+		return cmp.Or(cmp.Compare(a.Instance, b.Instance), cmp.Compare(a.Host, b.Host))
+	})
+}
+
+// restoreDesired delivers commands again to instances that restarted without them.
+func (f *Fleet) restoreDesired(plan *plan) {
+	for _, scope := range f.sortedScopes() {
+		state := f.desired[scope]
+		observation := f.observations[scope.Instance]
+		if observation == nil || observation.Reachability != Up {
+			continue
+		}
+		if f.hasCommandInFlight(scope.Instance) || f.isFollowed(state) {
+			continue
+		}
+		pending := f.redeliveryOf(state)
+		if !state.isMissing(&observation.Status) || pending.deliveredTo == observation.Status.Boot {
+			continue
+		}
+		if f.mayAttempt(plan, pending.attempts, pending.notBefore) {
+			f.deliver(plan, scope.Instance, state.Command)
+		}
+	}
+}
+
+// isMissing reports whether an instance's status does not show the desired state. The status does not have the operation
+// of a host's override, so that one always counts as missing, and is delivered once to each start of the instance.
+func (d DesiredState) isMissing(status *control.Status) bool {
+	if d.Host != "" {
+		return d.Command.Kind == control.HostDrain
+	}
+	return d.Command.Kind == control.Drain && status.Fence < d.Command.Fence
+}
+
+// redeliveryOf returns the state of redeliveries for a scope.
+func (f *Fleet) redeliveryOf(state DesiredState) *redelivery {
+	pending := f.redeliveries[state.Scope]
+	if pending != nil {
+		return pending
+	}
+	pending = &redelivery{}
+	if step := f.stepOf(state); step != nil && state.Host != "" {
+		pending.deliveredTo = step.Boot
+	}
+	f.redeliveries[state.Scope] = pending
+	return pending
+}
+
+// isFollowed reports whether a step that has not ended still delivers the command.
+func (f *Fleet) isFollowed(state DesiredState) bool {
+	step := f.stepOf(state)
+	return step != nil && !step.State.Ended()
+}
+
+func (f *Fleet) stepOf(state DesiredState) *Step {
+	o := f.operations[state.Command.Operation]
+	if o == nil {
+		return nil
+	}
+	return o.Steps[state.Instance]
+}
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -9,12 +9,12 @@
 	"onyxstream/internal/control"
 )
 
-func three() []Instance {
+func threeInstances() []Instance {
 	return []Instance{{Name: "a1", Addr: "unix:a1", Zone: "a", Labels: map[string]string{"size": "big"}},
 		{Name: "a2", Addr: "unix:a2", Zone: "a"}, {Name: "b1", Addr: "unix:b1", Zone: "b", Labels: map[string]string{"size": "big"}}}
 }
 
-func serving(t *testing.T, list []Instance) *Fleet {
+func newServingFleet(t *testing.T, list []Instance) *Fleet {
 	t.Helper()
 	f := New(DefaultConfig(), 1)
 	if err := f.SetInventory(0, list); err != nil {
@@ -26,7 +26,7 @@
 	return f
 }
 
-func TestSelect(t *testing.T) {
+func TestSelect_Criteria_NamesOrError(t *testing.T) {
 	for _, c := range []struct {
 		s    Selector
 		want string
@@ -38,15 +38,15 @@
 		{Selector{Names: []string{"a2"}, Labels: []string{"size=big"}}, "", "fits all"}, {Selector{Labels: []string{"size"}}, "", "key=value"},
 		{Selector{Names: []string{"["}}, "", "syntax error"},
 	} {
-		got, err := Select(three(), c.s)
+		got, err := Select(threeInstances(), c.s)
 		if strings.Join(got, " ") != c.want || (err == nil) != (c.err == "") || err != nil && !strings.Contains(err.Error(), c.err) {
 			t.Errorf("%+v: %v, error %v", c.s, got, err)
 		}
 	}
 }
 
-func TestLimitsRefuseAnOrderThatTakesTooMany(t *testing.T) {
-	f := serving(t, three())
+func TestSubmit_DrainOverLimits_ReturnsLimitError(t *testing.T) {
+	f := newServingFleet(t, threeInstances())
 	for _, c := range []struct {
 		targets string
 		o       Options
@@ -64,17 +64,17 @@
 			t.Errorf("%s %+v: %v, want %s", c.targets, c.o, err, c.want)
 		}
 	}
-	// What is down counts, though nobody drained it.
-	f = serving(t, three())
+	// An instance that is down counts as unavailable.
+	f = newServingFleet(t, threeInstances())
 	f.Observe(10*time.Second, 10*time.Second, "a2", control.Status{State: control.Serving, Boot: "1"}, nil)
 	f.Observe(10*time.Second, 10*time.Second, "b1", control.Status{State: control.Serving, Boot: "1"}, nil)
 	if _, err := f.Submit(10*time.Second, Request{ID: "x", Kind: control.Drain, Targets: []string{"a2"}}); err == nil {
-		t.Error("the last instance of a zone is drained while the other one is down")
+		t.Error("a drain of a zone's last available instance was accepted")
 	}
 }
 
-func TestWrongOrdersAreRefused(t *testing.T) {
-	f := serving(t, three())
+func TestSubmit_InvalidRequest_ReturnsError(t *testing.T) {
+	f := newServingFleet(t, threeInstances())
 	good := Request{ID: "x", Kind: control.Drain, Targets: []string{"a1"}}
 	if _, err := f.Submit(2, good); err != nil {
 		t.Fatal(err)
@@ -99,41 +99,41 @@
 	for _, list := range [][]Instance{{{Name: "a"}}, {{Addr: "x", Zone: "z"}}, {{Name: "a", Addr: "x", Zone: "z"}, {Name: "a", Addr: "y", Zone: "z"}},
 		{{Name: "a", Addr: "x", Zone: "z"}, {Name: "b", Addr: "x", Zone: "z"}}} {
 		if err := f.SetInventory(3, list); err == nil {
-			t.Errorf("the inventory %+v is taken", list)
+			t.Errorf("the inventory %+v was accepted", list)
 		}
 	}
 	if len(f.Views(4)) != 3 {
-		t.Error("a wrong inventory changed something")
+		t.Error("an invalid inventory changed something")
 	}
 }
 
-// play answers all that is told, and says what instances are like then.
-func play(f *Fleet, now time.Duration, state control.InstanceState) (told []string) {
-	_, tells, _ := f.Next(now)
-	for _, t := range tells {
-		told = append(told, t.Instance.Name+" "+string(t.Command.Kind))
+// deliverAll answers all deliveries and reports the instances in a state afterwards.
+func deliverAll(f *Fleet, now time.Duration, state control.InstanceState) (delivered []string) {
+	_, deliveries, _ := f.Next(now)
+	for _, t := range deliveries {
+		delivered = append(delivered, t.Instance.Name+" "+string(t.Command.Kind))
 		f.RecordAnswer(now, t, control.Answer{Verdict: control.Done, Fence: t.Command.Fence, Boot: "1"}, nil)
 		f.Observe(now+1, now+1, t.Instance.Name, control.Status{Boot: "1", State: state, Fence: t.Command.Fence}, nil)
 	}
-	return told
+	return delivered
 }
 
-func TestDrainAndResumeCrossing(t *testing.T) {
-	f := serving(t, three())
+func TestSubmit_ResumeDuringDrain_Supersedes(t *testing.T) {
+	f := newServingFleet(t, threeInstances())
 	opts := Options{WaveSize: 1, MaxUnavailable: 2, AllowEmptyZone: true}
 	if _, err := f.Submit(2, Request{ID: "d", Kind: control.Drain, Targets: []string{"a1", "a2"}, Options: opts}); err != nil {
 		t.Fatal(err)
 	}
-	_, tells, _ := f.Next(3) // a1 is being told
+	_, deliveries, _ := f.Next(3) // the command to a1 is in flight
 	if _, err := f.Submit(4, Request{ID: "r", Kind: control.Resume, Targets: []string{"a1", "a2"}, Options: Options{WaveSize: 2}}); err != nil {
 		t.Fatal(err)
 	}
-	if got := play(f, 5, control.Serving); strings.Join(got, ", ") != "a2 resume" {
-		t.Errorf("while a1 is being told, %v are told", got)
+	if got := deliverAll(f, 5, control.Serving); strings.Join(got, ", ") != "a2 resume" {
+		t.Errorf("while a command to a1 is in flight: %v", got)
 	}
-	f.RecordAnswer(6, tells[0], control.Answer{Verdict: control.Done, Fence: 1, Boot: "1"}, nil)
-	if got := play(f, 7, control.Serving); strings.Join(got, ", ") != "a1 resume" {
-		t.Errorf("then %v are told", got)
+	f.RecordAnswer(6, deliveries[0], control.Answer{Verdict: control.Done, Fence: 1, Boot: "1"}, nil)
+	if got := deliverAll(f, 7, control.Serving); strings.Join(got, ", ") != "a1 resume" {
+		t.Errorf("after its answer: %v", got)
 	}
 	f.Next(8)
 	d, _ := f.Operation("d")
@@ -143,9 +143,9 @@
 	}
 }
 
-// One instance that can't be reached is repeated within the budget, fails its step by its time, and pauses the rest.
-func TestAnInstanceThatCanNotBeReachedPausesTheOperation(t *testing.T) {
-	f := serving(t, three())
+// Deliveries to an unreachable instance are retried within the budget, its step times out, and the operation pauses.
+func TestNext_UnreachableInstance_PausesOperation(t *testing.T) {
+	f := newServingFleet(t, threeInstances())
 	if _, err := f.Submit(2, Request{ID: "d", Kind: control.Drain, Targets: []string{"a1", "b1"},
 		Options: Options{MaxUnavailable: 3, AllowEmptyZone: true}}); err != nil {
 		t.Fatal(err)
@@ -155,24 +155,24 @@
 		for _, x := range []string{"a2", "b1"} {
 			f.Observe(now, now, x, control.Status{Boot: "1", State: control.Serving}, nil)
 		}
-		_, tells, _ := f.Next(now)
-		for _, tl := range tells {
-			if n++; tl.Instance.Name != "a1" {
-				t.Fatalf("%s is told while a1 is not", tl.Instance.Name)
+		_, deliveries, _ := f.Next(now)
+		for _, delivery := range deliveries {
+			if n++; delivery.Instance.Name != "a1" {
+				t.Fatalf("%s gets a command before a1", delivery.Instance.Name)
 			}
-			f.RecordAnswer(now, tl, control.Answer{}, errors.New("refused"))
+			f.RecordAnswer(now, delivery, control.Answer{}, errors.New("refused"))
 		}
 	}
 	o, _ := f.Operation("d")
 	if n < 5 || n > 20 || o.State != Paused || o.Steps["a1"].State != StepFailed || o.Steps["b1"].State != StepWaiting {
-		t.Errorf("told %d times; the operation is %s, a1 %s, b1 %s", n, o.State, o.Steps["a1"].State, o.Steps["b1"].State)
+		t.Errorf("%d deliveries; the operation is %s, a1 %s, b1 %s", n, o.State, o.Steps["a1"].State, o.Steps["b1"].State)
 	}
 	if _, err := f.Continue(time.Minute, "d"); err != nil {
 		t.Fatal(err)
 	}
 	f.Observe(time.Minute, time.Minute, "a1", control.Status{Boot: "2", State: control.Serving}, nil)
-	if got := play(f, time.Minute+1, control.Drained); strings.Join(got, "") != "b1 drain" {
-		t.Errorf("continued, %v are told", got)
+	if got := deliverAll(f, time.Minute+1, control.Drained); strings.Join(got, "") != "b1 drain" {
+		t.Errorf("continued: %v", got)
 	}
 	f.Next(time.Minute + 3)
 	if o, _ = f.Operation("d"); o.State != Failed || o.Steps["b1"].State != StepDone {
@@ -180,16 +180,16 @@
 	}
 }
 
-// An instance that restarts mid-drain is told again, once; also when the operation has long ended. A newer order ends that.
-func TestWhatHoldsIsToldAgainAfterARestart(t *testing.T) {
-	f := serving(t, three())
+// A drain is delivered again, once, to an instance that restarts, also after the operation ended, until a newer command.
+func TestNext_InstanceRestarts_DeliversDesiredStateOnce(t *testing.T) {
+	f := newServingFleet(t, threeInstances())
 	if _, err := f.Submit(2, Request{ID: "d", Kind: control.Drain, Targets: []string{"a1"}}); err != nil {
 		t.Fatal(err)
 	}
-	play(f, 3, control.Draining)
+	deliverAll(f, 3, control.Draining)
 	f.Observe(5, 5, "a1", control.Status{Boot: "2", State: control.Serving}, nil)
-	if got := play(f, 6, control.Drained); len(got) != 1 {
-		t.Errorf("after a restart mid-drain %v are told", got)
+	if got := deliverAll(f, 6, control.Drained); len(got) != 1 {
+		t.Errorf("after a restart during the drain: %v", got)
 	}
 	f.Observe(8, 8, "a1", control.Status{Boot: "1", State: control.Drained, Fence: 1}, nil)
 	f.Next(9)
@@ -197,29 +197,29 @@
 		t.Fatalf("the operation is %s", o.State)
 	}
 	f.Observe(20, 20, "a1", control.Status{Boot: "3", State: control.Serving}, nil)
-	if got := play(f, 21, control.Drained); len(got) != 1 || got[0] != "a1 drain" {
-		t.Errorf("after a restart %v are told", got)
+	if got := deliverAll(f, 21, control.Drained); len(got) != 1 || got[0] != "a1 drain" {
+		t.Errorf("after a restart: %v", got)
 	}
-	if got := play(f, 23, control.Drained); len(got) != 0 {
-		t.Errorf("and once more %v", got)
+	if got := deliverAll(f, 23, control.Drained); len(got) != 0 {
+		t.Errorf("and once more: %v", got)
 	}
 	if _, err := f.Submit(24, Request{ID: "r", Kind: control.Resume, Targets: []string{"a1"}}); err != nil {
 		t.Fatal(err)
 	}
-	play(f, 25, control.Serving)
+	deliverAll(f, 25, control.Serving)
 	f.Observe(30, 30, "a1", control.Status{Boot: "4", State: control.Serving}, nil)
-	if got := play(f, 31, control.Serving); len(got) != 0 {
-		t.Errorf("resumed and restarted, %v are told", got)
+	if got := deliverAll(f, 31, control.Serving); len(got) != 0 {
+		t.Errorf("resumed and restarted: %v", got)
 	}
 }
 
-func TestAnInstanceThatLeavesTheInventoryFailsItsStep(t *testing.T) {
-	f := serving(t, three())
+func TestSetInventory_InstanceRemoved_FailsStep(t *testing.T) {
+	f := newServingFleet(t, threeInstances())
 	if _, err := f.Submit(2, Request{ID: "d", Kind: control.Drain, Targets: []string{"a1"}}); err != nil {
 		t.Fatal(err)
 	}
-	play(f, 3, control.Draining)
-	renamed := three()
+	deliverAll(f, 3, control.Draining)
+	renamed := threeInstances()
 	renamed[0].Name = "a9"
 	if err := f.SetInventory(4, renamed); err != nil {
 		t.Fatal(err)
@@ -229,14 +229,14 @@
 		t.Errorf("the step is %+v, the operation %s", o.Steps["a1"], o.State)
 	}
 	f.Observe(6, 6, "a9", control.Status{Boot: "9", State: control.Serving}, nil)
-	if got := play(f, 7, control.Drained); len(got) != 0 {
-		t.Errorf("whoever has the address now is told %v", got)
+	if got := deliverAll(f, 7, control.Drained); len(got) != 0 {
+		t.Errorf("the instance that has the address now gets %v", got)
 	}
 }
 
-// A store that was lost: instances still know the fences of the old one, and the next order is above them.
-func TestANewStoreGoesOnAboveTheFencesThatInstancesKnow(t *testing.T) {
-	f := serving(t, three())
+// After the store was lost, fences go on above those that instances report.
+func TestSubmit_InstancesWithHigherFence_ContinuesAbove(t *testing.T) {
+	f := newServingFleet(t, threeInstances())
 	f.Observe(2, 2, "a2", control.Status{Boot: "1", State: control.Serving, Fence: 41}, nil)
 	o, err := f.Submit(3, Request{ID: "d", Kind: control.Drain, Targets: []string{"a1"}})
 	if err != nil || o.Fence != 42 {
--- a/internal/fleet/select.go
+++ b/internal/fleet/select.go
@@ -1,13 +1,14 @@
 package fleet
 
 import (
+	"errors"
 	"fmt"
 	"path"
 	"slices"
 	"strings"
 )
 
-// Selector says which instances are meant; all that it names must fit.
+// Selector selects instances. An instance must fit all criteria that are set.
 type Selector struct {
 	Names  []string // patterns as of a shell: "cardiff-*"
 	Zones  []string
@@ -15,67 +16,90 @@
 	All    bool
 }
 
-// Select lists the instances that fit, in the inventory's order. A pattern or zone that fits none is an error: it is
-// most likely written wrong.
-func Select(list []Instance, s Selector) (out []string, err error) {
-	if !s.All && len(s.Names)+len(s.Zones)+len(s.Labels) == 0 {
-		return nil, fmt.Errorf("name instances, or --zone, --label or --all")
+// criterion is one part of a selector: an instance fits if one of the patterns does.
+type criterion struct {
+	name     string
+	patterns []string
+	matches  func(instance *Instance, pattern string) (bool, error)
+	matched  map[string]bool // patterns that fit any instance
+}
+
+func (s *Selector) criteria() []criterion {
+	return []criterion{
+		{name: "name", patterns: s.Names, matches: matchName, matched: map[string]bool{}},
+		{name: "zone", patterns: s.Zones, matches: matchZone, matched: map[string]bool{}},
+		{name: "label", patterns: s.Labels, matches: matchLabel, matched: map[string]bool{}},
 	}
-	used := map[string]bool{}
-	one := func(kind string, wanted []string, fits func(want string) (bool, error)) (bool, error) {
-		if len(wanted) == 0 {
-			return true, nil
-		}
-		any := false
-		for _, w := range wanted {
-			ok, err := fits(w)
-			if err != nil {
-				return false, fmt.Errorf("%s %q: %w", kind, w, err)
-			}
-			if ok {
-				any, used[kind+" "+w] = true, true
-			}
-		}
-		return any, nil
+}
+
+func matchName(instance *Instance, pattern string) (bool, error) {
+	return path.Match(pattern, instance.Name)
+}
+
+func matchZone(instance *Instance, zone string) (bool, error) { return instance.Zone == zone, nil }
+
+func matchLabel(instance *Instance, label string) (bool, error) {
+	key, want, ok := strings.Cut(label, "=")
+	if !ok {
+		return false, errors.New("want key=value")
+	}
+	value, ok := instance.Labels[key]
+	return ok && value == want, nil
+}
+
+// fits reports whether an instance matches one of the patterns, or there are none.
+func (c *criterion) fits(instance *Instance) (bool, error) {
+	if len(c.patterns) == 0 {
+		return true, nil
 	}
-	for _, x := range list {
-		named, err := one("name", s.Names, func(w string) (bool, error) { return path.Match(w, x.Name) })
+	fits := false
+	for _, pattern := range c.patterns {
+		ok, err := c.matches(instance, pattern)
 		if err != nil {
-			return nil, err
+			return false, fmt.Errorf("%s %q: %w", c.name, pattern, err)
+		}
+		if ok {
+			fits = true
+			c.matched[pattern] = true
 		}
-		zoned, _ := one("zone", s.Zones, func(w string) (bool, error) { return w == x.Zone, nil })
-		labelled, err := one("label", s.Labels, func(w string) (bool, error) {
-			k, v, ok := strings.Cut(w, "=")
-			if !ok {
-				return false, fmt.Errorf("it is key=value")
+	}
+	return fits, nil
+}
+
+// Select returns the names of the instances that fit, in the inventory's order. A pattern that fits no instance is an
+// error, as it is probably a typing mistake.
+func Select(instances []Instance, s Selector) (names []string, err error) {
+	if !s.All && len(s.Names)+len(s.Zones)+len(s.Labels) == 0 {
+		return nil, errors.New("name instances, or --zone, --label or --all")
+	}
+	criteria := s.criteria()
+	for i := range instances {
+		selected := true
+		for c := range criteria {
+			fits, err := criteria[c].fits(&instances[i])
+			if err != nil {
+				return nil, err
 			}
-			got, has := x.Labels[k]
-			return has && got == v, nil
-		})
-		if err != nil {
-			return nil, err
+			selected = selected && fits
 		}
-		if named && zoned && labelled {
-			out = append(out, x.Name)
+		if selected {
+			names = append(names, instances[i].Name)
 		}
 	}
-	for _, want := range []struct {
-		kind string
-		list []string
-	}{{"name", s.Names}, {"zone", s.Zones}, {"label", s.Labels}} {
-		for _, w := range want.list {
-			if !used[want.kind+" "+w] {
-				return nil, fmt.Errorf("no instance has %s %q", want.kind, w)
+	for _, c := range criteria {
+		for _, pattern := range c.patterns {
+			if !c.matched[pattern] {
+				return nil, fmt.Errorf("no instance has %s %q", c.name, pattern)
 			}
 		}
 	}
-	if len(out) == 0 {
-		return nil, fmt.Errorf("no instance fits all of it")
+	if len(names) == 0 {
+		return nil, errors.New("no instance fits all criteria")
 	}
-	return out, nil
+	return names, nil
 }
 
-// Waves is how targets would be told if each did as told at once: what a dry run shows.
-func Waves(targets []string, atOnce int) [][]string {
-	return slices.Collect(slices.Chunk(targets, max(atOnce, 1)))
+// Waves returns the targets in the waves in which they would be started if each wave ended at once.
+func Waves(targets []string, waveSize int) [][]string {
+	return slices.Collect(slices.Chunk(targets, max(waveSize, 1)))
 }
