--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -22,52 +22,52 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-const long = 20 * time.Second
+const testTimeout = 20 * time.Second
 
-// instance is a stand-in instance behind a real control server.
-type instance struct {
+// testInstance is a fake instance behind a real control server.
+type testInstance struct {
 	name, path string
 	mu         sync.Mutex
-	leaving    bool
-	slow       chan struct{} // a status waits for it; nil for none
-	did        []control.Command
+	draining   bool
+	statusGate chan struct{} // Status waits for it; nil for none
+	applied    []control.Command
 	stop       func()
 }
 
-func (x *instance) Status() control.Status {
+func (x *testInstance) Status() control.Status {
 	x.mu.Lock()
-	slow := x.slow
+	gate := x.statusGate
 	s := control.Status{Name: x.name, State: control.Serving}
-	if x.leaving {
+	if x.draining {
 		s.State = control.Drained
 	}
 	x.mu.Unlock()
-	if slow != nil {
+	if gate != nil {
 		select {
-		case <-slow:
+		case <-gate:
 		case <-time.After(10 * time.Second):
 		}
 	}
 	return s
 }
 
-func (x *instance) Apply(c control.Command) error {
+func (x *testInstance) Apply(c control.Command) error {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.did = append(x.did, c)
+	x.applied = append(x.applied, c)
 	switch c.Kind {
 	case control.Drain:
-		x.leaving = true
+		x.draining = true
 	case control.Resume:
-		x.leaving = false
+		x.draining = false
 	}
 	return nil
 }
 
-func (x *instance) count(kind control.CommandKind) (n int) {
+func (x *testInstance) count(kind control.CommandKind) (n int) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	for _, c := range x.did {
+	for _, c := range x.applied {
 		if c.Kind == kind {
 			n++
 		}
@@ -80,15 +80,15 @@
 	n int
 }
 
-// start begins a process of the instance, with nothing in memory.
-func (x *instance) start(t testing.TB) {
+// start starts a process of the instance, without the state of the last one.
+func (x *testInstance) start(t testing.TB) {
 	t.Helper()
 	l, err := control.ListenUnix(x.path, 64)
 	if err != nil {
 		t.Fatal(err)
 	}
 	x.mu.Lock()
-	x.leaving = false
+	x.draining = false
 	x.mu.Unlock()
 	boots.Lock()
 	boots.n++
@@ -104,27 +104,27 @@
 	t.Cleanup(x.stop)
 }
 
-// rig is a folder with an agent's files and its instances.
-type rig struct {
+// testFleet has the configuration of an agent and its instances, in one temporary directory.
+type testFleet struct {
 	cfg       Config
-	instances []*instance
+	instances []*testInstance
 }
 
-func newRig(t testing.TB, n int) *rig {
+func newTestFleet(t testing.TB, n int) *testFleet {
 	t.Helper()
 	dir := t.TempDir()
-	r := &rig{cfg: Config{Inventory: filepath.Join(dir, "inv.toml"), Store: filepath.Join(dir, "store"), Socket: filepath.Join(dir, "agent"),
-		Every: tomlfile.Duration(50 * time.Millisecond)}}
+	r := &testFleet{cfg: Config{Inventory: filepath.Join(dir, "inv.toml"), Store: filepath.Join(dir, "store"), Socket: filepath.Join(dir, "agent"),
+		PollInterval: tomlfile.Duration(50 * time.Millisecond)}}
 	for i := range n {
-		x := &instance{name: fmt.Sprint("i", i), path: filepath.Join(dir, fmt.Sprint("i", i))}
+		x := &testInstance{name: fmt.Sprint("i", i), path: filepath.Join(dir, fmt.Sprint("i", i))}
 		x.start(t)
 		r.instances = append(r.instances, x)
 	}
-	r.inventory(t, r.instances...)
+	r.writeInventory(t, r.instances...)
 	return r
 }
 
-func (r *rig) inventory(t testing.TB, list ...*instance) {
+func (r *testFleet) writeInventory(t testing.TB, list ...*testInstance) {
 	t.Helper()
 	text := ""
 	for _, x := range list {
@@ -135,8 +135,8 @@
 	}
 }
 
-// agent starts one; stop ends it and waits. change may set hooks.
-func (r *rig) agent(t testing.TB, change func(*Agent)) (c *control.Client, stop func() error) {
+// startAgent starts an agent; stop ends it and waits. change may set hooks.
+func (r *testFleet) startAgent(t testing.TB, change func(*Agent)) (c *control.Client, stop func() error) {
 	t.Helper()
 	a, err := New(r.cfg, zap.NewNop())
 	if err != nil {
@@ -157,22 +157,22 @@
 	return c, stop
 }
 
-func (r *rig) names() (out []string) {
+func (r *testFleet) names() (out []string) {
 	for _, x := range r.instances {
 		out = append(out, x.name)
 	}
 	return out
 }
 
-func drainAll(id string, names []string) fleet.Request {
+func drainRequest(id string, names []string) fleet.Request {
 	return fleet.Request{ID: id, Kind: control.Drain, Targets: names,
-		Options: fleet.Options{WaveSize: 2, MaxUnavailable: len(names), AllowEmptyZone: true, OnFailure: "continue", DrainTimeout: time.Second, StepTimeout: long}}
+		Options: fleet.Options{WaveSize: 2, MaxUnavailable: len(names), AllowEmptyZone: true, OnFailure: "continue", DrainTimeout: time.Second, StepTimeout: testTimeout}}
 }
 
 func eventually(t testing.TB, what string, f func() bool) {
 	t.Helper()
 	for begin := time.Now(); !f(); time.Sleep(10 * time.Millisecond) {
-		if time.Since(begin) > long {
+		if time.Since(begin) > testTimeout {
 			t.Fatalf("never: %s", what)
 		}
 	}
@@ -201,24 +201,24 @@
 
 var errKilled = errors.New("killed")
 
-// An agent that is killed at any write, before it or after it, goes on where it was when it is back: no operation is
-// lost that was answered, and no instance does anything twice.
-func TestAKillAtEveryWriteLosesNothingAndDoesNothingTwice(t *testing.T) {
+// An agent that is killed before or after any write continues after its restart: no operation that was answered is lost,
+// and no instance applies a command twice.
+func TestAgent_KilledAtEachWrite_AppliesOnce(t *testing.T) {
 	t.Parallel()
 	for kill := 1; ; kill++ {
 		killed := false
 		for _, after := range []bool{false, true} {
-			r := newRig(t, 3)
+			r := newTestFleet(t, 3)
 			n := 0
 			var mu sync.Mutex
-			c, stop := r.agent(t, func(a *Agent) {
-				a.saving = func(done bool) error {
+			c, stop := r.startAgent(t, func(a *Agent) {
+				a.saveHook = func(saved bool) error {
 					mu.Lock()
 					defer mu.Unlock()
-					if done == after {
+					if saved == after {
 						n++
 					}
-					if n == kill && done == after {
+					if n == kill && saved == after {
 						killed = true
 						return errKilled
 					}
@@ -227,7 +227,7 @@
 			})
 			eventually(t, "all are up", func() bool { return allUp(c) })
 			var o fleet.Operation
-			answered := c.Call(t.Context(), http.MethodPost, "/v1/operations", drainAll("d", r.names()), &o) == nil
+			answered := c.Call(t.Context(), http.MethodPost, "/v1/operations", drainRequest("d", r.names()), &o) == nil
 			if answered {
 				eventually(t, "it ends or is killed", func() bool {
 					mu.Lock()
@@ -237,10 +237,10 @@
 				})
 			}
 			_ = stop()
-			c, stop = r.agent(t, nil)
+			c, stop = r.startAgent(t, nil)
 			eventually(t, "all are up again", func() bool { return allUp(c) })
 			if !answered {
-				if err := c.Call(t.Context(), http.MethodPost, "/v1/operations", drainAll("d", r.names()), &o); err != nil {
+				if err := c.Call(t.Context(), http.MethodPost, "/v1/operations", drainRequest("d", r.names()), &o); err != nil {
 					t.Fatal(err)
 				}
 			}
@@ -258,34 +258,34 @@
 		}
 		if !killed {
 			if kill < 5 {
-				t.Errorf("the operation took %d writes, too few to say anything", kill-1)
+				t.Errorf("the operation took %d writes, too few for the test", kill-1)
 			}
 			return
 		}
 	}
 }
 
-func TestTheSameOrderFromTwoAndAgainIsOne(t *testing.T) {
+func TestSubmit_RepeatedRequest_IsOneOperation(t *testing.T) {
 	t.Parallel()
-	r := newRig(t, 3)
-	c, stop := r.agent(t, nil)
+	r := newTestFleet(t, 3)
+	c, stop := r.startAgent(t, nil)
 	eventually(t, "all are up", func() bool { return allUp(c) })
 	var wg sync.WaitGroup
 	for range 8 {
 		wg.Go(func() {
 			var o fleet.Operation
-			if err := c.Call(t.Context(), http.MethodPost, "/v1/operations", drainAll("d", r.names()), &o); err != nil || o.Fence != 1 {
-				t.Errorf("ordered as %d, error %v", o.Fence, err)
+			if err := c.Call(t.Context(), http.MethodPost, "/v1/operations", drainRequest("d", r.names()), &o); err != nil || o.Fence != 1 {
+				t.Errorf("submitted with fence %d, error %v", o.Fence, err)
 			}
 		})
 	}
 	wg.Wait()
 	eventually(t, "it ends", func() bool { return operation(t, c, "d").State == fleet.Succeeded })
 	_ = stop()
-	c, _ = r.agent(t, nil)
+	c, _ = r.startAgent(t, nil)
 	eventually(t, "all are up", func() bool { return allUp(c) })
 	var o fleet.Operation
-	if err := c.Call(t.Context(), http.MethodPost, "/v1/operations", drainAll("d", r.names()), &o); err != nil || o.State != fleet.Succeeded {
+	if err := c.Call(t.Context(), http.MethodPost, "/v1/operations", drainRequest("d", r.names()), &o); err != nil || o.State != fleet.Succeeded {
 		t.Errorf("after a restart it is %s, error %v", o.State, err)
 	}
 	for _, x := range r.instances {
@@ -293,24 +293,24 @@
 			t.Errorf("%s drained %d times", x.name, n)
 		}
 	}
-	other := drainAll("d", r.names()[:1])
+	other := drainRequest("d", r.names()[:1])
 	var remote *control.RemoteError
 	if err := c.Call(t.Context(), http.MethodPost, "/v1/operations", other, &o); !errors.As(err, &remote) || remote.Code != 409 {
-		t.Errorf("the same name with other contents: %v", err)
+		t.Errorf("the same id with other contents: %v", err)
 	}
 	other.ID, other.Options.AllowEmptyZone = "e", false
 	if err := c.Call(t.Context(), http.MethodPost, "/v1/operations", other, &o); !errors.As(err, &remote) || remote.Code != 412 {
-		t.Errorf("an order over its limits: %v", err)
+		t.Errorf("a request over its limits: %v", err)
 	}
 }
 
-// One that answers after seconds holds up no other; one that restarts is told again what holds.
-func TestASlowOneHoldsUpNoOtherAndARestartedOneIsToldAgain(t *testing.T) {
+// A slow instance delays no other; a restarted one gets its desired state again.
+func TestAgent_SlowOrRestartedInstance_DrainsAll(t *testing.T) {
 	t.Parallel()
-	r := newRig(t, 4)
-	r.instances[0].slow = make(chan struct{})
-	defer close(r.instances[0].slow)
-	c, _ := r.agent(t, nil)
+	r := newTestFleet(t, 4)
+	r.instances[0].statusGate = make(chan struct{})
+	defer close(r.instances[0].statusGate)
+	c, _ := r.startAgent(t, nil)
 	up := func() (n int) {
 		for _, v := range views(c) {
 			if v.Reachability == fleet.Up {
@@ -320,15 +320,15 @@
 		return n
 	}
 	eventually(t, "three are up", func() bool { return up() == 3 })
-	order := drainAll("d", r.names()[1:])
-	order.Options.MaxUnavailable = 4 // the slow one is not known, and counts
+	request := drainRequest("d", r.names()[1:])
+	request.Options.MaxUnavailable = 4 // the slow one is unknown, and counts as unavailable
 	var o fleet.Operation
-	if err := c.Call(t.Context(), http.MethodPost, "/v1/operations", order, &o); err != nil {
+	if err := c.Call(t.Context(), http.MethodPost, "/v1/operations", request, &o); err != nil {
 		t.Fatal(err)
 	}
 	eventually(t, "the others are drained", func() bool { return operation(t, c, "d").State == fleet.Succeeded })
 	if up() > 3 {
-		t.Error("the slow one had answered by then: nothing was shown")
+		t.Error("the slow one has answered: the test shows nothing")
 	}
 	x := r.instances[2]
 	x.stop()
@@ -336,42 +336,42 @@
 	eventually(t, "the restarted one is drained again", func() bool { return x.count(control.Drain) == 2 })
 	time.Sleep(500 * time.Millisecond)
 	if n := x.count(control.Drain); n != 2 {
-		t.Errorf("it was told %d times", n)
+		t.Errorf("it was drained %d times", n)
 	}
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if x.did[0] != x.did[1] {
-		t.Errorf("told %+v, then %+v", x.did[0], x.did[1])
+	if x.applied[0] != x.applied[1] {
+		t.Errorf("first %+v, then %+v", x.applied[0], x.applied[1])
 	}
 }
 
-func TestAWrongInventoryChangesNothing(t *testing.T) {
+func TestReloadInventory_InvalidFile_KeepsPrevious(t *testing.T) {
 	t.Parallel()
-	r := newRig(t, 2)
-	c, _ := r.agent(t, nil)
+	r := newTestFleet(t, 2)
+	c, _ := r.startAgent(t, nil)
 	eventually(t, "all are up", func() bool { return allUp(c) })
 	if err := os.WriteFile(r.cfg.Inventory, []byte("[[instance]]\nname = \"i0\"\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	time.Sleep(2 * lookEvery)
+	time.Sleep(2 * inventoryCheckInterval)
 	if n := len(views(c)); n != 2 {
-		t.Errorf("%d instances after a wrong inventory", n)
+		t.Errorf("%d instances after an invalid inventory", n)
 	}
-	r.inventory(t, r.instances[0])
-	eventually(t, "the right one is taken", func() bool { return len(views(c)) == 1 })
+	r.writeInventory(t, r.instances[0])
+	eventually(t, "the valid one is loaded", func() bool { return len(views(c)) == 1 })
 }
 
-func TestTwoAgentsOnOneStoreAreRefused(t *testing.T) {
+func TestNew_StoreInUse_Fails(t *testing.T) {
 	t.Parallel()
-	r := newRig(t, 1)
-	c, _ := r.agent(t, nil)
+	r := newTestFleet(t, 1)
+	c, _ := r.startAgent(t, nil)
 	eventually(t, "the first is up", func() bool { return allUp(c) })
 	if _, err := New(r.cfg, zap.NewNop()); err == nil || !strings.Contains(err.Error(), "another agent holds it") {
 		t.Errorf("a second agent: %v", err)
 	}
 }
 
-func TestWrongConfigurationIsNamed(t *testing.T) {
+func TestConfig_InvalidFile_NamesField(t *testing.T) {
 	for text, want := range map[string]string{
 		"inventory = \"a\"\nstore = \"b\"\n":                                 "a.toml: socket: it is missing",
 		"inventory = \"a\"\nstore = \"b\"\nsocket = \"c\"\nevery = \"1h\"\n": "a.toml:4: every",
--- a/internal/agent/bench_test.go
+++ b/internal/agent/bench_test.go
@@ -13,17 +13,16 @@
 	"onyxstream/internal/tomlfile"
 )
 
-// BenchmarkFleet measures an agent over stand-in instances: to list them, a drain of a tenth of which a tenth can't be
-// reached, and what the agent takes while nothing happens. The stand-ins are in the same process, so that its CPU and
-// memory are those of both sides.
+// BenchmarkFleet measures an agent with fake instances: the time to list them, a drain of a tenth of them with a tenth of
+// those unreachable, and CPU and memory when idle. The instances are in the same process, so CPU and memory include them.
 //
 //	go test -run '^$' -bench Fleet -benchtime 1x ./internal/agent
 func BenchmarkFleet(b *testing.B) {
 	for _, n := range []int{10, 100, 1000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			r := newRig(b, n)
-			r.cfg.Every = tomlfile.Duration(time.Second)
-			c, _ := r.agent(b, nil)
+			r := newTestFleet(b, n)
+			r.cfg.PollInterval = tomlfile.Duration(time.Second)
+			c, _ := r.startAgent(b, nil)
 			begin := time.Now()
 			for !allUp(c) {
 				if time.Since(begin) > time.Minute {
@@ -37,9 +36,9 @@
 				b.Fatal("a list lacks instances")
 			}
 			b.ReportMetric(time.Since(begin).Seconds()*1000, "ms-list")
-			cpu, at := used(), time.Now()
+			cpu, at := cpuTime(), time.Now()
 			time.Sleep(3 * time.Second)
-			b.ReportMetric((used()-cpu).Seconds()/time.Since(at).Seconds()*100, "%-cpu-idle")
+			b.ReportMetric((cpuTime()-cpu).Seconds()/time.Since(at).Seconds()*100, "%-cpu-idle")
 			runtime.GC()
 			var m runtime.MemStats
 			runtime.ReadMemStats(&m)
@@ -52,11 +51,11 @@
 			for _, x := range tenth {
 				names = append(names, x.name)
 			}
-			order := drainAll("d", names)
-			order.Options.WaveSize, order.Options.MaxUnavailable = max(n/10, 1), n
+			request := drainRequest("d", names)
+			request.Options.WaveSize, request.Options.MaxUnavailable = max(n/10, 1), n
 			var o fleet.Operation
 			begin = time.Now()
-			if err := c.Call(b.Context(), http.MethodPost, "/v1/operations", order, &o); err != nil {
+			if err := c.Call(b.Context(), http.MethodPost, "/v1/operations", request, &o); err != nil {
 				b.Fatal(err)
 			}
 			done := func() (k int) {
@@ -78,17 +77,16 @@
 	}
 }
 
-// used is the CPU time of this process.
-func used() time.Duration {
+// cpuTime is the CPU time of this process.
+func cpuTime() time.Duration {
 	var r syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &r)
 	return time.Duration(r.Utime.Nano() + r.Stime.Nano())
 }
 
-// BenchmarkRecovery measures how long an agent takes to start over a store with 10,000 operations, a tenth of which
-// still run.
+// BenchmarkRecovery measures the start with a store of 10,000 operations, a tenth of which have not ended.
 func BenchmarkRecovery(b *testing.B) {
-	r := newRig(b, 10)
+	r := newTestFleet(b, 10)
 	s, err := OpenStore(r.cfg.Store)
 	if err != nil {
 		b.Fatal(err)
@@ -96,7 +94,7 @@
 	for at := 0; at < 10_000; at += 1000 {
 		var c fleet.Change
 		for i := at; i < at+1000; i++ {
-			o := fleet.Operation{Request: drainAll(fmt.Sprint("o", i), r.names()), Fence: uint64(i + 1), State: fleet.Succeeded, Steps: map[string]*fleet.Step{}}
+			o := fleet.Operation{Request: drainRequest(fmt.Sprint("o", i), r.names()), Fence: uint64(i + 1), State: fleet.Succeeded, Steps: map[string]*fleet.Step{}}
 			if i%10 == 0 {
 				o.State = fleet.Paused
 			}
--- /dev/null
+++ b/internal/agent/config.go
@@ -0,0 +1,44 @@
+package agent
+
+import (
+	"time"
+
+	"onyxstream/internal/pki"
+	"onyxstream/internal/tomlfile"
+)
+
+// Config is the agent's configuration file.
+type Config struct {
+	Inventory    string            `toml:"inventory"` // path of the inventory file
+	Store        string            `toml:"store"`     // path of the store of operations
+	Socket       string            `toml:"socket"`    // Unix socket for the command line
+	PollInterval tomlfile.Duration `toml:"every"`     // between status requests to an instance; 1 s where it is 0
+	Keys         *pki.Files        `toml:"keys"`      // for instances with a TLS address
+}
+
+// The default and bounds of Config.PollInterval.
+const (
+	defaultPollInterval = time.Second
+	minPollInterval     = 10 * time.Millisecond
+	maxPollInterval     = time.Minute
+)
+
+// Check fills in defaults and returns an error that names the first invalid field.
+func (c *Config) Check() error {
+	for _, required := range []struct{ name, value string }{
+		{"inventory", c.Inventory},
+		{"store", c.Store},
+		{"socket", c.Socket},
+	} {
+		if required.value == "" {
+			return tomlfile.Wrong(required.name, "it is missing")
+		}
+	}
+	if c.PollInterval == 0 {
+		c.PollInterval = tomlfile.Duration(defaultPollInterval)
+	}
+	if c.PollInterval.D() < minPollInterval || c.PollInterval.D() > maxPollInterval {
+		return tomlfile.Wrong("every", "%s is not between 10ms and 1m", c.PollInterval.D())
+	}
+	return nil
+}
--- a/internal/agent/disk_test.go
+++ b/internal/agent/disk_test.go
@@ -10,18 +10,17 @@
 	"onyxstream/internal/fleet"
 )
 
-// An agent whose disk takes nothing for a while tells nobody anything meanwhile, and goes on once it can write: what it
-// had taken on is done, and once.
-func TestAgent_DiskFailsForAWhile_GoesOn(t *testing.T) {
+// An agent whose writes fail for a while delivers nothing meanwhile, and then completes its operations, each command once.
+func TestAgent_WritesFail_RetriesAndCompletes(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.ENOSPC, syscall.EIO} {
 		t.Run(errno.Error(), func(t *testing.T) {
 			t.Parallel()
-			r := newRig(t, 3)
+			r := newTestFleet(t, 3)
 			var mu sync.Mutex
 			writes, failed := 0, 0
-			c, stop := r.agent(t, func(a *Agent) {
-				write := a.write
-				a.write = func(change fleet.Change) error {
+			c, stop := r.startAgent(t, func(a *Agent) {
+				write := a.writeChange
+				a.writeChange = func(change fleet.Change) error {
 					mu.Lock()
 					defer mu.Unlock()
 					if writes++; writes%3 == 2 && failed < 6 {
@@ -34,7 +33,7 @@
 			defer func() { _ = stop() }()
 			eventually(t, "all are up", func() bool { return allUp(c) })
 			var o fleet.Operation
-			if err := c.Call(t.Context(), http.MethodPost, "/v1/operations", drainAll("d", r.names()), &o); err != nil {
+			if err := c.Call(t.Context(), http.MethodPost, "/v1/operations", drainRequest("d", r.names()), &o); err != nil {
 				t.Fatal(err)
 			}
 			eventually(t, "it ends", func() bool { return operation(t, c, "d").State.Ended() })
--- /dev/null
+++ b/internal/agent/follow.go
@@ -0,0 +1,140 @@
+package agent
+
+import (
+	"context"
+	"crypto/tls"
+	"fmt"
+	"math/rand/v2"
+	"time"
+
+	"go.uber.org/zap"
+
+	"onyxstream/internal/control"
+	"onyxstream/internal/fleet"
+)
+
+const (
+	statusTimeout = 3 * time.Second
+	// commandTimeout is long, as no other command is sent to the instance before the answer to the last.
+	commandTimeout = 12 * time.Second
+)
+
+// The poll interval grows with failures: it doubles with each, up to maxPollBackoff times.
+const (
+	maxCountedFailures = 3
+	maxPollBackoff     = 5
+)
+
+// followedInstance is an instance that is polled.
+type followedInstance struct {
+	fleet.Instance
+	client  *control.Client
+	dialErr error              // of an invalid address; client is nil then
+	cancel  context.CancelFunc // ends the polling
+	pollNow chan struct{}      // skips the delay before the next poll
+}
+
+// updateFollowed starts to poll new instances and stops to poll removed ones. It runs in the loop.
+func (a *Agent) updateFollowed(ctx context.Context) {
+	listed := map[string]bool{}
+	for _, view := range a.fleet.Views(a.now()) {
+		listed[view.Name] = true
+		if instance := a.followed[view.Name]; instance != nil {
+			if instance.Addr == view.Addr {
+				continue
+			}
+			instance.cancel()
+		}
+		a.followed[view.Name] = a.startPolling(ctx, view.Instance)
+	}
+	for name, instance := range a.followed {
+		if !listed[name] {
+			instance.cancel()
+			delete(a.followed, name)
+		}
+	}
+}
+
+func (a *Agent) startPolling(ctx context.Context, entry fleet.Instance) *followedInstance {
+	instance := &followedInstance{Instance: entry, pollNow: make(chan struct{}, 1)}
+	var cfg *tls.Config
+	if a.keys != nil {
+		cfg = a.keys.Client(entry.Name)
+	}
+	instance.client, instance.dialErr = control.Dial(entry.Addr, cfg)
+	pollCtx, cancel := context.WithCancel(ctx)
+	instance.cancel = cancel
+	a.wg.Go(func() { a.poll(pollCtx, instance) })
+	return instance
+}
+
+// poll requests the status of an instance until ctx ends. Its delays have jitter, so that the requests to many instances
+// are spread.
+func (a *Agent) poll(ctx context.Context, instance *followedInstance) {
+	if instance.client != nil {
+		defer instance.client.Close()
+	}
+	interval := a.cfg.PollInterval.D()
+	delay := time.Duration(rand.Float64() * float64(interval) / 4)
+	failures := 0
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-time.After(delay):
+		case <-instance.pollNow:
+		}
+		requested := a.now()
+		status, err := instance.requestStatus(ctx)
+		if ctx.Err() != nil {
+			return
+		}
+		failures++
+		if err == nil {
+			failures = 0
+		}
+		a.post(func() {
+			if a.followed[instance.Name] == instance {
+				a.fleet.Observe(a.now(), requested, instance.Name, status, err)
+			}
+		})
+		delay = interval * time.Duration(min(1<<min(failures, maxCountedFailures), maxPollBackoff))
+		delay = delay*3/4 + time.Duration(rand.Float64()*float64(delay)/2)
+	}
+}
+
+// requestStatus returns the instance's status, or an error if another instance answers at its address.
+func (p *followedInstance) requestStatus(ctx context.Context) (control.Status, error) {
+	if p.dialErr != nil {
+		return control.Status{}, p.dialErr
+	}
+	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
+	defer cancel()
+	status, err := p.client.Status(ctx)
+	if err == nil && status.Name != p.Name {
+		err = fmt.Errorf("%q answers at %s", status.Name, p.Addr)
+	}
+	return status, err
+}
+
+// deliver sends a command, records the answer and has the instance polled.
+func (a *Agent) deliver(ctx context.Context, instance *followedInstance, delivery fleet.Delivery) {
+	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
+	defer cancel()
+	var answer control.Answer
+	err := instance.dialErr
+	if err == nil {
+		answer, err = instance.client.Do(ctx, delivery.Command)
+	}
+	if err != nil {
+		a.log.Info("command delivery failed",
+			zap.String("instance", delivery.Instance.Name),
+			zap.String("operation", delivery.Command.Operation),
+			zap.Error(err))
+	}
+	a.post(func() { a.fleet.RecordAnswer(a.now(), delivery, answer, err) })
+	select {
+	case instance.pollNow <- struct{}{}:
+	default: // requested already
+	}
+}
--- a/internal/agent/inventory_test.go
+++ b/internal/agent/inventory_test.go
@@ -9,10 +9,9 @@
 	"onyxstream/internal/faultinject"
 )
 
-// An inventory that can't be read as it is found to have changed is read at the next look. Its state was noted first, so
-// it stayed unread until it changed again.
-func TestReread_FileCantBeReadForAMoment_IsReadLater(t *testing.T) {
-	r := newRig(t, 2)
+// A changed inventory that can't be read at the moment is read at the next check, without another change.
+func TestReloadInventory_FileUnreadable_RetriesLater(t *testing.T) {
+	r := newTestFleet(t, 2)
 	a, err := New(r.cfg, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
@@ -21,14 +20,14 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	defer a.wg.Wait()
 	defer cancel()
-	r.inventory(t, r.instances[0])
-	if err := faultinject.WithDescriptors(0, func() { a.reread(ctx) }); err != nil {
+	r.writeInventory(t, r.instances[0])
+	if err := faultinject.WithDescriptors(0, func() { a.reloadInventory(ctx) }); err != nil {
 		t.Fatal(err)
 	}
 	if n := len(a.fleet.Views(a.now())); n != 2 {
-		t.Fatalf("%d instances without a descriptor to read by", n)
+		t.Fatalf("%d instances without a descriptor to read the file", n)
 	}
-	a.reread(ctx)
+	a.reloadInventory(ctx)
 	if n := len(a.fleet.Views(a.now())); n != 1 {
 		t.Errorf("%d instances once it can be read, 1 wanted", n)
 	}
--- /dev/null
+++ b/internal/agent/save.go
@@ -0,0 +1,48 @@
+package agent
+
+import (
+	"context"
+	"errors"
+	"time"
+
+	"go.uber.org/zap"
+
+	"onyxstream/internal/fleet"
+)
+
+// The backoff after a failed write; it doubles.
+const (
+	writeRetryInitialDelay = 50 * time.Millisecond
+	writeRetryMaxDelay     = 2 * time.Second
+)
+
+func (a *Agent) save(ctx context.Context, change fleet.Change) error {
+	if a.saveHook == nil {
+		return a.writeWithRetry(ctx, change)
+	}
+	if err := a.saveHook(false); err != nil {
+		return err
+	}
+	return errors.Join(a.writeWithRetry(ctx, change), a.saveHook(true))
+}
+
+// writeWithRetry writes a change until that succeeds, as on a disk that is full for a while. The loop does nothing else
+// meanwhile. Once ctx has ended it returns the error of the last attempt.
+func (a *Agent) writeWithRetry(ctx context.Context, change fleet.Change) error {
+	delay := writeRetryInitialDelay
+	for {
+		err := a.writeChange(change)
+		if err == nil {
+			return nil
+		}
+		a.log.Error("store write failed, no commands are delivered until it succeeds",
+			zap.Error(err),
+			zap.Duration("retry_in", delay))
+		select {
+		case <-ctx.Done():
+			return err
+		case <-time.After(delay):
+		}
+		delay = min(2*delay, writeRetryMaxDelay)
+	}
+}
--- a/internal/agent/serve.go
+++ b/internal/agent/serve.go
@@ -5,6 +5,7 @@
 	"encoding/json"
 	"errors"
 	"net/http"
+	"strings"
 	"time"
 
 	"golang.org/x/sync/errgroup"
@@ -13,118 +14,137 @@
 	"onyxstream/internal/fleet"
 )
 
-// The agent answers the command line by HTTP on its Unix socket, in the terms of package fleet.
-
+// The limits of HTTP exchanges with the command line.
 const (
-	mostOrder = 2 << 20 // bytes of an order: ten thousand names
-	headFor   = 3 * time.Second
-	bodyFor   = 10 * time.Second
-	beat      = 2 * time.Second
+	maxRequestBytes = 2 << 20 // a request with ten thousand targets
+	maxHeaderBytes  = 16 << 10
+	headerTimeout   = 3 * time.Second
+	bodyTimeout     = 10 * time.Second
 )
 
-func (a *Agent) serve(ctx context.Context, l control.Listener) error {
+// watchPollInterval bounds the delay of changes that are not saved, as of a status.
+const watchPollInterval = 200 * time.Millisecond
+
+// errEnded says that the loop has ended.
+var errEnded = errors.New("the agent is shutting down")
+
+// serve answers the command line by HTTP on the agent's socket until ctx ends.
+func (a *Agent) serve(ctx context.Context, listener control.Listener) error {
+	server := &http.Server{
+		Handler:           a.handler(),
+		ReadHeaderTimeout: headerTimeout,
+		ReadTimeout:       bodyTimeout,
+		MaxHeaderBytes:    maxHeaderBytes,
+	}
+	group, ctx := errgroup.WithContext(ctx)
+	control.StartHTTP(ctx, group, server, listener.Listener, a.log)
+	return group.Wait()
+}
+
+func (a *Agent) handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/instances", func(w http.ResponseWriter, _ *http.Request) {
-		var out []fleet.View
-		a.answer(w, func() error { out = a.fleet.Views(a.now()); return nil }, &out)
+		respond(a, w, func() ([]fleet.View, error) { return a.fleet.Views(a.now()), nil })
 	})
 	mux.HandleFunc("GET /v1/operations", func(w http.ResponseWriter, _ *http.Request) {
-		var out []fleet.Operation
-		a.answer(w, func() error { out = a.fleet.Operations(); return nil }, &out)
+		respond(a, w, func() ([]fleet.Operation, error) { return a.fleet.Operations(), nil })
 	})
-	one := func(pattern string, f func(id string) (fleet.Operation, error)) {
-		mux.HandleFunc(pattern, func(w http.ResponseWriter, q *http.Request) {
-			var out fleet.Operation
-			a.answer(w, func() (err error) { out, err = f(q.PathValue("id")); return err }, &out)
+	mux.HandleFunc("POST /v1/operations", a.handleSubmit)
+	handleOperation := func(pattern string, call func(id string) (fleet.Operation, error)) {
+		mux.HandleFunc(pattern, func(w http.ResponseWriter, request *http.Request) {
+			respond(a, w, func() (fleet.Operation, error) { return call(request.PathValue("id")) })
 		})
 	}
-	one("GET /v1/operations/{id}", func(id string) (fleet.Operation, error) { return a.fleet.Operation(id) })
-	one("POST /v1/operations/{id}/abort", func(id string) (fleet.Operation, error) {
-		return a.fleet.Abort(a.now(), id, "by an operator")
-	})
-	one("POST /v1/operations/{id}/continue", func(id string) (fleet.Operation, error) { return a.fleet.Continue(a.now(), id) })
-	mux.HandleFunc("POST /v1/operations", func(w http.ResponseWriter, q *http.Request) {
-		var r fleet.Request
-		if err := control.ReadJSON(http.MaxBytesReader(w, q.Body, mostOrder), &r); err != nil {
-			control.WriteError(w, http.StatusBadRequest, err)
-			return
-		}
-		var out fleet.Operation
-		a.answer(w, func() (err error) { out, err = a.fleet.Submit(a.now(), r); return err }, &out)
+	handleOperation("GET /v1/operations/{id}", func(id string) (fleet.Operation, error) {
+		return a.fleet.Operation(id)
 	})
-	mux.HandleFunc("GET /v1/watch", a.watch)
-	srv := &http.Server{Handler: mux, ReadHeaderTimeout: headFor, ReadTimeout: bodyFor, MaxHeaderBytes: 16 << 10}
-	g, ctx := errgroup.WithContext(ctx)
-	g.Go(func() error {
-		if err := srv.Serve(control.RetryAccept(l.Listener, a.log)); !errors.Is(err, http.ErrServerClosed) {
-			return err
-		}
-		return nil
+	handleOperation("POST /v1/operations/{id}/abort", func(id string) (fleet.Operation, error) {
+		return a.fleet.Abort(a.now(), id, "by an operator")
 	})
-	g.Go(func() error {
-		<-ctx.Done()
-		return srv.Close()
+	handleOperation("POST /v1/operations/{id}/continue", func(id string) (fleet.Operation, error) {
+		return a.fleet.Continue(a.now(), id)
 	})
-	return g.Wait()
+	mux.HandleFunc("GET /v1/watch", a.handleWatch)
+	return mux
 }
 
-// answer runs f in the loop, lets what it changed be saved, and writes what it put into out.
-func (a *Agent) answer(w http.ResponseWriter, f func() error, out any) {
+func (a *Agent) handleSubmit(w http.ResponseWriter, request *http.Request) {
+	var submitted fleet.Request
+	if err := control.ReadJSON(http.MaxBytesReader(w, request.Body, maxRequestBytes), &submitted); err != nil {
+		control.WriteError(w, http.StatusBadRequest, err)
+		return
+	}
+	respond(a, w, func() (fleet.Operation, error) { return a.fleet.Submit(a.now(), submitted) })
+}
+
+// respond runs call in the loop and writes its result once its changes are on disk.
+func respond[T any](a *Agent, w http.ResponseWriter, call func() (T, error)) {
+	var result T
 	var err error
-	if !a.ask(func() { err = f() }) {
-		control.WriteError(w, http.StatusServiceUnavailable, errors.New("the agent ends"))
+	if !a.runInLoop(func() { result, err = call() }) {
+		control.WriteError(w, http.StatusServiceUnavailable, errEnded)
+		return
+	}
+	if err != nil {
+		control.WriteError(w, errorStatus(err), err)
 		return
 	}
+	control.WriteJSON(w, result)
+}
+
+// errorStatus returns the HTTP status for an error of the fleet.
+func errorStatus(err error) int {
 	var limit *fleet.LimitError
 	switch {
 	case errors.Is(err, fleet.ErrUnknownOperation):
-		control.WriteError(w, http.StatusNotFound, err)
+		return http.StatusNotFound
 	case errors.As(err, &limit):
-		control.WriteError(w, http.StatusPreconditionFailed, err)
-	case err != nil:
-		control.WriteError(w, http.StatusConflict, err)
-	default:
-		control.WriteJSON(w, out)
+		return http.StatusPreconditionFailed
 	}
+	return http.StatusConflict
 }
 
-// watch streams the instances, each time that something has changed and with a beat.
-func (a *Agent) watch(w http.ResponseWriter, q *http.Request) {
+// handleWatch streams the instances, one line for each change.
+func (a *Agent) handleWatch(w http.ResponseWriter, request *http.Request) {
 	changed := make(chan struct{}, 1)
-	if !a.ask(func() { a.watches[changed] = true }) {
+	if !a.runInLoop(func() { a.watchers[changed] = true }) {
 		return
 	}
-	defer a.post(func() { delete(a.watches, changed) })
-	out := http.NewResponseController(w)
-	last := ""
+	defer a.post(func() { delete(a.watchers, changed) })
+	lastKey := ""
 	for {
 		var views []fleet.View
-		if !a.ask(func() { views = a.fleet.Views(a.now()) }) {
+		if !a.runInLoop(func() { views = a.fleet.Views(a.now()) }) {
 			return
 		}
-		key := ""
-		for i := range views {
-			v := views[i]
-			v.AgeMS, v.Status.UptimeSeconds, v.Status.Hosts = 0, 0, nil
-			text, _ := json.Marshal(v) // plain values can't fail
-			key += string(text)
-		}
-		if key != last {
-			last = key
-			text, err := json.Marshal(views)
-			_ = out.SetWriteDeadline(time.Now().Add(bodyFor))
+		if key := watchKey(views); key != lastKey {
+			lastKey = key
+			line, err := json.Marshal(views)
 			if err != nil {
 				return
 			}
-			if _, err := w.Write(append(text, '\n')); err != nil || out.Flush() != nil {
+			if err := control.WriteLine(w, line, time.Now().Add(bodyTimeout)); err != nil {
 				return
 			}
 		}
 		select {
-		case <-q.Context().Done():
+		case <-request.Context().Done():
 			return
 		case <-changed:
-		case <-time.After(beat / 10):
+		case <-time.After(watchPollInterval):
 		}
 	}
 }
+
+// watchKey returns a text that differs where views do, but for what changes all the time.
+func watchKey(views []fleet.View) string {
+	var key strings.Builder
+	for _, view := range views {
+		view.AgeMS = 0
+		view.Status.UptimeSeconds = 0
+		view.Status.Hosts = nil
+		text, _ := json.Marshal(view) // plain values can't fail
+		key.Write(text)
+	}
+	return key.String()
+}
--- a/internal/agent/store.go
+++ b/internal/agent/store.go
@@ -1,5 +1,3 @@
-// Package agent runs a fleet's operations: it follows an inventory and the instances in it, keeps operations on disk,
-// and serves the command line. What is done and when is decided by package fleet.
 package agent
 
 import (
@@ -14,126 +12,141 @@
 	"onyxstream/internal/fleet"
 )
 
-// Store keeps operations and what holds. Each change is one transaction: on disk whole, or not there.
+// Store keeps operations and desired states on disk. Each change is one transaction.
 type Store struct{ db *bolt.DB }
 
+// The buckets and keys on disk.
 var (
-	metaBucket  = []byte("meta")
-	opsBucket   = []byte("operations")
-	holdsBucket = []byte("holds")
-	fenceKey    = []byte("fence")
-	formatKey   = []byte("format")
+	metaBucket       = []byte("meta")
+	operationsBucket = []byte("operations")
+	desiredBucket    = []byte("holds")
+	fenceKey         = []byte("fence")
+	formatKey        = []byte("format")
 )
 
 const storeFormat = "1"
 
-// lockWithin is how long a store that another process holds is waited for.
-const lockWithin = 2 * time.Second
+// lockTimeout is how long OpenStore waits for a store that another process has open.
+const lockTimeout = 2 * time.Second
 
-// OpenStore opens or makes a store. One that another agent holds is refused.
+// OpenStore opens or creates a store. It fails if another agent has it open.
 func OpenStore(path string) (*Store, error) {
-	db, err := bolt.Open(path, 0o600, &bolt.Options{Timeout: lockWithin})
+	db, err := bolt.Open(path, 0o600, &bolt.Options{Timeout: lockTimeout})
 	if errors.Is(err, bolterrors.ErrTimeout) {
 		return nil, fmt.Errorf("%s: another agent holds it", path)
-	} else if err != nil {
-		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	err = db.Update(func(tx *bolt.Tx) error {
-		for _, b := range [][]byte{metaBucket, opsBucket, holdsBucket} {
-			if _, err := tx.CreateBucketIfNotExists(b); err != nil {
-				return err
-			}
-		}
-		meta := tx.Bucket(metaBucket)
-		switch got := meta.Get(formatKey); {
-		case got == nil:
-			return meta.Put(formatKey, []byte(storeFormat))
-		case string(got) != storeFormat:
-			return fmt.Errorf("its format is %q, this program reads %q", got, storeFormat)
-		}
-		return nil
-	})
 	if err != nil {
+		return nil, fmt.Errorf("%s: %w", path, err)
+	}
+	if err := db.Update(initStore); err != nil {
 		_ = db.Close()
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	return &Store{db}, nil
 }
 
+// initStore creates what a new store needs, and checks the format of an existing one.
+func initStore(tx *bolt.Tx) error {
+	for _, name := range [][]byte{metaBucket, operationsBucket, desiredBucket} {
+		if _, err := tx.CreateBucketIfNotExists(name); err != nil {
+			return err
+		}
+	}
+	meta := tx.Bucket(metaBucket)
+	format := meta.Get(formatKey)
+	if format == nil {
+		return meta.Put(formatKey, []byte(storeFormat))
+	}
+	if string(format) != storeFormat {
+		return fmt.Errorf("its format is %q, this program reads %q", format, storeFormat)
+	}
+	return nil
+}
+
 // Close closes the store.
 func (s *Store) Close() error { return s.db.Close() }
 
-func holdKey(k fleet.Scope) []byte { return []byte(k.Instance + "\x00" + k.Host) }
+// scopeKey returns the key of a scope's desired state.
+func scopeKey(scope fleet.Scope) []byte { return []byte(scope.Instance + "\x00" + scope.Host) }
 
 // Save writes a change, and returns once it is on disk.
-func (s *Store) Save(c fleet.Change) error {
+func (s *Store) Save(change fleet.Change) error {
 	return s.db.Update(func(tx *bolt.Tx) error {
-		ops, holds := tx.Bucket(opsBucket), tx.Bucket(holdsBucket)
-		if c.Fence > 0 {
-			text, _ := json.Marshal(c.Fence) // a number can't fail
-			if err := tx.Bucket(metaBucket).Put(fenceKey, text); err != nil {
+		if change.Fence > 0 {
+			if err := putJSON(tx.Bucket(metaBucket), fenceKey, change.Fence); err != nil {
 				return err
 			}
 		}
-		for _, o := range c.Operations {
-			text, err := json.Marshal(o)
-			if err != nil {
-				return err
-			}
-			if err := ops.Put([]byte(o.ID), text); err != nil {
-				return err
-			}
+		if err := saveOperations(tx.Bucket(operationsBucket), change); err != nil {
+			return err
 		}
-		for _, id := range c.ForgottenOperations {
-			if err := ops.Delete([]byte(id)); err != nil {
-				return err
-			}
+		return saveDesired(tx.Bucket(desiredBucket), change)
+	})
+}
+
+func saveOperations(bucket *bolt.Bucket, change fleet.Change) error {
+	for _, o := range change.Operations {
+		if err := putJSON(bucket, []byte(o.ID), o); err != nil {
+			return err
 		}
-		for _, k := range c.Removed {
-			if err := holds.Delete(holdKey(k)); err != nil {
-				return err
-			}
+	}
+	for _, id := range change.ForgottenOperations {
+		if err := bucket.Delete([]byte(id)); err != nil {
+			return err
 		}
-		for _, h := range c.Desired {
-			text, err := json.Marshal(h)
-			if err != nil {
-				return err
-			}
-			if err := holds.Put(holdKey(h.Scope), text); err != nil {
-				return err
-			}
+	}
+	return nil
+}
+
+func saveDesired(bucket *bolt.Bucket, change fleet.Change) error {
+	for _, scope := range change.Removed {
+		if err := bucket.Delete(scopeKey(scope)); err != nil {
+			return err
 		}
-		return nil
-	})
+	}
+	for _, state := range change.Desired {
+		if err := putJSON(bucket, scopeKey(state.Scope), state); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+func putJSON(bucket *bolt.Bucket, key []byte, value any) error {
+	text, err := json.Marshal(value)
+	if err != nil {
+		return err
+	}
+	return bucket.Put(key, text)
 }
 
-// Load reads all that is kept.
-func (s *Store) Load() (ops []fleet.Operation, holds []fleet.DesiredState, fence uint64, err error) {
+// Load reads all operations, all desired states and the fence of the last operation.
+func (s *Store) Load() (operations []fleet.Operation, desired []fleet.DesiredState, fence uint64, err error) {
 	err = s.db.View(func(tx *bolt.Tx) error {
 		if text := tx.Bucket(metaBucket).Get(fenceKey); text != nil {
 			if err := json.Unmarshal(text, &fence); err != nil {
 				return fmt.Errorf("fence: %w", err)
 			}
 		}
-		err := tx.Bucket(opsBucket).ForEach(func(k, v []byte) error {
-			var o fleet.Operation
-			if err := json.Unmarshal(v, &o); err != nil {
-				return fmt.Errorf("operation %q: %w", k, err)
-			}
-			ops = append(ops, o)
-			return nil
-		})
+		operations, err = readAll[fleet.Operation](tx.Bucket(operationsBucket), "operation")
 		if err != nil {
 			return err
 		}
-		return tx.Bucket(holdsBucket).ForEach(func(k, v []byte) error {
-			var h fleet.DesiredState
-			if err := json.Unmarshal(v, &h); err != nil {
-				return fmt.Errorf("hold %q: %w", k, err)
-			}
-			holds = append(holds, h)
-			return nil
-		})
+		desired, err = readAll[fleet.DesiredState](tx.Bucket(desiredBucket), "desired state")
+		return err
+	})
+	return operations, desired, fence, err
+}
+
+// readAll decodes all values of a bucket; what names them in errors.
+func readAll[T any](bucket *bolt.Bucket, what string) (values []T, err error) {
+	err = bucket.ForEach(func(key, text []byte) error {
+		var value T
+		if err := json.Unmarshal(text, &value); err != nil {
+			return fmt.Errorf("%s %q: %w", what, key, err)
+		}
+		values = append(values, value)
+		return nil
 	})
-	return ops, holds, fence, err
+	return values, err
 }
