--- a/internal/cli/config_test.go
+++ b/internal/cli/config_test.go
@@ -15,49 +15,49 @@
 "settings":{"index":1,"groupSize":3,"zone":0,"zones":["hall-cathays","hall-bute","hall-llandaff"],"registryMode":"ask",
 "lanes":[{"name":"feed","aim":300,"deadline":1800,"worth":1}]}}`
 
-// called runs the command line.
-func called(args ...string) (status int, out, errs string) {
-	var o, e bytes.Buffer
-	status = Main(args, &o, &e)
-	return status, o.String(), e.String()
+// runMain runs the command line.
+func runMain(args ...string) (status int, stdout, stderr string) {
+	var out, errs bytes.Buffer
+	status = Main(args, &out, &errs)
+	return status, out.String(), errs.String()
 }
 
-func TestConfigMigrateWritesWholeOrNothing(t *testing.T) {
+func TestConfigMigrate_ValidConfig_WritesAtomically(t *testing.T) {
 	dir := t.TempDir()
-	old, made := filepath.Join(dir, "old.json"), filepath.Join(dir, "new.json")
+	oldPath, newPath := filepath.Join(dir, "old.json"), filepath.Join(dir, "new.json")
 	shape := filepath.Join("..", "..", "examples", "shape.toml")
-	if err := os.WriteFile(old, []byte(oldConfig), 0o600); err != nil {
+	if err := os.WriteFile(oldPath, []byte(oldConfig), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	migrate := func(args ...string) (int, string, string) {
-		return called(append([]string{"config", "migrate", old, "--to", shape}, args...)...)
+		return runMain(append([]string{"config", "migrate", oldPath, "--to", shape}, args...)...)
 	}
-	there := func() bool {
-		_, err := os.Stat(made)
+	exists := func() bool {
+		_, err := os.Stat(newPath)
 		return err == nil
 	}
-	if status, _, errs := called("config", "migrate", made, "--to", shape, "--dry-run"); status != ExitUsage || !strings.Contains(errs, "no such file") {
+	if status, _, errs := runMain("config", "migrate", newPath, "--to", shape, "--dry-run"); status != ExitUsage || !strings.Contains(errs, "no such file") {
 		t.Errorf("a file that is not there: status %d, %s", status, errs)
 	}
-	status, dry, errs := migrate("--dry-run", "-o", made)
-	if status != ExitOK || there() || !strings.Contains(dry, "settings.registryMode") {
-		t.Fatalf("dry run: status %d, written %v, %s%s", status, there(), dry, errs)
+	status, dry, errs := migrate("--dry-run", "-o", newPath)
+	if status != ExitOK || exists() || !strings.Contains(dry, "settings.registryMode") {
+		t.Fatalf("dry run: status %d, written %v, %s%s", status, exists(), dry, errs)
 	}
-	status, out, errs := migrate("-o", made)
+	status, out, errs := migrate("-o", newPath)
 	if status != ExitOK || out+"nothing was written\n" != dry {
 		t.Fatalf("status %d, the report differs from that of the dry run:\n%s%s", status, out, errs)
 	}
-	first, err := os.ReadFile(made)
+	first, err := os.ReadFile(newPath)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if info, err := os.Stat(made); err != nil || info.Mode().Perm() != 0o600 {
-		t.Errorf("rights %v, error %v", info.Mode(), err)
+	if info, err := os.Stat(newPath); err != nil || info.Mode().Perm() != 0o600 {
+		t.Errorf("permissions %v, error %v", info.Mode(), err)
 	}
-	if status, _, errs := migrate("-o", made); status != ExitUsage || !strings.Contains(errs, "--force") {
+	if status, _, errs := migrate("-o", newPath); status != ExitUsage || !strings.Contains(errs, "--force") {
 		t.Errorf("over an existing file: status %d, %s", status, errs)
 	}
-	status, out, _ = migrate("-o", made, "--force", "--json")
+	status, out, _ = migrate("-o", newPath, "--force", "--json")
 	var report struct {
 		Written bool
 		Fields  []struct{ Field, What string }
@@ -65,18 +65,18 @@
 	if err := json.Unmarshal([]byte(out), &report); status != ExitOK || err != nil || !report.Written || len(report.Fields) < 20 {
 		t.Errorf("status %d, error %v, report %+v", status, err, report)
 	}
-	if again, err := os.ReadFile(made); err != nil || !bytes.Equal(again, first) {
-		t.Errorf("other bytes the second time, error %v", err)
+	if second, err := os.ReadFile(newPath); err != nil || !bytes.Equal(second, first) {
+		t.Errorf("the second file differs, error %v", err)
 	}
-	if status, _, _ := migrate("-o", old, "--force"); status != ExitUsage {
+	if status, _, _ := migrate("-o", oldPath, "--force"); status != ExitUsage {
 		t.Errorf("onto the old file: status %d", status)
 	}
-	if text, _ := os.ReadFile(old); string(text) != oldConfig {
+	if text, _ := os.ReadFile(oldPath); string(text) != oldConfig {
 		t.Error("the old file was changed")
 	}
 }
 
-func TestConfigMigrateRefusesInOneLine(t *testing.T) {
+func TestConfigMigrate_InvalidInput_ReportsOneLine(t *testing.T) {
 	const cold = "list = \"push\"\n[[location]]\nname = \"x\"\nfrom = [\"hall-cathays\", \"hall-bute\", \"hall-llandaff\"]\n[rules]\ncold_share = 2\n"
 	for _, c := range []struct{ name, old, shape, want string }{
 		{"cut short", oldConfig[:200], cold, "old.json:4"},
@@ -86,14 +86,14 @@
 		{"empty", "", cold, "old.json:1"},
 	} {
 		dir := t.TempDir()
-		old, made, shape := filepath.Join(dir, "old.json"), filepath.Join(dir, "new.json"), filepath.Join(dir, "shape.toml")
-		for path, text := range map[string]string{old: c.old, shape: c.shape} {
+		oldPath, newPath, shape := filepath.Join(dir, "old.json"), filepath.Join(dir, "new.json"), filepath.Join(dir, "shape.toml")
+		for path, text := range map[string]string{oldPath: c.old, shape: c.shape} {
 			if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 				t.Fatal(err)
 			}
 		}
-		status, _, errs := called("config", "migrate", old, "--to", shape, "-o", made)
-		if _, err := os.Stat(made); status != ExitUsage || !strings.Contains(errs, c.want) || strings.Count(errs, "\n") != 1 || err == nil {
+		status, _, errs := runMain("config", "migrate", oldPath, "--to", shape, "-o", newPath)
+		if _, err := os.Stat(newPath); status != ExitUsage || !strings.Contains(errs, c.want) || strings.Count(errs, "\n") != 1 || err == nil {
 			t.Errorf("%s: status %d, written %v, %q; want %q", c.name, status, err == nil, errs, c.want)
 		}
 	}
--- a/internal/cli/keys.go
+++ b/internal/cli/keys.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"text/tabwriter"
 	"time"
 
 	"github.com/spf13/cobra"
@@ -10,71 +9,123 @@
 	"onyxstream/internal/pki"
 )
 
+// defaultValidity is how long certificates are valid unless told otherwise.
+const defaultValidity = 90 * 24 * time.Hour
+
 func keysCommand() *cobra.Command {
-	var dir, name, role string
-	var valid time.Duration
-	const days = 24 * time.Hour
-	create := &cobra.Command{Use: "create", Short: "Make an authority in a folder", Args: cobra.NoArgs,
+	var dir string
+	c := group("keys", "A small certificate authority for instances, agents and people", "",
+		keysCreateCommand(&dir),
+		keysIssueCommand(&dir),
+		keysRenewCommand(&dir),
+		keysRevokeCommand(&dir),
+		keysListCommand(&dir))
+	c.PersistentFlags().StringVar(&dir, "dir", "keys", "the authority's directory")
+	return c
+}
+
+func keysCreateCommand(dir *string) *cobra.Command {
+	var name string
+	c := &cobra.Command{
+		Use:     "create",
+		Short:   "Create a certificate authority in a directory",
 		Example: "  onyxstream keys create --dir keys",
+		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			if err := pki.Create(dir, name); err != nil {
+			if err := pki.Create(*dir, name); err != nil {
 				return err
 			}
-			fmt.Fprintf(c.OutOrStdout(), "an authority is in %s; keep its key there, give its certificate to all\n", dir)
+			fmt.Fprintf(c.OutOrStdout(), "created an authority in %s: keep its key there, distribute its certificate\n", *dir)
 			return nil
-		}}
-	create.Flags().StringVar(&name, "name", "onyxstream", "name of the authority")
-	issue := &cobra.Command{Use: "issue HOLDER", Short: "Issue a certificate", Args: cobra.ExactArgs(1),
-		Long: "issue writes HOLDER.crt and HOLDER.key. Roles: instance (a node; the holder is its name), operate, look.",
+		},
+	}
+	c.Flags().StringVar(&name, "name", "onyxstream", "name of the authority")
+	return c
+}
+
+func keysIssueCommand(dir *string) *cobra.Command {
+	var role string
+	var validity time.Duration
+	c := &cobra.Command{
+		Use:   "issue HOLDER",
+		Short: "Issue a certificate",
+		Long:  "issue writes HOLDER.crt and HOLDER.key. Roles: instance (a node; the holder is its name), operate, look.",
 		Example: "  onyxstream keys issue n1 --role instance --dir keys\n" +
 			"  onyxstream keys issue agent-1 --role operate --dir keys",
+		Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			cert, err := pki.Issue(dir, args[0], role, valid)
+			cert, err := pki.Issue(*dir, args[0], role, validity)
 			if err != nil {
 				return err
 			}
 			fmt.Fprintf(c.OutOrStdout(), "%s: role %s, valid until %s\n", args[0], role, cert.NotAfter.Format(time.DateOnly))
 			return nil
-		}}
-	issue.Flags().StringVar(&role, "role", pki.Look, "what the holder may do")
-	renew := &cobra.Command{Use: "renew HOLDER", Short: "Issue a holder's certificate anew; running programs take it", Args: cobra.ExactArgs(1),
+		},
+	}
+	c.Flags().StringVar(&role, "role", pki.Look, "what the holder may do")
+	addValidityFlag(c, &validity)
+	return c
+}
+
+func keysRenewCommand(dir *string) *cobra.Command {
+	var validity time.Duration
+	c := &cobra.Command{
+		Use:   "renew HOLDER",
+		Short: "Renew a holder's certificate; running programs reload it",
+		Args:  cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			cert, err := pki.Renew(dir, args[0], valid)
+			cert, err := pki.Renew(*dir, args[0], validity)
 			if err != nil {
 				return err
 			}
 			fmt.Fprintf(c.OutOrStdout(), "%s: valid until %s\n", args[0], cert.NotAfter.Format(time.DateOnly))
 			return nil
-		}}
-	revoke := &cobra.Command{Use: "revoke HOLDER", Short: "Have a holder's certificate count no more, where the list is given", Args: cobra.ExactArgs(1),
+		},
+	}
+	addValidityFlag(c, &validity)
+	return c
+}
+
+func addValidityFlag(c *cobra.Command, validity *time.Duration) {
+	c.Flags().DurationVar(validity, "valid", defaultValidity, "how long the certificate is valid")
+}
+
+func keysRevokeCommand(dir *string) *cobra.Command {
+	return &cobra.Command{
+		Use:   "revoke HOLDER",
+		Short: "Revoke a holder's certificate where the revocation list is distributed",
+		Args:  cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			if err := pki.Revoke(dir, args[0]); err != nil {
+			if err := pki.Revoke(*dir, args[0]); err != nil {
 				return err
 			}
-			fmt.Fprintf(c.OutOrStdout(), "%s is revoked in %s/revoked: give the file to all\n", args[0], dir)
+			fmt.Fprintf(c.OutOrStdout(), "revoked %s in %s/revoked: distribute the file\n", args[0], *dir)
 			return nil
-		}}
-	list := &cobra.Command{Use: "list", Short: "List the certificates of a folder", Args: cobra.NoArgs,
+		},
+	}
+}
+
+func keysListCommand(dir *string) *cobra.Command {
+	return &cobra.Command{
+		Use:   "list",
+		Short: "List the certificates of a directory",
+		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			certs, revoked, err := pki.List(dir)
+			certs, revoked, err := pki.List(*dir)
 			if err != nil {
 				return err
 			}
-			w := tabwriter.NewWriter(c.OutOrStdout(), 0, 0, 2, ' ', 0)
-			fmt.Fprintln(w, "HOLDER\tROLE\tVALID UNTIL\tREVOKED")
-			for _, x := range certs {
-				kind := pki.RoleOf(x)
-				if x.IsCA {
-					kind = "authority"
+			table := newTable(c.OutOrStdout())
+			fmt.Fprintln(table, "HOLDER\tROLE\tVALID UNTIL\tREVOKED")
+			for _, cert := range certs {
+				role := pki.RoleOf(cert)
+				if cert.IsCA {
+					role = "authority"
 				}
-				fmt.Fprintf(w, "%s\t%s\t%s\t%v\n", x.Subject.CommonName, kind, x.NotAfter.Format(time.DateOnly), revoked[pki.Serial(x)])
+				fmt.Fprintf(table, "%s\t%s\t%s\t%v\n",
+					cert.Subject.CommonName, role, cert.NotAfter.Format(time.DateOnly), revoked[pki.Serial(cert)])
 			}
-			return w.Flush()
-		}}
-	for _, c := range []*cobra.Command{issue, renew} {
-		c.Flags().DurationVar(&valid, "valid", 90*days, "for how long")
+			return table.Flush()
+		},
 	}
-	c := group("keys", "A small authority: certificates for instances, agents and people", create, issue, renew, revoke, list)
-	c.PersistentFlags().StringVar(&dir, "dir", "keys", "the authority's folder")
-	return c
 }
--- a/internal/cli/root.go
+++ b/internal/cli/root.go
@@ -1,162 +1,89 @@
-// Package cli is the command line: one noun and one verb, tables for people, JSON for scripts, and exit statuses that
-// a script can use.
+// Package cli is the command line of onyxstream: commands of a noun and a verb, tables for people, JSON and exit statuses
+// for scripts.
 package cli
 
 import (
+	"context"
 	"errors"
 	"fmt"
 	"io"
-	"os"
+	"os/signal"
+	"syscall"
 	"time"
 
 	"github.com/spf13/cobra"
-
-	"onyxstream/internal/lifecycle"
-	"onyxstream/internal/loadtest"
-	"onyxstream/internal/tomlfile"
-)
-
-// The exit statuses.
-const (
-	ExitOK      = 0
-	ExitFailed  = 1 // what was asked for could not be done
-	ExitUsage   = 2 // the command line, or a file that it names, is wrong
-	ExitBehind  = 3 // load: the generator fell behind, so the figures are not the node's alone
-	ExitPartial = 4 // load: stopped before its end; the result says so
-	ExitWorse   = 5 // load compare --check: a figure is worse by more than noise
-	ExitLimit   = 6 // an order would take more instances away than its limits allow
-	ExitNotWell = 7 // an operation that was waited for failed, or a check found instances that are not well
 )
 
-const statuses = `Exit statuses:
-  0  done
-  1  it could not be done
-  2  the command line, or a file that it names, is wrong
-  3  load: the generator fell behind, so the figures are not the node's alone
-  4  load: stopped before its end; the result that was written is partial
-  5  load compare --check: a figure is worse by more than noise
-  6  the order would take more instances away than its limits allow
-  7  an operation that was waited for did not succeed, or a check found instances that are not well`
-
-// status is an error with an exit status of its own.
-type status struct {
-	code int
-	err  error
-}
-
-func (s *status) Error() string { return s.err.Error() }
-func (s *status) Unwrap() error { return s.err }
+// errorWriteTimeout bounds how long a failed command waits to write its error.
+const errorWriteTimeout = time.Second
 
 // Main runs the command line and returns the exit status.
-func Main(args []string, out, errs io.Writer) int {
-	root := root()
+func Main(args []string, stdout, stderr io.Writer) int {
+	root := rootCommand()
 	root.SetArgs(args)
-	root.SetOut(out)
-	root.SetErr(errs)
+	root.SetOut(stdout)
+	root.SetErr(stderr)
 	err := root.Execute()
 	if err == nil {
 		return ExitOK
 	}
-	lastWords(errs, fmt.Sprintln("onyxstream:", err))
-	return code(err)
+	writeError(stderr, fmt.Sprintln("onyxstream:", err))
+	return exitStatus(err)
 }
 
-// lastWordsWithin is how long a command that failed waits for somebody to take its error.
-const lastWordsWithin = time.Second
-
-// lastWords writes why a command failed, and waits no longer than that for it: the process must end though nobody reads.
-func lastWords(errs io.Writer, text string) {
+// writeError writes the error of a failed command. The process must end even if nobody reads its standard error.
+func writeError(stderr io.Writer, text string) {
 	written := make(chan struct{})
 	go func() {
 		defer close(written)
-		_, _ = io.WriteString(errs, text)
+		_, _ = io.WriteString(stderr, text)
 	}()
 	select {
 	case <-written:
-	case <-time.After(lastWordsWithin):
-	}
-}
-
-func code(err error) int {
-	var s *status
-	var file *tomlfile.Error
-	var trace *loadtest.TraceError
-	switch {
-	case errors.As(err, &s):
-		return s.code
-	case errors.As(err, &file), errors.As(err, &trace):
-		return ExitUsage
+	case <-time.After(errorWriteTimeout):
 	}
-	return ExitFailed
 }
 
-func usage(err error) error {
-	if err == nil {
-		return nil
-	}
-	return &status{ExitUsage, err}
+func rootCommand() *cobra.Command {
+	root := group("onyxstream", "A load balancer for long-lived connections, and tools to run and test it",
+		"onyxstream is a load balancer for long-lived connections: a node on sockets, and tools to operate many nodes, to put\n"+
+			"load on them and to test them under faults.\n\n"+exitStatusHelp,
+		nodeCommand(), loadCommand(), agentCommand(), instancesCommand(), hostsCommand(), operationsCommand(),
+		keysCommand(), configCommand(), scaleCommand())
+	root.SilenceUsage = true
+	root.SilenceErrors = true
+	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return usageError(err) })
+	wrapArgErrors(root)
+	return root
 }
 
-func root() *cobra.Command {
-	root := &cobra.Command{
-		Use:   "onyxstream",
-		Short: "A balancer for long-lived connections, and what it takes to run and test it",
-		Long: "onyxstream is a balancer for long-lived connections: a node on sockets, and the tools to put load on it\n" +
-			"and to see how it holds when things fail.\n\n" + statuses,
-		SilenceUsage: true, SilenceErrors: true, Args: cobra.NoArgs,
+// group makes a command that has only subcommands; long may be empty.
+func group(use, short, long string, subcommands ...*cobra.Command) *cobra.Command {
+	c := &cobra.Command{
+		Use:   use,
+		Short: short,
+		Long:  long,
+		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			fmt.Fprint(c.ErrOrStderr(), c.UsageString())
-			return usage(errors.New("a command is missing, see the usage above"))
+			return usageError(errors.New("a command is missing, see the usage above"))
 		},
 	}
-	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return usage(err) })
-	root.AddCommand(node(), loadCommand(), agentCommand(), instancesCommand(), hostsCommand(), operationsCommand(), keysCommand(), configCommand(), scaleCommand())
-	wrapArgs(root)
-	return root
+	c.AddCommand(subcommands...)
+	return c
 }
 
-// wrapArgs gives complaints about arguments the status of a wrong command line.
-func wrapArgs(c *cobra.Command) {
+// wrapArgErrors gives errors about arguments the exit status ExitUsage.
+func wrapArgErrors(c *cobra.Command) {
 	if check := c.Args; check != nil {
-		c.Args = func(c *cobra.Command, args []string) error { return usage(check(c, args)) }
+		c.Args = func(c *cobra.Command, args []string) error { return usageError(check(c, args)) }
 	}
-	for _, sub := range c.Commands() {
-		wrapArgs(sub)
+	for _, subcommand := range c.Commands() {
+		wrapArgErrors(subcommand)
 	}
 }
 
-func node() *cobra.Command {
-	var own string
-	c := &cobra.Command{
-		Use:   "node",
-		Short: "Run a node",
-		Long: "node runs a node until SIGTERM. What it needs to know stands in the JSON file that PROXY_CONFIG names;\n" +
-			"SIGHUP has it read again. --config names a file of onyxstream's own (deploy/own.toml is an example); what stands\n" +
-			"in it is off without it.",
-		Example: "  PROXY_CONFIG=config.json onyxstream node\n" +
-			"  PROXY_CONFIG=config.json onyxstream node --config own.toml",
-		Args: cobra.NoArgs,
-		RunE: func(*cobra.Command, []string) error {
-			var o lifecycle.Own
-			if own != "" {
-				var err error
-				if o, err = lifecycle.ReadOwn(own); err != nil {
-					return err
-				}
-			}
-			return lifecycle.Run(o)
-		},
-	}
-	c.Flags().StringVar(&own, "config", "", "file of onyxstream's own configuration, TOML")
-	return c
-}
-
-// terminal says whether w is one.
-func terminal(w io.Writer) bool {
-	f, ok := w.(*os.File)
-	if !ok {
-		return false
-	}
-	info, err := f.Stat()
-	return err == nil && info.Mode()&os.ModeCharDevice != 0
+// untilSignal returns a context that ends with SIGINT or SIGTERM. After stop a signal ends the process.
+func untilSignal(c *cobra.Command) (ctx context.Context, stop context.CancelFunc) {
+	return signal.NotifyContext(c.Context(), syscall.SIGINT, syscall.SIGTERM)
 }
--- a/internal/cli/root_test.go
+++ b/internal/cli/root_test.go
@@ -6,26 +6,26 @@
 	"time"
 )
 
-// stuck is a standard error that nobody reads.
-type stuck struct{ released chan struct{} }
+// blockedWriter is a standard error that nobody reads.
+type blockedWriter struct{ released chan struct{} }
 
-func (s stuck) Write(p []byte) (int, error) {
-	<-s.released
+func (b blockedWriter) Write(p []byte) (int, error) {
+	<-b.released
 	return len(p), nil
 }
 
-// A command that failed ends though nobody reads why: a process that stays for that looks as if it served.
-func TestMain_StandardErrorStands_Ends(t *testing.T) {
-	errs := stuck{make(chan struct{})}
-	defer close(errs.released)
+// A failed command ends even if its error can't be written: a process that stays would look healthy.
+func TestMain_StderrBlocked_Returns(t *testing.T) {
+	stderr := blockedWriter{make(chan struct{})}
+	defer close(stderr.released)
 	ended := make(chan int, 1)
-	go func() { ended <- Main([]string{"config", "migrate"}, io.Discard, errs) }()
+	go func() { ended <- Main([]string{"config", "migrate"}, io.Discard, stderr) }()
 	select {
 	case code := <-ended:
 		if code != ExitUsage {
 			t.Errorf("exit status %d, want %d", code, ExitUsage)
 		}
 	case <-time.After(10 * time.Second):
-		t.Error("it does not end")
+		t.Error("Main does not return")
 	}
 }
--- a/internal/cli/scale.go
+++ b/internal/cli/scale.go
@@ -1,16 +1,10 @@
 package cli
 
 import (
-	"encoding/json"
 	"errors"
 	"fmt"
-	"io"
 	"os"
-	"os/signal"
 	"strconv"
-	"syscall"
-	"text/tabwriter"
-	"time"
 
 	"github.com/spf13/cobra"
 
@@ -19,119 +13,79 @@
 	"onyxstream/internal/tomlfile"
 )
 
+const scaleJSONIndent = "  "
+
 func scaleCommand() *cobra.Command {
-	c := &cobra.Command{
-		Use:   "scale",
-		Short: "Measure what following the list costs fleets of many sizes",
-		Long: "scale runs fleets of hollow nodes, many in a process and without clients, and of real processes, and reckons from the\n" +
-			"samples what the fleet costs at a target size.\n\n" + statuses,
-		Args: cobra.NoArgs,
-		RunE: func(c *cobra.Command, _ []string) error {
-			fmt.Fprint(c.ErrOrStderr(), c.UsageString())
-			return usage(errors.New("a command is missing, see the usage above"))
-		},
-	}
-	c.AddCommand(scaleRun(), scaleHollow())
-	return c
+	return group("scale", "Measure the cost of the endpoint list watch for fleets of many sizes",
+		"scale runs fleets of simulated nodes, many in a process and without clients, and of real processes, and estimates from\n"+
+			"the samples what a fleet costs at a target size.\n\n"+exitStatusHelp,
+		scaleRunCommand(), scaleHollowCommand())
 }
 
-func scaleRun() *cobra.Command {
+func scaleRunCommand() *cobra.Command {
 	var asJSON bool
 	c := &cobra.Command{
 		Use:   "run FILE",
-		Short: "Run the fleets that a file names",
+		Short: "Run the fleets of a file",
 		Long: "run measures the fleets of a file (examples/scale.toml): bytes and messages at the list service, processor time,\n" +
-			"memory, and the time from a change until the last node has it. A run that the machine can't bear ends with what was\n" +
-			"short, keeps the samples it has, and exits with 4.\n\n" + statuses,
+			"memory, and the time from a change until the last node has it. A run for which the machine is too small stops with\n" +
+			"the reason, keeps its samples, and exits with 4.\n\n" + exitStatusHelp,
 		Example: "  onyxstream scale run examples/scale.toml\n  onyxstream scale run examples/scale.toml --json > scale.json",
 		Args:    cobra.ExactArgs(1),
-		RunE: func(c *cobra.Command, args []string) error {
-			var s scaletest.Spec
-			if _, err := tomlfile.Read(args[0], &s); err != nil {
-				return err
-			}
-			program, err := os.Executable()
-			if err != nil {
-				return err
-			}
-			ctx, stop := signal.NotifyContext(c.Context(), syscall.SIGINT, syscall.SIGTERM)
-			defer stop()
-			opt := scaletest.Options{Program: program}
-			if terminal(c.ErrOrStderr()) {
-				opt.Progress = func(text string) { fmt.Fprintln(c.ErrOrStderr(), text) }
-			}
-			result, failed := scaletest.Run(ctx, s, opt)
-			if asJSON {
-				enc := json.NewEncoder(c.OutOrStdout())
-				enc.SetIndent("", "  ")
-				if err := enc.Encode(result); err != nil {
-					return err
-				}
-			} else if err := printScale(c.OutOrStdout(), result); err != nil {
-				return err
-			}
-			if failed != nil {
-				return failed
-			}
-			if result.Short != "" {
-				return &status{ExitPartial, errors.New(result.Short)}
-			}
-			return nil
-		},
+		RunE:    func(c *cobra.Command, args []string) error { return runScale(c, args[0], asJSON) },
 	}
-	c.Flags().BoolVar(&asJSON, "json", false, "print the result as JSON in place of tables")
+	c.Flags().BoolVar(&asJSON, "json", false, "print the result as JSON instead of tables")
 	return c
 }
 
-func scaleHollow() *cobra.Command {
+func runScale(c *cobra.Command, path string, asJSON bool) error {
+	var spec scaletest.Spec
+	if _, err := tomlfile.Read(path, &spec); err != nil {
+		return err
+	}
+	program, err := os.Executable()
+	if err != nil {
+		return err
+	}
+	ctx, stop := untilSignal(c)
+	defer stop()
+	options := scaletest.Options{Program: program}
+	if isTerminal(c.ErrOrStderr()) {
+		options.Progress = func(text string) { fmt.Fprintln(c.ErrOrStderr(), text) }
+	}
+	result, runErr := scaletest.Run(ctx, spec, options)
+	if asJSON {
+		err = printJSON(c.OutOrStdout(), result, scaleJSONIndent)
+	} else {
+		err = printScale(c.OutOrStdout(), result)
+	}
+	switch {
+	case err != nil:
+		return err
+	case runErr != nil:
+		return runErr
+	case result.Short != "":
+		return &exitError{ExitPartial, errors.New(result.Short)}
+	}
+	return nil
+}
+
+func scaleHollowCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:    "hollow N",
-		Short:  "Run hollow nodes, until standard input ends",
+		Short:  "Run simulated nodes, until standard input ends",
 		Hidden: true, // scale run starts it
 		Args:   cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			n, err := strconv.Atoi(args[0])
-			if err != nil || n < 1 {
-				return usage(fmt.Errorf("%q is no number of nodes", args[0]))
+			count, err := strconv.Atoi(args[0])
+			if err != nil || count < 1 {
+				return usageError(fmt.Errorf("%q is not a number of nodes", args[0]))
 			}
 			cfg, err := lifecycle.Load()
 			if err != nil {
 				return err
 			}
-			return scaletest.RunHollow(c.Context(), cfg, n, c.InOrStdin(), c.ErrOrStderr())
+			return scaletest.RunHollow(c.Context(), cfg, count, c.InOrStdin(), c.ErrOrStderr())
 		},
 	}
 }
-
-func printScale(out io.Writer, r scaletest.Result) error {
-	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(w, "nodes\tkind\tphase\tbytes/s\tmessages/s\tcore %\tMB\tmedian\t99 in 100\tlast\tmissing\t")
-	for _, s := range r.Samples {
-		for _, p := range []struct {
-			name string
-			scaletest.Phase
-		}{{"rest", s.Rest}, {"changes", s.Changes}, {"restart", s.Restart}} {
-			fmt.Fprintf(w, "%d\t%s\t%s\t%.0f\t%.2f\t%.3f\t%.2f\t%v\t%v\t%v\t%d\t\n", s.Nodes, s.Kind, p.name, p.BytesPerS, p.MessagesPerS,
-				100*p.Cores, s.MemoryMB, millis(p.Latency.Median), millis(p.Latency.P99), millis(p.Latency.Last), p.Latency.Missing)
-		}
-	}
-	fmt.Fprintln(w, "\nhollow over real\t\tbytes\tmessages\tcore\tmemory\tmedian\t")
-	for _, d := range r.Differences {
-		fmt.Fprintf(w, "%d\t\t%.2f\t%.2f\t%.2f\t%.2f\t%.2f\t\n", d.Nodes, d.Bytes, d.Messages, d.Cores, d.Memory, d.Median)
-	}
-	fmt.Fprintf(w, "\nfor all nodes\tbase\ta node\tR2\tsizes\tspread\tat %d nodes\tbudget\tfits\t\n", r.Spec.Target.Nodes)
-	for _, f := range r.Fits {
-		budget, verdict := "-", "-"
-		if f.Budget > 0 {
-			budget, verdict = fmt.Sprintf("%.4g", f.Budget), map[bool]string{true: "yes", false: "NO"}[f.Fits]
-		}
-		fmt.Fprintf(w, "%s\t%.4g\t%.4g\t%.3f\t%d\t%.0f\t%.4g\t%s\t%s\t\n", f.What, f.Base, f.Slope, f.R2, f.Samples, f.Spread, f.At, budget, verdict)
-	}
-	if r.Short != "" {
-		fmt.Fprintf(w, "\nnot all was measured: %s\n", r.Short)
-	}
-	return w.Flush()
-}
-
-// millis is a time as people read it.
-func millis(d time.Duration) string { return d.Round(time.Millisecond).String() }
--- a/internal/cli/scale_test.go
+++ b/internal/cli/scale_test.go
@@ -11,21 +11,21 @@
 	"onyxstream/internal/scaletest"
 )
 
-func TestScaleRun_BadFile_StatusFileLineAndField(t *testing.T) {
+func TestScaleRun_InvalidFile_NamesLineAndField(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "scale.toml")
 	if err := os.WriteFile(path, []byte("name = \"x\"\nhollow = [3, 10]\nhosts = 1\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	status, out, errs := called("scale", "run", path)
+	status, out, errs := runMain("scale", "run", path)
 	if want := path + ":3: hosts: 1 is not from 2"; status != ExitUsage || !strings.Contains(errs, want) || out != "" {
 		t.Errorf("status %d, it says %q and prints %q; want %d and %q alone", status, errs, out, ExitUsage, want)
 	}
-	if status, _, errs = called("scale", "hollow", "none"); status != ExitUsage {
+	if status, _, errs = runMain("scale", "hollow", "none"); status != ExitUsage {
 		t.Errorf("no number of nodes: status %d, %s", status, errs)
 	}
 }
 
-func TestPrintScale_SamplesDifferencesAndTarget(t *testing.T) {
+func TestPrintScale_Result_HasAllTables(t *testing.T) {
 	r := scaletest.Result{Spec: scaletest.Spec{Target: scaletest.Target{Nodes: 2600}}, Short: "2600 hollow nodes: short of memory",
 		Samples:     []scaletest.Sample{{Kind: scaletest.Real, Nodes: 3, Changes: scaletest.Phase{BytesPerS: 1088, Latency: scaletest.Latency{Last: 7 * time.Millisecond}}}},
 		Differences: []scaletest.Difference{{Nodes: 3, Bytes: 1, Memory: 0.37}},
--- a/internal/control/client.go
+++ b/internal/control/client.go
@@ -62,12 +62,14 @@
 
 // Status returns the instance's status.
 func (c *Client) Status(ctx context.Context) (status Status, err error) {
-	return status, c.Call(ctx, http.MethodGet, "/v1/status", nil, &status)
+	err = c.Call(ctx, http.MethodGet, "/v1/status", nil, &status)
+	return status, err
 }
 
 // Do sends a command and returns the instance's answer to it.
 func (c *Client) Do(ctx context.Context, command Command) (answer Answer, err error) {
-	return answer, c.Call(ctx, http.MethodPost, "/v1/command", command, &answer)
+	err = c.Call(ctx, http.MethodPost, "/v1/command", command, &answer)
+	return answer, err
 }
 
 // RemoteError is an error that the server answered with; the call itself succeeded.
