--- a/internal/agent/bench_test.go
+++ b/internal/agent/bench_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"net/http"
 	"runtime"
 	"syscall"
 	"testing"
@@ -18,65 +17,79 @@
 //
 //	go test -run '^$' -bench Fleet -benchtime 1x ./internal/agent
 func BenchmarkFleet(b *testing.B) {
-	for _, n := range []int{10, 100, 1000} {
-		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			r := newTestFleet(b, n)
+	for _, size := range []int{10, 100, 1000} {
+		b.Run(fmt.Sprint(size), func(b *testing.B) {
+			r := newTestFleet(b, size)
 			r.cfg.PollInterval = tomlfile.Duration(time.Second)
 			c, _ := r.startAgent(b, nil)
-			begin := time.Now()
-			for !allUp(c) {
-				if time.Since(begin) > time.Minute {
-					b.Fatal("not all are up")
-				}
-				time.Sleep(5 * time.Millisecond)
-			}
-			b.ReportMetric(time.Since(begin).Seconds()*1000, "ms-to-know-all")
-			begin = time.Now()
-			if len(views(c)) != n {
+			start := time.Now()
+			waitFor(b, func() bool { return allUp(c) })
+			reportMillis(b, start, "ms-to-know-all")
+			start = time.Now()
+			if len(views(c)) != size {
 				b.Fatal("a list lacks instances")
 			}
-			b.ReportMetric(time.Since(begin).Seconds()*1000, "ms-list")
-			cpu, at := cpuTime(), time.Now()
-			time.Sleep(3 * time.Second)
-			b.ReportMetric((cpuTime()-cpu).Seconds()/time.Since(at).Seconds()*100, "%-cpu-idle")
-			runtime.GC()
-			var m runtime.MemStats
-			runtime.ReadMemStats(&m)
-			b.ReportMetric(float64(m.HeapInuse+m.StackInuse)/(1<<20), "MB")
-			tenth := r.instances[:n/10]
-			for _, x := range tenth[:n/100] {
-				x.stop()
-			}
-			var names []string
-			for _, x := range tenth {
-				names = append(names, x.name)
-			}
-			request := drainRequest("d", names)
-			request.Options.WaveSize, request.Options.MaxUnavailable = max(n/10, 1), n
-			var o fleet.Operation
-			begin = time.Now()
-			if err := c.Call(b.Context(), http.MethodPost, "/v1/operations", request, &o); err != nil {
-				b.Fatal(err)
-			}
-			done := func() (k int) {
-				for _, s := range operation(b, c, "d").Steps {
-					if s.State == fleet.StepDone {
-						k++
-					}
-				}
-				return k
-			}
-			for done() < len(tenth)-n/100 {
-				if time.Since(begin) > time.Minute {
-					b.Fatal("the drain does not end")
-				}
-				time.Sleep(5 * time.Millisecond)
-			}
-			b.ReportMetric(time.Since(begin).Seconds()*1000, "ms-drain-of-the-reachable")
+			reportMillis(b, start, "ms-list")
+			reportIdle(b)
+			drainTenth(b, r, c)
 		})
 	}
 }
 
+// reportIdle reports CPU and memory of the process while nothing happens.
+func reportIdle(b *testing.B) {
+	b.Helper()
+	cpu, start := cpuTime(), time.Now()
+	time.Sleep(3 * time.Second)
+	b.ReportMetric((cpuTime()-cpu).Seconds()/time.Since(start).Seconds()*100, "%-cpu-idle")
+	runtime.GC()
+	var memory runtime.MemStats
+	runtime.ReadMemStats(&memory)
+	b.ReportMetric(float64(memory.HeapInuse+memory.StackInuse)/(1<<20), "MB")
+}
+
+// drainTenth drains a tenth of the instances after a tenth of those stopped, and reports the time until the others are
+// drained.
+func drainTenth(b *testing.B, r *testFleet, c *control.Client) {
+	b.Helper()
+	size := len(r.instances)
+	targets := r.instances[:size/10]
+	unreachable := targets[:size/100]
+	for _, x := range unreachable {
+		x.stop()
+	}
+	var names []string
+	for _, x := range targets {
+		names = append(names, x.name)
+	}
+	request := drainRequest("d", names)
+	request.Options.WaveSize = max(len(names), 1)
+	request.Options.MaxUnavailable = size
+	start := time.Now()
+	if _, err := submit(b, c, request); err != nil {
+		b.Fatal(err)
+	}
+	waitFor(b, func() bool {
+		o := operation(b, c, "d")
+		return o.CountSteps()[fleet.StepDone] >= len(targets)-len(unreachable)
+	})
+	reportMillis(b, start, "ms-drain-of-the-reachable")
+}
+
+func waitFor(b *testing.B, condition func() bool) {
+	b.Helper()
+	for start := time.Now(); !condition(); time.Sleep(5 * time.Millisecond) {
+		if time.Since(start) > time.Minute {
+			b.Fatal("timed out")
+		}
+	}
+}
+
+func reportMillis(b *testing.B, start time.Time, unit string) {
+	b.Helper()
+	b.ReportMetric(time.Since(start).Seconds()*1000, unit)
+}
+
 // cpuTime is the CPU time of this process.
 func cpuTime() time.Duration {
 	var r syscall.Rusage
@@ -84,48 +97,70 @@
 	return time.Duration(r.Utime.Nano() + r.Stime.Nano())
 }
 
+const (
+	storedOperations = 10_000
+	savedAtOnce      = 1000
+)
+
 // BenchmarkRecovery measures the start with a store of 10,000 operations, a tenth of which have not ended.
 func BenchmarkRecovery(b *testing.B) {
 	r := newTestFleet(b, 10)
-	s, err := OpenStore(r.cfg.Store)
+	fillStore(b, r)
+	for b.Loop() {
+		store, err := OpenStore(r.cfg.Store)
+		if err != nil {
+			b.Fatal(err)
+		}
+		operations, desired, fence, err := store.Load()
+		if err != nil || len(operations) != storedOperations {
+			b.Fatal(len(operations), err)
+		}
+		f := fleet.New(fleet.DefaultConfig(), 1)
+		f.Restore(operations, desired, fence)
+		f.Next(time.Second)
+		_ = store.Close()
+	}
+}
+
+func fillStore(b *testing.B, r *testFleet) {
+	b.Helper()
+	store, err := OpenStore(r.cfg.Store)
 	if err != nil {
 		b.Fatal(err)
 	}
-	for at := 0; at < 10_000; at += 1000 {
-		var c fleet.Change
-		for i := at; i < at+1000; i++ {
-			o := fleet.Operation{Request: drainRequest(fmt.Sprint("o", i), r.names()), Fence: uint64(i + 1), State: fleet.Succeeded, Steps: map[string]*fleet.Step{}}
-			if i%10 == 0 {
-				o.State = fleet.Paused
-			}
-			o.Options.Deadline = time.Hour
-			for _, name := range r.names() {
-				o.Steps[name] = &fleet.Step{State: fleet.StepDone}
-			}
-			c.Operations = append(c.Operations, o)
+	for first := 0; first < storedOperations; first += savedAtOnce {
+		var change fleet.Change
+		for i := first; i < first+savedAtOnce; i++ {
+			change.Operations = append(change.Operations, storedOperation(i, r.names()))
 		}
-		if err := s.Save(c); err != nil {
+		if err := store.Save(change); err != nil {
 			b.Fatal(err)
 		}
 	}
-	if err := s.Save(fleet.Change{Fence: 10_000, Desired: []fleet.DesiredState{{Scope: fleet.Scope{Instance: "i0"}, Command: control.Command{Operation: "o1", Fence: 2, Kind: control.Drain}}}}); err != nil {
+	drain := control.Command{Operation: "o1", Fence: 2, Kind: control.Drain}
+	desired := fleet.DesiredState{Scope: fleet.Scope{Instance: "i0"}, Command: drain}
+	if err := store.Save(fleet.Change{Fence: storedOperations, Desired: []fleet.DesiredState{desired}}); err != nil {
 		b.Fatal(err)
 	}
-	if err := s.Close(); err != nil {
+	if err := store.Close(); err != nil {
 		b.Fatal(err)
 	}
-	for b.Loop() {
-		s, err := OpenStore(r.cfg.Store)
-		if err != nil {
-			b.Fatal(err)
-		}
-		ops, holds, fence, err := s.Load()
-		if err != nil || len(ops) != 10_000 {
-			b.Fatal(len(ops), err)
-		}
-		f := fleet.New(fleet.DefaultConfig(), 1)
-		f.Restore(ops, holds, fence)
-		f.Next(time.Second)
-		_ = s.Close()
+}
+
+// storedOperation returns the i-th operation; each tenth is paused, the others have ended.
+func storedOperation(i int, names []string) fleet.Operation {
+	o := fleet.Operation{
+		Request: drainRequest(fmt.Sprint("o", i), names),
+		Fence:   uint64(i + 1),
+		State:   fleet.Succeeded,
+		Steps:   map[string]*fleet.Step{},
+	}
+	if i%10 == 0 {
+		o.State = fleet.Paused
+	}
+	o.Options.Deadline = time.Hour
+	for _, name := range names {
+		o.Steps[name] = &fleet.Step{State: fleet.StepDone}
 	}
+	return o
 }
--- a/internal/agent/disk_test.go
+++ b/internal/agent/disk_test.go
@@ -1,12 +1,10 @@
 package agent
 
 import (
-	"net/http"
 	"sync"
 	"syscall"
 	"testing"
 
-	"onyxstream/internal/control"
 	"onyxstream/internal/fleet"
 )
 
@@ -32,19 +30,14 @@
 			})
 			defer func() { _ = stop() }()
 			eventually(t, "all are up", func() bool { return allUp(c) })
-			var o fleet.Operation
-			if err := c.Call(t.Context(), http.MethodPost, "/v1/operations", drainRequest("d", r.names()), &o); err != nil {
+			if _, err := submit(t, c, drainRequest("d", r.names())); err != nil {
 				t.Fatal(err)
 			}
 			eventually(t, "it ends", func() bool { return operation(t, c, "d").State.Ended() })
-			if o = operation(t, c, "d"); o.State != fleet.Succeeded {
+			if o := operation(t, c, "d"); o.State != fleet.Succeeded {
 				t.Errorf("the operation is %s: %s", o.State, o.Reason)
 			}
-			for _, x := range r.instances {
-				if n := x.count(control.Drain); n != 1 {
-					t.Errorf("%s drained %d times", x.name, n)
-				}
-			}
+			r.checkDrainedOnce(t)
 			if mu.Lock(); failed == 0 {
 				t.Error("no write failed")
 			}
--- a/internal/agent/inventory_test.go
+++ b/internal/agent/inventory_test.go
@@ -2,13 +2,31 @@
 
 import (
 	"context"
+	"os"
 	"testing"
+	"time"
 
 	"go.uber.org/zap"
 
 	"onyxstream/internal/faultinject"
 )
 
+func TestReloadInventory_InvalidFile_KeepsPrevious(t *testing.T) {
+	t.Parallel()
+	r := newTestFleet(t, 2)
+	c, _ := r.startAgent(t, nil)
+	eventually(t, "all are up", func() bool { return allUp(c) })
+	if err := os.WriteFile(r.cfg.Inventory, []byte("[[instance]]\nname = \"i0\"\n"), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	time.Sleep(2 * inventoryCheckInterval)
+	if n := len(views(c)); n != 2 {
+		t.Errorf("%d instances after an invalid inventory", n)
+	}
+	r.writeInventory(t, r.instances[0])
+	eventually(t, "the valid one is loaded", func() bool { return len(views(c)) == 1 })
+}
+
 // A changed inventory that can't be read at the moment is read at the next check, without another change.
 func TestReloadInventory_FileUnreadable_RetriesLater(t *testing.T) {
 	r := newTestFleet(t, 2)
--- a/internal/control/register.go
+++ b/internal/control/register.go
@@ -74,7 +74,7 @@
 	case known && c.Fence < current.fence:
 		answer := Answer{
 			Verdict: Rejected,
-			Reason:  fmt.Sprintf("operation %s with fence %d holds, %d is older", current.operation, current.fence, c.Fence),
+			Reason:  fmt.Sprintf("superseded by operation %s: its fence %d is above %d", current.operation, current.fence, c.Fence),
 			Fence:   current.fence,
 			Boot:    r.boot,
 		}
--- /dev/null
+++ b/internal/fleet/progress_test.go
@@ -0,0 +1,101 @@
+package fleet
+
+import (
+	"errors"
+	"strings"
+	"testing"
+	"time"
+
+	"onyxstream/internal/control"
+)
+
+// Deliveries to an unreachable instance are retried within the budget, its step times out, and the operation pauses.
+func TestNext_UnreachableInstance_PausesOperation(t *testing.T) {
+	f := newServingFleet(t, threeInstances())
+	if _, err := f.Submit(2, Request{ID: "d", Kind: control.Drain, Targets: []string{"a1", "b1"},
+		Options: Options{MaxUnavailable: 3, AllowEmptyZone: true}}); err != nil {
+		t.Fatal(err)
+	}
+	n := 0
+	for now := time.Duration(3); now < time.Minute; now += 50 * time.Millisecond {
+		for _, x := range []string{"a2", "b1"} {
+			f.Observe(now, now, x, control.Status{Boot: "1", State: control.Serving}, nil)
+		}
+		_, deliveries, _ := f.Next(now)
+		for _, delivery := range deliveries {
+			if n++; delivery.Instance.Name != "a1" {
+				t.Fatalf("%s gets a command before a1", delivery.Instance.Name)
+			}
+			f.RecordAnswer(now, delivery, control.Answer{}, errors.New("refused"))
+		}
+	}
+	o, _ := f.Operation("d")
+	if n < 5 || n > 20 || o.State != Paused || o.Steps["a1"].State != StepFailed || o.Steps["b1"].State != StepWaiting {
+		t.Errorf("%d deliveries; the operation is %s, a1 %s, b1 %s", n, o.State, o.Steps["a1"].State, o.Steps["b1"].State)
+	}
+	if _, err := f.Continue(time.Minute, "d"); err != nil {
+		t.Fatal(err)
+	}
+	f.Observe(time.Minute, time.Minute, "a1", control.Status{Boot: "2", State: control.Serving}, nil)
+	if got := deliverAll(f, time.Minute+1, control.Drained); strings.Join(got, "") != "b1 drain" {
+		t.Errorf("continued: %v", got)
+	}
+	f.Next(time.Minute + 3)
+	if o, _ = f.Operation("d"); o.State != Failed || o.Steps["b1"].State != StepDone {
+		t.Errorf("it ends as %s with b1 %s", o.State, o.Steps["b1"].State)
+	}
+}
+
+// A drain is delivered again, once, to an instance that restarts, also after the operation ended, until a newer command.
+func TestNext_InstanceRestarts_DeliversDesiredStateOnce(t *testing.T) {
+	f := newServingFleet(t, threeInstances())
+	if _, err := f.Submit(2, Request{ID: "d", Kind: control.Drain, Targets: []string{"a1"}}); err != nil {
+		t.Fatal(err)
+	}
+	deliverAll(f, 3, control.Draining)
+	f.Observe(5, 5, "a1", control.Status{Boot: "2", State: control.Serving}, nil)
+	if got := deliverAll(f, 6, control.Drained); len(got) != 1 {
+		t.Errorf("after a restart during the drain: %v", got)
+	}
+	f.Observe(8, 8, "a1", control.Status{Boot: "1", State: control.Drained, Fence: 1}, nil)
+	f.Next(9)
+	if o, _ := f.Operation("d"); o.State != Succeeded {
+		t.Fatalf("the operation is %s", o.State)
+	}
+	f.Observe(20, 20, "a1", control.Status{Boot: "3", State: control.Serving}, nil)
+	if got := deliverAll(f, 21, control.Drained); len(got) != 1 || got[0] != "a1 drain" {
+		t.Errorf("after a restart: %v", got)
+	}
+	if got := deliverAll(f, 23, control.Drained); len(got) != 0 {
+		t.Errorf("and once more: %v", got)
+	}
+	if _, err := f.Submit(24, Request{ID: "r", Kind: control.Resume, Targets: []string{"a1"}}); err != nil {
+		t.Fatal(err)
+	}
+	deliverAll(f, 25, control.Serving)
+	f.Observe(30, 30, "a1", control.Status{Boot: "4", State: control.Serving}, nil)
+	if got := deliverAll(f, 31, control.Serving); len(got) != 0 {
+		t.Errorf("resumed and restarted: %v", got)
+	}
+}
+
+func TestSetInventory_InstanceRemoved_FailsStep(t *testing.T) {
+	f := newServingFleet(t, threeInstances())
+	if _, err := f.Submit(2, Request{ID: "d", Kind: control.Drain, Targets: []string{"a1"}}); err != nil {
+		t.Fatal(err)
+	}
+	deliverAll(f, 3, control.Draining)
+	renamed := threeInstances()
+	renamed[0].Name = "a9"
+	if err := f.SetInventory(4, renamed); err != nil {
+		t.Fatal(err)
+	}
+	f.Next(5)
+	if o, _ := f.Operation("d"); o.Steps["a1"].State != StepFailed || !o.State.Ended() {
+		t.Errorf("the step is %+v, the operation %s", o.Steps["a1"], o.State)
+	}
+	f.Observe(6, 6, "a9", control.Status{Boot: "9", State: control.Serving}, nil)
+	if got := deliverAll(f, 7, control.Drained); len(got) != 0 {
+		t.Errorf("the instance that has the address now gets %v", got)
+	}
+}
--- /dev/null
+++ b/internal/fleet/simulation_test.go
@@ -0,0 +1,315 @@
+package fleet
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"maps"
+	"math/rand/v2"
+	"slices"
+	"time"
+
+	"pgregory.net/rapid"
+
+	"onyxstream/internal/control"
+)
+
+// simulation has an agent, instances and a network that loses, delays and duplicates, in virtual time.
+type simulation struct {
+	t        *rapid.T
+	rng      *rand.Rand
+	now      time.Duration
+	events   []event
+	reliable bool // no further faults
+
+	fleet       *Fleet
+	incarnation int // of the agent
+	inventory   []Instance
+	instances   map[string]*simulatedInstance
+	inFlight    map[string]int // commands of the current agent, by instance
+	wake        time.Duration
+
+	saved struct {
+		operations map[string][]byte
+		desired    map[Scope]DesiredState
+		fence      uint64
+	}
+	maxDraining int
+}
+
+type event struct {
+	at  time.Duration
+	run func()
+}
+
+type simulatedInstance struct {
+	name        string
+	boot        int
+	register    *control.Register
+	draining    bool
+	drainedAt   time.Duration // when its last connection closes
+	up          bool
+	partitioned bool // from the agent
+	overrides   map[string]bool
+}
+
+// crashPoint says when the agent crashes in a step.
+type crashPoint int
+
+const (
+	noCrash crashPoint = iota
+	crashBeforeWrite
+	crashAfterWrite
+)
+
+var errLost = errors.New("no answer")
+
+func newSimulation(t *rapid.T, n, limit int, seed uint64) *simulation {
+	sim := &simulation{
+		t:           t,
+		rng:         rand.New(rand.NewPCG(seed, 1)),
+		instances:   map[string]*simulatedInstance{},
+		maxDraining: limit,
+	}
+	sim.saved.operations = map[string][]byte{}
+	sim.saved.desired = map[Scope]DesiredState{}
+	for i := range n {
+		entry := Instance{Name: fmt.Sprint("i", i), Addr: fmt.Sprint("unix:", i), Zone: fmt.Sprint("z", i%2)}
+		sim.inventory = append(sim.inventory, entry)
+		sim.instances[entry.Name] = &simulatedInstance{name: entry.Name, up: true}
+		sim.instances[entry.Name].restart()
+	}
+	sim.startAgent()
+	for _, entry := range sim.inventory {
+		sim.poll(entry.Name)
+	}
+	return sim
+}
+
+func (x *simulatedInstance) restart() {
+	x.boot++
+	x.register = control.NewRegister(x.bootID())
+	x.draining = false
+	x.overrides = map[string]bool{}
+}
+
+// bootID identifies the instance's start.
+func (x *simulatedInstance) bootID() string { return fmt.Sprint(x.name, "-", x.boot) }
+
+func (sim *simulation) schedule(delay time.Duration, run func()) {
+	sim.events = append(sim.events, event{sim.now + delay, run})
+}
+
+func (sim *simulation) startAgent() {
+	sim.incarnation++
+	sim.inFlight = map[string]int{}
+	cfg := Config{
+		DownAfter:            3 * time.Second,
+		DeliveryTimeout:      8 * time.Second,
+		RetryInitialDelay:    100 * time.Millisecond,
+		RetryMaxDelay:        2 * time.Second,
+		RetryRate:            20,
+		RetryBurst:           20,
+		DefaultDeadline:      90 * time.Second,
+		MaxEndedOperations:   50,
+		MaxRunningOperations: 20,
+	}
+	sim.fleet = New(cfg, uint64(sim.incarnation))
+	sim.fleet.now = sim.now
+	var operations []Operation
+	for _, text := range sim.saved.operations {
+		var o Operation
+		if err := json.Unmarshal(text, &o); err != nil {
+			sim.t.Fatal(err)
+		}
+		operations = append(operations, o)
+	}
+	desired := slices.Collect(maps.Values(sim.saved.desired))
+	sim.fleet.Restore(operations, desired, sim.saved.fence)
+	if err := sim.fleet.SetInventory(sim.now, sim.inventory); err != nil {
+		sim.t.Fatal(err)
+	}
+}
+
+// poll requests an instance's status, and schedules the next request.
+func (sim *simulation) poll(name string) {
+	x := sim.instances[name]
+	incarnation, requested := sim.incarnation, sim.now
+	requestDelay, answerDelay := sim.delays()
+	if !sim.isLost() && x.up && !x.partitioned {
+		sim.schedule(requestDelay, func() {
+			if !x.up {
+				return
+			}
+			status := x.status(sim.now)
+			sim.schedule(answerDelay, func() {
+				if incarnation == sim.incarnation && !x.partitioned {
+					sim.fleet.Observe(sim.now, requested, name, status, nil)
+				}
+			})
+		})
+	} else {
+		sim.schedule(requestDelay+answerDelay, func() {
+			if incarnation == sim.incarnation {
+				sim.fleet.Observe(sim.now, requested, name, control.Status{}, errLost)
+			}
+		})
+	}
+	sim.schedule(300*time.Millisecond+time.Duration(sim.rng.Int64N(3e8)), func() { sim.poll(name) })
+}
+
+func (x *simulatedInstance) status(now time.Duration) control.Status {
+	s := control.Status{Name: x.name, Boot: x.bootID(), State: control.Serving}
+	s.Operation, s.Fence = x.register.Current()
+	if x.draining {
+		s.State = control.Draining
+		if now >= x.drainedAt {
+			s.State = control.Drained
+		}
+	}
+	return s
+}
+
+// delays returns the delays of a request and its answer: mostly short, at times seconds.
+func (sim *simulation) delays() (request, answer time.Duration) {
+	one := func() time.Duration {
+		if !sim.reliable && sim.rng.IntN(20) == 0 {
+			return time.Duration(sim.rng.Int64N(4e9))
+		}
+		return time.Duration(sim.rng.Int64N(2e7))
+	}
+	return one(), one()
+}
+
+func (sim *simulation) isLost() bool { return !sim.reliable && sim.rng.IntN(10) == 0 }
+
+// send delivers a command to an instance: it may be lost, late or duplicated, and so may its answer.
+func (sim *simulation) send(delivery Delivery) {
+	name, incarnation := delivery.Instance.Name, sim.incarnation
+	x := sim.instances[name]
+	sim.inFlight[name]++
+	if sim.inFlight[name] > 1 {
+		sim.t.Fatalf("%v: %s has two commands in flight", sim.now, name)
+	}
+	requestDelay, answerDelay := sim.delays()
+	var answer control.Answer
+	err := errLost
+	deliver := func() {
+		if !x.up {
+			return
+		}
+		decision, invalid := x.register.Accept(delivery.Command)
+		if invalid != nil {
+			sim.t.Fatalf("%v: %s rejects %+v: %v", sim.now, name, delivery.Command, invalid)
+		}
+		answer, err = decision.Answer, nil
+		if decision.MustRun {
+			x.apply(sim, delivery.Command)
+		}
+	}
+	if !sim.isLost() && x.up && !x.partitioned {
+		sim.schedule(requestDelay, deliver)
+		if !sim.reliable && sim.rng.IntN(15) == 0 {
+			sim.schedule(requestDelay+answerDelay/2, deliver)
+		}
+	}
+	lost := sim.isLost()
+	sim.schedule(requestDelay+answerDelay, func() {
+		if incarnation != sim.incarnation {
+			return
+		}
+		sim.inFlight[name]--
+		if lost || x.partitioned {
+			err = errLost
+		}
+		sim.fleet.RecordAnswer(sim.now, delivery, answer, err)
+	})
+}
+
+func (x *simulatedInstance) apply(sim *simulation, c control.Command) {
+	switch c.Kind {
+	case control.Drain:
+		x.draining = true
+		x.drainedAt = sim.now + time.Duration(sim.rng.Int64N(2e9))
+	case control.Resume:
+		x.draining = false
+	case control.HostDrain, control.HostResume:
+		x.overrides[c.Host] = c.Kind == control.HostDrain
+	}
+	draining := 0
+	for _, other := range sim.instances {
+		if other.draining {
+			draining++
+		}
+	}
+	if draining > sim.maxDraining {
+		sim.t.Fatalf("%v: %d instances drain, the limit is %d", sim.now, draining, sim.maxDraining)
+	}
+}
+
+// step does what the agent does after an event, with a crash before or after the write, if any.
+func (sim *simulation) step(crash crashPoint) {
+	change, deliveries, wake := sim.fleet.Next(sim.now)
+	sim.wake = wake
+	if crash == crashBeforeWrite && !change.Empty() {
+		sim.startAgent()
+		return
+	}
+	sim.save(change)
+	if crash == crashAfterWrite && !change.Empty() {
+		sim.startAgent()
+		return
+	}
+	for _, delivery := range deliveries {
+		sim.send(delivery)
+	}
+}
+
+func (sim *simulation) save(change Change) {
+	for _, o := range change.Operations {
+		text, err := json.Marshal(o)
+		if err != nil {
+			sim.t.Fatal(err)
+		}
+		sim.saved.operations[o.ID] = text
+	}
+	for _, id := range change.ForgottenOperations {
+		delete(sim.saved.operations, id)
+	}
+	for _, scope := range change.Removed {
+		delete(sim.saved.desired, scope)
+	}
+	for _, state := range change.Desired {
+		sim.saved.desired[state.Scope] = state
+	}
+	sim.saved.fence = max(sim.saved.fence, change.Fence)
+}
+
+// run processes events until a time.
+func (sim *simulation) run(until time.Duration, crash func() crashPoint) {
+	for sim.now < until {
+		next := min(until, max(sim.wake, sim.now+time.Millisecond))
+		for _, event := range sim.events {
+			next = min(next, max(event.at, sim.now))
+		}
+		sim.now = next
+		for _, event := range sim.takeDue() {
+			event.run()
+		}
+		sim.step(crash())
+	}
+}
+
+// takeDue removes the events that are due, and returns them in the order in which they were scheduled.
+func (sim *simulation) takeDue() (due []event) {
+	var later []event
+	for _, event := range sim.events {
+		if event.at <= sim.now {
+			due = append(due, event)
+		} else {
+			later = append(later, event)
+		}
+	}
+	sim.events = later
+	return due
+}
