--- a/internal/control/list_test.go
+++ b/internal/control/list_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"net/http"
 	"strings"
@@ -56,8 +55,8 @@
 func TestList_NothingNewer_Waits(t *testing.T) {
 	h := newFakeListInstance()
 	_, c := startServer(t, h)
-	var rejected *RemoteError
-	if _, _, err := c.List(t.Context(), "s", -1, 0, 50*time.Millisecond, nil); !errors.As(err, &rejected) || rejected.Code != http.StatusNotFound {
+	_, _, err := c.List(t.Context(), "s", -1, 0, 50*time.Millisecond, nil)
+	if !isRemoteError(err, http.StatusNotFound) {
 		t.Errorf("with no list: %v", err)
 	}
 	poll := func(service string, revision int64, age time.Duration, unreachable *[]string) <-chan PeerList {
@@ -114,19 +113,22 @@
 	}
 	h.setList("s", 4, time.Minute, all...)
 	none := []string{}
-	if p, _, err := c.List(t.Context(), "s", 4, time.Minute, 5*time.Second, &none); err != nil || len(p.Unreachable) != maxUnreachable {
-		t.Errorf("%d of %d are sent, error %v", len(p.Unreachable), maxUnreachable, err)
+	list, _, err := c.List(t.Context(), "s", 4, time.Minute, 5*time.Second, &none)
+	if err != nil || len(list.Unreachable) != maxUnreachable {
+		t.Errorf("%d of %d are sent, error %v", len(list.Unreachable), maxUnreachable, err)
 	}
 	for i := range all {
 		all[i] = fmt.Sprintf("%0*d", maxNameLength, i)
 	}
 	h.setList("s", 4, time.Minute, all...)
-	if p, _, err := c.List(t.Context(), "s", 4, time.Minute, 100*time.Millisecond, &all); err != nil || p.Waited < 100*time.Millisecond {
-		t.Errorf("a caller that knows all waited %v, error %v", p.Waited, err)
+	const timeout = 100 * time.Millisecond
+	list, _, err = c.List(t.Context(), "s", 4, time.Minute, timeout, &all)
+	if err != nil || list.Waited < timeout {
+		t.Errorf("a caller that knows all waited %v, error %v", list.Waited, err)
 	}
 }
 
-// Waiting requests are bounded and leave capacity for the agent's; invalid ones are an error.
+// Waiting requests are bounded, leave capacity for the agent's, and free their slots when their callers disconnect.
 func TestList_TooManyRequests_Rejects(t *testing.T) {
 	h := newFakeListInstance()
 	path, c := startServer(t, h)
@@ -145,13 +147,12 @@
 			}
 		})
 	}
-	var rejected *RemoteError
-	for begin := time.Now(); ; {
+	for start := time.Now(); ; {
 		_, _, err := c.List(t.Context(), "s", -1, 0, 0, nil)
-		if errors.As(err, &rejected) && rejected.Code == http.StatusServiceUnavailable {
+		if isRemoteError(err, http.StatusServiceUnavailable) {
 			break
 		}
-		if time.Since(begin) > 10*time.Second {
+		if time.Since(start) > 10*time.Second {
 			t.Fatalf("%d requests wait, and one more: %v", minConns/listDivisor, err)
 		}
 	}
@@ -160,14 +161,26 @@
 	}
 	cancel()
 	wg.Wait()
-	for query, want := range map[string]string{"": "after", "?after=x": "after", "?after=1&age_ms=-1&within_ms=0": "age_ms",
-		"?after=1&age_ms=0&within_ms=99999999": "within_ms"} {
-		var p PeerList
-		call := func() error { return c.Call(t.Context(), http.MethodGet, "/v1/list"+query, nil, &p) }
-		err := call()
-		for begin := time.Now(); errors.As(err, &rejected) && rejected.Code == http.StatusServiceUnavailable && time.Since(begin) < 10*time.Second; {
-			err = call() // the server may not have noticed yet that all callers disconnected
-		}
+	start := time.Now()
+	err := c.Call(t.Context(), http.MethodGet, "/v1/list", nil, new(PeerList))
+	for isRemoteError(err, http.StatusServiceUnavailable) && time.Since(start) < 10*time.Second {
+		// The server may not have noticed yet that all callers disconnected.
+		err = c.Call(t.Context(), http.MethodGet, "/v1/list", nil, new(PeerList))
+	}
+	if err == nil || !strings.Contains(err.Error(), "after") {
+		t.Errorf("once no request waits: %v", err)
+	}
+}
+
+func TestList_InvalidQuery_NamesParameter(t *testing.T) {
+	_, c := startServer(t, newFakeListInstance())
+	for query, want := range map[string]string{
+		"":                                     "after",
+		"?after=x":                             "after",
+		"?after=1&age_ms=-1&within_ms=0":       "age_ms",
+		"?after=1&age_ms=0&within_ms=99999999": "within_ms",
+	} {
+		err := c.Call(t.Context(), http.MethodGet, "/v1/list"+query, nil, new(PeerList))
 		if err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%q: %v, want %s", query, err, want)
 		}
@@ -176,9 +189,9 @@
 
 // An instance without cold start shares no list.
 func TestList_NoProvider_AnswersNotFound(t *testing.T) {
-	_, c := startFake(t, &fakeInstance{})
-	var rejected *RemoteError
-	if _, _, err := c.List(t.Context(), "s", -1, 0, time.Second, nil); !errors.As(err, &rejected) || rejected.Code != http.StatusNotFound {
-		t.Errorf("%v", err)
+	_, c := startServer(t, &fakeInstance{})
+	_, _, err := c.List(t.Context(), "s", -1, 0, time.Second, nil)
+	if !isRemoteError(err, http.StatusNotFound) {
+		t.Error(err)
 	}
 }
--- a/internal/control/server_test.go
+++ b/internal/control/server_test.go
@@ -6,6 +6,7 @@
 	"flag"
 	"io"
 	"net"
+	"net/http"
 	"os"
 	"path/filepath"
 	"strings"
@@ -55,12 +56,13 @@
 	return len(f.applied)
 }
 
-// startFake runs a server for an instance on a Unix socket until the test ends.
-func startFake(t *testing.T, f *fakeInstance) (path string, c *Client) {
-	t.Helper()
-	return startServer(t, f)
+// isRemoteError reports whether the server answered with an HTTP status.
+func isRemoteError(err error, code int) bool {
+	var remote *RemoteError
+	return errors.As(err, &remote) && remote.Code == code
 }
 
+// startServer runs a server for an instance on a Unix socket until the test ends.
 func startServer(t *testing.T, f Instance) (path string, c *Client) {
 	t.Helper()
 	path = filepath.Join(t.TempDir(), "s")
@@ -87,7 +89,7 @@
 // Concurrent and later repeats of a command get the same answer, and it is applied once.
 func TestServer_RepeatedCommand_AppliedOnce(t *testing.T) {
 	f := &fakeInstance{}
-	_, c := startFake(t, f)
+	_, c := startServer(t, f)
 	cmd := Command{Operation: "o", Fence: 1, Kind: Drain, DrainTimeout: time.Second}
 	var wg sync.WaitGroup
 	answers := make(chan Answer, 20)
@@ -119,8 +121,8 @@
 	if a, err := c.Do(t.Context(), cmd); err != nil || a.Verdict != Done || f.appliedCount() != 2 {
 		t.Errorf("the first repeated: %+v, %v; %d applied", a, err, f.appliedCount())
 	}
-	var remote *RemoteError
-	if _, err := c.Do(t.Context(), Command{Operation: "o", Fence: 1, Kind: Resume}); !errors.As(err, &remote) || remote.Code != 409 {
+	_, err := c.Do(t.Context(), Command{Operation: "o", Fence: 1, Kind: Resume})
+	if !isRemoteError(err, http.StatusConflict) {
 		t.Errorf("the same operation with other contents: %v", err)
 	}
 	if s, err := c.Status(t.Context()); err != nil || s.Operation != "p" || s.Fence != 9 || s.Boot != "boot" {
@@ -131,7 +133,7 @@
 // Requests that are too large, incomplete, slow or malformed end with an error and delay no other.
 func TestServer_MalformedRequest_AnswersError(t *testing.T) {
 	f := &fakeInstance{}
-	path, c := startFake(t, f)
+	path, c := startServer(t, f)
 	head := "POST /v1/command HTTP/1.1\r\nHost: x\r\nConnection: close\r\nContent-Length: "
 	for name, text := range map[string]string{
 		"huge":     head + "99999999\r\n\r\n{\"operation\":\"" + strings.Repeat("x", 200_000),
@@ -172,7 +174,7 @@
 
 func TestWatch_StatusChanges_StreamsLine(t *testing.T) {
 	f := &fakeInstance{}
-	_, c := startFake(t, f)
+	_, c := startServer(t, f)
 	n := 0
 	err := c.Stream(t.Context(), "/v1/watch", func(line []byte) bool {
 		n++
@@ -190,7 +192,7 @@
 }
 
 func TestListenUnix_PathInUse_Fails(t *testing.T) {
-	path, _ := startFake(t, &fakeInstance{})
+	path, _ := startServer(t, &fakeInstance{})
 	if l, err := ListenUnix(path, minConns); err == nil {
 		_ = l.Close()
 		t.Error("two servers listen on one socket")
@@ -235,8 +237,11 @@
 	if _, err := s.Apply(Command{Operation: "last", Fence: 7, Kind: Resume}); !errors.Is(err, f.applyErr) {
 		t.Errorf("with a fence: %v", err)
 	}
-	if op, fence := s.register.Current(); op != "next" || fence != 6 || len(s.register.answerOrder) != len(s.register.answers) {
-		t.Errorf("%s with fence %d is in effect, %d places for %d answers", op, fence, len(s.register.answerOrder), len(s.register.answers))
+	if operation, fence := s.register.Current(); operation != "next" || fence != 6 {
+		t.Errorf("%s with fence %d is in effect", operation, fence)
+	}
+	if places, answers := len(s.register.answerOrder), len(s.register.answers); places != answers {
+		t.Errorf("%d places for %d answers", places, answers)
 	}
 	f.applyErr = nil
 	apply("last", 7, Resume, Done)
