--- /dev/null
+++ b/internal/fleet/simulatedinstance_test.go
@@ -0,0 +1,62 @@
+package fleet
+
+import (
+	"fmt"
+	"time"
+
+	"onyxstream/internal/control"
+)
+
+type simulatedInstance struct {
+	name        string
+	boot        int
+	register    *control.Register
+	draining    bool
+	drainedAt   time.Duration // when its last connection closes
+	up          bool
+	partitioned bool // from the agent
+	overrides   map[string]bool
+}
+
+func (x *simulatedInstance) restart() {
+	x.boot++
+	x.register = control.NewRegister(x.bootID())
+	x.draining = false
+	x.overrides = map[string]bool{}
+}
+
+// bootID identifies the instance's start.
+func (x *simulatedInstance) bootID() string { return fmt.Sprint(x.name, "-", x.boot) }
+
+func (x *simulatedInstance) status(now time.Duration) control.Status {
+	s := control.Status{Name: x.name, Boot: x.bootID(), State: control.Serving}
+	s.Operation, s.Fence = x.register.Current()
+	if x.draining {
+		s.State = control.Draining
+		if now >= x.drainedAt {
+			s.State = control.Drained
+		}
+	}
+	return s
+}
+
+func (x *simulatedInstance) apply(sim *simulation, c control.Command) {
+	switch c.Kind {
+	case control.Drain:
+		x.draining = true
+		x.drainedAt = sim.now + time.Duration(sim.rng.Int64N(2e9))
+	case control.Resume:
+		x.draining = false
+	case control.HostDrain, control.HostResume:
+		x.overrides[c.Host] = c.Kind == control.HostDrain
+	}
+	draining := 0
+	for _, other := range sim.instances {
+		if other.draining {
+			draining++
+		}
+	}
+	if draining > sim.maxDraining {
+		sim.t.Fatalf("%v: %d instances drain, the limit is %d", sim.now, draining, sim.maxDraining)
+	}
+}
--- a/internal/fleet/simulation_test.go
+++ b/internal/fleet/simulation_test.go
@@ -42,17 +42,6 @@
 	run func()
 }
 
-type simulatedInstance struct {
-	name        string
-	boot        int
-	register    *control.Register
-	draining    bool
-	drainedAt   time.Duration // when its last connection closes
-	up          bool
-	partitioned bool // from the agent
-	overrides   map[string]bool
-}
-
 // crashPoint says when the agent crashes in a step.
 type crashPoint int
 
@@ -86,16 +75,6 @@
 	return sim
 }
 
-func (x *simulatedInstance) restart() {
-	x.boot++
-	x.register = control.NewRegister(x.bootID())
-	x.draining = false
-	x.overrides = map[string]bool{}
-}
-
-// bootID identifies the instance's start.
-func (x *simulatedInstance) bootID() string { return fmt.Sprint(x.name, "-", x.boot) }
-
 func (sim *simulation) schedule(delay time.Duration, run func()) {
 	sim.events = append(sim.events, event{sim.now + delay, run})
 }
@@ -158,18 +137,6 @@
 	sim.schedule(300*time.Millisecond+time.Duration(sim.rng.Int64N(3e8)), func() { sim.poll(name) })
 }
 
-func (x *simulatedInstance) status(now time.Duration) control.Status {
-	s := control.Status{Name: x.name, Boot: x.bootID(), State: control.Serving}
-	s.Operation, s.Fence = x.register.Current()
-	if x.draining {
-		s.State = control.Draining
-		if now >= x.drainedAt {
-			s.State = control.Drained
-		}
-	}
-	return s
-}
-
 // delays returns the delays of a request and its answer: mostly short, at times seconds.
 func (sim *simulation) delays() (request, answer time.Duration) {
 	one := func() time.Duration {
@@ -226,27 +193,6 @@
 	})
 }
 
-func (x *simulatedInstance) apply(sim *simulation, c control.Command) {
-	switch c.Kind {
-	case control.Drain:
-		x.draining = true
-		x.drainedAt = sim.now + time.Duration(sim.rng.Int64N(2e9))
-	case control.Resume:
-		x.draining = false
-	case control.HostDrain, control.HostResume:
-		x.overrides[c.Host] = c.Kind == control.HostDrain
-	}
-	draining := 0
-	for _, other := range sim.instances {
-		if other.draining {
-			draining++
-		}
-	}
-	if draining > sim.maxDraining {
-		sim.t.Fatalf("%v: %d instances drain, the limit is %d", sim.now, draining, sim.maxDraining)
-	}
-}
-
 // step does what the agent does after an event, with a crash before or after the write, if any.
 func (sim *simulation) step(crash crashPoint) {
 	change, deliveries, wake := sim.fleet.Next(sim.now)
