--- a/internal/multiprocess/overrides.go
+++ b/internal/multiprocess/overrides.go
@@ -120,7 +120,7 @@
 		if err := c.controlServer.ApplyManual(command); err != nil {
 			c.appliedSerial = appliedBefore // the next sync tries again
 			c.log.Error("override of another process could not be applied",
-				zap.String("kind", command.Kind), zap.String("host", command.Host), zap.Error(err))
+				zap.String("kind", string(command.Kind)), zap.String("host", command.Host), zap.Error(err))
 		}
 	}
 	for _, override := range state.Overrides {
