--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -33,8 +33,8 @@
 
 // homeEntry is the entry of the table that a request without a group belongs to.
 func homeEntry(b *Balancer, r *request) int {
-	at, place, places := b.home(r)
-	return b.entry(at, place, places, 0)
+	at, place, places := b.preferredEntry(r)
+	return b.candidateEntry(at, place, places, 0)
 }
 
 func sends(actions []Action) (out []Send) {
@@ -75,7 +75,7 @@
 		if len(x) != 1 || len(y) != 1 {
 			t.Fatal("no send")
 		}
-		if first := b.table.hops(homeEntry(b, &request{Arrival: a}))[1]; !b.over(first, 1) && x[0].Server != first.id && first.conns < skipFloor {
+		if first := b.table.hops(homeEntry(b, &request{Arrival: a}))[1]; !b.isOverloaded(first, 1) && x[0].Server != first.id && first.connections < minOverloadConnections {
 			t.Errorf("key %d left its first hop %s for %s", i, first.id, x[0].Server)
 		}
 		b.Handle(0, AttemptEnded{ID: a.ID, Outcome: Served, Final: true})
@@ -97,7 +97,7 @@
 	if n, _ := finals(out, "q"); n != 1 || len(sends(out)) != 0 {
 		t.Error("an emptied list still draws sends")
 	}
-	if len(b.reqs) != 0 {
+	if len(b.requests) != 0 {
 		t.Error("a refused request is still held")
 	}
 }
@@ -149,7 +149,7 @@
 					if now += 5 * ms; now > 3*time.Second {
 						t.Fatal("a request that waits its turn was lost")
 					}
-					out = b.Handle(now, Timer{Token: waitToken})
+					out = b.Handle(now, Timer{Token: pacingToken})
 				}
 				again = sends(out)
 			}
@@ -182,7 +182,7 @@
 		t.Errorf("got %v, want a cancel", out)
 	}
 	out = b.Handle(2*ms, AttemptEnded{ID: "r", Outcome: Cancelled, Final: true})
-	if len(out) != 0 || len(b.reqs) != 0 {
+	if len(out) != 0 || len(b.requests) != 0 {
 		t.Error("the request is not freed with its last attempt")
 	}
 	for _, e := range []Event{ClientDisconnected{ID: "r"}, AttemptEnded{ID: "r"}, Established{ID: "r"}, LoadReport{ID: "r", Load: 1},
@@ -220,11 +220,11 @@
 		}
 		s := b.servers[bad]
 		b.now = s.ejectedUntil + ms
-		if b.ejected(s) {
+		if b.isEjected(s) {
 			t.Error("it is never tried again")
 		}
 		b.recordSuccess(s)
-		if s.failures != 0 || b.ejected(s) {
+		if s.consecutiveFailures != 0 || b.isEjected(s) {
 			t.Error("a success does not clear it")
 		}
 	}
@@ -257,7 +257,7 @@
 				sent++
 				at := a
 				defer func() {
-					take(b.Handle(now, AttemptEnded{ID: at.ID, Attempt: len(b.reqs[at.ID].attempts) - 1, Took: 10 * ms, Outcome: Errored}))
+					take(b.Handle(now, AttemptEnded{ID: at.ID, Attempt: len(b.requests[at.ID].attempts) - 1, Took: 10 * ms, Outcome: Errored}))
 				}()
 			case Reject:
 				answered[a.ID] = true
@@ -282,19 +282,19 @@
 		for i := 0; i < len(wakes); i++ {
 			if wakes[i] <= now {
 				wakes = append(wakes[:i], wakes[i+1:]...)
-				take(append([]Action(nil), b.Handle(now, Timer{Token: waitToken})...))
+				take(append([]Action(nil), b.Handle(now, Timer{Token: pacingToken})...))
 				break
 			}
 		}
 	}
-	if len(answered) != 100 || len(b.reqs) != 0 {
-		t.Errorf("%d of 100 answered, %d held", len(answered), len(b.reqs))
+	if len(answered) != 100 || len(b.requests) != 0 {
+		t.Errorf("%d of 100 answered, %d held", len(answered), len(b.requests))
 	}
 }
 
 func TestColdServerGetsItsShareOnly(t *testing.T) {
 	b := started(t, testSettings(), 5)
-	b.rate = 2 // connections a second over the warm five
+	b.setupRate = 2 // connections a second over the warm five
 	b.Handle(0, ListEvent{Kind: ListDelta, Revision: 2, Servers: []Server{{ID: "cold", Weight: 2, StartedAt: time.Nanosecond}}})
 	n := 0
 	for i := range 400 {
@@ -317,7 +317,7 @@
 	b := New(testSettings())
 	watches := 0
 	run := func(from, to time.Duration) {
-		for now := from; now < to; now += sweepEvery {
+		for now := from; now < to; now += sweepInterval {
 			for _, a := range b.Handle(now, Timer{Token: sweepToken}) {
 				if _, ok := a.(WatchList); ok {
 					watches++
@@ -374,10 +374,10 @@
 	if b.sendInterval == 0 {
 		t.Fatal("errors of one set-up after another do not pace")
 	}
-	for now := sweepEvery; now < 10*time.Second; now += sweepEvery {
-		b.Handle(now, Timer{Token: waitToken})
+	for now := sweepInterval; now < 10*time.Second; now += sweepInterval {
+		b.Handle(now, Timer{Token: pacingToken})
 		b.Handle(now, Timer{Token: sweepToken})
-		if r := b.reqs["r"]; r != nil && len(r.attempts) > 1 && r.conn == nil {
+		if r := b.requests["r"]; r != nil && len(r.attempts) > 1 && r.establishedOn == nil {
 			b.Handle(now, Established{ID: "r", Attempt: len(r.attempts) - 1, Took: 20 * ms})
 		}
 	}
@@ -417,7 +417,7 @@
 	}
 	b.Handle(6*ms, ClientDisconnected{ID: "mid"})
 	var left []RequestID
-	for now := sweepEvery; now < 10*time.Second; now += sweepEvery {
+	for now := sweepInterval; now < 10*time.Second; now += sweepInterval {
 		left = append(left, moves(b.Handle(now, Timer{Token: sweepToken}))...)
 		if share, gone := float64(len(left))/50, float64(now)/float64(10*time.Second); share > gone+0.1 || share < gone-0.1 {
 			t.Fatalf("%g of all are sent away after %g of the time", share, gone)
@@ -432,7 +432,7 @@
 		t.Errorf("a client of a front that has not noticed yet is answered %v", out)
 	}
 	b.Handle(11*time.Second+2*ms, Established{ID: "unaware", Server: sends(out)[0].Server})
-	for now := 12 * time.Second; now < 20*time.Second; now += sweepEvery {
+	for now := 12 * time.Second; now < 20*time.Second; now += sweepInterval {
 		if out = b.Handle(now, Timer{Token: sweepToken}); len(moves(out)) > 0 {
 			t.Fatalf("of what is to stay, %v is sent away", moves(out))
 		}
@@ -470,7 +470,7 @@
 						if !asked {
 							continue
 						}
-						if most := 4*time.Second + sweepEvery; fails == 0 && now-since > most {
+						if most := 4*time.Second + sweepInterval; fails == 0 && now-since > most {
 							t.Fatalf("%d nodes, %v: first asked after %v", nodes, within, now-since)
 						}
 						if fails > 0 {
--- a/balancer/invariants_test.go
+++ b/balancer/invariants_test.go
@@ -110,7 +110,7 @@
 				}
 			default:
 				step(Timer{Token: sweepToken})
-				step(Timer{Token: waitToken})
+				step(Timer{Token: pacingToken})
 			}
 		}
 		// When every attempt has ended, nothing is held.
@@ -123,14 +123,14 @@
 				}
 			}
 			now += 3 * time.Second
-			step(Timer{Token: waitToken})
+			step(Timer{Token: pacingToken})
 		}
 		for _, n := range nodes {
-			if len(n.reqs) != 0 || len(n.pacingQueue) != 0 {
-				t.Fatalf("seed %d: %d requests are still held", seed, len(n.reqs))
+			if len(n.requests) != 0 || len(n.pacingQueue) != 0 {
+				t.Fatalf("seed %d: %d requests are still held", seed, len(n.requests))
 			}
 			for _, s := range n.servers {
-				if s.conns != 0 || len(s.groups) != 0 || s.load != 0 {
+				if s.connections != 0 || len(s.groups) != 0 || s.load != 0 {
 					t.Fatalf("seed %d: server %s keeps %+v", seed, s.id, s)
 				}
 			}
--- a/balancer/jam_test.go
+++ b/balancer/jam_test.go
@@ -193,7 +193,7 @@
 	c.id, c.node, c.attempt = RequestID(fmt.Sprintf("c%07d", j.n)), j.rng.IntN(len(j.fleet)), 0
 	j.clients[c.id] = c
 	b := j.fleet[c.node]
-	j.do(c.node, b, Arrival{ID: c.id, Key: c.key, Class: c.class, TimeLeft: b.set.Classes[c.class].Deadline,
+	j.do(c.node, b, Arrival{ID: c.id, Key: c.key, Class: c.class, TimeLeft: b.settings.Classes[c.class].Deadline,
 		Retry: c.tries > 0, Reconnect: c.tries > 0})
 }
 
@@ -325,7 +325,7 @@
 		for _, a := range b.Handle(at, e) {
 			switch a := a.(type) {
 			case SetTimer:
-				if a.Token == waitToken {
+				if a.Token == pacingToken {
 					wakes++
 				}
 			case Send:
@@ -340,8 +340,8 @@
 		t.Errorf("30 wait, %d sent, %d timers are set; want 1", sent, wakes)
 	}
 	for i := range 40 { // good ones that were sent since, all in one instant
-		b.observeSetup(&request{}, &attempt{to: b.servers["a"], at: at}, ms, false)
-		if handle(Timer{Token: waitToken}); b.sendInterval > 0 && b.sendInterval <= tick {
+		b.observeSetup(&request{}, &attempt{server: b.servers["a"], sentAt: at}, ms, false)
+		if handle(Timer{Token: pacingToken}); b.sendInterval > 0 && b.sendInterval <= timerTolerance {
 			t.Fatalf("after %d good set-ups one in %v is sent", i+1, b.sendInterval)
 		}
 	}
@@ -374,7 +374,7 @@
 		}
 		for _, id := range c.on {
 			b.now += ms
-			b.observeSetup(&request{}, &attempt{to: b.servers[id], at: b.now}, b.set.Classes[0].SetupLatencyObjective, true)
+			b.observeSetup(&request{}, &attempt{server: b.servers[id], sentAt: b.now}, b.settings.Classes[0].SetupLatencyObjective, true)
 		}
 		if paced := b.sendInterval > 0; paced != c.paced {
 			t.Errorf("%s: paced %v, want %v", c.name, paced, c.paced)
--- a/balancer/load_test.go
+++ b/balancer/load_test.go
@@ -35,20 +35,20 @@
 	b, s := crowded(t, testSettings(), 20)
 	// Half a second of work piles up in a second: it is asked 1.5 times what it can do.
 	out := b.Handle(time.Second, LatencyReport{ID: "open0", Latency: 500 * ms})
-	if want := 2000 * headroom / 1.5; s.limit < want*0.99 || s.limit > want*1.01 {
-		t.Errorf("limit %.0f, want %.0f", s.limit, want)
+	if want := 2000 * headroom / 1.5; s.loadLimit < want*0.99 || s.loadLimit > want*1.01 {
+		t.Errorf("limit %.0f, want %.0f", s.loadLimit, want)
 	}
 	if n := len(moves(out)); n != 8 {
 		t.Errorf("%d of 20 connections moved, want 8", n)
 	}
 	// The backlog falls by a third of a second in a second: that is fast enough.
-	before := s.limit
-	if out := b.Handle(2*time.Second, LatencyReport{ID: "open0", Latency: 160 * ms}); len(moves(out)) != 0 || s.limit != before {
+	before := s.loadLimit
+	if out := b.Handle(2*time.Second, LatencyReport{ID: "open0", Latency: 160 * ms}); len(moves(out)) != 0 || s.loadLimit != before {
 		t.Error("a backlog that drains was answered with another cut")
 	}
 	// Long after, the limit has grown back.
-	b.now = 2*time.Second + b.recover
-	if b.full(s, &request{}, 100) {
+	b.now = 2*time.Second + b.limitRecovery
+	if b.exceedsLimit(s, &request{}, 100) {
 		t.Error("the limit does not grow back")
 	}
 }
@@ -62,8 +62,8 @@
 		t.Errorf("%d moved well before lateness", len(moves(out)))
 	}
 	out := b.Handle(2*time.Second, LatencyReport{ID: "open0", Latency: aim * 9 / 20})
-	if n := len(moves(out)); n < 2 || n > 6 || s.limit == 0 {
-		t.Errorf("%d of 20 moved, limit %.0f: a few are to go", n, s.limit)
+	if n := len(moves(out)); n < 2 || n > 6 || s.loadLimit == 0 {
+		t.Errorf("%d of 20 moved, limit %.0f: a few are to go", n, s.loadLimit)
 	}
 }
 
@@ -80,8 +80,8 @@
 		t.Errorf("%v between sends after thirty in the first second", b.sendInterval)
 	}
 	b.now = time.Minute
-	if usual, _ := b.baselineInterval(); usual != b.recover {
-		t.Errorf("a minute later, with nobody come since, one in %v is usual, want %v", usual, b.recover)
+	if usual, _ := b.baselineInterval(); usual != b.limitRecovery {
+		t.Errorf("a minute later, with nobody come since, one in %v is usual, want %v", usual, b.limitRecovery)
 	}
 }
 
@@ -91,23 +91,23 @@
 	set := testSettings()
 	set.Classes[1].PriorityWeight = 1
 	b, _ := crowded(t, set, 20)
-	b.means[0], b.means[1] = 100, 1000 // the second class asks ten times as much for the same worth
+	b.classMeanLoads[0], b.classMeanLoads[1] = 100, 1000 // the second class asks ten times as much for the same worth
 	for _, id := range []RequestID{"open0", "open1"} {
 		b.Handle(time.Second, LatencyReport{ID: id, Latency: 400 * ms})
 	}
 	fits := func(class int) bool {
-		r := &request{Arrival: Arrival{Class: class, Tenant: len(b.tenants) - 1}}
-		return !b.full(b.servers["a"], r, 100) || !b.full(b.servers["b"], r, 100)
+		r := &request{Arrival: Arrival{Class: class, Tenant: len(b.tenantConnections) - 1}}
+		return !b.exceedsLimit(b.servers["a"], r, 100) || !b.exceedsLimit(b.servers["b"], r, 100)
 	}
 	for _, s := range b.servers {
-		s.load = 0.92 * s.limit
-		s.limit += 100
+		s.load = 0.92 * s.loadLimit
+		s.loadLimit += 100
 	}
 	if !fits(0) || fits(1) {
 		t.Errorf("near its limit a server fits class 0: %v, class 1: %v; want true, false", fits(0), fits(1))
 	}
 	for _, s := range b.servers {
-		s.load = 2 * s.limit
+		s.load = 2 * s.loadLimit
 	}
 	out := b.Handle(time.Second+ms, Arrival{ID: "late", Key: "k", TimeLeft: time.Second})
 	if n, refused := finals(out, "late"); n != 1 || !refused || len(sends(out)) != 0 {
@@ -126,16 +126,16 @@
 	set.OverQuotaWeight = 0.1
 	b := started(t, set, 6)
 	r := &request{Arrival: Arrival{Tenant: 0}}
-	b.tenants[0] = 3 // its share over three nodes
-	if v := b.value(r); v != 1 {
+	b.tenantConnections[0] = 3 // its share over three nodes
+	if v := b.relativeValue(r); v != 1 {
 		t.Errorf("value %.2f within the share, want 1", v)
 	}
-	b.tenants[0] = 4
-	if v := b.value(r); v < 0.09 || v > 0.11 {
+	b.tenantConnections[0] = 4
+	if v := b.relativeValue(r); v < 0.09 || v > 0.11 {
 		t.Errorf("value %.2f over the share, want 0.1", v)
 	}
-	b.tenants[1] = 1000
-	if v := b.value(&request{Arrival: Arrival{Tenant: 1}}); v != 1 {
+	b.tenantConnections[1] = 1000
+	if v := b.relativeValue(&request{Arrival: Arrival{Tenant: 1}}); v != 1 {
 		t.Errorf("value %.2f for a tenant without a known share, want 1", v)
 	}
 	// Tenants that the settings do not know are no fault.
@@ -159,16 +159,16 @@
 		}
 	}
 	for i := range 6 {
-		b.arrive(Arrival{ID: RequestID(fmt.Sprint("h", i)), TimeLeft: time.Second}, home)
+		b.handleArrival(Arrival{ID: RequestID(fmt.Sprint("h", i)), TimeLeft: time.Second}, home)
 	}
-	b.arrive(Arrival{ID: "held", Group: "g", TimeLeft: time.Second}, holder)
+	b.handleArrival(Arrival{ID: "held", Group: "g", TimeLeft: time.Second}, holder)
 	for i, s := range b.table.holders {
 		if s != home && s != holder {
-			b.arrive(Arrival{ID: RequestID(fmt.Sprint("x", i)), TimeLeft: time.Second}, s)
+			b.handleArrival(Arrival{ID: RequestID(fmt.Sprint("x", i)), TimeLeft: time.Second}, s)
 		}
 	}
-	b.weigh()
-	if !b.over(home, 1) {
+	b.updateTotals()
+	if !b.isOverloaded(home, 1) {
 		t.Fatal("the group's first hop is not over the bound")
 	}
 	out := sends(b.Handle(0, Arrival{ID: "r", Group: "g", Key: "k", TimeLeft: time.Second}))
@@ -184,26 +184,26 @@
 	b.now = time.Minute
 	r := &request{Arrival: Arrival{Group: "g", Key: "k"}, load: 1}
 	var near []*server
-	for i := homeEntry(b, r); len(near) < groupReach+1; i++ {
+	for i := homeEntry(b, r); len(near) < maxGroupProbes+1; i++ {
 		if s := b.table.first[i%len(b.table.first)]; len(near) == 0 || near[len(near)-1] != s && near[0] != s {
 			near = append(near, s)
 		}
 	}
 	for _, s := range b.table.holders {
-		s.limit, s.limitAt = 100, b.now
+		s.loadLimit, s.limitedAt = 100, b.now
 	}
-	b.weigh()
-	for i, s := range near[:groupReach] {
-		if got := b.place(r); got != s {
+	b.updateTotals()
+	for i, s := range near[:maxGroupProbes] {
+		if got := b.selectServer(r); got != s {
 			t.Fatalf("choice %d is %v, want %s", i, got, s.id)
 		}
 		s.load = 100 // it has no room left
 	}
-	if got := b.place(r); got != nil {
+	if got := b.selectServer(r); got != nil {
 		t.Errorf("the group went on to %s", got.id)
 	}
-	near[groupReach].groups["g"] = 1
-	if got := b.place(r); got != near[groupReach] {
+	near[maxGroupProbes].groups["g"] = 1
+	if got := b.selectServer(r); got != near[maxGroupProbes] {
 		t.Error("the group is not put where it stands already")
 	}
 }
@@ -215,19 +215,19 @@
 	b := started(t, s, 10)
 	b.now = time.Minute
 	for i, s := range b.table.holders {
-		if s.conns, s.load = 1, 1; i < 4 {
-			s.limit, s.limitAt = 0.1, b.now
+		if s.connections, s.load = 1, 1; i < 4 {
+			s.loadLimit, s.limitedAt = 0.1, b.now
 		}
 	}
-	b.weigh()
+	b.updateTotals()
 	r := &request{Arrival: Arrival{Group: "g", Key: "k"}, load: 1}
 	met := map[*server]bool{}
-	for s := b.place(r); s != nil && len(met) < 10; s = b.place(r) {
+	for s := b.selectServer(r); s != nil && len(met) < 10; s = b.selectServer(r) {
 		met[s] = true
-		s.limit, s.limitAt, s.load = 0.1, b.now, 100
+		s.loadLimit, s.limitedAt, s.load = 0.1, b.now, 100
 	}
-	if len(met) > lowSampleReach || len(met) == 0 {
-		t.Errorf("a group that finds no room goes to %d hosts, %d would do", len(met), lowSampleReach)
+	if len(met) > lowSampleGroupProbes || len(met) == 0 {
+		t.Errorf("a group that finds no room goes to %d hosts, %d would do", len(met), lowSampleGroupProbes)
 	}
 }
 
@@ -241,10 +241,10 @@
 	b.Handle(time.Second, Arrival{ID: "waits", Key: "b", TimeLeft: time.Second})
 	// The timer comes at its time, cut to the microsecond.
 	at := time.Second + 10*ms
-	if out := b.Handle(at, Timer{waitToken}); len(sends(out)) != 1 {
+	if out := b.Handle(at, Timer{pacingToken}); len(sends(out)) != 1 {
 		t.Errorf("the turn has come, and the actions are %v", out)
 	}
-	if out := b.Handle(at+2*ms, Timer{waitToken}); len(out) != 0 {
+	if out := b.Handle(at+2*ms, Timer{pacingToken}); len(out) != 0 {
 		t.Errorf("nobody waits any more, and the actions are %v", out)
 	}
 }
@@ -259,12 +259,12 @@
 		}
 	}
 	broken(time.Second, 0, 2)
-	if s.limit != 0 || b.ejected(s) {
+	if s.loadLimit != 0 || b.isEjected(s) {
 		t.Fatal("one broken connection of twenty limits its server")
 	}
 	broken(3*time.Second, 2, 40)
-	if want := 1900 * headroom / 2; s.limit != want || !b.ejected(s) {
-		t.Errorf("limit %.0f, ejected %v; want %.0f, true", s.limit, b.ejected(s), want)
+	if want := 1900 * headroom / 2; s.loadLimit != want || !b.isEjected(s) {
+		t.Errorf("limit %.0f, ejected %v; want %.0f, true", s.loadLimit, b.isEjected(s), want)
 	}
 	for i := range 20 {
 		a := Arrival{ID: RequestID(fmt.Sprint("back", i)), Key: fmt.Sprint(2 * i), TimeLeft: time.Second, Reconnect: true}
@@ -274,12 +274,12 @@
 			}
 		}
 	}
-	if b.now = 3*time.Second + b.recover; b.ejected(s) || b.full(s, &request{}, 100) {
+	if b.now = 3*time.Second + b.limitRecovery; b.isEjected(s) || b.exceedsLimit(s, &request{}, 100) {
 		t.Error("the limit does not grow back")
 	}
 	// Of two connections that a server had here both broken is no chance; of one it may well be.
 	b, s = crowded(t, testSettings(), 1)
-	if broken(time.Second, 0, 1); s.limit != 0 {
+	if broken(time.Second, 0, 1); s.loadLimit != 0 {
 		t.Error("the only connection broken limits the server")
 	}
 }
@@ -289,7 +289,7 @@
 	b, _ := crowded(t, testSettings(), 0)
 	fail := func(on ServerID) {
 		b.now += time.Millisecond
-		b.observeSetup(&request{}, &attempt{to: b.servers[on], at: b.now}, 2*b.set.Classes[0].SetupLatencyObjective, true)
+		b.observeSetup(&request{}, &attempt{server: b.servers[on], sentAt: b.now}, 2*b.settings.Classes[0].SetupLatencyObjective, true)
 	}
 	for i := range 8 {
 		if fail("a"); b.sendInterval > 0 {
@@ -318,7 +318,7 @@
 	key := func() string { // one that leads to a
 		for i := 0; ; i++ {
 			r := &request{Arrival: Arrival{Key: fmt.Sprint("key", i)}}
-			if h, place, places := b.home(r); b.table.first[b.entry(h, place, places, 0)] == b.servers["a"] {
+			if h, place, places := b.preferredEntry(r); b.table.first[b.candidateEntry(h, place, places, 0)] == b.servers["a"] {
 				return r.Key
 			}
 		}
@@ -342,7 +342,7 @@
 	}
 	out(at+6*time.Second, Live)
 	out(at+7*time.Second, Draining)
-	if come(at+10*time.Second, "out again"); on["b"] != 1 || len(b.returning) > 0 {
+	if come(at+10*time.Second, "out again"); on["b"] != 1 || len(b.reinstated) > 0 {
 		t.Errorf("out again: %v", on)
 	}
 }
--- a/balancer/midflow_test.go
+++ b/balancer/midflow_test.go
@@ -33,7 +33,7 @@
 		t.Errorf("mid-flow within the grace went to %s, want s02", got)
 	}
 	// Told at the start of one turn and sent at the end of another, a send of the grace's last moment came behind it.
-	if got := send("late", 1000*ms+b.set.DrainGrace*19/20, true); got == "s02" {
+	if got := send("late", 1000*ms+b.settings.DrainGrace*19/20, true); got == "s02" {
 		t.Error("mid-flow at the very end of the grace was sent to a draining server")
 	}
 
--- a/balancer/pacing_test.go
+++ b/balancer/pacing_test.go
@@ -59,7 +59,7 @@
 func (j *jam) restart(seed uint64, first, n int) {
 	for i := first; i < len(j.fleet); i += n {
 		old := j.fleet[i]
-		quota := old.set.Tenants[0].ConnectionQuota
+		quota := old.settings.Tenants[0].ConnectionQuota
 		j.do(i, old, Drain{Active: true, Deadline: j.now, AdmissionCutoff: j.now, KeepConnections: true})
 		j.fleet[i] = j.node(seed+1, i, len(j.fleet), quota)
 	}
@@ -175,7 +175,7 @@
 		}
 	}
 	for i, id := range []RequestID{"a", "b"} {
-		r := b.reqs[id]
+		r := b.requests[id]
 		b.now = 2400*ms + time.Duration(i)*ms
 		b.observeSetup(r, &r.attempts[0], 300*ms, true)
 	}
@@ -212,18 +212,18 @@
 	}
 	answered := 0
 	for at := 1100 * ms; at < 3*time.Second; at += 100 * ms { // nothing else tells
-		if n, _ := finals(b.Handle(at, Timer{Token: waitToken}), "r3"); n > 0 {
+		if n, _ := finals(b.Handle(at, Timer{Token: pacingToken}), "r3"); n > 0 {
 			answered++
 		}
 	}
 	if answered != 1 || len(b.pacingQueue) != 0 {
 		t.Errorf("who waited had %d answers, %d wait still", answered, len(b.pacingQueue))
 	}
-	for i := range 2 * maxAwaiting {
+	for i := range 2 * maxAwaitingSetup {
 		arrive(4*time.Second, RequestID(fmt.Sprint("more", i)))
 	}
-	if len(b.pacingQueue) > maxAwaiting {
-		t.Errorf("%d wait, %d may", len(b.pacingQueue), maxAwaiting)
+	if len(b.pacingQueue) > maxAwaitingSetup {
+		t.Errorf("%d wait, %d may", len(b.pacingQueue), maxAwaitingSetup)
 	}
 }
 
@@ -244,7 +244,7 @@
 	}
 	const look = 10 * ms
 	for waited := look; waited < 4*time.Second; waited += look {
-		for _, a := range b.Handle(begin+waited, Timer{Token: waitToken}) {
+		for _, a := range b.Handle(begin+waited, Timer{Token: pacingToken}) {
 			if r, ok := a.(Reject); ok {
 				answered[r.ID] = waited
 			}
--- a/balancer/ramp_test.go
+++ b/balancer/ramp_test.go
@@ -118,7 +118,7 @@
 	sent := func(now time.Duration, actions []Action) {
 		for _, q := range sends(actions) {
 			sum++
-			under = append(under, out{q.ID, len(b.reqs[q.ID].attempts) - 1, q.Server, now})
+			under = append(under, out{q.ID, len(b.requests[q.ID].attempts) - 1, q.Server, now})
 		}
 	}
 	play := func(from, to, every, takes time.Duration, fails bool) {
@@ -137,10 +137,10 @@
 					b.Handle(now, Established{ID: o.id, Attempt: o.attempt, Server: o.to, Took: takes})
 				}
 			}
-			if now%sweepEvery == 0 {
+			if now%sweepInterval == 0 {
 				sent(now, b.Handle(now, Timer{Token: sweepToken}))
 			}
-			sent(now, b.Handle(now, Timer{Token: waitToken}))
+			sent(now, b.Handle(now, Timer{Token: pacingToken}))
 		}
 	}
 	const calm, jam, over = time.Minute, 90 * time.Second, 20 * time.Second
--- a/balancer/size_test.go
+++ b/balancer/size_test.go
@@ -18,20 +18,20 @@
 func TestLargeGroupStandsOnServersByItsShare(t *testing.T) {
 	a, b := sized(t, 0, 2, 40), sized(t, 1, 2, 40)
 	for _, n := range []*Balancer{a, b} {
-		n.open, n.groups["big"], n.groups["small"] = 99, 30, 1
+		n.connectionCount, n.groupConnections["big"], n.groupConnections["small"] = 99, 30, 1
 	}
 	on := map[string]map[ServerID]bool{"big": {}, "small": {}}
 	for i := range 400 {
 		for g := range on {
 			r := &request{Arrival: Arrival{Group: g, Key: fmt.Sprint("k", i)}, load: 1}
-			x, y := a.place(r), b.place(r)
+			x, y := a.selectServer(r), b.selectServer(r)
 			if x == nil || y == nil || x.id != y.id {
 				t.Fatalf("%s of %s: %v at one node, %v at the other", r.Key, g, x, y)
 			}
 			on[g][x.id] = true
 		}
 	}
-	want := 1 + int(0.3*40/skipFactor)
+	want := 1 + int(0.3*40/overloadFactor)
 	if n := len(on["big"]); n > want || n < want*3/4 || len(on["small"]) != 1 { // two places may be one server's
 		t.Errorf("the large group stands on %d servers, want %d, the small one on %d", len(on["big"]), want, len(on["small"]))
 	}
@@ -55,12 +55,12 @@
 				key++
 				r := &request{Arrival: Arrival{Group: fmt.Sprint(day, "-", g), Key: fmt.Sprint(day, "k", key)}, load: 1}
 				n := all[key%nodes]
-				n.open, n.groups[r.Group] = 1, 1
-				on[n.place(r).id]++
+				n.connectionCount, n.groupConnections[r.Group] = 1, 1
+				on[n.selectServer(r).id]++
 				if key%20 == 0 && homeEntry(all[0], r) != homeEntry(n, r) {
 					t.Fatal("nodes that saw different traffic disagree on a client's place")
 				}
-				clear(n.groups)
+				clear(n.groupConnections)
 			}
 		}
 		for _, n := range on {
@@ -87,10 +87,10 @@
 			on := map[ServerID]bool{}
 			for k := range 20 {
 				r := &request{Arrival: Arrival{Group: fmt.Sprint("g", g), Key: fmt.Sprint("k", k)}, load: 1}
-				to := n.place(r)
+				to := n.selectServer(r)
 				for tried && gone(to.id) && len(r.attempts) < 3 { // refused: nobody is there
-					r.attempts = append(r.attempts, attempt{to: to, safe: true})
-					to = n.place(r)
+					r.attempts = append(r.attempts, attempt{server: to, notExecuted: true})
+					to = n.selectServer(r)
 				}
 				on[to.id] = true
 			}
@@ -113,7 +113,7 @@
 		t.Errorf("20 groups stand in %d places once the list has told", got)
 	}
 	for i := range 5 * 3600 { // an hour: it was made smaller for good
-		n.Handle(time.Second+time.Duration(i)*sweepEvery, Timer{Token: sweepToken})
+		n.Handle(time.Second+time.Duration(i)*sweepInterval, Timer{Token: sweepToken})
 	}
 	if got := count(false); got <= 20*2 {
 		t.Errorf("20 groups stand in %d places an hour later", got)
@@ -129,12 +129,12 @@
 	s := testSettings()
 	s.NodeCount, s.Tenants = 80, []Tenant{{ConnectionQuota: 350}}
 	n := started(t, s, 40)
-	on, same := map[*server]int{}, n.place(&request{Arrival: Arrival{Group: "g", Key: "k", ID: "first"}, load: 1})
+	on, same := map[*server]int{}, n.selectServer(&request{Arrival: Arrival{Group: "g", Key: "k", ID: "first"}, load: 1})
 	for i := range 40 {
 		r := &request{Arrival: Arrival{Group: "g", Key: "k", ID: RequestID(fmt.Sprint(i)), Reconnect: true}, load: 1}
-		on[n.place(r)]++
+		on[n.selectServer(r)]++
 		r.Reconnect, r.MidFlow = false, true // the packets of one that stands are looked for by the key alone
-		if n.place(r) != same {
+		if n.selectServer(r) != same {
 			t.Fatal("a connection that stands is not looked for where its key puts it")
 		}
 	}
@@ -182,7 +182,7 @@
 		per := map[time.Duration]int{}
 		for now := from; now < to; now += 20 * ms {
 			for _, n := range all {
-				if now%sweepEvery != 0 {
+				if now%sweepInterval != 0 {
 					continue
 				}
 				for _, a := range n.Handle(now, Timer{Token: sweepToken}) {
@@ -228,7 +228,7 @@
 func TestPaceDoesNotEaseBeforeOutcomesCanTell(t *testing.T) {
 	b := started(t, testSettings(), 6)
 	b.setupTime, b.sendInterval, b.pacedAt = time.Second, time.Second, 10*time.Second
-	for now := 10 * time.Second; now <= 12*time.Second; now += sweepEvery {
+	for now := 10 * time.Second; now <= 12*time.Second; now += sweepInterval {
 		if b.Handle(now, Timer{Token: sweepToken}); b.sendInterval != time.Second {
 			t.Fatalf("eased %v after the last trouble, a set-up takes %v", now-b.pacedAt, b.setupTime)
 		}
@@ -320,7 +320,7 @@
 						queue, last[i] = append(queue, &call{from: i, at: now}), now
 					}
 				}
-				if !n.watching && now-last[i] > n.set.PollInterval && now-from > n.set.PollInterval {
+				if !n.watching && now-last[i] > n.settings.PollInterval && now-from > n.settings.PollInterval {
 					t.Fatalf("node %d has not asked since %v, at %v", i, last[i], now)
 				}
 			}
@@ -400,16 +400,16 @@
 		in, r, s := 0, &request{load: 1}, (*server)(nil)
 		for g := range 200 {
 			r.Arrival = Arrival{Group: fmt.Sprint(g), Key: "k"}
-			if s = x.place(r); s.zone == 0 {
+			if s = x.selectServer(r); s.zone == 0 {
 				in++
 			}
-			if other := y.place(r); other.id != s.id {
+			if other := y.selectServer(r); other.id != s.id {
 				t.Fatalf("group %d stands at %s for one node and at %s for another", g, s.id, other.id)
 			}
 		}
 		y.Handle(time.Second, ListEvent{Kind: ListDelta, Revision: 2, Servers: []Server{{ID: s.id, State: Draining, Weight: 1}}})
 		r.MidFlow = true
-		if to := y.place(r); to == nil || to.id != s.id {
+		if to := y.selectServer(r); to == nil || to.id != s.id {
 			t.Errorf("price %g: a connection on a server that drains is looked for elsewhere", c.price)
 		}
 		if part := float64(in) / 200; part < c.least || part > c.most {
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -13,7 +13,7 @@
 	var all []*Balancer
 	for i := range nodes {
 		n := sized(t, i, nodes, servers)
-		n.rate = 0.25 // as when the day has settled
+		n.setupRate = 0.25 // as when the day has settled
 		all = append(all, n)
 	}
 	cold := Server{ID: "s99", Weight: 2, StartedAt: time.Minute}
@@ -21,7 +21,7 @@
 		n.Handle(time.Minute, ListEvent{Kind: ListDelta, Revision: 2, Servers: []Server{cold}})
 	}
 	set := testSettings()
-	rate := 0.25 * nodes * cold.Weight / all[0].weight // what the fleet's traffic comes to for its weight
+	rate := 0.25 * nodes * cold.Weight / all[0].fleetWeight // what the fleet's traffic comes to for its weight
 	var sent []time.Duration
 	for step := range 1000 { // ten seconds, in which all clients come back at once and again
 		now := time.Minute + time.Duration(step)*10*ms
@@ -83,7 +83,7 @@
 	}
 	for w, sent := range windows {
 		share := set.SlowStartFraction + (1-set.SlowStartFraction)*float64(w)*set.CollapseWindow.Seconds()/set.SlowStartDuration.Seconds()
-		budget := set.CollapseMultiple * share * quota * 4 / all[0].weight * set.CollapseWindow.Seconds()
+		budget := set.CollapseMultiple * share * quota * 4 / all[0].fleetWeight * set.CollapseWindow.Seconds()
 		if sent < budget/8 || sent > budget {
 			t.Errorf("window %d: %.0f connections of a budget of %.1f", w, sent, budget)
 		}
@@ -123,7 +123,7 @@
 	}
 	cold := spent(time.Minute, time.Minute)
 	warm := spent(time.Minute, time.Minute+set.SlowStartDuration-3*set.CollapseWindow)
-	fills := quota * 4 / all[0].weight / set.SlowStartDuration.Seconds() * set.CollapseWindow.Seconds() // what fills it over its warm-up
+	fills := quota * 4 / all[0].fleetWeight / set.SlowStartDuration.Seconds() * set.CollapseWindow.Seconds() // what fills it over its warm-up
 	if most := 3 * set.CollapseMultiple * fills * 2; warm < cold*3/2 || warm > most {
 		t.Errorf("%.0f connections in three windows while cold, %.0f when nearly warm, at most %.0f", cold, warm, most)
 	}
@@ -232,7 +232,7 @@
 		s := set
 		s.Seed, s.NodeIndex, s.NodeCount, s.Tenants = uint64(i)+1, i, nodes, []Tenant{{ConnectionQuota: quota}}
 		n := started(t, s, 10)
-		part = quota * fleetOf(1)[0].Weight / n.weight
+		part = quota * fleetOf(1)[0].Weight / n.fleetWeight
 		rows := fleetOf(3)
 		rows[0].StartedAt = time.Minute
 		n.Handle(time.Minute, ListEvent{Kind: ListSnapshot, Revision: 2, Servers: rows})
--- a/balancer/statelists.go
+++ b/balancer/statelists.go
@@ -11,12 +11,12 @@
 	filling  int          // how many fill
 }
 
-// set moves a server to a state.
-func (l *stateLists) set(s *server, to nodeState) {
+// move moves a server to a state.
+func (l *stateLists) move(s *server, to nodeState) {
 	switch s.state {
 	case active:
-		l.active = without(l.active, s)
-		l.groups[s.parity] = without(l.groups[s.parity], s)
+		l.active = removeByID(l.active, s)
+		l.groups[s.parity] = removeByID(l.groups[s.parity], s)
 	case draining:
 		l.draining[s.parity]--
 	case filling:
@@ -24,8 +24,8 @@
 	}
 	switch s.state = to; to {
 	case active:
-		l.active = with(l.active, s)
-		l.groups[s.parity] = with(l.groups[s.parity], s)
+		l.active = insertByID(l.active, s)
+		l.groups[s.parity] = insertByID(l.groups[s.parity], s)
 	case draining:
 		l.draining[s.parity]++
 	case filling:
@@ -44,14 +44,14 @@
 	}
 }
 
-// with puts a server into a list by id.
-func with(list []*server, s *server) []*server {
+// insertByID puts a server into a list by id.
+func insertByID(list []*server, s *server) []*server {
 	at, _ := slices.BinarySearchFunc(list, s, byID)
 	return slices.Insert(list, at, s)
 }
 
-// without takes a server out of a list by id.
-func without(list []*server, s *server) []*server {
+// removeByID takes a server out of a list by id.
+func removeByID(list []*server, s *server) []*server {
 	at, found := slices.BinarySearchFunc(list, s, byID)
 	if !found {
 		return list
--- a/balancer/statelists_test.go
+++ b/balancer/statelists_test.go
@@ -30,8 +30,8 @@
 			case 2:
 				if s.state != inactive {
 					tab.drain(s, now)
-					tab.drained(s)
-					tab.settle()
+					tab.remove(s)
+					tab.syncSecondHops()
 				}
 			default:
 				tab.progress(now, 200*time.Millisecond, 400*time.Millisecond, false)
@@ -43,21 +43,21 @@
 
 func checkLists(t *rapid.T, tab *table) {
 	l := tab.states
-	if got := tab.in(active); !slices.Equal(l.active, got) {
+	if got := tab.inState(active); !slices.Equal(l.active, got) {
 		t.Fatalf("active: %d are listed, %d are", len(l.active), len(got))
 	}
-	if got := len(tab.in(filling)); l.filling != got {
+	if got := len(tab.inState(filling)); l.filling != got {
 		t.Fatalf("filling: %d are counted, %d are", l.filling, got)
 	}
 	drains := [2]int{}
-	for _, s := range tab.in(draining) {
+	for _, s := range tab.inState(draining) {
 		drains[s.parity]++
 	}
 	if l.draining != drains {
 		t.Fatalf("draining: %v are counted, %v are", l.draining, drains)
 	}
 	for parity, group := range l.groups {
-		want := slices.DeleteFunc(tab.in(active), func(s *server) bool { return s.parity != parity })
+		want := slices.DeleteFunc(tab.inState(active), func(s *server) bool { return s.parity != parity })
 		if !slices.Equal(group, want) {
 			t.Fatalf("group %d: %d are listed, %d are", parity, len(group), len(want))
 		}
@@ -70,8 +70,8 @@
 		held[s]++
 	}
 	for _, s := range tab.holders {
-		if s.state != draining && s.entries != held[s] {
-			t.Fatalf("%s counts %d entries and holds %d", s.id, s.entries, held[s])
+		if s.state != draining && s.entryCount != held[s] {
+			t.Fatalf("%s counts %d entries and holds %d", s.id, s.entryCount, held[s])
 		}
 	}
 }
--- a/balancer/table.go
+++ b/balancer/table.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// minEntries is the least table size, four times the design's: shares stay even as servers are added later.
-const minEntries = 4096
+// minTableSize is the least table size, four times the design's: shares stay even as servers are added later.
+const minTableSize = 4096
 
 // In a large fleet a server's share is not s/2 entries, one for each server that it may go to in a drain, but at least
 // minShare: its load goes to that many others. With the square of the servers, 3,200 took 200 MB.
 const (
-	largeTable = 1 << 16
-	minShare   = 16
+	largeTableSize   = 1 << 16
+	minServerEntries = 16
 )
 
 // build lays a fresh table. Servers take entries in turn, as often as their listed weight says, each the next
@@ -42,7 +42,7 @@
 				at[n]++
 				i += mix(s.hash, 1) | 1
 			}
-			t.give(int(i%uint64(size)), s)
+			t.assign(int(i%uint64(size)), s)
 			t.second[i%uint64(size)] = s
 			left--
 		}
@@ -59,13 +59,13 @@
 	if t.states.draining == [2]int{} { // parity groups stand for as long as any server drains
 		t.states.regroup(t.holders)
 	}
-	t.states.set(x, draining)
+	t.states.move(x, draining)
 	x.changedAt, t.changing = now, true
 	to := t.receivers(x, spread)
-	for next, i := range x.places(t.first) {
-		t.give(i, to[next%len(to)])
+	for next, i := range x.ownEntries(t.first) {
+		t.assign(i, to[next%len(to)])
 	}
-	x.entries, x.at = 0, nil
+	x.entryCount, x.entryIndexes = 0, nil
 }
 
 // receivers are the servers that take over the entries of x: the active ones of the other parity group, or all of them;
@@ -76,7 +76,7 @@
 		to = t.states.active
 	}
 	if len(to) == 0 {
-		to = t.in(filling)
+		to = t.inState(filling)
 	}
 	if len(to) == 0 {
 		to = []*server{nil}
@@ -84,10 +84,10 @@
 	return to
 }
 
-// drained takes x out: it holds no entries, and with settle its second-hop entries copy the first hop.
-func (t *table) drained(x *server) {
-	t.states.set(x, inactive)
-	t.holders = without(t.holders, x)
+// remove takes x out: it holds no entries, and with settle its second-hop entries copy the first hop.
+func (t *table) remove(x *server) {
+	t.states.move(x, inactive)
+	t.holders = removeByID(t.holders, x)
 }
 
 // fill gives x two thirds of an even share, each entry the first occurrence of the active server that holds
@@ -99,38 +99,38 @@
 	givers := t.states.active
 	others := len(givers) + t.states.filling
 	n := fillCount(len(t.first), others)
-	t.states.set(x, filling)
+	t.states.move(x, filling)
 	x.changedAt, t.changing = now, true
-	t.holders = with(t.holders, x)
+	t.holders = insertByID(t.holders, x)
 	for i := 0; others == 0 && i < len(t.first); i++ {
 		if t.first[i] == nil { // the list had run empty
-			t.give(i, x)
+			t.assign(i, x)
 			t.second[i] = x
 		}
 	}
 	level := 0
 	for _, s := range givers {
-		level = max(level, s.entries)
+		level = max(level, s.entryCount)
 	}
 	for ; level > 0 && n > 0; level-- { // all that hold this many are the most frequent, in id order
 		for _, s := range givers {
-			if s.entries < level || n == 0 {
+			if s.entryCount < level || n == 0 {
 				continue
 			}
-			i := s.lowest(t.first)
-			s.entries--
+			i := s.firstEntry(t.first)
+			s.entryCount--
 			n--
 			t.second[i] = s
-			t.give(i, x)
+			t.assign(i, x)
 		}
 	}
 }
 
-// give hands a first-hop entry to s and keeps its count and which they are.
-func (t *table) give(i int, s *server) {
+// assign hands a first-hop entry to s and keeps its count and which they are.
+func (t *table) assign(i int, s *server) {
 	if t.first[i] = s; s != nil {
-		s.at, s.ordered = append(s.at, int32(i)), false
-		s.entries++
+		s.entryIndexes, s.entriesSorted = append(s.entryIndexes, int32(i)), false
+		s.entryCount++
 	}
 }
 
@@ -147,15 +147,15 @@
 	for _, s := range holders {
 		switch age := now - s.changedAt; {
 		case s.state == draining && age >= drain:
-			t.drained(s)
+			t.remove(s)
 		case s.state == filling && (age >= fill || idle):
-			t.states.set(s, active)
+			t.states.move(s, active)
 		default:
 			t.changing = t.changing || s.state != active
 		}
 	}
 	if len(t.holders) < len(holders) {
-		t.settle()
+		t.syncSecondHops()
 	}
 }
 
--- a/balancer/table_test.go
+++ b/balancer/table_test.go
@@ -19,7 +19,7 @@
 	t.states.regroup(t.holders)
 	for _, i := range layout {
 		t.first, t.second = append(t.first, nil), append(t.second, all[i])
-		t.give(len(t.first)-1, all[i])
+		t.assign(len(t.first)-1, all[i])
 	}
 	return t, all
 }
@@ -55,9 +55,9 @@
 	expect(t, tab, "000111222333135555666", "000111222333444555666")
 	tab.drain(s[2], 0) // the same group: it may drain at the same time
 	expect(t, tab, "000111135333135555666", "000111222333444555666")
-	tab.drained(s[2])
-	tab.drained(s[4])
-	tab.settle()
+	tab.remove(s[2])
+	tab.remove(s[4])
+	tab.syncSecondHops()
 	expect(t, tab, "000111135333135555666", "000111135333135555666")
 	if s[2].state != inactive || s[4].state != inactive || len(tab.holders) != 5 {
 		t.Error("the drained servers still hold a state")
@@ -79,9 +79,9 @@
 // The paper's fill example under DESIGN's rule: the most frequent active server, ties by id.
 func TestFillTakesTwoThirdsFromTheMostFrequent(t *testing.T) {
 	tab, all := tableOf("0123456", []int{0, 0, 0, 1, 1, 1, 1, 3, 5, 3, 3, 3, 1, 3, 5, 5, 5, 5, 6, 6, 6})
-	tab.drained(all[2])
-	tab.drained(all[4])
-	tab.settle()
+	tab.remove(all[2])
+	tab.remove(all[4])
+	tab.syncSecondHops()
 	x := &server{id: "4", weight: 1}
 	tab.fill(x, 0)
 	if n := fillCount(21, 5); n != 3 {
@@ -116,8 +116,8 @@
 func TestLastServerLeavesEmptyEntriesAndTheNextFillsThem(t *testing.T) {
 	tab, s := tableOf("0", []int{0, 0, 0})
 	tab.drain(s[0], 0)
-	tab.drained(s[0])
-	tab.settle()
+	tab.remove(s[0])
+	tab.syncSecondHops()
 	expect(t, tab, "---", "---")
 	tab.fill(&server{id: "7", weight: 1}, 0)
 	expect(t, tab, "777", "777")
@@ -145,12 +145,12 @@
 				held[s] = append(held[s], i)
 			}
 			for _, s := range b.table.holders {
-				if !slices.Equal(s.places(b.table.first), held[s]) || s.entries != len(held[s]) {
+				if !slices.Equal(s.ownEntries(b.table.first), held[s]) || s.entryCount != len(held[s]) {
 					t.Fatalf("seed %d, version %d: %s holds %d entries, known are %d, counted %d", seed, version, s.id, len(held[s]),
-						len(s.places(b.table.first)), s.entries)
+						len(s.ownEntries(b.table.first)), s.entryCount)
 				}
-				if len(held[s]) > 0 && s.lowest(b.table.first) != held[s][0] {
-					t.Fatalf("seed %d, version %d: the lowest of %s is %d, not %d", seed, version, s.id, s.lowest(b.table.first), held[s][0])
+				if len(held[s]) > 0 && s.firstEntry(b.table.first) != held[s][0] {
+					t.Fatalf("seed %d, version %d: the lowest of %s is %d, not %d", seed, version, s.id, s.firstEntry(b.table.first), held[s][0])
 				}
 			}
 			for i, s := range b.table.second {
