--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -33,8 +33,7 @@
 
 // homeEntry is the entry of the table that a request without a group belongs to.
 func homeEntry(b *Balancer, r *request) int {
-	at, place, places := b.preferredEntry(r)
-	return b.candidateEntry(at, place, places, 0)
+	return b.candidateEntry(b.preferredEntry(r), 0)
 }
 
 func sends(actions []Action) (out []Send) {
@@ -294,7 +293,7 @@
 
 func TestColdServerGetsItsShareOnly(t *testing.T) {
 	b := started(t, testSettings(), 5)
-	b.setupRate = 2 // connections a second over the warm five
+	b.rates.setups = 2 // connections a second over the warm five
 	b.Handle(0, ListEvent{Kind: ListDelta, Revision: 2, Servers: []Server{{ID: "cold", Weight: 2, StartedAt: time.Nanosecond}}})
 	n := 0
 	for i := range 400 {
@@ -367,11 +366,11 @@
 	for i, id := range []RequestID{"a", "b", "r"} {
 		b.Handle(0, Arrival{ID: id, Key: string(id), TimeLeft: time.Second})
 		b.Handle(20*ms, AttemptEnded{ID: id, Took: 20 * ms, Outcome: Errored})
-		if i == 0 && b.sendInterval > 0 { // it cost clients that do not come again their only try
+		if i == 0 && b.pacing.interval > 0 { // it cost clients that do not come again their only try
 			t.Fatal("a single error of a set-up paces")
 		}
 	}
-	if b.sendInterval == 0 {
+	if b.pacing.interval == 0 {
 		t.Fatal("errors of one set-up after another do not pace")
 	}
 	for now := sweepInterval; now < 10*time.Second; now += sweepInterval {
@@ -381,8 +380,8 @@
 			b.Handle(now, Established{ID: "r", Attempt: len(r.attempts) - 1, Took: 20 * ms})
 		}
 	}
-	if b.sendInterval > 0 {
-		t.Errorf("still paced at one in %v after ten quiet seconds", b.sendInterval)
+	if b.pacing.interval > 0 {
+		t.Errorf("still paced at one in %v after ten quiet seconds", b.pacing.interval)
 	}
 }
 
@@ -399,7 +398,7 @@
 	if len(sends(out)) != 1 {
 		t.Fatal("the node did not place before it drained")
 	}
-	b.pacingQueue = append(b.pacingQueue, &request{Arrival: Arrival{ID: "waits"}, deadline: time.Second})
+	b.pacing.queue = append(b.pacing.queue, &request{Arrival: Arrival{ID: "waits"}, deadline: time.Second})
 	out = b.Handle(2*ms, Drain{Active: true, Deadline: 10 * time.Second, RetryAfter: 1500 * ms})
 	if n, refused := finals(out, "waits"); n != 1 || !refused {
 		t.Error("what waits for its turn is not answered at once")
@@ -443,9 +442,9 @@
 	}
 }
 
-// Whatever calls to the list failed before, and however many nodes there are, the wish for the next one comes within
-// AskAgain, or twice that less what the call took where it failed soon; the first of a node within 4 s. Both are part of
-// what lies between a change and its being known.
+// Whatever calls to the list failed before, and however many nodes there are, the wish for the next one comes
+// within AskAgain, or twice that less what the call took where it failed soon; the first of a node within 4 s. Both
+// are part of what lies between a change and its being known.
 func TestTheListIsAskedAgainInTime(t *testing.T) {
 	for _, nodes := range []int{1, 3, 25, 40, 300, 3000} {
 		for _, within := range []time.Duration{time.Second, 10 * time.Second, time.Minute} {
--- a/balancer/decisions_test.go
+++ b/balancer/decisions_test.go
@@ -320,8 +320,8 @@
 	return r.digest.Sum64()
 }
 
-// wantDecisions holds the hash of the actions of each replay. A new value goes with a change of what the balancer decides
-// and with that change's measured effect, never with a refactoring.
+// wantDecisions holds the hash of the actions of each replay. A new value goes with a change of what the balancer
+// decides and with that change's measured effect, never with a refactoring.
 var wantDecisions = map[string]uint64{
 	"default":                         0x1e1f25a076e24f6a,
 	"long slow start":                 0xbb3d5655a3c67d2f,
--- /dev/null
+++ b/balancer/eviction.go
@@ -0,0 +1,57 @@
+package balancer
+
+import (
+	"cmp"
+	"slices"
+	"time"
+)
+
+// drainGrace is for how long a draining server is still sent mid-flow arrivals. The rest of the settings' grace
+// covers the way out of the node and a hold-up on it.
+func (b *Balancer) drainGrace() time.Duration {
+	return max(min(b.settings.DrainGrace*9/10, b.settings.DrainGrace-MaxSchedulingDelay), 0)
+}
+
+// evictConnections migrates open connections during the node's own graceful shutdown, at an even rate and those of
+// least value first.
+func (b *Balancer) evictConnections() {
+	open := b.connectionsByValue(nil)
+	steps := int(max((b.drain.Deadline-b.now)/sweepInterval, 1))
+	share := (len(open) + steps - 1) / steps
+	for _, req := range open[:share] {
+		b.emit(Migrate{req.ID})
+		b.finish(req)
+	}
+}
+
+// shedLoad migrates connections off a server until its load has fallen by an amount, those of least value first.
+// The last one goes by chance, so that many nodes with a connection each move some of them.
+func (b *Balancer) shedLoad(srv *server, excess float64) {
+	for _, req := range b.connectionsByValue(srv) {
+		if excess < req.load*b.rng.Float64() {
+			return
+		}
+		excess -= req.load
+		b.emit(Migrate{req.ID})
+		b.finish(req)
+	}
+}
+
+// connectionsByValue lists the open connections of a server, or of all for nil, least priority weight for their load
+// first.
+func (b *Balancer) connectionsByValue(srv *server) []*request {
+	var open []*request
+	for _, req := range b.requests {
+		if req.establishedOn != nil && (srv == nil || req.establishedOn == srv) && !req.answered {
+			open = append(open, req)
+		}
+	}
+	cost := func(req *request) float64 {
+		groupShare := b.loads.groupCost / float64(req.establishedOn.groups[req.Group])
+		return (req.load + groupShare) / max(b.settings.Classes[req.Class].PriorityWeight, 1e-9)
+	}
+	slices.SortFunc(open, func(x, y *request) int {
+		return cmp.Or(cmp.Compare(cost(y), cost(x)), cmp.Compare(x.ID, y.ID))
+	})
+	return open
+}
--- a/balancer/invariants_test.go
+++ b/balancer/invariants_test.go
@@ -126,7 +126,7 @@
 			step(Timer{Token: pacingToken})
 		}
 		for _, n := range nodes {
-			if len(n.requests) != 0 || len(n.pacingQueue) != 0 {
+			if len(n.requests) != 0 || len(n.pacing.queue) != 0 {
 				t.Fatalf("seed %d: %d requests are still held", seed, len(n.requests))
 			}
 			for _, s := range n.servers {
--- a/balancer/jam_test.go
+++ b/balancer/jam_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// jam is a fleet in virtual time whose set-ups all call one store, which works through them in turn, also through those
-// that were given up meanwhile. Clients that are turned away come again until they are served.
+// jam is a fleet in virtual time whose set-ups all call one store, which works through them in turn, also through
+// those that were given up meanwhile. Clients that are turned away come again until they are served.
 type jam struct {
 	rng     *rand.Rand
 	fleet   []*Balancer
@@ -243,8 +243,8 @@
 	j.count(0, 0, 0)
 }
 
-// jammed is one play: a share of the clients of a fleet comes again at once, to whom the store, which bears room times the
-// baselineInterval rate, can't be of use as fast.
+// jammed is one play: a share of the clients of a fleet comes again at once, to whom the store, which bears room
+// times the baselineInterval rate, can't be of use as fast.
 type jammed struct {
 	nodes   int
 	rate    float64 // newcomers a second, over all nodes
@@ -282,9 +282,9 @@
 	return j.total().share()
 }
 
-// A wave of clients that come again jams what all set-ups call, and each node sees a few of them a second at most. The jam
-// ends soon whatever the size of the fleet, how long it has run and what the store bears: before failed set-ups paced as
-// they usually come, all of these lay 0.03 to 0.45 lower, as nodes sent on into the jam.
+// A wave of clients that come again jams what all set-ups call, and each node sees a few of them a second at most.
+// The jam ends soon whatever the size of the fleet, how long it has run and what the store bears: before failed
+// set-ups paced as they usually come, all of these lay 0.03 to 0.45 lower, as nodes sent on into the jam.
 func TestAJamOfWhatAllServersCallEndsSoon(t *testing.T) {
 	for _, c := range []struct {
 		jammed
@@ -312,14 +312,14 @@
 	}
 }
 
-// However many wait and however short the pace has become, a node has one timer out for all of them. Each of them had
-// its own, set anew whenever one fell due a part of a microsecond early, and good set-ups halved the pace without an end:
-// the timers of one instant set more for the same instant, until the memory was full.
+// However many wait and however short the pace has become, a node has one timer out for all of them. Each of them
+// had its own, set anew whenever one fell due a part of a microsecond early, and good set-ups halved the pace
+// without an end: the timers of one instant set more for the same instant, until the memory was full.
 func TestThoseWhoWaitForTheirTurnHaveOneTimer(t *testing.T) {
 	b := started(t, testSettings(), 4)
 	at := time.Second
 	b.Handle(at, Arrival{ID: "first", Key: "a", TimeLeft: time.Second})
-	b.sendInterval, b.nextSendAt, b.pacedAt = 10*ms, at+10*ms, 0
+	b.pacing.interval, b.pacing.nextSendAt, b.pacing.changedAt = 10*ms, at+10*ms, 0
 	wakes, sent := 0, 0
 	handle := func(e Event) {
 		for _, a := range b.Handle(at, e) {
@@ -341,20 +341,21 @@
 	}
 	for i := range 40 { // good ones that were sent since, all in one instant
 		b.observeSetup(&request{}, &attempt{server: b.servers["a"], sentAt: at}, ms, false)
-		if handle(Timer{Token: pacingToken}); b.sendInterval > 0 && b.sendInterval <= timerTolerance {
-			t.Fatalf("after %d good set-ups one in %v is sent", i+1, b.sendInterval)
+		if handle(Timer{Token: pacingToken}); b.pacing.interval > 0 && b.pacing.interval <= timerTolerance {
+			t.Fatalf("after %d good set-ups one in %v is sent", i+1, b.pacing.interval)
 		}
 	}
-	if b.sendInterval != 0 || len(b.pacingQueue) > 0 || sent != 30 {
-		t.Errorf("paced at %v, %d wait and %d of 30 were sent after forty good set-ups", b.sendInterval, len(b.pacingQueue), sent)
+	if b.pacing.interval != 0 || len(b.pacing.queue) > 0 || sent != 30 {
+		t.Errorf("paced at %v, %d wait and %d of 30 were sent after forty good set-ups", b.pacing.interval, len(b.pacing.queue), sent)
 	}
 	if wakes > 12 { // one for each shorter pace
 		t.Errorf("%d timers were set", wakes)
 	}
 }
 
-// A node that has just started amid a jam learns of it by the second server that fails: by a mean alone it sent ten on, and
-// nodes that are restarted in turn kept the jam up. One server's failures, or one that came up before, pace nothing.
+// A node that has just started amid a jam learns of it by the second server that fails: by a mean alone it sent ten
+// on, and nodes that are restarted in turn kept the jam up. One server's failures, or one that came up before, pace
+// nothing.
 func TestANodeThatStartsAmidAJamPacesSoon(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -376,7 +377,7 @@
 			b.now += ms
 			b.observeSetup(&request{}, &attempt{server: b.servers[id], sentAt: b.now}, b.settings.Classes[0].SetupLatencyObjective, true)
 		}
-		if paced := b.sendInterval > 0; paced != c.paced {
+		if paced := b.pacing.interval > 0; paced != c.paced {
 			t.Errorf("%s: paced %v, want %v", c.name, paced, c.paced)
 		}
 	}
--- a/balancer/load_test.go
+++ b/balancer/load_test.go
@@ -47,7 +47,7 @@
 		t.Error("a backlog that drains was answered with another cut")
 	}
 	// Long after, the limit has grown back.
-	b.now = 2*time.Second + b.limitRecovery
+	b.now = 2*time.Second + b.derived.limitRecovery
 	if b.exceedsLimit(s, &request{}, 100) {
 		t.Error("the limit does not grow back")
 	}
@@ -76,12 +76,12 @@
 		b.Handle(0, Arrival{ID: id, Key: fmt.Sprint(i), TimeLeft: 2 * time.Second})
 		b.Handle(ms, Established{ID: id, Took: 600 * ms})
 	}
-	if b.sendInterval <= 0 || b.sendInterval > time.Second/10 { // it was set when the twelfth had come
-		t.Errorf("%v between sends after thirty in the first second", b.sendInterval)
+	if b.pacing.interval <= 0 || b.pacing.interval > time.Second/10 { // it was set when the twelfth had come
+		t.Errorf("%v between sends after thirty in the first second", b.pacing.interval)
 	}
 	b.now = time.Minute
-	if usual, _ := b.baselineInterval(); usual != b.limitRecovery {
-		t.Errorf("a minute later, with nobody come since, one in %v is usual, want %v", usual, b.limitRecovery)
+	if usual, _ := b.baselineInterval(); usual != b.derived.limitRecovery {
+		t.Errorf("a minute later, with nobody come since, one in %v is usual, want %v", usual, b.derived.limitRecovery)
 	}
 }
 
@@ -91,12 +91,12 @@
 	set := testSettings()
 	set.Classes[1].PriorityWeight = 1
 	b, _ := crowded(t, set, 20)
-	b.classMeanLoads[0], b.classMeanLoads[1] = 100, 1000 // the second class asks ten times as much for the same worth
+	b.loads.byClass[0], b.loads.byClass[1] = 100, 1000 // the second class asks ten times as much for the same worth
 	for _, id := range []RequestID{"open0", "open1"} {
 		b.Handle(time.Second, LatencyReport{ID: id, Latency: 400 * ms})
 	}
 	fits := func(class int) bool {
-		r := &request{Arrival: Arrival{Class: class, Tenant: len(b.tenantConnections) - 1}}
+		r := &request{Arrival: Arrival{Class: class, Tenant: len(b.counts.byTenant) - 1}}
 		return !b.exceedsLimit(b.servers["a"], r, 100) || !b.exceedsLimit(b.servers["b"], r, 100)
 	}
 	for _, s := range b.servers {
@@ -126,15 +126,15 @@
 	set.OverQuotaWeight = 0.1
 	b := started(t, set, 6)
 	r := &request{Arrival: Arrival{Tenant: 0}}
-	b.tenantConnections[0] = 3 // its share over three nodes
+	b.counts.byTenant[0] = 3 // its share over three nodes
 	if v := b.relativeValue(r); v != 1 {
 		t.Errorf("value %.2f within the share, want 1", v)
 	}
-	b.tenantConnections[0] = 4
+	b.counts.byTenant[0] = 4
 	if v := b.relativeValue(r); v < 0.09 || v > 0.11 {
 		t.Errorf("value %.2f over the share, want 0.1", v)
 	}
-	b.tenantConnections[1] = 1000
+	b.counts.byTenant[1] = 1000
 	if v := b.relativeValue(&request{Arrival: Arrival{Tenant: 1}}); v != 1 {
 		t.Errorf("value %.2f for a tenant without a known share, want 1", v)
 	}
@@ -159,12 +159,12 @@
 		}
 	}
 	for i := range 6 {
-		b.handleArrival(Arrival{ID: RequestID(fmt.Sprint("h", i)), TimeLeft: time.Second}, home)
+		b.handleInherited(Arrival{ID: RequestID(fmt.Sprint("h", i)), TimeLeft: time.Second}, home)
 	}
-	b.handleArrival(Arrival{ID: "held", Group: "g", TimeLeft: time.Second}, holder)
+	b.handleInherited(Arrival{ID: "held", Group: "g", TimeLeft: time.Second}, holder)
 	for i, s := range b.table.holders {
 		if s != home && s != holder {
-			b.handleArrival(Arrival{ID: RequestID(fmt.Sprint("x", i)), TimeLeft: time.Second}, s)
+			b.handleInherited(Arrival{ID: RequestID(fmt.Sprint("x", i)), TimeLeft: time.Second}, s)
 		}
 	}
 	b.updateTotals()
@@ -231,13 +231,13 @@
 	}
 }
 
-// Times outside are whole microseconds, turns are not: a request whose timer fell due a part of one early went on waiting
-// without a timer, and past its client's patience. It is its turn: where it was held once more instead, its timer fell due
-// in the same microsecond again and again.
+// Times outside are whole microseconds, turns are not: a request whose timer fell due a part of one early went on
+// waiting without a timer, and past its client's patience. It is its turn: where it was held once more instead, its
+// timer fell due in the same microsecond again and again.
 func TestATimerThatIsAPartOfAMicrosecondEarly(t *testing.T) {
 	b := started(t, testSettings(), 4)
 	b.Handle(time.Second, Arrival{ID: "first", Key: "a", TimeLeft: time.Second})
-	b.sendInterval, b.nextSendAt, b.pacedAt = 10*ms, time.Second+10*ms+400, time.Second
+	b.pacing.interval, b.pacing.nextSendAt, b.pacing.changedAt = 10*ms, time.Second+10*ms+400, time.Second
 	b.Handle(time.Second, Arrival{ID: "waits", Key: "b", TimeLeft: time.Second})
 	// The timer comes at its time, cut to the microsecond.
 	at := time.Second + 10*ms
@@ -274,7 +274,7 @@
 			}
 		}
 	}
-	if b.now = 3*time.Second + b.limitRecovery; b.isEjected(s) || b.exceedsLimit(s, &request{}, 100) {
+	if b.now = 3*time.Second + b.derived.limitRecovery; b.isEjected(s) || b.exceedsLimit(s, &request{}, 100) {
 		t.Error("the limit does not grow back")
 	}
 	// Of two connections that a server had here both broken is no chance; of one it may well be.
@@ -292,7 +292,7 @@
 		b.observeSetup(&request{}, &attempt{server: b.servers[on], sentAt: b.now}, 2*b.settings.Classes[0].SetupLatencyObjective, true)
 	}
 	for i := range 8 {
-		if fail("a"); b.sendInterval > 0 {
+		if fail("a"); b.pacing.interval > 0 {
 			t.Fatalf("paced after %d errors of one server", i+1)
 		}
 	}
@@ -300,13 +300,13 @@
 		fail("b")
 		fail("a")
 	}
-	if b.sendInterval == 0 {
+	if b.pacing.interval == 0 {
 		t.Error("not paced though several servers fail")
 	}
 }
 
-// A server that operators called back is used again soon, also where none of the clients that come leads there; once is
-// enough, and not while it may not be.
+// A server that operators called back is used again soon, also where none of the clients that come leads there;
+// once is enough, and not while it may not be.
 func TestAServerThatWasCalledBackIsUsedSoon(t *testing.T) {
 	s := testSettings()
 	b, _ := crowded(t, s, 4)
@@ -318,7 +318,7 @@
 	key := func() string { // one that leads to a
 		for i := 0; ; i++ {
 			r := &request{Arrival: Arrival{Key: fmt.Sprint("key", i)}}
-			if h, place, places := b.preferredEntry(r); b.table.first[b.candidateEntry(h, place, places, 0)] == b.servers["a"] {
+			if b.table.first[homeEntry(b, r)] == b.servers["a"] {
 				return r.Key
 			}
 		}
--- a/balancer/pacing.go
+++ b/balancer/pacing.go
@@ -2,143 +2,186 @@
 
 import "time"
 
-// Pacing of set-ups. No node sees what all servers call to set a connection up, such as a session store: each
-// spaces its sends where they fail or are slow at several servers, and adapts the interval to what comes up.
+// No node sees the backend that all servers call to set a connection up, such as a session store. Each node spaces
+// its sends where set-ups fail or are slow at several servers, and adapts the interval to the outcomes.
 
 const (
-	pacingReleaseFactor = 16              // the multiple of the baseline rate at which pacing ends
-	maxSendInterval     = 3 * time.Second // between paced sends: who tries nobody for 4 s counts as down
-	slowStartSetups     = 1               // set-ups under way at a node of which none has come up
+	pacingReleaseFactor = 16              // multiple of the baseline rate at which pacing ends
+	maxSendInterval     = 3 * time.Second // a node that tries no server for 4 s counts as down
+	slowStartSetups     = 1               // set-ups in flight at a node that has seen none succeed
 	maxAwaitingSetup    = 64              // requests that wait for one of them
+	minFailuresInRow    = 2               // servers that fail one after the other, from which a low sample paces
 )
 
-// admit sends a request on, lets it wait for its turn where set-ups are paced, or gives it up at once where
-// that comes too late: past half of the shortest deadline for all, or the longest one took every turn.
-func (b *Balancer) admit(r *request) {
-	left, wait := r.deadline-b.now, b.nextSendAt-b.now
-	late := wait + b.sendInterval*time.Duration(len(b.pacingQueue))
+// pacingState limits the rate of set-ups.
+type pacingState struct {
+	interval            time.Duration // between sends, 0 while set-ups are not paced
+	nextSendAt          time.Duration
+	changedAt           time.Duration // of the interval: outcomes of earlier sends don't count
+	setupTime           time.Duration // moving average over all servers
+	lastFailed          *server       // the last one that failed a set-up
+	consecutiveFailures int           // of set-ups, those of one server after another counted once
+	inFlight            int           // set-ups without an outcome
+	queue               []*request    // waiting to be sent
+	timerAt             time.Duration // when the queue's timer falls due
+}
+
+// admit sends a request, queues it where set-ups are paced, or rejects it where its turn comes too late. That bound
+// follows the shortest deadline for all classes, so that those of long deadlines do not take every turn.
+func (b *Balancer) admit(req *request) {
+	timeLeft := req.deadline - b.now
+	wait := b.pacing.nextSendAt - b.now
+	turn := wait + b.pacing.interval*time.Duration(len(b.pacing.queue))
 	switch {
-	case b.drain.Active && b.now >= b.drain.AdmissionCutoff && !r.MidFlow: // who is mid-flow was answered long ago
-		b.rejectOrFail(r, b.drain.RetryAfter, ReasonDraining)
-	case r.MidFlow && len(r.attempts) == 0: // it goes on where it stands
-		b.startAttempt(r, left)
+	case b.drain.Active && b.now >= b.drain.AdmissionCutoff && !req.MidFlow:
+		b.rejectOrFail(req, b.drain.RetryAfter, ReasonDraining)
+	case req.MidFlow && len(req.attempts) == 0: // no set-up: it continues on its server
+		b.startAttempt(req, timeLeft)
 	case b.slowStartFull():
-		b.awaitSetup(r, left)
-	case b.sendInterval <= 0 || wait <= timerTolerance:
-		b.nextSendAt = b.now + b.sendInterval
-		b.startAttempt(r, left)
-	case late > min(left, b.minDeadline)/2:
-		b.rejectOrFail(r, late, ReasonPaced)
+		b.awaitSetup(req, timeLeft)
+	case b.pacing.interval <= 0 || wait <= timerTolerance:
+		b.pacing.nextSendAt = b.now + b.pacing.interval
+		b.startAttempt(req, timeLeft)
+	case turn > min(timeLeft, b.derived.minDeadline)/2:
+		b.rejectOrFail(req, turn, ReasonPaced)
 	default:
-		b.pacingQueue = append(b.pacingQueue, r)
+		b.pacing.queue = append(b.pacing.queue, req)
 	}
 }
 
-// slowStartFull reports whether a node that has just started has as many set-ups under way as it may, one and
-// as many as came up: nodes that restart in turn amid an overload, each sending on all that came until the
-// first failed, kept it up. Where a node sees much, it learns soon enough.
+// slowStartFull reports whether a node that has just started has as many set-ups in flight as it may: one, and one
+// for each that succeeded. Nodes that restart amid an overload would otherwise keep it up. Nodes with more traffic
+// learn soon enough.
 func (b *Balancer) slowStartFull() bool {
-	return b.sendInterval <= 0 && b.lowSample() && b.setupsInFlight >= slowStartSetups+int(b.setupsTotal)
+	return b.pacing.interval <= 0 && b.lowSample() && b.pacing.inFlight >= slowStartSetups+int(b.rates.setupsTotal)
 }
 
-// awaitSetup lets a request wait for one of the set-ups under way, no longer than for a turn.
-func (b *Balancer) awaitSetup(r *request, left time.Duration) {
-	waited := r.TimeLeft - left // looked at each shortest aim: the first time past the half ends it
-	if waited > min(r.TimeLeft, b.minDeadline)/2 || len(b.pacingQueue) >= maxAwaitingSetup {
-		b.rejectOrFail(r, b.minSetupObjective, ReasonSlowStart)
+// awaitSetup queues a request until one of the set-ups in flight ends, or rejects it.
+func (b *Balancer) awaitSetup(req *request, timeLeft time.Duration) {
+	waited := req.TimeLeft - timeLeft
+	if waited > min(req.TimeLeft, b.derived.minDeadline)/2 || len(b.pacing.queue) >= maxAwaitingSetup {
+		b.rejectOrFail(req, b.derived.minSetupObjective, ReasonSlowStart)
 		return
 	}
-	if b.nextSendAt <= b.now+timerTolerance { // if none comes up
-		b.nextSendAt = b.now + b.minSetupObjective
+	if b.pacing.nextSendAt <= b.now+timerTolerance { // looked at again even if no set-up ends
+		b.pacing.nextSendAt = b.now + b.derived.minSetupObjective
+	}
+	b.pacing.queue = append(b.pacing.queue, req)
+}
+
+// resumeQueue admits all queued requests anew.
+func (b *Balancer) resumeQueue() {
+	queued := b.pacing.queue
+	b.pacing.queue = nil
+	for _, req := range queued {
+		if !req.answered {
+			b.admit(req)
+		}
+	}
+}
+
+// armPacingTimer sets one timer for the whole queue.
+func (b *Balancer) armPacingTimer() {
+	if len(b.pacing.queue) > 0 && b.pacing.timerAt != b.pacing.nextSendAt {
+		b.pacing.timerAt = b.pacing.nextSendAt
+		b.emit(SetTimer{b.pacing.timerAt, pacingToken})
 	}
-	b.pacingQueue = append(b.pacingQueue, r)
 }
 
-// observeSetup takes in how long a set-up took, its aim for one that failed. Set-ups slow on the whole come
-// from what they all call; sending on as clients return in a wave keeps it overloaded. What was sent before
-// the interval was last set tells nothing of it; a good one sent since halves it. A single error paces
-// nothing, nor do those of one server alone: where hosts are few, it was taken for what all of them call. Two
-// servers that fail in a row do where the node sees little, or has met nothing else so far.
-func (b *Balancer) observeSetup(r *request, a *attempt, took time.Duration, failed bool) {
-	aim := b.settings.Classes[r.Class].SetupLatencyObjective / 2
-	if failed && a.server == b.lastFailed || !r.isSetup() {
+// observeSetup adapts the interval to how long a set-up took, or to its failure. Slow set-ups in general mean that
+// the backend behind all servers is overloaded. Outcomes of sends before the last change of the interval don't
+// count, nor do repeated failures of a single server. Two servers that fail one after the other count at a node
+// with a low sample, and at one that has seen nothing succeed.
+func (b *Balancer) observeSetup(req *request, attempt *attempt, took time.Duration, failed bool) {
+	if failed && attempt.server == b.pacing.lastFailed || !req.isSetup() {
 		return
-	} else if failed {
-		b.lastFailed, b.consecutiveFailures = a.server, b.consecutiveFailures+1
+	}
+	if failed {
+		b.pacing.lastFailed = attempt.server
+		b.pacing.consecutiveFailures++
 	} else {
-		b.consecutiveFailures = 0
+		b.pacing.consecutiveFailures = 0
 	}
-	_, guess := b.baselineInterval()
-	inRow := b.consecutiveFailures >= 2 && (b.lowSample() || guess && b.setupsTotal == 0)
-	b.setupTime += (min(took, 2*aim) - b.setupTime) / 4
-	if a.sentAt < b.pacedAt || b.setupTime < aim && !inRow && (failed || took >= aim) {
-		return
-	} else if !failed && took < aim {
-		b.relaxPacing(b.sendInterval / 2)
+	threshold := b.settings.Classes[req.Class].SetupLatencyObjective / 2
+	b.pacing.setupTime += (min(took, 2*threshold) - b.pacing.setupTime) / 4
+	if attempt.sentAt < b.pacing.changedAt {
 		return
 	}
-	if b.sendInterval == 0 {
-		b.log("set-ups fail or are slow at several servers: paced")
+	switch {
+	case !failed && took < threshold:
+		b.relaxPacing(b.pacing.interval / 2)
+	case b.pacing.setupTime >= threshold || b.failedInRow():
+		b.tightenPacing(failed, took)
+	}
+}
+
+// failedInRow reports whether failures of several servers, one after the other, show an overload before the average
+// set-up time does.
+func (b *Balancer) failedInRow() bool {
+	if b.pacing.consecutiveFailures < minFailuresInRow {
+		return false
+	}
+	_, estimated := b.baselineInterval()
+	return b.lowSample() || estimated && b.rates.setupsTotal == 0
+}
+
+// tightenPacing lengthens the interval after a set-up that failed or was slow.
+func (b *Balancer) tightenPacing(failed bool, took time.Duration) {
+	if b.pacing.interval == 0 {
+		b.log("connection set-up pacing started: set-ups fail or are slow at several servers")
 	}
-	next := min(max(b.sendInterval, b.tightenedInterval(failed, took)), maxSendInterval)
-	b.nextSendAt += next - b.sendInterval // from the last send on
-	b.sendInterval, b.pacedAt = next, b.now
+	next := min(max(b.pacing.interval, b.tightenedInterval(failed, took)), maxSendInterval)
+	b.pacing.nextSendAt += next - b.pacing.interval // counted from the last send
+	b.pacing.interval = next
+	b.pacing.changedAt = b.now
 }
 
-// tightenedInterval is the interval after a set-up that failed or was slow: the baseline for a failed one, a quarter
-// of it and more for a slow one. A node that sees little takes the longest: each step to it would take a
-// time-out, in which all such nodes together send several times what comes up. Its set-ups count as failed
-// from the shortest aim on: an overload at which long deadlines are still met left other classes none.
+// tightenedInterval is the baseline after a failed set-up, and a quarter of it or more after a slow one. A node
+// with a low sample takes the longest interval at once, as each step would take a time-out; its set-ups count as
+// failed from the shortest objective on, or classes of long deadlines would leave the others no turn.
 func (b *Balancer) tightenedInterval(failed bool, took time.Duration) time.Duration {
-	baseline, guess := b.baselineInterval()
+	baseline, estimated := b.baselineInterval()
 	switch {
-	case b.lowSample() && (failed || took >= b.minSetupObjective):
+	case b.lowSample() && (failed || took >= b.derived.minSetupObjective):
 		return maxSendInterval
 	case !failed:
-		return min(max(b.sendInterval*3/2, baseline/4), baseline)
-	case guess:
-		return max(b.sendInterval*2, baseline)
+		return min(max(b.pacing.interval*3/2, baseline/4), baseline)
+	case estimated:
+		return max(b.pacing.interval*2, baseline)
 	}
 	return baseline
 }
 
-// relaxPacing shortens the time between sends; halved on for ever it set timers for turns all in one instant.
+// relaxPacing shortens the interval, and ends pacing where that is far below the baseline.
 func (b *Balancer) relaxPacing(interval time.Duration) {
-	if baseline, _ := b.baselineInterval(); b.sendInterval > 0 && interval < baseline/pacingReleaseFactor {
+	baseline, _ := b.baselineInterval()
+	if b.pacing.interval > 0 && interval < baseline/pacingReleaseFactor {
 		interval = 0
-		b.log("set-ups are well: no longer paced")
+		b.log("connection set-up pacing ended")
 	}
-	b.sendInterval, b.nextSendAt = interval, min(b.nextSendAt, b.now+interval)
+	b.pacing.interval = interval
+	b.pacing.nextSendAt = min(b.pacing.nextSendAt, b.now+interval)
 }
 
-// relaxWithTime shortens the time between sends once what was sent since it was set has had time to tell.
+// relaxWithTime shortens the interval once set-ups sent since its last change have had time to end.
 func (b *Balancer) relaxWithTime() {
-	outcomes := 2 * b.setupTime
-	if b.arrivalsLastSecond+b.arrivalsThisSecond > 0 {
-		outcomes += b.sendInterval / 2
-	}
-	if b.sendInterval > 0 && b.now > b.pacedAt+max(sweepInterval, outcomes) {
-		b.pacedAt = b.now
-		b.relaxPacing(b.sendInterval * 4 / 5)
+	settle := 2 * b.pacing.setupTime
+	if b.rates.arrivalsLastSecond+b.rates.arrivalsThisSecond > 0 {
+		settle += b.pacing.interval / 2
 	}
-}
-
-// baselineInterval is the time between connections as they usually come, for a node just started a guess.
-func (b *Balancer) baselineInterval() (interval time.Duration, guess bool) {
-	age, rate := (b.now - b.startedAt).Seconds(), max(b.setupRate, 1/b.limitRecovery.Seconds())
-	if guess = age*rateSmoothing < 1; guess {
-		rate = max(rate, b.setupsTotal/max(age, 1))
+	if b.pacing.interval > 0 && b.now > b.pacing.changedAt+max(sweepInterval, settle) {
+		b.pacing.changedAt = b.now
+		b.relaxPacing(b.pacing.interval * 4 / 5)
 	}
-	return time.Duration(float64(time.Second) / rate), guess
 }
 
-// resumeQueue looks at all that waits for its turn again.
-func (b *Balancer) resumeQueue() {
-	waiting := b.pacingQueue
-	b.pacingQueue = nil
-	for _, r := range waiting {
-		if !r.answered {
-			b.admit(r)
-		}
+// baselineInterval is the usual time between set-ups; estimated for a node that has just started.
+func (b *Balancer) baselineInterval() (interval time.Duration, estimated bool) {
+	age := (b.now - b.rates.startedAt).Seconds()
+	rate := max(b.rates.setups, 1/b.derived.limitRecovery.Seconds())
+	estimated = age*rateSmoothing < 1
+	if estimated {
+		rate = max(rate, b.rates.setupsTotal/max(age, 1))
 	}
+	return time.Duration(float64(time.Second) / rate), estimated
 }
--- a/balancer/pacing_test.go
+++ b/balancer/pacing_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// rollingRestart is a play in which a release of the servers sends a part of the clients away every 1.3 s, while all nodes
-// are restarted, a tenth at a time.
+// rollingRestart is a play in which a release of the servers sends a part of the clients away every 1.3 s, while
+// all nodes are restarted, a tenth at a time.
 type rollingRestart struct {
 	nodes     int
 	rate      float64 // new clients a second, over all nodes
@@ -18,8 +18,8 @@
 	deadlines []time.Duration
 }
 
-// play returns the part of the wanted client time that is served in the half minute from the release on, and of each class
-// the part of the clients that asked while it lasted and came up.
+// play returns the part of the wanted client time that is served in the half minute from the release on, and of
+// each class the part of the clients that asked while it lasted and came up.
 func (p rollingRestart) play(seed uint64) (served float64, cameUp []float64) {
 	const (
 		begin, length  = 10 * time.Second, 12 * time.Second
@@ -65,9 +65,9 @@
 	}
 }
 
-// Where what all servers call is overloaded, no class of requests is left without service beside others. Nodes that had just
-// started, and those that paced in steps, together sent what the store could do and more: its queue stayed longer than the
-// shortest deadline, and classes of longer ones alone came up.
+// Where what all servers call is overloaded, no class of requests is left without service beside others. Nodes that
+// had just started, and those that paced in steps, together sent what the store could do and more: its queue stayed
+// longer than the shortest deadline, and classes of longer ones alone came up.
 func TestPacing_RollingRestart_ServesEveryClass(t *testing.T) {
 	for _, c := range []struct {
 		rollingRestart
@@ -123,29 +123,30 @@
 	b.Handle(at+took, Established{ID: id, Server: sent[0].Server, Took: took})
 }
 
-// A connection whose packets come to another node goes on at its server in a moment and calls nothing that servers share:
-// it is no sign that set-ups are well, nor a turn of theirs. Each halved the interval while every set-up failed.
+// A connection whose packets come to another node goes on at its server in a moment and calls nothing that servers
+// share: it is no sign that set-ups are well, nor a turn of theirs. Each halved the interval while every set-up
+// failed.
 func TestPacing_MidFlowArrival_IsNoSetup(t *testing.T) {
 	b := lowSampleNode(t)
 	cameUp(t, b, "first", time.Second, 10*ms, false)
-	b.sendInterval, b.nextSendAt, b.pacedAt = 2*time.Second, 4*time.Second, 2*time.Second
+	b.pacing.interval, b.pacing.nextSendAt, b.pacing.changedAt = 2*time.Second, 4*time.Second, 2*time.Second
 	for i := range 4 {
 		cameUp(t, b, RequestID(fmt.Sprint("mid", i)), 2*time.Second+time.Duration(i)*10*ms, ms, true)
 	}
-	if b.sendInterval != 2*time.Second || b.nextSendAt != 4*time.Second {
-		t.Errorf("one in %v, the next at %v, after four connections that went on; want 2s and 4s", b.sendInterval, b.nextSendAt)
+	if b.pacing.interval != 2*time.Second || b.pacing.nextSendAt != 4*time.Second {
+		t.Errorf("one in %v, the next at %v, after four connections that went on; want 2s and 4s", b.pacing.interval, b.pacing.nextSendAt)
 	}
-	if cameUp(t, b, "new", 4*time.Second, 10*ms, false); b.sendInterval != time.Second {
-		t.Errorf("one in %v after a good set-up, want half of 2s", b.sendInterval)
+	if cameUp(t, b, "new", 4*time.Second, 10*ms, false); b.pacing.interval != time.Second {
+		t.Errorf("one in %v after a good set-up, want half of 2s", b.pacing.interval)
 	}
 }
 
-// The time that a paced request may wait is that of the shortest deadline for all classes: a class of long deadlines took
-// every turn before another could come.
+// The time that a paced request may wait is that of the shortest deadline for all classes: a class of long
+// deadlines took every turn before another could come.
 func TestPacing_Wait_IsAlikeForAllClasses(t *testing.T) {
 	b := lowSampleNode(t, Class{SetupLatencyObjective: 200 * ms, Deadline: 700 * ms}, Class{SetupLatencyObjective: 800 * ms, Deadline: 4800 * ms})
 	cameUp(t, b, "first", time.Second, 10*ms, false)
-	b.sendInterval, b.nextSendAt, b.pacedAt = 3*time.Second, 4*time.Second, 2*time.Second
+	b.pacing.interval, b.pacing.nextSendAt, b.pacing.changedAt = 3*time.Second, 4*time.Second, 2*time.Second
 	for class, deadline := range []time.Duration{700 * ms, 4800 * ms} {
 		for _, c := range []struct {
 			before time.Duration // the turn
@@ -158,7 +159,7 @@
 				t.Errorf("class %d, %v before its turn: waits %v, refused %v; want it to wait: %v", class, c.before, waits, refused, c.waits)
 			}
 			b.Handle(4*time.Second-c.before, ClientDisconnected{ID: id})
-			b.pacingQueue = nil
+			b.pacing.queue = nil
 		}
 	}
 }
@@ -179,8 +180,8 @@
 		b.now = 2400*ms + time.Duration(i)*ms
 		b.observeSetup(r, &r.attempts[0], 300*ms, true)
 	}
-	if b.sendInterval != maxSendInterval {
-		t.Fatalf("two servers failed in a row, one in %v is sent; want %v", b.sendInterval, maxSendInterval)
+	if b.pacing.interval != maxSendInterval {
+		t.Fatalf("two servers failed in a row, one in %v is sent; want %v", b.pacing.interval, maxSendInterval)
 	}
 	out := b.Handle(2500*ms, Arrival{ID: "next", Key: "n", TimeLeft: 2 * time.Second})
 	if n, refused := finals(out, "next"); len(sends(out)) != 0 || n != 1 || !refused {
@@ -191,7 +192,8 @@
 	}
 }
 
-// A node that has just started sends one set-up on, and more as they come up; what waits for that is answered in time.
+// A node that has just started sends one set-up on, and more as they come up; what waits for that is answered in
+// time.
 func TestPacing_SlowStart_OneSetupUntilOneCameUp(t *testing.T) {
 	b := lowSampleNode(t)
 	arrive := func(at time.Duration, id RequestID) []Action {
@@ -216,19 +218,19 @@
 			answered++
 		}
 	}
-	if answered != 1 || len(b.pacingQueue) != 0 {
-		t.Errorf("who waited had %d answers, %d wait still", answered, len(b.pacingQueue))
+	if answered != 1 || len(b.pacing.queue) != 0 {
+		t.Errorf("who waited had %d answers, %d wait still", answered, len(b.pacing.queue))
 	}
 	for i := range 2 * maxAwaitingSetup {
 		arrive(4*time.Second, RequestID(fmt.Sprint("more", i)))
 	}
-	if len(b.pacingQueue) > maxAwaitingSetup {
-		t.Errorf("%d wait, %d may", len(b.pacingQueue), maxAwaitingSetup)
+	if len(b.pacing.queue) > maxAwaitingSetup {
+		t.Errorf("%d wait, %d may", len(b.pacing.queue), maxAwaitingSetup)
 	}
 }
 
-// Who waits in slow start for a set-up that hangs is answered at the first look after half of the shortest deadline, whatever its
-// own deadline: a class of 4.8 s was kept for 4.4 s of it.
+// Who waits in slow start for a set-up that hangs is answered at the first look after half of the shortest
+// deadline, whatever its own deadline: a class of 4.8 s was kept for 4.4 s of it.
 func TestPacing_SlowStart_WaitEndsAlikeForAllClasses(t *testing.T) {
 	b := lowSampleNode(t, Class{SetupLatencyObjective: 200 * ms, Deadline: 700 * ms}, Class{SetupLatencyObjective: 800 * ms, Deadline: 4800 * ms})
 	begin := time.Second
@@ -257,8 +259,8 @@
 	}
 }
 
-// A request with very little time left that ends without an answer tells nothing of set-ups: hosts may drop it, and no
-// set-up is that quick. A few such clients must not have a node turn the others away.
+// A request with very little time left that ends without an answer tells nothing of set-ups: hosts may drop it, and
+// no set-up is that quick. A few such clients must not have a node turn the others away.
 func TestPacing_TimeoutsShorterThanAnySetup_PaceNothing(t *testing.T) {
 	b := lowSampleNode(t)
 	at := time.Second
@@ -277,7 +279,7 @@
 			t.Errorf("request %d is not sent", i)
 		}
 	}
-	if b.sendInterval != 0 {
-		t.Errorf("set-ups are paced, one in %v", b.sendInterval)
+	if b.pacing.interval != 0 {
+		t.Errorf("set-ups are paced, one in %v", b.pacing.interval)
 	}
 }
--- a/balancer/ramp_test.go
+++ b/balancer/ramp_test.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// ramp plays a fleet of nodes to which one cold host is added. worst is the most that all of them sent it in any window
-// beyond what the settings allow then and two calls, in roots of what they allow; got is what was sent there over the
-// host's part of all that came. rate is what comes to each node, a second, and grows at once by burst after three seconds.
-// The nodes' settings have plant times the quotas that the budget is reckoned from.
+// ramp plays a fleet of nodes to which one cold host is added. worst is the most that all of them sent it in any
+// window beyond what the settings allow then and two calls, in roots of what they allow; got is what was sent there
+// over the host's part of all that came. rate is what comes to each node, a second, and grows at once by burst
+// after three seconds. The nodes' settings have plant times the quotas that the budget is reckoned from.
 func ramp(nodes, hosts int, seed uint64, rate, burst, plant float64) (worst, got float64) {
 	quota := 60 * float64(hosts)
 	s := testSettings()
@@ -75,8 +75,8 @@
 	return worst, float64(len(calls)) / (float64(came) / float64(hosts))
 }
 
-// The shares of all nodes add up to no more than a cold host bears, however many they are and however thin what comes to
-// each; and where what comes to them is less than that, most of it is not kept from the host.
+// The shares of all nodes add up to no more than a cold host bears, however many they are and however thin what
+// comes to each; and where what comes to them is less than that, most of it is not kept from the host.
 func TestAColdHostGetsItsBudgetFromTheWholeFleet(t *testing.T) {
 	for _, c := range []struct {
 		nodes, hosts       int
@@ -99,8 +99,9 @@
 	}
 }
 
-// While what all servers call is jammed, a pace holds at the usual rate, whatever time passes: one that eased with time
-// alone let the fleet send four times that into the jam, which never ended. Behind it, good set-ups end the pace soon.
+// While what all servers call is jammed, a pace holds at the usual rate, whatever time passes: one that eased with
+// time alone let the fleet send four times that into the jam, which never ended. Behind it, good set-ups end the
+// pace soon.
 func TestAPaceHoldsWhileAJamLasts(t *testing.T) {
 	s := testSettings()
 	s.NodeCount = 300
@@ -145,8 +146,8 @@
 	}
 	const calm, jam, over = time.Minute, 90 * time.Second, 20 * time.Second
 	play(10*ms, calm, 4*time.Second, 20*ms, false)
-	if b.sendInterval != 0 {
-		t.Fatalf("paced at %v while all is well", b.sendInterval)
+	if b.pacing.interval != 0 {
+		t.Fatalf("paced at %v while all is well", b.pacing.interval)
 	}
 	usual, _ := b.baselineInterval()
 	play(calm, calm+jam/2, 250*ms, 600*ms, true)
@@ -157,13 +158,14 @@
 	}
 	under = nil
 	play(calm+jam, calm+jam+over, 500*ms, 20*ms, false)
-	if b.sendInterval > usual/8 {
-		t.Errorf("behind it, it sends one in %v, usually one in %v", b.sendInterval, usual)
+	if b.pacing.interval > usual/8 {
+		t.Errorf("behind it, it sends one in %v, usually one in %v", b.pacing.interval, usual)
 	}
 }
 
-// A budget binds in every window of its length, wherever that begins: what a node has left at the end of one of its own
-// windows and what it has anew at the start of the next come together, and on a fleet of few nodes nobody evens that out.
+// A budget binds in every window of its length, wherever that begins: what a node has left at the end of one of its
+// own windows and what it has anew at the start of the next come together, and on a fleet of few nodes nobody evens
+// that out.
 func TestSlowStart_BurstsAroundAWindowsEnd_KeepTheBudget(t *testing.T) {
 	for _, nodes := range []int{1, 2, 3, 8} {
 		const hosts = 4
--- a/balancer/size_test.go
+++ b/balancer/size_test.go
@@ -18,7 +18,7 @@
 func TestLargeGroupStandsOnServersByItsShare(t *testing.T) {
 	a, b := sized(t, 0, 2, 40), sized(t, 1, 2, 40)
 	for _, n := range []*Balancer{a, b} {
-		n.connectionCount, n.groupConnections["big"], n.groupConnections["small"] = 99, 30, 1
+		n.counts.connections, n.counts.byGroup["big"], n.counts.byGroup["small"] = 99, 30, 1
 	}
 	on := map[string]map[ServerID]bool{"big": {}, "small": {}}
 	for i := range 400 {
@@ -55,12 +55,12 @@
 				key++
 				r := &request{Arrival: Arrival{Group: fmt.Sprint(day, "-", g), Key: fmt.Sprint(day, "k", key)}, load: 1}
 				n := all[key%nodes]
-				n.connectionCount, n.groupConnections[r.Group] = 1, 1
+				n.counts.connections, n.counts.byGroup[r.Group] = 1, 1
 				on[n.selectServer(r).id]++
 				if key%20 == 0 && homeEntry(all[0], r) != homeEntry(n, r) {
 					t.Fatal("nodes that saw different traffic disagree on a client's place")
 				}
-				clear(n.groupConnections)
+				clear(n.counts.byGroup)
 			}
 		}
 		for _, n := range on {
@@ -143,9 +143,10 @@
 	}
 }
 
-// Set-ups that all wait on one thing were given up at their aim and tried again, by 80 nodes that had each met one or two
-// slow ones: the calls that were given up kept it busy, and for twenty seconds next to none was served. A server that
-// hangs is told by the first time-out; after it, and when a client tries again, what is slow is common to all.
+// Set-ups that all wait on one thing were given up at their aim and tried again, by 80 nodes that had each met one
+// or two slow ones: the calls that were given up kept it busy, and for twenty seconds next to none was served. A
+// server that hangs is told by the first time-out; after it, and when a client tries again, what is slow is common
+// to all.
 func TestSecondAttemptsWaitWhereNodesSeeLittle(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -227,13 +228,13 @@
 // baselineInterval rate into it, and it never ended.
 func TestPaceDoesNotEaseBeforeOutcomesCanTell(t *testing.T) {
 	b := started(t, testSettings(), 6)
-	b.setupTime, b.sendInterval, b.pacedAt = time.Second, time.Second, 10*time.Second
+	b.pacing.setupTime, b.pacing.interval, b.pacing.changedAt = time.Second, time.Second, 10*time.Second
 	for now := 10 * time.Second; now <= 12*time.Second; now += sweepInterval {
-		if b.Handle(now, Timer{Token: sweepToken}); b.sendInterval != time.Second {
-			t.Fatalf("eased %v after the last trouble, a set-up takes %v", now-b.pacedAt, b.setupTime)
+		if b.Handle(now, Timer{Token: sweepToken}); b.pacing.interval != time.Second {
+			t.Fatalf("eased %v after the last trouble, a set-up takes %v", now-b.pacing.changedAt, b.pacing.setupTime)
 		}
 	}
-	if b.Handle(13*time.Second, Timer{Token: sweepToken}); b.sendInterval >= time.Second {
+	if b.Handle(13*time.Second, Timer{Token: sweepToken}); b.pacing.interval >= time.Second {
 		t.Error("it never eases")
 	}
 }
@@ -295,8 +296,8 @@
 }
 
 // A list service that works through calls in turn, those too that were given up meanwhile, as one more node after
-// another asks. Eighty nodes started in one instant asked within half a second; half were given up, asked again in step
-// while their dead calls were worked through, and from then on no call was ever served.
+// another asks. Eighty nodes started in one instant asked within half a second; half were given up, asked again in
+// step while their dead calls were worked through, and from then on no call was ever served.
 func TestListIsLearntByAllThatStartAtOnce(t *testing.T) {
 	const nodes, each, patience = 80, 60 * ms, 2 * time.Second
 	type call struct {
@@ -320,7 +321,7 @@
 						queue, last[i] = append(queue, &call{from: i, at: now}), now
 					}
 				}
-				if !n.watching && now-last[i] > n.settings.PollInterval && now-from > n.settings.PollInterval {
+				if !n.polling.watching && now-last[i] > n.settings.PollInterval && now-from > n.settings.PollInterval {
 					t.Fatalf("node %d has not asked since %v, at %v", i, last[i], now)
 				}
 			}
@@ -338,7 +339,7 @@
 			}
 		}
 		for _, n := range all {
-			if !n.watching {
+			if !n.polling.watching {
 				unlearnt++
 			}
 		}
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -13,7 +13,7 @@
 	var all []*Balancer
 	for i := range nodes {
 		n := sized(t, i, nodes, servers)
-		n.setupRate = 0.25 // as when the day has settled
+		n.rates.setups = 0.25 // as when the day has settled
 		all = append(all, n)
 	}
 	cold := Server{ID: "s99", Weight: 2, StartedAt: time.Minute}
@@ -21,7 +21,7 @@
 		n.Handle(time.Minute, ListEvent{Kind: ListDelta, Revision: 2, Servers: []Server{cold}})
 	}
 	set := testSettings()
-	rate := 0.25 * nodes * cold.Weight / all[0].fleetWeight // what the fleet's traffic comes to for its weight
+	rate := 0.25 * nodes * cold.Weight / all[0].fleet.weight // what the fleet's traffic comes to for its weight
 	var sent []time.Duration
 	for step := range 1000 { // ten seconds, in which all clients come back at once and again
 		now := time.Minute + time.Duration(step)*10*ms
@@ -83,15 +83,16 @@
 	}
 	for w, sent := range windows {
 		share := set.SlowStartFraction + (1-set.SlowStartFraction)*float64(w)*set.CollapseWindow.Seconds()/set.SlowStartDuration.Seconds()
-		budget := set.CollapseMultiple * share * quota * 4 / all[0].fleetWeight * set.CollapseWindow.Seconds()
+		budget := set.CollapseMultiple * share * quota * 4 / all[0].fleet.weight * set.CollapseWindow.Seconds()
 		if sent < budget/8 || sent > budget {
 			t.Errorf("window %d: %.0f connections of a budget of %.1f", w, sent, budget)
 		}
 	}
 }
 
-// The budget was the same from a server's start until it was warm: of 282 nodes' asks the more were held back the more it
-// could bear. It grows with the present share from half warm on, and in sum stays within the multiple of it.
+// The budget was the same from a server's start until it was warm: of 282 nodes' asks the more were held back the
+// more it could bear. It grows with the present share from half warm on, and in sum stays within the multiple of
+// it.
 func TestAColdServersBudgetGrowsAsItWarms(t *testing.T) {
 	const nodes, servers, quota = 80, 10, 300.0
 	set := testSettings()
@@ -123,15 +124,15 @@
 	}
 	cold := spent(time.Minute, time.Minute)
 	warm := spent(time.Minute, time.Minute+set.SlowStartDuration-3*set.CollapseWindow)
-	fills := quota * 4 / all[0].fleetWeight / set.SlowStartDuration.Seconds() * set.CollapseWindow.Seconds() // what fills it over its warm-up
+	fills := quota * 4 / all[0].fleet.weight / set.SlowStartDuration.Seconds() * set.CollapseWindow.Seconds() // what fills it over its warm-up
 	if most := 3 * set.CollapseMultiple * fills * 2; warm < cold*3/2 || warm > most {
 		t.Errorf("%.0f connections in three windows while cold, %.0f when nearly warm, at most %.0f", cold, warm, most)
 	}
 }
 
-// After a power cut all servers are cold and no node has placed anything: where the settings tell no quotas each node's
-// budget was its own rate's part, which was nothing, and every client was turned away until the servers were warm. The
-// present share of what comes is served, by all nodes together, and no more than the multiple at any one.
+// After a power cut all servers are cold and no node has placed anything: where the settings tell no quotas each
+// node's budget was its own rate's part, which was nothing, and every client was turned away until the servers were
+// warm. The present share of what comes is served, by all nodes together, and no more than the multiple at any one.
 func TestAFleetThatIsAllColdServesWhatItCan(t *testing.T) {
 	const nodes, servers, perSecond = 40, 10, 5
 	set := testSettings()
@@ -222,8 +223,8 @@
 	}
 }
 
-// The quotas are of the fleet at its largest. Sixteen nodes of one that has shrunk from ten hosts to three took a host that
-// came back cold for good for a third of them, and sent it five times what it could bear.
+// The quotas are of the fleet at its largest. Sixteen nodes of one that has shrunk from ten hosts to three took a
+// host that came back cold for good for a third of them, and sent it five times what it could bear.
 func TestAShrunkFleetKeepsAColdServersBudget(t *testing.T) {
 	const nodes, quota = 16, 417.0
 	set, sent, part := testSettings(), 0, 0.0
@@ -232,7 +233,7 @@
 		s := set
 		s.Seed, s.NodeIndex, s.NodeCount, s.Tenants = uint64(i)+1, i, nodes, []Tenant{{ConnectionQuota: quota}}
 		n := started(t, s, 10)
-		part = quota * fleetOf(1)[0].Weight / n.fleetWeight
+		part = quota * fleetOf(1)[0].Weight / n.fleet.weight
 		rows := fleetOf(3)
 		rows[0].StartedAt = time.Minute
 		n.Handle(time.Minute, ListEvent{Kind: ListSnapshot, Revision: 2, Servers: rows})
--- a/balancer/statelists.go
+++ b/balancer/statelists.go
@@ -2,57 +2,60 @@
 
 import "slices"
 
-// stateLists are the servers of a table by state, kept as states change: a list that replaces half of a large fleet asks
-// for them thousands of times. No decision is made here.
+// stateLists holds the servers of a table by state. They are updated as states change, as a list that replaces half
+// of a large fleet asks for them thousands of times.
 type stateLists struct {
 	active   []*server    // by id
 	groups   [2][]*server // the active ones by parity, by id
-	draining [2]int       // how many drain, by parity
-	filling  int          // how many fill
+	draining [2]int       // number of draining ones, by parity
+	filling  int          // number of filling ones
 }
 
-// move moves a server to a state.
-func (l *stateLists) move(s *server, to nodeState) {
-	switch s.state {
+// move takes a server to a state.
+func (l *stateLists) move(srv *server, to serverState) {
+	switch srv.state {
 	case active:
-		l.active = removeByID(l.active, s)
-		l.groups[s.parity] = removeByID(l.groups[s.parity], s)
+		l.active = removeByID(l.active, srv)
+		l.groups[srv.parity] = removeByID(l.groups[srv.parity], srv)
 	case draining:
-		l.draining[s.parity]--
+		l.draining[srv.parity]--
 	case filling:
 		l.filling--
 	}
-	switch s.state = to; to {
+	srv.state = to
+	switch to {
 	case active:
-		l.active = insertByID(l.active, s)
-		l.groups[s.parity] = insertByID(l.groups[s.parity], s)
+		l.active = insertByID(l.active, srv)
+		l.groups[srv.parity] = insertByID(l.groups[srv.parity], srv)
 	case draining:
-		l.draining[s.parity]++
+		l.draining[srv.parity]++
 	case filling:
 		l.filling++
 	}
 }
 
-// regroup gives servers their parity anew, in turn, and lists them. None of them may drain.
+// regroup gives all servers a parity in turn and lists them anew. None of them may drain.
 func (l *stateLists) regroup(holders []*server) {
-	l.active, l.groups = l.active[:0], [2][]*server{l.groups[0][:0], l.groups[1][:0]}
-	for i, s := range holders {
-		if s.parity = i % 2; s.state == active {
-			l.active = append(l.active, s)
-			l.groups[s.parity] = append(l.groups[s.parity], s)
+	l.active = l.active[:0]
+	l.groups = [2][]*server{l.groups[0][:0], l.groups[1][:0]}
+	for i, srv := range holders {
+		srv.parity = i % 2
+		if srv.state == active {
+			l.active = append(l.active, srv)
+			l.groups[srv.parity] = append(l.groups[srv.parity], srv)
 		}
 	}
 }
 
-// insertByID puts a server into a list by id.
-func insertByID(list []*server, s *server) []*server {
-	at, _ := slices.BinarySearchFunc(list, s, byID)
-	return slices.Insert(list, at, s)
+// insertByID adds a server to a list that is ordered by id.
+func insertByID(list []*server, srv *server) []*server {
+	at, _ := slices.BinarySearchFunc(list, srv, byID)
+	return slices.Insert(list, at, srv)
 }
 
-// removeByID takes a server out of a list by id.
-func removeByID(list []*server, s *server) []*server {
-	at, found := slices.BinarySearchFunc(list, s, byID)
+// removeByID removes a server from a list that is ordered by id.
+func removeByID(list []*server, srv *server) []*server {
+	at, found := slices.BinarySearchFunc(list, srv, byID)
 	if !found {
 		return list
 	}
--- a/balancer/table.go
+++ b/balancer/table.go
@@ -3,173 +3,119 @@
 import (
 	"math/bits"
 	"slices"
-	"time"
 )
 
-// minTableSize is the least table size, four times the design's: shares stay even as servers are added later.
-const minTableSize = 4096
-
-// In a large fleet a server's share is not s/2 entries, one for each server that it may go to in a drain, but at least
-// minShare: its load goes to that many others. With the square of the servers, 3,200 took 200 MB.
 const (
+	// minTableSize is four times the design's, so that shares stay even as servers are added later.
+	minTableSize = 4096
+	// Past largeTableSize entries the table grows by minServerEntries a server, not by their square. A draining
+	// server's load then goes to that many others at least.
 	largeTableSize   = 1 << 16
 	minServerEntries = 16
+
+	// Estimated memory in bytes: two hops of a pointer each, the entries that servers list as their own, at worst
+	// twice, and what else is kept of a server.
+	entryMemory  = 2*8 + 2*4
+	serverMemory = 2 << 10
 )
 
-// build lays a fresh table. Servers take entries in turn, as often as their listed weight says, each the next
-// free one in an order of its own, hashed from its id: shares are even to an entry, two nodes that start from
-// lists that differ by a few servers agree on nearly all else, and the cost is that of the entries alone, not
-// servers times entries.
-func (t *table) build(list []*server) {
-	size := tableSize(len(list)) // a power of two: odd steps meet every entry
-	t.first, t.second = make([]*server, size), make([]*server, size)
-	t.holders = slices.Clone(list)
-	slices.SortFunc(t.holders, byID)
-	heaviest := 0.0
-	for _, s := range t.holders {
-		s.state, heaviest = active, max(heaviest, s.weight)
-	}
-	t.states.regroup(t.holders)
-	at, due := make([]uint64, len(list)), make([]float64, len(list))
-	for left := size; left > 0 && len(list) > 0; {
-		for n, s := range t.holders {
-			if due[n] += s.weight / heaviest; due[n] < 1 || left == 0 {
-				continue
-			}
-			due[n]--
-			i := mix(s.hash, 0) + at[n]*(mix(s.hash, 1)|1)
-			for t.first[i%uint64(size)] != nil {
-				at[n]++
-				i += mix(s.hash, 1) | 1
-			}
-			t.assign(int(i%uint64(size)), s)
-			t.second[i%uint64(size)] = s
-			left--
-		}
-	}
+// table maps entries to servers. New connections go to the first hop of their entry. While an entry changes, its
+// second hop is where connections from before the change are. The table is built and changed only from the endpoint
+// list, so nodes that saw the same changes hold the same table.
+type table struct {
+	first, second []*server
+	holders       []*server // servers that are not inactive, by id
+	changing      bool      // some of them drain or fill
+	states        stateLists
 }
 
-// drain makes x an always-second-hop server: its first-hop entries go in turn to the other parity group. A
-// drain outside the group that drains already, or during a fill, spreads over all.
-func (t *table) drain(x *server, now time.Duration) {
-	if x.state != active && x.state != filling {
-		return
-	}
-	spread := t.states.filling > 0 || t.states.draining[1-x.parity] > 0
-	if t.states.draining == [2]int{} { // parity groups stand for as long as any server drains
-		t.states.regroup(t.holders)
-	}
-	t.states.move(x, draining)
-	x.changedAt, t.changing = now, true
-	to := t.receivers(x, spread)
-	for next, i := range x.ownEntries(t.first) {
-		t.assign(i, to[next%len(to)])
-	}
-	x.entryCount, x.entryIndexes = 0, nil
+// tableSize is the number of entries for so many servers: a power of two, at least servers*floor(servers/2) up to
+// largeTableSize.
+func tableSize(servers int) int {
+	entries := min(servers*(servers/2), max(largeTableSize, minServerEntries*servers))
+	return 1 << bits.Len(uint(max(entries, minTableSize)-1))
 }
 
-// receivers are the servers that take over the entries of x: the active ones of the other parity group, or all of them;
-// where none is active those that fill, and nil where there is no server.
-func (t *table) receivers(x *server, all bool) []*server {
-	to := t.states.groups[1-x.parity]
-	if all || len(to) == 0 {
-		to = t.states.active
-	}
-	if len(to) == 0 {
-		to = t.inState(filling)
+// EstimateMemory returns an estimate, in bytes, of the memory that a list of so many servers takes.
+func EstimateMemory(servers int) int { return tableSize(servers)*entryMemory + servers*serverMemory }
+
+// build lays out a fresh table. Servers take entries in turn, as often as their weight says, each the next free one
+// of a sequence that is hashed from its id. Shares are even to an entry, and two nodes whose lists differ by a few
+// servers agree on nearly all other entries.
+func (t *table) build(servers []*server) {
+	size := tableSize(len(servers))
+	t.first = make([]*server, size)
+	t.second = make([]*server, size)
+	t.holders = slices.Clone(servers)
+	slices.SortFunc(t.holders, byID)
+	heaviest := 0.0
+	for _, srv := range t.holders {
+		srv.state = active
+		heaviest = max(heaviest, srv.weight)
 	}
-	if len(to) == 0 {
-		to = []*server{nil}
+	t.states.regroup(t.holders)
+	if len(servers) > 0 {
+		t.assignAll(heaviest)
 	}
-	return to
 }
 
-// remove takes x out: it holds no entries, and with settle its second-hop entries copy the first hop.
-func (t *table) remove(x *server) {
-	t.states.move(x, inactive)
-	t.holders = removeByID(t.holders, x)
-}
-
-// fill gives x two thirds of an even share, each entry the first occurrence of the active server that holds
-// most entries (ties by id); the displaced server moves to the second hop.
-func (t *table) fill(x *server, now time.Duration) {
-	if x.state != inactive {
-		return
-	}
-	givers := t.states.active
-	others := len(givers) + t.states.filling
-	n := fillCount(len(t.first), others)
-	t.states.move(x, filling)
-	x.changedAt, t.changing = now, true
-	t.holders = insertByID(t.holders, x)
-	for i := 0; others == 0 && i < len(t.first); i++ {
-		if t.first[i] == nil { // the list had run empty
-			t.assign(i, x)
-			t.second[i] = x
-		}
-	}
-	level := 0
-	for _, s := range givers {
-		level = max(level, s.entryCount)
-	}
-	for ; level > 0 && n > 0; level-- { // all that hold this many are the most frequent, in id order
-		for _, s := range givers {
-			if s.entryCount < level || n == 0 {
+// assignAll assigns the entries of an empty table.
+func (t *table) assignAll(heaviest float64) {
+	steps := make([]uint64, len(t.holders)) // how far each server is in its sequence
+	due := make([]float64, len(t.holders))  // entries that each server may take by now
+	for free := len(t.first); free > 0; {
+		for n, srv := range t.holders {
+			due[n] += srv.weight / heaviest
+			if due[n] < 1 || free == 0 {
 				continue
 			}
-			i := s.firstEntry(t.first)
-			s.entryCount--
-			n--
-			t.second[i] = s
-			t.assign(i, x)
+			due[n]--
+			entry := t.nextFree(srv, &steps[n])
+			t.assign(entry, srv)
+			t.second[entry] = srv
+			free--
 		}
 	}
 }
 
-// assign hands a first-hop entry to s and keeps its count and which they are.
-func (t *table) assign(i int, s *server) {
-	if t.first[i] = s; s != nil {
-		s.entryIndexes, s.entriesSorted = append(s.entryIndexes, int32(i)), false
-		s.entryCount++
-	}
+// nextFree returns the next free entry of a server's sequence. The size is a power of two, so an odd stride meets
+// every entry.
+func (t *table) nextFree(srv *server, step *uint64) int {
+	size := uint64(len(t.first))
+	stride := mix(srv.hash, 1) | 1
+	entry := mix(srv.hash, 0) + *step*stride
+	for t.first[entry%size] != nil {
+		*step++
+		entry += stride
+	}
+	return int(entry % size)
 }
 
-// fillCount is ceil((floor(entries/nodes)/3)*2).
-func fillCount(entries, nodes int) int { return (entries/max(nodes, 1)*2 + 2) / 3 }
-
-// progress ends drains and fills whose times have passed, and fills sooner where no connection is left here.
-func (t *table) progress(now, drain, fill time.Duration, idle bool) {
-	if !t.changing {
-		return
-	}
-	holders := slices.Clone(t.holders)
-	t.changing = false
-	for _, s := range holders {
-		switch age := now - s.changedAt; {
-		case s.state == draining && age >= drain:
-			t.remove(s)
-		case s.state == filling && (age >= fill || idle):
-			t.states.move(s, active)
-		default:
-			t.changing = t.changing || s.state != active
-		}
-	}
-	if len(t.holders) < len(holders) {
-		t.syncSecondHops()
+// assign gives a first-hop entry to a server, or to none for nil.
+func (t *table) assign(entry int, srv *server) {
+	t.first[entry] = srv
+	if srv != nil {
+		srv.entryIndexes = append(srv.entryIndexes, int32(entry))
+		srv.entriesSorted = false
+		srv.entryCount++
 	}
 }
 
-// hops returns an entry's servers in the order in which a mid-flow arrival tries them: the second hop while
-// the entry changes, then the first.
-func (t *table) hops(i int) [2]*server {
-	first, second := t.first[i], t.second[i]
-	if second == first || second == nil || second.state != draining && (first == nil || first.state != filling) {
+// hops returns an entry's servers in the order in which a mid-flow arrival tries them: the second hop while the entry
+// changes, then the first.
+func (t *table) hops(entry int) [2]*server {
+	first, second := t.first[entry], t.second[entry]
+	if second == nil || second == first {
+		return [2]*server{nil, first}
+	}
+	firstFills := first != nil && first.state == filling
+	if second.state != draining && !firstFills {
 		second = nil
 	}
 	return [2]*server{second, first}
 }
 
-// mix folds the 128-bit product of two words: alike on all nodes, unseeded.
+// mix hashes two words by folding their 128-bit product: alike on all nodes, without a seed.
 func mix(x, y uint64) uint64 {
 	hi, lo := bits.Mul64(x^0x9e3779b97f4a7c15, y^0xd1b54a32d192ed03)
 	return hi ^ lo
--- a/balancer/table_test.go
+++ b/balancer/table_test.go
@@ -123,8 +123,8 @@
 	expect(t, tab, "777", "777")
 }
 
-// Which entries a server holds is kept beside the table: whatever drains, fills, ends and comes back, a drain empties all
-// of a server's, in their order, and a fill takes the first of the one that holds most.
+// Which entries a server holds is kept beside the table: whatever drains, fills, ends and comes back, a drain
+// empties all of a server's, in their order, and a fill takes the first of the one that holds most.
 func TestEntriesAreKnownWithoutASearch(t *testing.T) {
 	for seed := range uint64(20) {
 		b, now := started(t, testSettings(), 12), time.Duration(0)
