--- a/balancer/bench_test.go
+++ b/balancer/bench_test.go
@@ -13,7 +13,7 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			b.ReportAllocs()
 			node := New(testSettings())
-			node.Handle(0, ListEvent{Kind: ListCached, Revision: 1, Servers: fleetOf(n)})
+			node.Handle(0, ListEvent{Kind: ListCached, Revision: 1, Servers: testFleet(n)})
 			for i := range b.N {
 				now := time.Duration(i+1) * time.Minute
 				state := Live
@@ -32,7 +32,7 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			b.ReportAllocs()
 			node := New(testSettings())
-			node.Handle(0, ListEvent{Kind: ListCached, Revision: 1, Servers: fleetOf(n)})
+			node.Handle(0, ListEvent{Kind: ListCached, Revision: 1, Servers: testFleet(n)})
 			for i := range b.N {
 				id := RequestID(fmt.Sprint(i))
 				now := time.Duration(i) * time.Millisecond
@@ -49,7 +49,7 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			b.ReportAllocs()
 			node := New(testSettings())
-			node.Handle(0, ListEvent{Kind: ListCached, Revision: 1, Servers: fleetOf(n)})
+			node.Handle(0, ListEvent{Kind: ListCached, Revision: 1, Servers: testFleet(n)})
 			for i := range b.N {
 				node.Handle(time.Duration(i)*time.Second, Timer{Token: sweepToken})
 			}
--- /dev/null
+++ b/balancer/eviction_test.go
@@ -0,0 +1,80 @@
+package balancer
+
+import (
+	"fmt"
+	"testing"
+	"time"
+)
+
+// A node that drains turns new clients away at once with when to come again, also those that wait for their turn and
+// those whose attempt fails, and sends away what stands evenly, all of it by its time and the dearest last.
+func TestDrain_Node_RejectsAndMigrates(t *testing.T) {
+	s := testSettings()
+	s.Classes[1] = Class{SetupLatencyObjective: 300 * ms, Deadline: 2 * time.Second, PriorityWeight: 50}
+	b, _ := nodeWithConnections(t, s, 20)
+	for i := range 10 {
+		b.Handle(0, Inherited{Arrival: Arrival{ID: RequestID(fmt.Sprint("dear", i)), Class: 1, TimeLeft: time.Hour}, Server: "a"})
+	}
+	out := b.Handle(ms, Arrival{ID: "early", TimeLeft: 2 * time.Second})
+	if len(sends(out)) != 1 {
+		t.Fatal("the node did not place before it drained")
+	}
+	b.pacing.queue = append(b.pacing.queue, &request{Arrival: Arrival{ID: "waits"}, deadline: time.Second})
+	out = b.Handle(2*ms, Drain{Active: true, Deadline: 10 * time.Second, RetryAfter: 1500 * ms})
+	if n, refused := finalAnswers(out, "waits"); n != 1 || !refused {
+		t.Error("what waits for its turn is not answered at once")
+	}
+	out = b.Handle(3*ms, Arrival{ID: "new", TimeLeft: 2 * time.Second})
+	if n, refused := finalAnswers(out, "new"); n != 1 || !refused || len(sends(out)) != 0 || out[len(out)-1].(Reject).RetryAfter != 1500*ms {
+		t.Errorf("a new client is answered %v", out)
+	}
+	out = b.Handle(4*ms, AttemptEnded{ID: "early", Server: "a", Outcome: Rejected})
+	if n, _ := finalAnswers(out, "early"); n != 1 || len(sends(out)) != 0 {
+		t.Errorf("an attempt that failed is followed by %v", out)
+	}
+	if out = b.Handle(5*ms, Arrival{ID: "mid", TimeLeft: 2 * time.Second, MidFlow: true}); len(sends(out)) != 1 {
+		t.Errorf("a connection that is open already is answered %v", out)
+	}
+	b.Handle(6*ms, ClientDisconnected{ID: "mid"})
+	var left []RequestID
+	for now := sweepInterval; now < 10*time.Second; now += sweepInterval {
+		left = append(left, migrations(b.Handle(now, Timer{Token: sweepToken}))...)
+		if share, gone := float64(len(left))/50, float64(now)/float64(10*time.Second); share > gone+0.1 || share < gone-0.1 {
+			t.Fatalf("%g of all are sent away after %g of the time", share, gone)
+		}
+	}
+	if len(left) != 50 || left[49][:4] != "dear" || left[0][:4] == "dear" {
+		t.Errorf("%d of 50 were sent away, first %s, last %s", len(left), left[0], left[len(left)-1])
+	}
+	b.Handle(11*time.Second, Drain{})
+	b.Handle(11*time.Second, Drain{Active: true, Deadline: 20 * time.Second, AdmissionCutoff: 11*time.Second + 5*ms, KeepConnections: true})
+	if out = b.Handle(11*time.Second+ms, Arrival{ID: "unaware", TimeLeft: 2 * time.Second}); len(sends(out)) != 1 {
+		t.Errorf("a client of a front that has not noticed yet is answered %v", out)
+	}
+	b.Handle(11*time.Second+2*ms, Established{ID: "unaware", Server: sends(out)[0].Server})
+	for now := 12 * time.Second; now < 20*time.Second; now += sweepInterval {
+		if out = b.Handle(now, Timer{Token: sweepToken}); len(migrations(out)) > 0 {
+			t.Fatalf("of what is to stay, %v is sent away", migrations(out))
+		}
+	}
+	b.Handle(20*time.Second, Drain{})
+	if out = b.Handle(21*time.Second, Arrival{ID: "back", TimeLeft: 2 * time.Second}); len(sends(out)) != 1 {
+		t.Errorf("a node that drains no more answers %v", out)
+	}
+}
+
+// A server that drains gets nothing more a hold-up before the end of its grace, whatever the grace is.
+func TestDrainGrace_SchedulingDelay_IsCovered(t *testing.T) {
+	for _, grace := range []time.Duration{100 * ms, 400 * ms, 2 * time.Second} {
+		s := testSettings()
+		s.DrainGrace = grace
+		b := newWarmNode(t, s, 4)
+		drained := testFleet(4)[0]
+		drained.State = Draining
+		b.Handle(time.Second, ListEvent{Kind: ListDelta, Revision: 2, Servers: []Server{drained}})
+		b.Handle(time.Second+max(grace-MaxSchedulingDelay, 0), Timer{Token: sweepToken})
+		if got := b.servers[drained.ID]; got != nil && got.state != inactive {
+			t.Errorf("a grace of %v: it is in state %d, %v before the end", grace, got.state, MaxSchedulingDelay)
+		}
+	}
+}
--- /dev/null
+++ b/balancer/helpers_test.go
@@ -0,0 +1,128 @@
+package balancer
+
+import (
+	"fmt"
+	"testing"
+	"time"
+)
+
+const ms = time.Millisecond
+
+func testSettings() Settings {
+	return Settings{
+		Seed: 1, NodeCount: 3, PollList: true, PassThrough: true, MaxAttempts: 4, MayCancel: true,
+		MaxRetryAfter: 2 * time.Second, DrainGrace: time.Second, SlowStartFraction: 0.25,
+		SlowStartDuration: 10 * time.Second, CollapseMultiple: 3, CollapseWindow: time.Second, PollInterval: 10 * time.Second,
+		Classes: []Class{
+			{SetupLatencyObjective: 300 * ms, Deadline: 2 * time.Second, MessageLatencyObjective: 100 * ms, PriorityWeight: 1},
+			{SetupLatencyObjective: 300 * ms, Deadline: 2 * time.Second, Effect: IdempotentByKey, Scope: ScopeZone, IdempotencyWindow: time.Second},
+			{SetupLatencyObjective: 300 * ms, Deadline: 2 * time.Second, Effect: NonIdempotent},
+			{SetupLatencyObjective: 300 * ms, Deadline: 2 * time.Second, Effect: IdempotentByKey, Scope: ScopeAll, IdempotencyWindow: time.Second},
+			{SetupLatencyObjective: 300 * ms, Deadline: 2 * time.Second, Effect: IdempotentByKey, Scope: ScopeCell, IdempotencyWindow: time.Second},
+		},
+	}
+}
+
+// newWarmNode is a node that holds a warm fleet of n servers.
+func newWarmNode(t *testing.T, s Settings, n int) *Balancer {
+	t.Helper()
+	b := New(s)
+	b.Handle(0, ListEvent{Kind: ListCached, Revision: 1, Servers: testFleet(n)})
+	return b
+}
+
+// firstEntryOf is the entry of the table that a request without a group belongs to.
+func firstEntryOf(b *Balancer, r *request) int {
+	return b.candidateEntry(b.preferredEntry(r), 0)
+}
+
+func sends(actions []Action) (out []Send) {
+	for _, a := range actions {
+		if s, ok := a.(Send); ok {
+			out = append(out, s)
+		}
+	}
+	return out
+}
+
+// finalAnswers counts the final answers for a request.
+func finalAnswers(actions []Action, id RequestID) (n int, refused bool) {
+	for _, a := range actions {
+		switch a := a.(type) {
+		case Reject:
+			if a.ID == id {
+				n++
+				refused = true
+			}
+		case Fail:
+			if a.ID == id {
+				n++
+			}
+		}
+	}
+	return n, refused
+}
+
+func keyOf(i int) string { return fmt.Sprint("key-", i) }
+
+// nodeWithConnections is a node with n open connections of class 0 on each of its two servers.
+func nodeWithConnections(t *testing.T, s Settings, n int) (*Balancer, *server) {
+	t.Helper()
+	b := New(s)
+	b.Handle(0, ListEvent{Kind: ListCached, Servers: []Server{{ID: "a", Weight: 1}, {ID: "b", Weight: 1}}})
+	for i := range 2 * n {
+		id := RequestID(fmt.Sprint("open", i))
+		on := ServerID("ab"[i%2 : i%2+1])
+		b.Handle(0, Inherited{Arrival: Arrival{ID: id, Key: fmt.Sprint(i), TimeLeft: time.Hour}, Server: on})
+		b.Handle(0, LoadReport{ID: id, Load: 100})
+	}
+	return b, b.servers["a"]
+}
+
+func migrations(actions []Action) (out []RequestID) {
+	for _, a := range actions {
+		if m, ok := a.(Migrate); ok {
+			out = append(out, m.ID)
+		}
+	}
+	return out
+}
+
+// newFleetNode is one of n nodes that hold a warm fleet of servers.
+func newFleetNode(t *testing.T, index, nodes, servers int) *Balancer {
+	s := testSettings()
+	s.Seed, s.NodeIndex, s.NodeCount = uint64(index)+1, index, nodes
+	return newWarmNode(t, s, servers)
+}
+
+// lowSampleNode is a node of a large fleet, which is to hold less than a connection on each of its servers.
+func lowSampleNode(t *testing.T, classes ...Class) *Balancer {
+	t.Helper()
+	s := testSettings()
+	s.NodeCount, s.Tenants = 80, []Tenant{{ConnectionQuota: 350}}
+	if len(classes) > 0 {
+		s.Classes = classes
+	}
+	b := newWarmNode(t, s, 10)
+	if !b.lowSample() {
+		t.Fatal("the node sees enough to judge by")
+	}
+	return b
+}
+
+// establishConnection has a connection come up at a node.
+func establishConnection(t *testing.T, b *Balancer, id RequestID, at time.Duration, took time.Duration, midFlow bool) {
+	t.Helper()
+	sent := sends(b.Handle(at, Arrival{ID: id, Key: string(id), TimeLeft: time.Second, MidFlow: midFlow}))
+	if len(sent) != 1 {
+		t.Fatalf("%s was not sent", id)
+	}
+	b.Handle(at+took, Established{ID: id, Server: sent[0].Server, Took: took})
+}
+
+func testFleet(n int) (out []Server) {
+	for i := range n {
+		out = append(out, Server{ID: ServerID(fmt.Sprintf("s%02d", i)), Weight: 1 + float64(i%3)})
+	}
+	return out
+}
--- a/balancer/invariants_test.go
+++ b/balancer/invariants_test.go
@@ -8,7 +8,7 @@
 )
 
 // world plays a fleet that answers at random, and checks what must hold in every run.
-func TestInvariantsOverRandomDays(t *testing.T) {
+func TestInvariants_RandomEvents_Hold(t *testing.T) {
 	for seed := range uint64(40) {
 		rng := rand.New(rand.NewPCG(seed, 0))
 		set := testSettings()
@@ -58,7 +58,7 @@
 				}
 			}
 		}
-		step(ListEvent{Kind: ListCached, Servers: fleetOf(servers)})
+		step(ListEvent{Kind: ListCached, Servers: testFleet(servers)})
 		var ids []RequestID
 		opened := map[RequestID]bool{}
 		for i := range 3000 {
@@ -91,7 +91,7 @@
 			case k == 16 && len(ids) > 0:
 				step(LatencyReport{ID: ids[rng.IntN(len(ids))], Latency: time.Duration(rng.IntN(400)) * ms})
 			case k == 17:
-				c := fleetOf(servers)[rng.IntN(8)]
+				c := testFleet(servers)[rng.IntN(8)]
 				c.State = ServerState(rng.IntN(3))
 				if delete(told, c.ID); c.State == Live {
 					c.StartedAt = now
--- a/balancer/size_bench_test.go
+++ b/balancer/list_bench_test.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// sizes are the fleets that a node is to bear, by hosts.
-var sizes = []int{10, 100, 350, 1024, 2000, 3200}
+// fleetSizes are the fleets that a node is to bear, by hosts.
+var fleetSizes = []int{10, 100, 350, 1024, 2000, 3200}
 
 // The cost of one list that drains half of a fleet and starts as many hosts, as in a release that goes wrong, and of
 // the sweep in which the drains end. While a node works at it, it answers nobody.
 func BenchmarkHalfReplaced(b *testing.B) {
-	for _, n := range sizes {
+	for _, n := range fleetSizes {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			b.ReportAllocs()
 			for range b.N {
 				b.StopTimer()
-				all := fleetOf(n)
+				all := testFleet(n)
 				node := New(testSettings())
 				node.Handle(0, ListEvent{Kind: ListSnapshot, Revision: 1, Servers: all})
 				news := []Server{}
@@ -35,11 +35,11 @@
 
 // The cost of the first list.
 func BenchmarkFirstList(b *testing.B) {
-	for _, n := range sizes {
+	for _, n := range fleetSizes {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			b.ReportAllocs()
 			for range b.N {
-				New(testSettings()).Handle(0, ListEvent{Kind: ListSnapshot, Revision: 1, Servers: fleetOf(n)})
+				New(testSettings()).Handle(0, ListEvent{Kind: ListSnapshot, Revision: 1, Servers: testFleet(n)})
 			}
 		})
 	}
--- a/balancer/load.go
+++ b/balancer/load.go
@@ -7,8 +7,8 @@
 	overloadFactor         = 1.5
 	minOverloadConnections = 2
 
-	overloadedShare          = 0.5    // share of the known weight with new limits, from which the fleet is overloaded
-	lowSampleOverloadedShare = 1. / 3 // the same at a node with a low sample
+	overloadedFraction          = 0.5    // share of the known weight with new limits, from which the fleet is overloaded
+	lowSampleOverloadedFraction = 1. / 3 // the same at a node with a low sample
 
 	loadSmoothing = 0.05 // weight of one load report in the mean loads
 )
@@ -121,11 +121,11 @@
 		}
 	}
 	b.fleet.maxWeight = max(b.fleet.maxWeight, b.fleet.weight)
-	b.fleet.ignoreEjections = ejected > maxEjectedShare*b.fleet.weight
-	b.fleet.overloaded = limited > overloadedShare*known
+	b.fleet.ignoreEjections = ejected > maxEjectedFraction*b.fleet.weight
+	b.fleet.overloaded = limited > overloadedFraction*known
 	b.fleet.maxProbes = maxGroupProbes
 	if b.lowSample() { // it knows few servers, and late
-		b.fleet.overloaded = limited > lowSampleOverloadedShare*known
+		b.fleet.overloaded = limited > lowSampleOverloadedFraction*known
 		b.fleet.maxProbes = lowSampleGroupProbes
 	}
 }
--- a/balancer/midflow_test.go
+++ b/balancer/midflow_test.go
@@ -8,12 +8,12 @@
 
 // A mid-flow arrival is sent where its connection stands: to the second hop while its entry changes,
 // also when that server drains, and never past the drain grace.
-func TestMidFlowGoesToTheSecondHopWithinTheGrace(t *testing.T) {
-	b := started(t, testSettings(), 6)
+func TestMidFlow_ChangingEntry_GoesToSecondHop(t *testing.T) {
+	b := newWarmNode(t, testSettings(), 6)
 	b.Handle(0, Arrival{ID: "held", Key: "held", TimeLeft: time.Second}) // a node with no request ends fills at once
 	var key string
 	for i := range 100 {
-		if key = fmt.Sprint("k", i); b.table.first[homeEntry(b, &request{Arrival: Arrival{Key: key}})].id == "s02" {
+		if key = fmt.Sprint("k", i); b.table.first[firstEntryOf(b, &request{Arrival: Arrival{Key: key}})].id == "s02" {
 			break
 		}
 	}
@@ -38,12 +38,12 @@
 	}
 
 	// A fill: the server that gave its entry away is the second hop.
-	b = started(t, testSettings(), 6)
+	b = newWarmNode(t, testSettings(), 6)
 	b.Handle(0, Arrival{ID: "held", Key: "held", TimeLeft: time.Second})
 	b.Handle(time.Second, ListEvent{Kind: ListDelta, Revision: 2, Servers: []Server{{ID: "s99", Weight: 1}}})
 	for i := range 1000 {
 		key = fmt.Sprint("k", i)
-		hops := b.table.hops(homeEntry(b, &request{Arrival: Arrival{Key: key}}))
+		hops := b.table.hops(firstEntryOf(b, &request{Arrival: Arrival{Key: key}}))
 		first, second := hops[1], hops[0]
 		if second == nil {
 			continue
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -6,7 +6,7 @@
 )
 
 const (
-	maxEjectedShare      = 0.5 // share of the fleet's weight that may be ejected: more is no server's fault
+	maxEjectedFraction   = 0.5 // share of the fleet's weight that may be ejected: more is no server's fault
 	loggedOutlierFailure = 2   // number of the consecutive failure that is logged
 )
 
--- /dev/null
+++ b/balancer/outlier_test.go
@@ -0,0 +1,54 @@
+package balancer
+
+import (
+	"fmt"
+	"testing"
+	"time"
+)
+
+// A hung server accepts and says nothing; a dead one refuses connections. Both must stop getting new
+// connections within a few attempts, be tried again later, and come back when well.
+func TestOutlier_FailingServer_IsEjectedForATime(t *testing.T) {
+	for _, outcome := range []Outcome{ResponseTimeout, ConnectFailed} {
+		b := newWarmNode(t, testSettings(), 6)
+		bad := b.table.first[0].id
+		hits, now := 0, time.Duration(0)
+		for i := range 200 {
+			id := RequestID(fmt.Sprint("r", i))
+			out := b.Handle(now, Arrival{ID: id, Key: fmt.Sprint(i), TimeLeft: 2 * time.Second})
+			for n := 0; len(sends(out)) == 1; n++ {
+				e := AttemptEnded{ID: id, Attempt: n, Took: 300 * ms, Outcome: outcome}
+				if sends(out)[0].Server != bad {
+					b.Handle(now, Established{ID: id, Attempt: n, Took: 20 * ms})
+					e.Outcome, e.Final = Served, true
+				} else {
+					hits++
+				}
+				out = b.Handle(now, e)
+			}
+			now += 50 * ms
+		}
+		if hits < 2 || hits > 12 {
+			t.Errorf("outcome %d: the bad server got %d attempts in 10 s", outcome, hits)
+		}
+		s := b.servers[bad]
+		b.now = s.ejectedUntil + ms
+		if b.isEjected(s) {
+			t.Error("it is never tried again")
+		}
+		b.recordSuccess(s)
+		if s.consecutiveFailures != 0 || b.isEjected(s) {
+			t.Error("a success does not clear it")
+		}
+	}
+}
+
+func TestOutlier_MostEjected_IsIgnored(t *testing.T) {
+	b := newWarmNode(t, testSettings(), 6)
+	for _, s := range b.servers {
+		b.recordFailure(s, time.Second)
+	}
+	if out := sends(b.Handle(ms, Arrival{ID: "r", Key: "k", TimeLeft: time.Second})); len(out) != 1 {
+		t.Error("with all servers suspect the plain table must go on")
+	}
+}
--- /dev/null
+++ b/balancer/overload_surge_test.go
@@ -0,0 +1,168 @@
+package balancer
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+	"time"
+)
+
+// reconnectSurge is one play: a share of the clients of a fleet comes again at once, to whom the store, which bears room
+// times the baselineInterval rate, can't be of use as fast.
+type reconnectSurge struct {
+	nodes           int
+	rate            float64 // newcomers a second, over all nodes
+	backendCapacity float64
+	resetFraction   float64
+	restart         bool // seven in ten nodes start anew in that moment
+	early           bool // it comes 6 s after the start, in the first 3 s of which all that stood came anew, at no price
+}
+
+// play returns the part of the wanted client time that is served in the half minute from the wave on.
+func (p reconnectSurge) play(seed uint64) float64 {
+	j := newOverloadSim(seed, []time.Duration{700 * ms, 900 * ms, time.Second, 1200 * ms})
+	j.setupCost = time.Duration(float64(time.Second) / (p.rate * p.backendCapacity))
+	stands := p.rate * j.meanLifetime.Seconds()
+	for i := range p.nodes {
+		j.fleet = append(j.fleet, j.startNode(seed, i, p.nodes, 1.5*stands))
+	}
+	at := time.Minute
+	j.scheduleArrivals(p.rate)
+	if p.early {
+		at = 6 * time.Second
+		for range int(stands) {
+			j.schedule(j.drawDuration(0, 3*time.Second), j.addClient)
+		}
+	}
+	j.run(at)
+	j.accountedFrom = at
+	for i := range j.fleet {
+		if p.restart && i%10 < 7 {
+			j.fleet[i] = j.startNode(seed, i, p.nodes, 1.5*stands)
+		}
+	}
+	j.resetConnections(p.resetFraction)
+	j.run(at + 30*time.Second)
+	return j.total().served()
+}
+
+// A wave of clients that come again jams what all set-ups call, and each node sees a few of them a second at most.
+// The jam ends soon whatever the size of the fleet, how long it has run and what the store bears: before failed
+// set-ups paced as they usually come, all of these lay 0.03 to 0.45 lower, as nodes sent on into the jam.
+func TestOverload_ReconnectSurge_EndsSoon(t *testing.T) {
+	for _, c := range []struct {
+		reconnectSurge
+		least float64
+	}{
+		{reconnectSurge{nodes: 300, rate: 85, backendCapacity: 6, resetFraction: 0.4}, 0.92},
+		{reconnectSurge{nodes: 300, rate: 85, backendCapacity: 4, resetFraction: 0.2}, 0.92},
+		{reconnectSurge{nodes: 300, rate: 85, backendCapacity: 6, resetFraction: 0.4, restart: true}, 0.92},
+		{reconnectSurge{nodes: 300, rate: 85, backendCapacity: 8, resetFraction: 0.4, early: true}, 0.85},
+		{reconnectSurge{nodes: 300, rate: 85, backendCapacity: 6, resetFraction: 0.7, early: true}, 0.62},
+		{reconnectSurge{nodes: 300, rate: 300, backendCapacity: 4, resetFraction: 0.7}, 0.88},
+		{reconnectSurge{nodes: 40, rate: 85, backendCapacity: 4, resetFraction: 0.4}, 0.94},
+		{reconnectSurge{nodes: 5, rate: 85, backendCapacity: 6, resetFraction: 0.4, early: true}, 0.89},
+	} {
+		t.Run(fmt.Sprintf("%+v", c.reconnectSurge), func(t *testing.T) {
+			t.Parallel()
+			for seed := range uint64(2) {
+				if got := c.play(seed + 1); got < c.least {
+					t.Errorf("seed %d: %.3f of the time is served, %g is wanted", seed+1, got, c.least)
+				} else {
+					t.Logf("seed %d: %.3f", seed+1, got)
+				}
+			}
+		})
+	}
+}
+
+// rollingRestart is a play in which a release of the servers sends a part of the clients away every 1.3 s, while
+// all nodes are restarted, a tenth at a time.
+type rollingRestart struct {
+	nodes           int
+	rate            float64 // new clients a second, over all nodes
+	backendCapacity float64 // what the store bears, as a multiple of that
+	firstFraction   float64 // share of the clients that come again as the release begins
+	stepFraction    float64 // the same of each later step
+	deadlines       []time.Duration
+}
+
+// play returns the part of the wanted client time that is served in the half minute from the release on, and of
+// each class the part of the clients that asked while it lasted and came up.
+func (p rollingRestart) play(seed uint64) (served float64, cameUp []float64) {
+	const (
+		begin, length  = 10 * time.Second, 12 * time.Second
+		steps, batches = 9, 10
+	)
+	j := newOverloadSim(seed, p.deadlines)
+	j.setupCost = time.Duration(float64(time.Second) / (p.rate * p.backendCapacity))
+	stands := p.rate * j.meanLifetime.Seconds()
+	for i := range p.nodes {
+		j.fleet = append(j.fleet, j.startNode(seed, i, p.nodes, 1.5*stands))
+	}
+	j.scheduleArrivals(p.rate)
+	for range int(stands) {
+		j.schedule(j.drawDuration(0, 3*time.Second), j.addClient)
+	}
+	j.schedule(begin, func() { j.resetConnections(p.firstFraction) })
+	for i := range steps {
+		j.schedule(begin+time.Duration(i+1)*length/steps, func() { j.resetConnections(p.stepFraction) })
+	}
+	for batch := range batches {
+		j.schedule(begin+time.Duration(batch)*length/batches, func() { j.restart(seed, batch, batches) })
+	}
+	j.run(begin)
+	j.accountedFrom = begin
+	for i := range j.times {
+		j.times[i].attempted, j.times[i].succeeded = 0, 0
+	}
+	j.run(begin + length)
+	for _, c := range j.times {
+		cameUp = append(cameUp, float64(c.succeeded)/float64(c.attempted))
+	}
+	j.run(begin + 30*time.Second)
+	return j.total().served(), cameUp
+}
+
+// restart starts every n-th node anew, once it has answered what waits there for its turn.
+func (j *overloadSim) restart(seed uint64, first, n int) {
+	for i := first; i < len(j.fleet); i += n {
+		old := j.fleet[i]
+		quota := old.settings.Tenants[0].ConnectionQuota
+		j.handle(i, old, Drain{Active: true, Deadline: j.now, AdmissionCutoff: j.now, KeepConnections: true})
+		j.fleet[i] = j.startNode(seed+1, i, len(j.fleet), quota)
+	}
+}
+
+// Where what all servers call is overloaded, no class of requests is left without service beside others. Nodes that
+// had just started, and those that paced in steps, together sent what the store could do and more: its queue stayed
+// longer than the shortest deadline, and classes of longer ones alone came up.
+func TestPacing_RollingRestart_ServesEveryClass(t *testing.T) {
+	for _, c := range []struct {
+		rollingRestart
+		least float64 // of the wanted time, all classes together
+	}{
+		{rollingRestart{nodes: 300, rate: 40, backendCapacity: 6, firstFraction: 0.35, stepFraction: 0.05,
+			deadlines: []time.Duration{700 * ms, 3 * time.Second, 4800 * ms}}, 0.85},
+		{rollingRestart{nodes: 300, rate: 40, backendCapacity: 6, firstFraction: 0.3, stepFraction: 0.05,
+			deadlines: []time.Duration{700 * ms, 6 * time.Second, 6 * time.Second}}, 0.9},
+		{rollingRestart{nodes: 300, rate: 40, backendCapacity: 6, firstFraction: 0.1, stepFraction: 0.2,
+			deadlines: []time.Duration{700 * ms, 3 * time.Second}}, 0.75},
+		{rollingRestart{nodes: 300, rate: 40, backendCapacity: 5, firstFraction: 0.4, stepFraction: 0.08,
+			deadlines: []time.Duration{700 * ms, 900 * ms, 1200 * ms}}, 0.65},
+	} {
+		t.Run(fmt.Sprintf("%+v", c.rollingRestart), func(t *testing.T) {
+			t.Parallel()
+			for seed := range uint64(2) {
+				served, cameUp := c.play(seed + 1)
+				t.Logf("seed %d: %.3f of the time is served, of the classes' clients %.3f came up", seed+1, served, cameUp)
+				if slices.Min(cameUp) < slices.Max(cameUp)/2 {
+					t.Errorf("seed %d: of the classes' clients %.3f came up, one class less than half of the best", seed+1, cameUp)
+				}
+				if served < c.least {
+					t.Errorf("seed %d: %.3f of the time is served, %g is wanted", seed+1, served, c.least)
+				}
+			}
+		})
+	}
+}
--- a/balancer/pacing_test.go
+++ b/balancer/pacing_test.go
@@ -2,284 +2,290 @@
 
 import (
 	"fmt"
-	"slices"
 	"testing"
 	"time"
 )
 
-// rollingRestart is a play in which a release of the servers sends a part of the clients away every 1.3 s, while
-// all nodes are restarted, a tenth at a time.
-type rollingRestart struct {
-	nodes     int
-	rate      float64 // new clients a second, over all nodes
-	room      float64 // what the store bears, as a multiple of that
-	first     float64 // share of the clients that come again as the release begins
-	step      float64 // the same of each later step
-	deadlines []time.Duration
-}
-
-// play returns the part of the wanted client time that is served in the half minute from the release on, and of
-// each class the part of the clients that asked while it lasted and came up.
-func (p rollingRestart) play(seed uint64) (served float64, cameUp []float64) {
-	const (
-		begin, length  = 10 * time.Second, 12 * time.Second
-		steps, batches = 9, 10
-	)
-	j := newJam(seed, p.deadlines)
-	j.each = time.Duration(float64(time.Second) / (p.rate * p.room))
-	stands := p.rate * j.life.Seconds()
-	for i := range p.nodes {
-		j.fleet = append(j.fleet, j.node(seed, i, p.nodes, 1.5*stands))
-	}
-	j.arrivals(p.rate)
-	for range int(stands) {
-		j.after(j.between(0, 3*time.Second), j.newcomer)
-	}
-	j.after(begin, func() { j.drop(p.first) })
-	for i := range steps {
-		j.after(begin+time.Duration(i+1)*length/steps, func() { j.drop(p.step) })
-	}
-	for batch := range batches {
-		j.after(begin+time.Duration(batch)*length/batches, func() { j.restart(seed, batch, batches) })
-	}
-	j.run(begin)
-	j.since = begin
-	for i := range j.times {
-		j.times[i].asked, j.times[i].cameUp = 0, 0
-	}
-	j.run(begin + length)
-	for _, c := range j.times {
-		cameUp = append(cameUp, float64(c.cameUp)/float64(c.asked))
-	}
-	j.run(begin + 30*time.Second)
-	return j.total().share(), cameUp
-}
-
-// restart starts every n-th node anew, once it has answered what waits there for its turn.
-func (j *jam) restart(seed uint64, first, n int) {
-	for i := first; i < len(j.fleet); i += n {
-		old := j.fleet[i]
-		quota := old.settings.Tenants[0].ConnectionQuota
-		j.do(i, old, Drain{Active: true, Deadline: j.now, AdmissionCutoff: j.now, KeepConnections: true})
-		j.fleet[i] = j.node(seed+1, i, len(j.fleet), quota)
-	}
-}
-
-// Where what all servers call is overloaded, no class of requests is left without service beside others. Nodes that
-// had just started, and those that paced in steps, together sent what the store could do and more: its queue stayed
-// longer than the shortest deadline, and classes of longer ones alone came up.
-func TestPacing_RollingRestart_ServesEveryClass(t *testing.T) {
-	for _, c := range []struct {
-		rollingRestart
-		least float64 // of the wanted time, all classes together
-	}{
-		{rollingRestart{nodes: 300, rate: 40, room: 6, first: 0.35, step: 0.05,
-			deadlines: []time.Duration{700 * ms, 3 * time.Second, 4800 * ms}}, 0.85},
-		{rollingRestart{nodes: 300, rate: 40, room: 6, first: 0.3, step: 0.05,
-			deadlines: []time.Duration{700 * ms, 6 * time.Second, 6 * time.Second}}, 0.9},
-		{rollingRestart{nodes: 300, rate: 40, room: 6, first: 0.1, step: 0.2,
-			deadlines: []time.Duration{700 * ms, 3 * time.Second}}, 0.75},
-		{rollingRestart{nodes: 300, rate: 40, room: 5, first: 0.4, step: 0.08,
-			deadlines: []time.Duration{700 * ms, 900 * ms, 1200 * ms}}, 0.65},
-	} {
-		t.Run(fmt.Sprintf("%+v", c.rollingRestart), func(t *testing.T) {
-			t.Parallel()
-			for seed := range uint64(2) {
-				served, cameUp := c.play(seed + 1)
-				t.Logf("seed %d: %.3f of the time is served, of the classes' clients %.3f came up", seed+1, served, cameUp)
-				if slices.Min(cameUp) < slices.Max(cameUp)/2 {
-					t.Errorf("seed %d: of the classes' clients %.3f came up, one class less than half of the best", seed+1, cameUp)
-				}
-				if served < c.least {
-					t.Errorf("seed %d: %.3f of the time is served, %g is wanted", seed+1, served, c.least)
+// Half the clients return at once: set-ups queue at what all servers call to set one up. Sending on
+// at full speed keeps that jammed; waiting past the client's time would lose the request.
+func TestPacing_AllSetupsFail_AnswersInTime(t *testing.T) {
+	b := newWarmNode(t, testSettings(), 12)
+	now := time.Duration(0)
+	due := map[RequestID]time.Duration{}
+	answered := map[RequestID]bool{}
+	sent := 0
+	var wakes []time.Duration
+	var take func(actions []Action)
+	take = func(actions []Action) {
+		for _, a := range actions {
+			switch a := a.(type) {
+			case Send:
+				sent++
+				at := a
+				defer func() {
+					take(b.Handle(now, AttemptEnded{ID: at.ID, Attempt: len(b.requests[at.ID].attempts) - 1, Took: 10 * ms, Outcome: Errored}))
+				}()
+			case Reject:
+				answered[a.ID] = true
+				if now > due[a.ID] {
+					t.Fatalf("%s was answered after its time", a.ID)
 				}
+			case SetTimer:
+				wakes = append(wakes, a.At)
 			}
-		})
+		}
 	}
-}
-
-// lowSampleNode is a node of a large fleet, which is to hold less than a connection on each of its servers.
-func lowSampleNode(t *testing.T, classes ...Class) *Balancer {
-	t.Helper()
-	s := testSettings()
-	s.NodeCount, s.Tenants = 80, []Tenant{{ConnectionQuota: 350}}
-	if len(classes) > 0 {
-		s.Classes = classes
+	for i := range 100 {
+		id := RequestID(fmt.Sprint("r", i))
+		due[id] = 2 * time.Second
+		take(append([]Action(nil), b.Handle(0, Arrival{ID: id, Key: fmt.Sprint(i), TimeLeft: 2 * time.Second})...))
+	}
+	if sent > 20 {
+		t.Errorf("%d set-ups were sent into the jam at once", sent)
+	}
+	for now < 3*time.Second {
+		now += 5 * ms
+		for i := 0; i < len(wakes); i++ {
+			if wakes[i] <= now {
+				wakes = append(wakes[:i], wakes[i+1:]...)
+				take(append([]Action(nil), b.Handle(now, Timer{Token: pacingToken})...))
+				break
+			}
+		}
 	}
-	b := started(t, s, 10)
-	if !b.lowSample() {
-		t.Fatal("the node sees enough to judge by")
+	if len(answered) != 100 || len(b.requests) != 0 {
+		t.Errorf("%d of 100 answered, %d held", len(answered), len(b.requests))
 	}
-	return b
 }
 
-// cameUp has a connection come up at a node.
-func cameUp(t *testing.T, b *Balancer, id RequestID, at time.Duration, took time.Duration, midFlow bool) {
-	t.Helper()
-	sent := sends(b.Handle(at, Arrival{ID: id, Key: string(id), TimeLeft: time.Second, MidFlow: midFlow}))
-	if len(sent) != 1 {
-		t.Fatalf("%s was not sent", id)
-	}
-	b.Handle(at+took, Established{ID: id, Server: sent[0].Server, Took: took})
-}
-
-// A connection whose packets come to another node goes on at its server in a moment and calls nothing that servers
-// share: it is no sign that set-ups are well, nor a turn of theirs. Each halved the interval while every set-up
-// failed.
-func TestPacing_MidFlowArrival_IsNoSetup(t *testing.T) {
-	b := lowSampleNode(t)
-	cameUp(t, b, "first", time.Second, 10*ms, false)
-	b.pacing.interval, b.pacing.nextSendAt, b.pacing.changedAt = 2*time.Second, 4*time.Second, 2*time.Second
-	for i := range 4 {
-		cameUp(t, b, RequestID(fmt.Sprint("mid", i)), 2*time.Second+time.Duration(i)*10*ms, ms, true)
-	}
-	if b.pacing.interval != 2*time.Second || b.pacing.nextSendAt != 4*time.Second {
-		t.Errorf("one in %v, the next at %v, after four connections that went on; want 2s and 4s", b.pacing.interval, b.pacing.nextSendAt)
-	}
-	if cameUp(t, b, "new", 4*time.Second, 10*ms, false); b.pacing.interval != time.Second {
-		t.Errorf("one in %v after a good set-up, want half of 2s", b.pacing.interval)
+// A jam that is over must not keep a node paced: where few connections come, few good set-ups tell.
+func TestPacing_QuietTime_EndsIt(t *testing.T) {
+	b := newWarmNode(t, testSettings(), 6)
+	for i, id := range []RequestID{"a", "b", "r"} {
+		b.Handle(0, Arrival{ID: id, Key: string(id), TimeLeft: time.Second})
+		b.Handle(20*ms, AttemptEnded{ID: id, Took: 20 * ms, Outcome: Errored})
+		if i == 0 && b.pacing.interval > 0 { // it cost clients that do not come again their only try
+			t.Fatal("a single error of a set-up paces")
+		}
 	}
-}
-
-// The time that a paced request may wait is that of the shortest deadline for all classes: a class of long
-// deadlines took every turn before another could come.
-func TestPacing_Wait_IsAlikeForAllClasses(t *testing.T) {
-	b := lowSampleNode(t, Class{SetupLatencyObjective: 200 * ms, Deadline: 700 * ms}, Class{SetupLatencyObjective: 800 * ms, Deadline: 4800 * ms})
-	cameUp(t, b, "first", time.Second, 10*ms, false)
-	b.pacing.interval, b.pacing.nextSendAt, b.pacing.changedAt = 3*time.Second, 4*time.Second, 2*time.Second
-	for class, deadline := range []time.Duration{700 * ms, 4800 * ms} {
-		for _, c := range []struct {
-			before time.Duration // the turn
-			waits  bool
-		}{{500 * ms, false}, {300 * ms, true}} {
-			id := RequestID(fmt.Sprint(class, c.before))
-			out := b.Handle(4*time.Second-c.before, Arrival{ID: id, Class: class, Key: "k", TimeLeft: deadline})
-			n, refused := finals(out, id)
-			if waits := n == 0 && len(sends(out)) == 0; waits != c.waits || !waits && !refused {
-				t.Errorf("class %d, %v before its turn: waits %v, refused %v; want it to wait: %v", class, c.before, waits, refused, c.waits)
-			}
-			b.Handle(4*time.Second-c.before, ClientDisconnected{ID: id})
-			b.pacing.queue = nil
+	if b.pacing.interval == 0 {
+		t.Fatal("errors of one set-up after another do not pace")
+	}
+	for now := sweepInterval; now < 10*time.Second; now += sweepInterval {
+		b.Handle(now, Timer{Token: pacingToken})
+		b.Handle(now, Timer{Token: sweepToken})
+		if r := b.requests["r"]; r != nil && len(r.attempts) > 1 && r.establishedOn == nil {
+			b.Handle(now, Established{ID: "r", Attempt: len(r.attempts) - 1, Took: 20 * ms})
 		}
 	}
+	if b.pacing.interval > 0 {
+		t.Errorf("still paced at one in %v after ten quiet seconds", b.pacing.interval)
+	}
 }
 
-// A node that begins to pace sends the next one an interval after the last, not at once.
-func TestPacing_Begin_MovesTheNextTurn(t *testing.T) {
-	b := lowSampleNode(t)
-	cameUp(t, b, "first", time.Second, 10*ms, false)
-	for i, id := range []RequestID{"a", "b"} {
-		at := 2*time.Second + time.Duration(i)*100*ms
-		sent := sends(b.Handle(at, Arrival{ID: id, Key: string(id), TimeLeft: 300 * ms}))
-		if len(sent) != 1 {
-			t.Fatalf("%s was not sent", id)
+// However many wait and however short the pace has become, a node has one timer out for all of them. Each of them
+// had its own, set anew whenever one fell due a part of a microsecond early, and good set-ups halved the pace
+// without an end: the timers of one instant set more for the same instant, until the memory was full.
+func TestPacing_Queue_HasOneTimer(t *testing.T) {
+	b := newWarmNode(t, testSettings(), 4)
+	at := time.Second
+	b.Handle(at, Arrival{ID: "first", Key: "a", TimeLeft: time.Second})
+	b.pacing.interval, b.pacing.nextSendAt, b.pacing.changedAt = 10*ms, at+10*ms, 0
+	wakes, sent := 0, 0
+	handle := func(e Event) {
+		for _, a := range b.Handle(at, e) {
+			switch a := a.(type) {
+			case SetTimer:
+				if a.Token == pacingToken {
+					wakes++
+				}
+			case Send:
+				sent++
+			}
 		}
 	}
-	for i, id := range []RequestID{"a", "b"} {
-		r := b.requests[id]
-		b.now = 2400*ms + time.Duration(i)*ms
-		b.observeSetup(r, &r.attempts[0], 300*ms, true)
+	for i := range 30 {
+		handle(Arrival{ID: RequestID(fmt.Sprint("w", i)), Key: fmt.Sprint(i), TimeLeft: time.Second})
 	}
-	if b.pacing.interval != maxSendInterval {
-		t.Fatalf("two servers failed in a row, one in %v is sent; want %v", b.pacing.interval, maxSendInterval)
+	if wakes != 1 || sent != 0 {
+		t.Errorf("30 wait, %d sent, %d timers are set; want 1", sent, wakes)
 	}
-	out := b.Handle(2500*ms, Arrival{ID: "next", Key: "n", TimeLeft: 2 * time.Second})
-	if n, refused := finals(out, "next"); len(sends(out)) != 0 || n != 1 || !refused {
-		t.Errorf("half a second after the last send the next one goes out: %v", out)
+	for i := range 40 { // good ones that were sent since, all in one instant
+		b.observeSetup(&request{}, &attempt{server: b.servers["a"], sentAt: at}, ms, false)
+		if handle(Timer{Token: pacingToken}); b.pacing.interval > 0 && b.pacing.interval <= timerTolerance {
+			t.Fatalf("after %d good set-ups one in %v is sent", i+1, b.pacing.interval)
+		}
+	}
+	if b.pacing.interval != 0 || len(b.pacing.queue) > 0 || sent != 30 {
+		t.Errorf("paced at %v, %d wait and %d of 30 were sent after forty good set-ups", b.pacing.interval, len(b.pacing.queue), sent)
 	}
-	if out = b.Handle(5200*ms, Arrival{ID: "later", Key: "l", TimeLeft: 2 * time.Second}); len(sends(out)) != 1 {
-		t.Errorf("an interval after the last send nothing goes out: %v", out)
+	if wakes > 12 { // one for each shorter pace
+		t.Errorf("%d timers were set", wakes)
 	}
 }
 
-// A node that has just started sends one set-up on, and more as they come up; what waits for that is answered in
-// time.
-func TestPacing_SlowStart_OneSetupUntilOneCameUp(t *testing.T) {
-	b := lowSampleNode(t)
-	arrive := func(at time.Duration, id RequestID) []Action {
-		return slices.Clone(b.Handle(at, Arrival{ID: id, Key: string(id), TimeLeft: 2 * time.Second}))
-	}
-	first := sends(arrive(time.Second, "r0"))
-	if len(first) != 1 {
-		t.Fatal("the first one was not sent")
-	}
-	for i := 1; i < 4; i++ {
-		if out := arrive(time.Second, RequestID(fmt.Sprint("r", i))); len(sends(out)) != 0 {
-			t.Fatalf("a second set-up is under way before the first has told: %v", out)
+// A node that has just started amid a jam learns of it by the second server that fails: by a mean alone it sent ten
+// on, and nodes that are restarted in turn kept the jam up. One server's failures, or one that came up before, pace
+// nothing.
+func TestPacing_StartAmidOverload_BeginsSoon(t *testing.T) {
+	for _, c := range []struct {
+		name  string
+		first bool // one came up well before
+		on    []ServerID
+		paced bool
+	}{
+		{"two servers fail", false, []ServerID{"a", "b"}, true},
+		{"one fails often", false, []ServerID{"a", "a", "a", "a"}, false},
+		{"one has come up", true, []ServerID{"a", "b"}, false},
+	} {
+		b, _ := nodeWithConnections(t, testSettings(), 0)
+		b.now = time.Second
+		if c.first {
+			b.Handle(b.now, Arrival{ID: "well", Key: "k", TimeLeft: time.Second})
+			b.Handle(b.now, Established{ID: "well", Server: "a", Took: 10 * ms})
 		}
-	}
-	out := slices.Clone(b.Handle(1020*ms, Established{ID: "r0", Server: first[0].Server, Took: 20 * ms}))
-	if n := len(sends(out)); n != 2 {
-		t.Errorf("after one came up %d are sent, want 2", n)
-	}
-	answered := 0
-	for at := 1100 * ms; at < 3*time.Second; at += 100 * ms { // nothing else tells
-		if n, _ := finals(b.Handle(at, Timer{Token: pacingToken}), "r3"); n > 0 {
-			answered++
+		for _, id := range c.on {
+			b.now += ms
+			b.observeSetup(&request{}, &attempt{server: b.servers[id], sentAt: b.now}, b.settings.Classes[0].SetupLatencyObjective, true)
+		}
+		if paced := b.pacing.interval > 0; paced != c.paced {
+			t.Errorf("%s: paced %v, want %v", c.name, paced, c.paced)
 		}
 	}
-	if answered != 1 || len(b.pacing.queue) != 0 {
-		t.Errorf("who waited had %d answers, %d wait still", answered, len(b.pacing.queue))
-	}
-	for i := range 2 * maxAwaitingSetup {
-		arrive(4*time.Second, RequestID(fmt.Sprint("more", i)))
+}
+
+// A node that has just started is met by all clients of one that ended. When their set-ups are slow it spaces them by
+// the rate at which they come: without a rate of its own it let one through in seconds.
+func TestPacing_NewNode_UsesArrivalRate(t *testing.T) {
+	b := newWarmNode(t, testSettings(), 4)
+	for i := range 30 {
+		id := RequestID(fmt.Sprint("r", i))
+		b.Handle(0, Arrival{ID: id, Key: fmt.Sprint(i), TimeLeft: 2 * time.Second})
+		b.Handle(ms, Established{ID: id, Took: 600 * ms})
+	}
+	if b.pacing.interval <= 0 || b.pacing.interval > time.Second/10 { // it was set when the twelfth had come
+		t.Errorf("%v between sends after thirty in the first second", b.pacing.interval)
+	}
+	b.now = time.Minute
+	if usual, _ := b.baselineInterval(); usual != b.derived.limitRecovery {
+		t.Errorf("a minute later, with nobody come since, one in %v is usual, want %v", usual, b.derived.limitRecovery)
 	}
-	if len(b.pacing.queue) > maxAwaitingSetup {
-		t.Errorf("%d wait, %d may", len(b.pacing.queue), maxAwaitingSetup)
+}
+
+// Times outside are whole microseconds, turns are not: a request whose timer fell due a part of one early went on
+// waiting without a timer, and past its client's patience. It is its turn: where it was held once more instead, its
+// timer fell due in the same microsecond again and again.
+func TestPacing_EarlyTimer_Sends(t *testing.T) {
+	b := newWarmNode(t, testSettings(), 4)
+	b.Handle(time.Second, Arrival{ID: "first", Key: "a", TimeLeft: time.Second})
+	b.pacing.interval, b.pacing.nextSendAt, b.pacing.changedAt = 10*ms, time.Second+10*ms+400, time.Second
+	b.Handle(time.Second, Arrival{ID: "waits", Key: "b", TimeLeft: time.Second})
+	// The timer comes at its time, cut to the microsecond.
+	at := time.Second + 10*ms
+	if out := b.Handle(at, Timer{pacingToken}); len(sends(out)) != 1 {
+		t.Errorf("the turn has come, and the actions are %v", out)
+	}
+	if out := b.Handle(at+2*ms, Timer{pacingToken}); len(out) != 0 {
+		t.Errorf("nobody waits any more, and the actions are %v", out)
 	}
 }
 
-// Who waits in slow start for a set-up that hangs is answered at the first look after half of the shortest
-// deadline, whatever its own deadline: a class of 4.8 s was kept for 4.4 s of it.
-func TestPacing_SlowStart_WaitEndsAlikeForAllClasses(t *testing.T) {
-	b := lowSampleNode(t, Class{SetupLatencyObjective: 200 * ms, Deadline: 700 * ms}, Class{SetupLatencyObjective: 800 * ms, Deadline: 4800 * ms})
-	begin := time.Second
-	if len(sends(b.Handle(begin, Arrival{ID: "hangs", Class: 1, Key: "h", TimeLeft: 4800 * ms, Retry: true}))) != 1 {
-		t.Fatal("the first one was not sent")
-	}
-	answered := map[RequestID]time.Duration{}
-	for class, deadline := range []time.Duration{700 * ms, 4800 * ms} {
-		id := RequestID(fmt.Sprint("class", class))
-		if out := b.Handle(begin, Arrival{ID: id, Class: class, Key: "k", TimeLeft: deadline}); len(out) > 1 {
-			t.Fatalf("%s does not wait: %v", id, out)
+// Where hosts are few, one that errs must not pace all set-ups: the others are quick. Errors of several do.
+func TestPacing_ErrorsOfOneServer_DoNotBeginIt(t *testing.T) {
+	b, _ := nodeWithConnections(t, testSettings(), 0)
+	fail := func(on ServerID) {
+		b.now += time.Millisecond
+		b.observeSetup(&request{}, &attempt{server: b.servers[on], sentAt: b.now}, 2*b.settings.Classes[0].SetupLatencyObjective, true)
+	}
+	for i := range 8 {
+		if fail("a"); b.pacing.interval > 0 {
+			t.Fatalf("paced after %d errors of one server", i+1)
 		}
 	}
-	const look = 10 * ms
-	for waited := look; waited < 4*time.Second; waited += look {
-		for _, a := range b.Handle(begin+waited, Timer{Token: pacingToken}) {
-			if r, ok := a.(Reject); ok {
-				answered[r.ID] = waited
-			}
-		}
+	for range 4 {
+		fail("b")
+		fail("a")
+	}
+	if b.pacing.interval == 0 {
+		t.Error("not paced though several servers fail")
 	}
-	for _, id := range []RequestID{"class0", "class1"} {
-		if at, ok := answered[id]; !ok || at > 350*ms+look {
-			t.Errorf("%s was answered after %v (%v), want %v at most", id, at, ok, 350*ms+look)
+}
+
+// With set-ups that take long a jam tells late: a pace that eased every sweep let each node send four times its
+// baselineInterval rate into it, and it never ended.
+func TestPacing_SlowSetups_RelaxLater(t *testing.T) {
+	b := newWarmNode(t, testSettings(), 6)
+	b.pacing.setupTime, b.pacing.interval, b.pacing.changedAt = time.Second, time.Second, 10*time.Second
+	for now := 10 * time.Second; now <= 12*time.Second; now += sweepInterval {
+		if b.Handle(now, Timer{Token: sweepToken}); b.pacing.interval != time.Second {
+			t.Fatalf("eased %v after the last trouble, a set-up takes %v", now-b.pacing.changedAt, b.pacing.setupTime)
 		}
 	}
+	if b.Handle(13*time.Second, Timer{Token: sweepToken}); b.pacing.interval >= time.Second {
+		t.Error("it never eases")
+	}
 }
 
-// A request with very little time left that ends without an answer tells nothing of set-ups: hosts may drop it, and
-// no set-up is that quick. A few such clients must not have a node turn the others away.
-func TestPacing_TimeoutsShorterThanAnySetup_PaceNothing(t *testing.T) {
-	b := lowSampleNode(t)
-	at := time.Second
-	cameUp(t, b, "well", at, 20*ms, false)
-	for i := range 6 {
-		at += 50 * ms
-		id := RequestID(fmt.Sprint("hasty", i))
-		sent := false
-		for _, a := range b.Handle(at, Arrival{ID: id, Key: string(id), TimeLeft: 5 * ms}) {
-			if s, ok := a.(Send); ok {
-				sent = true
-				b.Handle(at+5*ms, AttemptEnded{ID: id, Server: s.Server, Took: 5 * ms, Outcome: ResponseTimeout})
-			}
+// While what all servers call is jammed, a pace holds at the usual rate, whatever time passes: one that eased with
+// time alone let the fleet send four times that into the jam, which never ended. Behind it, good set-ups end the
+// pace soon.
+func TestPacing_LastingOverload_Holds(t *testing.T) {
+	s := testSettings()
+	s.NodeCount = 300
+	s.Tenants = []Tenant{{ConnectionQuota: 600}}
+	b := newWarmNode(t, s, 40)
+	type out struct {
+		id      RequestID
+		attempt int
+		to      ServerID
+		at      time.Duration
+	}
+	var under []out
+	n := 0
+	sum := 0
+	sent := func(now time.Duration, actions []Action) {
+		for _, q := range sends(actions) {
+			sum++
+			under = append(under, out{q.ID, len(b.requests[q.ID].attempts) - 1, q.Server, now})
 		}
-		if !sent {
-			t.Errorf("request %d is not sent", i)
+	}
+	play := func(from, to, every, takes time.Duration, fails bool) {
+		for now := from; now < to; now += 10 * ms {
+			if now%every == 0 {
+				n++
+				id := RequestID(fmt.Sprint("j", n))
+				sent(now, b.Handle(now, Arrival{ID: id, Key: string(id), TimeLeft: 2 * time.Second}))
+			}
+			for len(under) > 0 && under[0].at+takes <= now {
+				o := under[0]
+				under = under[1:]
+				if fails {
+					sent(now, b.Handle(now, AttemptEnded{ID: o.id, Attempt: o.attempt, Server: o.to, Took: takes, Outcome: ResponseTimeout}))
+				} else {
+					b.Handle(now, Established{ID: o.id, Attempt: o.attempt, Server: o.to, Took: takes})
+				}
+			}
+			if now%sweepInterval == 0 {
+				sent(now, b.Handle(now, Timer{Token: sweepToken}))
+			}
+			sent(now, b.Handle(now, Timer{Token: pacingToken}))
 		}
 	}
+	const calm, jam, over = time.Minute, 90 * time.Second, 20 * time.Second
+	play(10*ms, calm, 4*time.Second, 20*ms, false)
 	if b.pacing.interval != 0 {
-		t.Errorf("set-ups are paced, one in %v", b.pacing.interval)
+		t.Fatalf("paced at %v while all is well", b.pacing.interval)
+	}
+	usual, _ := b.baselineInterval()
+	play(calm, calm+jam/2, 250*ms, 600*ms, true)
+	sum = 0
+	play(calm+jam/2, calm+jam, 250*ms, 600*ms, true)
+	if most := 2 * float64(jam/2) / float64(usual); float64(sum) > most {
+		t.Errorf("in the jam it sends %d in %v, usually one in %v", sum, jam/2, usual)
+	}
+	under = nil
+	play(calm+jam, calm+jam+over, 500*ms, 20*ms, false)
+	if b.pacing.interval > usual/8 {
+		t.Errorf("behind it, it sends one in %v, usually one in %v", b.pacing.interval, usual)
 	}
 }
--- /dev/null
+++ b/balancer/placement_test.go
@@ -0,0 +1,232 @@
+package balancer
+
+import (
+	"fmt"
+	"testing"
+	"time"
+)
+
+func TestPlacement_SameKey_GetsSameServer(t *testing.T) {
+	b := newWarmNode(t, testSettings(), 12)
+	other := testSettings()
+	other.Seed, other.NodeIndex = 7, 2
+	c := newWarmNode(t, other, 12)
+	for i := range 50 {
+		a := Arrival{ID: RequestID(fmt.Sprint(i)), Key: fmt.Sprint("key", i), TimeLeft: time.Second}
+		x, y := sends(b.Handle(0, a)), sends(c.Handle(0, a))
+		if len(x) != 1 || len(y) != 1 {
+			t.Fatal("no send")
+		}
+		if first := b.table.hops(firstEntryOf(b, &request{Arrival: a}))[1]; !b.isOverloaded(first, 1) && x[0].Server != first.id && first.connections < minOverloadConnections {
+			t.Errorf("key %d left its first hop %s for %s", i, first.id, x[0].Server)
+		}
+		b.Handle(0, AttemptEnded{ID: a.ID, Outcome: Served, Final: true})
+		c.Handle(0, AttemptEnded{ID: a.ID, Outcome: Served, Final: true})
+		if x[0].Server != y[0].Server {
+			t.Errorf("key %d: %s at one node, %s at another", i, x[0].Server, y[0].Server)
+		}
+	}
+}
+
+// A group is paid for on every server that holds it: on a skip it stays where it is held.
+func TestPlacement_OverloadedServer_PrefersHolderOfGroup(t *testing.T) {
+	b := newWarmNode(t, testSettings(), 8)
+	home := b.table.first[firstEntryOf(b, &request{Arrival: Arrival{Group: "g"}})]
+	var holder *server
+	for _, s := range b.table.holders {
+		if s != home {
+			holder = s
+		}
+	}
+	for i := range 6 {
+		b.handleInherited(Arrival{ID: RequestID(fmt.Sprint("h", i)), TimeLeft: time.Second}, home)
+	}
+	b.handleInherited(Arrival{ID: "held", Group: "g", TimeLeft: time.Second}, holder)
+	for i, s := range b.table.holders {
+		if s != home && s != holder {
+			b.handleInherited(Arrival{ID: RequestID(fmt.Sprint("x", i)), TimeLeft: time.Second}, s)
+		}
+	}
+	b.updateTotals()
+	if !b.isOverloaded(home, 1) {
+		t.Fatal("the group's first hop is not over the bound")
+	}
+	out := sends(b.Handle(0, Arrival{ID: "r", Group: "g", Key: "k", TimeLeft: time.Second}))
+	if len(out) != 1 || out[0].Server != holder.id {
+		t.Errorf("sent to %v, want %s, which holds the group", out, holder.id)
+	}
+}
+
+// In a short fleet a group that walked on would be paid for on every server: it may newly stand on the
+// first servers from its entry only, and the request is refused past them.
+func TestPlacement_OverloadedFleet_BoundsGroupProbes(t *testing.T) {
+	b := newWarmNode(t, testSettings(), 8)
+	b.now = time.Minute
+	r := &request{Arrival: Arrival{Group: "g", Key: "k"}, load: 1}
+	var near []*server
+	for i := firstEntryOf(b, r); len(near) < maxGroupProbes+1; i++ {
+		if s := b.table.first[i%len(b.table.first)]; len(near) == 0 || near[len(near)-1] != s && near[0] != s {
+			near = append(near, s)
+		}
+	}
+	for _, s := range b.table.holders {
+		s.loadLimit, s.limitedAt = 100, b.now
+	}
+	b.updateTotals()
+	for i, s := range near[:maxGroupProbes] {
+		if got := b.selectServer(r); got != s {
+			t.Fatalf("choice %d is %v, want %s", i, got, s.id)
+		}
+		s.load = 100 // it has no room left
+	}
+	if got := b.selectServer(r); got != nil {
+		t.Errorf("the group went on to %s", got.id)
+	}
+	near[maxGroupProbes].groups["g"] = 1
+	if got := b.selectServer(r); got != near[maxGroupProbes] {
+		t.Error("the group is not put where it stands already")
+	}
+}
+
+// Ten hosts of a fleet that nodes see little of, four of them crowded: groups that walked on were paid for at each.
+func TestPlacement_LowSample_BoundsGroupProbesFurther(t *testing.T) {
+	s := testSettings()
+	s.NodeCount, s.Tenants = 80, []Tenant{{ConnectionQuota: 350}}
+	b := newWarmNode(t, s, 10)
+	b.now = time.Minute
+	for i, s := range b.table.holders {
+		if s.connections, s.load = 1, 1; i < 4 {
+			s.loadLimit, s.limitedAt = 0.1, b.now
+		}
+	}
+	b.updateTotals()
+	r := &request{Arrival: Arrival{Group: "g", Key: "k"}, load: 1}
+	met := map[*server]bool{}
+	for s := b.selectServer(r); s != nil && len(met) < 10; s = b.selectServer(r) {
+		met[s] = true
+		s.loadLimit, s.limitedAt, s.load = 0.1, b.now, 100
+	}
+	if len(met) > lowSampleGroupProbes || len(met) == 0 {
+		t.Errorf("a group that finds no room goes to %d hosts, %d would do", len(met), lowSampleGroupProbes)
+	}
+}
+
+// A server that operators called back is used again soon, also where none of the clients that come leads there;
+// once is enough, and not while it may not be.
+func TestOverride_ReinstatedServer_IsUsedSoon(t *testing.T) {
+	s := testSettings()
+	b, _ := nodeWithConnections(t, s, 4)
+	out := func(now time.Duration, state ServerState) {
+		b.Handle(now, ListEvent{Kind: ListOverride, Servers: []Server{{ID: "b", Weight: 1, State: state}}})
+	}
+	at := time.Minute
+	on := map[ServerID]int{}
+	key := func() string { // one that leads to a
+		for i := 0; ; i++ {
+			r := &request{Arrival: Arrival{Key: fmt.Sprint("key", i)}}
+			if b.table.first[firstEntryOf(b, r)] == b.servers["a"] {
+				return r.Key
+			}
+		}
+	}
+	come := func(now time.Duration, id string) {
+		t.Helper()
+		for _, a := range sends(b.Handle(now, Arrival{ID: RequestID(id), Key: key(), TimeLeft: time.Second})) {
+			on[a.Server]++
+			b.Handle(now, AttemptEnded{ID: RequestID(id), Server: a.Server, Outcome: Errored, Final: true})
+			b.servers[a.Server].ejectedUntil = 0
+		}
+	}
+	out(at, Draining)
+	out(at+time.Second, Live)
+	if come(at+time.Second, "early"); on["a"] != 1 {
+		t.Errorf("at once: %v", on)
+	}
+	come(at+4*time.Second, "due")
+	if come(at+5*time.Second, "after"); on["b"] != 1 || on["a"] != 2 {
+		t.Errorf("then: %v", on)
+	}
+	out(at+6*time.Second, Live)
+	out(at+7*time.Second, Draining)
+	if come(at+10*time.Second, "out again"); on["b"] != 1 || len(b.reinstated) > 0 {
+		t.Errorf("out again: %v", on)
+	}
+}
+
+// What one node moved off a crowded server, the next one that the client came to put there again.
+func TestReconnect_LowSample_GetsAnotherServer(t *testing.T) {
+	s := testSettings()
+	s.NodeCount, s.Tenants = 80, []Tenant{{ConnectionQuota: 350}}
+	n := newWarmNode(t, s, 40)
+	on, same := map[*server]int{}, n.selectServer(&request{Arrival: Arrival{Group: "g", Key: "k", ID: "first"}, load: 1})
+	for i := range 40 {
+		r := &request{Arrival: Arrival{Group: "g", Key: "k", ID: RequestID(fmt.Sprint(i)), Reconnect: true}, load: 1}
+		on[n.selectServer(r)]++
+		r.Reconnect, r.MidFlow = false, true // the packets of one that stands are looked for by the key alone
+		if n.selectServer(r) != same {
+			t.Fatal("a connection that stands is not looked for where its key puts it")
+		}
+	}
+	if len(on) < 3 || on[same] > 0 {
+		t.Errorf("40 that came again stand on %d servers, %d of them where they were", len(on), on[same])
+	}
+}
+
+// Where crossings are dear, clients stand in the zone of their node as far as its servers bear their part, whole
+// groups together and alike at all nodes of the zone; mid-flow packets find them, also while the server drains.
+func TestPlacement_CrossZoneCost_KeepsClientsInZone(t *testing.T) {
+	node := func(index int, price float64, own int) *Balancer { // in zone 0
+		s := testSettings()
+		s.Seed, s.NodeIndex, s.NodeCount, s.Zones, s.CrossZoneCost = uint64(index), index, 80, 2, price
+		s.Tenants = []Tenant{{ConnectionQuota: 350}}
+		rows := testFleet(20)
+		for i := range rows {
+			rows[i].Zone, rows[i].Weight = min(1, i/own), 1
+		}
+		b := New(s)
+		b.Handle(0, ListEvent{Kind: ListCached, Revision: 1, Servers: rows})
+		return b
+	}
+	for _, c := range []struct {
+		price       float64
+		own         int
+		least, most float64 // the part of groups that stand in zone 0
+	}{{0.1, 10, 1, 1}, {0.1, 16, 1, 1}, {0.1, 5, 0.5, 0.75}, {0.01, 10, 0.4, 0.6}} {
+		x, y := node(1, c.price, c.own), node(2, c.price, c.own)
+		in, r, s := 0, &request{load: 1}, (*server)(nil)
+		for g := range 200 {
+			r.Arrival = Arrival{Group: fmt.Sprint(g), Key: "k"}
+			if s = x.selectServer(r); s.zone == 0 {
+				in++
+			}
+			if other := y.selectServer(r); other.id != s.id {
+				t.Fatalf("group %d stands at %s for one node and at %s for another", g, s.id, other.id)
+			}
+		}
+		y.Handle(time.Second, ListEvent{Kind: ListDelta, Revision: 2, Servers: []Server{{ID: s.id, State: Draining, Weight: 1}}})
+		r.MidFlow = true
+		if to := y.selectServer(r); to == nil || to.id != s.id {
+			t.Errorf("price %g: a connection on a server that drains is looked for elsewhere", c.price)
+		}
+		if part := float64(in) / 200; part < c.least || part > c.most {
+			t.Errorf("price %g, %d of 20 servers in the zone: %.2f of the groups stay, %g to %g would", c.price, c.own, part, c.least, c.most)
+		}
+	}
+}
+
+// Requests without a key spread over the fleet by their own id: one entry for all would herd them.
+func TestPlacement_NoKey_Spreads(t *testing.T) {
+	b := newWarmNode(t, testSettings(), 8)
+	hit := map[ServerID]int{}
+	for i := range 200 {
+		id := RequestID(fmt.Sprint("r", i))
+		for _, s := range sends(b.Handle(0, Arrival{ID: id, TimeLeft: time.Second})) {
+			hit[s.Server]++
+		}
+		b.Handle(0, Established{ID: id})
+		b.Handle(0, AttemptEnded{ID: id, Outcome: Served, Final: true})
+	}
+	if len(hit) != 8 {
+		t.Errorf("200 requests met %d of 8 servers", len(hit))
+	}
+}
--- /dev/null
+++ b/balancer/polling_test.go
@@ -0,0 +1,195 @@
+package balancer
+
+import (
+	"testing"
+	"time"
+)
+
+func TestPolling_Failures_BackOffAndRecover(t *testing.T) {
+	b := New(testSettings())
+	watches := 0
+	run := func(from, to time.Duration) {
+		for now := from; now < to; now += sweepInterval {
+			for _, a := range b.Handle(now, Timer{Token: sweepToken}) {
+				if _, ok := a.(WatchList); ok {
+					watches++
+				}
+			}
+		}
+	}
+	run(0, 2*time.Second)
+	if watches != 1 {
+		t.Fatalf("asked %d times at the start, want once", watches)
+	}
+	b.Handle(2*time.Second, ListEvent{Kind: ListFailed})
+	run(2*time.Second, 9*time.Second)
+	if watches != 2 {
+		t.Fatalf("asked %d times after one failure, want twice", watches)
+	}
+	b.Handle(9*time.Second, ListEvent{Kind: ListSnapshot, Revision: 3, Servers: testFleet(3)})
+	run(9*time.Second, 60*time.Second)
+	if watches != 2 {
+		t.Error("a standing watch is asked again")
+	}
+	b.Handle(60*time.Second, ListEvent{Kind: ListFailed}) // the watch broke
+	run(60*time.Second, 70*time.Second)
+	if watches != 3 {
+		t.Error("a broken watch is not asked again")
+	}
+	push := testSettings()
+	push.PollList = false
+	b, watches = New(push), 0
+	run(0, 5*time.Second)
+	if watches != 0 {
+		t.Error("a pushed list was asked for")
+	}
+}
+
+// Whatever calls to the list failed before, and however many nodes there are, the wish for the next one comes
+// within AskAgain, or twice that less what the call took where it failed soon; the first of a node within 4 s. Both
+// are part of what lies between a change and its being known.
+func TestPolling_AnyFailures_RepollInTime(t *testing.T) {
+	for _, nodes := range []int{1, 3, 25, 40, 300, 3000} {
+		for _, within := range []time.Duration{time.Second, 10 * time.Second, time.Minute} {
+			for _, took := range []time.Duration{0, time.Second, 3 * time.Second} {
+				s := testSettings()
+				s.NodeCount, s.PollInterval = nodes, max(within, 4*time.Second)
+				worst := time.Duration(0)
+				for seed := range uint64(10) {
+					s.Seed = seed
+					b := newWarmNode(t, s, 3)
+					now, since, failsAt := time.Duration(0), time.Duration(0), time.Hour
+					for fails := 0; fails < 12; now += 10 * ms {
+						if now >= failsAt {
+							b.Handle(now, ListEvent{Kind: ListFailed})
+							since, failsAt = now, time.Hour
+						}
+						asked := false
+						for _, a := range b.Handle(now, Timer{Token: sweepToken}) {
+							_, watch := a.(WatchList)
+							asked = asked || watch
+						}
+						if !asked {
+							continue
+						}
+						if most := 4*time.Second + sweepInterval; fails == 0 && now-since > most {
+							t.Fatalf("%d nodes, %v: first asked after %v", nodes, within, now-since)
+						}
+						if fails > 0 {
+							worst = max(worst, now-since)
+						}
+						fails++
+						failsAt = now + took
+					}
+				}
+				if most := max(MaxRepollDelay, 2*MaxRepollDelay-took); worst > most {
+					t.Errorf("%d nodes, %v, calls that take %v: asked again after %v, %v at most", nodes, within, took, worst, most)
+				}
+			}
+		}
+	}
+}
+
+// The list has a fixed capacity for every node: calls at the start, and after it failed for all at once,
+// must not come in step.
+func TestPolling_ManyNodes_Spread(t *testing.T) {
+	const nodes = 160
+	var all []*Balancer
+	for i := range nodes {
+		all = append(all, newFleetNode(t, i, nodes, 60))
+	}
+	calls := func(from, to time.Duration) (most int) {
+		per := map[time.Duration]int{}
+		for now := from; now < to; now += 20 * ms {
+			for _, n := range all {
+				if now%sweepInterval != 0 {
+					continue
+				}
+				for _, a := range n.Handle(now, Timer{Token: sweepToken}) {
+					if _, ok := a.(WatchList); ok {
+						per[now.Truncate(100*ms)]++
+						n.Handle(now, ListEvent{Kind: ListFailed})
+					}
+				}
+			}
+		}
+		for _, n := range per {
+			most = max(most, n)
+		}
+		return most
+	}
+	calls(20*ms, 20*time.Second)
+	if most := calls(20*time.Second, 60*time.Second); most > nodes/4 {
+		t.Errorf("%d of %d nodes call in the same tenth of a second after failures", most, nodes)
+	}
+}
+
+// A list service that works through calls in turn, those too that were given up meanwhile, as one more node after
+// another asks. Eighty nodes started in one instant asked within half a second; half were given up, asked again in
+// step while their dead calls were worked through, and from then on no call was ever served.
+func TestPolling_ManyStarts_AllGetTheList(t *testing.T) {
+	const nodes, each, patience = 80, 60 * ms, 2 * time.Second
+	type call struct {
+		from   int
+		at     time.Duration
+		failed bool
+	}
+	all := make([]*Balancer, nodes)
+	start := func(i int) {
+		s := testSettings()
+		s.Seed, s.NodeIndex, s.NodeCount = uint64(i)+1, i, nodes
+		all[i] = newWarmNode(t, s, 10)
+	}
+	var queue []*call
+	last := make([]time.Duration, nodes)
+	run := func(from, to time.Duration) (unlearnt int) {
+		for now := from; now < to; now += each {
+			for i, n := range all {
+				for _, a := range n.Handle(now, Timer{Token: sweepToken}) {
+					if _, ok := a.(WatchList); ok {
+						queue, last[i] = append(queue, &call{from: i, at: now}), now
+					}
+				}
+				if !n.polling.watching && now-last[i] > n.settings.PollInterval && now-from > n.settings.PollInterval {
+					t.Fatalf("node %d has not asked since %v, at %v", i, last[i], now)
+				}
+			}
+			for _, c := range queue {
+				if !c.failed && now >= c.at+patience {
+					c.failed = true
+					all[c.from].Handle(now, ListEvent{Kind: ListFailed})
+				}
+			}
+			if len(queue) > 0 {
+				c := queue[0]
+				if queue = queue[1:]; !c.failed {
+					all[c.from].Handle(now, ListEvent{Kind: ListSnapshot, Revision: 2, Servers: testFleet(10)})
+				}
+			}
+		}
+		for _, n := range all {
+			if !n.polling.watching {
+				unlearnt++
+			}
+		}
+		return unlearnt
+	}
+	for i := range all {
+		start(i)
+	}
+	if n := run(0, 8*time.Second); n > 0 {
+		t.Errorf("%d of %d nodes have no list after 8 s", n, nodes)
+	}
+	for i := range nodes * 7 / 10 {
+		start(i)
+	}
+	if n := run(8*time.Second, 16*time.Second); n > 0 {
+		t.Errorf("%d have none 8 s after seven in ten were started again", n)
+	}
+	for _, n := range all { // the service goes down, and with it every watch
+		n.Handle(16*time.Second, ListEvent{Kind: ListFailed})
+	}
+	if n := run(16*time.Second, 24*time.Second); n > 0 {
+		t.Errorf("%d have none 8 s after all watches broke", n)
+	}
+}
--- a/balancer/settings_test.go
+++ b/balancer/settings_test.go
@@ -7,7 +7,7 @@
 )
 
 // Settings that no deployment has yet: the module must go on sensibly with what it is told.
-func TestUnmetSettings(t *testing.T) {
+func TestSettings_Unusual_StillServe(t *testing.T) {
 	bare := Settings{Classes: []Class{{}}}
 	for _, c := range []struct {
 		name    string
@@ -29,13 +29,13 @@
 			s := testSettings()
 			c.set(&s)
 			b := New(s)
-			b.Handle(0, ListEvent{Kind: ListCached, Servers: fleetOf(c.servers)})
+			b.Handle(0, ListEvent{Kind: ListCached, Servers: testFleet(c.servers)})
 			served := 0
 			for i := range 60 {
 				now := time.Duration(i) * 100 * ms
 				id := RequestID(fmt.Sprint("r", i))
 				out := b.Handle(now, Arrival{ID: id, TimeLeft: time.Second})
-				if n, _ := finals(out, id); n+len(sends(out)) != 1 {
+				if n, _ := finalAnswers(out, id); n+len(sends(out)) != 1 {
 					t.Fatalf("request %d drew %v", i, out)
 				}
 				if len(sends(out)) == 1 {
@@ -52,20 +52,3 @@
 		})
 	}
 }
-
-// Requests without a key spread over the fleet by their own id: one entry for all would herd them.
-func TestRequestsWithoutAKeySpread(t *testing.T) {
-	b := started(t, testSettings(), 8)
-	hit := map[ServerID]int{}
-	for i := range 200 {
-		id := RequestID(fmt.Sprint("r", i))
-		for _, s := range sends(b.Handle(0, Arrival{ID: id, TimeLeft: time.Second})) {
-			hit[s.Server]++
-		}
-		b.Handle(0, Established{ID: id})
-		b.Handle(0, AttemptEnded{ID: id, Outcome: Served, Final: true})
-	}
-	if len(hit) != 8 {
-		t.Errorf("200 requests met %d of 8 servers", len(hit))
-	}
-}
--- a/balancer/ramp_test.go
+++ b/balancer/slowstart_fleet_test.go
@@ -8,11 +8,11 @@
 	"time"
 )
 
-// ramp plays a fleet of nodes to which one cold host is added. worst is the most that all of them sent it in any
+// playSlowStart plays a fleet of nodes to which one cold host is added. worst is the most that all of them sent it in any
 // window beyond what the settings allow then and two calls, in roots of what they allow; got is what was sent there
 // over the host's part of all that came. rate is what comes to each node, a second, and grows at once by burst
 // after three seconds. The nodes' settings have plant times the quotas that the budget is reckoned from.
-func ramp(nodes, hosts int, seed uint64, rate, burst, plant float64) (worst, got float64) {
+func playSlowStart(nodes, hosts int, seed uint64, rate, burst, plant float64) (worst, got float64) {
 	quota := 60 * float64(hosts)
 	s := testSettings()
 	s.Seed, s.NodeCount, s.PollList = seed, nodes, false
@@ -20,7 +20,7 @@
 	s.Tenants = []Tenant{{ConnectionQuota: quota * plant}}
 	rng := rand.New(rand.NewPCG(seed, 7))
 	fleet := make([]*Balancer, nodes)
-	servers := fleetOf(hosts)
+	servers := testFleet(hosts)
 	for i := range fleet {
 		s.NodeIndex = i
 		fleet[i] = New(s)
@@ -77,7 +77,7 @@
 
 // The shares of all nodes add up to no more than a cold host bears, however many they are and however thin what
 // comes to each; and where what comes to them is less than that, most of it is not kept from the host.
-func TestAColdHostGetsItsBudgetFromTheWholeFleet(t *testing.T) {
+func TestSlowStart_WholeFleet_KeepsBudget(t *testing.T) {
 	for _, c := range []struct {
 		nodes, hosts       int
 		rate, burst, least float64 // least is the part of what comes that the host must get; 0 where the budget is less
@@ -86,7 +86,7 @@
 		{300, 60, 0.3, 1, 0.5}, {300, 4, 0.1, 1, 0}, {300, 4, 0.1, 20, 0}, {300, 60, 0.3, 20, 0},
 	} {
 		for seed := range uint64(4) {
-			worst, got := ramp(c.nodes, c.hosts, seed, c.rate, c.burst, 1)
+			worst, got := playSlowStart(c.nodes, c.hosts, seed, c.rate, c.burst, 1)
 			t.Logf("%d nodes, %d hosts, %g a second each, then %g times, seed %d: %.2f roots over, %.2f of its part",
 				c.nodes, c.hosts, c.rate, c.burst, seed, worst, got)
 			if worst > 2 || got < c.least {
@@ -94,75 +94,11 @@
 			}
 		}
 	}
-	if worst, _ := ramp(30, 4, 1, 10, 1, 4); worst <= 2 {
+	if worst, _ := playSlowStart(30, 4, 1, 10, 1, 4); worst <= 2 {
 		t.Errorf("shares four times too large are not seen: %.2f roots over", worst)
 	}
 }
 
-// While what all servers call is jammed, a pace holds at the usual rate, whatever time passes: one that eased with
-// time alone let the fleet send four times that into the jam, which never ended. Behind it, good set-ups end the
-// pace soon.
-func TestAPaceHoldsWhileAJamLasts(t *testing.T) {
-	s := testSettings()
-	s.NodeCount = 300
-	s.Tenants = []Tenant{{ConnectionQuota: 600}}
-	b := started(t, s, 40)
-	type out struct {
-		id      RequestID
-		attempt int
-		to      ServerID
-		at      time.Duration
-	}
-	var under []out
-	n := 0
-	sum := 0
-	sent := func(now time.Duration, actions []Action) {
-		for _, q := range sends(actions) {
-			sum++
-			under = append(under, out{q.ID, len(b.requests[q.ID].attempts) - 1, q.Server, now})
-		}
-	}
-	play := func(from, to, every, takes time.Duration, fails bool) {
-		for now := from; now < to; now += 10 * ms {
-			if now%every == 0 {
-				n++
-				id := RequestID(fmt.Sprint("j", n))
-				sent(now, b.Handle(now, Arrival{ID: id, Key: string(id), TimeLeft: 2 * time.Second}))
-			}
-			for len(under) > 0 && under[0].at+takes <= now {
-				o := under[0]
-				under = under[1:]
-				if fails {
-					sent(now, b.Handle(now, AttemptEnded{ID: o.id, Attempt: o.attempt, Server: o.to, Took: takes, Outcome: ResponseTimeout}))
-				} else {
-					b.Handle(now, Established{ID: o.id, Attempt: o.attempt, Server: o.to, Took: takes})
-				}
-			}
-			if now%sweepInterval == 0 {
-				sent(now, b.Handle(now, Timer{Token: sweepToken}))
-			}
-			sent(now, b.Handle(now, Timer{Token: pacingToken}))
-		}
-	}
-	const calm, jam, over = time.Minute, 90 * time.Second, 20 * time.Second
-	play(10*ms, calm, 4*time.Second, 20*ms, false)
-	if b.pacing.interval != 0 {
-		t.Fatalf("paced at %v while all is well", b.pacing.interval)
-	}
-	usual, _ := b.baselineInterval()
-	play(calm, calm+jam/2, 250*ms, 600*ms, true)
-	sum = 0
-	play(calm+jam/2, calm+jam, 250*ms, 600*ms, true)
-	if most := 2 * float64(jam/2) / float64(usual); float64(sum) > most {
-		t.Errorf("in the jam it sends %d in %v, usually one in %v", sum, jam/2, usual)
-	}
-	under = nil
-	play(calm+jam, calm+jam+over, 500*ms, 20*ms, false)
-	if b.pacing.interval > usual/8 {
-		t.Errorf("behind it, it sends one in %v, usually one in %v", b.pacing.interval, usual)
-	}
-}
-
 // A budget binds in every window of its length, wherever that begins: what a node has left at the end of one of its
 // own windows and what it has anew at the start of the next come together, and on a fleet of few nodes nobody evens
 // that out.
@@ -173,7 +109,7 @@
 		s.NodeCount, s.PollList = nodes, false
 		s.Classes = s.Classes[:1]
 		s.Tenants = []Tenant{{ConnectionQuota: 240 * hosts}}
-		servers := fleetOf(hosts)
+		servers := testFleet(hosts)
 		at := time.Hour + 5*time.Second
 		fleet := make([]*Balancer, nodes)
 		for i := range fleet {
@@ -222,3 +158,50 @@
 		}
 	}
 }
+
+// The budget of a cold server is one for all nodes together: 160 nodes, each with a part of the traffic, must
+// not send it more connections in a window than the multiple of what its present share is worth.
+func TestSlowStart_ManyNodes_KeepBudget(t *testing.T) {
+	const nodes, servers = 160, 60
+	var all []*Balancer
+	for i := range nodes {
+		n := newFleetNode(t, i, nodes, servers)
+		n.rates.setups = 0.25 // as when the day has settled
+		all = append(all, n)
+	}
+	cold := Server{ID: "s99", Weight: 2, StartedAt: time.Minute}
+	for _, n := range all {
+		n.Handle(time.Minute, ListEvent{Kind: ListDelta, Revision: 2, Servers: []Server{cold}})
+	}
+	set := testSettings()
+	rate := 0.25 * nodes * cold.Weight / all[0].fleet.weight // what the fleet's traffic comes to for its weight
+	var sent []time.Duration
+	for step := range 1000 { // ten seconds, in which all clients come back at once and again
+		now := time.Minute + time.Duration(step)*10*ms
+		for i, n := range all {
+			if (step+i)%50 != 0 {
+				continue
+			}
+			id := RequestID(fmt.Sprint(step, "-", i))
+			for _, s := range sends(n.Handle(now, Arrival{ID: id, Key: string(id), TimeLeft: time.Second})) {
+				if s.Server == cold.ID {
+					sent = append(sent, now)
+				}
+				n.Handle(now, AttemptEnded{ID: id, Outcome: Served, Final: true})
+			}
+		}
+	}
+	for i, from := range sent {
+		in := 0
+		for _, at := range sent[i:] {
+			if at < from+set.CollapseWindow {
+				in++
+			}
+		}
+		share := min(1, set.SlowStartFraction+(1-set.SlowStartFraction)*float64(from-time.Minute)/float64(set.SlowStartDuration))
+		// Chance of 160 draws: three more than the mean would be.
+		if most := set.CollapseMultiple*share*rate*set.CollapseWindow.Seconds() + 3; float64(in) > most {
+			t.Fatalf("%d connections in the window from %v on, at most %.1f would hold", in, from-time.Minute, most)
+		}
+	}
+}
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -6,62 +6,42 @@
 	"time"
 )
 
-// The budget of a cold server is one for all nodes together: 160 nodes, each with a part of the traffic, must
-// not send it more connections in a window than the multiple of what its present share is worth.
-func TestManyNodesTogetherKeepAColdServersBudget(t *testing.T) {
-	const nodes, servers = 160, 60
-	var all []*Balancer
-	for i := range nodes {
-		n := sized(t, i, nodes, servers)
-		n.rates.setups = 0.25 // as when the day has settled
-		all = append(all, n)
-	}
-	cold := Server{ID: "s99", Weight: 2, StartedAt: time.Minute}
-	for _, n := range all {
-		n.Handle(time.Minute, ListEvent{Kind: ListDelta, Revision: 2, Servers: []Server{cold}})
-	}
-	set := testSettings()
-	rate := 0.25 * nodes * cold.Weight / all[0].fleet.weight // what the fleet's traffic comes to for its weight
-	var sent []time.Duration
-	for step := range 1000 { // ten seconds, in which all clients come back at once and again
-		now := time.Minute + time.Duration(step)*10*ms
-		for i, n := range all {
-			if (step+i)%50 != 0 {
-				continue
-			}
-			id := RequestID(fmt.Sprint(step, "-", i))
-			for _, s := range sends(n.Handle(now, Arrival{ID: id, Key: string(id), TimeLeft: time.Second})) {
-				if s.Server == cold.ID {
-					sent = append(sent, now)
-				}
-				n.Handle(now, AttemptEnded{ID: id, Outcome: Served, Final: true})
+func TestSlowStart_ReconnectSurge_KeepsBudget(t *testing.T) {
+	b := newWarmNode(t, testSettings(), 5)
+	b.rates.setups = 2 // connections a second over the warm five
+	b.Handle(0, ListEvent{Kind: ListDelta, Revision: 2, Servers: []Server{{ID: "cold", Weight: 2, StartedAt: time.Nanosecond}}})
+	n := 0
+	for i := range 400 {
+		id := RequestID(fmt.Sprint(i))
+		for _, s := range sends(b.Handle(time.Duration(i)*5*ms, Arrival{ID: id, Key: keyOf(i), TimeLeft: time.Second})) {
+			if s.Server == "cold" {
+				n++
 			}
 		}
 	}
-	for i, from := range sent {
-		in := 0
-		for _, at := range sent[i:] {
-			if at < from+set.CollapseWindow {
-				in++
-			}
-		}
-		share := min(1, set.SlowStartFraction+(1-set.SlowStartFraction)*float64(from-time.Minute)/float64(set.SlowStartDuration))
-		// Chance of 160 draws: three more than the mean would be.
-		if most := set.CollapseMultiple*share*rate*set.CollapseWindow.Seconds() + 3; float64(in) > most {
-			t.Fatalf("%d connections in the window from %v on, at most %.1f would hold", in, from-time.Minute, most)
-		}
+	// Two seconds at FallMultiple*share*rate*weight share, and the first token.
+	if n > 2 {
+		t.Errorf("a cold server got %d connections of a wave in 2 s", n)
+	}
+}
+
+func TestSlowStart_RestartedServer_StartsAgain(t *testing.T) {
+	b := newWarmNode(t, testSettings(), 4)
+	b.Handle(30*time.Second, ListEvent{Kind: ListDelta, Servers: []Server{{ID: "s01", Weight: 1, StartedAt: 29 * time.Second}}})
+	if got := b.slowStartFactor(b.servers["s01"]); got > 0.35 {
+		t.Errorf("slow start factor %.2f a second after the restart", got)
 	}
 }
 
 // Eighty nodes that have hardly placed anything yet spent almost none of a cold server's budget, each its own
 // rate's part. What the quotas let the fleet hold tells what the server is good for; in sum the budget still holds.
-func TestNodesWithoutTrafficSpendAColdServersBudget(t *testing.T) {
+func TestSlowStart_NodesWithoutTraffic_SpendBudget(t *testing.T) {
 	const nodes, servers, quota = 80, 10, 300.0
 	var all []*Balancer
 	for i := range nodes {
 		s := testSettings()
 		s.Seed, s.NodeIndex, s.NodeCount, s.Tenants = uint64(i)+1, i, nodes, []Tenant{{ConnectionQuota: quota}}
-		n := started(t, s, servers)
+		n := newWarmNode(t, s, servers)
 		n.Handle(time.Minute, ListEvent{Kind: ListDelta, Revision: 2, Servers: []Server{{ID: "s99", Weight: 4, StartedAt: time.Minute}}})
 		all = append(all, n)
 	}
@@ -93,14 +73,14 @@
 // The budget was the same from a server's start until it was warm: of 282 nodes' asks the more were held back the
 // more it could bear. It grows with the present share from half warm on, and in sum stays within the multiple of
 // it.
-func TestAColdServersBudgetGrowsAsItWarms(t *testing.T) {
+func TestSlowStart_Warming_BudgetGrows(t *testing.T) {
 	const nodes, servers, quota = 80, 10, 300.0
 	set := testSettings()
 	var all []*Balancer
 	for i := range nodes {
 		s := testSettings()
 		s.Seed, s.NodeIndex, s.NodeCount, s.Tenants = uint64(i)+1, i, nodes, []Tenant{{ConnectionQuota: quota}}
-		all = append(all, started(t, s, servers))
+		all = append(all, newWarmNode(t, s, servers))
 	}
 	spent := func(since, from time.Duration) (n float64) {
 		for w := range 3 {
@@ -133,7 +113,7 @@
 // After a power cut all servers are cold and no node has placed anything: where the settings tell no quotas each
 // node's budget was its own rate's part, which was nothing, and every client was turned away until the servers were
 // warm. The present share of what comes is served, by all nodes together, and no more than the multiple at any one.
-func TestAFleetThatIsAllColdServesWhatItCan(t *testing.T) {
+func TestSlowStart_AllServersWarmUp_ServeWhatTheyCan(t *testing.T) {
 	const nodes, servers, perSecond = 40, 10, 5
 	set := testSettings()
 	var all []*Balancer
@@ -141,7 +121,7 @@
 		s := testSettings()
 		s.Seed, s.NodeIndex, s.NodeCount, s.Tenants = uint64(i)+1, i, nodes, nil
 		b := New(s)
-		list := fleetOf(servers)
+		list := testFleet(servers)
 		for k := range list {
 			list[k].StartedAt = time.Hour
 		}
@@ -187,11 +167,11 @@
 }
 
 // An old list can't tell which servers have been started since: they pass for cold until a list tells.
-func TestServersOfAnOldListAreColdUntilTold(t *testing.T) {
+func TestSlowStart_CachedList_AssumesStartUntilConfirmed(t *testing.T) {
 	s := testSettings()
 	s.Tenants = []Tenant{{ConnectionQuota: 60}}
 	b := New(s)
-	old, told := fleetOf(4), fleetOf(4)
+	old, told := testFleet(4), testFleet(4)
 	for i := range old {
 		old[i].StartedAt, old[i].AssumedStart = time.Hour, true
 	}
@@ -213,10 +193,10 @@
 }
 
 // Where no window is told there is no rule on cold servers, and they serve like others.
-func TestColdServerWithoutARuleServes(t *testing.T) {
+func TestSlowStart_NoCollapseWindow_Serves(t *testing.T) {
 	s := testSettings()
 	s.CollapseWindow = 0
-	n := started(t, s, 1)
+	n := newWarmNode(t, s, 1)
 	n.Handle(time.Minute, ListEvent{Kind: ListSnapshot, Revision: 2, Servers: []Server{{ID: "s99", Weight: 1, StartedAt: time.Minute}}})
 	if sent := sends(n.Handle(time.Minute, Arrival{ID: "a", Key: "k", TimeLeft: time.Second})); len(sent) != 1 {
 		t.Errorf("a cold server without a rule got %v", sent)
@@ -225,16 +205,16 @@
 
 // The quotas are of the fleet at its largest. Sixteen nodes of one that has shrunk from ten hosts to three took a
 // host that came back cold for good for a third of them, and sent it five times what it could bear.
-func TestAShrunkFleetKeepsAColdServersBudget(t *testing.T) {
+func TestSlowStart_ShrunkFleet_KeepsBudget(t *testing.T) {
 	const nodes, quota = 16, 417.0
 	set, sent, part := testSettings(), 0, 0.0
 	set.SlowStartDuration, set.CollapseWindow = 20*time.Second, 2*time.Second
 	for i := range nodes {
 		s := set
 		s.Seed, s.NodeIndex, s.NodeCount, s.Tenants = uint64(i)+1, i, nodes, []Tenant{{ConnectionQuota: quota}}
-		n := started(t, s, 10)
-		part = quota * fleetOf(1)[0].Weight / n.fleet.weight
-		rows := fleetOf(3)
+		n := newWarmNode(t, s, 10)
+		part = quota * testFleet(1)[0].Weight / n.fleet.weight
+		rows := testFleet(3)
 		rows[0].StartedAt = time.Minute
 		n.Handle(time.Minute, ListEvent{Kind: ListSnapshot, Revision: 2, Servers: rows})
 		for c := range 60 {
--- a/balancer/statelists_test.go
+++ b/balancer/statelists_test.go
@@ -36,12 +36,12 @@
 			default:
 				tab.progress(now, 200*time.Millisecond, 400*time.Millisecond, false)
 			}
-			checkLists(t, tab)
+			checkStateLists(t, tab)
 		}
 	})
 }
 
-func checkLists(t *rapid.T, tab *table) {
+func checkStateLists(t *rapid.T, tab *table) {
 	l := tab.states
 	if got := tab.inState(active); !slices.Equal(l.active, got) {
 		t.Fatalf("active: %d are listed, %d are", len(l.active), len(got))
