--- /dev/null
+++ b/internal/settings/document.go
@@ -0,0 +1,76 @@
+package settings
+
+import (
+	"math"
+	"time"
+)
+
+// document is the part of the settings object that is used. Its keys stand in the tags alone.
+type document struct {
+	NodeIndex       int      `json:"index"`
+	NodeCount       int      `json:"groupSize"`
+	Zone            int      `json:"zone"`
+	Zones           []string `json:"zones"`
+	OverQuotaWeight float64  `json:"overShareWorth"`
+	DiscoveryMode   string   `json:"registryMode"`
+	Classes         []class  `json:"lanes"`
+	Tenants         []tenant `json:"customers"`
+	Costs           costs    `json:"prices"`
+	Service         service  `json:"domain"`
+	Limits          limits   `json:"limits"`
+	Rules           rules    `json:"rules"`
+}
+
+type class struct {
+	Name              string       `json:"name"`
+	LatencyObjective  milliseconds `json:"aim"`
+	Deadline          milliseconds `json:"deadline"`
+	Effect            string       `json:"semantics"`
+	Scope             string       `json:"group"`
+	IdempotencyWindow milliseconds `json:"window"`
+	PriorityWeight    float64      `json:"worth"`
+}
+
+type tenant struct {
+	Name string `json:"name"`
+}
+
+type costs struct {
+	CrossZone float64 `json:"crossZone"`
+}
+
+type service struct {
+	ConnectionGroups         bool           `json:"groups"`
+	ReportsLatency           bool           `json:"tellsDelay"`
+	MessageLatencyObjectives []milliseconds `json:"messageAim"` // by class
+	Mode                     string         `json:"mode"`
+	TenantConnectionQuotas   []float64      `json:"tenantQuotaConnections"` // by tenant
+}
+
+type limits struct {
+	Cancel         bool         `json:"cancel"`
+	ConnectTimeout milliseconds `json:"connectTimeout"`
+	MaxAttempts    int          `json:"maxAttempts"`
+	MaxRetryAfter  milliseconds `json:"maxRetryAfter"`
+	Notify         bool         `json:"mayTell"`
+	HealthChecks   bool         `json:"probes"`
+	RetryAfter     bool         `json:"retryAfter"`
+}
+
+type rules struct {
+	AnswerSlack       milliseconds `json:"answerSlack"`
+	PollInterval      milliseconds `json:"askWithin"`
+	SlowStartFraction float64      `json:"coldShare"`
+	CollapseMultiple  float64      `json:"fallMultiple"`
+	CollapseWindow    milliseconds `json:"overloadFor"`
+	DrainGrace        milliseconds `json:"stopSendingWithin"`
+	SlowStartDuration milliseconds `json:"warmWithin"`
+}
+
+// milliseconds is a time on the wire, with fractions.
+type milliseconds float64
+
+// duration converts a time, rounded to the microsecond.
+func (m milliseconds) duration() time.Duration {
+	return time.Duration(math.Round(float64(m)*1000)) * time.Microsecond
+}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -12,7 +12,7 @@
 	"onyxstream/balancer"
 )
 
-const whole = `{"index":1,"groupSize":3,"zone":2,"zones":["a","b","c"],"registryMode":"ask","unheardOf":{"x":[1]},
+const completeDocument = `{"index":1,"groupSize":3,"zone":2,"zones":["a","b","c"],"registryMode":"ask","unheardOf":{"x":[1]},
 	"overShareWorth":0.1,"customers":[{"name":"acme"},{"name":"other"}],
 	"lanes":[{"name":"chat","aim":300,"deadline":1800.5,"semantics":"keyed","group":"zone","window":5000,"worth":3}],
 	"domain":{"groups":true,"mode":"pass","messageAim":[50],"tellsDelay":true,"tenantQuotaConnections":[48]},
@@ -21,18 +21,25 @@
 	"rules":{"answerSlack":16,"askWithin":10000,"coldShare":0.3,"fallMultiple":4,"overloadFor":1000,
 	"stopSendingWithin":400,"warmWithin":8600}}`
 
-func TestParse(t *testing.T) {
-	s, err := Parse(7, []byte(whole))
+func TestParse_CompleteDocument_ConvertsAll(t *testing.T) {
+	s, err := Parse(7, []byte(completeDocument))
 	if err != nil {
 		t.Fatal(err)
 	}
-	class := balancer.Class{SetupLatencyObjective: 300 * time.Millisecond, Deadline: 1800500 * time.Microsecond, MessageLatencyObjective: 50 * time.Millisecond,
-		PriorityWeight: 3, Effect: balancer.IdempotentByKey, Scope: balancer.ScopeZone, IdempotencyWindow: 5 * time.Second}
+	class := balancer.Class{
+		SetupLatencyObjective:   300 * time.Millisecond,
+		Deadline:                1800500 * time.Microsecond,
+		MessageLatencyObjective: 50 * time.Millisecond,
+		PriorityWeight:          3,
+		Effect:                  balancer.IdempotentByKey,
+		Scope:                   balancer.ScopeZone,
+		IdempotencyWindow:       5 * time.Second,
+	}
 	switch {
 	case s.Seed != 7 || s.NodeIndex != 1 || s.NodeCount != 3 || s.Zone != 2 || s.OverQuotaWeight != 0.1:
-		t.Errorf("place: %+v", s)
+		t.Errorf("identity: %+v", s)
 	case !s.PassThrough || !s.PollList || !s.MayCancel || !s.MayProbe || s.MayNotify || !s.ConnectionGroups || !s.ReportsLatency:
-		t.Errorf("what is allowed: %+v", s)
+		t.Errorf("permissions: %+v", s)
 	case len(s.Classes) != 1 || s.Classes[0] != class:
 		t.Errorf("classes %+v", s.Classes)
 	case !slices.Equal(s.Tenants, []balancer.Tenant{{ConnectionQuota: 48}, {}}):
@@ -43,19 +50,19 @@
 	case s.ConnectTimeout != 250*time.Millisecond || s.AnswerSlack != 16*time.Millisecond || s.MaxRetryAfter != 2*time.Second ||
 		s.MaxAttempts != 5 || s.DrainGrace != 400*time.Millisecond || s.SlowStartFraction != 0.3 || s.SlowStartDuration != 8600*time.Millisecond ||
 		s.CollapseMultiple != 4 || s.CollapseWindow != time.Second || s.PollInterval != 10*time.Second:
-		t.Errorf("figures: %+v", s)
+		t.Errorf("limits and rules: %+v", s)
 	}
 }
 
-// Where the list comes unasked and crossings have a price, both are read; a file that names neither means what it meant.
-func TestWhatAnotherShapeNeeds(t *testing.T) {
-	old, err := Parse(7, []byte(whole))
+// A document without a cost of crossing zones and one that is polled for the list mean what they meant.
+func TestParse_PushedListWithCosts_ReadsBoth(t *testing.T) {
+	old, err := Parse(7, []byte(completeDocument))
 	if err != nil || old.CrossZoneCost != 0 || old.Zones != 3 {
-		t.Fatalf("an older file: price %g, %d zones, error %v", old.CrossZoneCost, old.Zones, err)
+		t.Fatalf("an older document: cost %g, %d zones, error %v", old.CrossZoneCost, old.Zones, err)
 	}
-	s, err := Parse(7, []byte(strings.Replace(whole, `"registryMode":"ask"`, `"registryMode":"push","prices":{"crossZone":0.1}`, 1)))
+	s, err := Parse(7, []byte(strings.Replace(completeDocument, `"registryMode":"ask"`, `"registryMode":"push","prices":{"crossZone":0.1}`, 1)))
 	if err != nil || s.PollList || s.CrossZoneCost != 0.1 {
-		t.Errorf("asks %v, price %g, error %v", s.PollList, s.CrossZoneCost, err)
+		t.Errorf("polls %v, cost %g, error %v", s.PollList, s.CrossZoneCost, err)
 	}
 	s.PollList, s.CrossZoneCost = true, 0
 	if diff := cmp.Diff(old, s); diff != "" {
@@ -63,16 +70,15 @@
 	}
 }
 
-func TestAdviceIsNotGivenWhereItIsNotAllowed(t *testing.T) {
-	s, err := Parse(1, []byte(strings.Replace(whole, `"retryAfter":true`, `"retryAfter":false`, 1)))
+func TestParse_RetryAfterOff_IsZero(t *testing.T) {
+	s, err := Parse(1, []byte(strings.Replace(completeDocument, `"retryAfter":true`, `"retryAfter":false`, 1)))
 	if err != nil || s.MaxRetryAfter != 0 {
-		t.Errorf("longest advice %v, error %v", s.MaxRetryAfter, err)
+		t.Errorf("longest Retry-After %v, error %v", s.MaxRetryAfter, err)
 	}
 }
 
-// What another customer's settings lack or set to nothing means what the page says: no limit, no advice, no repeat that is
-// not proved safe, a tenant without a share.
-func TestWhatIsNotSet(t *testing.T) {
+// Missing keys mean what the protocol page says: no limit, no Retry-After, no quota.
+func TestParse_MissingKeys_MeanNone(t *testing.T) {
 	for _, c := range []struct {
 		from, to string
 		holds    func(s Settings) bool
@@ -90,15 +96,15 @@
 		{`"overloadFor":1000,`, ``, func(s Settings) bool { return s.CollapseWindow == 0 }},
 		{`"customers":[{"name":"acme"},{"name":"other"}],`, ``, func(s Settings) bool { return len(s.Tenants) == 0 }},
 	} {
-		text := strings.Replace(whole, c.from, c.to, 1)
+		text := strings.Replace(completeDocument, c.from, c.to, 1)
 		s, err := Parse(1, []byte(text))
-		if text == whole || err != nil || !c.holds(s) {
+		if text == completeDocument || err != nil || !c.holds(s) {
 			t.Errorf("%s: error %v, %+v", c.from, err, s.Settings)
 		}
 	}
 }
 
-func TestErrorsNameTheField(t *testing.T) {
+func TestParse_Errors_NameField(t *testing.T) {
 	for _, c := range []struct{ from, to, field string }{
 		{`"worth":3`, `"worth":"much"`, "lanes.worth"},
 		{`"connectTimeout":250`, `"connectTimeout":-1`, "limits.connectTimeout"},
@@ -123,10 +129,10 @@
 		{`"unheardOf":{"x":[1]}`, `"prices":{"crossZone":-0.1}`, "prices.crossZone"},
 		{`{"index"`, `["index"`, ""},
 	} {
-		text := strings.Replace(whole, c.from, c.to, 1)
+		text := strings.Replace(completeDocument, c.from, c.to, 1)
 		_, err := Parse(1, []byte(text))
 		var wrong *FieldError
-		if text == whole || !errors.As(err, &wrong) || wrong.Field != c.field {
+		if text == completeDocument || !errors.As(err, &wrong) || wrong.Field != c.field {
 			t.Errorf("%s: error %v, want one that names %q", c.to, err, c.field)
 		}
 	}
