--- a/internal/wire/catalog.go
+++ b/internal/wire/endpoints.go
@@ -7,7 +7,7 @@
 	"math"
 )
 
-// Phase is what discovery says of a host.
+// Phase is the state of a host in discovery.
 type Phase uint8
 
 // The phases.
@@ -17,28 +17,33 @@
 	Removed
 )
 
-var phases = map[string]Phase{"SERVING": Serving, "DRAINING": Draining, "DELETED": Removed}
+var phaseNames = map[string]Phase{"SERVING": Serving, "DRAINING": Draining, "DELETED": Removed}
 
 // UnmarshalText reads a phase.
 func (p *Phase) UnmarshalText(text []byte) error {
-	known, ok := phases[string(text)]
-	if !ok {
+	phase, known := phaseNames[string(text)]
+	if !known {
 		return fmt.Errorf("unknown phase %q", text)
 	}
-	*p = known
+	*p = phase
 	return nil
 }
 
 // MarshalText writes a phase as discovery does.
 func (p Phase) MarshalText() ([]byte, error) {
-	for name, known := range phases {
-		if known == p {
+	for name, phase := range phaseNames {
+		if phase == p {
 			return []byte(name), nil
 		}
 	}
 	return nil, fmt.Errorf("unknown phase %d", p)
 }
 
+const (
+	maxEndpointSize = 1e9
+	maxStartedAtMS  = math.MaxInt64 / 2_000_000 // its conversion to nanoseconds does not overflow
+)
+
 // Endpoint is one entry of the list.
 type Endpoint struct {
 	ID          string  `json:"id"`
@@ -57,25 +62,25 @@
 	Endpoints []Endpoint `json:"members"`
 }
 
-// ParseEndpointList reads one object of discovery.
+// ParseEndpointList reads and checks one object from discovery.
 func ParseEndpointList(text []byte) (EndpointList, error) {
-	var c EndpointList
-	if err := json.Unmarshal(text, &c); err != nil {
+	var list EndpointList
+	if err := json.Unmarshal(text, &list); err != nil {
 		return EndpointList{}, fmt.Errorf("the list can't be read: %w", err)
 	}
-	return c, c.Check()
+	return list, list.Check()
 }
 
 // Check reports what is wrong with a list that was read from elsewhere.
-func (c *EndpointList) Check() error {
-	for i, m := range c.Endpoints {
+func (l *EndpointList) Check() error {
+	for i, endpoint := range l.Endpoints {
 		switch {
-		case m.ID == "":
+		case endpoint.ID == "":
 			return fmt.Errorf("members[%d]: %w", i, errors.New("no id"))
-		case !(m.Size >= 0 && m.Size < 1e9):
-			return fmt.Errorf("members[%d]: size %g is out of range", i, m.Size)
-		case m.StartedAtMS < 0 || m.StartedAtMS > math.MaxInt64/2_000_000:
-			return fmt.Errorf("members[%d]: up_since_ms %d is out of range", i, m.StartedAtMS)
+		case !(endpoint.Size >= 0 && endpoint.Size < maxEndpointSize):
+			return fmt.Errorf("members[%d]: size %g is out of range", i, endpoint.Size)
+		case endpoint.StartedAtMS < 0 || endpoint.StartedAtMS > maxStartedAtMS:
+			return fmt.Errorf("members[%d]: up_since_ms %d is out of range", i, endpoint.StartedAtMS)
 		}
 	}
 	return nil
--- /dev/null
+++ b/internal/wire/linebuffer_test.go
@@ -0,0 +1,74 @@
+package wire
+
+import (
+	"bytes"
+	"errors"
+	"fmt"
+	"strings"
+	"testing"
+)
+
+// feedLines puts text into an inbox in pieces of a size and returns the lines that come out.
+func feedLines(t *testing.T, text string, size int) (lines []string, err error) {
+	t.Helper()
+	var in LineBuffer
+	defer in.Release()
+	for len(text) > 0 {
+		space := in.Space()
+		if len(space) == 0 {
+			t.Fatal("no space and neither a line nor an error")
+		}
+		n := copy(space, text[:min(size, len(text))])
+		in.Advance(n)
+		text = text[n:]
+		for {
+			line, ok, err := in.Next()
+			if err != nil {
+				return lines, err
+			}
+			if !ok {
+				break
+			}
+			lines = append(lines, string(line))
+		}
+	}
+	return lines, nil
+}
+
+func TestLineBuffer_AnyPieces_GivesCompleteLines(t *testing.T) {
+	longest := strings.Repeat("x", MaxLine)
+	text := "OPEN a b\r\n\r\nPING\n" + longest + "\r\nend\r\n"
+	want := []string{"OPEN a b", "", "PING", longest, "end"}
+	for _, size := range []int{1, 2, 3, 100, MaxLine, BufferSize} {
+		lines, err := feedLines(t, text, size)
+		if err != nil || fmt.Sprint(lines) != fmt.Sprint(want) {
+			t.Errorf("in pieces of %d: %d lines, error %v", size, len(lines), err)
+		}
+	}
+}
+
+func TestLineBuffer_LongLine_IsAnError(t *testing.T) {
+	for _, text := range []string{strings.Repeat("x", MaxLine+1) + "\r\n", strings.Repeat("x", BufferSize)} {
+		for _, size := range []int{1, 1000, BufferSize} {
+			if lines, err := feedLines(t, text, size); !errors.Is(err, ErrTooLong) || len(lines) != 0 {
+				t.Errorf("%d bytes in pieces of %d: %d lines, error %v", len(text), size, len(lines), err)
+			}
+		}
+	}
+}
+
+func FuzzLineBuffer(f *testing.F) {
+	f.Add([]byte("OPEN a b c=x,d=5\r\nPING\n"), uint8(3))
+	f.Fuzz(func(t *testing.T, text []byte, size uint8) {
+		var want []string
+		for _, line := range bytes.SplitAfter(text, []byte("\n")) {
+			if bytes.HasSuffix(line, []byte("\n")) {
+				want = append(want, string(bytes.TrimSuffix(line[:len(line)-1], []byte("\r"))))
+			}
+		}
+		lines, err := feedLines(t, string(text), int(size)+1)
+		if err == nil && fmt.Sprint(lines) != fmt.Sprint(want) {
+			t.Errorf("lines %q, want %q", lines, want)
+		}
+	})
+}
--- /dev/null
+++ b/internal/wire/relay_test.go
@@ -0,0 +1,96 @@
+package wire
+
+import (
+	"strings"
+	"testing"
+)
+
+// feedRelay feeds text in pieces and returns what was given out, in the order of CompleteLines' calls.
+func feedRelay(t *testing.T, r *Relay, text string, size int) (out []string, lines int, load float64) {
+	t.Helper()
+	for len(text) > 0 {
+		space := r.Space()
+		if len(space) == 0 {
+			t.Fatal("no space and nothing to give out")
+		}
+		n := copy(space, text[:min(size, len(text))])
+		r.Advance(n)
+		text = text[n:]
+		for {
+			chunk, seen := r.CompleteLines()
+			if len(chunk) == 0 {
+				break
+			}
+			out = append(out, string(chunk))
+			lines += seen.Responses
+			if seen.Load > 0 {
+				load = seen.Load
+			}
+		}
+	}
+	return out, lines, load
+}
+
+func TestRelay_AnyPieces_GivesCompleteLinesUnchanged(t *testing.T) {
+	text := "M 1 abc\r\nLOAD 12.5\r\nLOAD much\r\nM 2 LOAD 9\r\nLOAD 20\nBYE\r\n"
+	for _, size := range []int{1, 3, 10, 1000} {
+		var r Relay
+		out, lines, load := feedRelay(t, &r, text, size)
+		if strings.Join(out, "") != text {
+			t.Errorf("in pieces of %d: given out as %q", size, out)
+		}
+		for _, chunk := range out {
+			if !strings.HasSuffix(chunk, "\n") {
+				t.Errorf("in pieces of %d: a MOVE could stand inside a line: %q", size, chunk)
+			}
+		}
+		if lines != 4 || load != 20 || r.Last() != ResponseClosed || !r.AtLineBoundary() {
+			t.Errorf("in pieces of %d: %d lines, load %g, last %v", size, lines, load, r.Last())
+		}
+		r.Release()
+	}
+}
+
+// A line without an end must not hold the connection for ever, and is not the place for a MOVE.
+func TestRelay_LineFillsBuffer_IsPassedOn(t *testing.T) {
+	var r Relay
+	defer r.Release()
+	text := strings.Repeat("x", BufferSize+10)
+	out, _, _ := feedRelay(t, &r, text, 1000)
+	if len(out) != 1 || len(out[0]) != BufferSize || r.AtLineBoundary() {
+		t.Fatalf("%d chunks, between lines %v", len(out), r.AtLineBoundary())
+	}
+	out, _, _ = feedRelay(t, &r, "\r\n", 2)
+	if len(out) != 1 || !r.AtLineBoundary() {
+		t.Errorf("after its end: %q, between lines %v", out, r.AtLineBoundary())
+	}
+}
+
+func TestRelay_Lines_DoNotAllocate(t *testing.T) {
+	var r Relay
+	defer r.Release()
+	text := []byte("M 17 0123456789abcdef\r\nLOAD 12345.678\r\n")
+	r.Space()
+	if n := testing.AllocsPerRun(100, func() {
+		r.Advance(copy(r.Space(), text))
+		for {
+			if chunk, _ := r.CompleteLines(); len(chunk) == 0 {
+				break
+			}
+		}
+	}); n != 0 {
+		t.Errorf("%g allocations for two lines", n)
+	}
+}
+
+func FuzzRelay(f *testing.F) {
+	f.Add("M 1\r\nLOAD 5\r\nBYE\r\n", uint8(2))
+	f.Fuzz(func(t *testing.T, text string, size uint8) {
+		var r Relay
+		defer r.Release()
+		out, _, _ := feedRelay(t, &r, text, int(size)+1)
+		if got := strings.Join(out, "") + string(r.Buffered()); got != text {
+			t.Errorf("given out as %q", got)
+		}
+	})
+}
--- /dev/null
+++ b/internal/wire/watchstream_test.go
@@ -0,0 +1,135 @@
+package wire
+
+import (
+	"errors"
+	"fmt"
+	"slices"
+	"strings"
+	"testing"
+)
+
+const responseHead = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n"
+
+func feedStream(text string, size int) (s WatchStream, lines []string, err error) {
+	for len(text) > 0 {
+		n := min(size, len(text))
+		if err = s.Feed([]byte(text[:n])); err != nil {
+			return s, lines, err
+		}
+		text = text[n:]
+		for line, ok := s.Next(); ok; line, ok = s.Next() {
+			lines = append(lines, string(line))
+		}
+	}
+	return s, lines, nil
+}
+
+func TestWatchStream_Framings_GiveBody(t *testing.T) {
+	for _, c := range []struct {
+		name, text string
+		want       []string
+		ended      bool
+	}{
+		{"chunks", responseHead + "Transfer-Encoding: chunked\r\n\r\n5\r\n{\"a\":\r\n3;x=y\r\n1}\n\r\n1\r\n\n\r\nA\r\n{\"b\":\"cd\"}\r\n1\r\n\n\r\n",
+			[]string{`{"a":1}`, "", `{"b":"cd"}`}, false},
+		{"the last chunk", responseHead + "transfer-encoding: Chunked\r\n\r\n2\r\n{}\r\n0\r\nTrailer: x\r\n\r\n", []string{"{}"}, true},
+		{"a stated length", responseHead + "Content-Length: 3\r\n\r\n{}\nmore", []string{"{}"}, true},
+		{"no body", responseHead + "Content-Length: 0\r\n\r\n", nil, true},
+		{"until the end", responseHead + "\r\n{}\n[", []string{"{}"}, false},
+	} {
+		for _, size := range []int{1, 7, 10000} {
+			s, lines, err := feedStream(c.text, size)
+			if err != nil || fmt.Sprintf("%q", lines) != fmt.Sprintf("%q", c.want) || s.Ended() != c.ended {
+				t.Errorf("%s, in pieces of %d: %q, ended %v, error %v", c.name, size, lines, s.Ended(), err)
+			}
+		}
+	}
+}
+
+func TestWatchStream_Malformed_IsAnError(t *testing.T) {
+	chunked := responseHead + "Transfer-Encoding: chunked\r\n\r\n"
+	for _, c := range []struct{ name, text string }{
+		{"another protocol", "SSH-2.0\r\n"},
+		{"no status", "HTTP/1.1 fine\r\n"},
+		{"no length", responseHead + "Content-Length: some\r\n\r\n"},
+		{"a negative length", responseHead + "Content-Length: -1\r\n\r\n"},
+		{"an unknown encoding", responseHead + "Transfer-Encoding: gzip\r\n\r\n"},
+		{"no size", chunked + "zz\r\n"},
+		{"a negative size", chunked + "-1\r\n"},
+		{"a chunk longer than it said", chunked + "2\r\n{}}\r\n"},
+		{"a head with no end", responseHead + strings.Repeat("X: y\r\n", maxHead)},
+		{"a line with no end", strings.Repeat("x", maxHead+1)},
+		{"a body with no end", chunked + fmt.Sprintf("%x\r\n", maxBody+1) + strings.Repeat("x", maxBody+1)},
+	} {
+		if _, _, err := feedStream(c.text, 64<<10); err == nil {
+			t.Errorf("%s gives no error", c.name)
+		}
+	}
+	var status *StatusError
+	if _, _, err := feedStream("HTTP/1.1 503 Service Unavailable\r\n", 100); !errors.As(err, &status) || status.Code != 503 {
+		t.Errorf("503 gives %v", err)
+	}
+}
+
+// A whole answer may have line ends anywhere, and its connection's end may be its only end.
+func TestWatchStream_Closed_SaysIfComplete(t *testing.T) {
+	for _, c := range []struct {
+		name, text   string
+		ended, whole bool
+	}{
+		{"a stated length", responseHead + "Content-Length: 4\r\n\r\n{\n}\n", true, true},
+		{"half of a stated length", responseHead + "Content-Length: 9\r\n\r\n{\n}\n", false, false},
+		{"chunks", responseHead + "Transfer-Encoding: chunked\r\n\r\n2\r\n{\n\r\n2\r\n}\n\r\n0\r\n\r\n", true, true},
+		{"chunks that break off", responseHead + "Transfer-Encoding: chunked\r\n\r\n4\r\n{\n}\n\r\n", false, false},
+		{"until the end", responseHead + "\r\n{\n}\n", false, true},
+		{"half a head", responseHead, false, false},
+	} {
+		var s WatchStream
+		if err := s.Feed([]byte(c.text)); err != nil || s.Ended() != c.ended || s.Closed() != c.whole {
+			t.Errorf("%s: ended %v, whole %v, error %v", c.name, s.Ended(), s.Closed(), err)
+		}
+		if body := string(s.Body()); c.whole && body != "{\n}\n" {
+			t.Errorf("%s: %q", c.name, body)
+		}
+	}
+}
+
+func FuzzWatchStream(f *testing.F) {
+	f.Add(responseHead+"Transfer-Encoding: chunked\r\n\r\n3\r\n{}\n\r\n0\r\n\r\n", uint8(4))
+	f.Add("HTTP/1.1 200\r\nContent-Length: 2\r\n\r\n{}", uint8(1))
+	f.Fuzz(func(t *testing.T, text string, size uint8) {
+		_, whole, err := feedStream(text, len(text)+1)
+		_, parts, err2 := feedStream(text, int(size)+1)
+		if (err == nil) != (err2 == nil) || err == nil && fmt.Sprint(whole) != fmt.Sprint(parts) {
+			t.Errorf("whole %q %v, in parts %q %v", whole, err, parts, err2)
+		}
+	})
+}
+
+// However an answer is cut into pieces, its objects come out whole, on one line or many, and beats between them.
+func TestWatchStream_AnyPieces_GiveCompleteObjects(t *testing.T) {
+	const head = "HTTP/1.1 200 OK\r\n\r\n"
+	body := "{\"a\":\"}\\\"{\"}\r\n\r\n{\n \"b\": [1,\n\n  {\"c\":2}]\n}\n\n\nnonsense }\n{\"d\":[}"
+	want := []string{`{"a":"}\"{"}`, "", "{\n \"b\": [1,\n\n  {\"c\":2}]\n}", "", "", "nonsense }", `{"d":[}`}
+	for size := 1; size <= len(head+body); size++ {
+		var s WatchStream
+		var got []string
+		for rest := head + body; len(rest) > 0; {
+			n := min(size, len(rest))
+			if err := s.Feed([]byte(rest[:n])); err != nil {
+				t.Fatal(err)
+			}
+			rest = rest[n:]
+			for line, ok := s.Next(); ok; line, ok = s.Next() {
+				got = append(got, string(line))
+			}
+		}
+		s.Closed()
+		for line, ok := s.Next(); ok; line, ok = s.Next() {
+			got = append(got, string(line))
+		}
+		if !slices.Equal(got, want) {
+			t.Fatalf("in pieces of %d: %q, want %q", size, got, want)
+		}
+	}
+}
