--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,5 +1,5 @@
-// Command simadapter hosts instances of the decision module on the simulator's wire: batches on
-// standard input, replies on standard output.
+// Command simadapter serves instances of the balancer on the simulator's wire: batches on standard input, replies on
+// standard output.
 package main
 
 import (
@@ -10,10 +10,12 @@
 	"onyxstream/internal/simadapter"
 )
 
+// gcPercent lets garbage collections be rare: the simulator counts their time as that of decisions, and the heap is
+// small.
+const gcPercent = 800
+
 func main() {
-	// Little is held, so collecting seldom costs little memory; a collection in a busy second would
-	// be billed to the instances as time for their decisions.
-	debug.SetGCPercent(800)
+	debug.SetGCPercent(gcPercent)
 	if err := simadapter.Serve(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "simadapter:", err)
 		os.Exit(1)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -25,7 +25,8 @@
 	AnswerSlack      time.Duration // a final answer is in time until so long after the deadline
 }
 
-// FieldError says which field is wrong and why. Field is a path of JSON keys, "" where the object as a whole is wrong.
+// FieldError says which field is wrong and why. Field is a path of JSON keys, "" where the object as a whole is
+// wrong.
 type FieldError struct {
 	Field string
 	Err   error
--- /dev/null
+++ b/internal/simadapter/batch.go
@@ -0,0 +1,143 @@
+package simadapter
+
+import (
+	"errors"
+	"fmt"
+	"io"
+
+	"github.com/go-faster/jx"
+)
+
+// batchHeader is what comes with the groups of a batch.
+type batchHeader struct {
+	serial                         int64
+	hasClock, hasSerial, hasGroups bool
+}
+
+// handleBatch handles one line and leaves the reply in a.reply.
+func (a *adapter) handleBatch(line []byte) error {
+	a.decoder.ResetBytes(line)
+	a.reply.Reset()
+	var header batchHeader
+	err := a.decodeBatch(&header)
+	switch {
+	case err == nil:
+	case header.hasSerial:
+		return fmt.Errorf("serial %d: %w", header.serial, err)
+	default:
+		return fmt.Errorf("serial unknown: %w", err)
+	}
+	a.reply.ArrEnd()
+	a.reply.ObjEnd()
+	return nil
+}
+
+// decodeBatch reads the object of a batch. Groups that come before the clock or the serial are handled after it.
+func (a *adapter) decodeBatch(header *batchHeader) error {
+	var early jx.Raw
+	err := a.decoder.ObjBytes(func(d *jx.Decoder, key []byte) error {
+		var err error
+		switch string(key) {
+		case "t":
+			header.hasClock = true
+			a.now, err = decodeDuration(d)
+		case "serial":
+			header.hasSerial = true
+			header.serial, err = d.Int64()
+		case "groups":
+			header.hasGroups = true
+			if header.hasClock && header.hasSerial {
+				err = a.handleGroups(header.serial, d)
+			} else {
+				early, err = d.Raw()
+			}
+		default:
+			err = d.Skip()
+		}
+		return inField(string(key), err)
+	})
+	if err != nil {
+		return err
+	}
+	if early != nil && header.hasClock && header.hasSerial {
+		if err := a.handleGroups(header.serial, jx.DecodeBytes(early)); err != nil {
+			return err
+		}
+	}
+	if err := header.requireAll(); err != nil {
+		return err
+	}
+	rest := a.decoder.Skip()
+	if !errors.Is(rest, io.EOF) && !errors.Is(rest, io.ErrUnexpectedEOF) {
+		return errors.New("text after the batch")
+	}
+	return nil
+}
+
+func (h *batchHeader) requireAll() error {
+	switch {
+	case !h.hasClock:
+		return inField("t", errMissing)
+	case !h.hasSerial:
+		return inField("serial", errMissing)
+	case !h.hasGroups:
+		return inField("groups", errMissing)
+	}
+	return nil
+}
+
+// handleGroups begins the reply and handles the events of all instances.
+func (a *adapter) handleGroups(serial int64, d *jx.Decoder) error {
+	a.reply.ObjStart()
+	a.reply.FieldStart("serial")
+	a.reply.Int64(serial)
+	a.reply.FieldStart("groups")
+	a.reply.ArrStart()
+	return d.Arr(a.handleGroup)
+}
+
+// handleGroup handles the events of one instance.
+func (a *adapter) handleGroup(d *jx.Decoder) error {
+	a.acted = false
+	err := a.decodeGroup(d)
+	if a.acted {
+		a.reply.ArrEnd()
+		a.reply.ObjEnd()
+	}
+	return err
+}
+
+// decodeGroup reads the object of a group. Events that come before the instance's number are handled after it.
+func (a *adapter) decodeGroup(d *jx.Decoder) error {
+	instance, hasInstance := 0, false
+	var early jx.Raw
+	handleEvents := func(d *jx.Decoder) error {
+		return d.Arr(func(d *jx.Decoder) error { return a.handleEvent(instance, d) })
+	}
+	err := d.ObjBytes(func(d *jx.Decoder, key []byte) error {
+		var err error
+		switch string(key) {
+		case "i":
+			hasInstance = true
+			instance, err = d.Int()
+		case "in":
+			if hasInstance {
+				err = handleEvents(d)
+			} else {
+				early, err = d.Raw()
+			}
+		default:
+			err = d.Skip()
+		}
+		return inField(string(key), err)
+	})
+	switch {
+	case err != nil:
+		return err
+	case !hasInstance:
+		return inField("i", errMissing)
+	case early != nil:
+		return handleEvents(jx.DecodeBytes(early))
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/simadapter/dispatch.go
@@ -0,0 +1,245 @@
+package simadapter
+
+import (
+	"errors"
+	"fmt"
+	"strings"
+	"time"
+
+	"github.com/go-faster/jx"
+
+	"onyxstream/balancer"
+	"onyxstream/internal/settings"
+)
+
+// listCount is how many numbered lists the wire has.
+const listCount = 16
+
+// The kinds of reports on a connection.
+const (
+	loadReport    = 1 // work a second
+	latencyReport = 2 // milliseconds
+)
+
+// eventKind is what is done with the events of one name: either the adapter handles them, or the instance does once
+// they are translated.
+type eventKind struct {
+	required  fieldSet
+	handle    func(a *adapter, instance int, e *event) error
+	translate func(a *adapter, e *event) (balancer.Event, error) // nil event: the balancer has no use for it
+}
+
+var eventKinds = map[string]eventKind{
+	"start":      {required: fields(fieldSeed, fieldSettings), handle: (*adapter).startInstance},
+	"shutdown":   {handle: (*adapter).stopInstance},
+	"defineList": {required: fields(fieldListNumber, fieldServers), handle: (*adapter).defineList},
+	"fleet":      {required: fields(fieldListMode, fieldRevision), translate: (*adapter).translateList},
+	"arrival":    {required: fields(fieldID, fieldClass, fieldTimeLeft), translate: translateArrival},
+	"inherited":  {required: fields(fieldID, fieldClass, fieldServer), translate: translateInherited},
+	"deadlineHit": {
+		required:  fields(fieldTimerToken),
+		translate: translateTimer,
+	},
+	"opened": {
+		required:  fields(fieldID, fieldAttempt, fieldServer, fieldTook),
+		translate: translateEstablished,
+	},
+	"settled": {
+		required:  fields(fieldID, fieldAttempt, fieldServer, fieldOutcome, fieldTook, fieldFinal),
+		translate: translateAttemptEnded,
+	},
+	"pong":  {required: fields(fieldServer, fieldOutcome), translate: ignore},
+	"inbox": {required: fields(fieldPeer, fieldMessage), translate: translatePeerMessage},
+	"heartbeat": {
+		required:  fields(fieldID, fieldAttempt, fieldServer, fieldReportKind, fieldReport),
+		translate: translateReport,
+	},
+	"lapsed": {required: fields(fieldID), translate: translateClientDisconnected},
+}
+
+// handleEvent decodes one event, lets the instance decide and writes its actions.
+func (a *adapter) handleEvent(instance int, d *jx.Decoder) error {
+	count := 0
+	err := d.ObjBytes(func(d *jx.Decoder, key []byte) error {
+		count++
+		name := string(key)
+		kind, known := eventKinds[name]
+		if !known {
+			return inField(name, errors.New("unknown event"))
+		}
+		if err := a.handleKind(instance, kind, d); err != nil {
+			return fmt.Errorf("event %s: %w", name, err)
+		}
+		return nil
+	})
+	if err == nil && count != 1 {
+		err = inField("in", fmt.Errorf("an event has one name, not %d", count))
+	}
+	return err
+}
+
+func (a *adapter) handleKind(instance int, kind eventKind, d *jx.Decoder) error {
+	e := &a.event
+	if err := e.decode(a.names, d); err != nil {
+		return err
+	}
+	if err := eventCodec.requireFields(e.present, kind.required); err != nil {
+		return err
+	}
+	if kind.handle != nil {
+		return kind.handle(a, instance, e)
+	}
+	b := a.instances[instance]
+	if b == nil {
+		return fmt.Errorf("instance %d has not been started", instance)
+	}
+	translated, err := kind.translate(a, e)
+	if err != nil || translated == nil {
+		return err
+	}
+	a.run(instance, b, translated)
+	return nil
+}
+
+func (a *adapter) startInstance(instance int, e *event) error {
+	s, err := settings.Parse(e.seed, e.settings)
+	var wrong *settings.FieldError
+	if errors.As(err, &wrong) {
+		return inField(strings.TrimSuffix("facts."+wrong.Field, "."), wrong.Err)
+	}
+	if err != nil {
+		return err
+	}
+	a.instances[instance] = balancer.New(s.Settings)
+	return nil
+}
+
+func (a *adapter) stopInstance(instance int, _ *event) error {
+	delete(a.instances, instance)
+	return nil
+}
+
+// defineList keeps a numbered list of servers, for all instances.
+func (a *adapter) defineList(_ int, e *event) error {
+	if e.listNumber < 0 || e.listNumber >= listCount {
+		return inField("buffer", fmt.Errorf("%d is not a list's number", e.listNumber))
+	}
+	a.lists[e.listNumber] = e.servers
+	return nil
+}
+
+func (a *adapter) translateList(e *event) (balancer.Event, error) {
+	kind, known := listKinds[e.listMode]
+	if !known {
+		return nil, inField("mode", fmt.Errorf("unknown word %q", e.listMode))
+	}
+	list := balancer.ListEvent{Kind: kind, Revision: e.revision}
+	if kind == balancer.ListFailed {
+		return list, nil
+	}
+	if e.present&fields(fieldListNumber) == 0 || e.listNumber < 0 || e.listNumber >= listCount {
+		return nil, inField("buffer", errors.New("not a list's number"))
+	}
+	list.Servers = a.lists[e.listNumber]
+	return list, nil
+}
+
+func (e *event) arrival() balancer.Arrival {
+	return balancer.Arrival{
+		ID:        balancer.RequestID(e.id),
+		Class:     e.class,
+		Tenant:    e.tenant,
+		Key:       e.key,
+		Group:     e.group,
+		TimeLeft:  e.timeLeft,
+		Load:      e.load,
+		Retry:     e.retry,
+		MidFlow:   e.midFlow,
+		Reconnect: e.reconnect,
+	}
+}
+
+func translateArrival(_ *adapter, e *event) (balancer.Event, error) { return e.arrival(), nil }
+
+func translateInherited(_ *adapter, e *event) (balancer.Event, error) {
+	return balancer.Inherited{Arrival: e.arrival(), Server: e.server}, nil
+}
+
+func translateTimer(_ *adapter, e *event) (balancer.Event, error) {
+	return balancer.Timer{Token: e.timerToken}, nil
+}
+
+func translateEstablished(_ *adapter, e *event) (balancer.Event, error) {
+	return balancer.Established{
+		ID:      balancer.RequestID(e.id),
+		Attempt: e.attempt,
+		Server:  e.server,
+		Took:    e.took,
+	}, nil
+}
+
+func translateAttemptEnded(_ *adapter, e *event) (balancer.Event, error) {
+	return balancer.AttemptEnded{
+		ID:      balancer.RequestID(e.id),
+		Attempt: e.attempt,
+		Server:  e.server,
+		Took:    e.took,
+		Outcome: e.outcome,
+		Final:   e.final,
+	}, nil
+}
+
+func translatePeerMessage(_ *adapter, e *event) (balancer.Event, error) {
+	return balancer.PeerMessage{From: e.peer, Data: e.message}, nil
+}
+
+// translateReport ignores kinds of reports that are newer than this code.
+func translateReport(_ *adapter, e *event) (balancer.Event, error) {
+	id := balancer.RequestID(e.id)
+	switch e.reportKind {
+	case loadReport:
+		return balancer.LoadReport{ID: id, Load: e.report}, nil
+	case latencyReport:
+		return balancer.LatencyReport{ID: id, Latency: time.Duration(e.report * float64(time.Millisecond))}, nil
+	}
+	return nil, nil
+}
+
+func translateClientDisconnected(_ *adapter, e *event) (balancer.Event, error) {
+	return balancer.ClientDisconnected{ID: balancer.RequestID(e.id)}, nil
+}
+
+// ignore is for events that the balancer has no use for.
+func ignore(*adapter, *event) (balancer.Event, error) { return nil, nil }
+
+// run lets an instance decide and writes its actions, or a fault where it panics.
+func (a *adapter) run(instance int, b *balancer.Balancer, e balancer.Event) {
+	actions, fault := a.decide(b, e)
+	if fault == "" && len(actions) == 0 {
+		return
+	}
+	if !a.acted {
+		a.acted = true
+		a.reply.ObjStart()
+		a.reply.FieldStart("i")
+		a.reply.Int(instance)
+		a.reply.FieldStart("out")
+		a.reply.ArrStart()
+	}
+	if fault != "" {
+		encodeFault(&a.reply, fault)
+		return
+	}
+	for _, action := range actions {
+		encodeAction(&a.reply, action)
+	}
+}
+
+func (a *adapter) decide(b *balancer.Balancer, e balancer.Event) (actions []balancer.Action, fault string) {
+	defer func() {
+		if cause := recover(); cause != nil {
+			fault = fmt.Sprintf("the decision code failed: %v", cause)
+		}
+	}()
+	return b.Handle(a.now, e), ""
+}
--- a/internal/simadapter/host_test.go
+++ b/internal/simadapter/serve_test.go
@@ -6,26 +6,26 @@
 	"testing"
 )
 
-// facts with an unknown key, which must be ignored.
-const testFacts = `{"groupSize":2,"index":0,"registryMode":"ask","unheardOf":{"x":[1]},"lanes":[{"aim":300.0,"deadline":1800.0,` +
+// testSettings has an unknown key, which must be ignored.
+const testSettings = `{"groupSize":2,"index":0,"registryMode":"ask","unheardOf":{"x":[1]},"lanes":[{"aim":300.0,"deadline":1800.0,` +
 	`"semantics":"safe","group":"all","name":"a","worth":1.0,"window":5000.0}],"limits":{"cancel":true,"maxAttempts":3,` +
 	`"retryAfter":true,"maxRetryAfter":2000.0},"rules":{"askWithin":10000.0,"coldShare":0.3,"fallMultiple":4.0,` +
 	`"overloadFor":1000.0,"stopSendingWithin":400.0,"warmWithin":8600.0}}`
 
-const startBatch = `{"t":100.0,"serial":1,"groups":[{"i":0,"in":[{"start":{"prng":5,"facts":` + testFacts + `}},` +
+const startBatch = `{"t":100.0,"serial":1,"groups":[{"i":0,"in":[{"start":{"prng":5,"facts":` + testSettings + `}},` +
 	`{"defineList":{"buffer":0,"rows":[{"host":"host-a","rackZone":0,"hw":0,"unitGroup":0,"mode":"live","units":1,"since":null}]}},` +
 	`{"fleet":{"mode":"restored","serial":1,"buffer":0}}]}]}`
 
 const arrivalBatch = `{"t":101.0,"serial":2,"groups":[{"i":0,"in":[{"arrival":{"id":"c:x","lane":0,"billing":null,"entity":"s-k",` +
 	`"remaining":240.0,"expected":null,"room":null,"isRetry":false,"stray":false,"again":false}}]}]}`
 
-func serve(lines ...string) (string, error) {
+func serveLines(lines ...string) (string, error) {
 	var out bytes.Buffer
 	err := Serve(strings.NewReader(strings.Join(lines, "\n")+"\n"), &out)
 	return out.String(), err
 }
 
-func TestBatchesAreAnswered(t *testing.T) {
+func TestServe_Batches_AreAnswered(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		lines []string
@@ -46,7 +46,7 @@
 			strings.ReplaceAll(arrivalBatch, `"serial":2`, `"serial":3`)},
 			[]string{`"host":"host-c"`}, []string{"host-b", "host-a"}},
 		{"stop and start in one batch forget all", []string{startBatch, arrivalBatch,
-			`{"t":102,"serial":3,"groups":[{"i":0,"in":[{"shutdown":{}},{"start":{"prng":6,"facts":` + testFacts + `}},` +
+			`{"t":102,"serial":3,"groups":[{"i":0,"in":[{"shutdown":{}},{"start":{"prng":6,"facts":` + testSettings + `}},` +
 				`{"settled":{"id":"c:x","timeTaken":1.0,"trial":0,"host":"host-a","result":"no_answer","last":false,"load":null}}]}]}`},
 			[]string{`"serial":3`}, []string{"c:x"}},
 		{"an event of a later kind of note", []string{startBatch,
@@ -54,7 +54,7 @@
 			[]string{`{"serial":3,"groups":[]}`}, nil},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			out, err := serve(c.lines...)
+			out, err := serveLines(c.lines...)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -77,9 +77,9 @@
 	}
 }
 
-func TestInstancesShareNothing(t *testing.T) {
+func TestServe_Instances_AreIsolated(t *testing.T) {
 	two := strings.ReplaceAll(startBatch, `"i":0`, `"i":1`)
-	out, err := serve(startBatch, two, strings.ReplaceAll(arrivalBatch, `"i":0`, `"i":1`),
+	out, err := serveLines(startBatch, two, strings.ReplaceAll(arrivalBatch, `"i":0`, `"i":1`),
 		`{"t":103,"serial":4,"groups":[{"i":0,"in":[{"lapsed":{"id":"c:x"}}]}]}`)
 	if err != nil {
 		t.Fatal(err)
@@ -89,7 +89,7 @@
 	}
 }
 
-func TestMalformedLinesNameSerialFieldAndReason(t *testing.T) {
+func TestServe_MalformedLines_NameSerialFieldAndReason(t *testing.T) {
 	one := func(events string) string { return `{"t":101,"serial":9,"groups":[{"i":0,"in":[` + events + `]}]}` }
 	for _, c := range []struct {
 		name, line string
@@ -121,7 +121,7 @@
 			[]string{"serial 9", "facts.lanes[0].semantics", "odd"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			out, err := serve(startBatch, c.line)
+			out, err := serveLines(startBatch, c.line)
 			if err == nil {
 				t.Fatalf("no error, reply %s", out)
 			}
@@ -137,14 +137,14 @@
 	}
 }
 
-func TestEndOfInputWithoutNewline(t *testing.T) {
+func TestServe_InputWithoutNewline_IsAnswered(t *testing.T) {
 	var out bytes.Buffer
 	if err := Serve(strings.NewReader(`{"t":1,"serial":1,"groups":[]}`), &out); err != nil || out.Len() == 0 {
 		t.Errorf("reply %q, error %v", out.String(), err)
 	}
 }
 
-// FuzzServe feeds lines behind a good start: whatever comes, there is a reply or an error, no panic.
+// FuzzServe feeds lines after a good start: each gets a reply or an error, never a fault.
 func FuzzServe(f *testing.F) {
 	f.Add(arrivalBatch)
 	f.Add(`{"t":1,"serial":1,"groups":[]}`)
@@ -154,7 +154,7 @@
 	f.Add(`{"t":2,"serial":1,"groups":[{"i":0,"in":[{"defineList":{"buffer":1,"rows":[{"host":"h","mode":"dead","units":-1}]}}]}]}`)
 	f.Add(`{"t":2,"serial":1,"groups":[{"i":0,"in":[{"pong":{"host":"host-a","result":"served","timeTaken":1,"load":{"x0":0.5,"n":null}}}]}]}`)
 	f.Fuzz(func(t *testing.T, line string) {
-		out, err := serve(startBatch, line)
+		out, err := serveLines(startBatch, line)
 		if err != nil && strings.Count(out, "\n") > 1+strings.Count(line, "\n") {
 			t.Errorf("more replies than lines: %q", out)
 		}
--- a/internal/wire/discovery.go
+++ b/internal/wire/discovery.go
@@ -31,9 +31,9 @@
 		"Host: %s\r\nAccept: application/json\r\nConnection: close\r\n\r\n", host)
 }
 
-// parseRetryAfter reads the header of that name, in whole seconds, out of the header lines that came with the status
-// line. It does not wait for the rest of a header, as a silent peer would keep the connection. Dates are not read: the
-// clocks of the two sides may differ.
+// parseRetryAfter reads the header of that name, in whole seconds, out of the header lines that came with the
+// status line. It does not wait for the rest of a header, as a silent peer would keep the connection. Dates are not
+// read: the clocks of the two sides may differ.
 func parseRetryAfter(header []byte) time.Duration {
 	for line := range bytes.Lines(header) {
 		line = bytes.TrimRight(line, "\r\n")
--- a/internal/wire/linebuffer.go
+++ b/internal/wire/linebuffer.go
@@ -1,6 +1,6 @@
-// Package wire holds the protocols: lines between clients, nodes and hosts, and the HTTP/1.1 of the discovery service.
-// Its parsers are fed bytes and return messages; none of them uses a socket. Their values are not safe for concurrent
-// use, the functions are.
+// Package wire holds the protocols: lines between clients, nodes and hosts, and the HTTP/1.1 of the discovery
+// service. Its parsers are fed bytes and return messages; none of them uses a socket. Their values are not safe for
+// concurrent use, the functions are.
 package wire
 
 import (
@@ -29,8 +29,8 @@
 // ErrTooLong says that a line is longer than the protocol allows.
 var ErrTooLong = errors.New("the line is too long")
 
-// LineBuffer splits a stream of bytes into lines: bytes are read into Space, counted by Advance, and returned by Next.
-// The zero LineBuffer is ready; Release returns its buffer to the pool.
+// LineBuffer splits a stream of bytes into lines: bytes are read into Space, counted by Advance, and returned by
+// Next. The zero LineBuffer is ready; Release returns its buffer to the pool.
 type LineBuffer struct {
 	buf           *Buffer
 	read, written int // buf[read:written] is unread
@@ -53,8 +53,8 @@
 // Advance says how many bytes were written into Space.
 func (in *LineBuffer) Advance(n int) { in.written += n }
 
-// Next takes the next complete line without its end; ok is false while there is none. The line is valid until Space is
-// called. The only error is ErrTooLong.
+// Next takes the next complete line without its end; ok is false while there is none. The line is valid until Space
+// is called. The only error is ErrTooLong.
 func (in *LineBuffer) Next() (line []byte, ok bool, err error) {
 	unread := in.Buffered()
 	end := bytes.IndexByte(unread, '\n')
--- a/internal/wire/relay.go
+++ b/internal/wire/relay.go
@@ -20,9 +20,9 @@
 	midLine bool     // what was returned last ends within a line
 }
 
-// CompleteLines takes the bytes up to the end of the last complete line; none while there is none. A line that fills the
-// whole buffer is returned in pieces, as waiting for its end would block the connection. The bytes are valid until Space
-// is called.
+// CompleteLines takes the bytes up to the end of the last complete line; none while there is none. A line that
+// fills the whole buffer is returned in pieces, as waiting for its end would block the connection. The bytes are
+// valid until Space is called.
 func (r *Relay) CompleteLines() ([]byte, RelayStats) {
 	unread := r.Buffered()
 	end := bytes.LastIndexByte(unread, '\n') + 1
--- a/internal/wire/watchstream.go
+++ b/internal/wire/watchstream.go
@@ -44,7 +44,8 @@
 	scanner     objectScanner
 }
 
-// Feed takes the next bytes. After an error the stream is of no further use; a *StatusError is a status other than 200.
+// Feed takes the next bytes. After an error the stream is of no further use; a *StatusError is a status other than
+// 200.
 func (s *WatchStream) Feed(data []byte) error {
 	for len(data) > 0 && s.state != stateEnded {
 		n, err := s.feedPart(data)
@@ -207,8 +208,8 @@
 	return nil
 }
 
-// Next takes the next complete object of the body, on one line or several, or the next line that begins with none, or what
-// is left once the response has ended. An empty line is a heartbeat of discovery.
+// Next takes the next complete object of the body, on one line or several, or the next line that begins with none,
+// or what is left once the response has ended. An empty line is a heartbeat of discovery.
 func (s *WatchStream) Next() (line []byte, ok bool) {
 	for {
 		end := s.scanner.findEnd(s.body)
