--- a/balancer/bench_test.go
+++ b/balancer/bench_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// The cost of a change of the list must follow the entries that move, not servers times entries: a node of a
-// large fleet that grew server by server once ran out of CPU. Compare the allocations, not the times.
+// BenchmarkListChange shows that the cost of a list change follows the entries that move, not servers times
+// entries. Compare the allocations, not the times.
 func BenchmarkListChange(b *testing.B) {
 	for _, n := range []int{10, 100, 1000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/balancer/eviction_test.go
+++ b/balancer/eviction_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// A node that drains turns new clients away at once with when to come again, also those that wait for their turn and
-// those whose attempt fails, and sends away what stands evenly, all of it by its time and the dearest last.
+// A draining node rejects new clients with a Retry-After, also queued ones and those whose attempt fails, and
+// migrates its connections at an even rate before the deadline, those of most value last.
 func TestDrain_Node_RejectsAndMigrates(t *testing.T) {
 	s := testSettings()
 	s.Classes[1] = Class{SetupLatencyObjective: 300 * ms, Deadline: 2 * time.Second, PriorityWeight: 50}
@@ -21,11 +21,11 @@
 	}
 	b.pacing.queue = append(b.pacing.queue, &request{Arrival: Arrival{ID: "waits"}, deadline: time.Second})
 	out = b.Handle(2*ms, Drain{Active: true, Deadline: 10 * time.Second, RetryAfter: 1500 * ms})
-	if n, refused := finalAnswers(out, "waits"); n != 1 || !refused {
-		t.Error("what waits for its turn is not answered at once")
+	if n, rejected := finalAnswers(out, "waits"); n != 1 || !rejected {
+		t.Error("a queued request is not answered at once")
 	}
 	out = b.Handle(3*ms, Arrival{ID: "new", TimeLeft: 2 * time.Second})
-	if n, refused := finalAnswers(out, "new"); n != 1 || !refused || len(sends(out)) != 0 || out[len(out)-1].(Reject).RetryAfter != 1500*ms {
+	if n, rejected := finalAnswers(out, "new"); n != 1 || !rejected || len(sends(out)) != 0 || out[len(out)-1].(Reject).RetryAfter != 1500*ms {
 		t.Errorf("a new client is answered %v", out)
 	}
 	out = b.Handle(4*ms, AttemptEnded{ID: "early", Server: "a", Outcome: Rejected})
@@ -36,34 +36,34 @@
 		t.Errorf("a connection that is open already is answered %v", out)
 	}
 	b.Handle(6*ms, ClientDisconnected{ID: "mid"})
-	var left []RequestID
+	var migrated []RequestID
 	for now := sweepInterval; now < 10*time.Second; now += sweepInterval {
-		left = append(left, migrations(b.Handle(now, Timer{Token: sweepToken}))...)
-		if share, gone := float64(len(left))/50, float64(now)/float64(10*time.Second); share > gone+0.1 || share < gone-0.1 {
-			t.Fatalf("%g of all are sent away after %g of the time", share, gone)
+		migrated = append(migrated, migrations(b.Handle(now, Timer{Token: sweepToken}))...)
+		if fraction, elapsed := float64(len(migrated))/50, float64(now)/float64(10*time.Second); fraction > elapsed+0.1 || fraction < elapsed-0.1 {
+			t.Fatalf("%g of all are migrated after %g of the time", fraction, elapsed)
 		}
 	}
-	if len(left) != 50 || left[49][:4] != "dear" || left[0][:4] == "dear" {
-		t.Errorf("%d of 50 were sent away, first %s, last %s", len(left), left[0], left[len(left)-1])
+	if len(migrated) != 50 || migrated[49][:4] != "dear" || migrated[0][:4] == "dear" {
+		t.Errorf("%d of 50 were migrated, first %s, last %s", len(migrated), migrated[0], migrated[len(migrated)-1])
 	}
 	b.Handle(11*time.Second, Drain{})
 	b.Handle(11*time.Second, Drain{Active: true, Deadline: 20 * time.Second, AdmissionCutoff: 11*time.Second + 5*ms, KeepConnections: true})
 	if out = b.Handle(11*time.Second+ms, Arrival{ID: "unaware", TimeLeft: 2 * time.Second}); len(sends(out)) != 1 {
-		t.Errorf("a client of a front that has not noticed yet is answered %v", out)
+		t.Errorf("a client before the admission cutoff is answered %v", out)
 	}
 	b.Handle(11*time.Second+2*ms, Established{ID: "unaware", Server: sends(out)[0].Server})
 	for now := 12 * time.Second; now < 20*time.Second; now += sweepInterval {
 		if out = b.Handle(now, Timer{Token: sweepToken}); len(migrations(out)) > 0 {
-			t.Fatalf("of what is to stay, %v is sent away", migrations(out))
+			t.Fatalf("of connections to keep, %v are migrated", migrations(out))
 		}
 	}
 	b.Handle(20*time.Second, Drain{})
 	if out = b.Handle(21*time.Second, Arrival{ID: "back", TimeLeft: 2 * time.Second}); len(sends(out)) != 1 {
-		t.Errorf("a node that drains no more answers %v", out)
+		t.Errorf("after the drain was cancelled the node answers %v", out)
 	}
 }
 
-// A server that drains gets nothing more a hold-up before the end of its grace, whatever the grace is.
+// A draining server gets nothing in the last MaxSchedulingDelay of its grace, whatever the grace is.
 func TestDrainGrace_SchedulingDelay_IsCovered(t *testing.T) {
 	for _, grace := range []time.Duration{100 * ms, 400 * ms, 2 * time.Second} {
 		s := testSettings()
--- a/balancer/helpers_test.go
+++ b/balancer/helpers_test.go
@@ -23,7 +23,7 @@
 	}
 }
 
-// newWarmNode is a node that holds a warm fleet of n servers.
+// newWarmNode returns a node with n servers that have warmed up.
 func newWarmNode(t *testing.T, s Settings, n int) *Balancer {
 	t.Helper()
 	b := New(s)
@@ -31,7 +31,7 @@
 	return b
 }
 
-// firstEntryOf is the entry of the table that a request without a group belongs to.
+// firstEntryOf returns the first candidate entry of a request.
 func firstEntryOf(b *Balancer, r *request) int {
 	return b.candidateEntry(b.preferredEntry(r), 0)
 }
@@ -46,13 +46,13 @@
 }
 
 // finalAnswers counts the final answers for a request.
-func finalAnswers(actions []Action, id RequestID) (n int, refused bool) {
+func finalAnswers(actions []Action, id RequestID) (n int, rejected bool) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case Reject:
 			if a.ID == id {
 				n++
-				refused = true
+				rejected = true
 			}
 		case Fail:
 			if a.ID == id {
@@ -60,12 +60,12 @@
 			}
 		}
 	}
-	return n, refused
+	return n, rejected
 }
 
 func keyOf(i int) string { return fmt.Sprint("key-", i) }
 
-// nodeWithConnections is a node with n open connections of class 0 on each of its two servers.
+// nodeWithConnections returns a node with n open connections of class 0 on each of its two servers.
 func nodeWithConnections(t *testing.T, s Settings, n int) (*Balancer, *server) {
 	t.Helper()
 	b := New(s)
@@ -88,14 +88,14 @@
 	return out
 }
 
-// newFleetNode is one of n nodes that hold a warm fleet of servers.
+// newFleetNode returns one of many nodes, with servers that have warmed up.
 func newFleetNode(t *testing.T, index, nodes, servers int) *Balancer {
 	s := testSettings()
 	s.Seed, s.NodeIndex, s.NodeCount = uint64(index)+1, index, nodes
 	return newWarmNode(t, s, servers)
 }
 
-// lowSampleNode is a node of a large fleet, which is to hold less than a connection on each of its servers.
+// lowSampleNode returns a node of a large fleet, which is to have less than one connection on each of its servers.
 func lowSampleNode(t *testing.T, classes ...Class) *Balancer {
 	t.Helper()
 	s := testSettings()
@@ -105,12 +105,12 @@
 	}
 	b := newWarmNode(t, s, 10)
 	if !b.lowSample() {
-		t.Fatal("the node sees enough to judge by")
+		t.Fatal("the node has no low sample")
 	}
 	return b
 }
 
-// establishConnection has a connection come up at a node.
+// establishConnection sends a request and has it succeed.
 func establishConnection(t *testing.T, b *Balancer, id RequestID, at time.Duration, took time.Duration, midFlow bool) {
 	t.Helper()
 	sent := sends(b.Handle(at, Arrival{ID: id, Key: string(id), TimeLeft: time.Second, MidFlow: midFlow}))
--- a/balancer/invariants_test.go
+++ b/balancer/invariants_test.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// world plays a fleet that answers at random, and checks what must hold in every run.
+// Over random events the rules of the protocol hold, two balancers with the same events decide alike, and nothing
+// is retained in the end.
 func TestInvariants_RandomEvents_Hold(t *testing.T) {
 	for seed := range uint64(40) {
 		rng := rand.New(rand.NewPCG(seed, 0))
@@ -18,8 +19,8 @@
 			servers, set.NodeCount = 100, 160
 		}
 		nodes := []*Balancer{New(set), New(set)}
-		told := map[ServerID]time.Duration{} // when a server was told to drain
-		live := map[RequestID]int{}          // open attempts by request
+		drainedAt := map[ServerID]time.Duration{} // when a server began to drain
+		live := map[RequestID]int{}               // open attempts by request
 		sent := map[RequestID]int{}
 		done := map[RequestID]bool{}
 		now := time.Duration(0)
@@ -34,7 +35,7 @@
 					if done[a.ID] {
 						t.Fatalf("seed %d: a send after the final answer", seed)
 					}
-					if at, ok := told[a.Server]; ok && now > at+set.DrainGrace {
+					if at, ok := drainedAt[a.Server]; ok && now > at+set.DrainGrace {
 						t.Fatalf("seed %d: a send past the drain grace", seed)
 					}
 					if live[a.ID]++; live[a.ID] > 1 {
@@ -93,13 +94,13 @@
 			case k == 17:
 				c := testFleet(servers)[rng.IntN(8)]
 				c.State = ServerState(rng.IntN(3))
-				if delete(told, c.ID); c.State == Live {
+				if delete(drainedAt, c.ID); c.State == Live {
 					c.StartedAt = now
 				} else {
-					told[c.ID] = now
+					drainedAt[c.ID] = now
 				}
 				if was := nodes[0].servers[c.ID]; was != nil && was.state == draining && c.State != Live {
-					told[c.ID] = was.changedAt
+					drainedAt[c.ID] = was.changedAt
 				}
 				step(ListEvent{Kind: ListDelta, Servers: []Server{c}})
 			case k == 18 && len(ids) > 0:
@@ -127,7 +128,7 @@
 		}
 		for _, n := range nodes {
 			if len(n.requests) != 0 || len(n.pacing.queue) != 0 {
-				t.Fatalf("seed %d: %d requests are still held", seed, len(n.requests))
+				t.Fatalf("seed %d: %d requests are retained", seed, len(n.requests))
 			}
 			for _, s := range n.servers {
 				if s.connections != 0 || len(s.groups) != 0 || s.load != 0 {
--- a/balancer/list_bench_test.go
+++ b/balancer/list_bench_test.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// fleetSizes are the fleets that a node is to bear, by hosts.
+// fleetSizes are the numbers of servers that a node is to bear.
 var fleetSizes = []int{10, 100, 350, 1024, 2000, 3200}
 
-// The cost of one list that drains half of a fleet and starts as many hosts, as in a release that goes wrong, and of
-// the sweep in which the drains end. While a node works at it, it answers nobody.
+// BenchmarkHalfReplaced measures one list that drains half of a fleet and adds as many servers, and the sweep in
+// which the drains end. A node answers nobody while it works at it.
 func BenchmarkHalfReplaced(b *testing.B) {
 	for _, n := range fleetSizes {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -33,7 +33,7 @@
 	}
 }
 
-// The cost of the first list.
+// BenchmarkFirstList measures the first list of a node.
 func BenchmarkFirstList(b *testing.B) {
 	for _, n := range fleetSizes {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/balancer/midflow_test.go
+++ b/balancer/midflow_test.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// A mid-flow arrival is sent where its connection stands: to the second hop while its entry changes,
-// also when that server drains, and never past the drain grace.
+// A mid-flow arrival goes to the server of its connection: to the second hop while its entry changes, also when
+// that server drains, and never past the drain grace.
 func TestMidFlow_ChangingEntry_GoesToSecondHop(t *testing.T) {
 	b := newWarmNode(t, testSettings(), 6)
-	b.Handle(0, Arrival{ID: "held", Key: "held", TimeLeft: time.Second}) // a node with no request ends fills at once
+	b.Handle(0, Arrival{ID: "held", Key: "held", TimeLeft: time.Second}) // a node without requests ends fills at once
 	var key string
 	for i := range 100 {
 		if key = fmt.Sprint("k", i); b.table.first[firstEntryOf(b, &request{Arrival: Arrival{Key: key}})].id == "s02" {
--- a/balancer/outlier_test.go
+++ b/balancer/outlier_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// A hung server accepts and says nothing; a dead one refuses connections. Both must stop getting new
-// connections within a few attempts, be tried again later, and come back when well.
+// A server that hangs accepts connections and sends nothing; a dead one refuses them. Both stop getting new
+// connections within a few attempts, are tried again later, and recover.
 func TestOutlier_FailingServer_IsEjectedForATime(t *testing.T) {
 	for _, outcome := range []Outcome{ResponseTimeout, ConnectFailed} {
 		b := newWarmNode(t, testSettings(), 6)
@@ -29,7 +29,7 @@
 			now += 50 * ms
 		}
 		if hits < 2 || hits > 12 {
-			t.Errorf("outcome %d: the bad server got %d attempts in 10 s", outcome, hits)
+			t.Errorf("outcome %d: the failing server got %d attempts in 10 s", outcome, hits)
 		}
 		s := b.servers[bad]
 		b.now = s.ejectedUntil + ms
@@ -49,6 +49,6 @@
 		b.recordFailure(s, time.Second)
 	}
 	if out := sends(b.Handle(ms, Arrival{ID: "r", Key: "k", TimeLeft: time.Second})); len(out) != 1 {
-		t.Error("with all servers suspect the plain table must go on")
+		t.Error("with all servers ejected the request must still be sent")
 	}
 }
--- a/balancer/overload_sim_test.go
+++ b/balancer/overload_sim_test.go
@@ -8,17 +8,17 @@
 	"time"
 )
 
-// overloadSim is a fleet in virtual time whose set-ups all call one store, which works through them in turn, also through
-// those that were given up meanwhile. Clients that are turned away come again until they are served.
+// overloadSim is a fleet in virtual time whose set-ups all call one backend, which works through them in turn, also
+// through those that timed out. Rejected clients retry until they are served.
 type overloadSim struct {
 	rng           *rand.Rand
 	fleet         []*Balancer
-	clients       map[RequestID]*simClient // who asks or stands, by the id under which
+	clients       map[RequestID]*simClient // with a request or connection, by its id
 	now           time.Duration
 	queue         simQueue
 	sequence      int
-	backendFreeAt time.Duration // when it is through with all that it has
-	setupCost     time.Duration // what it takes for one
+	backendFreeAt time.Duration // when the backend has worked through its queue
+	setupCost     time.Duration // of one set-up at the backend
 	meanLifetime  time.Duration // of a connection, on average
 
 	deadlines                     []time.Duration // of each class
@@ -26,11 +26,11 @@
 	accountedUntil, accountedFrom time.Duration
 }
 
-// clientTime is the client time of a class that was wanted and that was served, since a time.
+// clientTime is the client time of a class that was wanted and that was served.
 type clientTime struct {
 	established, wanted         int // clients at this moment
 	establishedTime, wantedTime time.Duration
-	attempted, succeeded        int // clients that asked, and those that came up
+	attempted, succeeded        int // clients that made a request, and those that were established
 }
 
 // served is the part of the wanted time that was served.
@@ -75,7 +75,7 @@
 	return x
 }
 
-// maxScheduled bounds what may be due at once: a node that sets ever more timers is a failure of its own.
+// maxScheduled bounds the events that are due: a node that sets ever more timers is a fault.
 const maxScheduled = 100_000
 
 func (j *overloadSim) schedule(d time.Duration, do func()) {
@@ -102,7 +102,7 @@
 	return b
 }
 
-// handle hands a node an event and carries out what it says. A timer of a node that was started anew is dropped.
+// handle hands a node an event and carries out its actions. Timers of a node that was restarted are dropped.
 func (j *overloadSim) handle(i int, b *Balancer, e Event) {
 	for _, a := range slices.Clone(b.Handle(j.now, e)) {
 		switch a := a.(type) {
@@ -155,7 +155,7 @@
 	})
 }
 
-// accountTime sums up the client time until now.
+// accountTime adds the client time until now and changes the numbers of clients.
 func (j *overloadSim) accountTime(class, up, want int) {
 	if span := j.now - max(j.accountedUntil, j.accountedFrom); span > 0 {
 		for i := range j.times {
@@ -177,7 +177,7 @@
 	return sum
 }
 
-// retry has a client that was turned away come again: twice soon, or when it is told, then slower and slower.
+// retry schedules the next try of a rejected client: twice soon, or after the Retry-After, then with backoff.
 func (j *overloadSim) retry(id RequestID, advice time.Duration) {
 	c := j.clients[id]
 	delete(j.clients, id)
@@ -215,7 +215,7 @@
 	})
 }
 
-// resetConnections breaks a share of what stands; the clients come again within a second.
+// resetConnections breaks a part of the connections; their clients reconnect within a second.
 func (j *overloadSim) resetConnections(share float64) {
 	var standing []RequestID
 	for id, c := range j.clients {
--- a/balancer/overload_surge_test.go
+++ b/balancer/overload_surge_test.go
@@ -7,30 +7,30 @@
 	"time"
 )
 
-// reconnectSurge is one play: a share of the clients of a fleet comes again at once, to whom the store, which bears room
-// times the baselineInterval rate, can't be of use as fast.
+// reconnectSurge is a run in which a part of all clients reconnects at once, faster than the backend of all set-ups
+// can serve them.
 type reconnectSurge struct {
 	nodes           int
-	rate            float64 // newcomers a second, over all nodes
-	backendCapacity float64
-	resetFraction   float64
-	restart         bool // seven in ten nodes start anew in that moment
-	early           bool // it comes 6 s after the start, in the first 3 s of which all that stood came anew, at no price
+	rate            float64 // new clients a second, over all nodes
+	backendCapacity float64 // of set-ups, as a multiple of that rate
+	resetFraction   float64 // of the connections
+	restart         bool    // seven in ten nodes restart at that moment
+	early           bool    // 6 s after the start; in the first 3 s all clients reconnect at no cost
 }
 
-// play returns the part of the wanted client time that is served in the half minute from the wave on.
+// play returns the part of the wanted client time that is served in the half minute from the surge on.
 func (p reconnectSurge) play(seed uint64) float64 {
 	j := newOverloadSim(seed, []time.Duration{700 * ms, 900 * ms, time.Second, 1200 * ms})
 	j.setupCost = time.Duration(float64(time.Second) / (p.rate * p.backendCapacity))
-	stands := p.rate * j.meanLifetime.Seconds()
+	open := p.rate * j.meanLifetime.Seconds()
 	for i := range p.nodes {
-		j.fleet = append(j.fleet, j.startNode(seed, i, p.nodes, 1.5*stands))
+		j.fleet = append(j.fleet, j.startNode(seed, i, p.nodes, 1.5*open))
 	}
 	at := time.Minute
 	j.scheduleArrivals(p.rate)
 	if p.early {
 		at = 6 * time.Second
-		for range int(stands) {
+		for range int(open) {
 			j.schedule(j.drawDuration(0, 3*time.Second), j.addClient)
 		}
 	}
@@ -38,7 +38,7 @@
 	j.accountedFrom = at
 	for i := range j.fleet {
 		if p.restart && i%10 < 7 {
-			j.fleet[i] = j.startNode(seed, i, p.nodes, 1.5*stands)
+			j.fleet[i] = j.startNode(seed, i, p.nodes, 1.5*open)
 		}
 	}
 	j.resetConnections(p.resetFraction)
@@ -46,9 +46,8 @@
 	return j.total().served()
 }
 
-// A wave of clients that come again jams what all set-ups call, and each node sees a few of them a second at most.
-// The jam ends soon whatever the size of the fleet, how long it has run and what the store bears: before failed
-// set-ups paced as they usually come, all of these lay 0.03 to 0.45 lower, as nodes sent on into the jam.
+// A reconnect surge overloads the backend of all set-ups, of which each node sees a few a second at most. The
+// overload ends soon, whatever the size of the fleet, how long it has run and what the backend bears.
 func TestOverload_ReconnectSurge_EndsSoon(t *testing.T) {
 	for _, c := range []struct {
 		reconnectSurge
@@ -76,32 +75,32 @@
 	}
 }
 
-// rollingRestart is a play in which a release of the servers sends a part of the clients away every 1.3 s, while
-// all nodes are restarted, a tenth at a time.
+// rollingRestart is a run in which a release of the servers resets a part of the connections every 1.3 s, while all
+// nodes are restarted, a tenth at a time.
 type rollingRestart struct {
 	nodes           int
 	rate            float64 // new clients a second, over all nodes
-	backendCapacity float64 // what the store bears, as a multiple of that
-	firstFraction   float64 // share of the clients that come again as the release begins
-	stepFraction    float64 // the same of each later step
+	backendCapacity float64 // of set-ups, as a multiple of that rate
+	firstFraction   float64 // of the connections, reset as the release begins
+	stepFraction    float64 // the same at each later step
 	deadlines       []time.Duration
 }
 
-// play returns the part of the wanted client time that is served in the half minute from the release on, and of
-// each class the part of the clients that asked while it lasted and came up.
-func (p rollingRestart) play(seed uint64) (served float64, cameUp []float64) {
+// play returns the part of the wanted client time that is served in the half minute from the release on, and by
+// class the part of the clients that were established while it lasted.
+func (p rollingRestart) play(seed uint64) (served float64, established []float64) {
 	const (
 		begin, length  = 10 * time.Second, 12 * time.Second
 		steps, batches = 9, 10
 	)
 	j := newOverloadSim(seed, p.deadlines)
 	j.setupCost = time.Duration(float64(time.Second) / (p.rate * p.backendCapacity))
-	stands := p.rate * j.meanLifetime.Seconds()
+	open := p.rate * j.meanLifetime.Seconds()
 	for i := range p.nodes {
-		j.fleet = append(j.fleet, j.startNode(seed, i, p.nodes, 1.5*stands))
+		j.fleet = append(j.fleet, j.startNode(seed, i, p.nodes, 1.5*open))
 	}
 	j.scheduleArrivals(p.rate)
-	for range int(stands) {
+	for range int(open) {
 		j.schedule(j.drawDuration(0, 3*time.Second), j.addClient)
 	}
 	j.schedule(begin, func() { j.resetConnections(p.firstFraction) })
@@ -118,13 +117,13 @@
 	}
 	j.run(begin + length)
 	for _, c := range j.times {
-		cameUp = append(cameUp, float64(c.succeeded)/float64(c.attempted))
+		established = append(established, float64(c.succeeded)/float64(c.attempted))
 	}
 	j.run(begin + 30*time.Second)
-	return j.total().served(), cameUp
+	return j.total().served(), established
 }
 
-// restart starts every n-th node anew, once it has answered what waits there for its turn.
+// restart replaces every n-th node, after it has answered its queued requests.
 func (j *overloadSim) restart(seed uint64, first, n int) {
 	for i := first; i < len(j.fleet); i += n {
 		old := j.fleet[i]
@@ -134,9 +133,8 @@
 	}
 }
 
-// Where what all servers call is overloaded, no class of requests is left without service beside others. Nodes that
-// had just started, and those that paced in steps, together sent what the store could do and more: its queue stayed
-// longer than the shortest deadline, and classes of longer ones alone came up.
+// While the backend of all set-ups is overloaded, no class is left without service: neither nodes that have just
+// started nor paced ones together send so much that only classes of long deadlines succeed.
 func TestPacing_RollingRestart_ServesEveryClass(t *testing.T) {
 	for _, c := range []struct {
 		rollingRestart
@@ -154,10 +152,10 @@
 		t.Run(fmt.Sprintf("%+v", c.rollingRestart), func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(2) {
-				served, cameUp := c.play(seed + 1)
-				t.Logf("seed %d: %.3f of the time is served, of the classes' clients %.3f came up", seed+1, served, cameUp)
-				if slices.Min(cameUp) < slices.Max(cameUp)/2 {
-					t.Errorf("seed %d: of the classes' clients %.3f came up, one class less than half of the best", seed+1, cameUp)
+				served, established := c.play(seed + 1)
+				t.Logf("seed %d: %.3f of the time is served, of the classes' clients %.3f succeeded", seed+1, served, established)
+				if slices.Min(established) < slices.Max(established)/2 {
+					t.Errorf("seed %d: of the classes' clients %.3f succeeded, one class less than half of the best", seed+1, established)
 				}
 				if served < c.least {
 					t.Errorf("seed %d: %.3f of the time is served, %g is wanted", seed+1, served, c.least)
--- a/balancer/overload_test.go
+++ b/balancer/overload_test.go
@@ -6,22 +6,22 @@
 	"time"
 )
 
-// A server on which every message is late earns nothing with any connection: the slope of the message
-// time tells what it copes with, and what is over goes elsewhere.
+// The slope of the message latency shows how much more a server is asked than it can do; what is over its limit is
+// migrated.
 func TestLatency_LateMessages_ReduceLimit(t *testing.T) {
 	b, s := nodeWithConnections(t, testSettings(), 20)
-	// Half a second of work piles up in a second: it is asked 1.5 times what it can do.
+	// Half a second of work piles up in a second: its load is 1.5 times its capacity.
 	out := b.Handle(time.Second, LatencyReport{ID: "open0", Latency: 500 * ms})
 	if want := 2000 * headroom / 1.5; s.loadLimit < want*0.99 || s.loadLimit > want*1.01 {
 		t.Errorf("limit %.0f, want %.0f", s.loadLimit, want)
 	}
 	if n := len(migrations(out)); n != 8 {
-		t.Errorf("%d of 20 connections moved, want 8", n)
+		t.Errorf("%d of 20 connections migrated, want 8", n)
 	}
 	// The backlog falls by a third of a second in a second: that is fast enough.
 	before := s.loadLimit
 	if out := b.Handle(2*time.Second, LatencyReport{ID: "open0", Latency: 160 * ms}); len(migrations(out)) != 0 || s.loadLimit != before {
-		t.Error("a backlog that drains was answered with another cut")
+		t.Error("a shrinking backlog reduced the limit again")
 	}
 	// Long after, the limit has grown back.
 	b.now = 2*time.Second + b.derived.limitRecovery
@@ -30,27 +30,27 @@
 	}
 }
 
-// Of a server that grows slower for half a minute a node with a connection or two learns by its own messages alone:
-// what stays near lateness gives up a little at once, before the aim is missed.
+// A server whose latency nears the objective sheds a little load at once: a node with few connections there learns
+// of it by its own messages alone.
 func TestLatency_NearObjective_ShedsALittle(t *testing.T) {
-	aim := testSettings().Classes[0].MessageLatencyObjective
+	objective := testSettings().Classes[0].MessageLatencyObjective
 	b, s := nodeWithConnections(t, testSettings(), 20)
-	if out := b.Handle(time.Second, LatencyReport{ID: "open0", Latency: aim / 3}); len(migrations(out)) != 0 {
-		t.Errorf("%d moved well before lateness", len(migrations(out)))
+	if out := b.Handle(time.Second, LatencyReport{ID: "open0", Latency: objective / 3}); len(migrations(out)) != 0 {
+		t.Errorf("%d migrated well below the objective", len(migrations(out)))
 	}
-	out := b.Handle(2*time.Second, LatencyReport{ID: "open0", Latency: aim * 9 / 20})
+	out := b.Handle(2*time.Second, LatencyReport{ID: "open0", Latency: objective * 9 / 20})
 	if n := len(migrations(out)); n < 2 || n > 6 || s.loadLimit == 0 {
-		t.Errorf("%d of 20 moved, limit %.0f: a few are to go", n, s.loadLimit)
+		t.Errorf("%d of 20 migrated, limit %.0f: want a few", n, s.loadLimit)
 	}
 }
 
-// When the whole fleet is short, taking everyone serves no one: what does not fit is refused at once,
-// the classes of least worth for their load first.
+// When the whole fleet is overloaded, what exceeds the limits is rejected at once, the classes of least value for
+// their load first.
 func TestAdmission_OverloadedFleet_RejectsLeastValueFirst(t *testing.T) {
 	set := testSettings()
 	set.Classes[1].PriorityWeight = 1
 	b, _ := nodeWithConnections(t, set, 20)
-	b.loads.byClass[0], b.loads.byClass[1] = 100, 1000 // the second class asks ten times as much for the same worth
+	b.loads.byClass[0], b.loads.byClass[1] = 100, 1000 // the second class costs ten times as much for the same weight
 	for _, id := range []RequestID{"open0", "open1"} {
 		b.Handle(time.Second, LatencyReport{ID: id, Latency: 400 * ms})
 	}
@@ -69,12 +69,12 @@
 		s.load = 2 * s.loadLimit
 	}
 	out := b.Handle(time.Second+ms, Arrival{ID: "late", Key: "k", TimeLeft: time.Second})
-	if n, refused := finalAnswers(out, "late"); n != 1 || !refused || len(sends(out)) != 0 {
-		t.Error("with all servers at their limit the request must be refused at once")
+	if n, rejected := finalAnswers(out, "late"); n != 1 || !rejected || len(sends(out)) != 0 {
+		t.Error("with all servers at their limit the request must be rejected at once")
 	}
 	for _, a := range out {
 		if r, ok := a.(Reject); ok && r.RetryAfter <= 0 {
-			t.Error("the refusal does not say when to come back")
+			t.Error("the rejection has no Retry-After")
 		}
 	}
 }
@@ -85,17 +85,17 @@
 	set.OverQuotaWeight = 0.1
 	b := newWarmNode(t, set, 6)
 	r := &request{Arrival: Arrival{Tenant: 0}}
-	b.counts.byTenant[0] = 3 // its share over three nodes
+	b.counts.byTenant[0] = 3 // its quota over three nodes
 	if v := b.relativeValue(r); v != 1 {
-		t.Errorf("value %.2f within the share, want 1", v)
+		t.Errorf("value %.2f within the quota, want 1", v)
 	}
 	b.counts.byTenant[0] = 4
 	if v := b.relativeValue(r); v < 0.09 || v > 0.11 {
-		t.Errorf("value %.2f over the share, want 0.1", v)
+		t.Errorf("value %.2f over the quota, want 0.1", v)
 	}
 	b.counts.byTenant[1] = 1000
 	if v := b.relativeValue(&request{Arrival: Arrival{Tenant: 1}}); v != 1 {
-		t.Errorf("value %.2f for a tenant without a known share, want 1", v)
+		t.Errorf("value %.2f for a tenant without a known quota, want 1", v)
 	}
 	// Tenants that the settings do not know are no fault.
 	for i, tenant := range []int{-3, 2, 99} {
@@ -107,8 +107,8 @@
 	}
 }
 
-// A server slowed down for a while broke all that it held before a late message could tell, and who came
-// back was put there again and broken again. One broken connection of many says nothing.
+// A server that resets most of its connections at once is limited and ejected, so that the clients that reconnect
+// go elsewhere. One reset of many shows nothing.
 func TestResets_MostConnections_LimitServer(t *testing.T) {
 	b, s := nodeWithConnections(t, testSettings(), 20)
 	broken := func(at time.Duration, from, to int) {
@@ -118,7 +118,7 @@
 	}
 	broken(time.Second, 0, 2)
 	if s.loadLimit != 0 || b.isEjected(s) {
-		t.Fatal("one broken connection of twenty limits its server")
+		t.Fatal("one reset connection of twenty limits its server")
 	}
 	broken(3*time.Second, 2, 40)
 	if want := 1900 * headroom / 2; s.loadLimit != want || !b.isEjected(s) {
@@ -128,7 +128,7 @@
 		a := Arrival{ID: RequestID(fmt.Sprint("back", i)), Key: fmt.Sprint(2 * i), TimeLeft: time.Second, Reconnect: true}
 		for _, send := range sends(b.Handle(3*time.Second+100*ms, a)) {
 			if send.Server == "a" {
-				t.Errorf("%s is put on the server that has just broken all it held", a.ID)
+				t.Errorf("%s is sent to the server that has just reset all its connections", a.ID)
 			}
 		}
 	}
@@ -138,11 +138,11 @@
 	// Of two connections that a server had here both broken is no chance; of one it may well be.
 	b, s = nodeWithConnections(t, testSettings(), 1)
 	if broken(time.Second, 0, 1); s.loadLimit != 0 {
-		t.Error("the only connection broken limits the server")
+		t.Error("the reset of the only connection limits the server")
 	}
 }
 
-// With many nodes each holds one connection of a crowd: if all moved theirs, or none, it would not ease.
+// Of many nodes that each have one connection on an overloaded server, some migrate theirs, neither all nor none.
 func TestLatency_ManyNodes_MigrateTheirPart(t *testing.T) {
 	const nodes = 400
 	moved := 0
@@ -157,6 +157,6 @@
 		}
 	}
 	if moved < nodes/20 || moved > nodes*2/3 {
-		t.Errorf("%d of %d nodes move the one connection they hold", moved, nodes)
+		t.Errorf("%d of %d nodes migrate their one connection", moved, nodes)
 	}
 }
--- a/balancer/pacing_lowsample_test.go
+++ b/balancer/pacing_lowsample_test.go
@@ -7,9 +7,8 @@
 	"time"
 )
 
-// A connection whose packets come to another node goes on at its server in a moment and calls nothing that servers
-// share: it is no sign that set-ups are well, nor a turn of theirs. Each halved the interval while every set-up
-// failed.
+// A mid-flow arrival continues its connection at once and is no set-up: it neither shortens the interval nor takes
+// a turn.
 func TestPacing_MidFlowArrival_IsNoSetup(t *testing.T) {
 	b := lowSampleNode(t)
 	establishConnection(t, b, "first", time.Second, 10*ms, false)
@@ -18,15 +17,15 @@
 		establishConnection(t, b, RequestID(fmt.Sprint("mid", i)), 2*time.Second+time.Duration(i)*10*ms, ms, true)
 	}
 	if b.pacing.interval != 2*time.Second || b.pacing.nextSendAt != 4*time.Second {
-		t.Errorf("one in %v, the next at %v, after four connections that went on; want 2s and 4s", b.pacing.interval, b.pacing.nextSendAt)
+		t.Errorf("interval %v, next send at %v after four mid-flow arrivals; want 2s and 4s", b.pacing.interval, b.pacing.nextSendAt)
 	}
 	if establishConnection(t, b, "new", 4*time.Second, 10*ms, false); b.pacing.interval != time.Second {
-		t.Errorf("one in %v after a good set-up, want half of 2s", b.pacing.interval)
+		t.Errorf("interval %v after a good set-up, want half of 2s", b.pacing.interval)
 	}
 }
 
-// The time that a paced request may wait is that of the shortest deadline for all classes: a class of long
-// deadlines took every turn before another could come.
+// The time that a request may be queued follows the shortest deadline, so that classes of long deadlines do not
+// take every turn.
 func TestPacing_Wait_IsAlikeForAllClasses(t *testing.T) {
 	b := lowSampleNode(t, Class{SetupLatencyObjective: 200 * ms, Deadline: 700 * ms}, Class{SetupLatencyObjective: 800 * ms, Deadline: 4800 * ms})
 	establishConnection(t, b, "first", time.Second, 10*ms, false)
@@ -38,9 +37,9 @@
 		}{{500 * ms, false}, {300 * ms, true}} {
 			id := RequestID(fmt.Sprint(class, c.before))
 			out := b.Handle(4*time.Second-c.before, Arrival{ID: id, Class: class, Key: "k", TimeLeft: deadline})
-			n, refused := finalAnswers(out, id)
-			if waits := n == 0 && len(sends(out)) == 0; waits != c.waits || !waits && !refused {
-				t.Errorf("class %d, %v before its turn: waits %v, refused %v; want it to wait: %v", class, c.before, waits, refused, c.waits)
+			n, rejected := finalAnswers(out, id)
+			if waits := n == 0 && len(sends(out)) == 0; waits != c.waits || !waits && !rejected {
+				t.Errorf("class %d, %v before its turn: queued %v, rejected %v; want it queued: %v", class, c.before, waits, rejected, c.waits)
 			}
 			b.Handle(4*time.Second-c.before, ClientDisconnected{ID: id})
 			b.pacing.queue = nil
@@ -48,7 +47,7 @@
 	}
 }
 
-// A node that begins to pace sends the next one an interval after the last, not at once.
+// A node that begins to pace sends the next set-up an interval after the last one, not at once.
 func TestPacing_Begin_MovesTheNextTurn(t *testing.T) {
 	b := lowSampleNode(t)
 	establishConnection(t, b, "first", time.Second, 10*ms, false)
@@ -65,19 +64,18 @@
 		b.observeSetup(r, &r.attempts[0], 300*ms, true)
 	}
 	if b.pacing.interval != maxSendInterval {
-		t.Fatalf("two servers failed in a row, one in %v is sent; want %v", b.pacing.interval, maxSendInterval)
+		t.Fatalf("two servers failed in a row, interval %v, want %v", b.pacing.interval, maxSendInterval)
 	}
 	out := b.Handle(2500*ms, Arrival{ID: "next", Key: "n", TimeLeft: 2 * time.Second})
-	if n, refused := finalAnswers(out, "next"); len(sends(out)) != 0 || n != 1 || !refused {
-		t.Errorf("half a second after the last send the next one goes out: %v", out)
+	if n, rejected := finalAnswers(out, "next"); len(sends(out)) != 0 || n != 1 || !rejected {
+		t.Errorf("half a second after the last send the next one is sent: %v", out)
 	}
 	if out = b.Handle(5200*ms, Arrival{ID: "later", Key: "l", TimeLeft: 2 * time.Second}); len(sends(out)) != 1 {
-		t.Errorf("an interval after the last send nothing goes out: %v", out)
+		t.Errorf("an interval after the last send nothing is sent: %v", out)
 	}
 }
 
-// A node that has just started sends one set-up on, and more as they come up; what waits for that is answered in
-// time.
+// A node that has just started sends one set-up, and more as they succeed; queued requests are answered in time.
 func TestPacing_SlowStart_OneSetupUntilOneCameUp(t *testing.T) {
 	b := lowSampleNode(t)
 	arrive := func(at time.Duration, id RequestID) []Action {
@@ -89,32 +87,32 @@
 	}
 	for i := 1; i < 4; i++ {
 		if out := arrive(time.Second, RequestID(fmt.Sprint("r", i))); len(sends(out)) != 0 {
-			t.Fatalf("a second set-up is under way before the first has told: %v", out)
+			t.Fatalf("a second set-up is in flight before the first has an outcome: %v", out)
 		}
 	}
 	out := slices.Clone(b.Handle(1020*ms, Established{ID: "r0", Server: first[0].Server, Took: 20 * ms}))
 	if n := len(sends(out)); n != 2 {
-		t.Errorf("after one came up %d are sent, want 2", n)
+		t.Errorf("after one succeeded %d are sent, want 2", n)
 	}
 	answered := 0
-	for at := 1100 * ms; at < 3*time.Second; at += 100 * ms { // nothing else tells
+	for at := 1100 * ms; at < 3*time.Second; at += 100 * ms { // no other event
 		if n, _ := finalAnswers(b.Handle(at, Timer{Token: pacingToken}), "r3"); n > 0 {
 			answered++
 		}
 	}
 	if answered != 1 || len(b.pacing.queue) != 0 {
-		t.Errorf("who waited had %d answers, %d wait still", answered, len(b.pacing.queue))
+		t.Errorf("the queued request had %d answers, %d are still queued", answered, len(b.pacing.queue))
 	}
 	for i := range 2 * maxAwaitingSetup {
 		arrive(4*time.Second, RequestID(fmt.Sprint("more", i)))
 	}
 	if len(b.pacing.queue) > maxAwaitingSetup {
-		t.Errorf("%d wait, %d may", len(b.pacing.queue), maxAwaitingSetup)
+		t.Errorf("%d are queued, want at most %d", len(b.pacing.queue), maxAwaitingSetup)
 	}
 }
 
-// Who waits in slow start for a set-up that hangs is answered at the first look after half of the shortest
-// deadline, whatever its own deadline: a class of 4.8 s was kept for 4.4 s of it.
+// A request that is queued behind a set-up that hangs is answered after half of the shortest deadline, whatever its
+// own deadline.
 func TestPacing_SlowStart_WaitEndsAlikeForAllClasses(t *testing.T) {
 	b := lowSampleNode(t, Class{SetupLatencyObjective: 200 * ms, Deadline: 700 * ms}, Class{SetupLatencyObjective: 800 * ms, Deadline: 4800 * ms})
 	begin := time.Second
@@ -125,7 +123,7 @@
 	for class, deadline := range []time.Duration{700 * ms, 4800 * ms} {
 		id := RequestID(fmt.Sprint("class", class))
 		if out := b.Handle(begin, Arrival{ID: id, Class: class, Key: "k", TimeLeft: deadline}); len(out) > 1 {
-			t.Fatalf("%s does not wait: %v", id, out)
+			t.Fatalf("%s is not queued: %v", id, out)
 		}
 	}
 	const look = 10 * ms
@@ -143,8 +141,7 @@
 	}
 }
 
-// A request with very little time left that ends without an answer tells nothing of set-ups: hosts may drop it, and
-// no set-up is that quick. A few such clients must not have a node turn the others away.
+// A request with less time left than any set-up takes shows nothing by its time-out.
 func TestPacing_TimeoutsShorterThanAnySetup_PaceNothing(t *testing.T) {
 	b := lowSampleNode(t)
 	at := time.Second
@@ -164,6 +161,6 @@
 		}
 	}
 	if b.pacing.interval != 0 {
-		t.Errorf("set-ups are paced, one in %v", b.pacing.interval)
+		t.Errorf("set-ups are paced, interval %v", b.pacing.interval)
 	}
 }
--- a/balancer/pacing_test.go
+++ b/balancer/pacing_test.go
@@ -6,15 +6,14 @@
 	"time"
 )
 
-// Half the clients return at once: set-ups queue at what all servers call to set one up. Sending on
-// at full speed keeps that jammed; waiting past the client's time would lose the request.
+// While all set-ups fail, few are sent, and every request is answered in time.
 func TestPacing_AllSetupsFail_AnswersInTime(t *testing.T) {
 	b := newWarmNode(t, testSettings(), 12)
 	now := time.Duration(0)
 	due := map[RequestID]time.Duration{}
 	answered := map[RequestID]bool{}
 	sent := 0
-	var wakes []time.Duration
+	var timers []time.Duration
 	var take func(actions []Action)
 	take = func(actions []Action) {
 		for _, a := range actions {
@@ -31,7 +30,7 @@
 					t.Fatalf("%s was answered after its time", a.ID)
 				}
 			case SetTimer:
-				wakes = append(wakes, a.At)
+				timers = append(timers, a.At)
 			}
 		}
 	}
@@ -41,35 +40,35 @@
 		take(append([]Action(nil), b.Handle(0, Arrival{ID: id, Key: fmt.Sprint(i), TimeLeft: 2 * time.Second})...))
 	}
 	if sent > 20 {
-		t.Errorf("%d set-ups were sent into the jam at once", sent)
+		t.Errorf("%d set-ups were sent into the overload at once", sent)
 	}
 	for now < 3*time.Second {
 		now += 5 * ms
-		for i := 0; i < len(wakes); i++ {
-			if wakes[i] <= now {
-				wakes = append(wakes[:i], wakes[i+1:]...)
+		for i := 0; i < len(timers); i++ {
+			if timers[i] <= now {
+				timers = append(timers[:i], timers[i+1:]...)
 				take(append([]Action(nil), b.Handle(now, Timer{Token: pacingToken})...))
 				break
 			}
 		}
 	}
 	if len(answered) != 100 || len(b.requests) != 0 {
-		t.Errorf("%d of 100 answered, %d held", len(answered), len(b.requests))
+		t.Errorf("%d of 100 answered, %d retained", len(answered), len(b.requests))
 	}
 }
 
-// A jam that is over must not keep a node paced: where few connections come, few good set-ups tell.
+// Pacing ends with time where few connections come, and so few good set-ups can end it.
 func TestPacing_QuietTime_EndsIt(t *testing.T) {
 	b := newWarmNode(t, testSettings(), 6)
 	for i, id := range []RequestID{"a", "b", "r"} {
 		b.Handle(0, Arrival{ID: id, Key: string(id), TimeLeft: time.Second})
 		b.Handle(20*ms, AttemptEnded{ID: id, Took: 20 * ms, Outcome: Errored})
-		if i == 0 && b.pacing.interval > 0 { // it cost clients that do not come again their only try
-			t.Fatal("a single error of a set-up paces")
+		if i == 0 && b.pacing.interval > 0 { // would cost clients without retries their only try
+			t.Fatal("a single set-up error begins pacing")
 		}
 	}
 	if b.pacing.interval == 0 {
-		t.Fatal("errors of one set-up after another do not pace")
+		t.Fatal("errors of one set-up after another do not begin pacing")
 	}
 	for now := sweepInterval; now < 10*time.Second; now += sweepInterval {
 		b.Handle(now, Timer{Token: pacingToken})
@@ -79,25 +78,24 @@
 		}
 	}
 	if b.pacing.interval > 0 {
-		t.Errorf("still paced at one in %v after ten quiet seconds", b.pacing.interval)
+		t.Errorf("still paced with interval %v after ten quiet seconds", b.pacing.interval)
 	}
 }
 
-// However many wait and however short the pace has become, a node has one timer out for all of them. Each of them
-// had its own, set anew whenever one fell due a part of a microsecond early, and good set-ups halved the pace
-// without an end: the timers of one instant set more for the same instant, until the memory was full.
+// However long the queue and however short the interval, a node has one timer set, and good set-ups end pacing
+// instead of halving the interval for ever.
 func TestPacing_Queue_HasOneTimer(t *testing.T) {
 	b := newWarmNode(t, testSettings(), 4)
 	at := time.Second
 	b.Handle(at, Arrival{ID: "first", Key: "a", TimeLeft: time.Second})
 	b.pacing.interval, b.pacing.nextSendAt, b.pacing.changedAt = 10*ms, at+10*ms, 0
-	wakes, sent := 0, 0
+	timers, sent := 0, 0
 	handle := func(e Event) {
 		for _, a := range b.Handle(at, e) {
 			switch a := a.(type) {
 			case SetTimer:
 				if a.Token == pacingToken {
-					wakes++
+					timers++
 				}
 			case Send:
 				sent++
@@ -107,26 +105,25 @@
 	for i := range 30 {
 		handle(Arrival{ID: RequestID(fmt.Sprint("w", i)), Key: fmt.Sprint(i), TimeLeft: time.Second})
 	}
-	if wakes != 1 || sent != 0 {
-		t.Errorf("30 wait, %d sent, %d timers are set; want 1", sent, wakes)
+	if timers != 1 || sent != 0 {
+		t.Errorf("30 queued, %d sent, %d timers are set; want 1", sent, timers)
 	}
 	for i := range 40 { // good ones that were sent since, all in one instant
 		b.observeSetup(&request{}, &attempt{server: b.servers["a"], sentAt: at}, ms, false)
 		if handle(Timer{Token: pacingToken}); b.pacing.interval > 0 && b.pacing.interval <= timerTolerance {
-			t.Fatalf("after %d good set-ups one in %v is sent", i+1, b.pacing.interval)
+			t.Fatalf("interval after %d good set-ups: %v", i+1, b.pacing.interval)
 		}
 	}
 	if b.pacing.interval != 0 || len(b.pacing.queue) > 0 || sent != 30 {
-		t.Errorf("paced at %v, %d wait and %d of 30 were sent after forty good set-ups", b.pacing.interval, len(b.pacing.queue), sent)
+		t.Errorf("interval %v, %d queued and %d of 30 sent after forty good set-ups", b.pacing.interval, len(b.pacing.queue), sent)
 	}
-	if wakes > 12 { // one for each shorter pace
-		t.Errorf("%d timers were set", wakes)
+	if timers > 12 { // one for each shorter pace
+		t.Errorf("%d timers were set", timers)
 	}
 }
 
-// A node that has just started amid a jam learns of it by the second server that fails: by a mean alone it sent ten
-// on, and nodes that are restarted in turn kept the jam up. One server's failures, or one that came up before, pace
-// nothing.
+// A node that starts amid an overload paces after two servers fail in a row. Failures of one server, or after a
+// success, pace nothing.
 func TestPacing_StartAmidOverload_BeginsSoon(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -154,8 +151,7 @@
 	}
 }
 
-// A node that has just started is met by all clients of one that ended. When their set-ups are slow it spaces them by
-// the rate at which they come: without a rate of its own it let one through in seconds.
+// A node that has just started has no rate of set-ups of its own; it paces by the rate of its arrivals.
 func TestPacing_NewNode_UsesArrivalRate(t *testing.T) {
 	b := newWarmNode(t, testSettings(), 4)
 	for i := range 30 {
@@ -168,13 +164,12 @@
 	}
 	b.now = time.Minute
 	if usual, _ := b.baselineInterval(); usual != b.derived.limitRecovery {
-		t.Errorf("a minute later, with nobody come since, one in %v is usual, want %v", usual, b.derived.limitRecovery)
+		t.Errorf("a minute later without arrivals the baseline is %v, want %v", usual, b.derived.limitRecovery)
 	}
 }
 
-// Times outside are whole microseconds, turns are not: a request whose timer fell due a part of one early went on
-// waiting without a timer, and past its client's patience. It is its turn: where it was held once more instead, its
-// timer fell due in the same microsecond again and again.
+// Timers are cut to the microsecond and send times are not. A timer that falls due a fraction early sends, or it
+// would be set again and again for the same microsecond.
 func TestPacing_EarlyTimer_Sends(t *testing.T) {
 	b := newWarmNode(t, testSettings(), 4)
 	b.Handle(time.Second, Arrival{ID: "first", Key: "a", TimeLeft: time.Second})
@@ -183,14 +178,14 @@
 	// The timer comes at its time, cut to the microsecond.
 	at := time.Second + 10*ms
 	if out := b.Handle(at, Timer{pacingToken}); len(sends(out)) != 1 {
-		t.Errorf("the turn has come, and the actions are %v", out)
+		t.Errorf("the send time has come, and the actions are %v", out)
 	}
 	if out := b.Handle(at+2*ms, Timer{pacingToken}); len(out) != 0 {
-		t.Errorf("nobody waits any more, and the actions are %v", out)
+		t.Errorf("nothing is queued any more, and the actions are %v", out)
 	}
 }
 
-// Where hosts are few, one that errs must not pace all set-ups: the others are quick. Errors of several do.
+// Where servers are few, errors of one must not pace all set-ups; errors of several do.
 func TestPacing_ErrorsOfOneServer_DoNotBeginIt(t *testing.T) {
 	b, _ := nodeWithConnections(t, testSettings(), 0)
 	fail := func(on ServerID) {
@@ -211,24 +206,22 @@
 	}
 }
 
-// With set-ups that take long a jam tells late: a pace that eased every sweep let each node send four times its
-// baselineInterval rate into it, and it never ended.
+// The interval is not shortened before set-ups that were sent since its last change can have ended.
 func TestPacing_SlowSetups_RelaxLater(t *testing.T) {
 	b := newWarmNode(t, testSettings(), 6)
 	b.pacing.setupTime, b.pacing.interval, b.pacing.changedAt = time.Second, time.Second, 10*time.Second
 	for now := 10 * time.Second; now <= 12*time.Second; now += sweepInterval {
 		if b.Handle(now, Timer{Token: sweepToken}); b.pacing.interval != time.Second {
-			t.Fatalf("eased %v after the last trouble, a set-up takes %v", now-b.pacing.changedAt, b.pacing.setupTime)
+			t.Fatalf("relaxed %v after the last change, a set-up takes %v", now-b.pacing.changedAt, b.pacing.setupTime)
 		}
 	}
 	if b.Handle(13*time.Second, Timer{Token: sweepToken}); b.pacing.interval >= time.Second {
-		t.Error("it never eases")
+		t.Error("it never relaxes")
 	}
 }
 
-// While what all servers call is jammed, a pace holds at the usual rate, whatever time passes: one that eased with
-// time alone let the fleet send four times that into the jam, which never ended. Behind it, good set-ups end the
-// pace soon.
+// While the backend of all set-ups is overloaded, pacing holds at the baseline rate, whatever time passes. After
+// it, good set-ups end pacing soon.
 func TestPacing_LastingOverload_Holds(t *testing.T) {
 	s := testSettings()
 	s.NodeCount = 300
@@ -240,13 +233,13 @@
 		to      ServerID
 		at      time.Duration
 	}
-	var under []out
+	var pending []out
 	n := 0
 	sum := 0
 	sent := func(now time.Duration, actions []Action) {
 		for _, q := range sends(actions) {
 			sum++
-			under = append(under, out{q.ID, len(b.requests[q.ID].attempts) - 1, q.Server, now})
+			pending = append(pending, out{q.ID, len(b.requests[q.ID].attempts) - 1, q.Server, now})
 		}
 	}
 	play := func(from, to, every, takes time.Duration, fails bool) {
@@ -256,9 +249,9 @@
 				id := RequestID(fmt.Sprint("j", n))
 				sent(now, b.Handle(now, Arrival{ID: id, Key: string(id), TimeLeft: 2 * time.Second}))
 			}
-			for len(under) > 0 && under[0].at+takes <= now {
-				o := under[0]
-				under = under[1:]
+			for len(pending) > 0 && pending[0].at+takes <= now {
+				o := pending[0]
+				pending = pending[1:]
 				if fails {
 					sent(now, b.Handle(now, AttemptEnded{ID: o.id, Attempt: o.attempt, Server: o.to, Took: takes, Outcome: ResponseTimeout}))
 				} else {
@@ -271,21 +264,21 @@
 			sent(now, b.Handle(now, Timer{Token: pacingToken}))
 		}
 	}
-	const calm, jam, over = time.Minute, 90 * time.Second, 20 * time.Second
+	const calm, overload, over = time.Minute, 90 * time.Second, 20 * time.Second
 	play(10*ms, calm, 4*time.Second, 20*ms, false)
 	if b.pacing.interval != 0 {
-		t.Fatalf("paced at %v while all is well", b.pacing.interval)
+		t.Fatalf("interval %v while all is well", b.pacing.interval)
 	}
 	usual, _ := b.baselineInterval()
-	play(calm, calm+jam/2, 250*ms, 600*ms, true)
+	play(calm, calm+overload/2, 250*ms, 600*ms, true)
 	sum = 0
-	play(calm+jam/2, calm+jam, 250*ms, 600*ms, true)
-	if most := 2 * float64(jam/2) / float64(usual); float64(sum) > most {
-		t.Errorf("in the jam it sends %d in %v, usually one in %v", sum, jam/2, usual)
+	play(calm+overload/2, calm+overload, 250*ms, 600*ms, true)
+	if maxSent := 2 * float64(overload/2) / float64(usual); float64(sum) > maxSent {
+		t.Errorf("in the overload it sends %d in %v, baseline interval %v", sum, overload/2, usual)
 	}
-	under = nil
-	play(calm+jam, calm+jam+over, 500*ms, 20*ms, false)
+	pending = nil
+	play(calm+overload, calm+overload+over, 500*ms, 20*ms, false)
 	if b.pacing.interval > usual/8 {
-		t.Errorf("behind it, it sends one in %v, usually one in %v", b.pacing.interval, usual)
+		t.Errorf("after it the interval is %v, baseline %v", b.pacing.interval, usual)
 	}
 }
--- a/balancer/placement_test.go
+++ b/balancer/placement_test.go
@@ -28,7 +28,8 @@
 	}
 }
 
-// A group is paid for on every server that holds it: on a skip it stays where it is held.
+// A group costs load on every server that has connections of it: past an overloaded server a connection goes to one
+// that has some.
 func TestPlacement_OverloadedServer_PrefersHolderOfGroup(t *testing.T) {
 	b := newWarmNode(t, testSettings(), 8)
 	home := b.table.first[firstEntryOf(b, &request{Arrival: Arrival{Group: "g"}})]
@@ -53,12 +54,12 @@
 	}
 	out := sends(b.Handle(0, Arrival{ID: "r", Group: "g", Key: "k", TimeLeft: time.Second}))
 	if len(out) != 1 || out[0].Server != holder.id {
-		t.Errorf("sent to %v, want %s, which holds the group", out, holder.id)
+		t.Errorf("sent to %v, want %s, which has the group", out, holder.id)
 	}
 }
 
-// In a short fleet a group that walked on would be paid for on every server: it may newly stand on the
-// first servers from its entry only, and the request is refused past them.
+// In an overloaded fleet a group may newly use only the first servers from its entry; past them its requests are
+// rejected.
 func TestPlacement_OverloadedFleet_BoundsGroupProbes(t *testing.T) {
 	b := newWarmNode(t, testSettings(), 8)
 	b.now = time.Minute
@@ -77,18 +78,18 @@
 		if got := b.selectServer(r); got != s {
 			t.Fatalf("choice %d is %v, want %s", i, got, s.id)
 		}
-		s.load = 100 // it has no room left
+		s.load = 100 // at its limit
 	}
 	if got := b.selectServer(r); got != nil {
 		t.Errorf("the group went on to %s", got.id)
 	}
 	near[maxGroupProbes].groups["g"] = 1
 	if got := b.selectServer(r); got != near[maxGroupProbes] {
-		t.Error("the group is not put where it stands already")
+		t.Error("the group is not sent to the server that has it")
 	}
 }
 
-// Ten hosts of a fleet that nodes see little of, four of them crowded: groups that walked on were paid for at each.
+// At a node with a low sample the bound is lower.
 func TestPlacement_LowSample_BoundsGroupProbesFurther(t *testing.T) {
 	s := testSettings()
 	s.NodeCount, s.Tenants = 80, []Tenant{{ConnectionQuota: 350}}
@@ -101,18 +102,18 @@
 	}
 	b.updateTotals()
 	r := &request{Arrival: Arrival{Group: "g", Key: "k"}, load: 1}
-	met := map[*server]bool{}
-	for s := b.selectServer(r); s != nil && len(met) < 10; s = b.selectServer(r) {
-		met[s] = true
+	used := map[*server]bool{}
+	for s := b.selectServer(r); s != nil && len(used) < 10; s = b.selectServer(r) {
+		used[s] = true
 		s.loadLimit, s.limitedAt, s.load = 0.1, b.now, 100
 	}
-	if len(met) > lowSampleGroupProbes || len(met) == 0 {
-		t.Errorf("a group that finds no room goes to %d hosts, %d would do", len(met), lowSampleGroupProbes)
+	if len(used) > lowSampleGroupProbes || len(used) == 0 {
+		t.Errorf("a group in an overloaded fleet probes %d servers, want at most %d", len(used), lowSampleGroupProbes)
 	}
 }
 
-// A server that operators called back is used again soon, also where none of the clients that come leads there;
-// once is enough, and not while it may not be.
+// A server that operators reinstated is used soon, also where no client leads to it; once is enough, and not while
+// it drains again.
 func TestOverride_ReinstatedServer_IsUsedSoon(t *testing.T) {
 	s := testSettings()
 	b, _ := nodeWithConnections(t, s, 4)
@@ -121,7 +122,7 @@
 	}
 	at := time.Minute
 	on := map[ServerID]int{}
-	key := func() string { // one that leads to a
+	key := func() string { // a key that leads to server a
 		for i := 0; ; i++ {
 			r := &request{Arrival: Arrival{Key: fmt.Sprint("key", i)}}
 			if b.table.first[firstEntryOf(b, r)] == b.servers["a"] {
@@ -129,7 +130,7 @@
 			}
 		}
 	}
-	come := func(now time.Duration, id string) {
+	arrive := func(now time.Duration, id string) {
 		t.Helper()
 		for _, a := range sends(b.Handle(now, Arrival{ID: RequestID(id), Key: key(), TimeLeft: time.Second})) {
 			on[a.Server]++
@@ -139,21 +140,21 @@
 	}
 	out(at, Draining)
 	out(at+time.Second, Live)
-	if come(at+time.Second, "early"); on["a"] != 1 {
+	if arrive(at+time.Second, "early"); on["a"] != 1 {
 		t.Errorf("at once: %v", on)
 	}
-	come(at+4*time.Second, "due")
-	if come(at+5*time.Second, "after"); on["b"] != 1 || on["a"] != 2 {
+	arrive(at+4*time.Second, "due")
+	if arrive(at+5*time.Second, "after"); on["b"] != 1 || on["a"] != 2 {
 		t.Errorf("then: %v", on)
 	}
 	out(at+6*time.Second, Live)
 	out(at+7*time.Second, Draining)
-	if come(at+10*time.Second, "out again"); on["b"] != 1 || len(b.reinstated) > 0 {
+	if arrive(at+10*time.Second, "out again"); on["b"] != 1 || len(b.reinstated) > 0 {
 		t.Errorf("out again: %v", on)
 	}
 }
 
-// What one node moved off a crowded server, the next one that the client came to put there again.
+// A reconnecting client that was migrated off an overloaded server does not get the same server from another node.
 func TestReconnect_LowSample_GetsAnotherServer(t *testing.T) {
 	s := testSettings()
 	s.NodeCount, s.Tenants = 80, []Tenant{{ConnectionQuota: 350}}
@@ -162,26 +163,26 @@
 	for i := range 40 {
 		r := &request{Arrival: Arrival{Group: "g", Key: "k", ID: RequestID(fmt.Sprint(i)), Reconnect: true}, load: 1}
 		on[n.selectServer(r)]++
-		r.Reconnect, r.MidFlow = false, true // the packets of one that stands are looked for by the key alone
+		r.Reconnect, r.MidFlow = false, true // a mid-flow arrival goes by its key alone
 		if n.selectServer(r) != same {
-			t.Fatal("a connection that stands is not looked for where its key puts it")
+			t.Fatal("a mid-flow arrival is not sent where its key leads")
 		}
 	}
 	if len(on) < 3 || on[same] > 0 {
-		t.Errorf("40 that came again stand on %d servers, %d of them where they were", len(on), on[same])
+		t.Errorf("40 reconnects use %d servers, %d of them the old one", len(on), on[same])
 	}
 }
 
-// Where crossings are dear, clients stand in the zone of their node as far as its servers bear their part, whole
-// groups together and alike at all nodes of the zone; mid-flow packets find them, also while the server drains.
+// Where crossing zones is costly, clients stay in the zone of their node as far as its servers have capacity, whole
+// groups together and alike at all nodes of the zone. Mid-flow arrivals find them, also while the server drains.
 func TestPlacement_CrossZoneCost_KeepsClientsInZone(t *testing.T) {
-	node := func(index int, price float64, own int) *Balancer { // in zone 0
+	node := func(index int, price float64, inZone int) *Balancer { // in zone 0
 		s := testSettings()
 		s.Seed, s.NodeIndex, s.NodeCount, s.Zones, s.CrossZoneCost = uint64(index), index, 80, 2, price
 		s.Tenants = []Tenant{{ConnectionQuota: 350}}
 		rows := testFleet(20)
 		for i := range rows {
-			rows[i].Zone, rows[i].Weight = min(1, i/own), 1
+			rows[i].Zone, rows[i].Weight = min(1, i/inZone), 1
 		}
 		b := New(s)
 		b.Handle(0, ListEvent{Kind: ListCached, Revision: 1, Servers: rows})
@@ -190,7 +191,7 @@
 	for _, c := range []struct {
 		price       float64
 		own         int
-		least, most float64 // the part of groups that stand in zone 0
+		least, most float64 // the part of groups in zone 0
 	}{{0.1, 10, 1, 1}, {0.1, 16, 1, 1}, {0.1, 5, 0.5, 0.75}, {0.01, 10, 0.4, 0.6}} {
 		x, y := node(1, c.price, c.own), node(2, c.price, c.own)
 		in, r, s := 0, &request{load: 1}, (*server)(nil)
@@ -200,21 +201,21 @@
 				in++
 			}
 			if other := y.selectServer(r); other.id != s.id {
-				t.Fatalf("group %d stands at %s for one node and at %s for another", g, s.id, other.id)
+				t.Fatalf("group %d is on %s at one node and on %s at another", g, s.id, other.id)
 			}
 		}
 		y.Handle(time.Second, ListEvent{Kind: ListDelta, Revision: 2, Servers: []Server{{ID: s.id, State: Draining, Weight: 1}}})
 		r.MidFlow = true
 		if to := y.selectServer(r); to == nil || to.id != s.id {
-			t.Errorf("price %g: a connection on a server that drains is looked for elsewhere", c.price)
+			t.Errorf("cost %g: a mid-flow arrival misses its draining server", c.price)
 		}
 		if part := float64(in) / 200; part < c.least || part > c.most {
-			t.Errorf("price %g, %d of 20 servers in the zone: %.2f of the groups stay, %g to %g would", c.price, c.own, part, c.least, c.most)
+			t.Errorf("cost %g, %d of 20 servers in the zone: %.2f of the groups stay, want %g to %g", c.price, c.own, part, c.least, c.most)
 		}
 	}
 }
 
-// Requests without a key spread over the fleet by their own id: one entry for all would herd them.
+// Requests without a key are spread over the fleet by their own ids.
 func TestPlacement_NoKey_Spreads(t *testing.T) {
 	b := newWarmNode(t, testSettings(), 8)
 	hit := map[ServerID]int{}
--- a/balancer/polling_test.go
+++ b/balancer/polling_test.go
@@ -19,35 +19,34 @@
 	}
 	run(0, 2*time.Second)
 	if watches != 1 {
-		t.Fatalf("asked %d times at the start, want once", watches)
+		t.Fatalf("polled %d times at the start, want once", watches)
 	}
 	b.Handle(2*time.Second, ListEvent{Kind: ListFailed})
 	run(2*time.Second, 9*time.Second)
 	if watches != 2 {
-		t.Fatalf("asked %d times after one failure, want twice", watches)
+		t.Fatalf("polled %d times after one failure, want twice", watches)
 	}
 	b.Handle(9*time.Second, ListEvent{Kind: ListSnapshot, Revision: 3, Servers: testFleet(3)})
 	run(9*time.Second, 60*time.Second)
 	if watches != 2 {
-		t.Error("a standing watch is asked again")
+		t.Error("polled during an open watch")
 	}
 	b.Handle(60*time.Second, ListEvent{Kind: ListFailed}) // the watch broke
 	run(60*time.Second, 70*time.Second)
 	if watches != 3 {
-		t.Error("a broken watch is not asked again")
+		t.Error("not polled after the watch broke")
 	}
 	push := testSettings()
 	push.PollList = false
 	b, watches = New(push), 0
 	run(0, 5*time.Second)
 	if watches != 0 {
-		t.Error("a pushed list was asked for")
+		t.Error("a pushed list was polled")
 	}
 }
 
-// Whatever calls to the list failed before, and however many nodes there are, the wish for the next one comes
-// within AskAgain, or twice that less what the call took where it failed soon; the first of a node within 4 s. Both
-// are part of what lies between a change and its being known.
+// Whatever polls failed before, and however many nodes there are, the next poll comes within MaxRepollDelay, or
+// twice that less the time that the failed one took; the first of a node within 4 s.
 func TestPolling_AnyFailures_RepollInTime(t *testing.T) {
 	for _, nodes := range []int{1, 3, 25, 40, 300, 3000} {
 		for _, within := range []time.Duration{time.Second, 10 * time.Second, time.Minute} {
@@ -64,16 +63,16 @@
 							b.Handle(now, ListEvent{Kind: ListFailed})
 							since, failsAt = now, time.Hour
 						}
-						asked := false
+						polled := false
 						for _, a := range b.Handle(now, Timer{Token: sweepToken}) {
 							_, watch := a.(WatchList)
-							asked = asked || watch
+							polled = polled || watch
 						}
-						if !asked {
+						if !polled {
 							continue
 						}
-						if most := 4*time.Second + sweepInterval; fails == 0 && now-since > most {
-							t.Fatalf("%d nodes, %v: first asked after %v", nodes, within, now-since)
+						if limit := 4*time.Second + sweepInterval; fails == 0 && now-since > limit {
+							t.Fatalf("%d nodes, %v: first polled after %v", nodes, within, now-since)
 						}
 						if fails > 0 {
 							worst = max(worst, now-since)
@@ -82,23 +81,23 @@
 						failsAt = now + took
 					}
 				}
-				if most := max(MaxRepollDelay, 2*MaxRepollDelay-took); worst > most {
-					t.Errorf("%d nodes, %v, calls that take %v: asked again after %v, %v at most", nodes, within, took, worst, most)
+				if limit := max(MaxRepollDelay, 2*MaxRepollDelay-took); worst > limit {
+					t.Errorf("%d nodes, %v, calls that take %v: polled again after %v, want at most %v", nodes, within, took, worst, limit)
 				}
 			}
 		}
 	}
 }
 
-// The list has a fixed capacity for every node: calls at the start, and after it failed for all at once,
-// must not come in step.
+// The endpoint list has a fixed capacity for all nodes: polls at the start, and after a failure for all at once,
+// must not be synchronized.
 func TestPolling_ManyNodes_Spread(t *testing.T) {
 	const nodes = 160
 	var all []*Balancer
 	for i := range nodes {
 		all = append(all, newFleetNode(t, i, nodes, 60))
 	}
-	calls := func(from, to time.Duration) (most int) {
+	calls := func(from, to time.Duration) (highest int) {
 		per := map[time.Duration]int{}
 		for now := from; now < to; now += 20 * ms {
 			for _, n := range all {
@@ -114,19 +113,18 @@
 			}
 		}
 		for _, n := range per {
-			most = max(most, n)
+			highest = max(highest, n)
 		}
-		return most
+		return highest
 	}
 	calls(20*ms, 20*time.Second)
-	if most := calls(20*time.Second, 60*time.Second); most > nodes/4 {
-		t.Errorf("%d of %d nodes call in the same tenth of a second after failures", most, nodes)
+	if highest := calls(20*time.Second, 60*time.Second); highest > nodes/4 {
+		t.Errorf("%d of %d nodes poll in the same tenth of a second after failures", highest, nodes)
 	}
 }
 
-// A list service that works through calls in turn, those too that were given up meanwhile, as one more node after
-// another asks. Eighty nodes started in one instant asked within half a second; half were given up, asked again in
-// step while their dead calls were worked through, and from then on no call was ever served.
+// The endpoint list works through calls in turn, also through those that timed out meanwhile. Nodes that start at
+// the same time must not keep it busy with calls that nobody waits for.
 func TestPolling_ManyStarts_AllGetTheList(t *testing.T) {
 	const nodes, each, patience = 80, 60 * ms, 2 * time.Second
 	type call struct {
@@ -151,7 +149,7 @@
 					}
 				}
 				if !n.polling.watching && now-last[i] > n.settings.PollInterval && now-from > n.settings.PollInterval {
-					t.Fatalf("node %d has not asked since %v, at %v", i, last[i], now)
+					t.Fatalf("node %d has not polled since %v, at %v", i, last[i], now)
 				}
 			}
 			for _, c := range queue {
@@ -184,7 +182,7 @@
 		start(i)
 	}
 	if n := run(8*time.Second, 16*time.Second); n > 0 {
-		t.Errorf("%d have none 8 s after seven in ten were started again", n)
+		t.Errorf("%d have none 8 s after seven in ten were restarted", n)
 	}
 	for _, n := range all { // the service goes down, and with it every watch
 		n.Handle(16*time.Second, ListEvent{Kind: ListFailed})
--- a/balancer/replicas_test.go
+++ b/balancer/replicas_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// A group larger than one server's part of a node's traffic piled up on its one entry, and what did not fit
-// there scattered. Its clients stand on as many servers as it is worth, the same at nodes that know as much.
+// A group larger than one server's part of a node's traffic has as many replicas as its part is worth, the same at
+// nodes that know as much.
 func TestReplicas_LargeGroup_FollowItsPart(t *testing.T) {
 	a, b := newFleetNode(t, 0, 2, 40), newFleetNode(t, 1, 2, 40)
 	for _, n := range []*Balancer{a, b} {
@@ -26,12 +26,12 @@
 	}
 	want := 1 + int(0.3*40/overloadFactor)
 	if n := len(on["big"]); n > want || n < want*3/4 || len(on["small"]) != 1 { // two places may be one server's
-		t.Errorf("the large group stands on %d servers, want %d, the small one on %d", len(on["big"]), want, len(on["small"]))
+		t.Errorf("the large group is on %d servers, want %d, the small one on %d", len(on["big"]), want, len(on["small"]))
 	}
 }
 
-// Eighty nodes with a connection or two each, none of which can see that a group is a quarter of all there is: seven
-// groups went to their seven entries, and one server in ten bore over a third of all. Each has the same few places.
+// Eighty nodes with a connection or two each cannot tell that a group is a quarter of the traffic. Each group has
+// the same few replicas, so that no server becomes a hot spot.
 func TestReplicas_LowSample_AvoidHotSpots(t *testing.T) {
 	const nodes, quota = 80, 350.0
 	var all []*Balancer
@@ -40,7 +40,7 @@
 		s.Seed, s.NodeIndex, s.NodeCount, s.Tenants = uint64(i)+1, i, nodes, []Tenant{{ConnectionQuota: quota}}
 		all = append(all, newWarmNode(t, s, 10))
 	}
-	crowded, worst := 0, 0
+	hotSpots, worst := 0, 0
 	for day := range 20 {
 		on, key := map[ServerID]int{}, 0
 		for g, size := range []int{42, 42, 32, 28, 16, 16, 11} {
@@ -51,7 +51,7 @@
 				n.counts.connections, n.counts.byGroup[r.Group] = 1, 1
 				on[n.selectServer(r).id]++
 				if key%20 == 0 && firstEntryOf(all[0], r) != firstEntryOf(n, r) {
-					t.Fatal("nodes that saw different traffic disagree on a client's place")
+					t.Fatal("nodes with different traffic disagree on a client's entry")
 				}
 				clear(n.counts.byGroup)
 			}
@@ -59,17 +59,17 @@
 		for _, n := range on {
 			worst = max(worst, n)
 			if n > 187/10*5/2 {
-				crowded++
+				hotSpots++
 			}
 		}
 	}
-	if crowded > 15 { // of 200; 27 with one place each
-		t.Errorf("%d servers bear over two and a half parts, the worst %d connections", crowded, worst)
+	if hotSpots > 15 { // of 200; 27 with one place each
+		t.Errorf("%d servers have over two and a half even parts, the worst %d connections", hotSpots, worst)
 	}
 }
 
-// When a zone was lost, its clients went to whatever stood behind their entries: twenty groups were then paid for on
-// every server that was left. They go to their group's other places, and while over half is gone there are two.
+// When a zone is lost, groups go to their other replicas, of which there are two while over half of the fleet is
+// gone, as each replica costs load.
 func TestReplicas_LostZone_Shrink(t *testing.T) {
 	s := testSettings()
 	s.NodeCount, s.Tenants = 80, []Tenant{{ConnectionQuota: 350}}
@@ -92,7 +92,7 @@
 		return places
 	}
 	if got := count(true); got > 50 {
-		t.Errorf("20 groups stand in %d places before the list tells, 59 without a look at the others first", got)
+		t.Errorf("20 groups use %d replicas before the list changes", got)
 	}
 	var lost []Server
 	for _, s := range testFleet(12) {
@@ -103,16 +103,16 @@
 	}
 	n.Handle(time.Second, ListEvent{Kind: ListDelta, Revision: 2, Servers: lost})
 	if got := count(false); got > 20*2 {
-		t.Errorf("20 groups stand in %d places once the list has told", got)
+		t.Errorf("20 groups use %d replicas after the list changed", got)
 	}
 	for i := range 5 * 3600 { // an hour: it was made smaller for good
 		n.Handle(time.Second+time.Duration(i)*sweepInterval, Timer{Token: sweepToken})
 	}
 	if got := count(false); got <= 20*2 {
-		t.Errorf("20 groups stand in %d places an hour later", got)
+		t.Errorf("20 groups use %d replicas an hour later", got)
 	}
 	n.Handle(2*time.Hour, ListEvent{Kind: ListDelta, Revision: 3, Servers: testFleet(12)})
 	if got := count(false); got < 20*2 {
-		t.Errorf("20 groups stand in %d places when all is back", got)
+		t.Errorf("20 groups use %d replicas when all servers are back", got)
 	}
 }
--- a/balancer/request_test.go
+++ b/balancer/request_test.go
@@ -7,17 +7,17 @@
 
 func TestArrival_NoServers_IsRejected(t *testing.T) {
 	b := New(testSettings())
-	if n, refused := finalAnswers(b.Handle(0, Arrival{ID: "r", TimeLeft: time.Second}), "r"); n != 1 || !refused {
-		t.Error("with no list the request must be refused at once")
+	if n, rejected := finalAnswers(b.Handle(0, Arrival{ID: "r", TimeLeft: time.Second}), "r"); n != 1 || !rejected {
+		t.Error("with no list the request must be rejected at once")
 	}
 	b.Handle(0, ListEvent{Kind: ListSnapshot, Revision: 1, Servers: testFleet(2)})
 	b.Handle(0, ListEvent{Kind: ListSnapshot, Revision: 2})
 	out := b.Handle(0, Arrival{ID: "q", TimeLeft: time.Second})
 	if n, _ := finalAnswers(out, "q"); n != 1 || len(sends(out)) != 0 {
-		t.Error("an emptied list still draws sends")
+		t.Error("requests are still sent with an empty list")
 	}
 	if len(b.requests) != 0 {
-		t.Error("a refused request is still held")
+		t.Error("a rejected request is retained")
 	}
 }
 
@@ -27,14 +27,14 @@
 		class   int
 		outcome Outcome
 		took    time.Duration
-		again   bool // another attempt may follow
-		refuse  bool // the last answer may be a refusal
+		retry   bool // another attempt may follow
+		reject  bool // the last answer may be a rejection
 	}{
-		{"safe after silence", 0, ResponseTimeout, 300 * ms, true, true},
-		{"unsafe after silence", 2, ResponseTimeout, 300 * ms, false, false},
-		{"unsafe after a failed connect", 2, ConnectFailed, 50 * ms, true, true},
-		{"unsafe turned away", 2, Rejected, 5 * ms, true, true},
-		{"unsafe after an error", 2, Errored, 5 * ms, false, false},
+		{"idempotent after a time-out", 0, ResponseTimeout, 300 * ms, true, true},
+		{"non-idempotent after a time-out", 2, ResponseTimeout, 300 * ms, false, false},
+		{"non-idempotent after a failed connect", 2, ConnectFailed, 50 * ms, true, true},
+		{"non-idempotent rejected", 2, Rejected, 5 * ms, true, true},
+		{"non-idempotent after an error", 2, Errored, 5 * ms, false, false},
 		{"keyed zone in its window", 1, ResponseTimeout, 300 * ms, true, false},
 		{"keyed zone past its window", 1, ResponseTimeout, 1200 * ms, false, false},
 		{"keyed all in its window", 3, ResponseTimeout, 300 * ms, true, true},
@@ -50,30 +50,30 @@
 			b.Handle(0, ListEvent{Kind: ListCached, Servers: fleet})
 			first := sends(b.Handle(0, Arrival{ID: "r", Class: c.class, Key: "k", TimeLeft: 2 * time.Second}))[0]
 			out := b.Handle(c.took, AttemptEnded{ID: "r", Server: first.Server, Took: c.took, Outcome: c.outcome})
-			again := sends(out)
-			if c.again != (len(again) == 1) {
-				t.Fatalf("further attempts: %v", again)
+			retries := sends(out)
+			if c.retry != (len(retries) == 1) {
+				t.Fatalf("further attempts: %v", retries)
 			}
 			now := c.took
-			for i := 1; len(again) == 1; i++ {
-				was, is := b.servers[first.Server], b.servers[again[0].Server]
+			for i := 1; len(retries) == 1; i++ {
+				was, is := b.servers[first.Server], b.servers[retries[0].Server]
 				if was == is {
 					t.Fatal("the same server was tried twice")
 				}
 				if c.class == 1 && was.zone != is.zone || c.class == 4 && was.cell != is.cell {
-					t.Fatal("a keyed request left the servers that drop its repeats")
+					t.Fatal("a keyed request left its scope")
 				}
 				out = b.Handle(now, AttemptEnded{ID: "r", Attempt: i, Took: c.took, Outcome: c.outcome})
 				for n, _ := finalAnswers(out, "r"); n == 0 && len(sends(out)) == 0; n, _ = finalAnswers(out, "r") {
 					if now += 5 * ms; now > 3*time.Second {
-						t.Fatal("a request that waits its turn was lost")
+						t.Fatal("a queued request was lost")
 					}
 					out = b.Handle(now, Timer{Token: pacingToken})
 				}
-				again = sends(out)
+				retries = sends(out)
 			}
-			if n, refused := finalAnswers(out, "r"); n != 1 || refused != c.refuse {
-				t.Errorf("%d final answers, refused %v, want one, refused %v", n, refused, c.refuse)
+			if n, rejected := finalAnswers(out, "r"); n != 1 || rejected != c.reject {
+				t.Errorf("%d final answers, rejected %v, want one, rejected %v", n, rejected, c.reject)
 			}
 		})
 	}
@@ -88,8 +88,8 @@
 		}
 		out = b.Handle(ms, AttemptEnded{ID: "r", Attempt: i, Outcome: ConnectFailed})
 	}
-	if n, refused := finalAnswers(out, "r"); n != 1 || !refused || len(sends(out)) != 0 {
-		t.Error("after the last attempt the request must be refused at once")
+	if n, rejected := finalAnswers(out, "r"); n != 1 || !rejected || len(sends(out)) != 0 {
+		t.Error("after the last attempt the request must be rejected at once")
 	}
 }
 
@@ -107,34 +107,32 @@
 	for _, e := range []Event{ClientDisconnected{ID: "r"}, AttemptEnded{ID: "r"}, Established{ID: "r"}, LoadReport{ID: "r", Load: 1},
 		LatencyReport{ID: "r", Latency: time.Second}, Timer{Token: "other"}, PeerMessage{}} {
 		if out := b.Handle(3*ms, e); len(out) != 0 {
-			t.Errorf("%T for what is no longer held drew %v", e, out)
+			t.Errorf("%T for an unknown request drew %v", e, out)
 		}
 	}
 }
 
-// Set-ups that all wait on one thing were given up at their aim and tried again, by 80 nodes that had each met one
-// or two slow ones: the calls that were given up kept it busy, and for twenty seconds next to none was served. A
-// server that hangs is told by the first time-out; after it, and when a client tries again, what is slow is common
-// to all.
+// A retry at a node with a low sample waits longer: after one time-out, what is slow is likely the backend of all
+// set-ups, and set-ups that time out only keep it busy.
 func TestRetry_LowSample_WaitsLonger(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		quota   float64
 		retry   bool
 		patient bool
-	}{{"second attempt", 350, false, true}, {"client's retry", 350, true, true}, {"nodes that see enough", 8000, false, false}} {
+	}{{"second attempt", 350, false, true}, {"client's retry", 350, true, true}, {"no low sample", 8000, false, false}} {
 		s := testSettings()
 		s.NodeCount, s.Tenants = 80, []Tenant{{ConnectionQuota: c.quota}}
-		n, aim := newWarmNode(t, s, 10), s.Classes[0].SetupLatencyObjective
-		sent := sends(n.Handle(time.Second, Arrival{ID: "a", Key: "k", TimeLeft: 10 * aim, Retry: c.retry}))
-		if len(sent) != 1 || (sent[0].Timeout > 2*aim) != c.retry {
+		n, objective := newWarmNode(t, s, 10), s.Classes[0].SetupLatencyObjective
+		sent := sends(n.Handle(time.Second, Arrival{ID: "a", Key: "k", TimeLeft: 10 * objective, Retry: c.retry}))
+		if len(sent) != 1 || (sent[0].Timeout > 2*objective) != c.retry {
 			t.Fatalf("%s: the first attempt is %v", c.name, sent)
 		}
 		if c.retry {
 			continue
 		}
-		sent = sends(n.Handle(time.Second+aim, AttemptEnded{ID: "a", Server: sent[0].Server, Took: aim, Outcome: ResponseTimeout}))
-		if len(sent) != 1 || (sent[0].Timeout > 5*aim) != c.patient || sent[0].Timeout > 9*aim {
+		sent = sends(n.Handle(time.Second+objective, AttemptEnded{ID: "a", Server: sent[0].Server, Took: objective, Outcome: ResponseTimeout}))
+		if len(sent) != 1 || (sent[0].Timeout > 5*objective) != c.patient || sent[0].Timeout > 9*objective {
 			t.Errorf("%s: the next attempt is %v", c.name, sent)
 		}
 	}
--- a/balancer/settings_test.go
+++ b/balancer/settings_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Settings that no deployment has yet: the module must go on sensibly with what it is told.
+// Settings that no deployment has yet still serve.
 func TestSettings_Unusual_StillServe(t *testing.T) {
 	bare := Settings{Classes: []Class{{}}}
 	for _, c := range []struct {
--- a/balancer/slowstart_fleet_test.go
+++ b/balancer/slowstart_fleet_test.go
@@ -8,16 +8,17 @@
 	"time"
 )
 
-// playSlowStart plays a fleet of nodes to which one cold host is added. worst is the most that all of them sent it in any
-// window beyond what the settings allow then and two calls, in roots of what they allow; got is what was sent there
-// over the host's part of all that came. rate is what comes to each node, a second, and grows at once by burst
-// after three seconds. The nodes' settings have plant times the quotas that the budget is reckoned from.
-func playSlowStart(nodes, hosts int, seed uint64, rate, burst, plant float64) (worst, got float64) {
+// playSlowStart runs a fleet of nodes to which one starting server is added. worst is the highest number of sends
+// to it in any window, beyond the budget of the settings and two calls, in roots of that budget; got is the part of
+// its even share of the arrivals that it got. rate is what arrives at each node, a second, and is multiplied by
+// burst after three seconds. quotaFactor multiplies the quotas in the nodes' settings, to check that the test sees
+// too large a budget.
+func playSlowStart(nodes, hosts int, seed uint64, rate, burst, quotaFactor float64) (worst, got float64) {
 	quota := 60 * float64(hosts)
 	s := testSettings()
 	s.Seed, s.NodeCount, s.PollList = seed, nodes, false
 	s.Classes = s.Classes[:1]
-	s.Tenants = []Tenant{{ConnectionQuota: quota * plant}}
+	s.Tenants = []Tenant{{ConnectionQuota: quota * quotaFactor}}
 	rng := rand.New(rand.NewPCG(seed, 7))
 	fleet := make([]*Balancer, nodes)
 	servers := testFleet(hosts)
@@ -28,16 +29,16 @@
 	}
 	at := time.Hour + 5*time.Second
 	servers[0].StartedAt = at
-	told := false
+	listed := false
 	var calls []time.Duration
 	budget := func(now time.Duration) float64 {
-		share := s.SlowStartFraction + (1-s.SlowStartFraction)*float64(now-at)/float64(s.SlowStartDuration)
-		return s.CollapseMultiple * quota / float64(hosts) * max(1, 2*share) * s.CollapseWindow.Seconds() / s.SlowStartDuration.Seconds()
+		factor := s.SlowStartFraction + (1-s.SlowStartFraction)*float64(now-at)/float64(s.SlowStartDuration)
+		return s.CollapseMultiple * quota / float64(hosts) * max(1, 2*factor) * s.CollapseWindow.Seconds() / s.SlowStartDuration.Seconds()
 	}
-	n, came := 0, 0
+	n, arrivals := 0, 0
 	for now := time.Hour; now < at+s.SlowStartDuration; now += 10 * ms {
-		if !told && now >= at {
-			told = true
+		if !listed && now >= at {
+			listed = true
 			for _, b := range fleet {
 				b.Handle(now, ListEvent{Kind: ListDelta, Revision: 2, Servers: servers[:1]})
 			}
@@ -50,9 +51,9 @@
 			if int(now/(10*ms))%20 == i%20 {
 				b.Handle(now, Timer{Token: sweepToken})
 			}
-			for left := r * 0.01; rng.Float64() < left; left-- {
-				if n++; told {
-					came++
+			for expected := r * 0.01; rng.Float64() < expected; expected-- {
+				if n++; listed {
+					arrivals++
 				}
 				id := RequestID(fmt.Sprint("r", n))
 				for _, q := range sends(b.Handle(now, Arrival{ID: id, Key: string(id), Tenant: 0, TimeLeft: 2 * time.Second})) {
@@ -68,40 +69,39 @@
 		for j := len(calls) - 1; j >= 0 && calls[j] > now-s.CollapseWindow; j-- {
 			in++
 		}
-		if told {
+		if listed {
 			worst = max(worst, (float64(in)-2-budget(now))/math.Sqrt(budget(now)))
 		}
 	}
-	return worst, float64(len(calls)) / (float64(came) / float64(hosts))
+	return worst, float64(len(calls)) / (float64(arrivals) / float64(hosts))
 }
 
-// The shares of all nodes add up to no more than a cold host bears, however many they are and however thin what
-// comes to each; and where what comes to them is less than that, most of it is not kept from the host.
+// The budgets of all nodes add up to no more than a starting server bears, however many nodes there are and however
+// little comes to each. Where less comes than that, the server gets most of its part.
 func TestSlowStart_WholeFleet_KeepsBudget(t *testing.T) {
 	for _, c := range []struct {
 		nodes, hosts       int
-		rate, burst, least float64 // least is the part of what comes that the host must get; 0 where the budget is less
+		rate, burst, least float64 // least is the part of the arrivals that the server must get; 0 where the budget is less
 	}{
 		{5, 4, 2, 1, 0.5}, {5, 4, 40, 1, 0}, {20, 4, 0.5, 1, 0.5}, {20, 4, 1, 10, 0}, {30, 4, 0.5, 1, 0.5}, {30, 4, 1, 10, 0},
 		{300, 60, 0.3, 1, 0.5}, {300, 4, 0.1, 1, 0}, {300, 4, 0.1, 20, 0}, {300, 60, 0.3, 20, 0},
 	} {
 		for seed := range uint64(4) {
 			worst, got := playSlowStart(c.nodes, c.hosts, seed, c.rate, c.burst, 1)
-			t.Logf("%d nodes, %d hosts, %g a second each, then %g times, seed %d: %.2f roots over, %.2f of its part",
+			t.Logf("%d nodes, %d hosts, %g a second each, then %g times, seed %d: %.2f roots over the budget, %.2f of its part",
 				c.nodes, c.hosts, c.rate, c.burst, seed, worst, got)
 			if worst > 2 || got < c.least {
-				t.Error("the one before is out of its bounds")
+				t.Error("the run logged before is out of its bounds")
 			}
 		}
 	}
 	if worst, _ := playSlowStart(30, 4, 1, 10, 1, 4); worst <= 2 {
-		t.Errorf("shares four times too large are not seen: %.2f roots over", worst)
+		t.Errorf("budgets four times too large are not detected: %.2f roots over", worst)
 	}
 }
 
-// A budget binds in every window of its length, wherever that begins: what a node has left at the end of one of its
-// own windows and what it has anew at the start of the next come together, and on a fleet of few nodes nobody evens
-// that out.
+// The budget binds in every window of its length, also in one that begins in the middle of two of a node's own
+// windows.
 func TestSlowStart_BurstsAroundAWindowsEnd_KeepTheBudget(t *testing.T) {
 	for _, nodes := range []int{1, 2, 3, 8} {
 		const hosts = 4
@@ -120,7 +120,7 @@
 			fleet[i].Handle(at, ListEvent{Kind: ListDelta, Revision: 2, Servers: servers[:1]})
 		}
 		n, sent := 0, 0
-		come := func(now time.Duration, requests int) {
+		arrive := func(now time.Duration, requests int) {
 			for _, b := range fleet {
 				for range requests / nodes {
 					n++
@@ -135,48 +135,47 @@
 				}
 			}
 		}
-		come(at+ms, 16) // each node's window begins
+		arrive(at+ms, 16) // each node's window begins
 		sent = 0
 		end := at + ms + s.CollapseWindow
-		come(end-20*ms, 1600)
+		arrive(end-20*ms, 1600)
 		before := sent
-		come(end+20*ms, 1600)
-		share := s.SlowStartFraction + (1-s.SlowStartFraction)*float64(end-at)/float64(s.SlowStartDuration)
+		arrive(end+20*ms, 1600)
+		factor := s.SlowStartFraction + (1-s.SlowStartFraction)*float64(end-at)/float64(s.SlowStartDuration)
 		weight := 0.0
 		for _, server := range servers {
 			weight += server.Weight
 		}
 		part := s.Tenants[0].ConnectionQuota * servers[0].Weight / weight
-		budget := s.CollapseMultiple * part * max(1, 2*share) * s.CollapseWindow.Seconds() / s.SlowStartDuration.Seconds()
-		most := budget + 2*math.Sqrt(budget) + 2
+		budget := s.CollapseMultiple * part * max(1, 2*factor) * s.CollapseWindow.Seconds() / s.SlowStartDuration.Seconds()
+		limit := budget + 2*math.Sqrt(budget) + 2
 		if budget < 30 {
-			most = budget + 3*math.Sqrt(budget) + 3
+			limit = budget + 3*math.Sqrt(budget) + 3
 		}
-		t.Logf("%d nodes: %d and %d sent around the end of a window, %.0f allowed", nodes, before, sent-before, most)
-		if float64(sent) > most || sent == 0 {
-			t.Errorf("%d nodes send %d within 40 ms, %.0f are allowed in %v", nodes, sent, most, s.CollapseWindow)
+		t.Logf("%d nodes: %d and %d sent around the end of a window, %.0f allowed", nodes, before, sent-before, limit)
+		if float64(sent) > limit || sent == 0 {
+			t.Errorf("%d nodes send %d within 40 ms, %.0f are allowed in %v", nodes, sent, limit, s.CollapseWindow)
 		}
 	}
 }
 
-// The budget of a cold server is one for all nodes together: 160 nodes, each with a part of the traffic, must
-// not send it more connections in a window than the multiple of what its present share is worth.
+// The slow-start budget of a server is one for all nodes together.
 func TestSlowStart_ManyNodes_KeepBudget(t *testing.T) {
 	const nodes, servers = 160, 60
 	var all []*Balancer
 	for i := range nodes {
 		n := newFleetNode(t, i, nodes, servers)
-		n.rates.setups = 0.25 // as when the day has settled
+		n.rates.setups = 0.25 // as after a while of steady traffic
 		all = append(all, n)
 	}
-	cold := Server{ID: "s99", Weight: 2, StartedAt: time.Minute}
+	starting := Server{ID: "s99", Weight: 2, StartedAt: time.Minute}
 	for _, n := range all {
-		n.Handle(time.Minute, ListEvent{Kind: ListDelta, Revision: 2, Servers: []Server{cold}})
+		n.Handle(time.Minute, ListEvent{Kind: ListDelta, Revision: 2, Servers: []Server{starting}})
 	}
 	set := testSettings()
-	rate := 0.25 * nodes * cold.Weight / all[0].fleet.weight // what the fleet's traffic comes to for its weight
+	rate := 0.25 * nodes * starting.Weight / all[0].fleet.weight // what the fleet's traffic comes to for its weight
 	var sent []time.Duration
-	for step := range 1000 { // ten seconds, in which all clients come back at once and again
+	for step := range 1000 { // ten seconds, in which all clients reconnect again and again
 		now := time.Minute + time.Duration(step)*10*ms
 		for i, n := range all {
 			if (step+i)%50 != 0 {
@@ -184,7 +183,7 @@
 			}
 			id := RequestID(fmt.Sprint(step, "-", i))
 			for _, s := range sends(n.Handle(now, Arrival{ID: id, Key: string(id), TimeLeft: time.Second})) {
-				if s.Server == cold.ID {
+				if s.Server == starting.ID {
 					sent = append(sent, now)
 				}
 				n.Handle(now, AttemptEnded{ID: id, Outcome: Served, Final: true})
@@ -198,10 +197,10 @@
 				in++
 			}
 		}
-		share := min(1, set.SlowStartFraction+(1-set.SlowStartFraction)*float64(from-time.Minute)/float64(set.SlowStartDuration))
+		factor := min(1, set.SlowStartFraction+(1-set.SlowStartFraction)*float64(from-time.Minute)/float64(set.SlowStartDuration))
 		// Chance of 160 draws: three more than the mean would be.
-		if most := set.CollapseMultiple*share*rate*set.CollapseWindow.Seconds() + 3; float64(in) > most {
-			t.Fatalf("%d connections in the window from %v on, at most %.1f would hold", in, from-time.Minute, most)
+		if limit := set.CollapseMultiple*factor*rate*set.CollapseWindow.Seconds() + 3; float64(in) > limit {
+			t.Fatalf("%d connections in the window from %v on, want at most %.1f", in, from-time.Minute, limit)
 		}
 	}
 }
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -19,9 +19,9 @@
 			}
 		}
 	}
-	// Two seconds at FallMultiple*share*rate*weight share, and the first token.
+	// Two seconds of CollapseMultiple times its part of the rate, and the first token.
 	if n > 2 {
-		t.Errorf("a cold server got %d connections of a wave in 2 s", n)
+		t.Errorf("a starting server got %d connections of a surge in 2 s", n)
 	}
 }
 
@@ -33,8 +33,7 @@
 	}
 }
 
-// Eighty nodes that have hardly placed anything yet spent almost none of a cold server's budget, each its own
-// rate's part. What the quotas let the fleet hold tells what the server is good for; in sum the budget still holds.
+// Nodes that have placed hardly anything spend the budget that the quotas give them, and in sum keep to it.
 func TestSlowStart_NodesWithoutTraffic_SpendBudget(t *testing.T) {
 	const nodes, servers, quota = 80, 10, 300.0
 	var all []*Balancer
@@ -62,17 +61,15 @@
 		}
 	}
 	for w, sent := range windows {
-		share := set.SlowStartFraction + (1-set.SlowStartFraction)*float64(w)*set.CollapseWindow.Seconds()/set.SlowStartDuration.Seconds()
-		budget := set.CollapseMultiple * share * quota * 4 / all[0].fleet.weight * set.CollapseWindow.Seconds()
+		factor := set.SlowStartFraction + (1-set.SlowStartFraction)*float64(w)*set.CollapseWindow.Seconds()/set.SlowStartDuration.Seconds()
+		budget := set.CollapseMultiple * factor * quota * 4 / all[0].fleet.weight * set.CollapseWindow.Seconds()
 		if sent < budget/8 || sent > budget {
 			t.Errorf("window %d: %.0f connections of a budget of %.1f", w, sent, budget)
 		}
 	}
 }
 
-// The budget was the same from a server's start until it was warm: of 282 nodes' asks the more were held back the
-// more it could bear. It grows with the present share from half warm on, and in sum stays within the multiple of
-// it.
+// The budget grows with the server's capacity from half of its warm-up on, and in sum stays within it.
 func TestSlowStart_Warming_BudgetGrows(t *testing.T) {
 	const nodes, servers, quota = 80, 10, 300.0
 	set := testSettings()
@@ -102,17 +99,16 @@
 	for _, b := range all {
 		b.Handle(time.Minute, ListEvent{Kind: ListDelta, Revision: 2, Servers: []Server{{ID: "s99", Weight: 4, StartedAt: time.Minute}}})
 	}
-	cold := spent(time.Minute, time.Minute)
-	warm := spent(time.Minute, time.Minute+set.SlowStartDuration-3*set.CollapseWindow)
-	fills := quota * 4 / all[0].fleet.weight / set.SlowStartDuration.Seconds() * set.CollapseWindow.Seconds() // what fills it over its warm-up
-	if most := 3 * set.CollapseMultiple * fills * 2; warm < cold*3/2 || warm > most {
-		t.Errorf("%.0f connections in three windows while cold, %.0f when nearly warm, at most %.0f", cold, warm, most)
+	early := spent(time.Minute, time.Minute)
+	late := spent(time.Minute, time.Minute+set.SlowStartDuration-3*set.CollapseWindow)
+	fills := quota * 4 / all[0].fleet.weight / set.SlowStartDuration.Seconds() * set.CollapseWindow.Seconds() // what fills it over its slow start
+	if limit := 3 * set.CollapseMultiple * fills * 2; late < early*3/2 || late > limit {
+		t.Errorf("%.0f connections in three windows at the start, %.0f near the end of slow start, at most %.0f", early, late, limit)
 	}
 }
 
-// After a power cut all servers are cold and no node has placed anything: where the settings tell no quotas each
-// node's budget was its own rate's part, which was nothing, and every client was turned away until the servers were
-// warm. The present share of what comes is served, by all nodes together, and no more than the multiple at any one.
+// When all servers start at once and the settings have no quotas, the present fraction of the arrivals is served by
+// all nodes together, and no server gets more than its budget.
 func TestSlowStart_AllServersWarmUp_ServeWhatTheyCan(t *testing.T) {
 	const nodes, servers, perSecond = 40, 10, 5
 	set := testSettings()
@@ -145,12 +141,12 @@
 		}
 	}
 	for w := 2; w < 10; w++ {
-		share := set.SlowStartFraction + (1-set.SlowStartFraction)*float64(w)*time.Second.Seconds()/set.SlowStartDuration.Seconds()
-		if came := float64(nodes * perSecond); sent[w] < came*share/2 || sent[w] > came*share*1.7 {
-			t.Errorf("in second %d %.0f of %.0f were sent on, at a share of %.2f", w, sent[w], came, share)
+		factor := set.SlowStartFraction + (1-set.SlowStartFraction)*float64(w)*time.Second.Seconds()/set.SlowStartDuration.Seconds()
+		if arrived := float64(nodes * perSecond); sent[w] < arrived*factor/2 || sent[w] > arrived*factor*1.7 {
+			t.Errorf("in second %d %.0f of %.0f were sent at a factor of %.2f", w, sent[w], arrived, factor)
 		}
 	}
-	for id, times := range on { // its even part of what comes is what a server is taken to be good for
+	for id, times := range on { // by its even part of the arrivals
 		for k, from := range times {
 			n := 0
 			for _, at := range times[k:] {
@@ -158,20 +154,21 @@
 					n++
 				}
 			}
-			share := min(1, set.SlowStartFraction+(1-set.SlowStartFraction)*float64(from-time.Hour)/float64(set.SlowStartDuration))
-			if most := set.CollapseMultiple*share*nodes*perSecond/servers*set.CollapseWindow.Seconds() + 4; float64(n) > most {
-				t.Fatalf("%s was sent %d in the window from %v on, at most %.0f would hold", id, n, from-time.Hour, most)
+			factor := min(1, set.SlowStartFraction+(1-set.SlowStartFraction)*float64(from-time.Hour)/float64(set.SlowStartDuration))
+			if limit := set.CollapseMultiple*factor*nodes*perSecond/servers*set.CollapseWindow.Seconds() + 4; float64(n) > limit {
+				t.Fatalf("%s was sent %d in the window from %v on, want at most %.0f", id, n, from-time.Hour, limit)
 			}
 		}
 	}
 }
 
-// An old list can't tell which servers have been started since: they pass for cold until a list tells.
+// A cached list cannot say which servers have restarted since: they are in slow start until another list confirms
+// them.
 func TestSlowStart_CachedList_AssumesStartUntilConfirmed(t *testing.T) {
 	s := testSettings()
 	s.Tenants = []Tenant{{ConnectionQuota: 60}}
 	b := New(s)
-	old, told := testFleet(4), testFleet(4)
+	old, confirmed := testFleet(4), testFleet(4)
 	for i := range old {
 		old[i].StartedAt, old[i].AssumedStart = time.Hour, true
 	}
@@ -184,27 +181,27 @@
 		return n
 	}
 	if n := place(time.Hour, "a"); n == 0 || n > 30 {
-		t.Errorf("%d of 60 were sent to servers that may be cold", n)
+		t.Errorf("%d of 60 were sent to servers that may be in slow start", n)
 	}
-	b.Handle(time.Hour+time.Second, ListEvent{Kind: ListSnapshot, Revision: 1, Servers: told})
+	b.Handle(time.Hour+time.Second, ListEvent{Kind: ListSnapshot, Revision: 1, Servers: confirmed})
 	if n := place(time.Hour+time.Second, "b"); n < 55 {
-		t.Errorf("%d of 60 were sent to servers that are told to be warm", n)
+		t.Errorf("%d of 60 were sent to servers that a list confirmed", n)
 	}
 }
 
-// Where no window is told there is no rule on cold servers, and they serve like others.
+// Without a collapse window there is no budget, and starting servers serve like others.
 func TestSlowStart_NoCollapseWindow_Serves(t *testing.T) {
 	s := testSettings()
 	s.CollapseWindow = 0
 	n := newWarmNode(t, s, 1)
 	n.Handle(time.Minute, ListEvent{Kind: ListSnapshot, Revision: 2, Servers: []Server{{ID: "s99", Weight: 1, StartedAt: time.Minute}}})
 	if sent := sends(n.Handle(time.Minute, Arrival{ID: "a", Key: "k", TimeLeft: time.Second})); len(sent) != 1 {
-		t.Errorf("a cold server without a rule got %v", sent)
+		t.Errorf("a starting server without a budget got %v", sent)
 	}
 }
 
-// The quotas are of the fleet at its largest. Sixteen nodes of one that has shrunk from ten hosts to three took a
-// host that came back cold for good for a third of them, and sent it five times what it could bear.
+// The quotas are of the fleet at its largest: in a fleet that has shrunk, a starting server gets its part of that
+// one.
 func TestSlowStart_ShrunkFleet_KeepsBudget(t *testing.T) {
 	const nodes, quota = 16, 417.0
 	set, sent, part := testSettings(), 0, 0.0
@@ -226,8 +223,8 @@
 			}
 		}
 	}
-	// Each node rounds its share by chance: four standard deviations of sixteen such chances.
-	if most := set.CollapseMultiple*part*set.CollapseWindow.Seconds()/set.SlowStartDuration.Seconds() + 8; float64(sent) > most || sent < 4 {
-		t.Errorf("%d connections to a cold server in one window, 4 to %.1f would do", sent, most)
+	// Each node rounds its budget by chance: four standard deviations of sixteen such draws.
+	if limit := set.CollapseMultiple*part*set.CollapseWindow.Seconds()/set.SlowStartDuration.Seconds() + 8; float64(sent) > limit || sent < 4 {
+		t.Errorf("%d connections to a starting server in one window, want 4 to %.1f", sent, limit)
 	}
 }
--- a/balancer/statelists_test.go
+++ b/balancer/statelists_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever changes come in whatever order, the lists by state are what a look at all servers gives, and every entry
-// of the table is held by a server that is there.
+// After any changes in any order, the lists by state match the states of all servers, and every entry of the table
+// is held by a server that is there.
 func TestStateLists_AnyChanges_MatchTheServers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tab, all := &table{}, []*server{}
--- a/balancer/table_agreement_test.go
+++ b/balancer/table_agreement_test.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// A node that starts from a list that lacks one server must agree with its peers on nearly all entries that the
-// missing one does not hold: mid-flow arrivals are found by them.
+// Nodes that start from lists that differ by one server agree on nearly all entries that this server does not hold,
+// so mid-flow arrivals find their connections.
 func TestTable_SimilarLists_Agree(t *testing.T) {
-	whole, lacking := newFleetNode(t, 0, 160, 60), New(testSettings())
-	lacking.Handle(0, ListEvent{Kind: ListCached, Revision: 1, Servers: testFleet(60)[1:]})
+	complete, shorter := newFleetNode(t, 0, 160, 60), New(testSettings())
+	shorter.Handle(0, ListEvent{Kind: ListCached, Revision: 1, Servers: testFleet(60)[1:]})
 	same, all := 0, 0
-	for i, s := range whole.table.first {
+	for i, s := range complete.table.first {
 		if s.id == "s00" {
 			continue
 		}
-		if all++; lacking.table.first[i].id == s.id {
+		if all++; shorter.table.first[i].id == s.id {
 			same++
 		}
 	}
@@ -27,8 +27,8 @@
 	}
 }
 
-// A restarted node lays its table from the list that its peers came to by many changes. How far the two agree is
-// what a roll of nodes costs mid-flow arrivals; docs/design.md quotes it.
+// A restarted node builds its table from the list that its peers came to by many changes. How far they agree is
+// what a rolling restart of nodes costs mid-flow arrivals; docs/design.md quotes it.
 func TestTable_RestartAfterChurn_Agrees(t *testing.T) {
 	agree := func(from, to int) float64 {
 		old := newFleetNode(t, 0, 160, from)
@@ -62,7 +62,7 @@
 	}
 }
 
-// A node that starts without a list, and is told it unasked, gave all entries to the first host of it.
+// A node that starts with an empty list builds the same table from its first list as one that starts with it.
 func TestTable_FirstListAfterEmptyOne_IsEven(t *testing.T) {
 	b := newWarmNode(t, testSettings(), 0)
 	b.Handle(time.Second, ListEvent{Kind: ListSnapshot, Revision: 2, Servers: testFleet(4)})
@@ -74,8 +74,8 @@
 	}
 }
 
-// Nodes that are told the same changes hold the same table, whatever else they saw, and a change
-// moves only the entries of the servers it names.
+// Nodes with the same changes hold the same table, whatever else they saw, and a change moves only the entries of
+// the servers that it names.
 func TestTable_SameChanges_StayEqualAndRemapLittle(t *testing.T) {
 	other := testSettings()
 	other.Seed, other.NodeIndex = 99, 1
--- a/balancer/table_test.go
+++ b/balancer/table_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// newTestTable lays out a table by hand, as the paper's examples do.
+// newTestTable lays out a table by hand, as in the examples of the paper.
 func newTestTable(names string, layout []int) (*table, []*server) {
 	t := &table{}
 	var all []*server
@@ -47,7 +47,7 @@
 
 var sevenThrice = []int{0, 0, 0, 1, 1, 1, 2, 2, 2, 3, 3, 3, 4, 4, 4, 5, 5, 5, 6, 6, 6}
 
-// The paper's drain example: servers in sorted order in turn, as DESIGN has it.
+// The drain example of the paper, with servers in sorted order in turn, as the design page has it.
 func TestTable_Drain_GoesToOtherParity(t *testing.T) {
 	tab, s := newTestTable("0123456", sevenThrice)
 	tab.drain(s[4], 0)
@@ -59,7 +59,7 @@
 	tab.syncSecondHops()
 	expectHops(t, tab, "000111135333135555666", "000111135333135555666")
 	if s[2].state != inactive || s[4].state != inactive || len(tab.holders) != 5 {
-		t.Error("the drained servers still hold a state")
+		t.Error("the drained servers are not inactive")
 	}
 }
 
@@ -75,7 +75,8 @@
 	}
 }
 
-// The paper's fill example under DESIGN's rule: the most frequent active server, ties by id.
+// The fill example of the paper under the rule of the design page: the most frequent active server gives, ties by
+// id.
 func TestTable_Fill_TakesTwoThirdsFromMostFrequent(t *testing.T) {
 	tab, all := newTestTable("0123456", []int{0, 0, 0, 1, 1, 1, 1, 3, 5, 3, 3, 3, 1, 3, 5, 5, 5, 5, 6, 6, 6})
 	tab.remove(all[2])
@@ -122,8 +123,8 @@
 	expectHops(t, tab, "777", "777")
 }
 
-// Which entries a server holds is kept beside the table: whatever drains, fills, ends and comes back, a drain
-// empties all of a server's, in their order, and a fill takes the first of the one that holds most.
+// Servers know their entries without a search: after any changes a drain empties all of them in order, and a fill
+// takes the lowest one of the server that holds most.
 func TestTable_AnyChanges_KnowOwnEntries(t *testing.T) {
 	for seed := range uint64(20) {
 		b, now := newWarmNode(t, testSettings(), 12), time.Duration(0)
@@ -145,7 +146,7 @@
 			}
 			for _, s := range b.table.holders {
 				if !slices.Equal(s.ownEntries(b.table.first), held[s]) || s.entryCount != len(held[s]) {
-					t.Fatalf("seed %d, version %d: %s holds %d entries, known are %d, counted %d", seed, version, s.id, len(held[s]),
+					t.Fatalf("seed %d, version %d: %s holds %d entries, lists %d, counts %d", seed, version, s.id, len(held[s]),
 						len(s.ownEntries(b.table.first)), s.entryCount)
 				}
 				if len(held[s]) > 0 && s.firstEntry(b.table.first) != held[s][0] {
@@ -154,7 +155,7 @@
 			}
 			for i, s := range b.table.second {
 				if s != nil && s.state == inactive {
-					t.Fatalf("seed %d, version %d: second hop %d is %s, which is out", seed, version, i, s.id)
+					t.Fatalf("seed %d, version %d: second hop %d is %s, which was removed", seed, version, i, s.id)
 				}
 			}
 		}
@@ -174,7 +175,7 @@
 	for _, s := range testFleet(12) {
 		want := s.Weight / total * float64(len(b.table.first))
 		if got := held[s.ID]; got < 0.8*want || got > 1.2*want {
-			t.Errorf("%s holds %.0f entries, its weight is worth %.0f", s.ID, got, want)
+			t.Errorf("%s holds %.0f entries, want %.0f by its weight", s.ID, got, want)
 		}
 	}
 }
