--- a/balancer/helpers_test.go
+++ b/balancer/helpers_test.go
@@ -9,20 +9,47 @@
 const ms = time.Millisecond
 
 func testSettings() Settings {
+	idempotent := Class{
+		SetupLatencyObjective:   300 * ms,
+		Deadline:                2 * time.Second,
+		MessageLatencyObjective: 100 * ms,
+		PriorityWeight:          1,
+	}
 	return Settings{
-		Seed: 1, NodeCount: 3, PollList: true, PassThrough: true, MaxAttempts: 4, MayCancel: true,
-		MaxRetryAfter: 2 * time.Second, DrainGrace: time.Second, SlowStartFraction: 0.25,
-		SlowStartDuration: 10 * time.Second, CollapseMultiple: 3, CollapseWindow: time.Second, PollInterval: 10 * time.Second,
+		Seed:          1,
+		NodeCount:     3,
+		PollList:      true,
+		PassThrough:   true,
+		MaxAttempts:   4,
+		MayCancel:     true,
+		MaxRetryAfter: 2 * time.Second,
+
+		DrainGrace:        time.Second,
+		SlowStartFraction: 0.25,
+		SlowStartDuration: 10 * time.Second,
+		CollapseMultiple:  3,
+		CollapseWindow:    time.Second,
+		PollInterval:      10 * time.Second,
 		Classes: []Class{
-			{SetupLatencyObjective: 300 * ms, Deadline: 2 * time.Second, MessageLatencyObjective: 100 * ms, PriorityWeight: 1},
-			{SetupLatencyObjective: 300 * ms, Deadline: 2 * time.Second, Effect: IdempotentByKey, Scope: ScopeZone, IdempotencyWindow: time.Second},
+			idempotent,
+			keyedClass(ScopeZone),
 			{SetupLatencyObjective: 300 * ms, Deadline: 2 * time.Second, Effect: NonIdempotent},
-			{SetupLatencyObjective: 300 * ms, Deadline: 2 * time.Second, Effect: IdempotentByKey, Scope: ScopeAll, IdempotencyWindow: time.Second},
-			{SetupLatencyObjective: 300 * ms, Deadline: 2 * time.Second, Effect: IdempotentByKey, Scope: ScopeCell, IdempotencyWindow: time.Second},
+			keyedClass(ScopeAll),
+			keyedClass(ScopeCell),
 		},
 	}
 }
 
+func keyedClass(scope Scope) Class {
+	return Class{
+		SetupLatencyObjective: 300 * ms,
+		Deadline:              2 * time.Second,
+		Effect:                IdempotentByKey,
+		Scope:                 scope,
+		IdempotencyWindow:     time.Second,
+	}
+}
+
 // newWarmNode returns a node with n servers that have warmed up.
 func newWarmNode(t *testing.T, s Settings, n int) *Balancer {
 	t.Helper()
--- a/balancer/invariants_test.go
+++ b/balancer/invariants_test.go
@@ -7,134 +7,204 @@
 	"time"
 )
 
-// Over random events the rules of the protocol hold, two balancers with the same events decide alike, and nothing
-// is retained in the end.
-func TestInvariants_RandomEvents_Hold(t *testing.T) {
-	for seed := range uint64(40) {
-		rng := rand.New(rand.NewPCG(seed, 0))
-		set := testSettings()
-		set.Seed = seed
-		servers := 8
-		if seed%4 > 1 { // a large fleet behind many nodes
-			servers, set.NodeCount = 100, 160
+// invariantRun feeds two balancers the same random events and checks what must hold in every run.
+type invariantRun struct {
+	t         *testing.T
+	seed      uint64
+	rng       *rand.Rand
+	settings  Settings
+	servers   int
+	nodes     [2]*Balancer
+	now       time.Duration
+	ids       []RequestID
+	drainedAt map[ServerID]time.Duration // when a server began to drain
+	pending   map[RequestID]int          // pending attempts
+	sent      map[RequestID]int
+	opened    map[RequestID]bool // established once
+	done      map[RequestID]bool // answered
+}
+
+func newInvariantRun(t *testing.T, seed uint64) *invariantRun {
+	settings := testSettings()
+	settings.Seed = seed
+	servers := 8
+	if seed%4 > 1 { // a large fleet behind many nodes
+		servers = 100
+		settings.NodeCount = 160
+	}
+	return &invariantRun{
+		t:         t,
+		seed:      seed,
+		rng:       rand.New(rand.NewPCG(seed, 0)),
+		settings:  settings,
+		servers:   servers,
+		nodes:     [2]*Balancer{New(settings), New(settings)},
+		drainedAt: map[ServerID]time.Duration{},
+		pending:   map[RequestID]int{},
+		sent:      map[RequestID]int{},
+		opened:    map[RequestID]bool{},
+		done:      map[RequestID]bool{},
+	}
+}
+
+// handle hands an event to both balancers and checks their actions.
+func (r *invariantRun) handle(e Event) {
+	actions := r.nodes[0].Handle(r.now, e)
+	if twin := r.nodes[1].Handle(r.now, e); fmt.Sprint(twin) != fmt.Sprint(actions) {
+		r.t.Fatalf("seed %d: the same events drew %v and %v", r.seed, actions, twin)
+	}
+	for _, action := range actions {
+		switch a := action.(type) {
+		case Send:
+			r.checkSend(a)
+		case Reject:
+			r.checkFinalAnswer(a.ID)
+		case Fail:
+			r.checkFinalAnswer(a.ID)
+		case Migrate:
+			r.done[a.ID] = true
 		}
-		nodes := []*Balancer{New(set), New(set)}
-		drainedAt := map[ServerID]time.Duration{} // when a server began to drain
-		live := map[RequestID]int{}               // open attempts by request
-		sent := map[RequestID]int{}
-		done := map[RequestID]bool{}
-		now := time.Duration(0)
-		step := func(e Event) {
-			out := nodes[0].Handle(now, e)
-			if twin := nodes[1].Handle(now, e); fmt.Sprint(twin) != fmt.Sprint(out) {
-				t.Fatalf("seed %d: the same events drew %v and %v", seed, out, twin)
-			}
-			for _, a := range out {
-				switch a := a.(type) {
-				case Send:
-					if done[a.ID] {
-						t.Fatalf("seed %d: a send after the final answer", seed)
-					}
-					if at, ok := drainedAt[a.Server]; ok && now > at+set.DrainGrace {
-						t.Fatalf("seed %d: a send past the drain grace", seed)
-					}
-					if live[a.ID]++; live[a.ID] > 1 {
-						t.Fatalf("seed %d: two attempts at once", seed)
-					}
-					if sent[a.ID]++; sent[a.ID] > set.MaxAttempts {
-						t.Fatalf("seed %d: too many attempts", seed)
-					}
-				case Reject:
-					if done[a.ID] {
-						t.Fatalf("seed %d: two final answers", seed)
-					}
-					done[a.ID] = true
-				case Fail:
-					if done[a.ID] {
-						t.Fatalf("seed %d: two final answers", seed)
-					}
-					done[a.ID] = true
-				case Migrate:
-					done[a.ID] = true
-				}
-			}
+	}
+}
+
+func (r *invariantRun) checkSend(a Send) {
+	if r.done[a.ID] {
+		r.t.Fatalf("seed %d: a send after the final answer", r.seed)
+	}
+	if at, ok := r.drainedAt[a.Server]; ok && r.now > at+r.settings.DrainGrace {
+		r.t.Fatalf("seed %d: a send past the drain grace", r.seed)
+	}
+	if r.pending[a.ID]++; r.pending[a.ID] > 1 {
+		r.t.Fatalf("seed %d: two attempts at once", r.seed)
+	}
+	if r.sent[a.ID]++; r.sent[a.ID] > r.settings.MaxAttempts {
+		r.t.Fatalf("seed %d: too many attempts", r.seed)
+	}
+}
+
+func (r *invariantRun) checkFinalAnswer(id RequestID) {
+	if r.done[id] {
+		r.t.Fatalf("seed %d: two final answers", r.seed)
+	}
+	r.done[id] = true
+}
+
+func (r *invariantRun) drawID() RequestID { return r.ids[r.rng.IntN(len(r.ids))] }
+
+// step draws and handles one event.
+func (r *invariantRun) step(number int) {
+	r.now += time.Duration(r.rng.IntN(20)) * ms
+	kind := r.rng.IntN(20)
+	switch {
+	case kind < 8:
+		r.arrive(RequestID(fmt.Sprint("r", number)))
+	case kind < 14 && len(r.ids) > 0:
+		r.endAttempt(r.drawID())
+	case kind < 16 && len(r.ids) > 0:
+		r.handle(LoadReport{ID: r.drawID(), Load: 1000 * r.rng.Float64()})
+	case kind == 16 && len(r.ids) > 0:
+		r.handle(LatencyReport{ID: r.drawID(), Latency: time.Duration(r.rng.IntN(400)) * ms})
+	case kind == 17:
+		r.changeServer()
+	case kind == 18 && len(r.ids) > 0:
+		id := r.drawID()
+		if !r.done[id] && !r.opened[id] {
+			r.done[id] = true
+			r.handle(ClientDisconnected{ID: id})
 		}
-		step(ListEvent{Kind: ListCached, Servers: testFleet(servers)})
-		var ids []RequestID
-		opened := map[RequestID]bool{}
-		for i := range 3000 {
-			now += time.Duration(rng.IntN(20)) * ms
-			switch k := rng.IntN(20); {
-			case k < 8:
-				id := RequestID(fmt.Sprint("r", i))
-				ids = append(ids, id)
-				step(Arrival{ID: id, Class: rng.IntN(5), Key: fmt.Sprint(rng.IntN(40)), Group: fmt.Sprint(rng.IntN(5)),
-					TimeLeft: time.Duration(rng.IntN(2000)) * ms, MidFlow: rng.IntN(9) == 0})
-			case k < 14 && len(ids) > 0:
-				id := ids[rng.IntN(len(ids))]
-				if live[id] == 0 {
-					break
-				}
-				if !opened[id] && rng.IntN(2) == 0 {
-					opened[id] = true
-					step(Established{ID: id, Attempt: sent[id] - 1, Took: 30 * ms})
-					break
-				}
-				live[id]--
-				o := Outcome(rng.IntN(8))
-				final := opened[id] || done[id] || o == Served
-				if final {
-					done[id] = true
-				}
-				step(AttemptEnded{ID: id, Attempt: sent[id] - 1, Took: 100 * ms, Outcome: o, Final: final})
-			case k < 16 && len(ids) > 0:
-				step(LoadReport{ID: ids[rng.IntN(len(ids))], Load: 1000 * rng.Float64()})
-			case k == 16 && len(ids) > 0:
-				step(LatencyReport{ID: ids[rng.IntN(len(ids))], Latency: time.Duration(rng.IntN(400)) * ms})
-			case k == 17:
-				c := testFleet(servers)[rng.IntN(8)]
-				c.State = ServerState(rng.IntN(3))
-				if delete(drainedAt, c.ID); c.State == Live {
-					c.StartedAt = now
-				} else {
-					drainedAt[c.ID] = now
-				}
-				if was := nodes[0].servers[c.ID]; was != nil && was.state == draining && c.State != Live {
-					drainedAt[c.ID] = was.changedAt
-				}
-				step(ListEvent{Kind: ListDelta, Servers: []Server{c}})
-			case k == 18 && len(ids) > 0:
-				id := ids[rng.IntN(len(ids))]
-				if !done[id] && !opened[id] {
-					done[id] = true
-					step(ClientDisconnected{ID: id})
-				}
-			default:
-				step(Timer{Token: sweepToken})
-				step(Timer{Token: pacingToken})
+	default:
+		r.handle(Timer{Token: sweepToken})
+		r.handle(Timer{Token: pacingToken})
+	}
+}
+
+func (r *invariantRun) arrive(id RequestID) {
+	r.ids = append(r.ids, id)
+	r.handle(Arrival{
+		ID:       id,
+		Class:    r.rng.IntN(5),
+		Key:      fmt.Sprint(r.rng.IntN(40)),
+		Group:    fmt.Sprint(r.rng.IntN(5)),
+		TimeLeft: time.Duration(r.rng.IntN(2000)) * ms,
+		MidFlow:  r.rng.IntN(9) == 0,
+	})
+}
+
+// endAttempt establishes a request's connection or ends its attempt.
+func (r *invariantRun) endAttempt(id RequestID) {
+	if r.pending[id] == 0 {
+		return
+	}
+	if !r.opened[id] && r.rng.IntN(2) == 0 {
+		r.opened[id] = true
+		r.handle(Established{ID: id, Attempt: r.sent[id] - 1, Took: 30 * ms})
+		return
+	}
+	r.pending[id]--
+	outcome := Outcome(r.rng.IntN(8))
+	final := r.opened[id] || r.done[id] || outcome == Served
+	if final {
+		r.done[id] = true
+	}
+	r.handle(AttemptEnded{ID: id, Attempt: r.sent[id] - 1, Took: 100 * ms, Outcome: outcome, Final: final})
+}
+
+// changeServer changes the state of a server in the list.
+func (r *invariantRun) changeServer() {
+	entry := testFleet(r.servers)[r.rng.IntN(8)]
+	entry.State = ServerState(r.rng.IntN(3))
+	delete(r.drainedAt, entry.ID)
+	if entry.State == Live {
+		entry.StartedAt = r.now
+	} else {
+		r.drainedAt[entry.ID] = r.now
+	}
+	srv := r.nodes[0].servers[entry.ID]
+	if srv != nil && srv.state == draining && entry.State != Live {
+		r.drainedAt[entry.ID] = srv.changedAt
+	}
+	r.handle(ListEvent{Kind: ListDelta, Servers: []Server{entry}})
+}
+
+// endAll ends every attempt.
+func (r *invariantRun) endAll() {
+	for range 3 {
+		for _, id := range r.ids {
+			for r.pending[id] > 0 {
+				r.pending[id]--
+				r.done[id] = true
+				r.handle(AttemptEnded{ID: id, Attempt: r.sent[id] - 1, Outcome: Cancelled, Final: true})
 			}
 		}
-		// When every attempt has ended, nothing is held.
-		for range 3 {
-			for _, id := range ids {
-				for live[id] > 0 {
-					live[id]--
-					done[id] = true
-					step(AttemptEnded{ID: id, Attempt: sent[id] - 1, Outcome: Cancelled, Final: true})
-				}
-			}
-			now += 3 * time.Second
-			step(Timer{Token: pacingToken})
+		r.now += 3 * time.Second
+		r.handle(Timer{Token: pacingToken})
+	}
+}
+
+// checkNothingRetained checks the balancers after all attempts have ended.
+func (r *invariantRun) checkNothingRetained() {
+	for _, n := range r.nodes {
+		if len(n.requests) != 0 || len(n.pacing.queue) != 0 {
+			r.t.Fatalf("seed %d: %d requests are retained", r.seed, len(n.requests))
 		}
-		for _, n := range nodes {
-			if len(n.requests) != 0 || len(n.pacing.queue) != 0 {
-				t.Fatalf("seed %d: %d requests are retained", seed, len(n.requests))
-			}
-			for _, s := range n.servers {
-				if s.connections != 0 || len(s.groups) != 0 || s.load != 0 {
-					t.Fatalf("seed %d: server %s keeps %+v", seed, s.id, s)
-				}
+		for _, s := range n.servers {
+			if s.connections != 0 || len(s.groups) != 0 || s.load != 0 {
+				r.t.Fatalf("seed %d: server %s keeps %+v", r.seed, s.id, s)
 			}
 		}
 	}
 }
+
+// Over random events the rules of the protocol hold, two balancers with the same events decide alike, and nothing
+// is retained in the end.
+func TestInvariants_RandomEvents_Hold(t *testing.T) {
+	for seed := range uint64(40) {
+		r := newInvariantRun(t, seed)
+		r.handle(ListEvent{Kind: ListCached, Servers: testFleet(r.servers)})
+		for number := range 3000 {
+			r.step(number)
+		}
+		r.endAll()
+		r.checkNothingRetained()
+	}
+}
