--- a/balancer/eviction_test.go
+++ b/balancer/eviction_test.go
@@ -25,7 +25,8 @@
 		t.Error("a queued request is not answered at once")
 	}
 	out = b.Handle(3*ms, Arrival{ID: "new", TimeLeft: 2 * time.Second})
-	if n, rejected := finalAnswers(out, "new"); n != 1 || !rejected || len(sends(out)) != 0 || out[len(out)-1].(Reject).RetryAfter != 1500*ms {
+	n, rejected := finalAnswers(out, "new")
+	if n != 1 || !rejected || len(sends(out)) != 0 || out[len(out)-1].(Reject).RetryAfter != 1500*ms {
 		t.Errorf("a new client is answered %v", out)
 	}
 	out = b.Handle(4*ms, AttemptEnded{ID: "early", Server: "a", Outcome: Rejected})
@@ -39,7 +40,8 @@
 	var migrated []RequestID
 	for now := sweepInterval; now < 10*time.Second; now += sweepInterval {
 		migrated = append(migrated, migrations(b.Handle(now, Timer{Token: sweepToken}))...)
-		if fraction, elapsed := float64(len(migrated))/50, float64(now)/float64(10*time.Second); fraction > elapsed+0.1 || fraction < elapsed-0.1 {
+		fraction, elapsed := float64(len(migrated))/50, float64(now)/float64(10*time.Second)
+		if fraction > elapsed+0.1 || fraction < elapsed-0.1 {
 			t.Fatalf("%g of all are migrated after %g of the time", fraction, elapsed)
 		}
 	}
@@ -47,7 +49,12 @@
 		t.Errorf("%d of 50 were migrated, first %s, last %s", len(migrated), migrated[0], migrated[len(migrated)-1])
 	}
 	b.Handle(11*time.Second, Drain{})
-	b.Handle(11*time.Second, Drain{Active: true, Deadline: 20 * time.Second, AdmissionCutoff: 11*time.Second + 5*ms, KeepConnections: true})
+	b.Handle(11*time.Second, Drain{
+		Active:          true,
+		Deadline:        20 * time.Second,
+		AdmissionCutoff: 11*time.Second + 5*ms,
+		KeepConnections: true,
+	})
 	if out = b.Handle(11*time.Second+ms, Arrival{ID: "unaware", TimeLeft: 2 * time.Second}); len(sends(out)) != 1 {
 		t.Errorf("a client before the admission cutoff is answered %v", out)
 	}
@@ -71,7 +78,7 @@
 		b := newWarmNode(t, s, 4)
 		drained := testFleet(4)[0]
 		drained.State = Draining
-		b.Handle(time.Second, ListEvent{Kind: ListDelta, Revision: 2, Servers: []Server{drained}})
+		b.Handle(time.Second, listDelta(drained))
 		b.Handle(time.Second+max(grace-MaxSchedulingDelay, 0), Timer{Token: sweepToken})
 		if got := b.servers[drained.ID]; got != nil && got.state != inactive {
 			t.Errorf("a grace of %v: it is in state %d, %v before the end", grace, got.state, MaxSchedulingDelay)
--- a/balancer/helpers_test.go
+++ b/balancer/helpers_test.go
@@ -153,3 +153,13 @@
 	}
 	return out
 }
+
+// listDelta is a change of the list after the first one.
+func listDelta(servers ...Server) ListEvent {
+	return ListEvent{Kind: ListDelta, Revision: 2, Servers: servers}
+}
+
+// capacityFraction is the part of its capacity that a server has at an age, by the settings.
+func capacityFraction(s Settings, age time.Duration) float64 {
+	return min(1, s.SlowStartFraction+(1-s.SlowStartFraction)*float64(age)/float64(s.SlowStartDuration))
+}
--- a/balancer/midflow_test.go
+++ b/balancer/midflow_test.go
@@ -17,7 +17,7 @@
 			break
 		}
 	}
-	b.Handle(time.Second, ListEvent{Kind: ListDelta, Revision: 2, Servers: []Server{{ID: "s02", State: Draining}}})
+	b.Handle(time.Second, listDelta(Server{ID: "s02", State: Draining}))
 	send := func(id RequestID, at time.Duration, mid bool) ServerID {
 		t.Helper()
 		out := sends(b.Handle(at, Arrival{ID: id, Key: key, TimeLeft: time.Second, MidFlow: mid}))
@@ -40,7 +40,7 @@
 	// A fill: the server that gave its entry away is the second hop.
 	b = newWarmNode(t, testSettings(), 6)
 	b.Handle(0, Arrival{ID: "held", Key: "held", TimeLeft: time.Second})
-	b.Handle(time.Second, ListEvent{Kind: ListDelta, Revision: 2, Servers: []Server{{ID: "s99", Weight: 1}}})
+	b.Handle(time.Second, listDelta(Server{ID: "s99", Weight: 1}))
 	for i := range 1000 {
 		key = fmt.Sprint("k", i)
 		hops := b.table.hops(firstEntryOf(b, &request{Arrival: Arrival{Key: key}}))
--- a/balancer/overload_sim_test.go
+++ b/balancer/overload_sim_test.go
@@ -37,8 +37,13 @@
 func (c clientTime) served() float64 { return float64(c.establishedTime) / float64(c.wantedTime) }
 
 func newOverloadSim(seed uint64, deadlines []time.Duration) *overloadSim {
-	return &overloadSim{rng: rand.New(rand.NewPCG(seed, 3)), clients: map[RequestID]*simClient{}, meanLifetime: 40 * time.Second,
-		deadlines: deadlines, times: make([]clientTime, len(deadlines))}
+	return &overloadSim{
+		rng:          rand.New(rand.NewPCG(seed, 3)),
+		clients:      map[RequestID]*simClient{},
+		meanLifetime: 40 * time.Second,
+		deadlines:    deadlines,
+		times:        make([]clientTime, len(deadlines)),
+	}
 }
 
 type simClient struct {
@@ -91,10 +96,20 @@
 
 func (j *overloadSim) startNode(seed uint64, i, nodes int, quota float64) *Balancer {
 	s := testSettings()
-	s.Seed, s.NodeIndex, s.NodeCount, s.PollList, s.MaxAttempts, s.MaxRetryAfter = seed, i, nodes, false, 3, time.Second
+	s.Seed = seed
+	s.NodeIndex = i
+	s.NodeCount = nodes
+	s.PollList = false
+	s.MaxAttempts = 3
+	s.MaxRetryAfter = time.Second
 	s.Classes = nil
 	for _, d := range j.deadlines {
-		s.Classes = append(s.Classes, Class{SetupLatencyObjective: d / 4, Deadline: d, MessageLatencyObjective: 100 * ms, PriorityWeight: 1})
+		s.Classes = append(s.Classes, Class{
+			SetupLatencyObjective:   d / 4,
+			Deadline:                d,
+			MessageLatencyObjective: 100 * ms,
+			PriorityWeight:          1,
+		})
 	}
 	s.Tenants = []Tenant{{ConnectionQuota: quota}}
 	b := New(s)
--- a/balancer/overload_test.go
+++ b/balancer/overload_test.go
@@ -20,7 +20,8 @@
 	}
 	// The backlog falls by a third of a second in a second: that is fast enough.
 	before := s.loadLimit
-	if out := b.Handle(2*time.Second, LatencyReport{ID: "open0", Latency: 160 * ms}); len(migrations(out)) != 0 || s.loadLimit != before {
+	out = b.Handle(2*time.Second, LatencyReport{ID: "open0", Latency: 160 * ms})
+	if len(migrations(out)) != 0 || s.loadLimit != before {
 		t.Error("a shrinking backlog reduced the limit again")
 	}
 	// Long after, the limit has grown back.
--- a/balancer/pacing_lowsample_test.go
+++ b/balancer/pacing_lowsample_test.go
@@ -27,7 +27,10 @@
 // The time that a request may be queued follows the shortest deadline, so that classes of long deadlines do not
 // take every turn.
 func TestPacing_Wait_IsAlikeForAllClasses(t *testing.T) {
-	b := lowSampleNode(t, Class{SetupLatencyObjective: 200 * ms, Deadline: 700 * ms}, Class{SetupLatencyObjective: 800 * ms, Deadline: 4800 * ms})
+	b := lowSampleNode(t,
+		Class{SetupLatencyObjective: 200 * ms, Deadline: 700 * ms},
+		Class{SetupLatencyObjective: 800 * ms, Deadline: 4800 * ms},
+	)
 	establishConnection(t, b, "first", time.Second, 10*ms, false)
 	b.pacing.interval, b.pacing.nextSendAt, b.pacing.changedAt = 3*time.Second, 4*time.Second, 2*time.Second
 	for class, deadline := range []time.Duration{700 * ms, 4800 * ms} {
@@ -114,7 +117,10 @@
 // A request that is queued behind a set-up that hangs is answered after half of the shortest deadline, whatever its
 // own deadline.
 func TestPacing_SlowStart_WaitEndsAlikeForAllClasses(t *testing.T) {
-	b := lowSampleNode(t, Class{SetupLatencyObjective: 200 * ms, Deadline: 700 * ms}, Class{SetupLatencyObjective: 800 * ms, Deadline: 4800 * ms})
+	b := lowSampleNode(t,
+		Class{SetupLatencyObjective: 200 * ms, Deadline: 700 * ms},
+		Class{SetupLatencyObjective: 800 * ms, Deadline: 4800 * ms},
+	)
 	begin := time.Second
 	if len(sends(b.Handle(begin, Arrival{ID: "hangs", Class: 1, Key: "h", TimeLeft: 4800 * ms, Retry: true}))) != 1 {
 		t.Fatal("the first one was not sent")
--- a/balancer/placement_test.go
+++ b/balancer/placement_test.go
@@ -17,7 +17,9 @@
 		if len(x) != 1 || len(y) != 1 {
 			t.Fatal("no send")
 		}
-		if first := b.table.hops(firstEntryOf(b, &request{Arrival: a}))[1]; !b.isOverloaded(first, 1) && x[0].Server != first.id && first.connections < minOverloadConnections {
+		first := b.table.hops(firstEntryOf(b, &request{Arrival: a}))[1]
+		overloaded := b.isOverloaded(first, 1) || first.connections >= minOverloadConnections
+		if !overloaded && x[0].Server != first.id {
 			t.Errorf("key %d left its first hop %s for %s", i, first.id, x[0].Server)
 		}
 		b.Handle(0, AttemptEnded{ID: a.ID, Outcome: Served, Final: true})
@@ -204,7 +206,7 @@
 				t.Fatalf("group %d is on %s at one node and on %s at another", g, s.id, other.id)
 			}
 		}
-		y.Handle(time.Second, ListEvent{Kind: ListDelta, Revision: 2, Servers: []Server{{ID: s.id, State: Draining, Weight: 1}}})
+		y.Handle(time.Second, listDelta(Server{ID: s.id, State: Draining, Weight: 1}))
 		r.MidFlow = true
 		if to := y.selectServer(r); to == nil || to.id != s.id {
 			t.Errorf("cost %g: a mid-flow arrival misses its draining server", c.price)
--- a/balancer/slowstart_fleet_test.go
+++ b/balancer/slowstart_fleet_test.go
@@ -32,8 +32,9 @@
 	listed := false
 	var calls []time.Duration
 	budget := func(now time.Duration) float64 {
-		factor := s.SlowStartFraction + (1-s.SlowStartFraction)*float64(now-at)/float64(s.SlowStartDuration)
-		return s.CollapseMultiple * quota / float64(hosts) * max(1, 2*factor) * s.CollapseWindow.Seconds() / s.SlowStartDuration.Seconds()
+		factor := capacityFraction(s, now-at)
+		perServer := quota / float64(hosts) * max(1, 2*factor)
+		return s.CollapseMultiple * perServer * s.CollapseWindow.Seconds() / s.SlowStartDuration.Seconds()
 	}
 	n, arrivals := 0, 0
 	for now := time.Hour; now < at+s.SlowStartDuration; now += 10 * ms {
@@ -141,7 +142,7 @@
 		arrive(end-20*ms, 1600)
 		before := sent
 		arrive(end+20*ms, 1600)
-		factor := s.SlowStartFraction + (1-s.SlowStartFraction)*float64(end-at)/float64(s.SlowStartDuration)
+		factor := capacityFraction(s, end-at)
 		weight := 0.0
 		for _, server := range servers {
 			weight += server.Weight
@@ -170,7 +171,7 @@
 	}
 	starting := Server{ID: "s99", Weight: 2, StartedAt: time.Minute}
 	for _, n := range all {
-		n.Handle(time.Minute, ListEvent{Kind: ListDelta, Revision: 2, Servers: []Server{starting}})
+		n.Handle(time.Minute, listDelta(starting))
 	}
 	set := testSettings()
 	rate := 0.25 * nodes * starting.Weight / all[0].fleet.weight // what the fleet's traffic comes to for its weight
@@ -197,7 +198,7 @@
 				in++
 			}
 		}
-		factor := min(1, set.SlowStartFraction+(1-set.SlowStartFraction)*float64(from-time.Minute)/float64(set.SlowStartDuration))
+		factor := capacityFraction(set, from-time.Minute)
 		// Chance of 160 draws: three more than the mean would be.
 		if limit := set.CollapseMultiple*factor*rate*set.CollapseWindow.Seconds() + 3; float64(in) > limit {
 			t.Fatalf("%d connections in the window from %v on, want at most %.1f", in, from-time.Minute, limit)
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -9,7 +9,7 @@
 func TestSlowStart_ReconnectSurge_KeepsBudget(t *testing.T) {
 	b := newWarmNode(t, testSettings(), 5)
 	b.rates.setups = 2 // connections a second over the warm five
-	b.Handle(0, ListEvent{Kind: ListDelta, Revision: 2, Servers: []Server{{ID: "cold", Weight: 2, StartedAt: time.Nanosecond}}})
+	b.Handle(0, listDelta(Server{ID: "cold", Weight: 2, StartedAt: time.Nanosecond}))
 	n := 0
 	for i := range 400 {
 		id := RequestID(fmt.Sprint(i))
@@ -41,7 +41,7 @@
 		s := testSettings()
 		s.Seed, s.NodeIndex, s.NodeCount, s.Tenants = uint64(i)+1, i, nodes, []Tenant{{ConnectionQuota: quota}}
 		n := newWarmNode(t, s, servers)
-		n.Handle(time.Minute, ListEvent{Kind: ListDelta, Revision: 2, Servers: []Server{{ID: "s99", Weight: 4, StartedAt: time.Minute}}})
+		n.Handle(time.Minute, listDelta(Server{ID: "s99", Weight: 4, StartedAt: time.Minute}))
 		all = append(all, n)
 	}
 	set := testSettings()
@@ -61,7 +61,7 @@
 		}
 	}
 	for w, sent := range windows {
-		factor := set.SlowStartFraction + (1-set.SlowStartFraction)*float64(w)*set.CollapseWindow.Seconds()/set.SlowStartDuration.Seconds()
+		factor := capacityFraction(set, time.Duration(w)*set.CollapseWindow)
 		budget := set.CollapseMultiple * factor * quota * 4 / all[0].fleet.weight * set.CollapseWindow.Seconds()
 		if sent < budget/8 || sent > budget {
 			t.Errorf("window %d: %.0f connections of a budget of %.1f", w, sent, budget)
@@ -97,11 +97,12 @@
 		return n
 	}
 	for _, b := range all {
-		b.Handle(time.Minute, ListEvent{Kind: ListDelta, Revision: 2, Servers: []Server{{ID: "s99", Weight: 4, StartedAt: time.Minute}}})
+		b.Handle(time.Minute, listDelta(Server{ID: "s99", Weight: 4, StartedAt: time.Minute}))
 	}
 	early := spent(time.Minute, time.Minute)
 	late := spent(time.Minute, time.Minute+set.SlowStartDuration-3*set.CollapseWindow)
-	fills := quota * 4 / all[0].fleet.weight / set.SlowStartDuration.Seconds() * set.CollapseWindow.Seconds() // what fills it over its slow start
+	// What fills the server over its slow start.
+	fills := quota * 4 / all[0].fleet.weight / set.SlowStartDuration.Seconds() * set.CollapseWindow.Seconds()
 	if limit := 3 * set.CollapseMultiple * fills * 2; late < early*3/2 || late > limit {
 		t.Errorf("%.0f connections in three windows at the start, %.0f near the end of slow start, at most %.0f", early, late, limit)
 	}
@@ -141,7 +142,7 @@
 		}
 	}
 	for w := 2; w < 10; w++ {
-		factor := set.SlowStartFraction + (1-set.SlowStartFraction)*float64(w)*time.Second.Seconds()/set.SlowStartDuration.Seconds()
+		factor := capacityFraction(set, time.Duration(w)*time.Second)
 		if arrived := float64(nodes * perSecond); sent[w] < arrived*factor/2 || sent[w] > arrived*factor*1.7 {
 			t.Errorf("in second %d %.0f of %.0f were sent at a factor of %.2f", w, sent[w], arrived, factor)
 		}
@@ -154,8 +155,9 @@
 					n++
 				}
 			}
-			factor := min(1, set.SlowStartFraction+(1-set.SlowStartFraction)*float64(from-time.Hour)/float64(set.SlowStartDuration))
-			if limit := set.CollapseMultiple*factor*nodes*perSecond/servers*set.CollapseWindow.Seconds() + 4; float64(n) > limit {
+			factor := capacityFraction(set, from-time.Hour)
+			limit := set.CollapseMultiple*factor*nodes*perSecond/servers*set.CollapseWindow.Seconds() + 4
+			if float64(n) > limit {
 				t.Fatalf("%s was sent %d in the window from %v on, want at most %.0f", id, n, from-time.Hour, limit)
 			}
 		}
@@ -224,7 +226,8 @@
 		}
 	}
 	// Each node rounds its budget by chance: four standard deviations of sixteen such draws.
-	if limit := set.CollapseMultiple*part*set.CollapseWindow.Seconds()/set.SlowStartDuration.Seconds() + 8; float64(sent) > limit || sent < 4 {
+	limit := set.CollapseMultiple*part*set.CollapseWindow.Seconds()/set.SlowStartDuration.Seconds() + 8
+	if float64(sent) > limit || sent < 4 {
 		t.Errorf("%d connections to a starting server in one window, want 4 to %.1f", sent, limit)
 	}
 }
