--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -54,7 +54,7 @@
 	}
 }
 
-// A document without a cost of crossing zones and one that is polled for the list mean what they meant.
+// A cost of crossing zones and a pushed list are read, and change no other setting.
 func TestParse_PushedListWithCosts_ReadsBoth(t *testing.T) {
 	old, err := Parse(7, []byte(completeDocument))
 	if err != nil || old.CrossZoneCost != 0 || old.Zones != 3 {
--- a/internal/wire/endpoints_test.go
+++ b/internal/wire/endpoints_test.go
@@ -25,7 +25,7 @@
 		c, err := ParseEndpointList(text)
 		for _, m := range c.Endpoints {
 			if err == nil && (m.ID == "" || m.Size < 0 || m.StartedAtMS < 0 || m.Phase > Removed) {
-				t.Errorf("%+v is taken for sound", m)
+				t.Errorf("%+v is accepted", m)
 			}
 		}
 	})
--- a/internal/wire/linebuffer_test.go
+++ b/internal/wire/linebuffer_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// feedLines puts text into an inbox in pieces of a size and returns the lines that come out.
+// feedLines feeds text to a LineBuffer in pieces of a size and returns the lines.
 func feedLines(t *testing.T, text string, size int) (lines []string, err error) {
 	t.Helper()
 	var in LineBuffer
--- a/internal/wire/opening_test.go
+++ b/internal/wire/opening_test.go
@@ -44,7 +44,7 @@
 	}
 }
 
-// A host must get the client's line as it came, unknown figures included, but for d.
+// A host gets the client's line as it came, unknown fields included, but for the timeout.
 func TestOpening_Forward_RewritesOnlyTimeout(t *testing.T) {
 	for _, c := range []struct{ line, want string }{
 		{"OPEN a b c=x,d=2000,g=1,new=7", "OPEN a b c=x,d=250,g=1,new=7"},
@@ -60,11 +60,11 @@
 	}
 	_, o, _ := ParseOpening([]byte("OPEN a b d=9"))
 	if got := string(o.Forward(-time.Second)); got != "OPEN a b d=1\r\n" {
-		t.Errorf("a time that is over is told as %q", got)
+		t.Errorf("a timeout that has passed is forwarded as %q", got)
 	}
 }
 
-// FuzzOpening: whatever a client sends, a line that is accepted reaches the host as it came but for d.
+// FuzzOpening checks that a line that is accepted reaches the host as it came but for the timeout.
 func FuzzOpening(f *testing.F) {
 	for _, line := range []string{"OPEN a b c=x,d=5", "OPEN a b d=1,d=2", "OPEN a b", "PING", "OPEN a b =,=,d=,h="} {
 		f.Add(line)
@@ -75,7 +75,7 @@
 			return
 		}
 		if o.Timeout < 0 || o.Timeout > maxTimeout {
-			t.Errorf("a wait of %v", o.Timeout)
+			t.Errorf("a timeout of %v", o.Timeout)
 		}
 		out := string(o.Forward(7 * time.Millisecond))
 		if want := line[:o.timeoutStart] + "7" + line[o.timeoutEnd:]; o.timeoutEnd > 0 && out != want+"\r\n" || o.timeoutEnd == 0 && out != line+"\r\n" {
@@ -84,13 +84,12 @@
 	})
 }
 
-// A client that leaves less time than the unit that is counted in leaves some all the same: none would stand for
-// one that does not say, and it would be answered seconds after its time.
+// A timeout below a microsecond is not rounded to 0, which stands for no timeout.
 func TestParseOpening_LeastTimeout_IsNotZero(t *testing.T) {
 	for _, d := range []string{"0.0001", "0.0004", "0.001", "1"} {
 		_, o, err := ParseOpening([]byte("OPEN id key c=chat,d=" + d))
 		if err != nil || o.Timeout <= 0 {
-			t.Errorf("d=%s: waits %v, error %v", d, o.Timeout, err)
+			t.Errorf("d=%s: timeout %v, error %v", d, o.Timeout, err)
 		}
 	}
 }
--- a/internal/wire/relay_test.go
+++ b/internal/wire/relay_test.go
@@ -5,13 +5,13 @@
 	"testing"
 )
 
-// feedRelay feeds text in pieces and returns what was given out, in the order of CompleteLines' calls.
+// feedRelay feeds text in pieces and returns what CompleteLines returned, call by call.
 func feedRelay(t *testing.T, r *Relay, text string, size int) (out []string, lines int, load float64) {
 	t.Helper()
 	for len(text) > 0 {
 		space := r.Space()
 		if len(space) == 0 {
-			t.Fatal("no space and nothing to give out")
+			t.Fatal("no space and no complete line")
 		}
 		n := copy(space, text[:min(size, len(text))])
 		r.Advance(n)
@@ -37,11 +37,11 @@
 		var r Relay
 		out, lines, load := feedRelay(t, &r, text, size)
 		if strings.Join(out, "") != text {
-			t.Errorf("in pieces of %d: given out as %q", size, out)
+			t.Errorf("in pieces of %d: returned as %q", size, out)
 		}
 		for _, chunk := range out {
 			if !strings.HasSuffix(chunk, "\n") {
-				t.Errorf("in pieces of %d: a MOVE could stand inside a line: %q", size, chunk)
+				t.Errorf("in pieces of %d: a chunk ends within a line: %q", size, chunk)
 			}
 		}
 		if lines != 4 || load != 20 || r.Last() != ResponseClosed || !r.AtLineBoundary() {
@@ -51,7 +51,7 @@
 	}
 }
 
-// A line without an end must not hold the connection for ever, and is not the place for a MOVE.
+// A line without an end does not block the connection, and the node's own line cannot stand within it.
 func TestRelay_LineFillsBuffer_IsPassedOn(t *testing.T) {
 	var r Relay
 	defer r.Release()
@@ -90,7 +90,7 @@
 		defer r.Release()
 		out, _, _ := feedRelay(t, &r, text, int(size)+1)
 		if got := strings.Join(out, "") + string(r.Buffered()); got != text {
-			t.Errorf("given out as %q", got)
+			t.Errorf("returned as %q", got)
 		}
 	})
 }
--- a/internal/wire/response_test.go
+++ b/internal/wire/response_test.go
@@ -9,7 +9,7 @@
 	for after, want := range map[time.Duration]string{0: "BUSY\r\n", -1: "BUSY\r\n", time.Microsecond: "BUSY 1\r\n",
 		1500 * time.Microsecond: "BUSY 2\r\n", time.Second: "BUSY 1000\r\n"} {
 		if got := Rejection(after); got != want {
-			t.Errorf("%v is told as %q, want %q", after, got, want)
+			t.Errorf("%v is written as %q, want %q", after, got, want)
 		}
 	}
 }
--- a/internal/wire/watchstream_test.go
+++ b/internal/wire/watchstream_test.go
@@ -71,11 +71,11 @@
 	}
 }
 
-// A whole answer may have line ends anywhere, and its connection's end may be its only end.
+// A complete body may have line ends anywhere, and may end with its connection alone.
 func TestWatchStream_Closed_SaysIfComplete(t *testing.T) {
 	for _, c := range []struct {
-		name, text   string
-		ended, whole bool
+		name, text      string
+		ended, complete bool
 	}{
 		{"a stated length", responseHead + "Content-Length: 4\r\n\r\n{\n}\n", true, true},
 		{"half of a stated length", responseHead + "Content-Length: 9\r\n\r\n{\n}\n", false, false},
@@ -85,10 +85,10 @@
 		{"half a head", responseHead, false, false},
 	} {
 		var s WatchStream
-		if err := s.Feed([]byte(c.text)); err != nil || s.Ended() != c.ended || s.Closed() != c.whole {
-			t.Errorf("%s: ended %v, whole %v, error %v", c.name, s.Ended(), s.Closed(), err)
+		if err := s.Feed([]byte(c.text)); err != nil || s.Ended() != c.ended || s.Closed() != c.complete {
+			t.Errorf("%s: ended %v, complete %v, error %v", c.name, s.Ended(), s.Closed(), err)
 		}
-		if body := string(s.Body()); c.whole && body != "{\n}\n" {
+		if body := string(s.Body()); c.complete && body != "{\n}\n" {
 			t.Errorf("%s: %q", c.name, body)
 		}
 	}
@@ -98,15 +98,16 @@
 	f.Add(responseHead+"Transfer-Encoding: chunked\r\n\r\n3\r\n{}\n\r\n0\r\n\r\n", uint8(4))
 	f.Add("HTTP/1.1 200\r\nContent-Length: 2\r\n\r\n{}", uint8(1))
 	f.Fuzz(func(t *testing.T, text string, size uint8) {
-		_, whole, err := feedStream(text, len(text)+1)
+		_, atOnce, err := feedStream(text, len(text)+1)
 		_, parts, err2 := feedStream(text, int(size)+1)
-		if (err == nil) != (err2 == nil) || err == nil && fmt.Sprint(whole) != fmt.Sprint(parts) {
-			t.Errorf("whole %q %v, in parts %q %v", whole, err, parts, err2)
+		if (err == nil) != (err2 == nil) || err == nil && fmt.Sprint(atOnce) != fmt.Sprint(parts) {
+			t.Errorf("at once %q %v, in pieces %q %v", atOnce, err, parts, err2)
 		}
 	})
 }
 
-// However an answer is cut into pieces, its objects come out whole, on one line or many, and beats between them.
+// However a response is cut into pieces, its objects come out complete, on one line or several, with the heartbeats
+// between them.
 func TestWatchStream_AnyPieces_GiveCompleteObjects(t *testing.T) {
 	const head = "HTTP/1.1 200 OK\r\n\r\n"
 	body := "{\"a\":\"}\\\"{\"}\r\n\r\n{\n \"b\": [1,\n\n  {\"c\":2}]\n}\n\n\nnonsense }\n{\"d\":[}"
