--- a/balancer/polling_test.go
+++ b/balancer/polling_test.go
@@ -123,71 +123,106 @@
 	}
 }
 
-// The endpoint list works through calls in turn, also through those that timed out meanwhile. Nodes that start at
-// the same time must not keep it busy with calls that nobody waits for.
-func TestPolling_ManyStarts_AllGetTheList(t *testing.T) {
-	const nodes, each, patience = 80, 60 * ms, 2 * time.Second
-	type call struct {
-		from   int
-		at     time.Duration
-		failed bool
-	}
-	all := make([]*Balancer, nodes)
-	start := func(i int) {
-		s := testSettings()
-		s.Seed, s.NodeIndex, s.NodeCount = uint64(i)+1, i, nodes
-		all[i] = newWarmNode(t, s, 10)
-	}
-	var queue []*call
-	last := make([]time.Duration, nodes)
-	run := func(from, to time.Duration) (unlearnt int) {
-		for now := from; now < to; now += each {
-			for i, n := range all {
-				for _, a := range n.Handle(now, Timer{Token: sweepToken}) {
-					if _, ok := a.(WatchList); ok {
-						queue, last[i] = append(queue, &call{from: i, at: now}), now
-					}
-				}
-				if !n.polling.watching && now-last[i] > n.settings.PollInterval && now-from > n.settings.PollInterval {
-					t.Fatalf("node %d has not polled since %v, at %v", i, last[i], now)
-				}
-			}
-			for _, c := range queue {
-				if !c.failed && now >= c.at+patience {
-					c.failed = true
-					all[c.from].Handle(now, ListEvent{Kind: ListFailed})
-				}
-			}
-			if len(queue) > 0 {
-				c := queue[0]
-				if queue = queue[1:]; !c.failed {
-					all[c.from].Handle(now, ListEvent{Kind: ListSnapshot, Revision: 2, Servers: testFleet(10)})
-				}
-			}
+const (
+	listCallCost    = 60 * ms         // of the simulated endpoint list
+	listCallTimeout = 2 * time.Second // of its callers
+)
+
+// listCall is a poll that the simulated endpoint list has not answered yet.
+type listCall struct {
+	from   int
+	at     time.Duration
+	failed bool // timed out
+}
+
+// listSim is an endpoint list that works through the calls of many nodes in turn, also through those that timed out.
+type listSim struct {
+	t        *testing.T
+	nodes    []*Balancer
+	lastPoll []time.Duration
+	queue    []*listCall
+}
+
+func (l *listSim) start(i int) {
+	s := testSettings()
+	s.Seed = uint64(i) + 1
+	s.NodeIndex = i
+	s.NodeCount = len(l.nodes)
+	l.nodes[i] = newWarmNode(l.t, s, 10)
+}
+
+// run returns the number of nodes that have no open watch at the end.
+func (l *listSim) run(from, to time.Duration) (withoutWatch int) {
+	for now := from; now < to; now += listCallCost {
+		l.poll(from, now)
+		l.failTimedOut(now)
+		l.answerNext(now)
+	}
+	for _, n := range l.nodes {
+		if !n.polling.watching {
+			withoutWatch++
 		}
-		for _, n := range all {
-			if !n.polling.watching {
-				unlearnt++
+	}
+	return withoutWatch
+}
+
+// poll has all nodes do their housekeeping and queues their polls.
+func (l *listSim) poll(from, now time.Duration) {
+	for i, n := range l.nodes {
+		for _, a := range n.Handle(now, Timer{Token: sweepToken}) {
+			if _, ok := a.(WatchList); ok {
+				l.queue = append(l.queue, &listCall{from: i, at: now})
+				l.lastPoll[i] = now
 			}
 		}
-		return unlearnt
+		interval := n.settings.PollInterval
+		if !n.polling.watching && now-l.lastPoll[i] > interval && now-from > interval {
+			l.t.Fatalf("node %d has not polled since %v, at %v", i, l.lastPoll[i], now)
+		}
+	}
+}
+
+func (l *listSim) failTimedOut(now time.Duration) {
+	for _, c := range l.queue {
+		if !c.failed && now >= c.at+listCallTimeout {
+			c.failed = true
+			l.nodes[c.from].Handle(now, ListEvent{Kind: ListFailed})
+		}
 	}
-	for i := range all {
-		start(i)
+}
+
+// answerNext works through one call; the answer to one that timed out is lost.
+func (l *listSim) answerNext(now time.Duration) {
+	if len(l.queue) == 0 {
+		return
+	}
+	call := l.queue[0]
+	l.queue = l.queue[1:]
+	if !call.failed {
+		l.nodes[call.from].Handle(now, ListEvent{Kind: ListSnapshot, Revision: 2, Servers: testFleet(10)})
+	}
+}
+
+// Nodes that start at the same time must not keep the endpoint list busy with calls that nobody waits for.
+func TestPolling_ManyStarts_AllGetTheList(t *testing.T) {
+	const nodes = 80
+	list := &listSim{t: t, nodes: make([]*Balancer, nodes), lastPoll: make([]time.Duration, nodes)}
+	for i := range nodes {
+		list.start(i)
 	}
-	if n := run(0, 8*time.Second); n > 0 {
+	if n := list.run(0, 8*time.Second); n > 0 {
 		t.Errorf("%d of %d nodes have no list after 8 s", n, nodes)
 	}
 	for i := range nodes * 7 / 10 {
-		start(i)
+		list.start(i)
 	}
-	if n := run(8*time.Second, 16*time.Second); n > 0 {
+	if n := list.run(8*time.Second, 16*time.Second); n > 0 {
 		t.Errorf("%d have none 8 s after seven in ten were restarted", n)
 	}
-	for _, n := range all { // the service goes down, and with it every watch
+	for _, n := range list.nodes { // the service goes down, and with it every watch
 		n.Handle(16*time.Second, ListEvent{Kind: ListFailed})
 	}
-	if n := run(16*time.Second, 24*time.Second); n > 0 {
+	if n := list.run(16*time.Second, 24*time.Second); n > 0 {
 		t.Errorf("%d have none 8 s after all watches broke", n)
 	}
 }
