--- a/balancer/slowstart_fleet_test.go
+++ b/balancer/slowstart_fleet_test.go
@@ -8,95 +8,139 @@
 	"time"
 )
 
-// playSlowStart runs a fleet of nodes to which one starting server is added. worst is the highest number of sends
-// to it in any window, beyond the budget of the settings and two calls, in roots of that budget; got is the part of
-// its even share of the arrivals that it got. rate is what arrives at each node, a second, and is multiplied by
-// burst after three seconds. quotaFactor multiplies the quotas in the nodes' settings, to check that the test sees
-// too large a budget.
-func playSlowStart(nodes, hosts int, seed uint64, rate, burst, quotaFactor float64) (worst, got float64) {
-	quota := 60 * float64(hosts)
+// slowStartRun plays a fleet of nodes to which one starting server is added.
+type slowStartRun struct {
+	nodes, servers int
+	seed           uint64
+	rate           float64 // arrivals at each node, a second
+	burst          float64 // multiplies the rate after three seconds
+	quotaFactor    float64 // multiplies the quotas in the nodes' settings, to check that the test sees too large a budget
+}
+
+// slowStartResult is what a run shows.
+type slowStartResult struct {
+	worst float64 // most sends to the server in any window, beyond the budget and two calls, in roots of that budget
+	got   float64 // what the server got, as a part of its even share of the arrivals
+}
+
+// play runs the fleet until the server has warmed up.
+func (p slowStartRun) play() slowStartResult {
+	const begin = time.Hour
+	startedAt := begin + 5*time.Second
+	quota := 60 * float64(p.servers)
 	s := testSettings()
-	s.Seed, s.NodeCount, s.PollList = seed, nodes, false
+	s.Seed = p.seed
+	s.NodeCount = p.nodes
+	s.PollList = false
 	s.Classes = s.Classes[:1]
-	s.Tenants = []Tenant{{ConnectionQuota: quota * quotaFactor}}
-	rng := rand.New(rand.NewPCG(seed, 7))
-	fleet := make([]*Balancer, nodes)
-	servers := testFleet(hosts)
-	for i := range fleet {
-		s.NodeIndex = i
-		fleet[i] = New(s)
-		fleet[i].Handle(time.Hour, ListEvent{Kind: ListSnapshot, Revision: 1, Servers: servers[1:]})
+	s.Tenants = []Tenant{{ConnectionQuota: quota * p.quotaFactor}}
+	fleet := &slowStartFleet{
+		rng:     rand.New(rand.NewPCG(p.seed, 7)),
+		servers: testFleet(p.servers),
 	}
-	at := time.Hour + 5*time.Second
-	servers[0].StartedAt = at
-	listed := false
-	var calls []time.Duration
-	budget := func(now time.Duration) float64 {
-		factor := capacityFraction(s, now-at)
-		perServer := quota / float64(hosts) * max(1, 2*factor)
-		return s.CollapseMultiple * perServer * s.CollapseWindow.Seconds() / s.SlowStartDuration.Seconds()
+	for i := range p.nodes {
+		s.NodeIndex = i
+		node := New(s)
+		node.Handle(begin, ListEvent{Kind: ListSnapshot, Revision: 1, Servers: fleet.servers[1:]})
+		fleet.nodes = append(fleet.nodes, node)
 	}
-	n, arrivals := 0, 0
-	for now := time.Hour; now < at+s.SlowStartDuration; now += 10 * ms {
-		if !listed && now >= at {
-			listed = true
-			for _, b := range fleet {
-				b.Handle(now, ListEvent{Kind: ListDelta, Revision: 2, Servers: servers[:1]})
-			}
+	fleet.servers[0].StartedAt = startedAt
+	worst := 0.0
+	for now := begin; now < startedAt+s.SlowStartDuration; now += 10 * ms {
+		rate := p.rate
+		if now >= startedAt+3*time.Second {
+			rate *= p.burst
 		}
-		r := rate
-		if now >= at+3*time.Second {
-			r *= burst
+		fleet.step(now, rate)
+		if fleet.listed {
+			perServer := quota / float64(p.servers) * max(1, 2*capacityFraction(s, now-startedAt))
+			budget := s.CollapseMultiple * perServer * s.CollapseWindow.Seconds() / s.SlowStartDuration.Seconds()
+			sent := float64(fleet.sentSince(now - s.CollapseWindow))
+			worst = max(worst, (sent-2-budget)/math.Sqrt(budget))
 		}
-		for i, b := range fleet {
-			if int(now/(10*ms))%20 == i%20 {
-				b.Handle(now, Timer{Token: sweepToken})
-			}
-			for expected := r * 0.01; rng.Float64() < expected; expected-- {
-				if n++; listed {
-					arrivals++
-				}
-				id := RequestID(fmt.Sprint("r", n))
-				for _, q := range sends(b.Handle(now, Arrival{ID: id, Key: string(id), Tenant: 0, TimeLeft: 2 * time.Second})) {
-					if q.Server == servers[0].ID {
-						calls = append(calls, now)
-					}
-					b.Handle(now, Established{ID: id, Server: q.Server, Took: ms})
-					b.Handle(now, AttemptEnded{ID: id, Server: q.Server, Took: ms, Outcome: Served})
-				}
-			}
+	}
+	evenShare := float64(fleet.arrivals) / float64(p.servers)
+	return slowStartResult{worst: worst, got: float64(len(fleet.sendTimes)) / evenShare}
+}
+
+// slowStartFleet is the fleet of a run. The first of its servers starts during the run.
+type slowStartFleet struct {
+	rng       *rand.Rand
+	nodes     []*Balancer
+	servers   []Server
+	listed    bool // the nodes know of the starting server
+	requests  int
+	arrivals  int             // since it was listed
+	sendTimes []time.Duration // to the starting server
+}
+
+// step has clients arrive at all nodes for 10 ms.
+func (f *slowStartFleet) step(now time.Duration, rate float64) {
+	if !f.listed && now >= f.servers[0].StartedAt {
+		f.listed = true
+		for _, b := range f.nodes {
+			b.Handle(now, listDelta(f.servers[0]))
 		}
-		in := 0
-		for j := len(calls) - 1; j >= 0 && calls[j] > now-s.CollapseWindow; j-- {
-			in++
+	}
+	for i, b := range f.nodes {
+		if int(now/(10*ms))%20 == i%20 {
+			b.Handle(now, Timer{Token: sweepToken})
+		}
+		for expected := rate * 0.01; f.rng.Float64() < expected; expected-- {
+			f.arrive(now, b)
 		}
-		if listed {
-			worst = max(worst, (float64(in)-2-budget(now))/math.Sqrt(budget(now)))
+	}
+}
+
+// arrive has a client arrive at a node, whose connection ends at once.
+func (f *slowStartFleet) arrive(now time.Duration, b *Balancer) {
+	f.requests++
+	if f.listed {
+		f.arrivals++
+	}
+	id := RequestID(fmt.Sprint("r", f.requests))
+	for _, send := range sends(b.Handle(now, Arrival{ID: id, Key: string(id), TimeLeft: 2 * time.Second})) {
+		if send.Server == f.servers[0].ID {
+			f.sendTimes = append(f.sendTimes, now)
 		}
+		b.Handle(now, Established{ID: id, Server: send.Server, Took: ms})
+		b.Handle(now, AttemptEnded{ID: id, Server: send.Server, Took: ms, Outcome: Served})
+	}
+}
+
+// sentSince counts the sends to the starting server after a time.
+func (f *slowStartFleet) sentSince(start time.Duration) int {
+	n := 0
+	for i := len(f.sendTimes) - 1; i >= 0 && f.sendTimes[i] > start; i-- {
+		n++
 	}
-	return worst, float64(len(calls)) / (float64(arrivals) / float64(hosts))
+	return n
 }
 
 // The budgets of all nodes add up to no more than a starting server bears, however many nodes there are and however
 // little comes to each. Where less comes than that, the server gets most of its part.
 func TestSlowStart_WholeFleet_KeepsBudget(t *testing.T) {
 	for _, c := range []struct {
-		nodes, hosts       int
-		rate, burst, least float64 // least is the part of the arrivals that the server must get; 0 where the budget is less
+		nodes, servers     int
+		rate, burst, least float64 // least is the part that the server must get; 0 where the budget is less
 	}{
-		{5, 4, 2, 1, 0.5}, {5, 4, 40, 1, 0}, {20, 4, 0.5, 1, 0.5}, {20, 4, 1, 10, 0}, {30, 4, 0.5, 1, 0.5}, {30, 4, 1, 10, 0},
-		{300, 60, 0.3, 1, 0.5}, {300, 4, 0.1, 1, 0}, {300, 4, 0.1, 20, 0}, {300, 60, 0.3, 20, 0},
+		{5, 4, 2, 1, 0.5}, {5, 4, 40, 1, 0},
+		{20, 4, 0.5, 1, 0.5}, {20, 4, 1, 10, 0},
+		{30, 4, 0.5, 1, 0.5}, {30, 4, 1, 10, 0},
+		{300, 60, 0.3, 1, 0.5}, {300, 4, 0.1, 1, 0},
+		{300, 4, 0.1, 20, 0}, {300, 60, 0.3, 20, 0},
 	} {
 		for seed := range uint64(4) {
-			worst, got := playSlowStart(c.nodes, c.hosts, seed, c.rate, c.burst, 1)
-			t.Logf("%d nodes, %d hosts, %g a second each, then %g times, seed %d: %.2f roots over the budget, %.2f of its part",
-				c.nodes, c.hosts, c.rate, c.burst, seed, worst, got)
-			if worst > 2 || got < c.least {
+			run := slowStartRun{c.nodes, c.servers, seed, c.rate, c.burst, 1}
+			result := run.play()
+			t.Logf("%+v: %.2f roots over the budget, %.2f of its part", run, result.worst, result.got)
+			if result.worst > 2 || result.got < c.least {
 				t.Error("the run logged before is out of its bounds")
 			}
 		}
 	}
-	if worst, _ := playSlowStart(30, 4, 1, 10, 1, 4); worst <= 2 {
+	tooMuch := slowStartRun{nodes: 30, servers: 4, seed: 1, rate: 1, burst: 10, quotaFactor: 4}
+	if worst := tooMuch.play().worst; worst <= 2 {
 		t.Errorf("budgets four times too large are not detected: %.2f roots over", worst)
 	}
 }
