--- /dev/null
+++ b/balancer/helpers_test.go
@@ -0,0 +1,165 @@
+package balancer
+
+import (
+	"fmt"
+	"testing"
+	"time"
+)
+
+const ms = time.Millisecond
+
+func testSettings() Settings {
+	idempotent := Class{
+		SetupLatencyObjective:   300 * ms,
+		Deadline:                2 * time.Second,
+		MessageLatencyObjective: 100 * ms,
+		PriorityWeight:          1,
+	}
+	return Settings{
+		Seed:          1,
+		NodeCount:     3,
+		PollList:      true,
+		PassThrough:   true,
+		MaxAttempts:   4,
+		MayCancel:     true,
+		MaxRetryAfter: 2 * time.Second,
+
+		DrainGrace:        time.Second,
+		SlowStartFraction: 0.25,
+		SlowStartDuration: 10 * time.Second,
+		CollapseMultiple:  3,
+		CollapseWindow:    time.Second,
+		PollInterval:      10 * time.Second,
+		Classes: []Class{
+			idempotent,
+			keyedClass(ScopeZone),
+			{SetupLatencyObjective: 300 * ms, Deadline: 2 * time.Second, Effect: NonIdempotent},
+			keyedClass(ScopeAll),
+			keyedClass(ScopeCell),
+		},
+	}
+}
+
+func keyedClass(scope Scope) Class {
+	return Class{
+		SetupLatencyObjective: 300 * ms,
+		Deadline:              2 * time.Second,
+		Effect:                IdempotentByKey,
+		Scope:                 scope,
+		IdempotencyWindow:     time.Second,
+	}
+}
+
+// newWarmNode returns a node with n servers that have warmed up.
+func newWarmNode(t *testing.T, s Settings, n int) *Balancer {
+	t.Helper()
+	b := New(s)
+	b.Handle(0, ListEvent{Kind: ListCached, Revision: 1, Servers: testFleet(n)})
+	return b
+}
+
+// firstEntryOf returns the first candidate entry of a request.
+func firstEntryOf(b *Balancer, r *request) int {
+	return b.candidateEntry(b.preferredEntry(r), 0)
+}
+
+func sends(actions []Action) (out []Send) {
+	for _, a := range actions {
+		if s, ok := a.(Send); ok {
+			out = append(out, s)
+		}
+	}
+	return out
+}
+
+// finalAnswers counts the final answers for a request.
+func finalAnswers(actions []Action, id RequestID) (n int, rejected bool) {
+	for _, a := range actions {
+		switch a := a.(type) {
+		case Reject:
+			if a.ID == id {
+				n++
+				rejected = true
+			}
+		case Fail:
+			if a.ID == id {
+				n++
+			}
+		}
+	}
+	return n, rejected
+}
+
+func keyOf(i int) string { return fmt.Sprint("key-", i) }
+
+// nodeWithConnections returns a node with n open connections of class 0 on each of its two servers.
+func nodeWithConnections(t *testing.T, s Settings, n int) (*Balancer, *server) {
+	t.Helper()
+	b := New(s)
+	b.Handle(0, ListEvent{Kind: ListCached, Servers: []Server{{ID: "a", Weight: 1}, {ID: "b", Weight: 1}}})
+	for i := range 2 * n {
+		id := RequestID(fmt.Sprint("open", i))
+		on := ServerID("ab"[i%2 : i%2+1])
+		b.Handle(0, Inherited{Arrival: Arrival{ID: id, Key: fmt.Sprint(i), TimeLeft: time.Hour}, Server: on})
+		b.Handle(0, LoadReport{ID: id, Load: 100})
+	}
+	return b, b.servers["a"]
+}
+
+func migrations(actions []Action) (out []RequestID) {
+	for _, a := range actions {
+		if m, ok := a.(Migrate); ok {
+			out = append(out, m.ID)
+		}
+	}
+	return out
+}
+
+// newFleetNode returns one of many nodes, with servers that have warmed up.
+func newFleetNode(t *testing.T, index, nodes, servers int) *Balancer {
+	s := testSettings()
+	s.Seed, s.NodeIndex, s.NodeCount = uint64(index)+1, index, nodes
+	return newWarmNode(t, s, servers)
+}
+
+// lowSampleNode returns a node of a large fleet, which is to have less than one connection on each of its servers.
+func lowSampleNode(t *testing.T, classes ...Class) *Balancer {
+	t.Helper()
+	s := testSettings()
+	s.NodeCount, s.Tenants = 80, []Tenant{{ConnectionQuota: 350}}
+	if len(classes) > 0 {
+		s.Classes = classes
+	}
+	b := newWarmNode(t, s, 10)
+	if !b.lowSample() {
+		t.Fatal("the node has no low sample")
+	}
+	return b
+}
+
+// establishConnection sends a request and has it succeed.
+func establishConnection(t *testing.T, b *Balancer, id RequestID, at time.Duration, took time.Duration, midFlow bool) {
+	t.Helper()
+	sent := sends(b.Handle(at, Arrival{ID: id, Key: string(id), TimeLeft: time.Second, MidFlow: midFlow}))
+	if len(sent) != 1 {
+		t.Fatalf("%s was not sent", id)
+	}
+	b.Handle(at+took, Established{ID: id, Server: sent[0].Server, Took: took})
+}
+
+func testFleet(n int) (out []Server) {
+	for i := range n {
+		out = append(out, Server{ID: ServerID(fmt.Sprintf("s%02d", i)), Weight: 1 + float64(i%3)})
+	}
+	return out
+}
+
+// listDelta is a change of the list after the first one.
+func listDelta(servers ...Server) ListEvent {
+	return ListEvent{Kind: ListDelta, Revision: 2, Servers: servers}
+}
+
+// capacityFraction is the part of its capacity that a server has at an age, by the settings.
+func capacityFraction(s Settings, age time.Duration) float64 {
+	return min(1, s.SlowStartFraction+(1-s.SlowStartFraction)*float64(age)/float64(s.SlowStartDuration))
+}
--- /dev/null
+++ b/balancer/overload_test.go
@@ -0,0 +1,163 @@
+package balancer
+
+import (
+	"fmt"
+	"testing"
+	"time"
+)
+
+// The slope of the message latency shows how much more a server is asked than it can do; what is over its limit is
+// migrated.
+func TestLatency_LateMessages_ReduceLimit(t *testing.T) {
+	b, s := nodeWithConnections(t, testSettings(), 20)
+	// Half a second of work piles up in a second: its load is 1.5 times its capacity.
+	out := b.Handle(time.Second, LatencyReport{ID: "open0", Latency: 500 * ms})
+	if want := 2000 * headroom / 1.5; s.loadLimit < want*0.99 || s.loadLimit > want*1.01 {
+		t.Errorf("limit %.0f, want %.0f", s.loadLimit, want)
+	}
+	if n := len(migrations(out)); n != 8 {
+		t.Errorf("%d of 20 connections migrated, want 8", n)
+	}
+	// The backlog falls by a third of a second in a second: that is fast enough.
+	before := s.loadLimit
+	out = b.Handle(2*time.Second, LatencyReport{ID: "open0", Latency: 160 * ms})
+	if len(migrations(out)) != 0 || s.loadLimit != before {
+		t.Error("a shrinking backlog reduced the limit again")
+	}
+	// Long after, the limit has grown back.
+	b.now = 2*time.Second + b.derived.limitRecovery
+	if b.exceedsLimit(s, &request{}, 100) {
+		t.Error("the limit does not grow back")
+	}
+}
+
+// A server whose latency nears the objective sheds a little load at once: a node with few connections there learns
+// of it by its own messages alone.
+func TestLatency_NearObjective_ShedsALittle(t *testing.T) {
+	objective := testSettings().Classes[0].MessageLatencyObjective
+	b, s := nodeWithConnections(t, testSettings(), 20)
+	if out := b.Handle(time.Second, LatencyReport{ID: "open0", Latency: objective / 3}); len(migrations(out)) != 0 {
+		t.Errorf("%d migrated well below the objective", len(migrations(out)))
+	}
+	out := b.Handle(2*time.Second, LatencyReport{ID: "open0", Latency: objective * 9 / 20})
+	if n := len(migrations(out)); n < 2 || n > 6 || s.loadLimit == 0 {
+		t.Errorf("%d of 20 migrated, limit %.0f: want a few", n, s.loadLimit)
+	}
+}
+
+// When the whole fleet is overloaded, what exceeds the limits is rejected at once, the classes of least value for
+// their load first.
+func TestAdmission_OverloadedFleet_RejectsLeastValueFirst(t *testing.T) {
+	set := testSettings()
+	set.Classes[1].PriorityWeight = 1
+	b, _ := nodeWithConnections(t, set, 20)
+	b.loads.byClass[0], b.loads.byClass[1] = 100, 1000 // the second class costs ten times as much for the same weight
+	for _, id := range []RequestID{"open0", "open1"} {
+		b.Handle(time.Second, LatencyReport{ID: id, Latency: 400 * ms})
+	}
+	fits := func(class int) bool {
+		r := &request{Arrival: Arrival{Class: class, Tenant: len(b.counts.byTenant) - 1}}
+		return !b.exceedsLimit(b.servers["a"], r, 100) || !b.exceedsLimit(b.servers["b"], r, 100)
+	}
+	for _, s := range b.servers {
+		s.load = 0.92 * s.loadLimit
+		s.loadLimit += 100
+	}
+	if !fits(0) || fits(1) {
+		t.Errorf("near its limit a server fits class 0: %v, class 1: %v; want true, false", fits(0), fits(1))
+	}
+	for _, s := range b.servers {
+		s.load = 2 * s.loadLimit
+	}
+	out := b.Handle(time.Second+ms, Arrival{ID: "late", Key: "k", TimeLeft: time.Second})
+	if n, rejected := finalAnswers(out, "late"); n != 1 || !rejected || len(sends(out)) != 0 {
+		t.Error("with all servers at their limit the request must be rejected at once")
+	}
+	for _, a := range out {
+		if r, ok := a.(Reject); ok && r.RetryAfter <= 0 {
+			t.Error("the rejection has no Retry-After")
+		}
+	}
+}
+
+func TestValue_TenantOverQuota_CountsLess(t *testing.T) {
+	set := testSettings()
+	set.Tenants = []Tenant{{ConnectionQuota: 9}, {ConnectionQuota: 0}}
+	set.OverQuotaWeight = 0.1
+	b := newWarmNode(t, set, 6)
+	r := &request{Arrival: Arrival{Tenant: 0}}
+	b.counts.byTenant[0] = 3 // its quota over three nodes
+	if v := b.relativeValue(r); v != 1 {
+		t.Errorf("value %.2f within the quota, want 1", v)
+	}
+	b.counts.byTenant[0] = 4
+	if v := b.relativeValue(r); v < 0.09 || v > 0.11 {
+		t.Errorf("value %.2f over the quota, want 0.1", v)
+	}
+	b.counts.byTenant[1] = 1000
+	if v := b.relativeValue(&request{Arrival: Arrival{Tenant: 1}}); v != 1 {
+		t.Errorf("value %.2f for a tenant without a known quota, want 1", v)
+	}
+	// Tenants that the settings do not know are no fault.
+	for i, tenant := range []int{-3, 2, 99} {
+		id := RequestID(fmt.Sprint("t", i))
+		if out := sends(b.Handle(0, Arrival{ID: id, Tenant: tenant, Key: "k", TimeLeft: time.Second})); len(out) != 1 {
+			t.Errorf("a request of tenant %d was not sent", tenant)
+		}
+		b.Handle(0, Established{ID: id, Took: ms}) // one that has just started has few set-ups under way
+	}
+}
+
+// A server that resets most of its connections at once is limited and ejected, so that the clients that reconnect
+// go elsewhere. One reset of many shows nothing.
+func TestResets_MostConnections_LimitServer(t *testing.T) {
+	b, s := nodeWithConnections(t, testSettings(), 20)
+	broken := func(at time.Duration, from, to int) {
+		for i := from; i < to; i += 2 {
+			b.Handle(at, AttemptEnded{ID: RequestID(fmt.Sprint("open", i)), Server: "a", Outcome: ConnectionReset, Final: true})
+		}
+	}
+	broken(time.Second, 0, 2)
+	if s.loadLimit != 0 || b.isEjected(s) {
+		t.Fatal("one reset connection of twenty limits its server")
+	}
+	broken(3*time.Second, 2, 40)
+	if want := 1900 * headroom / 2; s.loadLimit != want || !b.isEjected(s) {
+		t.Errorf("limit %.0f, ejected %v; want %.0f, true", s.loadLimit, b.isEjected(s), want)
+	}
+	for i := range 20 {
+		a := Arrival{ID: RequestID(fmt.Sprint("back", i)), Key: fmt.Sprint(2 * i), TimeLeft: time.Second, Reconnect: true}
+		for _, send := range sends(b.Handle(3*time.Second+100*ms, a)) {
+			if send.Server == "a" {
+				t.Errorf("%s is sent to the server that has just reset all its connections", a.ID)
+			}
+		}
+	}
+	if b.now = 3*time.Second + b.derived.limitRecovery; b.isEjected(s) || b.exceedsLimit(s, &request{}, 100) {
+		t.Error("the limit does not grow back")
+	}
+	// Of two connections that a server had here both broken is no chance; of one it may well be.
+	b, s = nodeWithConnections(t, testSettings(), 1)
+	if broken(time.Second, 0, 1); s.loadLimit != 0 {
+		t.Error("the reset of the only connection limits the server")
+	}
+}
+
+// Of many nodes that each have one connection on an overloaded server, some migrate theirs, neither all nor none.
+func TestLatency_ManyNodes_MigrateTheirPart(t *testing.T) {
+	const nodes = 400
+	moved := 0
+	for i := range nodes {
+		b := newFleetNode(t, i, nodes, 8)
+		b.Handle(0, Arrival{ID: "r", Key: "k", TimeLeft: time.Second})
+		b.Handle(ms, Established{ID: "r", Took: ms})
+		for _, a := range b.Handle(time.Second, LatencyReport{ID: "r", Latency: 80 * ms}) {
+			if _, ok := a.(Migrate); ok {
+				moved++
+			}
+		}
+	}
+	if moved < nodes/20 || moved > nodes*2/3 {
+		t.Errorf("%d of %d nodes migrate their one connection", moved, nodes)
+	}
+}
--- /dev/null
+++ b/balancer/polling_test.go
@@ -0,0 +1,228 @@
+package balancer
+
+import (
+	"testing"
+	"time"
+)
+
+func TestPolling_Failures_BackOffAndRecover(t *testing.T) {
+	b := New(testSettings())
+	watches := 0
+	run := func(from, to time.Duration) {
+		for now := from; now < to; now += sweepInterval {
+			for _, a := range b.Handle(now, Timer{Token: sweepToken}) {
+				if _, ok := a.(WatchList); ok {
+					watches++
+				}
+			}
+		}
+	}
+	run(0, 2*time.Second)
+	if watches != 1 {
+		t.Fatalf("polled %d times at the start, want once", watches)
+	}
+	b.Handle(2*time.Second, ListEvent{Kind: ListFailed})
+	run(2*time.Second, 9*time.Second)
+	if watches != 2 {
+		t.Fatalf("polled %d times after one failure, want twice", watches)
+	}
+	b.Handle(9*time.Second, ListEvent{Kind: ListSnapshot, Revision: 3, Servers: testFleet(3)})
+	run(9*time.Second, 60*time.Second)
+	if watches != 2 {
+		t.Error("polled during an open watch")
+	}
+	b.Handle(60*time.Second, ListEvent{Kind: ListFailed}) // the watch broke
+	run(60*time.Second, 70*time.Second)
+	if watches != 3 {
+		t.Error("not polled after the watch broke")
+	}
+	push := testSettings()
+	push.PollList = false
+	b, watches = New(push), 0
+	run(0, 5*time.Second)
+	if watches != 0 {
+		t.Error("a pushed list was polled")
+	}
+}
+
+// Whatever polls failed before, and however many nodes there are, the next poll comes within MaxRepollDelay, or
+// twice that less the time that the failed one took; the first of a node within 4 s.
+func TestPolling_AnyFailures_RepollInTime(t *testing.T) {
+	for _, nodes := range []int{1, 3, 25, 40, 300, 3000} {
+		for _, within := range []time.Duration{time.Second, 10 * time.Second, time.Minute} {
+			for _, took := range []time.Duration{0, time.Second, 3 * time.Second} {
+				s := testSettings()
+				s.NodeCount, s.PollInterval = nodes, max(within, 4*time.Second)
+				worst := time.Duration(0)
+				for seed := range uint64(10) {
+					s.Seed = seed
+					b := newWarmNode(t, s, 3)
+					now, since, failsAt := time.Duration(0), time.Duration(0), time.Hour
+					for fails := 0; fails < 12; now += 10 * ms {
+						if now >= failsAt {
+							b.Handle(now, ListEvent{Kind: ListFailed})
+							since, failsAt = now, time.Hour
+						}
+						polled := false
+						for _, a := range b.Handle(now, Timer{Token: sweepToken}) {
+							_, watch := a.(WatchList)
+							polled = polled || watch
+						}
+						if !polled {
+							continue
+						}
+						if limit := 4*time.Second + sweepInterval; fails == 0 && now-since > limit {
+							t.Fatalf("%d nodes, %v: first polled after %v", nodes, within, now-since)
+						}
+						if fails > 0 {
+							worst = max(worst, now-since)
+						}
+						fails++
+						failsAt = now + took
+					}
+				}
+				if limit := max(MaxRepollDelay, 2*MaxRepollDelay-took); worst > limit {
+					t.Errorf("%d nodes, %v, calls that take %v: polled again after %v, want at most %v", nodes, within, took, worst, limit)
+				}
+			}
+		}
+	}
+}
+
+// The endpoint list has a fixed capacity for all nodes: polls at the start, and after a failure for all at once,
+// must not be synchronized.
+func TestPolling_ManyNodes_Spread(t *testing.T) {
+	const nodes = 160
+	var all []*Balancer
+	for i := range nodes {
+		all = append(all, newFleetNode(t, i, nodes, 60))
+	}
+	calls := func(from, to time.Duration) (highest int) {
+		per := map[time.Duration]int{}
+		for now := from; now < to; now += 20 * ms {
+			for _, n := range all {
+				if now%sweepInterval != 0 {
+					continue
+				}
+				for _, a := range n.Handle(now, Timer{Token: sweepToken}) {
+					if _, ok := a.(WatchList); ok {
+						per[now.Truncate(100*ms)]++
+						n.Handle(now, ListEvent{Kind: ListFailed})
+					}
+				}
+			}
+		}
+		for _, n := range per {
+			highest = max(highest, n)
+		}
+		return highest
+	}
+	calls(20*ms, 20*time.Second)
+	if highest := calls(20*time.Second, 60*time.Second); highest > nodes/4 {
+		t.Errorf("%d of %d nodes poll in the same tenth of a second after failures", highest, nodes)
+	}
+}
+
+const (
+	listCallCost    = 60 * ms         // of the simulated endpoint list
+	listCallTimeout = 2 * time.Second // of its callers
+)
+
+// listCall is a poll that the simulated endpoint list has not answered yet.
+type listCall struct {
+	from   int
+	at     time.Duration
+	failed bool // timed out
+}
+
+// listSim is an endpoint list that works through the calls of many nodes in turn, also through those that timed out.
+type listSim struct {
+	t        *testing.T
+	nodes    []*Balancer
+	lastPoll []time.Duration
+	queue    []*listCall
+}
+
+func (l *listSim) start(i int) {
+	s := testSettings()
+	s.Seed = uint64(i) + 1
+	s.NodeIndex = i
+	s.NodeCount = len(l.nodes)
+	l.nodes[i] = newWarmNode(l.t, s, 10)
+}
+
+// run returns the number of nodes that have no open watch at the end.
+func (l *listSim) run(from, to time.Duration) (withoutWatch int) {
+	for now := from; now < to; now += listCallCost {
+		l.poll(from, now)
+		l.failTimedOut(now)
+		l.answerNext(now)
+	}
+	for _, n := range l.nodes {
+		if !n.polling.watching {
+			withoutWatch++
+		}
+	}
+	return withoutWatch
+}
+
+// poll has all nodes do their housekeeping and queues their polls.
+func (l *listSim) poll(from, now time.Duration) {
+	for i, n := range l.nodes {
+		for _, a := range n.Handle(now, Timer{Token: sweepToken}) {
+			if _, ok := a.(WatchList); ok {
+				l.queue = append(l.queue, &listCall{from: i, at: now})
+				l.lastPoll[i] = now
+			}
+		}
+		interval := n.settings.PollInterval
+		if !n.polling.watching && now-l.lastPoll[i] > interval && now-from > interval {
+			l.t.Fatalf("node %d has not polled since %v, at %v", i, l.lastPoll[i], now)
+		}
+	}
+}
+
+func (l *listSim) failTimedOut(now time.Duration) {
+	for _, c := range l.queue {
+		if !c.failed && now >= c.at+listCallTimeout {
+			c.failed = true
+			l.nodes[c.from].Handle(now, ListEvent{Kind: ListFailed})
+		}
+	}
+}
+
+// answerNext works through one call; the answer to one that timed out is lost.
+func (l *listSim) answerNext(now time.Duration) {
+	if len(l.queue) == 0 {
+		return
+	}
+	call := l.queue[0]
+	l.queue = l.queue[1:]
+	if !call.failed {
+		l.nodes[call.from].Handle(now, ListEvent{Kind: ListSnapshot, Revision: 2, Servers: testFleet(10)})
+	}
+}
+
+// Nodes that start at the same time must not keep the endpoint list busy with calls that nobody waits for.
+func TestPolling_ManyStarts_AllGetTheList(t *testing.T) {
+	const nodes = 80
+	list := &listSim{t: t, nodes: make([]*Balancer, nodes), lastPoll: make([]time.Duration, nodes)}
+	for i := range nodes {
+		list.start(i)
+	}
+	if n := list.run(0, 8*time.Second); n > 0 {
+		t.Errorf("%d of %d nodes have no list after 8 s", n, nodes)
+	}
+	for i := range nodes * 7 / 10 {
+		list.start(i)
+	}
+	if n := list.run(8*time.Second, 16*time.Second); n > 0 {
+		t.Errorf("%d have none 8 s after seven in ten were restarted", n)
+	}
+	for _, n := range list.nodes { // the service goes down, and with it every watch
+		n.Handle(16*time.Second, ListEvent{Kind: ListFailed})
+	}
+	if n := list.run(16*time.Second, 24*time.Second); n > 0 {
+		t.Errorf("%d have none 8 s after all watches broke", n)
+	}
+}
--- /dev/null
+++ b/balancer/slowstart_fleet_test.go
@@ -0,0 +1,251 @@
+package balancer
+
+import (
+	"fmt"
+	"math"
+	"math/rand/v2"
+	"testing"
+	"time"
+)
+
+// slowStartRun plays a fleet of nodes to which one starting server is added.
+type slowStartRun struct {
+	nodes, servers int
+	seed           uint64
+	rate           float64 // arrivals at each node, a second
+	burst          float64 // multiplies the rate after three seconds
+	quotaFactor    float64 // multiplies the quotas in the nodes' settings, to check that the test sees too large a budget
+}
+
+// slowStartResult is what a run shows.
+type slowStartResult struct {
+	worst float64 // most sends to the server in any window, beyond the budget and two calls, in roots of that budget
+	got   float64 // what the server got, as a part of its even share of the arrivals
+}
+
+// play runs the fleet until the server has warmed up.
+func (p slowStartRun) play() slowStartResult {
+	const begin = time.Hour
+	startedAt := begin + 5*time.Second
+	quota := 60 * float64(p.servers)
+	s := testSettings()
+	s.Seed = p.seed
+	s.NodeCount = p.nodes
+	s.PollList = false
+	s.Classes = s.Classes[:1]
+	s.Tenants = []Tenant{{ConnectionQuota: quota * p.quotaFactor}}
+	fleet := &slowStartFleet{
+		rng:     rand.New(rand.NewPCG(p.seed, 7)),
+		servers: testFleet(p.servers),
+	}
+	for i := range p.nodes {
+		s.NodeIndex = i
+		node := New(s)
+		node.Handle(begin, ListEvent{Kind: ListSnapshot, Revision: 1, Servers: fleet.servers[1:]})
+		fleet.nodes = append(fleet.nodes, node)
+	}
+	fleet.servers[0].StartedAt = startedAt
+	worst := 0.0
+	for now := begin; now < startedAt+s.SlowStartDuration; now += 10 * ms {
+		rate := p.rate
+		if now >= startedAt+3*time.Second {
+			rate *= p.burst
+		}
+		fleet.step(now, rate)
+		if fleet.listed {
+			perServer := quota / float64(p.servers) * max(1, 2*capacityFraction(s, now-startedAt))
+			budget := s.CollapseMultiple * perServer * s.CollapseWindow.Seconds() / s.SlowStartDuration.Seconds()
+			sent := float64(fleet.sentSince(now - s.CollapseWindow))
+			worst = max(worst, (sent-2-budget)/math.Sqrt(budget))
+		}
+	}
+	evenShare := float64(fleet.arrivals) / float64(p.servers)
+	return slowStartResult{worst: worst, got: float64(len(fleet.sendTimes)) / evenShare}
+}
+
+// slowStartFleet is the fleet of a run. The first of its servers starts during the run.
+type slowStartFleet struct {
+	rng       *rand.Rand
+	nodes     []*Balancer
+	servers   []Server
+	listed    bool // the nodes know of the starting server
+	requests  int
+	arrivals  int             // since it was listed
+	sendTimes []time.Duration // to the starting server
+}
+
+// step has clients arrive at all nodes for 10 ms.
+func (f *slowStartFleet) step(now time.Duration, rate float64) {
+	if !f.listed && now >= f.servers[0].StartedAt {
+		f.listed = true
+		for _, b := range f.nodes {
+			b.Handle(now, listDelta(f.servers[0]))
+		}
+	}
+	for i, b := range f.nodes {
+		if int(now/(10*ms))%20 == i%20 {
+			b.Handle(now, Timer{Token: sweepToken})
+		}
+		for expected := rate * 0.01; f.rng.Float64() < expected; expected-- {
+			f.arrive(now, b)
+		}
+	}
+}
+
+// arrive has a client arrive at a node, whose connection ends at once.
+func (f *slowStartFleet) arrive(now time.Duration, b *Balancer) {
+	f.requests++
+	if f.listed {
+		f.arrivals++
+	}
+	id := RequestID(fmt.Sprint("r", f.requests))
+	for _, send := range sends(b.Handle(now, Arrival{ID: id, Key: string(id), TimeLeft: 2 * time.Second})) {
+		if send.Server == f.servers[0].ID {
+			f.sendTimes = append(f.sendTimes, now)
+		}
+		b.Handle(now, Established{ID: id, Server: send.Server, Took: ms})
+		b.Handle(now, AttemptEnded{ID: id, Server: send.Server, Took: ms, Outcome: Served})
+	}
+}
+
+// sentSince counts the sends to the starting server after a time.
+func (f *slowStartFleet) sentSince(start time.Duration) int {
+	n := 0
+	for i := len(f.sendTimes) - 1; i >= 0 && f.sendTimes[i] > start; i-- {
+		n++
+	}
+	return n
+}
+
+// The budgets of all nodes add up to no more than a starting server bears, however many nodes there are and however
+// little comes to each. Where less comes than that, the server gets most of its part.
+func TestSlowStart_WholeFleet_KeepsBudget(t *testing.T) {
+	for _, c := range []struct {
+		nodes, servers     int
+		rate, burst, least float64 // least is the part that the server must get; 0 where the budget is less
+	}{
+		{5, 4, 2, 1, 0.5}, {5, 4, 40, 1, 0},
+		{20, 4, 0.5, 1, 0.5}, {20, 4, 1, 10, 0},
+		{30, 4, 0.5, 1, 0.5}, {30, 4, 1, 10, 0},
+		{300, 60, 0.3, 1, 0.5}, {300, 4, 0.1, 1, 0},
+		{300, 4, 0.1, 20, 0}, {300, 60, 0.3, 20, 0},
+	} {
+		for seed := range uint64(4) {
+			run := slowStartRun{c.nodes, c.servers, seed, c.rate, c.burst, 1}
+			result := run.play()
+			t.Logf("%+v: %.2f roots over the budget, %.2f of its part", run, result.worst, result.got)
+			if result.worst > 2 || result.got < c.least {
+				t.Error("the run logged before is out of its bounds")
+			}
+		}
+	}
+	tooMuch := slowStartRun{nodes: 30, servers: 4, seed: 1, rate: 1, burst: 10, quotaFactor: 4}
+	if worst := tooMuch.play().worst; worst <= 2 {
+		t.Errorf("budgets four times too large are not detected: %.2f roots over", worst)
+	}
+}
+
+// The budget binds in every window of its length, also in one that begins in the middle of two of a node's own
+// windows.
+func TestSlowStart_BurstsAroundAWindowsEnd_KeepTheBudget(t *testing.T) {
+	for _, nodes := range []int{1, 2, 3, 8} {
+		const hosts = 4
+		s := testSettings()
+		s.NodeCount, s.PollList = nodes, false
+		s.Classes = s.Classes[:1]
+		s.Tenants = []Tenant{{ConnectionQuota: 240 * hosts}}
+		servers := testFleet(hosts)
+		at := time.Hour + 5*time.Second
+		fleet := make([]*Balancer, nodes)
+		for i := range fleet {
+			s.NodeIndex, s.Seed = i, uint64(i)
+			fleet[i] = New(s)
+			fleet[i].Handle(time.Hour, ListEvent{Kind: ListSnapshot, Revision: 1, Servers: servers[1:]})
+			servers[0].StartedAt = at
+			fleet[i].Handle(at, ListEvent{Kind: ListDelta, Revision: 2, Servers: servers[:1]})
+		}
+		n, sent := 0, 0
+		arrive := func(now time.Duration, requests int) {
+			for _, b := range fleet {
+				for range requests / nodes {
+					n++
+					id := RequestID(fmt.Sprint("r", n))
+					for _, q := range sends(b.Handle(now, Arrival{ID: id, Key: string(id), Tenant: 0, TimeLeft: 2 * time.Second})) {
+						if q.Server == servers[0].ID {
+							sent++
+						}
+						b.Handle(now, Established{ID: id, Server: q.Server, Took: ms})
+						b.Handle(now, AttemptEnded{ID: id, Server: q.Server, Took: ms, Outcome: Served})
+					}
+				}
+			}
+		}
+		arrive(at+ms, 16) // each node's window begins
+		sent = 0
+		end := at + ms + s.CollapseWindow
+		arrive(end-20*ms, 1600)
+		before := sent
+		arrive(end+20*ms, 1600)
+		factor := capacityFraction(s, end-at)
+		weight := 0.0
+		for _, server := range servers {
+			weight += server.Weight
+		}
+		part := s.Tenants[0].ConnectionQuota * servers[0].Weight / weight
+		budget := s.CollapseMultiple * part * max(1, 2*factor) * s.CollapseWindow.Seconds() / s.SlowStartDuration.Seconds()
+		limit := budget + 2*math.Sqrt(budget) + 2
+		if budget < 30 {
+			limit = budget + 3*math.Sqrt(budget) + 3
+		}
+		t.Logf("%d nodes: %d and %d sent around the end of a window, %.0f allowed", nodes, before, sent-before, limit)
+		if float64(sent) > limit || sent == 0 {
+			t.Errorf("%d nodes send %d within 40 ms, %.0f are allowed in %v", nodes, sent, limit, s.CollapseWindow)
+		}
+	}
+}
+
+// The slow-start budget of a server is one for all nodes together.
+func TestSlowStart_ManyNodes_KeepBudget(t *testing.T) {
+	const nodes, servers = 160, 60
+	var all []*Balancer
+	for i := range nodes {
+		n := newFleetNode(t, i, nodes, servers)
+		n.rates.setups = 0.25 // as after a while of steady traffic
+		all = append(all, n)
+	}
+	starting := Server{ID: "s99", Weight: 2, StartedAt: time.Minute}
+	for _, n := range all {
+		n.Handle(time.Minute, listDelta(starting))
+	}
+	set := testSettings()
+	rate := 0.25 * nodes * starting.Weight / all[0].fleet.weight // what the fleet's traffic comes to for its weight
+	var sent []time.Duration
+	for step := range 1000 { // ten seconds, in which all clients reconnect again and again
+		now := time.Minute + time.Duration(step)*10*ms
+		for i, n := range all {
+			if (step+i)%50 != 0 {
+				continue
+			}
+			id := RequestID(fmt.Sprint(step, "-", i))
+			for _, s := range sends(n.Handle(now, Arrival{ID: id, Key: string(id), TimeLeft: time.Second})) {
+				if s.Server == starting.ID {
+					sent = append(sent, now)
+				}
+				n.Handle(now, AttemptEnded{ID: id, Outcome: Served, Final: true})
+			}
+		}
+	}
+	for i, from := range sent {
+		in := 0
+		for _, at := range sent[i:] {
+			if at < from+set.CollapseWindow {
+				in++
+			}
+		}
+		factor := capacityFraction(set, from-time.Minute)
+		// Chance of 160 draws: three more than the mean would be.
+		if limit := set.CollapseMultiple*factor*rate*set.CollapseWindow.Seconds() + 3; float64(in) > limit {
+			t.Fatalf("%d connections in the window from %v on, want at most %.1f", in, from-time.Minute, limit)
+		}
+	}
+}
