--- a/internal/wire/response.go
+++ b/internal/wire/response.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// The lines that a node sends to a client by itself.
+// The lines that a node sends by itself: Ping to a host, the others to a client.
 const (
 	Ping      = "PING\r\n"
 	Pong      = "PONG\r\n"
