--- a/cmd/onyxstream/agent_test.go
+++ b/cmd/onyxstream/agent_test.go
@@ -22,7 +22,7 @@
 type three struct {
 	dir, socket string
 	clock       *fakeserver.Clock
-	ledgers     []*fakeserver.Ledger
+	ledgers     []*fakeserver.EventLog
 	nodes       []*running
 	agent       *exec.Cmd
 	agentLog    *syncBuffer
@@ -34,17 +34,17 @@
 	f.socket = filepath.Join(f.dir, "agent.sock")
 	inventory := ""
 	for i := range 3 {
-		ledger := fakeserver.NewLedger(f.clock)
+		ledger := fakeserver.NewEventLog(f.clock)
 		h, err := fakeserver.NewHost(fakeserver.HostConfig{ID: fmt.Sprint("h", i+1), Zone: "a",
-			Spec: capacity.Spec{Cores: 8, Speed: 1, Load: 0.001, Setup: 0.001}}, f.clock, ledger)
+			Spec: capacity.Spec{Cores: 8, Speed: 1, ConnectionLoad: 0.001, SetupWork: 0.001}}, f.clock, ledger)
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(h.Close)
-		reg := newRegistry(t, list(1, true, h.Member(wire.Serving)))
+		reg := newRegistry(t, list(1, true, h.Endpoint(wire.Serving)))
 		name := fmt.Sprint("n", i+1)
 		addr := freeAddr(t)
-		path := config(t, addr, reg.addr, options{mode: "proxy", known: list(1, true, h.Member(wire.Serving)), sockets: 2048})
+		path := config(t, addr, reg.addr, options{mode: "proxy", known: list(1, true, h.Endpoint(wire.Serving)), sockets: 2048})
 		text, err := os.ReadFile(path)
 		if err != nil {
 			t.Fatal(err)
@@ -113,9 +113,9 @@
 
 // lastNew is when a host was last sent something new.
 func (f *three) lastNew(i int) (last time.Duration, n int) {
-	recs, _ := f.ledgers[i].Records()
+	recs, _ := f.ledgers[i].Events()
 	for _, r := range recs {
-		if r.What == fakeserver.Opened {
+		if r.Kind == fakeserver.EventOpened {
 			last, n = r.At, n+1
 		}
 	}
--- a/cmd/onyxstream/fakes_test.go
+++ b/cmd/onyxstream/fakes_test.go
@@ -68,12 +68,12 @@
 	t.Helper()
 	h := &host{id: id, reply: "UP from-" + id + "\r\n"}
 	var err error
-	h.Host, err = fakeserver.NewHost(fakeserver.HostConfig{ID: id, Zone: "a", Spec: capacity.Spec{Cores: 1, Speed: 1}, Obeys: true}, clock, nil)
+	h.Host, err = fakeserver.NewHost(fakeserver.HostConfig{ID: id, Zone: "a", Spec: capacity.Spec{Cores: 1, Speed: 1}, ObeysTestCommands: true}, clock, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(h.Close)
-	h.Says(func(line string) string {
+	h.SetReply(func(line string) string {
 		h.mu.Lock()
 		defer h.mu.Unlock()
 		h.opened = append(h.opened, line)
@@ -94,9 +94,9 @@
 	return append([]string(nil), h.opened...)
 }
 
-func (h *host) open() int { return h.State().Conns }
+func (h *host) open() int { return h.State().Connections }
 
-func (h *host) kill() { h.Die() }
+func (h *host) kill() { h.Crash() }
 
 func (h *host) member(phase string) wire.Endpoint {
 	var p wire.Phase
@@ -119,21 +119,21 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(d.Close)
-	d.Raw(first)
+	d.SetRawBody(first)
 	return &registry{d, d.Addr()}
 }
 
-func (r *registry) tell(text string) { r.Tell(text) }
+func (r *registry) tell(text string) { r.SendRaw(text) }
 
 func (r *registry) turn(down bool) {
-	mode := fakeserver.Well
+	mode := fakeserver.ModeNormal
 	if down {
-		mode = fakeserver.Busy
+		mode = fakeserver.ModeUnavailable
 	}
-	r.Answer(mode)
+	r.SetMode(mode)
 }
 
-func (r *registry) called() []string { return r.Calls() }
+func (r *registry) called() []string { return r.Requests() }
 
 func list(revision int64, complete bool, members ...wire.Endpoint) string {
 	if members == nil {
--- a/cmd/onyxstream/load_test.go
+++ b/cmd/onyxstream/load_test.go
@@ -109,7 +109,7 @@
 	// What clients and hosts counted must fit: each UP that a client was given is one that a host gave.
 	ups, ledger := int64(0), readLedger(t, file("ledger"))
 	for _, x := range ledger {
-		if x.What == fakeserver.Up {
+		if x.Kind == fakeserver.EventEstablished {
 			ups++
 		}
 	}
@@ -130,7 +130,7 @@
 	}
 }
 
-func readLedger(t *testing.T, path string) (out []fakeserver.Record) {
+func readLedger(t *testing.T, path string) (out []fakeserver.Event) {
 	t.Helper()
 	f, err := os.Open(path)
 	if err != nil {
@@ -143,7 +143,7 @@
 		t.Fatal(err)
 	}
 	for {
-		var r fakeserver.Record
+		var r fakeserver.Event
 		if err := dec.Decode(&r); errors.Is(err, io.EOF) {
 			return out
 		} else if err != nil {
--- a/cmd/onyxstream/main_test.go
+++ b/cmd/onyxstream/main_test.go
@@ -201,7 +201,7 @@
 	reg.turn(true)
 	eventually(t, "calls that fail", func() bool { return len(reg.called()) >= 3 })
 	p.open(t, "").hears("UP from-ha")
-	reg.Raw(list(6, true, a.member("SERVING"), b.member("SERVING")))
+	reg.SetRawBody(list(6, true, a.member("SERVING"), b.member("SERVING")))
 	reg.turn(false)
 	eventually(t, "the new host is used", func() bool {
 		return strings.Contains(p.open(t, "").hears("UP "), "from-hb")
@@ -219,7 +219,7 @@
 	reg := newRegistry(t, list(1, true, h.member("SERVING")))
 	p := start(t, options{known: list(1, true, h.member("SERVING"))}, reg.addr)
 	eventually(t, "the first watch", func() bool { return len(reg.called()) == 1 })
-	reg.Answer(fakeserver.Mute)
+	reg.SetMode(fakeserver.ModeSilent)
 	eventually(t, "the node asks again", func() bool { return len(reg.called()) > 1 })
 	p.open(t, "").hears("UP ")
 }
@@ -361,7 +361,7 @@
 	reg := newRegistry(t, list(1, true, all...))
 	p := start(t, options{known: list(1, true, all...)}, reg.addr)
 	p.open(t, "").hears("UP from-ha")
-	eventually(t, "the watch", func() bool { return reg.Watching() == 1 })
+	eventually(t, "the watch", func() bool { return reg.OpenCalls() == 1 })
 	for i := range all[:512] {
 		all[i].Phase = wire.Draining
 	}
--- a/cmd/onyxstream/reload_test.go
+++ b/cmd/onyxstream/reload_test.go
@@ -47,7 +47,7 @@
 	eventually(t, "the new list alone holds", func() bool {
 		return strings.Contains(p.open(t, "").hears("UP "), "from-hb")
 	})
-	eventually(t, "the old watch is left", func() bool { return old.Watching() == 0 })
+	eventually(t, "the old watch is left", func() bool { return old.OpenCalls() == 0 })
 	old.turn(true)
 	for range 10 {
 		p.open(t, "").hears("UP from-hb")
@@ -156,7 +156,7 @@
 	a, b, c := newHost(t, "ha"), newHost(t, "hb"), newHost(t, "hc")
 	old := newRegistry(t, list(41, true, a.member("SERVING")))
 	p := start(t, options{known: list(41, true, a.member("SERVING"))}, old.addr)
-	eventually(t, "the first watch", func() bool { return old.Watching() == 1 })
+	eventually(t, "the first watch", func() bool { return old.OpenCalls() == 1 })
 	reg := newRegistry(t, list(3, true, c.member("SERVING")))
 	reg.turn(true)
 	p.hup(t, old.addr, reg.addr)
@@ -177,7 +177,7 @@
 		uses(a)
 	}
 	old.turn(true)
-	eventually(t, "the old watch has ended", func() bool { return old.Watching() == 0 })
+	eventually(t, "the old watch has ended", func() bool { return old.OpenCalls() == 0 })
 	reg.turn(false)
 	uses(c)
 }
--- a/cmd/onyxstream/sizes_test.go
+++ b/cmd/onyxstream/sizes_test.go
@@ -50,7 +50,7 @@
 	reg := newRegistry(t, list(1, true, all...))
 	p := start(t, options{known: list(1, true, all...), memoryMB: 64, program: path}, reg.addr)
 	p.open(t, "").hears("UP from-ha")
-	eventually(t, "the watch", func() bool { return reg.Watching() == 1 })
+	eventually(t, "the watch", func() bool { return reg.OpenCalls() == 1 })
 	for step := range 4 {
 		var changed []wire.Endpoint
 		for i := step * n / 20; i < (step+1)*n/20; i++ {
--- a/internal/fakeserver/front.go
+++ b/internal/fakeserver/front.go
@@ -13,40 +13,40 @@
 // Node is a node as the front knows it.
 type Node struct{ Name, Addr, Zone string }
 
-// Front deals clients among the nodes of their zone. It takes a node in once it has answered PING with PONG, and
+// FrontendBalancer deals clients among the nodes of their zone. It takes a node in once it has answered PING with PONG, and
 // notices only some time later that one has died.
-type Front struct {
-	ledger *Ledger
-	notice time.Duration
-	cancel context.CancelFunc
-	wg     sync.WaitGroup
+type FrontendBalancer struct {
+	events     *EventLog
+	ejectAfter time.Duration
+	cancel     context.CancelFunc
+	wg         sync.WaitGroup
 
-	mu    sync.Mutex
-	nodes []Node
-	in    []bool
-	dealt uint64
+	mu      sync.Mutex
+	nodes   []Node
+	healthy []bool
+	picks   uint64
 }
 
-// checkEvery is how often a front asks a node whether it serves.
-const checkEvery = 50 * time.Millisecond
+// healthCheckInterval is how often a front asks a node whether it serves.
+const healthCheckInterval = 50 * time.Millisecond
 
-// NewFront starts a front. A node that answers nothing for notice is out; 0 is at the first check that fails.
-func NewFront(ledger *Ledger, notice time.Duration, nodes ...Node) *Front {
+// NewFrontendBalancer starts a front. A node that answers nothing for notice is out; 0 is at the first check that fails.
+func NewFrontendBalancer(ledger *EventLog, notice time.Duration, nodes ...Node) *FrontendBalancer {
 	ctx, cancel := context.WithCancel(context.Background())
-	f := &Front{ledger: ledger, notice: notice, cancel: cancel, nodes: nodes, in: make([]bool, len(nodes))}
+	f := &FrontendBalancer{events: ledger, ejectAfter: notice, cancel: cancel, nodes: nodes, healthy: make([]bool, len(nodes))}
 	for i := range nodes {
-		f.wg.Go(func() { f.check(ctx, i) })
+		f.wg.Go(func() { f.checkNode(ctx, i) })
 	}
 	return f
 }
 
 // Close ends the checks.
-func (f *Front) Close() {
+func (f *FrontendBalancer) Close() {
 	f.cancel()
 	f.wg.Wait()
 }
 
-func (f *Front) check(ctx context.Context, i int) {
+func (f *FrontendBalancer) checkNode(ctx context.Context, i int) {
 	last := time.Time{}
 	for ctx.Err() == nil {
 		well := Ping(ctx, f.nodes[i].Addr, time.Second) == nil
@@ -54,18 +54,18 @@
 			last = time.Now()
 		}
 		f.mu.Lock()
-		if was := f.in[i]; well != was && (well || time.Since(last) >= f.notice) {
-			f.in[i] = well
-			what := Out
+		if was := f.healthy[i]; well != was && (well || time.Since(last) >= f.ejectAfter) {
+			f.healthy[i] = well
+			what := EventNodeUnhealthy
 			if well {
-				what = In
+				what = EventNodeHealthy
 			}
-			f.ledger.Add(Record{Who: "front", What: what, Note: f.nodes[i].Name})
+			f.events.Add(Event{Source: "front", Kind: what, Detail: f.nodes[i].Name})
 		}
 		f.mu.Unlock()
 		select {
 		case <-ctx.Done():
-		case <-time.After(checkEvery):
+		case <-time.After(healthCheckInterval):
 		}
 	}
 }
@@ -95,14 +95,14 @@
 
 // Pick deals one client of a zone: to the next node of it that is in, or of any zone where none is or zone is "".
 // ok is false while no node is in.
-func (f *Front) Pick(zone string) (node Node, ok bool) {
+func (f *FrontendBalancer) Pick(zone string) (node Node, ok bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.dealt++
+	f.picks++
 	for _, any := range []bool{false, true} {
 		for k := range f.nodes {
-			i := (int(f.dealt%uint64(len(f.nodes))) + k) % len(f.nodes)
-			if f.in[i] && (any || zone == "" || f.nodes[i].Zone == zone) {
+			i := (int(f.picks%uint64(len(f.nodes))) + k) % len(f.nodes)
+			if f.healthy[i] && (any || zone == "" || f.nodes[i].Zone == zone) {
 				return f.nodes[i], true
 			}
 		}
@@ -111,11 +111,11 @@
 }
 
 // Ready waits until every node is in.
-func (f *Front) Ready(ctx context.Context) error {
+func (f *FrontendBalancer) Ready(ctx context.Context) error {
 	for {
 		f.mu.Lock()
 		all := true
-		for _, in := range f.in {
+		for _, in := range f.healthy {
 			all = all && in
 		}
 		f.mu.Unlock()
@@ -125,7 +125,7 @@
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-time.After(checkEvery / 5):
+		case <-time.After(healthCheckInterval / 5):
 		}
 	}
 }
--- a/internal/fakeserver/hostconn.go
+++ b/internal/fakeserver/hostconn.go
@@ -14,25 +14,25 @@
 	"onyxstream/internal/wire"
 )
 
-// hostConn is one connection at a host: a goroutine that reads and one that writes.
-type hostConn struct {
-	h    *Host
-	c    *net.TCPConn
-	out  chan said
-	over chan struct{} // closed once nothing more is written
-	once sync.Once
-	said chan struct{} // closed once the first answer is written: what the other side said early is answered after it
-	s    *session      // the loop's own
+// hostConnection is one connection at a host: a goroutine that reads and one that writes.
+type hostConnection struct {
+	host      *Host
+	tcp       *net.TCPConn
+	outgoing  chan outgoingLine
+	closed    chan struct{} // closed once nothing more is written
+	closeOnce sync.Once
+	replied   chan struct{} // closed once the first answer is written: what the other side said early is answered after it
+	session   *session      // the loop's own
 }
 
-type said struct {
+type outgoingLine struct {
 	text string
 	last bool
 }
 
-// mostUnsaid is how much the loop may have to say to a connection that does not take it. One that is full is broken:
+// maxOutgoing is how much the loop may have to say to a connection that does not take it. One that is full is broken:
 // the loop must not wait for a node that does not read.
-const mostUnsaid = 64
+const maxOutgoing = 64
 
 // accept serves a listener until it is closed.
 func (h *Host) accept(l net.Listener) {
@@ -45,55 +45,55 @@
 				time.Sleep(5 * time.Millisecond)
 				continue
 			}
-			k := &hostConn{h: h, c: c.(*net.TCPConn), out: make(chan said, mostUnsaid),
-				over: make(chan struct{}), said: make(chan struct{})}
+			k := &hostConnection{host: h, tcp: c.(*net.TCPConn), outgoing: make(chan outgoingLine, maxOutgoing),
+				closed: make(chan struct{}), replied: make(chan struct{})}
 			h.wg.Go(k.read)
 			h.wg.Go(k.write)
 		}
 	})
 }
 
-// tell has a line written; the loop calls it and does not wait.
-func (c *hostConn) tell(text string, last bool) {
+// send has a line written; the loop calls it and does not wait.
+func (c *hostConnection) send(text string, last bool) {
 	select {
-	case c.out <- said{text, last}:
+	case c.outgoing <- outgoingLine{text, last}:
 	default:
-		c.breakOff()
+		c.reset()
 	}
 }
 
-// mention has a line written where there is room for it: a report that is lost is followed by another.
-func (c *hostConn) mention(text string) {
-	if len(c.out) < mostUnsaid/2 {
-		c.tell(text, false)
+// sendReport has a line written where there is room for it: a report that is lost is followed by another.
+func (c *hostConnection) sendReport(text string) {
+	if len(c.outgoing) < maxOutgoing/2 {
+		c.send(text, false)
 	}
 }
 
-// breakOff resets the connection.
-func (c *hostConn) breakOff() {
-	_ = c.c.SetLinger(0)
+// reset resets the connection.
+func (c *hostConnection) reset() {
+	_ = c.tcp.SetLinger(0)
 	c.close()
 }
 
-func (c *hostConn) close() {
-	c.once.Do(func() {
-		close(c.over)
-		_ = c.c.Close()
+func (c *hostConnection) close() {
+	c.closeOnce.Do(func() {
+		close(c.closed)
+		_ = c.tcp.Close()
 	})
 }
 
-func (c *hostConn) write() {
+func (c *hostConnection) write() {
 	for first := true; ; first = false {
 		select {
-		case <-c.over:
+		case <-c.closed:
 			return
-		case s := <-c.out:
-			if !c.h.goesOn(c.over) {
+		case s := <-c.outgoing:
+			if !c.host.awaitResume(c.closed) {
 				return
 			}
-			_, err := io.WriteString(c.c, s.text)
+			_, err := io.WriteString(c.tcp, s.text)
 			if first {
-				close(c.said)
+				close(c.replied)
 			}
 			if s.last || err != nil {
 				c.close()
@@ -103,10 +103,10 @@
 	}
 }
 
-// goesOn waits while the host hangs; false where the connection ends before.
-func (h *Host) goesOn(over <-chan struct{}) bool {
+// awaitResume waits while the host hangs; false where the connection ends before.
+func (h *Host) awaitResume(over <-chan struct{}) bool {
 	for {
-		gate := h.gate.Load()
+		gate := h.hangGate.Load()
 		if gate == nil {
 			return true
 		}
@@ -120,100 +120,100 @@
 	}
 }
 
-func (c *hostConn) read() {
+func (c *hostConnection) read() {
 	known := false
-	c.h.ask(func() {
-		if known = !c.h.dead; known {
-			c.h.conns[c] = true
+	c.host.call(func() {
+		if known = !c.host.crashed; known {
+			c.host.connections[c] = true
 		}
 	})
 	if !known {
-		c.breakOff()
+		c.reset()
 		return
 	}
 	err := c.serve()
 	broken := errors.Is(err, syscall.ECONNRESET)
-	c.h.ask(func() { c.h.left(c, broken) })
+	c.host.call(func() { c.host.disconnected(c, broken) })
 	c.close()
 }
 
-// mostUnread is how much of a line is read: the protocol's limit and its end.
-const mostUnread = wire.MaxLine + 2
+// maxLineBytes is how much of a line is read: the protocol's limit and its end.
+const maxLineBytes = wire.MaxLine + 2
 
-func (c *hostConn) serve() error {
-	r := bufio.NewReaderSize(c.c, 512)
+func (c *hostConnection) serve() error {
+	r := bufio.NewReaderSize(c.tcp, 512)
 	for {
 		line, err := readLine(r)
 		if err != nil {
 			return err
 		}
-		if !c.h.goesOn(c.over) {
+		if !c.host.awaitResume(c.closed) {
 			return net.ErrClosed
 		}
 		text := strings.TrimSuffix(strings.TrimSuffix(line, "\n"), "\r")
 		switch text {
 		case "PING", "STATS":
-			if err := c.probed(text); err != nil {
+			if err := c.answerHealthCheck(text); err != nil {
 				return err
 			}
 			continue
 		}
 		_, o, err := wire.ParseOpening([]byte(text))
 		if err != nil {
-			c.h.ask(func() { c.h.note(Failed, wire.Opening{}, fmt.Sprintf("SYNTAX: %v: %.60q", err, text)) })
-			_, _ = io.WriteString(c.c, "SYNTAX\r\n")
+			c.host.call(func() { c.host.record(EventFailed, wire.Opening{}, fmt.Sprintf("SYNTAX: %v: %.60q", err, text)) })
+			_, _ = io.WriteString(c.tcp, "SYNTAX\r\n")
 			return nil
 		}
-		c.h.ask(func() { c.h.begin(c, o) })
-		return c.talk(r)
+		c.host.call(func() { c.host.open(c, o) })
+		return c.echoLines(r)
 	}
 }
 
-func (c *hostConn) probed(word string) error {
-	h := c.h
-	h.note(Probed, wire.Opening{}, word)
-	h.pause()
+func (c *hostConnection) answerHealthCheck(word string) error {
+	h := c.host
+	h.record(EventHealthCheck, wire.Opening{}, word)
+	h.sleepLineLatency()
 	reply := "PONG"
 	if word == "STATS" {
 		reply = "NO"
-		if h.cfg.Reports {
-			reply = fmt.Sprintf("PONG x0=%.3f", float64(h.excess.Load())/1e6)
+		if h.config.AnswersStats {
+			reply = fmt.Sprintf("PONG x0=%.3f", float64(h.utilization.Load())/1e6)
 		}
 	}
-	_, err := io.WriteString(c.c, reply+"\r\n")
+	_, err := io.WriteString(c.tcp, reply+"\r\n")
 	return err
 }
 
-// pause is the time that a line takes now.
-func (h *Host) pause() {
-	if d := time.Duration(h.line.Load()); d > 0 {
+// sleepLineLatency is the time that a line takes now.
+func (h *Host) sleepLineLatency() {
+	if d := time.Duration(h.lineLatency.Load()); d > 0 {
 		time.Sleep(d)
 	}
 }
 
-// talk answers lines by themselves.
-func (c *hostConn) talk(r *bufio.Reader) error {
+// echoLines answers lines by themselves.
+func (c *hostConnection) echoLines(r *bufio.Reader) error {
 	for {
 		line, err := readLine(r)
 		if err != nil {
 			return err
 		}
 		select {
-		case <-c.said:
-		case <-c.over:
+		case <-c.replied:
+		case <-c.closed:
 			return net.ErrClosed
 		}
-		if !c.h.goesOn(c.over) {
+		if !c.host.awaitResume(c.closed) {
 			return net.ErrClosed
 		}
-		if order, ok := strings.CutPrefix(strings.TrimSpace(line), "DO "); ok && c.h.cfg.Obeys {
-			if over, err := c.obey(order); over || err != nil {
+		if order, ok := strings.CutPrefix(strings.TrimSpace(line), "DO "); ok && c.host.config.ObeysTestCommands {
+			if over, err := c.runTestCommand(order); over || err != nil {
 				return err
 			}
 			continue
 		}
-		c.h.pause()
-		if _, err := io.WriteString(c.c, line); err != nil {
+		c.host.sleepLineLatency()
+		if _, err := io.WriteString(c.tcp, line); err != nil {
 			return err
 		}
 	}
@@ -230,7 +230,7 @@
 			return string(line), nil
 		case !errors.Is(err, bufio.ErrBufferFull):
 			return "", err
-		case len(line) > mostUnread:
+		case len(line) > maxLineBytes:
 			return "", wire.ErrTooLong
 		}
 	}
@@ -242,26 +242,26 @@
 // FloodLine is the i-th of them.
 func FloodLine(i int) string { return fmt.Sprintf("F %d %s\r\n", i, strings.Repeat("x", i%1500)) }
 
-// obey does what a test's line says; over ends the connection.
-func (c *hostConn) obey(order string) (over bool, err error) {
+// runTestCommand does what a test's line says; over ends the connection.
+func (c *hostConnection) runTestCommand(order string) (over bool, err error) {
 	switch order {
 	case "bye":
-		_, err = io.WriteString(c.c, "BYE\r\n")
+		_, err = io.WriteString(c.tcp, "BYE\r\n")
 		return true, err
 	case "move":
-		_, err = io.WriteString(c.c, "MOVE\r\n")
+		_, err = io.WriteString(c.tcp, "MOVE\r\n")
 		return true, err
 	case "reset":
-		c.breakOff()
+		c.reset()
 		return true, nil
 	case "flood":
-		w := bufio.NewWriter(c.c)
+		w := bufio.NewWriter(c.tcp)
 		for i := range FloodLines {
 			_, _ = w.WriteString(FloodLine(i))
 		}
 		err = w.Flush()
 	case "half":
-		_, err = io.WriteString(c.c, "half a line")
+		_, err = io.WriteString(c.tcp, "half a line")
 	}
 	return false, err
 }
--- a/internal/fakeserver/ledger.go
+++ b/internal/fakeserver/ledger.go
@@ -27,85 +27,85 @@
 
 // What a record tells.
 const (
-	Opened  = "opened"  // host: an OPEN has come, its last byte read
-	Up      = "up"      // host: set up and told; note is the receipt
-	Refused = "refused" // host: BUSY
-	Failed  = "failed"  // host: ERR, or SYNTAX with the reason
-	Ended   = "ended"   // host: BYE, to its end
-	Moved   = "moved"   // host: MOVE
-	Left    = "left"    // host: the other side ended it
-	Broken  = "broken"  // host: reset from this side
-	Probed  = "probed"  // host: PING or STATS
-	Fault   = "fault"   // any: a fault began or ended
-	Told    = "told"    // discovery: a watch or a list was written; note is the revision
-	Turned  = "turned"  // discovery: a call that failed, and why
-	Asked   = "asked"   // discovery: a call has come; note is what it asks
-	Heard   = "heard"   // client: an answer has come; note is the answer
-	Dialled = "dialled" // link: a connection has come; note says where it was refused
-	In      = "in"      // front: a node is dealt clients
-	Out     = "out"     // front: a node is dealt none any more
+	EventOpened        = "opened"  // host: an OPEN has come, its last byte read
+	EventEstablished   = "up"      // host: set up and told; note is the receipt
+	EventRejected      = "refused" // host: BUSY
+	EventFailed        = "failed"  // host: ERR, or SYNTAX with the reason
+	EventEnded         = "ended"   // host: BYE, to its end
+	EventMigrated      = "moved"   // host: MOVE
+	EventDisconnected  = "left"    // host: the other side ended it
+	EventReset         = "broken"  // host: reset from this side
+	EventHealthCheck   = "probed"  // host: PING or STATS
+	EventFault         = "fault"   // any: a fault began or ended
+	EventListSent      = "told"    // discovery: a watch or a list was written; note is the revision
+	EventCallRejected  = "turned"  // discovery: a call that failed, and why
+	EventRequested     = "asked"   // discovery: a call has come; note is what it asks
+	EventReceived      = "heard"   // client: an answer has come; note is the answer
+	EventDialed        = "dialled" // link: a connection has come; note says where it was refused
+	EventNodeHealthy   = "in"      // front: a node is dealt clients
+	EventNodeUnhealthy = "out"     // front: a node is dealt none any more
 )
 
-// Record is one thing that happened, at the clock of the run.
-type Record struct {
+// Event is one thing that happened, at the clock of the run.
+type Event struct {
 	At     time.Duration `json:"at"` // ns since the run's start
-	Who    string        `json:"who"`
-	What   string        `json:"what"`
+	Source string        `json:"who"`
+	Kind   string        `json:"what"`
 	ID     string        `json:"id,omitempty"`
 	Key    string        `json:"key,omitempty"`
 	Class  string        `json:"class,omitempty"`
 	Tenant string        `json:"tenant,omitempty"`
-	Note   string        `json:"note,omitempty"`
+	Detail string        `json:"note,omitempty"`
 }
 
-// mostRecords bounds a ledger's memory, about 100 MB. What comes past it is counted and not kept.
-const mostRecords = 1 << 20
+// maxEvents bounds a ledger's memory, about 100 MB. What comes past it is counted and not kept.
+const maxEvents = 1 << 20
 
-// Ledger is what one stand-in, or several, saw. Nil ledgers keep nothing.
-type Ledger struct {
-	clock *Clock
-	mu    sync.Mutex
-	recs  []Record
-	lost  int
+// EventLog is what one stand-in, or several, saw. Nil ledgers keep nothing.
+type EventLog struct {
+	clock   *Clock
+	mu      sync.Mutex
+	events  []Event
+	dropped int
 }
 
-// NewLedger makes an empty ledger by the clock of the run.
-func NewLedger(c *Clock) *Ledger { return &Ledger{clock: c} }
+// NewEventLog makes an empty ledger by the clock of the run.
+func NewEventLog(c *Clock) *EventLog { return &EventLog{clock: c} }
 
 // Add notes r now.
-func (l *Ledger) Add(r Record) {
+func (l *EventLog) Add(r Event) {
 	if l == nil {
 		return
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if len(l.recs) >= mostRecords {
-		l.lost++
+	if len(l.events) >= maxEvents {
+		l.dropped++
 		return
 	}
 	r.At = l.clock.Now() // under the lock, so that a ledger never goes back
-	l.recs = append(l.recs, r)
+	l.events = append(l.events, r)
 }
 
-// Records returns a copy of what was noted so far, and how much was not kept.
-func (l *Ledger) Records() (recs []Record, lost int) {
+// Events returns a copy of what was noted so far, and how much was not kept.
+func (l *EventLog) Events() (recs []Event, lost int) {
 	if l == nil {
 		return nil, 0
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return slices.Clone(l.recs), l.lost
+	return slices.Clone(l.events), l.dropped
 }
 
 // Count counts the records that f accepts.
-func (l *Ledger) Count(f func(Record) bool) int {
+func (l *EventLog) Count(f func(Event) bool) int {
 	if l == nil {
 		return 0
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	n := 0
-	for _, r := range l.recs {
+	for _, r := range l.events {
 		if f(r) {
 			n++
 		}
@@ -113,19 +113,19 @@
 	return n
 }
 
-// Join sets ledgers of one run in one order of time.
-func Join(ledgers ...*Ledger) []Record {
-	var all []Record
+// MergeEvents sets ledgers of one run in one order of time.
+func MergeEvents(ledgers ...*EventLog) []Event {
+	var all []Event
 	for _, l := range ledgers {
-		recs, _ := l.Records()
+		recs, _ := l.Events()
 		all = append(all, recs...)
 	}
-	slices.SortStableFunc(all, func(a, b Record) int { return int(a.At - b.At) })
+	slices.SortStableFunc(all, func(a, b Event) int { return int(a.At - b.At) })
 	return all
 }
 
-// WriteRecords writes records as JSON Lines, with a first line that says when the clock began and what was lost.
-func WriteRecords(w io.Writer, c *Clock, recs []Record, lost int) error {
+// WriteEvents writes records as JSON Lines, with a first line that says when the clock began and what was lost.
+func WriteEvents(w io.Writer, c *Clock, recs []Event, lost int) error {
 	out := bufio.NewWriter(w)
 	enc := json.NewEncoder(out)
 	if err := enc.Encode(map[string]any{"ledger": 1, "began": c.Started(), "records": len(recs), "lost": lost}); err != nil {
--- a/internal/fakeserver/link.go
+++ b/internal/fakeserver/link.go
@@ -9,40 +9,40 @@
 	"time"
 )
 
-// Way is a direction of a link.
-type Way uint8
+// Direction is a direction of a link.
+type Direction uint8
 
 // The ways: Outward from who dials to the target, Inward back.
 const (
-	Outward Way = 1 << iota
-	Inward
-	BothWays = Outward | Inward
+	ToTarget Direction = 1 << iota
+	FromTarget
+	BothDirections = ToTarget | FromTarget
 )
 
-// LinkState is what a link does to one way.
-type LinkState struct {
-	Delay  time.Duration // added to every byte
-	Rate   int64         // bytes a second, 0 for no limit
-	Stall  bool          // bytes wait, and go on once it ends
-	Silent bool          // bytes are taken and dropped: a machine that has vanished
+// LinkFault is what a link does to one way.
+type LinkFault struct {
+	Delay          time.Duration // added to every byte
+	BytesPerSecond int64         // bytes a second, 0 for no limit
+	Stall          bool          // bytes wait, and go on once it ends
+	Blackhole      bool          // bytes are taken and dropped: a machine that has vanished
 }
 
 // Link is a relay before one target, that fails by command. Where bytes were dropped into silence the connection is
 // reset when the silence ends, as a machine that is back resets what it does not know.
 type Link struct {
-	target string // "unix:PATH", or host and port
-	l      net.Listener
-	wg     sync.WaitGroup
-	name   string
-	ledger *Ledger
+	target   string // "unix:PATH", or host and port
+	listener net.Listener
+	wg       sync.WaitGroup
+	name     string
+	events   *EventLog
 
-	mu     sync.Mutex
-	ways   [2]LinkState
-	turned chan struct{} // closed and made anew with each command
-	conns  map[net.Conn]bool
-	lost   [2]map[net.Conn]bool // those of which a way dropped bytes
-	refuse bool
-	closed bool
+	mu          sync.Mutex
+	faults      [2]LinkFault
+	changed     chan struct{} // closed and made anew with each command
+	connections map[net.Conn]bool
+	lossy       [2]map[net.Conn]bool // those of which a way dropped bytes
+	rejecting   bool
+	closed      bool
 }
 
 // NewLink starts a link to target.
@@ -50,14 +50,14 @@
 
 // NewLinkAt starts a link that listens at an address, both "unix:PATH" or host and port. Each connection that comes is
 // noted in the ledger under the link's name; nil for none.
-func NewLinkAt(listen, target, name string, ledger *Ledger) (*Link, error) {
+func NewLinkAt(listen, target, name string, ledger *EventLog) (*Link, error) {
 	kind, at := network(listen)
 	l, err := net.Listen(kind, at)
 	if err != nil {
 		return nil, err
 	}
-	k := &Link{target: target, l: l, name: name, ledger: ledger, turned: make(chan struct{}), conns: map[net.Conn]bool{},
-		lost: [2]map[net.Conn]bool{{}, {}}}
+	k := &Link{target: target, listener: l, name: name, events: ledger, changed: make(chan struct{}), connections: map[net.Conn]bool{},
+		lossy: [2]map[net.Conn]bool{{}, {}}}
 	k.wg.Go(k.serve)
 	return k, nil
 }
@@ -72,71 +72,77 @@
 
 // Addr is where it listens.
 func (k *Link) Addr() string {
-	if k.l.Addr().Network() == "unix" {
-		return "unix:" + k.l.Addr().String()
+	if k.listener.Addr().Network() == "unix" {
+		return "unix:" + k.listener.Addr().String()
 	}
-	return k.l.Addr().String()
+	return k.listener.Addr().String()
 }
 
 // Name is what its ledger calls it.
 func (k *Link) Name() string { return k.name }
 
-// Set changes what the link does to the ways given.
-func (k *Link) Set(w Way, change func(*LinkState)) {
+// SetFault changes what the link does to the ways given.
+func (k *Link) SetFault(w Direction, change func(*LinkFault)) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	for i := range k.ways {
+	for i := range k.faults {
 		if w&(1<<i) != 0 {
-			change(&k.ways[i])
+			change(&k.faults[i])
 		}
-		if !k.ways[i].Silent {
-			for c := range k.lost[i] {
+		if !k.faults[i].Blackhole {
+			for c := range k.lossy[i] {
 				reset(c)
 			}
-			clear(k.lost[i])
+			clear(k.lossy[i])
 		}
 	}
-	close(k.turned)
-	k.turned = make(chan struct{})
+	close(k.changed)
+	k.changed = make(chan struct{})
 }
 
-// Delay adds so much to every byte both ways.
-func (k *Link) Delay(by time.Duration) { k.Set(BothWays, func(s *LinkState) { s.Delay = by }) }
+// SetDelay adds so much to every byte both ways.
+func (k *Link) SetDelay(by time.Duration) {
+	k.SetFault(BothDirections, func(s *LinkFault) { s.Delay = by })
+}
 
-// Silence drops all bytes both ways, or ends that.
-func (k *Link) Silence(on bool) { k.Set(BothWays, func(s *LinkState) { s.Silent = on }) }
+// SetBlackhole drops all bytes both ways, or ends that.
+func (k *Link) SetBlackhole(on bool) {
+	k.SetFault(BothDirections, func(s *LinkFault) { s.Blackhole = on })
+}
 
-// Stall holds all bytes both ways, or lets them go on.
-func (k *Link) Stall(on bool) { k.Set(BothWays, func(s *LinkState) { s.Stall = on }) }
+// SetStalled holds all bytes both ways, or lets them go on.
+func (k *Link) SetStalled(on bool) { k.SetFault(BothDirections, func(s *LinkFault) { s.Stall = on }) }
 
-// Limit lets so many bytes a second through each way; 0 for any number.
-func (k *Link) Limit(bytes int64) { k.Set(BothWays, func(s *LinkState) { s.Rate = bytes }) }
+// SetRate lets so many bytes a second through each way; 0 for any number.
+func (k *Link) SetRate(bytes int64) {
+	k.SetFault(BothDirections, func(s *LinkFault) { s.BytesPerSecond = bytes })
+}
 
-// Refuse resets whoever comes, or ends that. What stands goes on.
-func (k *Link) Refuse(on bool) {
+// SetRejecting resets whoever comes, or ends that. What stands goes on.
+func (k *Link) SetRejecting(on bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.refuse = on
+	k.rejecting = on
 }
 
-// Reset resets all connections that stand.
-func (k *Link) Reset() {
+// ResetConnections resets all connections that stand.
+func (k *Link) ResetConnections() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	for c := range k.conns {
+	for c := range k.connections {
 		reset(c)
 	}
 }
 
 // Close ends the link and what it carries.
 func (k *Link) Close() {
-	_ = k.l.Close()
+	_ = k.listener.Close()
 	k.mu.Lock()
 	k.closed = true
-	close(k.turned)
-	k.turned = make(chan struct{})
+	close(k.changed)
+	k.changed = make(chan struct{})
 	k.mu.Unlock()
-	k.Reset()
+	k.ResetConnections()
 	k.wg.Wait()
 }
 
@@ -150,64 +156,64 @@
 
 func (k *Link) serve() {
 	for {
-		c, err := k.l.Accept()
+		c, err := k.listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		} else if err != nil {
 			time.Sleep(5 * time.Millisecond)
 			continue
 		}
-		k.wg.Go(func() { k.carry(c) })
+		k.wg.Go(func() { k.relay(c) })
 	}
 }
 
-// hold registers a connection so that commands reach it; false once the link has ended.
-func (k *Link) hold(c net.Conn) bool {
+// register registers a connection so that commands reach it; false once the link has ended.
+func (k *Link) register(c net.Conn) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	ok := !k.closed && !k.refuse
+	ok := !k.closed && !k.rejecting
 	if ok {
-		k.conns[c] = true
+		k.connections[c] = true
 	}
 	return ok
 }
 
-func (k *Link) drop(c net.Conn) {
+func (k *Link) unregister(c net.Conn) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	delete(k.conns, c)
-	delete(k.lost[0], c)
-	delete(k.lost[1], c)
+	delete(k.connections, c)
+	delete(k.lossy[0], c)
+	delete(k.lossy[1], c)
 }
 
-// loses notes that bytes of a connection were dropped.
-func (k *Link) loses(i int, c net.Conn) {
+// markLossy notes that bytes of a connection were dropped.
+func (k *Link) markLossy(i int, c net.Conn) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.conns[c] {
-		k.lost[i][c] = true
+	if k.connections[c] {
+		k.lossy[i][c] = true
 	}
 }
 
-// carry is one connection's life.
-func (k *Link) carry(c net.Conn) {
-	ok := k.hold(c)
-	k.ledger.Add(Record{Who: k.name, What: Dialled, Note: map[bool]string{true: "", false: "refused"}[ok]})
+// relay is one connection's life.
+func (k *Link) relay(c net.Conn) {
+	ok := k.register(c)
+	k.events.Add(Event{Source: k.name, Kind: EventDialed, Detail: map[bool]string{true: "", false: "refused"}[ok]})
 	if !ok {
 		reset(c)
 		return
 	}
-	defer k.drop(c)
+	defer k.unregister(c)
 	kind, at := network(k.target)
 	t, err := net.Dial(kind, at)
-	if err != nil || !k.hold(t) {
+	if err != nil || !k.register(t) {
 		reset(c)
 		return
 	}
-	defer k.drop(t)
+	defer k.unregister(t)
 	var both sync.WaitGroup
-	both.Go(func() { k.way(0, c, t) })
-	k.way(1, t, c)
+	both.Go(func() { k.relayDirection(0, c, t) })
+	k.relayDirection(1, t, c)
 	both.Wait()
 	_ = c.Close()
 	_ = t.Close()
@@ -221,13 +227,13 @@
 
 // A link holds at most inFlight chunks of chunkSize bytes a way; past that who writes waits.
 const (
-	inFlight  = 64
+	maxChunks = 64
 	chunkSize = 16 << 10
 )
 
-// way carries bytes from a to b, and the end of a after them: a FIN as a FIN, a reset as a reset.
-func (k *Link) way(i int, a, b net.Conn) {
-	pipe := make(chan chunk, inFlight)
+// relayDirection carries bytes from a to b, and the end of a after them: a FIN as a FIN, a reset as a reset.
+func (k *Link) relayDirection(i int, a, b net.Conn) {
+	pipe := make(chan chunk, maxChunks)
 	var end, failed error // of reading, once pipe is closed, and of writing
 	go func() {
 		defer close(pipe)
@@ -236,7 +242,7 @@
 			n, err := a.Read(buf)
 			if n > 0 {
 				k.mu.Lock()
-				due := time.Now().Add(k.ways[i].Delay)
+				due := time.Now().Add(k.faults[i].Delay)
 				k.mu.Unlock()
 				pipe <- chunk{buf[:n], due}
 			}
@@ -248,21 +254,21 @@
 	}()
 	free, lost := time.Now(), false
 	for c := range pipe {
-		s, gone := k.passes(i)
-		if gone || lost && !s.Silent {
+		s, gone := k.awaitUnstalled(i)
+		if gone || lost && !s.Blackhole {
 			break
 		}
-		if s.Silent {
+		if s.Blackhole {
 			lost = true
-			k.loses(i, a)
-			k.loses(i, b)
+			k.markLossy(i, a)
+			k.markLossy(i, b)
 			continue
 		}
-		if wait := time.Until(latest(c.due, free)); wait > 0 {
+		if wait := time.Until(later(c.due, free)); wait > 0 {
 			time.Sleep(wait)
 		}
-		if s.Rate > 0 {
-			free = latest(free, time.Now()).Add(time.Duration(float64(len(c.bytes)) / float64(s.Rate) * float64(time.Second)))
+		if s.BytesPerSecond > 0 {
+			free = later(free, time.Now()).Add(time.Duration(float64(len(c.bytes)) / float64(s.BytesPerSecond) * float64(time.Second)))
 		}
 		if _, err := b.Write(c.bytes); err != nil {
 			failed = err
@@ -272,10 +278,10 @@
 	_ = a.SetReadDeadline(time.Now()) // whoever reads must get to its end
 	for range pipe {
 	}
-	switch s, gone := k.passes(i); {
+	switch s, gone := k.awaitUnstalled(i); {
 	case gone || lost || failed != nil || errors.Is(end, syscall.ECONNRESET):
-		if s.Silent {
-			k.untilHeard(i)
+		if s.Blackhole {
+			k.awaitBlackholeEnd(i)
 		}
 		reset(a)
 		reset(b)
@@ -284,19 +290,19 @@
 	}
 }
 
-func latest(a, b time.Time) time.Time {
+func later(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
 	}
 	return b
 }
 
-// passes waits while the way stalls and returns what is done to it; gone once the link has ended.
-func (k *Link) passes(i int) (s LinkState, gone bool) {
+// awaitUnstalled waits while the way stalls and returns what is done to it; gone once the link has ended.
+func (k *Link) awaitUnstalled(i int) (s LinkFault, gone bool) {
 	for {
 		k.mu.Lock()
-		s, gone = k.ways[i], k.closed
-		turned := k.turned
+		s, gone = k.faults[i], k.closed
+		turned := k.changed
 		k.mu.Unlock()
 		if gone || !s.Stall {
 			return s, gone
@@ -305,12 +311,12 @@
 	}
 }
 
-// untilHeard waits until a way is silent no more.
-func (k *Link) untilHeard(i int) {
+// awaitBlackholeEnd waits until a way is silent no more.
+func (k *Link) awaitBlackholeEnd(i int) {
 	for {
 		k.mu.Lock()
-		over := !k.ways[i].Silent || k.closed
-		turned := k.turned
+		over := !k.faults[i].Blackhole || k.closed
+		turned := k.changed
 		k.mu.Unlock()
 		if over {
 			return
--- a/internal/loadtest/play.go
+++ b/internal/loadtest/play.go
@@ -44,11 +44,11 @@
 }
 
 // wrong counts receipts that no host gave for that connection.
-func (r *receipts) wrong(recs []fakeserver.Record) (n int64) {
+func (r *receipts) wrong(recs []fakeserver.Event) (n int64) {
 	given := map[string]bool{}
 	for _, x := range recs {
-		if x.What == fakeserver.Up {
-			given[x.ID+" "+x.Note] = true
+		if x.Kind == fakeserver.EventEstablished {
+			given[x.ID+" "+x.Detail] = true
 		}
 	}
 	r.mu.Lock()
@@ -126,7 +126,7 @@
 		u := r.Usage()
 		u.CPU -= before.CPU
 		res.Nodes = &u
-		recs, lost := r.Ledger.Records()
+		recs, lost := r.Ledger.Events()
 		res.told(recs, began)
 		list := testcluster.Counted(recs)
 		res.List, res.Start = &list, testcluster.Steps(recs, r.Launched())
@@ -134,7 +134,7 @@
 			res.Wrong = rec.wrong(recs)
 		}
 		if o.Ledger != nil {
-			err = errors.Join(err, fakeserver.WriteRecords(o.Ledger, r.Clock, recs, lost))
+			err = errors.Join(err, fakeserver.WriteEvents(o.Ledger, r.Clock, recs, lost))
 		}
 	}
 	return res, err
@@ -192,23 +192,23 @@
 }
 
 // told takes what the stand-ins saw into the result.
-func (r *Result) told(recs []fakeserver.Record, began time.Duration) {
+func (r *Result) told(recs []fakeserver.Event, began time.Duration) {
 	at := map[string]int{}
 	for _, x := range recs {
 		switch {
-		case x.What == fakeserver.Fault || x.What == fakeserver.In || x.What == fakeserver.Out:
+		case x.Kind == fakeserver.EventFault || x.Kind == fakeserver.EventNodeHealthy || x.Kind == fakeserver.EventNodeUnhealthy:
 			if x.At >= began {
-				r.Marks = append(r.Marks, Mark{(x.At - began).Seconds(), x.Who, strings.TrimSpace(x.Note + map[string]string{
-					fakeserver.In: " is dealt clients", fakeserver.Out: " is dealt none"}[x.What])})
+				r.Marks = append(r.Marks, Mark{(x.At - began).Seconds(), x.Source, strings.TrimSpace(x.Detail + map[string]string{
+					fakeserver.EventNodeHealthy: " is dealt clients", fakeserver.EventNodeUnhealthy: " is dealt none"}[x.Kind])})
 			}
-		case strings.HasPrefix(x.Who, "h"):
-			i, ok := at[x.Who]
+		case strings.HasPrefix(x.Source, "h"):
+			i, ok := at[x.Source]
 			if !ok {
 				i = len(r.Hosts)
-				at[x.Who] = i
-				r.Hosts = append(r.Hosts, HostCount{ID: x.Who, Records: map[string]int64{}})
+				at[x.Source] = i
+				r.Hosts = append(r.Hosts, HostCount{ID: x.Source, Records: map[string]int64{}})
 			}
-			r.Hosts[i].Records[x.What]++
+			r.Hosts[i].Records[x.Kind]++
 		}
 	}
 }
--- a/internal/proxy/push_test.go
+++ b/internal/proxy/push_test.go
@@ -33,7 +33,7 @@
 		members[i] = wire.Endpoint{ID: fmt.Sprint("h", i), Addr: addr, Size: 1}
 	}
 	clock := fakeserver.NewClock()
-	d, err := fakeserver.NewDiscovery("", clock, fakeserver.NewLedger(clock), 7, members[:]...)
+	d, err := fakeserver.NewDiscovery("", clock, fakeserver.NewEventLog(clock), 7, members[:]...)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -68,13 +68,13 @@
 	d.Set(members[0])
 	only("the first host drains", 1)
 
-	d.Answer(fakeserver.Mute)
+	d.SetMode(fakeserver.ModeSilent)
 	members[0].Phase, members[1].Phase = wire.Serving, wire.Draining
 	d.Set(members[0])
 	d.Set(members[1])
 	if at := round(); at[1] != 16 {
 		t.Errorf("while discovery is silent: asked %v of 16", at)
 	}
-	d.Answer(fakeserver.Well)
+	d.SetMode(fakeserver.ModeNormal)
 	only("what was missed is taken up", 0)
 }
--- a/internal/scaletest/run.go
+++ b/internal/scaletest/run.go
@@ -166,7 +166,7 @@
 		if err := ctx.Err(); err != nil {
 			return sample, err
 		}
-		return sample, &ShortError{kind, n, fmt.Sprintf("processor: %d follow the list after %v", r.Discovery.Watching(), startWithin)}
+		return sample, &ShortError{kind, n, fmt.Sprintf("processor: %d follow the list after %v", r.Discovery.OpenCalls(), startWithin)}
 	}
 	sample.Started = time.Since(begin)
 	sample.Rest = m.phase(func() { wait(ctx, s.Rest.D()) })
@@ -198,7 +198,7 @@
 // followed waits until all nodes have a watch open.
 func (m *meter) followed(ctx context.Context, within time.Duration) bool {
 	for by := time.Now().Add(within); time.Now().Before(by) && ctx.Err() == nil; wait(ctx, pollEvery) {
-		if m.rig.Discovery.Watching() >= m.nodes {
+		if m.rig.Discovery.OpenCalls() >= m.nodes {
 			return true
 		}
 	}
--- a/internal/soaktest/client.go
+++ b/internal/soaktest/client.go
@@ -101,7 +101,7 @@
 }
 
 func (c *connection) note(what, text string) {
-	c.rig.Ledger.Add(fakeserver.Record{Who: clientPrefix + c.node, What: what, ID: c.id, Key: c.key, Class: c.class, Note: text})
+	c.rig.Ledger.Add(fakeserver.Event{Source: clientPrefix + c.node, Kind: what, ID: c.id, Key: c.key, Class: c.class, Detail: text})
 }
 
 // come makes one connection, and reports whether it stood and was broken by the node's side.
@@ -126,7 +126,7 @@
 		if _, err := io.WriteString(c, line+"\r\n"); err != nil {
 			return false
 		}
-		c.note(fakeserver.Asked, s.patience.String())
+		c.note(fakeserver.EventRequested, s.patience.String())
 	}
 	return c.wait(ctx)
 }
@@ -155,7 +155,7 @@
 		return false
 	case floodsMid:
 		say(line + strings.Repeat("M of a client that goes\r\n", floodSize/25))
-		c.note(fakeserver.Asked, c.patience.String())
+		c.note(fakeserver.EventRequested, c.patience.String())
 		ctxtime.Sleep(ctx, c.pause)
 		c.leave()
 		return false
@@ -172,7 +172,7 @@
 	if !say(line) {
 		return false
 	}
-	c.note(fakeserver.Asked, c.patience.String())
+	c.note(fakeserver.EventRequested, c.patience.String())
 	if c.manner == leaves || c.manner == resets {
 		ctxtime.Sleep(ctx, c.pause)
 		c.leave()
@@ -187,7 +187,7 @@
 		_ = t.SetLinger(0)
 	}
 	_ = c.Close()
-	c.note(fakeserver.Left, "")
+	c.note(fakeserver.EventDisconnected, "")
 }
 
 // hearsPong reads the answer to PING, and nothing behind it.
@@ -223,13 +223,13 @@
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return false // the judge sees that nothing came
 	case c.manner == rests && errors.Is(err, io.EOF) && time.Since(asked) < crossing:
-		c.note(fakeserver.Left, "the node had ended it") // its FIN was there before the request
+		c.note(fakeserver.EventDisconnected, "the node had ended it") // its FIN was there before the request
 		return false
 	default:
-		c.note(fakeserver.Broken, err.Error()+text)
+		c.note(fakeserver.EventReset, err.Error()+text)
 		return false
 	}
-	c.note(fakeserver.Heard, strings.TrimRight(text, "\r\n"))
+	c.note(fakeserver.EventReceived, strings.TrimRight(text, "\r\n"))
 	if !strings.HasPrefix(text, "UP ") {
 		return false
 	}
@@ -239,15 +239,15 @@
 		text, err := in.ReadString('\n')
 		switch {
 		case err == nil && text == "MOVE\r\n":
-			c.note(fakeserver.Moved, "")
+			c.note(fakeserver.EventMigrated, "")
 			return false
 		case err == nil:
 			ctxtime.Sleep(ctx, lineEvery)
 		case !errors.Is(err, os.ErrDeadlineExceeded):
-			c.note(fakeserver.Broken, err.Error()+text)
+			c.note(fakeserver.EventReset, err.Error()+text)
 			return !errors.Is(err, io.EOF)
 		}
 	}
-	c.note(fakeserver.Left, "")
+	c.note(fakeserver.EventDisconnected, "")
 	return false
 }
--- a/internal/soaktest/judge.go
+++ b/internal/soaktest/judge.go
@@ -63,7 +63,7 @@
 }
 
 // Judge finds what the records of a run break.
-func Judge(recs []fakeserver.Record, limits Limits, facts Facts) Verdict {
+func Judge(recs []fakeserver.Event, limits Limits, facts Facts) Verdict {
 	v := Verdict{}
 	fates, receipts, kills := gather(recs)
 	for _, f := range fates {
@@ -77,31 +77,31 @@
 }
 
 // gather sorts the records of clients by connection, those of hosts' receipts, and those of kills by node.
-func gather(recs []fakeserver.Record) (fates []*fate, receipts map[string]bool, kills map[string][]time.Duration) {
+func gather(recs []fakeserver.Event) (fates []*fate, receipts map[string]bool, kills map[string][]time.Duration) {
 	receipts, kills = map[string]bool{}, map[string][]time.Duration{}
 	open := map[string]*fate{}
 	for _, r := range recs {
-		node, client := strings.CutPrefix(r.Who, clientPrefix)
+		node, client := strings.CutPrefix(r.Source, clientPrefix)
 		f := open[r.Key]
 		switch {
-		case r.What == fakeserver.Fault && (r.Note == "kill" || r.Note == "lose"):
-			kills[r.Who] = append(kills[r.Who], r.At)
-		case !client && r.What == fakeserver.Up:
-			receipts[r.ID+" "+r.Note] = true
+		case r.Kind == fakeserver.EventFault && (r.Detail == "kill" || r.Detail == "lose"):
+			kills[r.Source] = append(kills[r.Source], r.At)
+		case !client && r.Kind == fakeserver.EventEstablished:
+			receipts[r.ID+" "+r.Detail] = true
 		case !client:
-		case r.What == fakeserver.Asked:
-			patience, _ := time.ParseDuration(r.Note)
+		case r.Kind == fakeserver.EventRequested:
+			patience, _ := time.ParseDuration(r.Detail)
 			f = &fate{id: r.ID, node: node, asked: r.At, patience: patience}
 			open[r.Key] = f
 			fates = append(fates, f)
 		case f == nil:
-		case r.What == fakeserver.Heard:
-			if f.answers = append(f.answers, r.Note); len(f.answers) == 1 {
+		case r.Kind == fakeserver.EventReceived:
+			if f.answers = append(f.answers, r.Detail); len(f.answers) == 1 {
 				f.heard = r.At
 			}
-		case r.What == fakeserver.Left:
+		case r.Kind == fakeserver.EventDisconnected:
 			f.left = r.At
-		case r.What == fakeserver.Broken:
+		case r.Kind == fakeserver.EventReset:
 			f.broken = r.At
 		}
 	}
@@ -146,7 +146,7 @@
 }
 
 // leavers finds lines that began for clients that had left. A request of the same id that came later is another one.
-func (v *Verdict) leavers(recs []fakeserver.Record, fates []*fate, limits Limits, facts Facts) {
+func (v *Verdict) leavers(recs []fakeserver.Event, fates []*fate, limits Limits, facts Facts) {
 	left, last := map[string]time.Duration{}, map[string]time.Duration{}
 	for _, f := range fates {
 		if last[f.id] = max(last[f.id], f.asked); f.left > 0 && len(f.answers) == 0 {
@@ -155,30 +155,30 @@
 	}
 	for _, r := range recs {
 		at, ok := left[r.ID]
-		if r.What == fakeserver.Opened && ok && !facts.Delayed[r.Who] && at > last[r.ID] && r.At > at+limits.Left+limits.Ledger {
-			v.wrong("%s: it began at %s at %v, its client left at %v", r.ID, r.Who, r.At, at)
+		if r.Kind == fakeserver.EventOpened && ok && !facts.Delayed[r.Source] && at > last[r.ID] && r.At > at+limits.Left+limits.Ledger {
+			v.wrong("%s: it began at %s at %v, its client left at %v", r.ID, r.Source, r.At, at)
 		}
 	}
 }
 
 // drains finds lines to hosts that drain for good, past the time at which every node counts as told, and the grace.
-func (v *Verdict) drains(recs []fakeserver.Record, limits Limits, facts Facts) {
+func (v *Verdict) drains(recs []fakeserver.Event, limits Limits, facts Facts) {
 	since := map[string]time.Duration{}
 	for _, r := range recs {
-		switch at, ok := since[r.Who]; {
-		case r.What == fakeserver.Fault && r.Note == "drains":
-			since[r.Who] = ToldBy(r.At, limits.Told, facts.Unreachable)
-		case r.What == fakeserver.Opened && ok && !facts.Delayed[r.Who] && r.At > at+limits.DrainGrace+limits.Ledger:
-			v.wrong("%s: it began at %s at %v, which drains, and all count as told at %v", r.ID, r.Who, r.At, at)
+		switch at, ok := since[r.Source]; {
+		case r.Kind == fakeserver.EventFault && r.Detail == "drains":
+			since[r.Source] = ToldBy(r.At, limits.Told, facts.Unreachable)
+		case r.Kind == fakeserver.EventOpened && ok && !facts.Delayed[r.Source] && r.At > at+limits.DrainGrace+limits.Ledger:
+			v.wrong("%s: it began at %s at %v, which drains, and all count as told at %v", r.ID, r.Source, r.At, at)
 		}
 	}
 }
 
 // falls finds hosts in slow start that all nodes together pushed over.
-func (v *Verdict) falls(recs []fakeserver.Record) {
+func (v *Verdict) falls(recs []fakeserver.Event) {
 	for _, r := range recs {
-		if r.What == fakeserver.Fault && r.Note == "fell over" {
-			v.wrong("%s: it was pushed over at %v", r.Who, r.At)
+		if r.Kind == fakeserver.EventFault && r.Detail == "fell over" {
+			v.wrong("%s: it was pushed over at %v", r.Source, r.At)
 		}
 	}
 }
@@ -198,19 +198,19 @@
 }
 
 // repeats finds requests that may not be repeated and were, though an earlier host may have run them.
-func (v *Verdict) repeats(recs []fakeserver.Record, facts Facts) {
+func (v *Verdict) repeats(recs []fakeserver.Event, facts Facts) {
 	type place struct{ host, id string }
 	first, refused := map[string]string{}, map[place]bool{}
 	for _, r := range recs {
 		switch {
-		case strings.HasPrefix(r.Who, clientPrefix) || !facts.Unsafe[r.Class]:
-		case r.What == fakeserver.Refused:
-			refused[place{r.Who, r.ID}] = true
-		case r.What == fakeserver.Opened && !strings.Contains(r.Note, "mid"):
+		case strings.HasPrefix(r.Source, clientPrefix) || !facts.Unsafe[r.Class]:
+		case r.Kind == fakeserver.EventRejected:
+			refused[place{r.Source, r.ID}] = true
+		case r.Kind == fakeserver.EventOpened && !strings.Contains(r.Detail, "mid"):
 			if was, ok := first[r.ID]; ok && !refused[place{was, r.ID}] {
-				v.wrong("%s: it was sent to %s, may have run, and was sent to %s", r.ID, was, r.Who)
+				v.wrong("%s: it was sent to %s, may have run, and was sent to %s", r.ID, was, r.Source)
 			}
-			first[r.ID] = r.Who
+			first[r.ID] = r.Source
 		}
 	}
 }
--- a/internal/soaktest/judge_test.go
+++ b/internal/soaktest/judge_test.go
@@ -11,13 +11,13 @@
 const ms = time.Millisecond
 
 // book is a ledger that a test writes.
-type book []fakeserver.Record
+type book []fakeserver.Event
 
 func (b *book) add(at time.Duration, who, what, id, note string) {
-	*b = append(*b, fakeserver.Record{At: at, Who: who, What: what, ID: id, Key: id, Class: "order", Note: note})
+	*b = append(*b, fakeserver.Event{At: at, Source: who, Kind: what, ID: id, Key: id, Class: "order", Detail: note})
 }
 
-func (b *book) asked(id string) { b.add(0, "c-n1", fakeserver.Asked, id, "1s") }
+func (b *book) asked(id string) { b.add(0, "c-n1", fakeserver.EventRequested, id, "1s") }
 
 // Each way in which a request can come to a wrong end is found, and what is allowed is not.
 func TestJudge_EachRule(t *testing.T) {
@@ -31,71 +31,71 @@
 	}{
 		{"served", Facts{}, func(b *book) {
 			b.asked("a")
-			b.add(5*ms, "h1", fakeserver.Up, "a", "h1-1")
-			b.add(6*ms, "c-n1", fakeserver.Heard, "a", "UP h1-1")
-			b.add(9*ms, "c-n1", fakeserver.Heard, "a", "M a line")
+			b.add(5*ms, "h1", fakeserver.EventEstablished, "a", "h1-1")
+			b.add(6*ms, "c-n1", fakeserver.EventReceived, "a", "UP h1-1")
+			b.add(9*ms, "c-n1", fakeserver.EventReceived, "a", "M a line")
 		}, ""},
-		{"refused", Facts{}, func(b *book) { b.asked("a"); b.add(ms, "c-n1", fakeserver.Heard, "a", "BUSY 5") }, ""},
-		{"no answer", Facts{}, func(b *book) { b.asked("a"); b.add(ms, "c-n1", fakeserver.Broken, "a", "EOF") }, "no whole answer"},
-		{"left first", Facts{}, func(b *book) { b.asked("a"); b.add(ms, "c-n1", fakeserver.Left, "a", "") }, ""},
+		{"refused", Facts{}, func(b *book) { b.asked("a"); b.add(ms, "c-n1", fakeserver.EventReceived, "a", "BUSY 5") }, ""},
+		{"no answer", Facts{}, func(b *book) { b.asked("a"); b.add(ms, "c-n1", fakeserver.EventReset, "a", "EOF") }, "no whole answer"},
+		{"left first", Facts{}, func(b *book) { b.asked("a"); b.add(ms, "c-n1", fakeserver.EventDisconnected, "a", "") }, ""},
 		{"its node was killed", Facts{}, func(b *book) {
 			b.asked("a")
-			b.add(ms, "n1", fakeserver.Fault, "", "kill")
-			b.add(2*ms, "c-n1", fakeserver.Broken, "a", "reset")
+			b.add(ms, "n1", fakeserver.EventFault, "", "kill")
+			b.add(2*ms, "c-n1", fakeserver.EventReset, "a", "reset")
 		}, ""},
 		{"another node was killed", Facts{}, func(b *book) {
 			b.asked("a")
-			b.add(ms, "n2", fakeserver.Fault, "", "kill")
-			b.add(2*ms, "c-n1", fakeserver.Broken, "a", "reset")
+			b.add(ms, "n2", fakeserver.EventFault, "", "kill")
+			b.add(2*ms, "c-n1", fakeserver.EventReset, "a", "reset")
 		}, "no whole answer"},
 		{"shut in a crowd", Facts{Crowded: map[string][]Span{"n1": {{0, time.Second}}}}, func(b *book) {
 			b.asked("a")
-			b.add(ms, "c-n1", fakeserver.Broken, "a", "reset")
+			b.add(ms, "c-n1", fakeserver.EventReset, "a", "reset")
 		}, ""},
 		{"silent in a crowd", Facts{Crowded: map[string][]Span{"n1": {{0, time.Second}}}}, func(b *book) { b.asked("a") }, "no whole answer"},
-		{"late", Facts{}, func(b *book) { b.asked("a"); b.add(late, "c-n1", fakeserver.Heard, "a", "ERR") }, "only at"},
+		{"late", Facts{}, func(b *book) { b.asked("a"); b.add(late, "c-n1", fakeserver.EventReceived, "a", "ERR") }, "only at"},
 		{"twice", Facts{}, func(b *book) {
 			b.asked("a")
-			b.add(ms, "c-n1", fakeserver.Heard, "a", "BUSY")
-			b.add(ms, "c-n1", fakeserver.Heard, "a", "ERR")
+			b.add(ms, "c-n1", fakeserver.EventReceived, "a", "BUSY")
+			b.add(ms, "c-n1", fakeserver.EventReceived, "a", "ERR")
 		}, "more answers than one"},
-		{"made up", Facts{}, func(b *book) { b.asked("a"); b.add(ms, "c-n1", fakeserver.Heard, "a", "UP h1-1") }, "no host's answer"},
+		{"made up", Facts{}, func(b *book) { b.asked("a"); b.add(ms, "c-n1", fakeserver.EventReceived, "a", "UP h1-1") }, "no host's answer"},
 		{"begun for a leaver", Facts{}, func(b *book) {
 			b.asked("a")
-			b.add(ms, "c-n1", fakeserver.Left, "a", "")
-			b.add(time.Second, "h1", fakeserver.Opened, "a", "")
+			b.add(ms, "c-n1", fakeserver.EventDisconnected, "a", "")
+			b.add(time.Second, "h1", fakeserver.EventOpened, "a", "")
 		}, "its client left"},
 		{"begun before it left", Facts{}, func(b *book) {
 			b.asked("a")
-			b.add(ms, "h1", fakeserver.Opened, "a", "")
-			b.add(2*ms, "c-n1", fakeserver.Left, "a", "")
+			b.add(ms, "h1", fakeserver.EventOpened, "a", "")
+			b.add(2*ms, "c-n1", fakeserver.EventDisconnected, "a", "")
 		}, ""},
 		{"read late by a host that hung", Facts{Delayed: map[string]bool{"h1": true}}, func(b *book) {
 			b.asked("a")
-			b.add(ms, "c-n1", fakeserver.Left, "a", "")
-			b.add(time.Second, "h1", fakeserver.Opened, "a", "")
+			b.add(ms, "c-n1", fakeserver.EventDisconnected, "a", "")
+			b.add(time.Second, "h1", fakeserver.EventOpened, "a", "")
 		}, ""},
 		{"sent to a drained host", Facts{}, func(b *book) {
-			b.add(0, "h1", fakeserver.Fault, "", "drains")
-			b.add(Usual.Told+Usual.DrainGrace+Usual.Ledger+ms, "h1", fakeserver.Opened, "a", "")
+			b.add(0, "h1", fakeserver.EventFault, "", "drains")
+			b.add(Usual.Told+Usual.DrainGrace+Usual.Ledger+ms, "h1", fakeserver.EventOpened, "a", "")
 		}, "which drains"},
 		{"sent while not all are told", Facts{Unreachable: []Span{{time.Second, 2 * time.Second}}}, func(b *book) {
-			b.add(0, "h1", fakeserver.Fault, "", "drains")
-			b.add(Usual.Told+Usual.DrainGrace+Usual.Ledger+ms, "h1", fakeserver.Opened, "a", "")
+			b.add(0, "h1", fakeserver.EventFault, "", "drains")
+			b.add(Usual.Told+Usual.DrainGrace+Usual.Ledger+ms, "h1", fakeserver.EventOpened, "a", "")
 		}, ""},
-		{"pushed over", Facts{}, func(b *book) { b.add(0, "h1", fakeserver.Fault, "", "fell over") }, "pushed over"},
+		{"pushed over", Facts{}, func(b *book) { b.add(0, "h1", fakeserver.EventFault, "", "fell over") }, "pushed over"},
 		{"repeated", unsafe, func(b *book) {
-			b.add(0, "h1", fakeserver.Opened, "a", "")
-			b.add(time.Second, "h2", fakeserver.Opened, "a", "")
+			b.add(0, "h1", fakeserver.EventOpened, "a", "")
+			b.add(time.Second, "h2", fakeserver.EventOpened, "a", "")
 		}, "may have run"},
 		{"repeated as it never ran", unsafe, func(b *book) {
-			b.add(0, "h1", fakeserver.Opened, "a", "")
-			b.add(ms, "h1", fakeserver.Refused, "a", "full")
-			b.add(time.Second, "h2", fakeserver.Opened, "a", "")
+			b.add(0, "h1", fakeserver.EventOpened, "a", "")
+			b.add(ms, "h1", fakeserver.EventRejected, "a", "full")
+			b.add(time.Second, "h2", fakeserver.EventOpened, "a", "")
 		}, ""},
 		{"a safe repeat", Facts{}, func(b *book) {
-			b.add(0, "h1", fakeserver.Opened, "a", "")
-			b.add(time.Second, "h2", fakeserver.Opened, "a", "")
+			b.add(0, "h1", fakeserver.EventOpened, "a", "")
+			b.add(time.Second, "h2", fakeserver.EventOpened, "a", "")
 		}, ""},
 	} {
 		var b book
--- a/internal/soaktest/run.go
+++ b/internal/soaktest/run.go
@@ -37,7 +37,7 @@
 	CallsFailed int
 	ClockSteps  int    // that nodes have noticed
 	Log         []byte // all that the nodes wrote
-	Records     []fakeserver.Record
+	Records     []fakeserver.Event
 }
 
 // Broken lists all that speaks against the nodes.
@@ -88,7 +88,7 @@
 	run.calls(calls)
 	run.clients(cfg.Rate)
 	run.wg.Wait()
-	recs, lost := r.Ledger.Records()
+	recs, lost := r.Ledger.Events()
 	if lost > 0 {
 		return nil, fmt.Errorf("%d records are lost", lost)
 	}
--- a/internal/soaktest/soak_test.go
+++ b/internal/soaktest/soak_test.go
@@ -84,7 +84,7 @@
 func keep(t *testing.T, folder string, seed int, plan Plan, report *Report) {
 	t.Helper()
 	var ledger strings.Builder
-	if err := fakeserver.WriteRecords(&ledger, fakeserver.NewClock(), report.Records, 0); err != nil {
+	if err := fakeserver.WriteEvents(&ledger, fakeserver.NewClock(), report.Records, 0); err != nil {
 		t.Fatal(err)
 	}
 	var told strings.Builder
--- a/internal/testcluster/answers.go
+++ b/internal/testcluster/answers.go
@@ -25,7 +25,7 @@
 // answer. What a node cut off that stood, without MOVE, is wrong where cut says so. Records of clients carry the id of
 // their request: Asked with the patience as the note, Heard with each whole line, and at last Left, Moved or Broken. A
 // request without any of these last ones is taken to have been left without an answer.
-func Answers(recs []fakeserver.Record, cut bool) (t Taken) {
+func Answers(recs []fakeserver.Event, cut bool) (t Taken) {
 	type fate struct {
 		asked, heard time.Duration
 		patience     time.Duration
@@ -35,22 +35,22 @@
 	all, receipts := map[string]*fate{}, map[string]string{}
 	var order []string
 	for _, r := range recs {
-		client := strings.HasPrefix(r.Who, clientPrefix)
+		client := strings.HasPrefix(r.Source, clientPrefix)
 		f := all[r.ID]
 		switch {
-		case !client && r.What == fakeserver.Up:
-			receipts[r.ID+" "+r.Note] = r.Who
+		case !client && r.Kind == fakeserver.EventEstablished:
+			receipts[r.ID+" "+r.Detail] = r.Source
 		case !client:
-		case r.What == fakeserver.Asked:
-			patience, _ := time.ParseDuration(r.Note)
+		case r.Kind == fakeserver.EventRequested:
+			patience, _ := time.ParseDuration(r.Detail)
 			all[r.ID] = &fate{asked: r.At, patience: patience}
 			order = append(order, r.ID)
 		case f == nil:
-		case r.What == fakeserver.Heard && len(f.answers) == 0:
-			f.heard, f.answers = r.At, []string{r.Note}
-		case r.What == fakeserver.Heard:
-			f.answers = append(f.answers, r.Note)
-		case r.What == fakeserver.Broken:
+		case r.Kind == fakeserver.EventReceived && len(f.answers) == 0:
+			f.heard, f.answers = r.At, []string{r.Detail}
+		case r.Kind == fakeserver.EventReceived:
+			f.answers = append(f.answers, r.Detail)
+		case r.Kind == fakeserver.EventReset:
 			f.broken = true
 		}
 	}
--- a/internal/testcluster/coldstart_test.go
+++ b/internal/testcluster/coldstart_test.go
@@ -121,7 +121,7 @@
 	}
 	r := prepare(t, f)
 	if down > 0 {
-		r.Discovery.Answer(fakeserver.Resets)
+		r.Discovery.SetMode(fakeserver.ModeReset)
 	}
 	began := r.Clock.Now()
 	if err := r.Launch(); err != nil {
@@ -133,13 +133,13 @@
 	if down > 0 {
 		go func() {
 			ctxtime.Sleep(ctx, down)
-			r.Discovery.Answer(fakeserver.Well)
+			r.Discovery.SetMode(fakeserver.ModeNormal)
 		}()
 	}
 	all := knocks(ctx, r, n, 5, time.Second, down+40*time.Second)
-	recs, _ := r.Ledger.Records()
+	recs, _ := r.Ledger.Events()
 	c := Counted(recs)
-	asked := Times(recs, "discovery", fakeserver.Asked)
+	asked := Times(recs, "discovery", fakeserver.EventRequested)
 	var up []time.Duration
 	refused, noAdvice, failed, served, longest := 0, 0, 0, 0, time.Duration(0)
 	for _, k := range all {
@@ -154,10 +154,10 @@
 	if cold {
 		fell, most, mean := 0, 0, 0.0
 		for _, h := range r.Hosts() {
-			if h.State().Fell {
+			if h.State().Collapsed {
 				fell++
 			}
-			times := Times(recs, h.ID(), fakeserver.Opened)
+			times := Times(recs, h.ID(), fakeserver.EventOpened)
 			most = max(most, Most(times, 100*time.Millisecond))
 			if len(times) > 1 {
 				mean += float64(len(times)) / (times[len(times)-1] - times[0]).Seconds() / 10 / float64(f.Hosts)
--- a/internal/testcluster/faults.go
+++ b/internal/testcluster/faults.go
@@ -125,12 +125,12 @@
 		return r.linkFault(x, t), nil
 	}
 	r.mark(x.On, "slow")
-	r.store.Slow(x.By)
-	return func() error { r.store.Slow(1); r.mark(x.On, "well"); return nil }, nil
+	r.store.SetSlowFactor(x.By)
+	return func() error { r.store.SetSlowFactor(1); r.mark(x.On, "well"); return nil }, nil
 }
 
 func (r *Rig) mark(who, text string) {
-	r.Ledger.Add(fakeserver.Record{Who: who, What: fakeserver.Fault, Note: text})
+	r.Ledger.Add(fakeserver.Event{Source: who, Kind: fakeserver.EventFault, Detail: text})
 }
 
 func (r *Rig) hostFault(x FaultSpec, i int) (func() error, error) {
@@ -149,11 +149,11 @@
 		h.Hang()
 		return func() error { h.Resume(); return nil }, nil
 	case "slow":
-		h.Slow(x.By)
-		return func() error { h.Slow(1); return nil }, nil
+		h.SetSlowFactor(x.By)
+		return func() error { h.SetSlowFactor(1); return nil }, nil
 	case "steal":
-		h.Steal(x.By)
-		return func() error { h.Steal(0); return nil }, nil
+		h.SetStolenShare(x.By)
+		return func() error { h.SetStolenShare(0); return nil }, nil
 	case "drain":
 		r.Discovery.Set(r.member(h, wire.Draining))
 		over := x.Over.D()
@@ -162,18 +162,18 @@
 		}
 		h.Drain(over)
 		return func() error {
-			if h.State().Dead { // it died while it drained; when it is back it serves
+			if h.State().Crashed { // it died while it drained; when it is back it serves
 				return nil
 			}
-			h.Undrain()
+			h.CancelDrain()
 			r.Discovery.Set(r.member(h, wire.Serving))
 			return nil
 		}, nil
 	}
-	h.Die()
+	h.Crash()
 	r.after(r.fleet.Notice.D(), func() { r.Discovery.Set(r.member(h, wire.Removed)) })
 	return func() error {
-		if err := h.Return(); err != nil {
+		if err := h.Restart(); err != nil {
 			return err
 		}
 		r.after(r.fleet.Notice.D(), func() { r.Discovery.Set(r.member(h, wire.Serving)) })
@@ -222,17 +222,17 @@
 	d := r.Discovery
 	switch x.What {
 	case "lag":
-		d.Lag(x.Over.D())
-		return func() error { d.Lag(0); return nil }
+		d.SetNotifyDelay(x.Over.D())
+		return func() error { d.SetNotifyDelay(0); return nil }
 	case "freeze":
-		d.Freeze(true)
-		return func() error { d.Freeze(false); return nil }
+		d.SetFrozen(true)
+		return func() error { d.SetFrozen(false); return nil }
 	case "restart":
 		d.Restart(1)
 		return nil
 	}
-	d.Answer(map[string]fakeserver.Mode{"busy": fakeserver.Busy, "reset": fakeserver.Resets, "mute": fakeserver.Mute}[x.What])
-	return func() error { d.Answer(fakeserver.Well); return nil }
+	d.SetMode(map[string]fakeserver.DiscoveryMode{"busy": fakeserver.ModeUnavailable, "reset": fakeserver.ModeReset, "mute": fakeserver.ModeSilent}[x.What])
+	return func() error { d.SetMode(fakeserver.ModeNormal); return nil }
 }
 
 // linksOf are the links that a fault on links means.
@@ -264,27 +264,27 @@
 			}
 		}
 	}
-	silent := func(w fakeserver.Way, on bool) func(*fakeserver.Link) {
-		return func(k *fakeserver.Link) { k.Set(w, func(s *fakeserver.LinkState) { s.Silent = on }) }
+	silent := func(w fakeserver.Direction, on bool) func(*fakeserver.Link) {
+		return func(k *fakeserver.Link) { k.SetFault(w, func(s *fakeserver.LinkFault) { s.Blackhole = on }) }
 	}
 	var begin, end func(*fakeserver.Link)
 	switch x.What {
 	case "silence":
-		begin, end = silent(fakeserver.BothWays, true), silent(fakeserver.BothWays, false)
+		begin, end = silent(fakeserver.BothDirections, true), silent(fakeserver.BothDirections, false)
 	case "deaf": // one way alone: what the other side says does not come back
-		begin, end = silent(fakeserver.Inward, true), silent(fakeserver.BothWays, false)
+		begin, end = silent(fakeserver.FromTarget, true), silent(fakeserver.BothDirections, false)
 	case "mute": // the other way: what is said does not get there
-		begin, end = silent(fakeserver.Outward, true), silent(fakeserver.BothWays, false)
+		begin, end = silent(fakeserver.ToTarget, true), silent(fakeserver.BothDirections, false)
 	case "stall":
-		begin, end = func(k *fakeserver.Link) { k.Stall(true) }, func(k *fakeserver.Link) { k.Stall(false) }
+		begin, end = func(k *fakeserver.Link) { k.SetStalled(true) }, func(k *fakeserver.Link) { k.SetStalled(false) }
 	case "delay":
-		begin, end = func(k *fakeserver.Link) { k.Delay(x.Over.D()) }, func(k *fakeserver.Link) { k.Delay(0) }
+		begin, end = func(k *fakeserver.Link) { k.SetDelay(x.Over.D()) }, func(k *fakeserver.Link) { k.SetDelay(0) }
 	case "limit":
-		begin, end = func(k *fakeserver.Link) { k.Limit(int64(x.By)) }, func(k *fakeserver.Link) { k.Limit(0) }
+		begin, end = func(k *fakeserver.Link) { k.SetRate(int64(x.By)) }, func(k *fakeserver.Link) { k.SetRate(0) }
 	case "refuse":
-		begin, end = func(k *fakeserver.Link) { k.Refuse(true); k.Reset() }, func(k *fakeserver.Link) { k.Refuse(false) }
+		begin, end = func(k *fakeserver.Link) { k.SetRejecting(true); k.ResetConnections() }, func(k *fakeserver.Link) { k.SetRejecting(false) }
 	case "reset":
-		each((*fakeserver.Link).Reset)()
+		each((*fakeserver.Link).ResetConnections)()
 		return nil
 	}
 	each(begin)()
--- a/internal/testcluster/fleet.go
+++ b/internal/testcluster/fleet.go
@@ -187,9 +187,9 @@
 	if f.Hosts > 1 {
 		speed *= 1 - h.Uneven + 2*h.Uneven*float64(i%f.Hosts)/float64(f.Hosts-1)
 	}
-	return capacity.Spec{Cores: h.Cores, Speed: speed, Load: h.Load, Drift: h.Drift, Group: h.Group,
-		Setup: h.Setup.D().Seconds(), Lines: h.Lines.D().Seconds(), Most: h.Most, Queue: h.Queue,
-		Cold: h.Cold, Warm: h.Warm.D(), Fall: h.Fall, FallIn: h.FallIn.D()}
+	return capacity.Spec{Cores: h.Cores, Speed: speed, ConnectionLoad: h.Load, LoadDrift: h.Drift, GroupCost: h.Group,
+		SetupWork: h.Setup.D().Seconds(), LineWork: h.Lines.D().Seconds(), MaxConnections: h.Most, MaxSetups: h.Queue,
+		SlowStartFraction: h.Cold, SlowStartDuration: h.Warm.D(), CollapseMultiple: h.Fall, CollapseAfter: h.FallIn.D()}
 }
 
 // target is one thing that a fault is on.
--- a/internal/testcluster/judge.go
+++ b/internal/testcluster/judge.go
@@ -10,9 +10,9 @@
 // Judges over ledgers: what stand-ins and links saw on the rig's one clock, never what processes say of themselves.
 
 // Times picks the times of one's records of a kind, in order.
-func Times(recs []fakeserver.Record, who, what string) (out []time.Duration) {
+func Times(recs []fakeserver.Event, who, what string) (out []time.Duration) {
 	for _, r := range recs {
-		if r.What == what && r.Who == who {
+		if r.Kind == what && r.Source == who {
 			out = append(out, r.At)
 		}
 	}
@@ -51,9 +51,9 @@
 }
 
 // Counted judges the calls to the list service.
-func Counted(recs []fakeserver.Record) ListCount {
-	asked := Times(recs, "discovery", fakeserver.Asked)
-	return ListCount{Calls: len(asked), Told: len(Times(recs, "discovery", fakeserver.Told)), Turned: len(Times(recs, "discovery", fakeserver.Turned)),
+func Counted(recs []fakeserver.Event) ListCount {
+	asked := Times(recs, "discovery", fakeserver.EventRequested)
+	return ListCount{Calls: len(asked), Told: len(Times(recs, "discovery", fakeserver.EventListSent)), Turned: len(Times(recs, "discovery", fakeserver.EventCallRejected)),
 		Most: Most(asked, 100*time.Millisecond)}
 }
 
@@ -73,14 +73,14 @@
 )
 
 // Steps counts what the list service and the hosts saw of a start, step by step, to the last step with anything in it.
-func Steps(recs []fakeserver.Record, launched time.Duration) (out []Step) {
+func Steps(recs []fakeserver.Event, launched time.Duration) (out []Step) {
 	at := map[int]map[string]int{}
 	for _, x := range recs {
 		i := int((x.At - launched) / stepWidth)
 		if x.At < launched || i >= mostSteps {
 			continue
 		}
-		call, turned, host := x.Who == "discovery" && x.What == fakeserver.Asked, x.Who == "discovery" && x.What == fakeserver.Turned, x.What == fakeserver.Opened
+		call, turned, host := x.Source == "discovery" && x.Kind == fakeserver.EventRequested, x.Source == "discovery" && x.Kind == fakeserver.EventCallRejected, x.Kind == fakeserver.EventOpened
 		if !call && !turned && !host {
 			continue
 		}
@@ -96,17 +96,17 @@
 			if at[i] == nil {
 				at[i] = map[string]int{}
 			}
-			at[i][x.Who]++
-			s.SetUps, s.Most = s.SetUps+1, max(s.Most, at[i][x.Who])
+			at[i][x.Source]++
+			s.SetUps, s.Most = s.SetUps+1, max(s.Most, at[i][x.Source])
 		}
 	}
 	return out
 }
 
 // Burst is the largest number of set-ups at one host within a span, and which host that was.
-func Burst(recs []fakeserver.Record, hosts []string, span time.Duration) (most int, host string) {
+func Burst(recs []fakeserver.Event, hosts []string, span time.Duration) (most int, host string) {
 	for _, h := range hosts {
-		if n := Most(Times(recs, h, fakeserver.Opened), span); n > most {
+		if n := Most(Times(recs, h, fakeserver.EventOpened), span); n > most {
 			most, host = n, h
 		}
 	}
--- a/internal/testcluster/judge_test.go
+++ b/internal/testcluster/judge_test.go
@@ -10,17 +10,17 @@
 // A judge that can't fail shows nothing: each is given what it must tell apart.
 func TestJudgesTellLedgersApart(t *testing.T) {
 	const ms = time.Millisecond
-	at := func(who, what string, times ...time.Duration) (out []fakeserver.Record) {
+	at := func(who, what string, times ...time.Duration) (out []fakeserver.Event) {
 		for _, x := range times {
-			out = append(out, fakeserver.Record{At: x, Who: who, What: what})
+			out = append(out, fakeserver.Event{At: x, Source: who, Kind: what})
 		}
 		return out
 	}
-	var recs []fakeserver.Record
-	recs = append(recs, at("h1", fakeserver.Opened, 0, 40*ms, 200*ms)...)
-	recs = append(recs, at("h10", fakeserver.Opened, 10*ms, 20*ms, 99*ms, 100*ms, 109*ms)...) // once taken for h1's
-	recs = append(recs, at("discovery", fakeserver.Asked, 0, 99*ms, 100*ms)...)
-	recs = append(recs, at("discovery", fakeserver.Turned, 150*ms)...)
+	var recs []fakeserver.Event
+	recs = append(recs, at("h1", fakeserver.EventOpened, 0, 40*ms, 200*ms)...)
+	recs = append(recs, at("h10", fakeserver.EventOpened, 10*ms, 20*ms, 99*ms, 100*ms, 109*ms)...) // once taken for h1's
+	recs = append(recs, at("discovery", fakeserver.EventRequested, 0, 99*ms, 100*ms)...)
+	recs = append(recs, at("discovery", fakeserver.EventCallRejected, 150*ms)...)
 	if n, host := Burst(recs, []string{"h1", "h10"}, 100*ms); n != 5 || host != "h10" {
 		t.Errorf("the burst is %d at %s", n, host)
 	}
@@ -30,7 +30,7 @@
 	if c := Counted(recs); c != (ListCount{Calls: 3, Turned: 1, Most: 2}) {
 		t.Errorf("the list service is counted as %+v", c)
 	}
-	if n := Within(Times(recs, "h10", fakeserver.Opened), 20*ms, 100*ms); n != 2 {
+	if n := Within(Times(recs, "h10", fakeserver.EventOpened), 20*ms, 100*ms); n != 2 {
 		t.Errorf("%d within", n)
 	}
 	steps := Steps(recs, 50*ms)
--- a/internal/testcluster/knock.go
+++ b/internal/testcluster/knock.go
@@ -68,7 +68,7 @@
 		line, err := bufio.NewReaderSize(c, 256).ReadString('\n')
 		k.Longest = max(k.Longest, r.Clock.Now()-began)
 		line = strings.TrimRight(line, "\r\n")
-		r.Ledger.Add(fakeserver.Record{Who: name, What: fakeserver.Heard, Note: line})
+		r.Ledger.Add(fakeserver.Event{Source: name, Kind: fakeserver.EventReceived, Detail: line})
 		if k.Last = line; err != nil {
 			k.Last += err.Error()
 		}
@@ -93,7 +93,7 @@
 		default:
 			k.Failed++
 			if ctx.Err() == nil {
-				r.Ledger.Add(fakeserver.Record{Who: name, What: fakeserver.Failed, Note: k.Last})
+				r.Ledger.Add(fakeserver.Event{Source: name, Kind: fakeserver.EventFailed, Detail: k.Last})
 			}
 			_ = c.Close()
 			ctxtime.Sleep(ctx, knockAgain)
--- a/internal/testcluster/rig.go
+++ b/internal/testcluster/rig.go
@@ -33,15 +33,15 @@
 // Rig is a fleet that runs.
 type Rig struct {
 	Clock     *fakeserver.Clock
-	Ledger    *fakeserver.Ledger
+	Ledger    *fakeserver.EventLog
 	Discovery *fakeserver.Discovery
-	Front     *fakeserver.Front
+	Front     *fakeserver.FrontendBalancer
 
 	number    int // among those of this process
 	launched  time.Duration
 	fleet     Fleet
 	opt       Options
-	store     *fakeserver.SharedStore
+	store     *fakeserver.SharedSessionStore
 	dir       string
 	nodes     []*process
 	agents    []*process
@@ -80,8 +80,8 @@
 // Prepare makes all that processes deal with, and their files, and starts none of them: a test may set the stage first.
 func Prepare(f Fleet, opt Options) (r *Rig, err error) {
 	clock := fakeserver.NewClock()
-	r = &Rig{Clock: clock, Ledger: fakeserver.NewLedger(clock), fleet: f, opt: opt, number: int(rigs.Add(1)),
-		store: fakeserver.NewStore(capacity.Store{Latency: f.Store.Latency.D(), Rate: f.Store.Rate})}
+	r = &Rig{Clock: clock, Ledger: fakeserver.NewEventLog(clock), fleet: f, opt: opt, number: int(rigs.Add(1)),
+		store: fakeserver.NewSharedSessionStore(capacity.SessionStore{Latency: f.Store.Latency.D(), Rate: f.Store.Rate})}
 	defer func() {
 		if err != nil {
 			r.Close()
@@ -98,7 +98,7 @@
 	if r.Discovery, err = fakeserver.NewDiscovery("", clock, r.Ledger, 1, members...); err != nil {
 		return nil, err
 	}
-	r.Discovery.Bears(fakeserver.Load{Cost: f.List.Cost.D(), Wait: f.List.Wait.D(), Queue: f.List.Queue, After: f.List.After})
+	r.Discovery.SetLimits(fakeserver.DiscoveryLimits{CallDuration: f.List.Cost.D(), MaxWait: f.List.Wait.D(), MaxQueue: f.List.Queue, RetryAfter: f.List.After})
 	if r.dir, err = os.MkdirTemp("", "onyxstream-rig"); err != nil {
 		return nil, err
 	}
@@ -156,8 +156,8 @@
 	errs := make([]error, len(all))
 	r.launched = r.Clock.Now()
 	if down := r.fleet.List.Down.D(); down > 0 {
-		r.Discovery.Answer(fakeserver.Resets)
-		r.after(down, func() { r.Discovery.Answer(fakeserver.Well) })
+		r.Discovery.SetMode(fakeserver.ModeReset)
+		r.after(down, func() { r.Discovery.SetMode(fakeserver.ModeNormal) })
 	}
 	var wg sync.WaitGroup
 	for i, p := range all {
@@ -167,7 +167,7 @@
 	for _, p := range r.nodes {
 		front = append(front, fakeserver.Node{Name: p.name, Addr: p.addr, Zone: p.zone})
 	}
-	r.Front = fakeserver.NewFront(r.Ledger, r.fleet.FrontNotice.D(), front...)
+	r.Front = fakeserver.NewFrontendBalancer(r.Ledger, r.fleet.FrontNotice.D(), front...)
 	return errors.Join(errs...)
 }
 
@@ -197,8 +197,8 @@
 	defer r.mu.Unlock()
 	i := len(r.hosts)
 	h, err := fakeserver.NewHost(fakeserver.HostConfig{ID: fmt.Sprint("h", i+1), Zone: r.fleet.Zones[i%len(r.fleet.Zones)],
-		Spec: r.fleet.spec(i), Store: r.store, Seed: r.opt.Seed + uint64(i), Cold: cold, Loads: r.fleet.Loads,
-		Park: r.fleet.Park.D()}, r.Clock, r.Ledger)
+		Spec: r.fleet.spec(i), Store: r.store, Seed: r.opt.Seed + uint64(i), StartsCold: cold, ReportsLoad: r.fleet.Loads,
+		ResumeTimeout: r.fleet.Park.D()}, r.Clock, r.Ledger)
 	if err != nil {
 		return nil, err
 	}
@@ -219,7 +219,7 @@
 
 // member is a host's entry in the list: its link's address where it has one.
 func (r *Rig) member(h *fakeserver.Host, phase wire.Phase) wire.Endpoint {
-	m := h.Member(phase)
+	m := h.Endpoint(phase)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for i, k := range r.links {
--- a/internal/testcluster/rolling.go
+++ b/internal/testcluster/rolling.go
@@ -161,7 +161,7 @@
 	}
 	defer c.Close()
 	note := func(what, text string) {
-		r.Ledger.Add(fakeserver.Record{Who: clientPrefix + r.nodes[i].name, What: what, ID: a.id, Note: text})
+		r.Ledger.Add(fakeserver.Event{Source: clientPrefix + r.nodes[i].name, Kind: what, ID: a.id, Detail: text})
 	}
 	line := fmt.Sprintf("OPEN %s key%s c=%s,t=%s,d=%d", a.id, a.id, r.opt.Classes[0].Name, r.opt.Tenants[0], a.patience.Milliseconds())
 	if a.again {
@@ -177,7 +177,7 @@
 	if _, err := io.WriteString(c, line); err != nil {
 		return
 	}
-	note(fakeserver.Asked, a.patience.String())
+	note(fakeserver.EventRequested, a.patience.String())
 	in := bufio.NewReader(c)
 	_ = c.SetReadDeadline(time.Now().Add(a.patience + 2*lateBy))
 	up := false
@@ -185,20 +185,20 @@
 		text, err := in.ReadString('\n')
 		switch {
 		case err == nil && up && text == "MOVE\r\n":
-			note(fakeserver.Moved, "")
+			note(fakeserver.EventMigrated, "")
 			return
 		case err == nil && text == "\r\n":
 		case err == nil:
-			note(fakeserver.Heard, strings.TrimRight(text, "\r\n"))
+			note(fakeserver.EventReceived, strings.TrimRight(text, "\r\n"))
 			if !up {
 				up = strings.HasPrefix(text, "UP ")
 				_ = c.SetReadDeadline(time.Now().Add(a.stay))
 			}
 		case errors.Is(err, os.ErrDeadlineExceeded):
-			note(fakeserver.Left, text)
+			note(fakeserver.EventDisconnected, text)
 			return
 		default:
-			note(fakeserver.Broken, err.Error()+text)
+			note(fakeserver.EventReset, err.Error()+text)
 			return
 		}
 	}
--- a/internal/testcluster/rolling_test.go
+++ b/internal/testcluster/rolling_test.go
@@ -25,7 +25,7 @@
 	if err := r.Roll(t.Context(), x); err != nil {
 		t.Fatalf("seed %d: %v", x.Seed, err)
 	}
-	recs, lost := r.Ledger.Records()
+	recs, lost := r.Ledger.Events()
 	if lost > 0 {
 		t.Fatalf("%d records are lost", lost)
 	}
@@ -68,26 +68,26 @@
 // Each way in which a request can come to a wrong end is told from those that are right.
 func TestAnswersTellsRequestsApart(t *testing.T) {
 	const ms = time.Millisecond
-	var recs []fakeserver.Record
+	var recs []fakeserver.Event
 	add := func(at time.Duration, who, what, id, note string) {
-		recs = append(recs, fakeserver.Record{At: at, Who: who, What: what, ID: id, Note: note})
+		recs = append(recs, fakeserver.Event{At: at, Source: who, Kind: what, ID: id, Detail: note})
 	}
 	for _, id := range []string{"served", "busy", "none", "late", "twice", "foreign", "cut", "moved"} {
-		add(0, "c-n1", fakeserver.Asked, id, "1s")
+		add(0, "c-n1", fakeserver.EventRequested, id, "1s")
 	}
 	for _, id := range []string{"served", "cut", "moved"} {
-		add(5*ms, "h1", fakeserver.Up, id, id+"-1")
-		add(6*ms, "c-n1", fakeserver.Heard, id, "UP "+id+"-1")
+		add(5*ms, "h1", fakeserver.EventEstablished, id, id+"-1")
+		add(6*ms, "c-n1", fakeserver.EventReceived, id, "UP "+id+"-1")
 	}
-	add(7*ms, "c-n1", fakeserver.Heard, "busy", "BUSY 5")
-	add(8*ms, "c-n1", fakeserver.Broken, "busy", "EOF")
-	add(9*ms, "c-n1", fakeserver.Broken, "none", "reset")
-	add(9*ms, "c-n1", fakeserver.Heard, "twice", "BUSY")
-	add(9*ms, "c-n1", fakeserver.Heard, "twice", "ERR")
-	add(9*ms, "c-n1", fakeserver.Heard, "foreign", "UP served-1")
-	add(20*ms, "c-n1", fakeserver.Broken, "cut", "EOF")
-	add(20*ms, "c-n1", fakeserver.Moved, "moved", "")
-	add(1000*ms+lateBy+ms, "c-n1", fakeserver.Heard, "late", "BUSY")
+	add(7*ms, "c-n1", fakeserver.EventReceived, "busy", "BUSY 5")
+	add(8*ms, "c-n1", fakeserver.EventReset, "busy", "EOF")
+	add(9*ms, "c-n1", fakeserver.EventReset, "none", "reset")
+	add(9*ms, "c-n1", fakeserver.EventReceived, "twice", "BUSY")
+	add(9*ms, "c-n1", fakeserver.EventReceived, "twice", "ERR")
+	add(9*ms, "c-n1", fakeserver.EventReceived, "foreign", "UP served-1")
+	add(20*ms, "c-n1", fakeserver.EventReset, "cut", "EOF")
+	add(20*ms, "c-n1", fakeserver.EventMigrated, "moved", "")
+	add(1000*ms+lateBy+ms, "c-n1", fakeserver.EventReceived, "late", "BUSY")
 	got := Answers(recs, true)
 	if got.Asked != 8 || got.Served != 4 || got.Refused != 3 || len(got.Wrong) != 5 {
 		t.Errorf("judged as %+v", got)
--- a/internal/testcluster/startfaults_test.go
+++ b/internal/testcluster/startfaults_test.go
@@ -61,11 +61,11 @@
 			r := prepare(t, startFleet(startNodes, func(f *Fleet) {
 				f.List.After, f.List.AskWithin = after, tomlfile.Duration(2*time.Second) // four times that is the longest rest
 			}))
-			r.Discovery.Answer(fakeserver.Busy)
+			r.Discovery.SetMode(fakeserver.ModeUnavailable)
 			launch(t, r)
 			go func() {
 				time.Sleep(3 * time.Second)
-				r.Discovery.Answer(fakeserver.Well)
+				r.Discovery.SetMode(fakeserver.ModeNormal)
 			}()
 			allServed(t, r, startNodes, 1)
 			if n, _ := calls(r); n > 4*startNodes {
@@ -80,19 +80,19 @@
 func TestKilledAndStoppedDuringTheStart(t *testing.T) {
 	t.Parallel()
 	r := prepare(t, startFleet(startNodes, nil))
-	r.Discovery.Answer(fakeserver.Resets)
+	r.Discovery.SetMode(fakeserver.ModeReset)
 	launch(t, r)
 	time.Sleep(500 * time.Millisecond)
 	back := strike(t, r, FaultSpec{What: "kill", On: "n1..n4"})
 	on := strike(t, r, FaultSpec{What: "stall", On: "n5..n12"})
 	time.Sleep(5 * time.Second)
-	r.Discovery.Answer(fakeserver.Well)
+	r.Discovery.SetMode(fakeserver.ModeNormal)
 	began := r.Clock.Now()
 	on()
 	back()
 	allServed(t, r, startNodes, 2)
-	recs, _ := r.Ledger.Records()
-	asked := Times(recs, "discovery", fakeserver.Asked)
+	recs, _ := r.Ledger.Events()
+	asked := Times(recs, "discovery", fakeserver.EventRequested)
 	if most := Within(asked, began, began+100*time.Millisecond); most > startNodes/2 {
 		t.Errorf("%d of %d nodes call in the tenth of a second in which they go on", most, startNodes)
 	}
@@ -217,7 +217,7 @@
 	launch(t, r)
 	allServed(t, r, 5, 1)
 	holds(t, r, 0, 1, 2, 3, 4)
-	r.Discovery.Answer(fakeserver.Resets)
+	r.Discovery.SetMode(fakeserver.ModeReset)
 	back := strike(t, r, FaultSpec{What: "kill", On: "n1..n4"})
 	lost := strike(t, r, FaultSpec{What: "lose", On: "n5"})
 	path := func(i int) string { return filepath.Join(r.Folder(i), "hosts.list") }
@@ -256,7 +256,7 @@
 			}
 		}
 	}
-	r.Discovery.Answer(fakeserver.Well)
+	r.Discovery.SetMode(fakeserver.ModeNormal)
 	allServed(t, r, 5, 1)
 }
 
@@ -266,7 +266,7 @@
 	t.Parallel()
 	const nodes = 40
 	r := prepare(t, startFleet(nodes, func(f *Fleet) { f.List.Links = false }))
-	ledger := fakeserver.NewLedger(r.Clock)
+	ledger := fakeserver.NewEventLog(r.Clock)
 	next, err := fakeserver.NewDiscovery("", r.Clock, ledger, 1, r.Member(r.Hosts()[0], wire.Serving))
 	if err != nil {
 		t.Fatal(err)
@@ -286,10 +286,10 @@
 		got := setUps(r, from)
 		return len(got) == 1 && got[r.Hosts()[0].ID()] > 0
 	})
-	recs, _ := ledger.Records()
+	recs, _ := ledger.Events()
 	var first []time.Duration // each node asks for the whole list, and opens its watch right after: that is one node
 	for _, r := range recs {
-		if r.What == fakeserver.Asked && !strings.Contains(r.Note, "watch") && r.At >= began {
+		if r.Kind == fakeserver.EventRequested && !strings.Contains(r.Detail, "watch") && r.At >= began {
 			first = append(first, r.At)
 		}
 	}
@@ -302,11 +302,11 @@
 func TestManyClientsAtANodeWithoutAList(t *testing.T) {
 	t.Parallel()
 	r := prepare(t, startFleet(3, func(f *Fleet) { f.ColdStart.Peers = 2 }))
-	r.Discovery.Answer(fakeserver.Resets)
+	r.Discovery.SetMode(fakeserver.ModeReset)
 	launch(t, r)
 	go func() {
 		time.Sleep(2 * time.Second)
-		r.Discovery.Answer(fakeserver.Well)
+		r.Discovery.SetMode(fakeserver.ModeNormal)
 	}()
 	for _, k := range r.Knocks(t.Context(), 1, 200, time.Second, time.Second, 40*time.Second) {
 		if k.Served == 0 || k.NoAdvice > 0 || k.Failed > 0 {
@@ -333,11 +333,11 @@
 	if err := r.Knows(1, old...); err != nil {
 		t.Fatal(err)
 	}
-	r.Discovery.Answer(fakeserver.Resets)
+	r.Discovery.SetMode(fakeserver.ModeReset)
 	launch(t, r)
 	go func() {
 		time.Sleep(3 * time.Second)
-		r.Discovery.Answer(fakeserver.Well)
+		r.Discovery.SetMode(fakeserver.ModeNormal)
 	}()
 	served := 0
 	all := knocks(t.Context(), r, startNodes, 80, 2*time.Second, 20*time.Second)
@@ -350,7 +350,7 @@
 		}
 	}
 	for _, h := range r.Hosts() {
-		if h.State().Fell {
+		if h.State().Collapsed {
 			t.Errorf("%s was pushed over", h.ID())
 		}
 	}
@@ -364,7 +364,7 @@
 	t.Parallel()
 	const nodes = 24
 	r := prepare(t, startFleet(nodes, func(f *Fleet) { f.List.Unknown, f.Links, f.Hosts = false, true, 6 }))
-	r.Discovery.Answer(fakeserver.Resets)
+	r.Discovery.SetMode(fakeserver.ModeReset)
 	strike(t, r, FaultSpec{What: "refuse", On: "link-h5..h6"})
 	launch(t, r)
 	time.Sleep(time.Second) // all are up, and wait at each other
@@ -375,11 +375,11 @@
 			t.Errorf("%+v", k)
 		}
 	}
-	recs, _ := r.Ledger.Records()
+	recs, _ := r.Ledger.Events()
 	for _, h := range []string{"link-h5", "link-h6"} {
 		// Without a word from others each node dials three times and more; on a busy machine some dial before they hear.
-		if n := Within(Times(recs, h, fakeserver.Dialled), from, r.Clock.Now()); n == 0 || n > nodes {
-			t.Errorf("%s, which is gone, was dialled %d times by %d nodes, at %v", h, n, nodes, Times(recs, h, fakeserver.Dialled))
+		if n := Within(Times(recs, h, fakeserver.EventDialed), from, r.Clock.Now()); n == 0 || n > nodes {
+			t.Errorf("%s, which is gone, was dialled %d times by %d nodes, at %v", h, n, nodes, Times(recs, h, fakeserver.EventDialed))
 		}
 	}
 }
@@ -431,13 +431,13 @@
 func TestOperatorsSeeThePartOfTheStart(t *testing.T) {
 	t.Parallel()
 	r := prepare(t, startFleet(3, func(f *Fleet) { f.ColdStart.Peers, f.Agents = 2, 1 }))
-	r.Discovery.Answer(fakeserver.Resets)
+	r.Discovery.SetMode(fakeserver.ModeReset)
 	launch(t, r)
 	says := func(want string) func() bool {
 		return func() bool { return strings.Count(r.command(t, "instances", "list"), want) == 3 }
 	}
 	until(t, "three with no list", says("none, "))
-	r.Discovery.Answer(fakeserver.Well)
+	r.Discovery.SetMode(fakeserver.ModeNormal)
 	until(t, "three with a current one", says("current ("))
 	// Cut off from the service and from each other, what they hold ages: the agent still hears of it.
 	end := strike(t, r, FaultSpec{What: "refuse", On: "link-n1..n3"})
--- a/internal/testcluster/starthelp_test.go
+++ b/internal/testcluster/starthelp_test.go
@@ -55,10 +55,10 @@
 
 // calls counts those to the list service so far, and through which nodes' links they came.
 func calls(r *Rig) (n int, by map[string]int) {
-	recs, _ := r.Ledger.Records()
+	recs, _ := r.Ledger.Events()
 	by = map[string]int{}
 	for _, x := range recs {
-		if node, ok := strings.CutSuffix(x.Who, ">list"); ok && x.What == fakeserver.Dialled {
+		if node, ok := strings.CutSuffix(x.Source, ">list"); ok && x.Kind == fakeserver.EventDialed {
 			by[node]++
 		}
 	}
@@ -67,11 +67,11 @@
 
 // setUps counts what hosts were sent from a moment on.
 func setUps(r *Rig, from time.Duration) map[string]int {
-	recs, _ := r.Ledger.Records()
+	recs, _ := r.Ledger.Events()
 	out := map[string]int{}
 	for _, x := range recs {
-		if x.What == fakeserver.Opened && x.At >= from {
-			out[x.Who]++
+		if x.Kind == fakeserver.EventOpened && x.At >= from {
+			out[x.Source]++
 		}
 	}
 	return out
