--- a/cmd/onyxstream/sysfault_test.go
+++ b/cmd/onyxstream/sysfault_test.go
@@ -74,17 +74,17 @@
 		name  string
 		rules []faultinject.Rule
 	}{
-		{"accept", []faultinject.Rule{{Call: faultinject.Accept, Share: share,
+		{"accept", []faultinject.Rule{{Call: faultinject.Accept, Probability: share,
 			Errors: []unix.Errno{unix.ECONNABORTED, unix.ENFILE, unix.EMFILE, unix.ENOBUFS, unix.ENOMEM, unix.EPROTO, unix.EPERM, unix.EINTR}}}},
-		{"dial", []faultinject.Rule{{Call: faultinject.Socket, Share: share, Errors: []unix.Errno{unix.ENFILE, unix.EMFILE, unix.ENOBUFS, unix.ENOMEM}},
-			{Call: faultinject.Connect, Share: share,
+		{"dial", []faultinject.Rule{{Call: faultinject.Socket, Probability: share, Errors: []unix.Errno{unix.ENFILE, unix.EMFILE, unix.ENOBUFS, unix.ENOMEM}},
+			{Call: faultinject.Connect, Probability: share,
 				Errors: []unix.Errno{unix.EADDRNOTAVAIL, unix.ENETUNREACH, unix.EAGAIN, unix.EINTR, unix.EHOSTUNREACH, unix.ETIMEDOUT}}}},
-		{"wait", []faultinject.Rule{{Call: faultinject.Wait, Share: share, Errors: []unix.Errno{unix.EINTR}}}},
-		{"interrupted", []faultinject.Rule{{Call: faultinject.Read, Share: share, Errors: []unix.Errno{unix.EINTR}, OnSockets: true},
-			{Call: faultinject.Write, Share: share, Errors: []unix.Errno{unix.EINTR}, OnSockets: true}}},
-		{"short", []faultinject.Rule{{Call: faultinject.Read, Share: 0.7, Short: 3}, {Call: faultinject.Write, Share: 0.7, Short: 3}}},
-		{"read", []faultinject.Rule{{Call: faultinject.Read, Share: 0.05, Errors: []unix.Errno{unix.ENOBUFS, unix.ENOMEM}, OnSockets: true}}},
-		{"write", []faultinject.Rule{{Call: faultinject.Write, Share: 0.05, Errors: []unix.Errno{unix.ENOBUFS, unix.ENOMEM}, OnSockets: true}}},
+		{"wait", []faultinject.Rule{{Call: faultinject.Wait, Probability: share, Errors: []unix.Errno{unix.EINTR}}}},
+		{"interrupted", []faultinject.Rule{{Call: faultinject.Read, Probability: share, Errors: []unix.Errno{unix.EINTR}, OnSockets: true},
+			{Call: faultinject.Write, Probability: share, Errors: []unix.Errno{unix.EINTR}, OnSockets: true}}},
+		{"short", []faultinject.Rule{{Call: faultinject.Read, Probability: 0.7, MaxBytes: 3}, {Call: faultinject.Write, Probability: 0.7, MaxBytes: 3}}},
+		{"read", []faultinject.Rule{{Call: faultinject.Read, Probability: 0.05, Errors: []unix.Errno{unix.ENOBUFS, unix.ENOMEM}, OnSockets: true}}},
+		{"write", []faultinject.Rule{{Call: faultinject.Write, Probability: 0.05, Errors: []unix.Errno{unix.ENOBUFS, unix.ENOMEM}, OnSockets: true}}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -126,7 +126,7 @@
 	hangs.says("")
 	all := list(1, true, well.member("SERVING"), drains.member("SERVING"), hangs.member("SERVING"))
 	reg := newRegistry(t, all)
-	p := start(t, options{known: all, aim: 300, faults: &faultinject.Options{Clock: true}}, reg.addr)
+	p := start(t, options{known: all, aim: 300, faults: &faultinject.Options{StepsClock: true}}, reg.addr)
 	eventually(t, "the node watches", func() bool { return len(reg.called()) > 0 })
 	var stepping sync.WaitGroup
 	stepping.Go(func() {
@@ -177,10 +177,10 @@
 	t.Parallel()
 	h := newHost(t, "h1")
 	o, reg := inherited(t, h)
-	rules := []faultinject.Rule{{Call: faultinject.OpenAt, Share: 0.2, Errors: []unix.Errno{unix.EMFILE, unix.ENFILE, unix.EIO, unix.ENOMEM}},
-		{Call: faultinject.Rename, Share: 0.2, Errors: []unix.Errno{unix.ENOSPC, unix.EIO}},
-		{Call: faultinject.Read, Share: 0.05, Errors: []unix.Errno{unix.ENOMEM, unix.EINTR}, OnSockets: true},
-		{Call: faultinject.Write, Share: 0.05, Errors: []unix.Errno{unix.ENOBUFS, unix.EINTR}, OnSockets: true}}
+	rules := []faultinject.Rule{{Call: faultinject.OpenAt, Probability: 0.2, Errors: []unix.Errno{unix.EMFILE, unix.ENFILE, unix.EIO, unix.ENOMEM}},
+		{Call: faultinject.Rename, Probability: 0.2, Errors: []unix.Errno{unix.ENOSPC, unix.EIO}},
+		{Call: faultinject.Read, Probability: 0.05, Errors: []unix.Errno{unix.ENOMEM, unix.EINTR}, OnSockets: true},
+		{Call: faultinject.Write, Probability: 0.05, Errors: []unix.Errno{unix.ENOBUFS, unix.EINTR}, OnSockets: true}}
 	calls := []faultinject.Call{faultinject.OpenAt, faultinject.Rename, faultinject.Read, faultinject.Write}
 	o.faults = &faultinject.Options{Calls: calls, Seed: 1}
 	p := start(t, o, reg.addr)
@@ -222,7 +222,7 @@
 	all := list(1, true, h.member("SERVING"))
 	reg := newRegistry(t, all)
 	o := options{mode: "pass", known: all, manage: freeAddr(t), faults: &faultinject.Options{Calls: []faultinject.Call{faultinject.Socket},
-		Rules: []faultinject.Rule{{Call: faultinject.Socket, Share: 1, Errors: []unix.Errno{unix.ENFILE, unix.ENOBUFS, unix.ENOMEM}}}}}
+		Rules: []faultinject.Rule{{Call: faultinject.Socket, Probability: 1, Errors: []unix.Errno{unix.ENFILE, unix.ENOBUFS, unix.ENOMEM}}}}}
 	addr := freeAddr(t)
 	p := launchWith(t, config(t, addr, reg.addr, o), o)
 	p.addr = addr
@@ -256,7 +256,7 @@
 	old, reg := newRegistry(t, list(1, true, a.member("SERVING"))), newRegistry(t, list(1, true, b.member("SERVING")))
 	p := start(t, options{known: list(1, true, a.member("SERVING")), faults: &faultinject.Options{Calls: []faultinject.Call{faultinject.OpenAt}}}, old.addr)
 	eventually(t, "the first watch", func() bool { return len(old.called()) == 1 })
-	p.faults.Fail(faultinject.Rule{Call: faultinject.OpenAt, Share: 1, Errors: []unix.Errno{unix.ENFILE}})
+	p.faults.Fail(faultinject.Rule{Call: faultinject.OpenAt, Probability: 1, Errors: []unix.Errno{unix.ENFILE}})
 	p.hup(t, old.addr, reg.addr)
 	p.logs(t, "configuration reload failed")
 	p.faults.Fail()
--- a/internal/cli/load.go
+++ b/internal/cli/load.go
@@ -269,7 +269,7 @@
 		fmt.Fprintf(out, "nodes: %.2f s of CPU, %.0f MB at most\n", r.Nodes.CPU.Seconds(), r.Nodes.PeakMB)
 	}
 	if r.List != nil {
-		fmt.Fprintf(out, "list service: %d calls, %d turned away, %d within 100 ms at most\n", r.List.Calls, r.List.Turned, r.List.Most)
+		fmt.Fprintf(out, "list service: %d calls, %d turned away, %d within 100 ms at most\n", r.List.Calls, r.List.Rejected, r.List.MaxIn100ms)
 	}
 	if r.Wrong > 0 {
 		fmt.Fprintf(out, "%d receipts were given that no host had made\n", r.Wrong)
--- a/internal/cli/stand.go
+++ b/internal/cli/stand.go
@@ -38,12 +38,12 @@
 				return err
 			}
 			defer r.Close()
-			for _, a := range r.Addresses() {
+			for _, a := range r.Listeners() {
 				fmt.Fprintf(c.OutOrStdout(), "%s %s %s\n", a.Kind, a.Name, a.Addr)
 			}
-			r.Play(ctx, s.Faults)
+			r.PlayFaults(ctx, s.Faults)
 			<-ctx.Done()
-			return r.Failed()
+			return r.Err()
 		},
 	}
 	return c
--- a/internal/faultinject/faultinject.go
+++ b/internal/faultinject/faultinject.go
@@ -36,21 +36,21 @@
 
 // Rule has a share of a program's calls fail.
 type Rule struct {
-	Call   Call
-	Errors []unix.Errno // one of them is drawn
-	Share  float64      // of the calls, 1 for all
+	Call        Call
+	Errors      []unix.Errno // one of them is drawn
+	Probability float64      // of the calls, 1 for all
 	// OnSockets leaves calls on anything else alone: Read and Write are of files, pipes and the runtime's own too.
 	OnSockets bool
-	// Short has reads and writes on sockets carry so many bytes at most, in place of failing; 0 for not.
-	Short int
+	// MaxBytes has reads and writes on sockets carry so many bytes at most, in place of failing; 0 for not.
+	MaxBytes int
 }
 
 // Options say what a program's process can be made to meet. What is not named here costs it nothing.
 type Options struct {
-	Calls []Call
-	Clock bool // the wall clock can be stepped
-	Seed  uint64
-	Rules []Rule // that hold from the first call on, as by Fail
+	Calls      []Call
+	StepsClock bool // the wall clock can be stepped
+	Seed       uint64
+	Rules      []Rule // that hold from the first call on, as by Fail
 }
 
 // Process is a program under faults.
@@ -58,11 +58,11 @@
 	listener int
 	served   sync.WaitGroup
 
-	mu       sync.Mutex
-	rng      *rand.Rand
-	rules    []Rule
-	step     time.Duration
-	injected map[Call]int
+	mu          sync.Mutex
+	rng         *rand.Rand
+	rules       []Rule
+	clockOffset time.Duration
+	injected    map[Call]int
 }
 
 // Start starts a command under faults; none is on yet. Its path and arguments are replaced by the launcher's: the test's
@@ -73,16 +73,16 @@
 		return nil, fmt.Errorf("faultinject: %w", err)
 	}
 	defer unix.Close(pair[0])
-	theirs := os.NewFile(uintptr(pair[1]), "faultinject")
-	defer theirs.Close()
-	if err := prepare(cmd, theirs, options); err != nil {
+	launcherEnd := os.NewFile(uintptr(pair[1]), "faultinject")
+	defer launcherEnd.Close()
+	if err := prepare(cmd, launcherEnd, options); err != nil {
 		return nil, err
 	}
 	if err := cmd.Start(); err != nil {
 		return nil, err
 	}
-	_ = theirs.Close() // so that a launcher that fails is seen
-	listener, err := receive(pair[0])
+	_ = launcherEnd.Close() // so that a launcher that fails is seen
+	listener, err := receiveListener(pair[0])
 	if err != nil {
 		_ = cmd.Process.Kill()
 		return nil, fmt.Errorf("faultinject: the launcher set no filter: %w", err)
@@ -103,7 +103,7 @@
 func (p *Process) StepClock(by time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.step = by
+	p.clockOffset = by
 }
 
 // Injected tells how many calls have failed by a rule.
@@ -145,57 +145,57 @@
 		case err != nil || ready[0].Revents&unix.POLLIN == 0:
 			return
 		}
-		var asked notification
-		if ioctl(p.listener, unix.SECCOMP_IOCTL_NOTIF_RECV, unsafe.Pointer(&asked)) != nil {
+		var request notification
+		if ioctl(p.listener, unix.SECCOMP_IOCTL_NOTIF_RECV, unsafe.Pointer(&request)) != nil {
 			continue // whoever asked has ended meanwhile
 		}
-		answer := p.decide(&asked)
-		answer.id = asked.id
-		_ = ioctl(p.listener, unix.SECCOMP_IOCTL_NOTIF_SEND, unsafe.Pointer(&answer))
+		reply := p.decide(&request)
+		reply.id = request.id
+		_ = ioctl(p.listener, unix.SECCOMP_IOCTL_NOTIF_SEND, unsafe.Pointer(&reply))
 	}
 }
 
 // decide says what becomes of a call.
-func (p *Process) decide(asked *notification) response {
-	goOn := response{flags: unix.SECCOMP_USER_NOTIF_FLAG_CONTINUE}
-	call := Call(asked.call)
+func (p *Process) decide(request *notification) response {
+	proceed := response{flags: unix.SECCOMP_USER_NOTIF_FLAG_CONTINUE}
+	call := Call(request.call)
 	if call == unix.SYS_CLOCK_GETTIME {
-		if p.tellTime(asked) != nil {
-			return goOn
+		if p.writeClock(request) != nil {
+			return proceed
 		}
 		return response{}
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, r := range p.rules {
-		if r.Call != call || p.rng.Float64() >= r.Share || (r.OnSockets || r.Short > 0) && !isSocket(asked) {
+		if r.Call != call || p.rng.Float64() >= r.Probability || (r.OnSockets || r.MaxBytes > 0) && !isSocket(request) {
 			continue
 		}
 		p.injected[call]++
-		if r.Short > 0 {
-			return short(asked, call, r.Short)
+		if r.MaxBytes > 0 {
+			return transferAtMost(request, call, r.MaxBytes)
 		}
 		return response{error: -int32(r.Errors[p.rng.IntN(len(r.Errors))])}
 	}
-	return goOn
+	return proceed
 }
 
-// tellTime writes the program's wall clock to where it wants it.
-func (p *Process) tellTime(asked *notification) error {
+// writeClock writes the program's wall clock to where it wants it.
+func (p *Process) writeClock(request *notification) error {
 	p.mu.Lock()
-	at := time.Now().Add(p.step)
+	at := time.Now().Add(p.clockOffset)
 	p.mu.Unlock()
-	told := unix.NsecToTimespec(at.UnixNano())
-	size := int(unsafe.Sizeof(told))
-	from := []unix.Iovec{{Base: (*byte)(unsafe.Pointer(&told)), Len: uint64(size)}}
-	to := []unix.RemoteIovec{{Base: uintptr(asked.args[1]), Len: size}}
-	_, err := unix.ProcessVMWritev(int(asked.pid), from, to, 0)
+	timespec := unix.NsecToTimespec(at.UnixNano())
+	size := int(unsafe.Sizeof(timespec))
+	from := []unix.Iovec{{Base: (*byte)(unsafe.Pointer(&timespec)), Len: uint64(size)}}
+	to := []unix.RemoteIovec{{Base: uintptr(request.args[1]), Len: size}}
+	_, err := unix.ProcessVMWritev(int(request.pid), from, to, 0)
 	return err
 }
 
 // isSocket reports whether a call's first argument is a socket's descriptor.
-func isSocket(asked *notification) bool {
-	name, err := os.Readlink(fmt.Sprintf("/proc/%d/fd/%d", asked.pid, asked.args[0]))
+func isSocket(request *notification) bool {
+	name, err := os.Readlink(fmt.Sprintf("/proc/%d/fd/%d", request.pid, request.args[0]))
 	return err == nil && strings.HasPrefix(name, "socket:")
 }
 
--- a/internal/faultinject/faultinject_test.go
+++ b/internal/faultinject/faultinject_test.go
@@ -37,8 +37,8 @@
 	}
 }
 
-// asks is a child that is asked by lines.
-func asks(t *testing.T, options Options) (p *Process, ask func() (unixTime int64, text string)) {
+// startChild is a child that is asked by lines.
+func startChild(t *testing.T, options Options) (p *Process, ask func() (unixTime int64, text string)) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -87,11 +87,11 @@
 }
 
 func TestFail_ConnectByRule_ProgramSeesTheErrorWhileItHolds(t *testing.T) {
-	p, ask := asks(t, Options{Calls: []Call{Connect, Wait}})
+	p, ask := startChild(t, Options{Calls: []Call{Connect, Wait}})
 	if _, text := ask(); !strings.HasSuffix(text, "<nil>") {
 		t.Errorf("without a rule: %s", text)
 	}
-	p.Fail(Rule{Call: Connect, Errors: []unix.Errno{unix.ENETUNREACH}, Share: 1}, Rule{Call: Wait, Errors: []unix.Errno{unix.EINTR}, Share: 0.5})
+	p.Fail(Rule{Call: Connect, Errors: []unix.Errno{unix.ENETUNREACH}, Probability: 1}, Rule{Call: Wait, Errors: []unix.Errno{unix.EINTR}, Probability: 0.5})
 	if _, text := ask(); !strings.Contains(text, "network is unreachable") {
 		t.Errorf("by the rule: %s", text)
 	}
@@ -102,7 +102,7 @@
 }
 
 func TestStepClock_ProgramSeesTheStep(t *testing.T) {
-	p, ask := asks(t, Options{Clock: true})
+	p, ask := startChild(t, Options{StepsClock: true})
 	for _, step := range []time.Duration{0, time.Hour, -time.Hour, 0} {
 		p.StepClock(step)
 		at, _ := ask()
--- a/internal/faultinject/launcher.go
+++ b/internal/faultinject/launcher.go
@@ -20,13 +20,13 @@
 // The launcher is told by its environment: the descriptor on which the test waits for the filter's listener, the calls that
 // the filter names, and the library that hides the vDSO.
 const (
-	launchVar  = "ONYXSTREAM_SYSFAULT"
-	callsVar   = "ONYXSTREAM_SYSFAULT_CALLS"
-	preloadVar = "ONYXSTREAM_SYSFAULT_PRELOAD"
+	listenerVar = "ONYXSTREAM_SYSFAULT"
+	callsVar    = "ONYXSTREAM_SYSFAULT_CALLS"
+	preloadVar  = "ONYXSTREAM_SYSFAULT_PRELOAD"
 )
 
 // prepare has a command start the launcher, which becomes the command's program.
-func prepare(cmd *exec.Cmd, theirs *os.File, options Options) error {
+func prepare(cmd *exec.Cmd, launcherEnd *os.File, options Options) error {
 	launcher, err := os.Executable()
 	if err != nil {
 		return fmt.Errorf("faultinject: %w", err)
@@ -38,9 +38,9 @@
 	if cmd.Env == nil {
 		cmd.Env = os.Environ()
 	}
-	cmd.ExtraFiles = append(cmd.ExtraFiles, theirs)
-	cmd.Env = append(cmd.Env, fmt.Sprintf("%s=%d", launchVar, 2+len(cmd.ExtraFiles)), callsVar+"="+strings.Join(calls, ","))
-	if options.Clock {
+	cmd.ExtraFiles = append(cmd.ExtraFiles, launcherEnd)
+	cmd.Env = append(cmd.Env, fmt.Sprintf("%s=%d", listenerVar, 2+len(cmd.ExtraFiles)), callsVar+"="+strings.Join(calls, ","))
+	if options.StepsClock {
 		library, err := clockLibrary()
 		if err != nil {
 			return err
@@ -54,7 +54,7 @@
 
 // RunLauncher becomes the program that Start was given where this process is a launcher, and returns at once elsewhere.
 func RunLauncher() {
-	if os.Getenv(launchVar) == "" {
+	if os.Getenv(listenerVar) == "" {
 		return
 	}
 	if err := launch(); err != nil {
@@ -66,25 +66,25 @@
 // launch never returns but with an error. The filter is the calling thread's, which alone is left by exec.
 func launch() error {
 	runtime.LockOSThread()
-	to, err := strconv.Atoi(os.Getenv(launchVar))
+	to, err := strconv.Atoi(os.Getenv(listenerVar))
 	if err != nil {
-		return fmt.Errorf("%s: %w", launchVar, err)
+		return fmt.Errorf("%s: %w", listenerVar, err)
 	}
 	unix.CloseOnExec(to)
-	listener, err := filter(strings.Split(os.Getenv(callsVar), ","), os.Getenv(preloadVar) != "")
+	listener, err := installFilter(strings.Split(os.Getenv(callsVar), ","), os.Getenv(preloadVar) != "")
 	if err != nil {
 		return err
 	}
 	if err := unix.Sendmsg(to, []byte{1}, unix.UnixRights(listener), nil, 0); err != nil {
 		return fmt.Errorf("sendmsg: %w", err)
 	}
-	return syscall.Exec(os.Args[1], os.Args[1:], environment())
+	return syscall.Exec(os.Args[1], os.Args[1:], programEnvironment())
 }
 
-// environment is the program's.
-func environment() []string {
+// programEnvironment is the program's.
+func programEnvironment() []string {
 	preload := os.Getenv(preloadVar)
-	env := slices.DeleteFunc(os.Environ(), func(e string) bool { return strings.HasPrefix(e, launchVar) })
+	env := slices.DeleteFunc(os.Environ(), func(e string) bool { return strings.HasPrefix(e, listenerVar) })
 	if preload != "" {
 		env = append(env, "LD_PRELOAD="+preload)
 	}
@@ -93,15 +93,15 @@
 
 // The offsets of the call's number and of its first argument in the kernel's struct seccomp_data.
 const (
-	numberAt   = 0
-	firstArgAt = 16
+	callNumberOffset    = 0
+	firstArgumentOffset = 16
 )
 
-// filter sets the filter on this thread and returns its listener.
-func filter(calls []string, clock bool) (listener int, err error) {
+// installFilter sets the filter on this thread and returns its listener.
+func installFilter(calls []string, clock bool) (listener int, err error) {
 	statement := func(code uint16, k uint32) unix.SockFilter { return unix.SockFilter{Code: code, K: k} }
 	const load, equal, end = unix.BPF_LD | unix.BPF_W | unix.BPF_ABS, unix.BPF_JMP | unix.BPF_JEQ | unix.BPF_K, unix.BPF_RET | unix.BPF_K
-	program := []unix.SockFilter{statement(load, numberAt)}
+	program := []unix.SockFilter{statement(load, callNumberOffset)}
 	for _, text := range calls {
 		if text == "" {
 			continue
@@ -113,7 +113,7 @@
 		program = append(program, unix.SockFilter{Code: equal, Jf: 1, K: uint32(number)}, statement(end, unix.SECCOMP_RET_USER_NOTIF))
 	}
 	if clock { // of the wall clock alone: the monotonic one runs on
-		program = append(program, unix.SockFilter{Code: equal, Jf: 3, K: unix.SYS_CLOCK_GETTIME}, statement(load, firstArgAt),
+		program = append(program, unix.SockFilter{Code: equal, Jf: 3, K: unix.SYS_CLOCK_GETTIME}, statement(load, firstArgumentOffset),
 			unix.SockFilter{Code: equal, Jf: 1, K: unix.CLOCK_REALTIME}, statement(end, unix.SECCOMP_RET_USER_NOTIF))
 	}
 	program = append(program, statement(end, unix.SECCOMP_RET_ALLOW))
@@ -129,8 +129,8 @@
 	return int(fd), nil
 }
 
-// receive takes the listener from the launcher.
-func receive(from int) (listener int, err error) {
+// receiveListener takes the listener from the launcher.
+func receiveListener(from int) (listener int, err error) {
 	data, rights := make([]byte, 1), make([]byte, unix.CmsgSpace(4))
 	n, m, _, _, err := unix.Recvmsg(from, data, rights, unix.MSG_CMSG_CLOEXEC)
 	if err != nil || n == 0 {
--- a/internal/faultinject/short.go
+++ b/internal/faultinject/short.go
@@ -6,9 +6,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// short makes a read or write in the program's place, of so many bytes at most, on a copy of its socket.
-func short(asked *notification, call Call, most int) response {
-	n, err := shortCall(asked, call, most)
+// transferAtMost makes a read or write in the program's place, of so many bytes at most, on a copy of its socket.
+func transferAtMost(request *notification, call Call, maxBytes int) response {
+	n, err := transfer(request, call, maxBytes)
 	var errno unix.Errno
 	switch {
 	case err == nil:
@@ -19,21 +19,21 @@
 	return response{error: -int32(unix.EIO)}
 }
 
-func shortCall(asked *notification, call Call, most int) (n int, err error) {
-	fd, err := copyDescriptor(int(asked.pid), int(asked.args[0]))
+func transfer(request *notification, call Call, maxBytes int) (n int, err error) {
+	fd, err := copyDescriptor(int(request.pid), int(request.args[0]))
 	if err != nil {
 		return 0, err
 	}
 	defer unix.Close(fd)
-	size := min(most, int(asked.args[2]))
+	size := min(maxBytes, int(request.args[2]))
 	if size == 0 {
 		return 0, nil
 	}
 	buf := make([]byte, size)
 	here := []unix.Iovec{{Base: &buf[0], Len: uint64(size)}}
-	there := []unix.RemoteIovec{{Base: uintptr(asked.args[1]), Len: size}}
+	there := []unix.RemoteIovec{{Base: uintptr(request.args[1]), Len: size}}
 	if call == Write {
-		if _, err := unix.ProcessVMReadv(int(asked.pid), here, there, 0); err != nil {
+		if _, err := unix.ProcessVMReadv(int(request.pid), here, there, 0); err != nil {
 			return 0, err
 		}
 		return unix.SendmsgN(fd, buf, nil, nil, unix.MSG_DONTWAIT|unix.MSG_NOSIGNAL)
@@ -42,7 +42,7 @@
 		return 0, err
 	}
 	here[0].Len, there[0].Len = uint64(n), n
-	if _, err := unix.ProcessVMWritev(int(asked.pid), here, there, 0); err != nil {
+	if _, err := unix.ProcessVMWritev(int(request.pid), here, there, 0); err != nil {
 		return 0, err
 	}
 	return n, nil
--- a/internal/loadtest/client.go
+++ b/internal/loadtest/client.go
@@ -209,7 +209,7 @@
 		b.WriteString(",g=" + r.Group)
 	}
 	if r.Load > 0 && e.s.Fleet != nil {
-		fmt.Fprintf(&b, ",h=%g", r.Load*e.s.Fleet.Host.Load)
+		fmt.Fprintf(&b, ",h=%g", r.Load*e.s.Fleet.Host.ConnectionLoad)
 	}
 	if r.Life > 0 {
 		fmt.Fprintf(&b, ",life=%d", max(r.Life.Milliseconds(), 1))
--- a/internal/loadtest/page/page.go
+++ b/internal/loadtest/page/page.go
@@ -244,12 +244,12 @@
 	p := newPlot("s", "in 100 ms")
 	for i, l := range []struct {
 		name string
-		of   func(s *testcluster.Step) int
+		of   func(s *testcluster.StartStep) int
 	}{
-		{"calls to the list service", func(s *testcluster.Step) int { return s.Calls }},
-		{"of them turned away", func(s *testcluster.Step) int { return s.Turned }},
-		{"set-ups at all hosts", func(s *testcluster.Step) int { return s.SetUps }},
-		{"most at one host", func(s *testcluster.Step) int { return s.Most }},
+		{"calls to the list service", func(s *testcluster.StartStep) int { return s.Calls }},
+		{"of them turned away", func(s *testcluster.StartStep) int { return s.Rejected }},
+		{"set-ups at all hosts", func(s *testcluster.StartStep) int { return s.Setups }},
+		{"most at one host", func(s *testcluster.StartStep) int { return s.MaxSetupsPerHost }},
 	} {
 		var points plotter.XYs
 		for k := range r.Start {
--- a/internal/loadtest/play.go
+++ b/internal/loadtest/play.go
@@ -80,7 +80,7 @@
 		}
 		cfg.Source, cfg.Length = t, time.Duration(float64(sum.Length)/o.Speed)
 	}
-	var r *testcluster.Rig
+	var r *testcluster.Cluster
 	rec := &receipts{byID: map[string]string{}}
 	switch {
 	case len(o.Targets) > 0:
@@ -92,7 +92,7 @@
 			return nil, err
 		}
 		defer r.Close()
-		cfg.Address, cfg.Receipt = r.Address, rec.note
+		cfg.Address, cfg.Receipt = r.ClientAddress, rec.note
 		for _, h := range r.Hosts() {
 			cfg.Hosts = append(cfg.Hosts, h.ID())
 		}
@@ -109,7 +109,7 @@
 	if r != nil {
 		cfg.Begin = func() {
 			began, before = r.Clock.Now(), r.Usage()
-			r.Play(ctx, s.Faults)
+			r.PlayFaults(ctx, s.Faults)
 		}
 	}
 	res, err = Run(ctx, cfg)
@@ -122,14 +122,14 @@
 		res.Speed = o.Speed
 	}
 	if r != nil {
-		err = errors.Join(err, r.Failed())
+		err = errors.Join(err, r.Err())
 		u := r.Usage()
 		u.CPU -= before.CPU
 		res.Nodes = &u
-		recs, lost := r.Ledger.Events()
+		recs, lost := r.Events.Events()
 		res.told(recs, began)
-		list := testcluster.Counted(recs)
-		res.List, res.Start = &list, testcluster.Steps(recs, r.Launched())
+		list := testcluster.CountDiscoveryCalls(recs)
+		res.List, res.Start = &list, testcluster.StartSteps(recs, r.LaunchedAt())
 		if lost == 0 {
 			res.Wrong = rec.wrong(recs)
 		}
@@ -141,7 +141,7 @@
 }
 
 // Start starts the scenario's fleet.
-func (s *Scenario) Start(ctx context.Context, o PlayOptions) (*testcluster.Rig, error) {
+func (s *Scenario) Start(ctx context.Context, o PlayOptions) (*testcluster.Cluster, error) {
 	return testcluster.Start(ctx, *s.Fleet, testcluster.Options{Program: o.Program, Log: o.NodeLog, Seed: s.Seed, Classes: s.classNames(),
 		Tenants: names(s.Tenants)})
 }
--- a/internal/loadtest/result.go
+++ b/internal/loadtest/result.go
@@ -33,17 +33,17 @@
 	Behind   string    `json:"behind,omitempty"`
 	Why      string    `json:"why,omitempty"`
 
-	Lateness Summary                `json:"lateness"` // of the generator itself
-	Wake     Summary                `json:"wake"`     // how late it was woken when it slept: in every latency
-	Classes  []ClassResult          `json:"classes"`
-	Line     []Stretch              `json:"line"`
-	Marks    []Mark                 `json:"marks,omitempty"`
-	Wrong    int64                  `json:"wrong_receipts"` // that no host gave for that connection: never above 0
-	Nodes    *testcluster.Usage     `json:"nodes,omitempty"`
-	Hosts    []HostCount            `json:"hosts,omitempty"`
-	List     *testcluster.ListCount `json:"list,omitempty"`  // what the list service saw
-	Start    []testcluster.Step     `json:"start,omitempty"` // the start of the fleet, from before the load began
-	Self     testcluster.Usage      `json:"self"`            // the generator's process, with the stand-ins that run in it
+	Lateness Summary                     `json:"lateness"` // of the generator itself
+	Wake     Summary                     `json:"wake"`     // how late it was woken when it slept: in every latency
+	Classes  []ClassResult               `json:"classes"`
+	Line     []Stretch                   `json:"line"`
+	Marks    []Mark                      `json:"marks,omitempty"`
+	Wrong    int64                       `json:"wrong_receipts"` // that no host gave for that connection: never above 0
+	Nodes    *testcluster.Usage          `json:"nodes,omitempty"`
+	Hosts    []HostCount                 `json:"hosts,omitempty"`
+	List     *testcluster.DiscoveryCalls `json:"list,omitempty"`  // what the list service saw
+	Start    []testcluster.StartStep     `json:"start,omitempty"` // the start of the fleet, from before the load began
+	Self     testcluster.Usage           `json:"self"`            // the generator's process, with the stand-ins that run in it
 }
 
 // self is what this process has taken so far.
--- a/internal/loadtest/scenario.go
+++ b/internal/loadtest/scenario.go
@@ -25,7 +25,7 @@
 	Waves    []Wave                  `toml:"wave"`
 	Standing Standing                `toml:"standing"`
 	Limits   Limits                  `toml:"limits"`
-	Fleet    *testcluster.Fleet      `toml:"fleet"`
+	Fleet    *testcluster.Config     `toml:"fleet"`
 	Faults   []testcluster.FaultSpec `toml:"fault"`
 }
 
@@ -150,9 +150,9 @@
 	return s.Fleet.CheckFaults(s.Faults)
 }
 
-func (s *Scenario) classNames() (out []testcluster.ClassSpec) {
+func (s *Scenario) classNames() (out []testcluster.ClassConfig) {
 	for _, c := range s.Classes {
-		out = append(out, testcluster.ClassSpec{Name: c.Name, Deadline: c.Deadline.D()})
+		out = append(out, testcluster.ClassConfig{Name: c.Name, Deadline: c.Deadline.D()})
 	}
 	return out
 }
--- a/internal/scaletest/run.go
+++ b/internal/scaletest/run.go
@@ -187,7 +187,7 @@
 // meter measures phases of one fleet.
 type meter struct {
 	spec  Spec
-	rig   *testcluster.Rig
+	rig   *testcluster.Cluster
 	fleet population
 	nodes int
 	got   *receipts
@@ -232,7 +232,7 @@
 		m.host++
 		m.last = max(m.last, firstRevision) + 1
 		m.got.change(m.last)
-		m.rig.Discovery.Set(m.rig.Member(host, phase))
+		m.rig.Discovery.Set(m.rig.HostEndpoint(host, phase))
 		select {
 		case <-next.C:
 		case <-ctx.Done():
@@ -256,14 +256,14 @@
 }
 
 // fleetOf is what a fleet of n nodes deals with. Nothing is sent to its hosts.
-func fleetOf(s Spec, n int) (testcluster.Fleet, testcluster.Options, error) {
-	f := testcluster.Fleet{Nodes: n, Hosts: s.Hosts, List: testcluster.List{Push: true}}
-	opt := testcluster.Options{Seed: s.Seed, Classes: []testcluster.ClassSpec{{Name: "chat", Deadline: 3 * time.Second}}, Tenants: []string{"acme"}, Debug: true}
+func fleetOf(s Spec, n int) (testcluster.Config, testcluster.Options, error) {
+	f := testcluster.Config{Nodes: n, Hosts: s.Hosts, Discovery: testcluster.DiscoveryConfig{Push: true}}
+	opt := testcluster.Options{Seed: s.Seed, Classes: []testcluster.ClassConfig{{Name: "chat", Deadline: 3 * time.Second}}, Tenants: []string{"acme"}, Debug: true}
 	return f, opt, f.Check(opt.Classes, opt.Tenants)
 }
 
 // start starts a fleet; what was started is returned beside an error too.
-func start(s Spec, kind Kind, n int, opt Options, log io.Writer) (*testcluster.Rig, population, error) {
+func start(s Spec, kind Kind, n int, opt Options, log io.Writer) (*testcluster.Cluster, population, error) {
 	configured := n
 	if kind == Hollow {
 		configured = 1 // they share one configuration but for their places
@@ -289,7 +289,7 @@
 
 // processes are real nodes.
 type processes struct {
-	rig *testcluster.Rig
+	rig *testcluster.Cluster
 	n   int
 }
 
@@ -301,7 +301,7 @@
 func (p *processes) restart(n int) error {
 	var errs []error
 	for i := range n {
-		end, err := p.rig.Begin(testcluster.FaultSpec{What: "kill", On: fmt.Sprint("n", i+1)})
+		end, err := p.rig.StartFault(testcluster.FaultSpec{Kind: "kill", Target: fmt.Sprint("n", i+1)})
 		if errs = append(errs, err); err == nil && end != nil {
 			errs = append(errs, end())
 		}
--- a/internal/soaktest/client.go
+++ b/internal/soaktest/client.go
@@ -73,7 +73,7 @@
 // session is a client's connections, one after another.
 type session struct {
 	client
-	rig  *testcluster.Rig
+	rig  *testcluster.Cluster
 	deal func() (fakeserver.Node, bool) // the front's choice
 	keys func() string                  // a fresh name for a connection in the ledger
 }
@@ -101,7 +101,7 @@
 }
 
 func (c *connection) note(what, text string) {
-	c.rig.Ledger.Add(fakeserver.Event{Source: clientPrefix + c.node, Kind: what, ID: c.id, Key: c.key, Class: c.class, Detail: text})
+	c.rig.Events.Add(fakeserver.Event{Source: clientPrefix + c.node, Kind: what, ID: c.id, Key: c.key, Class: c.class, Detail: text})
 }
 
 // come makes one connection, and reports whether it stood and was broken by the node's side.
--- a/internal/soaktest/plan.go
+++ b/internal/soaktest/plan.go
@@ -101,8 +101,8 @@
 }
 
 func (d *drawer) fault(at, length time.Duration, what, on string, by float64, over time.Duration) {
-	d.plan.Faults = append(d.plan.Faults, testcluster.FaultSpec{At: tomlfile.Duration(at), For: tomlfile.Duration(length), What: what, On: on, By: by,
-		Over: tomlfile.Duration(over)})
+	d.plan.Faults = append(d.plan.Faults, testcluster.FaultSpec{At: tomlfile.Duration(at), Duration: tomlfile.Duration(length), Kind: what, Target: on, Amount: by,
+		Period: tomlfile.Duration(over)})
 }
 
 // restartTime is how long a node is held for that is told to end: until it has started again.
--- a/internal/soaktest/run.go
+++ b/internal/soaktest/run.go
@@ -46,20 +46,20 @@
 }
 
 // classes are what clients of a run ask for.
-var classes = []testcluster.ClassSpec{
+var classes = []testcluster.ClassConfig{
 	{Name: "chat", Deadline: 2 * time.Second},
-	{Name: "feed", Deadline: 1200 * time.Millisecond, Semantics: "keyed", Window: 800 * time.Millisecond},
+	{Name: "feed", Deadline: 1200 * time.Millisecond, Semantics: "keyed", DeduplicationWindow: 800 * time.Millisecond},
 	{Name: "order", Deadline: 1500 * time.Millisecond, Semantics: "unsafe"},
 	{Name: "stream", Deadline: 4800 * time.Millisecond}, // waits for longer than a node that ends may last
 }
 
 // fleet is what a plan is played on.
-func fleet(p Plan, s Shape) testcluster.Fleet {
-	return testcluster.Fleet{Nodes: s.Nodes, Hosts: s.Hosts, Mode: p.Mode, Links: true, Park: tomlfile.Duration(time.Second), Sockets: 256, MemoryMB: 64,
-		Host: testcluster.Host{Cores: 4, Load: 0.001, Setup: tomlfile.Duration(2 * time.Millisecond), Cold: 0.4, Warm: tomlfile.Duration(3 * time.Second),
-			Fall: 4, FallIn: tomlfile.Duration(time.Second)},
-		Quota: float64(s.Nodes * 20), FrontNotice: tomlfile.Duration(300 * time.Millisecond),
-		List: testcluster.List{Cost: tomlfile.Duration(time.Millisecond), Push: p.Push, Links: true, AskWithin: tomlfile.Duration(3 * time.Second)}}
+func fleet(p Plan, s Shape) testcluster.Config {
+	return testcluster.Config{Nodes: s.Nodes, Hosts: s.Hosts, Mode: p.Mode, HostLinks: true, ResumeTimeout: tomlfile.Duration(time.Second), Sockets: 256, MemoryMB: 64,
+		Host: testcluster.HostConfig{Cores: 4, ConnectionLoad: 0.001, SetupWork: tomlfile.Duration(2 * time.Millisecond), SlowStartFraction: 0.4, SlowStartDuration: tomlfile.Duration(3 * time.Second),
+			CollapseMultiple: 4, CollapseAfter: tomlfile.Duration(time.Second)},
+		TenantQuota: float64(s.Nodes * 20), FrontendDelay: tomlfile.Duration(300 * time.Millisecond),
+		Discovery: testcluster.DiscoveryConfig{CallDuration: tomlfile.Duration(time.Millisecond), Push: p.Push, NodeLinks: true, PollInterval: tomlfile.Duration(3 * time.Second)}}
 }
 
 // Play plays a plan and judges it. The error says that the run itself failed: it is no verdict on the nodes but where one
@@ -82,13 +82,13 @@
 	defer r.Close()
 	begin := r.Clock.Now()
 	run := &run{plan: p, rig: r, ctx: ctx, begin: begin}
-	r.Play(ctx, p.Faults)
+	r.PlayFaults(ctx, p.Faults)
 	run.reloads()
 	run.crowds()
 	run.calls(calls)
 	run.clients(cfg.Rate)
 	run.wg.Wait()
-	recs, lost := r.Ledger.Events()
+	recs, lost := r.Events.Events()
 	if lost > 0 {
 		return nil, fmt.Errorf("%d records are lost", lost)
 	}
@@ -96,25 +96,25 @@
 	report.ClockSteps = bytes.Count(report.Log, []byte("clock was stepped"))
 	report.CallsFailed = calls.injected()
 	report.Violations, report.Crashes = sift(report.Log)
-	return report, errors.Join(run.failure(), r.Failed())
+	return report, errors.Join(run.failure(), r.Err())
 }
 
 // facts are what the plan tells a judge, its times moved to the ledger's.
 func (p Plan) facts(begin, end time.Duration) Facts {
 	f := Facts{Unsafe: map[string]bool{"order": true}, Cut: p.Mode == "proxy", Delayed: map[string]bool{}, Crowded: map[string][]Span{}}
 	for _, x := range p.Faults {
-		span := Span{begin + x.At.D(), begin + x.At.D() + x.For.D()}
-		if x.For == 0 {
+		span := Span{begin + x.At.D(), begin + x.At.D() + x.Duration.D()}
+		if x.Duration == 0 {
 			span.To = end
 		}
 		switch {
-		case x.On == "discovery":
-			span.To += x.Over.D()
+		case x.Target == "discovery":
+			span.To += x.Period.D()
 			f.Unreachable = append(f.Unreachable, span)
-		case strings.HasPrefix(x.On, "link-n"), strings.HasPrefix(x.On, "n"):
+		case strings.HasPrefix(x.Target, "link-n"), strings.HasPrefix(x.Target, "n"):
 			f.Unreachable = append(f.Unreachable, Span{span.From, span.To + time.Second}) // a node that was away starts anew
-		case x.What == "hang" || strings.HasPrefix(x.On, "link-h"):
-			f.Delayed[strings.TrimPrefix(x.On, "link-")] = true
+		case x.Kind == "hang" || strings.HasPrefix(x.Target, "link-h"):
+			f.Delayed[strings.TrimPrefix(x.Target, "link-")] = true
 		}
 	}
 	for _, c := range p.Crowds {
@@ -127,7 +127,7 @@
 // run is a plan that plays.
 type run struct {
 	plan Plan
-	rig  *testcluster.Rig
+	rig  *testcluster.Cluster
 	ctx  context.Context
 	wg   sync.WaitGroup
 
@@ -219,7 +219,7 @@
 func (x *run) deal() (node fakeserver.Node, ok bool) {
 	at := x.rig.Clock.Now() - x.begin
 	for range maxDeals {
-		if node, ok = x.rig.Front.Pick(""); !ok || !x.plan.ending(node.Name, at) {
+		if node, ok = x.rig.Frontend.Pick(""); !ok || !x.plan.ending(node.Name, at) {
 			return node, ok
 		}
 	}
@@ -232,7 +232,7 @@
 // ending reports whether a node has been told to end at a time, long enough ago for the front to have noticed.
 func (p Plan) ending(node string, at time.Duration) bool {
 	for _, x := range p.Faults {
-		if x.On == node && x.What == "stop" && at > x.At.D()+dealtFor && at < x.At.D()+restartTime/2 {
+		if x.Target == node && x.Kind == "stop" && at > x.At.D()+dealtFor && at < x.At.D()+restartTime/2 {
 			return true
 		}
 	}
--- a/internal/soaktest/sysfaults.go
+++ b/internal/soaktest/sysfaults.go
@@ -21,12 +21,12 @@
 
 // callFaults are what the system's documents allow a node's calls for a moment.
 var callFaults = [][]faultinject.Rule{
-	{{Call: faultinject.Accept, Share: 0.5, Errors: []unix.Errno{unix.ECONNABORTED, unix.ENFILE, unix.EMFILE, unix.ENOBUFS, unix.EPROTO}}},
-	{{Call: faultinject.Socket, Share: 0.5, Errors: []unix.Errno{unix.ENFILE, unix.EMFILE, unix.ENOBUFS}}},
-	{{Call: faultinject.Connect, Share: 0.5, Errors: []unix.Errno{unix.EADDRNOTAVAIL, unix.ENETUNREACH, unix.EAGAIN}}},
-	{{Call: faultinject.Read, Share: 0.1, Errors: []unix.Errno{unix.ENOMEM, unix.ENOBUFS, unix.EINTR}, OnSockets: true},
-		{Call: faultinject.Write, Share: 0.1, Errors: []unix.Errno{unix.ENOMEM, unix.ENOBUFS, unix.EINTR}, OnSockets: true}},
-	{{Call: faultinject.Read, Share: 0.7, Short: 5}, {Call: faultinject.Write, Share: 0.7, Short: 5}},
+	{{Call: faultinject.Accept, Probability: 0.5, Errors: []unix.Errno{unix.ECONNABORTED, unix.ENFILE, unix.EMFILE, unix.ENOBUFS, unix.EPROTO}}},
+	{{Call: faultinject.Socket, Probability: 0.5, Errors: []unix.Errno{unix.ENFILE, unix.EMFILE, unix.ENOBUFS}}},
+	{{Call: faultinject.Connect, Probability: 0.5, Errors: []unix.Errno{unix.EADDRNOTAVAIL, unix.ENETUNREACH, unix.EAGAIN}}},
+	{{Call: faultinject.Read, Probability: 0.1, Errors: []unix.Errno{unix.ENOMEM, unix.ENOBUFS, unix.EINTR}, OnSockets: true},
+		{Call: faultinject.Write, Probability: 0.1, Errors: []unix.Errno{unix.ENOMEM, unix.ENOBUFS, unix.EINTR}, OnSockets: true}},
+	{{Call: faultinject.Read, Probability: 0.7, MaxBytes: 5}, {Call: faultinject.Write, Probability: 0.7, MaxBytes: 5}},
 }
 
 // clockSteps are how far a node's wall clock may be from the machine's.
@@ -63,7 +63,7 @@
 }
 
 func (f *faulty) start(name string, cmd *exec.Cmd) error {
-	p, err := faultinject.Start(cmd, faultinject.Options{Calls: trapped, Clock: true, Seed: f.seed})
+	p, err := faultinject.Start(cmd, faultinject.Options{Calls: trapped, StepsClock: true, Seed: f.seed})
 	if err != nil {
 		return err
 	}
--- a/internal/testcluster/answers.go
+++ b/internal/testcluster/answers.go
@@ -8,24 +8,24 @@
 	"onyxstream/internal/fakeserver"
 )
 
-// Taken is the fate of the requests that clients wrote whole to nodes, by the ledgers of clients and hosts alone.
-type Taken struct {
-	Asked   int `json:"asked"`
-	Served  int `json:"served"`
-	Refused int `json:"refused"`
-	Failed  int `json:"failed"`
-	// Wrong says of each request that did not get exactly one whole answer in time what became of it.
-	Wrong []string `json:"wrong"`
+// RequestOutcomes is the fate of the requests that clients wrote whole to nodes, by the ledgers of clients and hosts alone.
+type RequestOutcomes struct {
+	Requests int `json:"asked"`
+	Served   int `json:"served"`
+	Rejected int `json:"refused"`
+	Failed   int `json:"failed"`
+	// Violations says of each request that did not get exactly one whole answer in time what became of it.
+	Violations []string `json:"wrong"`
 }
 
-// lateBy is how long after its time an answer may come before the request counts as lost.
-const lateBy = 500 * time.Millisecond
+// answerGrace is how long after its time an answer may come before the request counts as lost.
+const answerGrace = 500 * time.Millisecond
 
-// Answers judges whether every request that was taken on got one whole answer in time, and what was served a host's own
+// JudgeRequests judges whether every request that was taken on got one whole answer in time, and what was served a host's own
 // answer. What a node cut off that stood, without MOVE, is wrong where cut says so. Records of clients carry the id of
 // their request: Asked with the patience as the note, Heard with each whole line, and at last Left, Moved or Broken. A
 // request without any of these last ones is taken to have been left without an answer.
-func Answers(recs []fakeserver.Event, cut bool) (t Taken) {
+func JudgeRequests(recs []fakeserver.Event, cut bool) (t RequestOutcomes) {
 	type fate struct {
 		asked, heard time.Duration
 		patience     time.Duration
@@ -54,17 +54,17 @@
 			f.broken = true
 		}
 	}
-	t.Asked = len(order)
+	t.Requests = len(order)
 	for _, id := range order {
 		f := all[id]
 		wrong := func(format string, args ...any) {
-			t.Wrong = append(t.Wrong, fmt.Sprintf("%s, asked at %v for %v: ", id, f.asked, f.patience)+fmt.Sprintf(format, args...))
+			t.Violations = append(t.Violations, fmt.Sprintf("%s, asked at %v for %v: ", id, f.asked, f.patience)+fmt.Sprintf(format, args...))
 		}
 		if len(f.answers) == 0 {
 			wrong("no whole answer")
 			continue
 		}
-		if took := f.heard - f.asked; took > f.patience+lateBy {
+		if took := f.heard - f.asked; took > f.patience+answerGrace {
 			wrong("%q after %v", f.answers[0], took)
 		}
 		word, receipt, _ := strings.Cut(f.answers[0], " ")
@@ -79,7 +79,7 @@
 			}
 			continue
 		case "BUSY":
-			t.Refused++
+			t.Rejected++
 		default:
 			t.Failed++
 		}
--- a/internal/testcluster/bench_test.go
+++ b/internal/testcluster/bench_test.go
@@ -22,8 +22,8 @@
 	if out, err := exec.Command("go", "build", "-o", program, "onyxstream/cmd/onyxstream").CombinedOutput(); err != nil {
 		b.Fatalf("%v: %s", err, out)
 	}
-	f := Fleet{Nodes: 1, Hosts: 1, Host: Host{Cores: 64}}
-	classes, tenants := []ClassSpec{{Name: "chat", Deadline: 3 * time.Second}}, []string{"acme"}
+	f := Config{Nodes: 1, Hosts: 1, Host: HostConfig{Cores: 64}}
+	classes, tenants := []ClassConfig{{Name: "chat", Deadline: 3 * time.Second}}, []string{"acme"}
 	if err := f.Check(classes, tenants); err != nil {
 		b.Fatal(err)
 	}
@@ -36,7 +36,7 @@
 	var rates [2][]float64
 	for range rounds {
 		for path, direct := range []bool{true, false} {
-			addr, err := r.Address("", direct)
+			addr, err := r.ClientAddress("", direct)
 			if err != nil {
 				b.Fatal(err)
 			}
--- a/internal/testcluster/coldstart_test.go
+++ b/internal/testcluster/coldstart_test.go
@@ -17,7 +17,7 @@
 	"onyxstream/internal/tomlfile"
 )
 
-var built = sync.OnceValues(func() (string, error) {
+var buildProgram = sync.OnceValues(func() (string, error) {
 	dir, err := os.MkdirTemp("", "onyxstream-built")
 	if err != nil {
 		return "", err
@@ -30,20 +30,20 @@
 	return path, err
 })
 
-// coldFleet is a fleet whose list service works through calls in turn, 10 ms each, and gives up those that waited 1 s.
-func coldFleet(nodes int) Fleet {
-	return Fleet{Nodes: nodes, Hosts: 20, Host: Host{Cores: 4, Load: 0.001, Setup: tomlfile.Duration(time.Millisecond)},
-		List:      List{Cost: tomlfile.Duration(10 * time.Millisecond), Wait: tomlfile.Duration(time.Second), Unknown: true, Links: true},
-		ColdStart: &ColdStart{Peers: 4}}
+// coldStartConfig is a fleet whose list service works through calls in turn, 10 ms each, and gives up those that waited 1 s.
+func coldStartConfig(nodes int) Config {
+	return Config{Nodes: nodes, Hosts: 20, Host: HostConfig{Cores: 4, ConnectionLoad: 0.001, SetupWork: tomlfile.Duration(time.Millisecond)},
+		Discovery: DiscoveryConfig{CallDuration: tomlfile.Duration(10 * time.Millisecond), MaxWait: tomlfile.Duration(time.Second), StartsUnknown: true, NodeLinks: true},
+		ColdStart: &ColdStartConfig{Peers: 4}}
 }
 
-func prepare(t *testing.T, f Fleet) *Rig {
+func prepare(t *testing.T, f Config) *Cluster {
 	t.Helper()
-	program, err := built()
+	program, err := buildProgram()
 	if err != nil {
 		t.Fatal(err)
 	}
-	classes, tenants := []ClassSpec{{Name: "chat", Deadline: 3 * time.Second}}, []string{"acme"}
+	classes, tenants := []ClassConfig{{Name: "chat", Deadline: 3 * time.Second}}, []string{"acme"}
 	if err := f.Check(classes, tenants); err != nil {
 		t.Fatal(err)
 	}
@@ -66,7 +66,7 @@
 }
 
 // status asks a node, past all links.
-func (r *Rig) status(t *testing.T, i int) control.Status {
+func (r *Cluster) status(t *testing.T, i int) control.Status {
 	t.Helper()
 	c, err := control.Dial("unix:"+r.ControlSocket(i), nil)
 	if err != nil {
@@ -78,19 +78,19 @@
 }
 
 // command runs the program's command line at the first agent.
-func (r *Rig) command(t *testing.T, args ...string) string {
+func (r *Cluster) command(t *testing.T, args ...string) string {
 	t.Helper()
-	out, _ := exec.CommandContext(t.Context(), r.opt.Program, append(args, "--agent", r.AgentSocket(0))...).CombinedOutput()
+	out, _ := exec.CommandContext(t.Context(), r.options.Program, append(args, "--agent", r.AgentSocket(0))...).CombinedOutput()
 	return string(out)
 }
 
-// knocks has clients come to all nodes.
-func knocks(ctx context.Context, r *Rig, nodes, clients int, spread, patience time.Duration) (all []Knock) {
+// probeAllNodes has clients come to all nodes.
+func probeAllNodes(ctx context.Context, r *Cluster, nodes, clients int, spread, patience time.Duration) (all []AdmissionProbe) {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	for i := range nodes {
 		wg.Go(func() {
-			k := r.Knocks(ctx, i, clients, spread, time.Second, patience)
+			k := r.ProbeAdmission(ctx, i, clients, spread, time.Second, patience)
 			mu.Lock()
 			defer mu.Unlock()
 			all = append(all, k...)
@@ -101,13 +101,13 @@
 }
 
 // The figures of a cold start: ONYXSTREAM_COLDSTART=300 plays it once with so many nodes and prints them.
-func TestFiguresOfAColdStart(t *testing.T) {
+func TestColdStart_Measured_FiguresPrinted(t *testing.T) {
 	n, _ := strconv.Atoi(os.Getenv("ONYXSTREAM_COLDSTART"))
 	if n == 0 {
 		t.Skip("ONYXSTREAM_COLDSTART is not set")
 	}
 	down, _ := time.ParseDuration(os.Getenv("ONYXSTREAM_DOWN"))
-	f := coldFleet(n)
+	f := coldStartConfig(n)
 	switch os.Getenv("ONYXSTREAM_MODE") {
 	case "off":
 		f.ColdStart = nil
@@ -116,8 +116,8 @@
 	}
 	cold := os.Getenv("ONYXSTREAM_COLD") != ""
 	if cold { // all hosts have just started; 20 of them can do 300 set-ups a second then, 1,000 when warm
-		f.Host = Host{Cores: 1, Load: 0.0001, Setup: tomlfile.Duration(20 * time.Millisecond), Cold: 0.3, Warm: tomlfile.Duration(10 * time.Second),
-			Fall: 4, FallIn: tomlfile.Duration(time.Second), Fresh: true}
+		f.Host = HostConfig{Cores: 1, ConnectionLoad: 0.0001, SetupWork: tomlfile.Duration(20 * time.Millisecond), SlowStartFraction: 0.3, SlowStartDuration: tomlfile.Duration(10 * time.Second),
+			CollapseMultiple: 4, CollapseAfter: tomlfile.Duration(time.Second), StartsCold: true}
 	}
 	r := prepare(t, f)
 	if down > 0 {
@@ -136,18 +136,18 @@
 			r.Discovery.SetMode(fakeserver.ModeNormal)
 		}()
 	}
-	all := knocks(ctx, r, n, 5, time.Second, down+40*time.Second)
-	recs, _ := r.Ledger.Events()
-	c := Counted(recs)
-	asked := Times(recs, "discovery", fakeserver.EventRequested)
+	all := probeAllNodes(ctx, r, n, 5, time.Second, down+40*time.Second)
+	recs, _ := r.Events.Events()
+	c := CountDiscoveryCalls(recs)
+	asked := EventTimes(recs, "discovery", fakeserver.EventRequested)
 	var up []time.Duration
 	refused, noAdvice, failed, served, longest := 0, 0, 0, 0, time.Duration(0)
 	for _, k := range all {
-		refused, noAdvice, failed = refused+k.Refused, noAdvice+k.NoAdvice, failed+k.Failed
-		longest = max(longest, k.Longest)
-		if k.Served > 0 {
+		refused, noAdvice, failed = refused+k.Rejected, noAdvice+k.WithoutRetryAfter, failed+k.Failed
+		longest = max(longest, k.MaxLatency)
+		if k.ServedAt > 0 {
 			served++
-			up = append(up, k.Served-began)
+			up = append(up, k.ServedAt-began)
 		}
 	}
 	slices.Sort(up)
@@ -157,8 +157,8 @@
 			if h.State().Collapsed {
 				fell++
 			}
-			times := Times(recs, h.ID(), fakeserver.EventOpened)
-			most = max(most, Most(times, 100*time.Millisecond))
+			times := EventTimes(recs, h.ID(), fakeserver.EventOpened)
+			most = max(most, MaxInWindow(times, 100*time.Millisecond))
 			if len(times) > 1 {
 				mean += float64(len(times)) / (times[len(times)-1] - times[0]).Seconds() / 10 / float64(f.Hosts)
 			}
@@ -169,7 +169,7 @@
 	}
 	u := r.Usage()
 	t.Logf("%d nodes launched in %v: calls %+v, in the first second %d, while down %d", n, launched-began, c,
-		Within(asked, began, began+time.Second), Within(asked, began, began+down))
+		CountBetween(asked, began, began+time.Second), CountBetween(asked, began, began+down))
 	t.Logf("clients %d, served %d (median %v, last %v), refusals %d (%d without advice), failed %d, longest answer %v", len(all), served,
 		up[len(up)/2], up[len(up)-1], refused, noAdvice, failed, longest)
 	t.Logf("usage %+v; CPU of a node %v", u, u.CPU/time.Duration(n))
--- a/internal/testcluster/faults.go
+++ b/internal/testcluster/faults.go
@@ -30,8 +30,8 @@
 	f.wg.Wait()
 }
 
-// Play starts a time line now. Those of one instant begin in the order written, hosts that are added in that of time.
-func (r *Rig) Play(ctx context.Context, line []FaultSpec) {
+// PlayFaults starts a time line now. Those of one instant begin in the order written, hosts that are added in that of time.
+func (r *Cluster) PlayFaults(ctx context.Context, line []FaultSpec) {
 	ctx, r.cancel = context.WithCancel(ctx)
 	line = slices.Clone(line)
 	slices.SortStableFunc(line, func(a, b FaultSpec) int { return int(a.At - b.At) })
@@ -41,15 +41,15 @@
 			if !ctxtime.Sleep(ctx, time.Until(begin.Add(x.At.D()))) {
 				return
 			}
-			end, err := r.Begin(x)
+			end, err := r.StartFault(x)
 			if err != nil {
-				r.fail(err)
+				r.setError(err)
 			}
-			if x.For > 0 {
+			if x.Duration > 0 {
 				r.wg.Go(func() {
-					if ctxtime.Sleep(ctx, time.Until(begin.Add(x.At.D()+x.For.D()))) {
+					if ctxtime.Sleep(ctx, time.Until(begin.Add(x.At.D()+x.Duration.D()))) {
 						if err := end(); err != nil {
-							r.fail(err)
+							r.setError(err)
 						}
 					}
 				})
@@ -58,7 +58,7 @@
 	})
 }
 
-func (r *Rig) fail(err error) {
+func (r *Cluster) setError(err error) {
 	r.fmu.Lock()
 	defer r.fmu.Unlock()
 	if r.failed == nil {
@@ -66,20 +66,20 @@
 	}
 }
 
-// Failed is the first fault that could not be played, or a node that ended by itself.
-func (r *Rig) Failed() error {
+// Err is the first fault that could not be played, or a node that ended by itself.
+func (r *Cluster) Err() error {
 	r.fmu.Lock()
 	defer r.fmu.Unlock()
 	if r.failed != nil {
 		return r.failed
 	}
-	return r.died()
+	return r.unexpectedExits()
 }
 
-// Begin starts a fault now, on all that it names in one instant, and returns what ends it. At and For mean nothing here.
+// StartFault starts a fault now, on all that it names in one instant, and returns what ends it. At and For mean nothing here.
 // The error says which could not be struck.
-func (r *Rig) Begin(x FaultSpec) (end func() error, err error) {
-	all, err := r.fleet.targets(x.On)
+func (r *Cluster) StartFault(x FaultSpec) (end func() error, err error) {
+	all, err := r.config.parseTargets(x.Target)
 	if err != nil {
 		return func() error { return nil }, err
 	}
@@ -89,7 +89,7 @@
 		for i, t := range all {
 			wg.Go(func() {
 				if err := f(i); err != nil {
-					errs[i] = fmt.Errorf("%s on %s: %w", x.What, t.name, err)
+					errs[i] = fmt.Errorf("%s on %s: %w", x.Kind, t.name, err)
 				}
 			})
 		}
@@ -97,7 +97,7 @@
 		return errors.Join(errs...)
 	}
 	err = each(func(i int) (err error) {
-		ends[i], err = r.begin(x, all[i])
+		ends[i], err = r.startFaultOn(x, all[i])
 		return err
 	})
 	return func() error {
@@ -110,8 +110,8 @@
 	}, err
 }
 
-// begin starts a fault on one thing and returns what ends it; nil where nothing does.
-func (r *Rig) begin(x FaultSpec, t target) (end func() error, err error) {
+// startFaultOn starts a fault on one thing and returns what ends it; nil where nothing does.
+func (r *Cluster) startFaultOn(x FaultSpec, t target) (end func() error, err error) {
 	switch t.kind {
 	case "host":
 		return r.hostFault(x, t.index)
@@ -124,39 +124,39 @@
 	case "link":
 		return r.linkFault(x, t), nil
 	}
-	r.mark(x.On, "slow")
-	r.store.SetSlowFactor(x.By)
-	return func() error { r.store.SetSlowFactor(1); r.mark(x.On, "well"); return nil }, nil
+	r.recordFault(x.Target, "slow")
+	r.store.SetSlowFactor(x.Amount)
+	return func() error { r.store.SetSlowFactor(1); r.recordFault(x.Target, "well"); return nil }, nil
 }
 
-func (r *Rig) mark(who, text string) {
-	r.Ledger.Add(fakeserver.Event{Source: who, Kind: fakeserver.EventFault, Detail: text})
+func (r *Cluster) recordFault(who, text string) {
+	r.Events.Add(fakeserver.Event{Source: who, Kind: fakeserver.EventFault, Detail: text})
 }
 
-func (r *Rig) hostFault(x FaultSpec, i int) (func() error, error) {
-	if x.What == "add" {
+func (r *Cluster) hostFault(x FaultSpec, i int) (func() error, error) {
+	if x.Kind == "add" {
 		h, err := r.addHost(true)
 		if err != nil {
 			return nil, err
 		}
-		r.mark(h.ID(), "added")
+		r.recordFault(h.ID(), "added")
 		r.Discovery.Set(r.member(h, wire.Serving))
 		return nil, nil
 	}
 	h := r.Hosts()[i]
-	switch x.What {
+	switch x.Kind {
 	case "hang":
 		h.Hang()
 		return func() error { h.Resume(); return nil }, nil
 	case "slow":
-		h.SetSlowFactor(x.By)
+		h.SetSlowFactor(x.Amount)
 		return func() error { h.SetSlowFactor(1); return nil }, nil
 	case "steal":
-		h.SetStolenShare(x.By)
+		h.SetStolenShare(x.Amount)
 		return func() error { h.SetStolenShare(0); return nil }, nil
 	case "drain":
 		r.Discovery.Set(r.member(h, wire.Draining))
-		over := x.Over.D()
+		over := x.Period.D()
 		if over == 0 {
 			over = -1
 		}
@@ -171,18 +171,18 @@
 		}, nil
 	}
 	h.Crash()
-	r.after(r.fleet.Notice.D(), func() { r.Discovery.Set(r.member(h, wire.Removed)) })
+	r.after(r.config.DiscoveryDelay.D(), func() { r.Discovery.Set(r.member(h, wire.Removed)) })
 	return func() error {
 		if err := h.Restart(); err != nil {
 			return err
 		}
-		r.after(r.fleet.Notice.D(), func() { r.Discovery.Set(r.member(h, wire.Serving)) })
+		r.after(r.config.DiscoveryDelay.D(), func() { r.Discovery.Set(r.member(h, wire.Serving)) })
 		return nil
 	}, nil
 }
 
 // after runs f so much later, unless the rig has ended.
-func (r *Rig) after(d time.Duration, f func()) {
+func (r *Cluster) after(d time.Duration, f func()) {
 	time.AfterFunc(d, func() {
 		r.mu.Lock()
 		closed := r.closed
@@ -193,36 +193,36 @@
 	})
 }
 
-// stopWithin is when a node that was told to stop is killed.
-const stopWithin = 4 * time.Second
+// stopTimeout is when a node that was told to stop is killed.
+const stopTimeout = 4 * time.Second
 
-func (r *Rig) processFault(x FaultSpec, p *process) (func() error, error) {
-	r.mark(p.name, x.What)
-	back := func() error { r.mark(p.name, "starts"); return p.start() }
-	switch x.What {
+func (r *Cluster) processFault(x FaultSpec, p *process) (func() error, error) {
+	r.recordFault(p.name, x.Kind)
+	back := func() error { r.recordFault(p.name, "starts"); return p.start() }
+	switch x.Kind {
 	case "stall":
 		p.signal(syscall.SIGSTOP)
-		return func() error { p.signal(syscall.SIGCONT); r.mark(p.name, "goes on"); return nil }, nil
+		return func() error { p.signal(syscall.SIGCONT); r.recordFault(p.name, "goes on"); return nil }, nil
 	case "kill":
 		p.kill()
 		return back, nil
 	case "lose": // as a machine that is replaced: nothing of its folder is left
 		p.kill()
-		return back, p.forget()
+		return back, p.clearFolder()
 	}
 	ended := make(chan struct{})
 	r.wg.Go(func() {
-		p.end(syscall.SIGTERM, stopWithin)
+		p.end(syscall.SIGTERM, stopTimeout)
 		close(ended)
 	})
 	return func() error { <-ended; return back() }, nil
 }
 
-func (r *Rig) discoveryFault(x FaultSpec) func() error {
+func (r *Cluster) discoveryFault(x FaultSpec) func() error {
 	d := r.Discovery
-	switch x.What {
+	switch x.Kind {
 	case "lag":
-		d.SetNotifyDelay(x.Over.D())
+		d.SetNotifyDelay(x.Period.D())
 		return func() error { d.SetNotifyDelay(0); return nil }
 	case "freeze":
 		d.SetFrozen(true)
@@ -231,22 +231,22 @@
 		d.Restart(1)
 		return nil
 	}
-	d.SetMode(map[string]fakeserver.DiscoveryMode{"busy": fakeserver.ModeUnavailable, "reset": fakeserver.ModeReset, "mute": fakeserver.ModeSilent}[x.What])
+	d.SetMode(map[string]fakeserver.DiscoveryMode{"busy": fakeserver.ModeUnavailable, "reset": fakeserver.ModeReset, "mute": fakeserver.ModeSilent}[x.Kind])
 	return func() error { d.SetMode(fakeserver.ModeNormal); return nil }
 }
 
 // linksOf are the links that a fault on links means.
-func (r *Rig) linksOf(t target) (out []*fakeserver.Link) {
+func (r *Cluster) linksOf(t target) (out []*fakeserver.Link) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	switch t.of {
 	case "host":
-		return r.links[t.index : t.index+1]
+		return r.hostLinks[t.index : t.index+1]
 	case "node":
 		return r.listLinks[t.index : t.index+1]
 	}
 	me := strings.TrimPrefix(strings.TrimPrefix(t.name, "peers-"), "link-")
-	for _, k := range r.between {
+	for _, k := range r.controlLinks {
 		if from, to, _ := strings.Cut(k.Name(), ">"); from == me || t.of == "peers" && to == me && strings.HasPrefix(from, "n") {
 			out = append(out, k)
 		}
@@ -254,9 +254,9 @@
 	return out
 }
 
-func (r *Rig) linkFault(x FaultSpec, t target) func() error {
+func (r *Cluster) linkFault(x FaultSpec, t target) func() error {
 	all := r.linksOf(t)
-	r.mark(t.name, x.What)
+	r.recordFault(t.name, x.Kind)
 	each := func(f func(*fakeserver.Link)) func() {
 		return func() {
 			for _, k := range all {
@@ -268,7 +268,7 @@
 		return func(k *fakeserver.Link) { k.SetFault(w, func(s *fakeserver.LinkFault) { s.Blackhole = on }) }
 	}
 	var begin, end func(*fakeserver.Link)
-	switch x.What {
+	switch x.Kind {
 	case "silence":
 		begin, end = silent(fakeserver.BothDirections, true), silent(fakeserver.BothDirections, false)
 	case "deaf": // one way alone: what the other side says does not come back
@@ -278,9 +278,9 @@
 	case "stall":
 		begin, end = func(k *fakeserver.Link) { k.SetStalled(true) }, func(k *fakeserver.Link) { k.SetStalled(false) }
 	case "delay":
-		begin, end = func(k *fakeserver.Link) { k.SetDelay(x.Over.D()) }, func(k *fakeserver.Link) { k.SetDelay(0) }
+		begin, end = func(k *fakeserver.Link) { k.SetDelay(x.Period.D()) }, func(k *fakeserver.Link) { k.SetDelay(0) }
 	case "limit":
-		begin, end = func(k *fakeserver.Link) { k.SetRate(int64(x.By)) }, func(k *fakeserver.Link) { k.SetRate(0) }
+		begin, end = func(k *fakeserver.Link) { k.SetRate(int64(x.Amount)) }, func(k *fakeserver.Link) { k.SetRate(0) }
 	case "refuse":
 		begin, end = func(k *fakeserver.Link) { k.SetRejecting(true); k.ResetConnections() }, func(k *fakeserver.Link) { k.SetRejecting(false) }
 	case "reset":
@@ -288,5 +288,5 @@
 		return nil
 	}
 	each(begin)()
-	return func() error { each(end)(); r.mark(t.name, "well"); return nil }
+	return func() error { each(end)(); r.recordFault(t.name, "well"); return nil }
 }
--- a/internal/testcluster/process.go
+++ b/internal/testcluster/process.go
@@ -22,12 +22,12 @@
 	log                               io.Writer
 	starter                           func(name string, cmd *exec.Cmd) error // in place of cmd.Start; nil for that
 
-	mu    sync.Mutex
-	cmd   *exec.Cmd
-	done  chan struct{} // closed once the present one has ended
-	told  bool          // to end
-	err   error
-	spent Usage // of those that have ended
+	mu            sync.Mutex
+	cmd           *exec.Cmd
+	done          chan struct{} // closed once the present one has ended
+	stopRequested bool          // to end
+	exitErr       error
+	pastUsage     Usage // of those that have ended
 }
 
 func (p *process) start() error {
@@ -46,19 +46,19 @@
 		return fmt.Errorf("%s %s: %w", p.args[0], p.name, err)
 	}
 	done := make(chan struct{})
-	p.cmd, p.done, p.told = cmd, done, false
+	p.cmd, p.done, p.stopRequested = cmd, done, false
 	go func() {
 		err := cmd.Wait()
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		if s := cmd.ProcessState; s != nil {
-			p.spent.CPU += s.UserTime() + s.SystemTime()
+			p.pastUsage.CPU += s.UserTime() + s.SystemTime()
 			if u, ok := s.SysUsage().(*syscall.Rusage); ok {
-				p.spent.PeakMB = max(p.spent.PeakMB, float64(u.Maxrss)/1024)
+				p.pastUsage.PeakMB = max(p.pastUsage.PeakMB, float64(u.Maxrss)/1024)
 			}
 		}
-		if !p.told {
-			p.err = fmt.Errorf("%s %s ended by itself: %v", p.args[0], p.name, err)
+		if !p.stopRequested {
+			p.exitErr = fmt.Errorf("%s %s ended by itself: %v", p.args[0], p.name, err)
 		}
 		close(done)
 	}()
@@ -72,7 +72,7 @@
 		return
 	}
 	if s == syscall.SIGKILL || s == syscall.SIGTERM {
-		p.told = true
+		p.stopRequested = true
 	}
 	_ = p.cmd.Process.Signal(s)
 }
@@ -96,8 +96,8 @@
 
 func (p *process) kill() { p.end(syscall.SIGKILL, 10*time.Second) }
 
-// forget empties its folder. It is called between two starts.
-func (p *process) forget() error {
+// clearFolder empties its folder. It is called between two starts.
+func (p *process) clearFolder() error {
 	if p.folder == "" {
 		return nil
 	}
@@ -107,18 +107,18 @@
 	return os.Mkdir(p.folder, 0o700)
 }
 
-// ended says that a node has ended though nobody told it to.
-func (p *process) ended() error {
+// unexpectedExit says that a node has ended though nobody told it to.
+func (p *process) unexpectedExit() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.err
+	return p.exitErr
 }
 
 // usage is what the node has taken over all its starts.
 func (p *process) usage() Usage {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	u := p.spent
+	u := p.pastUsage
 	if p.cmd == nil {
 		return u
 	}
@@ -128,7 +128,7 @@
 	default:
 	}
 	now := ProcessUsage(p.cmd.Process.Pid)
-	return Usage{CPU: u.CPU + now.CPU, PeakMB: max(u.PeakMB, now.PeakMB), Most: now.Most}
+	return Usage{CPU: u.CPU + now.CPU, PeakMB: max(u.PeakMB, now.PeakMB), Descriptors: now.Descriptors}
 }
 
 // ProcessUsage is what a running process of this machine has taken so far; what can't be read is 0.
@@ -151,7 +151,7 @@
 		}
 	}
 	if names, err := os.ReadDir(proc + "fd"); err == nil {
-		u.Most = len(names)
+		u.Descriptors = len(names)
 	}
 	return u
 }
--- a/internal/testcluster/rig.go
+++ b/internal/testcluster/rig.go
@@ -24,45 +24,45 @@
 	Log     io.Writer // the nodes' logs; nil for none
 	Debug   bool      // the logs have a line for every connection and every change of the list
 	Seed    uint64
-	Classes []ClassSpec
+	Classes []ClassConfig
 	Tenants []string
 	// Starter starts a node's process in place of its command's Start, each time the node starts; nil for that.
 	Starter func(name string, cmd *exec.Cmd) error
 }
 
-// Rig is a fleet that runs.
-type Rig struct {
+// Cluster is a fleet that runs.
+type Cluster struct {
 	Clock     *fakeserver.Clock
-	Ledger    *fakeserver.EventLog
+	Events    *fakeserver.EventLog
 	Discovery *fakeserver.Discovery
-	Front     *fakeserver.FrontendBalancer
+	Frontend  *fakeserver.FrontendBalancer
 
-	number    int // among those of this process
-	launched  time.Duration
-	fleet     Fleet
-	opt       Options
-	store     *fakeserver.SharedSessionStore
-	dir       string
-	nodes     []*process
-	agents    []*process
-	listLinks []*fakeserver.Link // of each node
-	between   []*fakeserver.Link // of a process to a node's control listener, named "n1>n2" and "a1>n2"
+	number       int // among those of this process
+	launchedAt   time.Duration
+	config       Config
+	options      Options
+	store        *fakeserver.SharedSessionStore
+	dir          string
+	nodes        []*process
+	agents       []*process
+	listLinks    []*fakeserver.Link // of each node
+	controlLinks []*fakeserver.Link // of a process to a node's control listener, named "n1>n2" and "a1>n2"
 	faults
 
-	mu     sync.Mutex // guards what grows while it runs
-	hosts  []*fakeserver.Host
-	links  []*fakeserver.Link
-	dealt  int
-	closed bool
+	mu          sync.Mutex // guards what grows while it runs
+	hosts       []*fakeserver.Host
+	hostLinks   []*fakeserver.Link
+	directPicks int
+	closed      bool
 }
 
-var rigs atomic.Int64
+var clusters atomic.Int64
 
-// readyWithin is how long nodes may take to answer PING.
-const readyWithin = 30 * time.Second
+// readyTimeout is how long nodes may take to answer PING.
+const readyTimeout = 30 * time.Second
 
 // Start plays a fleet and waits until all of its nodes serve. What was started is ended again where an error comes.
-func Start(ctx context.Context, f Fleet, opt Options) (*Rig, error) {
+func Start(ctx context.Context, f Config, opt Options) (*Cluster, error) {
 	r, err := Prepare(f, opt)
 	if err != nil {
 		return nil, err
@@ -78,10 +78,10 @@
 }
 
 // Prepare makes all that processes deal with, and their files, and starts none of them: a test may set the stage first.
-func Prepare(f Fleet, opt Options) (r *Rig, err error) {
+func Prepare(f Config, opt Options) (r *Cluster, err error) {
 	clock := fakeserver.NewClock()
-	r = &Rig{Clock: clock, Ledger: fakeserver.NewEventLog(clock), fleet: f, opt: opt, number: int(rigs.Add(1)),
-		store: fakeserver.NewSharedSessionStore(capacity.SessionStore{Latency: f.Store.Latency.D(), Rate: f.Store.Rate})}
+	r = &Cluster{Clock: clock, Events: fakeserver.NewEventLog(clock), config: f, options: opt, number: int(clusters.Add(1)),
+		store: fakeserver.NewSharedSessionStore(capacity.SessionStore{Latency: f.Store.Latency.D(), Rate: f.Store.CallsPerSecond})}
 	defer func() {
 		if err != nil {
 			r.Close()
@@ -89,24 +89,24 @@
 	}()
 	var members []wire.Endpoint
 	for range f.Hosts {
-		h, err := r.addHost(f.Host.Fresh)
+		h, err := r.addHost(f.Host.StartsCold)
 		if err != nil {
 			return nil, err
 		}
 		members = append(members, r.member(h, wire.Serving))
 	}
-	if r.Discovery, err = fakeserver.NewDiscovery("", clock, r.Ledger, 1, members...); err != nil {
+	if r.Discovery, err = fakeserver.NewDiscovery("", clock, r.Events, 1, members...); err != nil {
 		return nil, err
 	}
-	r.Discovery.SetLimits(fakeserver.DiscoveryLimits{CallDuration: f.List.Cost.D(), MaxWait: f.List.Wait.D(), MaxQueue: f.List.Queue, RetryAfter: f.List.After})
+	r.Discovery.SetLimits(fakeserver.DiscoveryLimits{CallDuration: f.Discovery.CallDuration.D(), MaxWait: f.Discovery.MaxWait.D(), MaxQueue: f.Discovery.MaxQueue, RetryAfter: f.Discovery.RetryAfter})
 	if r.dir, err = os.MkdirTemp("", "onyxstream-rig"); err != nil {
 		return nil, err
 	}
-	if f.keys() {
-		if err := pki.Create(r.keys(), "rig"); err != nil {
+	if f.usesTLS() {
+		if err := pki.Create(r.keyFolder(), "rig"); err != nil {
 			return nil, err
 		}
-		if _, err := pki.Issue(r.keys(), looker, pki.Look, time.Hour); err != nil {
+		if _, err := pki.Issue(r.keyFolder(), listReader, pki.Look, time.Hour); err != nil {
 			return nil, err
 		}
 	}
@@ -117,7 +117,7 @@
 	}
 	if f.ColdStart != nil {
 		for i := range f.Nodes {
-			if err := r.tellPeers(i); err != nil {
+			if err := r.configurePeers(i); err != nil {
 				return nil, err
 			}
 		}
@@ -128,34 +128,34 @@
 		}
 	}
 	known := members
-	if f.List.Unknown {
+	if f.Discovery.StartsUnknown {
 		known = nil
 	}
-	return r, r.Knows(1, known...)
+	return r, r.SetKnownEndpoints(1, known...)
 }
 
-// Knows sets the list that nodes know when they start next.
-func (r *Rig) Knows(revision int64, known ...wire.Endpoint) error {
+// SetKnownEndpoints sets the list that nodes know when they start next.
+func (r *Cluster) SetKnownEndpoints(revision int64, known ...wire.Endpoint) error {
 	for i, p := range r.nodes {
-		if err := r.configure(p, i, wire.EndpointList{Revision: revision, Complete: true, Endpoints: known}); err != nil {
+		if err := r.writePlatformConfig(p, i, wire.EndpointList{Revision: revision, Complete: true, Endpoints: known}); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// KnowsOne sets the list that one node knows when it starts next.
-func (r *Rig) KnowsOne(i int, revision int64, known ...wire.Endpoint) error {
-	return r.configure(r.nodes[i], i, wire.EndpointList{Revision: revision, Complete: true, Endpoints: known})
+// SetKnownEndpointsOf sets the list that one node knows when it starts next.
+func (r *Cluster) SetKnownEndpointsOf(i int, revision int64, known ...wire.Endpoint) error {
+	return r.writePlatformConfig(r.nodes[i], i, wire.EndpointList{Revision: revision, Complete: true, Endpoints: known})
 }
 
 // Launch starts all processes at once, as far as one machine can.
-func (r *Rig) Launch() error {
+func (r *Cluster) Launch() error {
 	var front []fakeserver.Node
 	all := append(append([]*process(nil), r.nodes...), r.agents...)
 	errs := make([]error, len(all))
-	r.launched = r.Clock.Now()
-	if down := r.fleet.List.Down.D(); down > 0 {
+	r.launchedAt = r.Clock.Now()
+	if down := r.config.Discovery.DownAtStart.D(); down > 0 {
 		r.Discovery.SetMode(fakeserver.ModeReset)
 		r.after(down, func() { r.Discovery.SetMode(fakeserver.ModeNormal) })
 	}
@@ -167,62 +167,64 @@
 	for _, p := range r.nodes {
 		front = append(front, fakeserver.Node{Name: p.name, Addr: p.addr, Zone: p.zone})
 	}
-	r.Front = fakeserver.NewFrontendBalancer(r.Ledger, r.fleet.FrontNotice.D(), front...)
+	r.Frontend = fakeserver.NewFrontendBalancer(r.Events, r.config.FrontendDelay.D(), front...)
 	return errors.Join(errs...)
 }
 
-// Launched is when the processes were started.
-func (r *Rig) Launched() time.Duration { return r.launched }
+// LaunchedAt is when the processes were started.
+func (r *Cluster) LaunchedAt() time.Duration { return r.launchedAt }
 
 // Ready waits until all nodes serve.
-func (r *Rig) Ready(ctx context.Context) error {
-	ready, cancel := context.WithTimeout(ctx, readyWithin)
+func (r *Cluster) Ready(ctx context.Context) error {
+	ready, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
-	if err := r.Front.Ready(ready); err != nil {
-		return fmt.Errorf("the nodes are not ready: %w", errors.Join(err, r.died()))
+	if err := r.Frontend.Ready(ready); err != nil {
+		return fmt.Errorf("the nodes are not ready: %w", errors.Join(err, r.unexpectedExits()))
 	}
 	return nil
 }
 
-// died says which nodes have ended by themselves.
-func (r *Rig) died() (err error) {
+// unexpectedExits says which nodes have ended by themselves.
+func (r *Cluster) unexpectedExits() (err error) {
 	for _, p := range append(append([]*process(nil), r.nodes...), r.agents...) {
-		err = errors.Join(err, p.ended())
+		err = errors.Join(err, p.unexpectedExit())
 	}
 	return err
 }
 
-func (r *Rig) addHost(cold bool) (*fakeserver.Host, error) {
+func (r *Cluster) addHost(cold bool) (*fakeserver.Host, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	i := len(r.hosts)
-	h, err := fakeserver.NewHost(fakeserver.HostConfig{ID: fmt.Sprint("h", i+1), Zone: r.fleet.Zones[i%len(r.fleet.Zones)],
-		Spec: r.fleet.spec(i), Store: r.store, Seed: r.opt.Seed + uint64(i), StartsCold: cold, ReportsLoad: r.fleet.Loads,
-		ResumeTimeout: r.fleet.Park.D()}, r.Clock, r.Ledger)
+	h, err := fakeserver.NewHost(fakeserver.HostConfig{ID: fmt.Sprint("h", i+1), Zone: r.config.Zones[i%len(r.config.Zones)],
+		Spec: r.config.hostSpec(i), Store: r.store, Seed: r.options.Seed + uint64(i), StartsCold: cold, ReportsLoad: r.config.ReportsLoad,
+		ResumeTimeout: r.config.ResumeTimeout.D()}, r.Clock, r.Events)
 	if err != nil {
 		return nil, err
 	}
 	r.hosts = append(r.hosts, h)
-	if !r.fleet.Links {
+	if !r.config.HostLinks {
 		return h, nil
 	}
-	k, err := fakeserver.NewLinkAt("127.0.0.1:0", h.Addr(), "link-"+h.ID(), r.Ledger)
+	k, err := fakeserver.NewLinkAt("127.0.0.1:0", h.Addr(), "link-"+h.ID(), r.Events)
 	if err != nil {
 		return nil, err
 	}
-	r.links = append(r.links, k)
+	r.hostLinks = append(r.hostLinks, k)
 	return h, nil
 }
 
-// Member is a host's entry in the list, at the address where nodes reach it.
-func (r *Rig) Member(h *fakeserver.Host, phase wire.Phase) wire.Endpoint { return r.member(h, phase) }
+// HostEndpoint is a host's entry in the list, at the address where nodes reach it.
+func (r *Cluster) HostEndpoint(h *fakeserver.Host, phase wire.Phase) wire.Endpoint {
+	return r.member(h, phase)
+}
 
 // member is a host's entry in the list: its link's address where it has one.
-func (r *Rig) member(h *fakeserver.Host, phase wire.Phase) wire.Endpoint {
+func (r *Cluster) member(h *fakeserver.Host, phase wire.Phase) wire.Endpoint {
 	m := h.Endpoint(phase)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for i, k := range r.links {
+	for i, k := range r.hostLinks {
 		if r.hosts[i] == h {
 			m.Addr = k.Addr()
 		}
@@ -231,7 +233,7 @@
 }
 
 // Hosts are the stand-in hosts, those that were added last.
-func (r *Rig) Hosts() []*fakeserver.Host {
+func (r *Cluster) Hosts() []*fakeserver.Host {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return append([]*fakeserver.Host(nil), r.hosts...)
@@ -240,58 +242,58 @@
 // ErrNoNode says that the front has no node to deal a client to.
 var ErrNoNode = errors.New("the front knows no node that serves")
 
-// Address says where a client of a zone connects: at a node that the front deals, or at a host directly.
-func (r *Rig) Address(zone string, direct bool) (string, error) {
-	if direct || r.fleet.Nodes == 0 {
+// ClientAddress says where a client of a zone connects: at a node that the front deals, or at a host directly.
+func (r *Cluster) ClientAddress(zone string, direct bool) (string, error) {
+	if direct || r.config.Nodes == 0 {
 		hosts := r.Hosts()
 		r.mu.Lock()
-		r.dealt++
-		h := hosts[r.dealt%len(hosts)]
+		r.directPicks++
+		h := hosts[r.directPicks%len(hosts)]
 		r.mu.Unlock()
 		return h.Addr(), nil
 	}
-	n, ok := r.Front.Pick(zone)
+	n, ok := r.Frontend.Pick(zone)
 	if !ok {
 		return "", ErrNoNode
 	}
 	return n.Addr, nil
 }
 
-// Listening is where one part of the fleet listens.
-type Listening struct{ Kind, Name, Addr string }
+// Listener is where one part of the fleet listens.
+type Listener struct{ Kind, Name, Addr string }
 
-// Addresses says where all of it listens.
-func (r *Rig) Addresses() (out []Listening) {
-	out = append(out, Listening{"discovery", "discovery", r.Discovery.Addr()})
+// Listeners says where all of it listens.
+func (r *Cluster) Listeners() (out []Listener) {
+	out = append(out, Listener{"discovery", "discovery", r.Discovery.Addr()})
 	for _, h := range r.Hosts() {
-		out = append(out, Listening{"host", h.ID(), h.Addr()})
+		out = append(out, Listener{"host", h.ID(), h.Addr()})
 	}
 	for _, p := range r.nodes {
-		out = append(out, Listening{"node", p.name, p.addr})
+		out = append(out, Listener{"node", p.name, p.addr})
 	}
 	return out
 }
 
 // Usage is what the nodes have taken so far, killed ones included.
 type Usage struct {
-	CPU    time.Duration `json:"cpu_ns"`
-	PeakMB float64       `json:"peak_mb"` // resident, of the largest
-	Most   int           `json:"descriptors"`
+	CPU         time.Duration `json:"cpu_ns"`
+	PeakMB      float64       `json:"peak_mb"` // resident, of the largest
+	Descriptors int           `json:"descriptors"`
 }
 
 // Usage adds up the nodes.
-func (r *Rig) Usage() (u Usage) {
+func (r *Cluster) Usage() (u Usage) {
 	for _, p := range r.nodes {
 		one := p.usage()
 		u.CPU += one.CPU
 		u.PeakMB = math.Max(u.PeakMB, one.PeakMB)
-		u.Most = max(u.Most, one.Most)
+		u.Descriptors = max(u.Descriptors, one.Descriptors)
 	}
 	return u
 }
 
 // Close ends all that was started.
-func (r *Rig) Close() {
+func (r *Cluster) Close() {
 	r.mu.Lock()
 	was := r.closed
 	r.closed = true
@@ -300,15 +302,15 @@
 		return
 	}
 	r.faults.stop()
-	if r.Front != nil {
-		r.Front.Close()
+	if r.Frontend != nil {
+		r.Frontend.Close()
 	}
 	var wg sync.WaitGroup
 	for _, p := range append(append([]*process(nil), r.nodes...), r.agents...) {
 		wg.Go(p.kill)
 	}
 	wg.Wait()
-	for _, k := range append(append(append([]*fakeserver.Link(nil), r.links...), r.listLinks...), r.between...) {
+	for _, k := range append(append(append([]*fakeserver.Link(nil), r.hostLinks...), r.listLinks...), r.controlLinks...) {
 		wg.Go(k.Close)
 	}
 	wg.Wait()
--- a/internal/testcluster/rolling.go
+++ b/internal/testcluster/rolling.go
@@ -19,9 +19,9 @@
 	"onyxstream/internal/tomlfile"
 )
 
-// Rolling is a rolling restart under load, drawn by its seed: all nodes are told to stop, a tenth at a time, each is
+// RollingRestart is a rolling restart under load, drawn by its seed: all nodes are told to stop, a tenth at a time, each is
 // killed when the platform would kill it, and started again; hosts hang and are replaced meanwhile.
-type Rolling struct {
+type RollingRestart struct {
 	Seed   uint64
 	Length time.Duration // that clients come for
 	Rate   float64       // clients a second, at all nodes
@@ -30,51 +30,51 @@
 
 const (
 	clientPrefix = "c-"
-	// dealtFor is how long clients go on coming to a node that was told to stop: the longest that the platform names.
-	dealtFor = 400 * time.Millisecond
-	// killedAfter is when a node that was told to stop is killed: the longest deadline, 3 s at most, and 0.7 s.
-	killedAfter = 3700 * time.Millisecond
-	longestStay = 2 * time.Second
+	// pickableAfterStop is how long clients go on coming to a node that was told to stop: the longest that the platform names.
+	pickableAfterStop = 400 * time.Millisecond
+	// killTimeout is when a node that was told to stop is killed: the longest deadline, 3 s at most, and 0.7 s.
+	killTimeout     = 3700 * time.Millisecond
+	maxConnectedFor = 2 * time.Second
 )
 
-// asker is one client.
-type asker struct {
-	id             string
-	patience, stay time.Duration
-	pieces, again  bool // its line comes in two pieces; it says that it was turned away before
+// rollingClient is one client.
+type rollingClient struct {
+	id                     string
+	patience, connectedFor time.Duration
+	splitOpening, retry    bool // its line comes in two pieces; it says that it was turned away before
 }
 
-// dealer says which nodes clients are dealt to.
-type dealer struct {
-	mu  sync.Mutex
-	out map[int]bool
+// nodePicker says which nodes clients are dealt to.
+type nodePicker struct {
+	mu       sync.Mutex
+	excluded map[int]bool
 }
 
-func (d *dealer) set(i int, out bool) {
+func (d *nodePicker) setExcluded(i int, out bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.out[i] = out
+	d.excluded[i] = out
 }
 
-func (d *dealer) pick(n, nodes int) (int, bool) {
+func (d *nodePicker) pick(n, nodes int) (int, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for k := range nodes {
-		if i := (n + k) % nodes; !d.out[i] {
+		if i := (n + k) % nodes; !d.excluded[i] {
 			return i, true
 		}
 	}
 	return 0, false
 }
 
-// Roll plays it and returns once all clients have had their answers, or none will come any more. The rig must be ready.
-func (r *Rig) Roll(ctx context.Context, x Rolling) error {
+// RunRollingRestart plays it and returns once all clients have had their answers, or none will come any more. The rig must be ready.
+func (r *Cluster) RunRollingRestart(ctx context.Context, x RollingRestart) error {
 	draw := rand.New(rand.NewPCG(x.Seed, 0x726f6c6c))
-	d := &dealer{out: map[int]bool{}}
+	d := &nodePicker{excluded: map[int]bool{}}
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	var wg sync.WaitGroup
-	r.Play(ctx, r.trouble(draw, x.Length))
+	r.PlayFaults(ctx, r.drawHostFaults(draw, x.Length))
 	wave := max(len(r.nodes)/10, 1)
 	order := draw.Perm(len(r.nodes))
 	pause := x.Length * 2 / 3 / time.Duration((len(order)+wave-1)/wave)
@@ -82,7 +82,7 @@
 		for at := 0; at < len(order) && ctxtime.Sleep(ctx, pause); at += wave {
 			for _, i := range order[at:min(at+wave, len(order))] {
 				wg.Go(func() {
-					if err := r.replace(ctx, d, i, x.Kill); err != nil {
+					if err := r.restartNode(ctx, d, i, x.Kill); err != nil {
 						cancel(err)
 					}
 				})
@@ -96,80 +96,80 @@
 		}
 		// Some wait for less than a host's hang lasts, some for longer than a node does that is told to stop.
 		patience := []time.Duration{700 * time.Millisecond, 1500 * time.Millisecond, 3 * time.Second, 5 * time.Second}[draw.IntN(4)]
-		a := asker{id: fmt.Sprintf("%016x", draw.Uint64()), patience: patience, stay: time.Duration(draw.Int64N(int64(longestStay))),
-			pieces: draw.IntN(5) == 0, again: draw.IntN(2) == 0}
+		a := rollingClient{id: fmt.Sprintf("%016x", draw.Uint64()), patience: patience, connectedFor: time.Duration(draw.Int64N(int64(maxConnectedFor))),
+			splitOpening: draw.IntN(5) == 0, retry: draw.IntN(2) == 0}
 		if i, ok := d.pick(draw.IntN(len(r.nodes)), len(r.nodes)); ok {
-			wg.Go(func() { r.ask(ctx, i, a) })
+			wg.Go(func() { r.runRollingClient(ctx, i, a) })
 		}
 	}
 	wg.Wait()
 	err := context.Cause(ctx)
 	r.faults.stop() // nothing of the time line is left that counts
-	return errors.Join(err, r.Failed())
+	return errors.Join(err, r.Err())
 }
 
-// trouble draws what becomes of the hosts: some hang, and half of them are replaced.
-func (r *Rig) trouble(draw *rand.Rand, length time.Duration) (line []FaultSpec) {
+// drawHostFaults draws what becomes of the hosts: some hang, and half of them are replaced.
+func (r *Cluster) drawHostFaults(draw *rand.Rand, length time.Duration) (line []FaultSpec) {
 	hosts := len(r.Hosts())
 	order := draw.Perm(hosts)
 	at := func(part float64) tomlfile.Duration { return tomlfile.Duration(part * float64(length)) }
 	hang := max(hosts/3, 1)
 	for _, i := range order[:hang] {
-		line = append(line, FaultSpec{At: at(0.1 + 0.3*draw.Float64()), What: "hang", On: fmt.Sprint("h", i+1), For: at(0.6)})
+		line = append(line, FaultSpec{At: at(0.1 + 0.3*draw.Float64()), Kind: "hang", Target: fmt.Sprint("h", i+1), Duration: at(0.6)})
 	}
 	for k, i := range order[hang : hang+hosts/2] {
 		when := at(0.2 + 0.5*float64(k)/float64(hosts))
-		line = append(line, FaultSpec{At: when, What: "add", On: fmt.Sprint("h", hosts+k+1)},
-			FaultSpec{At: when, What: "drain", On: fmt.Sprint("h", i+1), Over: tomlfile.Duration(time.Second)})
+		line = append(line, FaultSpec{At: when, Kind: "add", Target: fmt.Sprint("h", hosts+k+1)},
+			FaultSpec{At: when, Kind: "drain", Target: fmt.Sprint("h", i+1), Period: tomlfile.Duration(time.Second)})
 	}
 	return line
 }
 
-// replace restarts a node as the platform does.
-func (r *Rig) replace(ctx context.Context, d *dealer, i int, kill bool) error {
+// restartNode restarts a node as the platform does.
+func (r *Cluster) restartNode(ctx context.Context, d *nodePicker, i int, kill bool) error {
 	p := r.nodes[i]
-	r.mark(p.name, "stop")
-	over := time.AfterFunc(dealtFor, func() { d.set(i, true) })
+	r.recordFault(p.name, "stop")
+	over := time.AfterFunc(pickableAfterStop, func() { d.setExcluded(i, true) })
 	defer over.Stop()
 	how := syscall.SIGTERM
 	if kill {
 		how = syscall.SIGKILL
 	}
-	p.end(how, killedAfter)
-	d.set(i, true)
-	r.mark(p.name, "starts")
+	p.end(how, killTimeout)
+	d.setExcluded(i, true)
+	r.recordFault(p.name, "starts")
 	if err := p.start(); err != nil {
 		return err
 	}
-	ready, cancel := context.WithTimeout(ctx, readyWithin)
+	ready, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	for fakeserver.Ping(ready, p.addr, time.Second) != nil {
 		if !ctxtime.Sleep(ready, 20*time.Millisecond) {
 			return fmt.Errorf("%s does not come back: %w", p.name, ready.Err())
 		}
 	}
-	d.set(i, false)
+	d.setExcluded(i, false)
 	return nil
 }
 
-// ask is one client: it asks a node, notes each whole line, and stays for a while where it is served. A line that could
+// runRollingClient is one client: it asks a node, notes each whole line, and stays for a while where it is served. A line that could
 // not be written whole was not taken on.
-func (r *Rig) ask(ctx context.Context, i int, a asker) {
+func (r *Cluster) runRollingClient(ctx context.Context, i int, a rollingClient) {
 	c, err := (&net.Dialer{Timeout: time.Second}).DialContext(ctx, "tcp", r.nodes[i].addr)
 	if err != nil {
 		return // a node that is not there takes nothing on
 	}
 	defer c.Close()
 	note := func(what, text string) {
-		r.Ledger.Add(fakeserver.Event{Source: clientPrefix + r.nodes[i].name, Kind: what, ID: a.id, Detail: text})
+		r.Events.Add(fakeserver.Event{Source: clientPrefix + r.nodes[i].name, Kind: what, ID: a.id, Detail: text})
 	}
-	line := fmt.Sprintf("OPEN %s key%s c=%s,t=%s,d=%d", a.id, a.id, r.opt.Classes[0].Name, r.opt.Tenants[0], a.patience.Milliseconds())
-	if a.again {
+	line := fmt.Sprintf("OPEN %s key%s c=%s,t=%s,d=%d", a.id, a.id, r.options.Classes[0].Name, r.options.Tenants[0], a.patience.Milliseconds())
+	if a.retry {
 		line += ",r=1"
 	}
 	line += "\r\n"
-	if a.pieces {
-		if _, err := io.WriteString(c, line[:len(line)/2]); err != nil || !ctxtime.Sleep(ctx, a.stay/10) {
+	if a.splitOpening {
+		if _, err := io.WriteString(c, line[:len(line)/2]); err != nil || !ctxtime.Sleep(ctx, a.connectedFor/10) {
 			return
 		}
 		line = line[len(line)/2:]
@@ -179,7 +179,7 @@
 	}
 	note(fakeserver.EventRequested, a.patience.String())
 	in := bufio.NewReader(c)
-	_ = c.SetReadDeadline(time.Now().Add(a.patience + 2*lateBy))
+	_ = c.SetReadDeadline(time.Now().Add(a.patience + 2*answerGrace))
 	up := false
 	for {
 		text, err := in.ReadString('\n')
@@ -192,7 +192,7 @@
 			note(fakeserver.EventReceived, strings.TrimRight(text, "\r\n"))
 			if !up {
 				up = strings.HasPrefix(text, "UP ")
-				_ = c.SetReadDeadline(time.Now().Add(a.stay))
+				_ = c.SetReadDeadline(time.Now().Add(a.connectedFor))
 			}
 		case errors.Is(err, os.ErrDeadlineExceeded):
 			note(fakeserver.EventDisconnected, text)
--- a/internal/testcluster/rolling_test.go
+++ b/internal/testcluster/rolling_test.go
@@ -10,34 +10,34 @@
 	"onyxstream/internal/tomlfile"
 )
 
-// roll plays a rolling restart and judges it.
-func roll(t *testing.T, nodes int, mode string, x Rolling) Taken {
+// runRollingRestart plays a rolling restart and judges it.
+func runRollingRestart(t *testing.T, nodes int, mode string, x RollingRestart) RequestOutcomes {
 	t.Helper()
-	f := coldFleet(nodes)
-	f.ColdStart, f.List.Unknown, f.Mode, f.Hosts = nil, false, mode, 12
-	f.Quota = float64(nodes) // a node is to hold less than it could judge hosts by, as in a large fleet
-	f.List.Cost, f.List.AskWithin = tomlfile.Duration(time.Millisecond), tomlfile.Duration(3*time.Second)
+	f := coldStartConfig(nodes)
+	f.ColdStart, f.Discovery.StartsUnknown, f.Mode, f.Hosts = nil, false, mode, 12
+	f.TenantQuota = float64(nodes) // a node is to hold less than it could judge hosts by, as in a large fleet
+	f.Discovery.CallDuration, f.Discovery.PollInterval = tomlfile.Duration(time.Millisecond), tomlfile.Duration(3*time.Second)
 	r := prepare(t, f)
 	launch(t, r)
 	if err := r.Ready(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	if err := r.Roll(t.Context(), x); err != nil {
+	if err := r.RunRollingRestart(t.Context(), x); err != nil {
 		t.Fatalf("seed %d: %v", x.Seed, err)
 	}
-	recs, lost := r.Ledger.Events()
+	recs, lost := r.Events.Events()
 	if lost > 0 {
 		t.Fatalf("%d records are lost", lost)
 	}
-	taken := Answers(recs, mode == "proxy")
-	t.Logf("seed %d, %s, %d nodes: %d asked, %d served, %d refused, %d failed, %d wrong", x.Seed, mode, nodes, taken.Asked,
-		taken.Served, taken.Refused, taken.Failed, len(taken.Wrong))
+	taken := JudgeRequests(recs, mode == "proxy")
+	t.Logf("seed %d, %s, %d nodes: %d asked, %d served, %d refused, %d failed, %d wrong", x.Seed, mode, nodes, taken.Requests,
+		taken.Served, taken.Rejected, taken.Failed, len(taken.Violations))
 	return taken
 }
 
 // Through a rolling restart in which hosts hang and are replaced, every request that a node took on gets one whole answer
 // in time. ONYXSTREAM_ROLLING=350 plays it with so many nodes, ONYXSTREAM_SEED from that seed on.
-func TestARollingRestartLosesNoRequest(t *testing.T) {
+func TestRollingRestart_HostsHang_NoRequestLost(t *testing.T) {
 	nodes, rate := 24, 120.0
 	if n, _ := strconv.Atoi(os.Getenv("ONYXSTREAM_ROLLING")); n > 0 {
 		nodes, rate = n, 400
@@ -47,11 +47,11 @@
 		t.Run(mode, func(t *testing.T) {
 			t.Parallel()
 			seed := first + uint64(i)
-			got := roll(t, nodes, mode, Rolling{Seed: seed, Length: 8 * time.Second, Rate: rate})
-			if got.Served < got.Asked/2 {
-				t.Errorf("seed %d: %d of %d are served", seed, got.Served, got.Asked)
+			got := runRollingRestart(t, nodes, mode, RollingRestart{Seed: seed, Length: 8 * time.Second, Rate: rate})
+			if got.Served < got.Requests/2 {
+				t.Errorf("seed %d: %d of %d are served", seed, got.Served, got.Requests)
 			}
-			for _, text := range got.Wrong {
+			for _, text := range got.Violations {
 				t.Errorf("seed %d: %s", seed, text)
 			}
 		})
@@ -59,14 +59,14 @@
 }
 
 // The judge sees what nodes lose that are killed with all that they owe.
-func TestTheJudgeSeesKilledNodesLoseRequests(t *testing.T) {
-	if got := roll(t, 10, "pass", Rolling{Seed: 1, Length: 4 * time.Second, Rate: 200, Kill: true}); len(got.Wrong) == 0 {
+func TestRollingRestart_NodesKilled_LossesReported(t *testing.T) {
+	if got := runRollingRestart(t, 10, "pass", RollingRestart{Seed: 1, Length: 4 * time.Second, Rate: 200, Kill: true}); len(got.Violations) == 0 {
 		t.Error("nothing is lost")
 	}
 }
 
 // Each way in which a request can come to a wrong end is told from those that are right.
-func TestAnswersTellsRequestsApart(t *testing.T) {
+func TestJudgeRequests_EachOutcome_Classified(t *testing.T) {
 	const ms = time.Millisecond
 	var recs []fakeserver.Event
 	add := func(at time.Duration, who, what, id, note string) {
@@ -87,12 +87,12 @@
 	add(9*ms, "c-n1", fakeserver.EventReceived, "foreign", "UP served-1")
 	add(20*ms, "c-n1", fakeserver.EventReset, "cut", "EOF")
 	add(20*ms, "c-n1", fakeserver.EventMigrated, "moved", "")
-	add(1000*ms+lateBy+ms, "c-n1", fakeserver.EventReceived, "late", "BUSY")
-	got := Answers(recs, true)
-	if got.Asked != 8 || got.Served != 4 || got.Refused != 3 || len(got.Wrong) != 5 {
+	add(1000*ms+answerGrace+ms, "c-n1", fakeserver.EventReceived, "late", "BUSY")
+	got := JudgeRequests(recs, true)
+	if got.Requests != 8 || got.Served != 4 || got.Rejected != 3 || len(got.Violations) != 5 {
 		t.Errorf("judged as %+v", got)
 	}
-	if got := Answers(recs, false); len(got.Wrong) != 4 {
+	if got := JudgeRequests(recs, false); len(got.Violations) != 4 {
 		t.Errorf("where packets pass through, judged as %+v", got)
 	}
 }
--- a/internal/testcluster/starthelp_test.go
+++ b/internal/testcluster/starthelp_test.go
@@ -13,17 +13,17 @@
 )
 
 // launch starts the processes.
-func launch(t *testing.T, r *Rig) {
+func launch(t *testing.T, r *Cluster) {
 	t.Helper()
 	if err := r.Launch(); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// strike begins a fault.
-func strike(t *testing.T, r *Rig, x FaultSpec) (end func()) {
+// startFault begins a fault.
+func startFault(t *testing.T, r *Cluster, x FaultSpec) (end func()) {
 	t.Helper()
-	over, err := r.Begin(x)
+	over, err := r.StartFault(x)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -35,39 +35,39 @@
 	}
 }
 
-// allServed has a client come to each node and wants it served, every answer at once and every refusal with advice.
-func allServed(t *testing.T, r *Rig, nodes, clients int) []Knock {
+// expectAllServed has a client come to each node and wants it served, every answer at once and every refusal with advice.
+func expectAllServed(t *testing.T, r *Cluster, nodes, clients int) []AdmissionProbe {
 	t.Helper()
-	all := knocks(t.Context(), r, nodes, clients, 200*time.Millisecond, 40*time.Second)
-	if err := r.Failed(); err != nil {
+	all := probeAllNodes(t.Context(), r, nodes, clients, 200*time.Millisecond, 40*time.Second)
+	if err := r.Err(); err != nil {
 		t.Fatal(err)
 	}
 	for _, k := range all {
 		switch {
-		case k.Served == 0:
+		case k.ServedAt == 0:
 			t.Errorf("a client of n%d is never served: %+v", k.Node+1, k)
-		case k.NoAdvice > 0:
+		case k.WithoutRetryAfter > 0:
 			t.Errorf("a client of n%d was turned away with no word of when to come back: %+v", k.Node+1, k)
 		}
 	}
 	return all
 }
 
-// calls counts those to the list service so far, and through which nodes' links they came.
-func calls(r *Rig) (n int, by map[string]int) {
-	recs, _ := r.Ledger.Events()
+// discoveryCalls counts those to the list service so far, and through which nodes' links they came.
+func discoveryCalls(r *Cluster) (n int, by map[string]int) {
+	recs, _ := r.Events.Events()
 	by = map[string]int{}
 	for _, x := range recs {
 		if node, ok := strings.CutSuffix(x.Source, ">list"); ok && x.Kind == fakeserver.EventDialed {
 			by[node]++
 		}
 	}
-	return Counted(recs).Calls, by
+	return CountDiscoveryCalls(recs).Calls, by
 }
 
-// setUps counts what hosts were sent from a moment on.
-func setUps(r *Rig, from time.Duration) map[string]int {
-	recs, _ := r.Ledger.Events()
+// setupsByHost counts what hosts were sent from a moment on.
+func setupsByHost(r *Cluster, from time.Duration) map[string]int {
+	recs, _ := r.Events.Events()
 	out := map[string]int{}
 	for _, x := range recs {
 		if x.Kind == fakeserver.EventOpened && x.At >= from {
@@ -77,18 +77,18 @@
 	return out
 }
 
-// holds waits until a file appears in each of the folders.
-func holds(t *testing.T, r *Rig, nodes ...int) {
+// expectCachedLists waits until a file appears in each of the folders.
+func expectCachedLists(t *testing.T, r *Cluster, nodes ...int) {
 	t.Helper()
 	for _, i := range nodes {
-		until(t, fmt.Sprintf("n%d keeps its list", i+1), func() bool {
-			_, err := os.Stat(filepath.Join(r.Folder(i), "hosts.list"))
+		waitUntil(t, fmt.Sprintf("n%d keeps its list", i+1), func() bool {
+			_, err := os.Stat(filepath.Join(r.CacheFolder(i), "hosts.list"))
 			return err == nil
 		})
 	}
 }
 
-func until(t *testing.T, what string, f func() bool) {
+func waitUntil(t *testing.T, what string, f func() bool) {
 	t.Helper()
 	for begin := time.Now(); !f(); time.Sleep(20 * time.Millisecond) {
 		if time.Since(begin) > 30*time.Second {
@@ -97,9 +97,9 @@
 	}
 }
 
-func startFleet(nodes int, change func(*Fleet)) Fleet {
-	f := coldFleet(nodes)
-	f.Hosts, f.List.AskWithin = 4, tomlfile.Duration(3*time.Second)
+func startConfig(nodes int, change func(*Config)) Config {
+	f := coldStartConfig(nodes)
+	f.Hosts, f.Discovery.PollInterval = 4, tomlfile.Duration(3*time.Second)
 	if change != nil {
 		change(&f)
 	}
