--- /dev/null
+++ b/internal/fakeserver/capacity/load.go
@@ -0,0 +1,77 @@
+package capacity
+
+import (
+	"math"
+	"time"
+)
+
+const (
+	minSlowFactor  = 0.01
+	maxStolenShare = 0.99
+	// minIdleShare bounds the queueing delay of a line: at most 1/minIdleShare times its work.
+	minIdleShare = 0.02
+	// setupWorkDecay is the time constant of the average that measures the overload of a cold host.
+	setupWorkDecay = 250 * time.Millisecond
+	maxSeconds     = 1e9
+)
+
+// SetSlowFactor multiplies the duration of all work by factor; 1 restores normal speed.
+func (h *Host) SetSlowFactor(factor float64) { h.slowFactor = max(factor, minSlowFactor) }
+
+// SetStolenShare gives a fraction of the cores to another program; 0 ends that.
+func (h *Host) SetStolenShare(share float64) { h.stolenShare = min(max(share, 0), maxStolenShare) }
+
+// Capacity returns the current capacity in cores of speed 1.
+func (h *Host) Capacity() float64 {
+	return h.spec.Cores * h.spec.Speed * (1 - h.stolenShare) / h.slowFactor * h.slowStartFactor()
+}
+
+// coreSpeed returns the current speed of one core.
+func (h *Host) coreSpeed() float64 { return h.spec.Speed * (1 - h.stolenShare) / h.slowFactor }
+
+// slowStartFactor returns the fraction of the capacity that slow start allows now.
+func (h *Host) slowStartFactor() float64 {
+	sinceStart := h.now - h.startedAt
+	initial := h.spec.SlowStartFraction
+	if !h.startedCold || initial <= 0 || initial >= 1 || sinceStart >= h.spec.SlowStartDuration {
+		return 1
+	}
+	return initial + (1-initial)*float64(sinceStart)/float64(h.spec.SlowStartDuration)
+}
+
+// Demand returns the load of established connections and their groups, in cores of speed 1.
+func (h *Host) Demand() float64 {
+	return h.establishedLoad + float64(len(h.groupSizes))*h.spec.GroupCost*h.spec.ConnectionLoad
+}
+
+// Utilization returns the demand divided by the capacity; above 1 the host is overloaded.
+func (h *Host) Utilization() float64 { return h.Demand() / max(h.Capacity(), negligibleWork) }
+
+// LineLatency returns the current time to answer a line: its work, and the queueing delay of an M/M/1 queue at this
+// utilization, at most fifty times the work.
+func (h *Host) LineLatency() time.Duration {
+	work := h.spec.LineWork / h.spec.Speed * h.slowFactor / (1 - h.stolenShare)
+	return seconds(work / max(1-h.Utilization(), minIdleShare))
+}
+
+// addSetupWork counts the work of a requested set-up, rejected ones included: rejecting costs work too.
+func (h *Host) addSetupWork(now time.Duration, work float64) {
+	h.recentSetupWork = h.recentSetupWork*setupWorkRemaining(now-h.recentSetupWorkAt) + work
+	h.recentSetupWorkAt = now
+}
+
+// setupWorkRemaining returns the fraction of recent set-up work that still counts after some time.
+func setupWorkRemaining(elapsed time.Duration) float64 {
+	return math.Exp(-float64(elapsed) / float64(setupWorkDecay))
+}
+
+// overloadRatio returns the rate of requested set-up work plus the demand, divided by the capacity.
+func (h *Host) overloadRatio() float64 {
+	rate := h.recentSetupWork * setupWorkRemaining(h.now-h.recentSetupWorkAt) / setupWorkDecay.Seconds()
+	return (rate + h.Demand()) / max(h.Capacity(), negligibleWork)
+}
+
+// seconds converts a number of seconds, bounded so that it can't overflow.
+func seconds(s float64) time.Duration {
+	return time.Duration(min(s, maxSeconds) * float64(time.Second))
+}
--- /dev/null
+++ b/internal/fakeserver/eventlog.go
@@ -0,0 +1,148 @@
+package fakeserver
+
+import (
+	"bufio"
+	"cmp"
+	"encoding/json"
+	"io"
+	"slices"
+	"sync"
+	"time"
+)
+
+// The kinds of events. Their values are part of the event files that users read.
+const (
+	EventOpened        = "opened"  // host: an OPEN was read to its end
+	EventEstablished   = "up"      // host: the connection is established; the detail is the receipt
+	EventRejected      = "refused" // host: answered BUSY
+	EventFailed        = "failed"  // host: answered ERR or, with the reason as the detail, SYNTAX
+	EventEnded         = "ended"   // host: ended the connection with BYE
+	EventMigrated      = "moved"   // host: sent MOVE
+	EventDisconnected  = "left"    // host: the client ended the connection
+	EventReset         = "broken"  // host: reset the connection
+	EventHealthCheck   = "probed"  // host: received PING or STATS
+	EventFault         = "fault"   // any source: a fault began or ended
+	EventListSent      = "told"    // discovery: wrote a list or an update; the detail is the revision
+	EventCallRejected  = "turned"  // discovery: failed a call; the detail is the reason
+	EventRequested     = "asked"   // discovery: received a call; the detail is its URI
+	EventReceived      = "heard"   // client: received an answer, the detail
+	EventDialed        = "dialled" // link: accepted a connection; the detail says if it was rejected
+	EventNodeHealthy   = "in"      // frontend balancer: sends clients to the node
+	EventNodeUnhealthy = "out"     // frontend balancer: stopped sending clients to the node
+)
+
+// The sources of events that have no name of their own.
+const (
+	sourceDiscovery = "discovery"
+	sourceFrontend  = "front"
+)
+
+// Event is one thing that a fake server, a link or a client saw.
+type Event struct {
+	At     time.Duration `json:"at"` // ns since the start of the run
+	Source string        `json:"who"`
+	Kind   string        `json:"what"`
+	ID     string        `json:"id,omitempty"`
+	Key    string        `json:"key,omitempty"`
+	Class  string        `json:"class,omitempty"`
+	Tenant string        `json:"tenant,omitempty"`
+	Detail string        `json:"note,omitempty"`
+}
+
+// maxEvents bounds the memory of an event log to about 100 MB. Events past it are counted and dropped.
+const maxEvents = 1 << 20
+
+// EventLog collects the events of one or more sources. It is safe for concurrent use; a nil log drops all events.
+type EventLog struct {
+	clock   *Clock
+	mu      sync.Mutex
+	events  []Event
+	dropped int
+}
+
+// NewEventLog returns an empty log that takes its times from a clock.
+func NewEventLog(clock *Clock) *EventLog { return &EventLog{clock: clock} }
+
+// Add appends an event with the current time.
+func (l *EventLog) Add(event Event) {
+	if l == nil {
+		return
+	}
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if len(l.events) >= maxEvents {
+		l.dropped++
+		return
+	}
+	event.At = l.clock.Now() // under the lock, so that times never decrease
+	l.events = append(l.events, event)
+}
+
+// Events returns a copy of the events so far, and the number of dropped ones.
+func (l *EventLog) Events() (events []Event, dropped int) {
+	if l == nil {
+		return nil, 0
+	}
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return slices.Clone(l.events), l.dropped
+}
+
+// Count returns the number of events that match.
+func (l *EventLog) Count(match func(Event) bool) int {
+	if l == nil {
+		return 0
+	}
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	count := 0
+	for _, event := range l.events {
+		if match(event) {
+			count++
+		}
+	}
+	return count
+}
+
+// MergeEvents returns the events of several logs of one run in order of time.
+func MergeEvents(logs ...*EventLog) []Event {
+	var all []Event
+	for _, log := range logs {
+		events, _ := log.Events()
+		all = append(all, events...)
+	}
+	slices.SortStableFunc(all, func(a, b Event) int { return cmp.Compare(a.At, b.At) })
+	return all
+}
+
+// eventFileVersion counts changes of the file format that older readers can't read.
+const eventFileVersion = 1
+
+// eventFileHeader is the first line of an event file.
+type eventFileHeader struct {
+	Started time.Time `json:"began"`
+	Version int       `json:"ledger"`
+	Dropped int       `json:"lost"`
+	Events  int       `json:"records"`
+}
+
+// WriteEvents writes events as JSON Lines after a header with the start of the clock and the number of dropped events.
+func WriteEvents(w io.Writer, clock *Clock, events []Event, dropped int) error {
+	buffered := bufio.NewWriter(w)
+	encoder := json.NewEncoder(buffered)
+	header := eventFileHeader{
+		Started: clock.Started(),
+		Version: eventFileVersion,
+		Dropped: dropped,
+		Events:  len(events),
+	}
+	if err := encoder.Encode(header); err != nil {
+		return err
+	}
+	for _, event := range events {
+		if err := encoder.Encode(event); err != nil {
+			return err
+		}
+	}
+	return buffered.Flush()
+}
--- a/internal/fakeserver/link.go
+++ b/internal/fakeserver/link.go
@@ -1,34 +1,40 @@
 package fakeserver
 
 import (
-	"errors"
 	"net"
 	"strings"
 	"sync"
-	"syscall"
 	"time"
 )
 
-// Direction is a direction of a link.
+// Direction is a set of directions of a link.
 type Direction uint8
 
-// The ways: Outward from who dials to the target, Inward back.
+// The directions.
 const (
-	ToTarget Direction = 1 << iota
-	FromTarget
+	ToTarget       Direction = 1 << iota // from the client to the target
+	FromTarget                           // from the target to the client
 	BothDirections = ToTarget | FromTarget
 )
 
-// LinkFault is what a link does to one way.
+// The indexes of the directions in Link's arrays: the bits of Direction.
+const (
+	toTargetIndex = iota
+	fromTargetIndex
+	directionCount
+)
+
+// LinkFault is what a link does to one direction. The zero value passes everything on.
 type LinkFault struct {
 	Delay          time.Duration // added to every byte
-	BytesPerSecond int64         // bytes a second, 0 for no limit
-	Stall          bool          // bytes wait, and go on once it ends
-	Blackhole      bool          // bytes are taken and dropped: a machine that has vanished
+	BytesPerSecond int64         // 0 for no limit
+	Stall          bool          // bytes wait until the stall ends
+	Blackhole      bool          // bytes are taken and dropped
 }
 
-// Link is a relay before one target, that fails by command. Where bytes were dropped into silence the connection is
-// reset when the silence ends, as a machine that is back resets what it does not know.
+// Link is a relay in front of one target that injects network faults. A connection that lost bytes in a blackhole is
+// reset when the blackhole ends, as by a machine that is back and does not know the connection. It is safe for
+// concurrent use.
 type Link struct {
 	target   string // "unix:PATH", or host and port
 	listener net.Listener
@@ -37,290 +43,191 @@
 	events   *EventLog
 
 	mu          sync.Mutex
-	faults      [2]LinkFault
-	changed     chan struct{} // closed and made anew with each command
+	faults      [directionCount]LinkFault
+	changed     chan struct{} // closed and replaced at each change of faults, and at the close
 	connections map[net.Conn]bool
-	lossy       [2]map[net.Conn]bool // those of which a way dropped bytes
+	lossy       [directionCount]map[net.Conn]bool // connections that lost bytes in a direction
 	rejecting   bool
 	closed      bool
 }
 
-// NewLink starts a link to target.
+// NewLink starts a link to target on a free port of 127.0.0.1.
 func NewLink(target string) (*Link, error) { return NewLinkAt("127.0.0.1:0", target, "", nil) }
 
-// NewLinkAt starts a link that listens at an address, both "unix:PATH" or host and port. Each connection that comes is
-// noted in the ledger under the link's name; nil for none.
-func NewLinkAt(listen, target, name string, ledger *EventLog) (*Link, error) {
-	kind, at := network(listen)
-	l, err := net.Listen(kind, at)
+// NewLinkAt starts a link that listens at an address. Both addresses are "unix:PATH", or host and port. Each accepted
+// connection is recorded in the log, which may be nil, with the link's name as the source.
+func NewLinkAt(listen, target, name string, events *EventLog) (*Link, error) {
+	network, address := splitNetwork(listen)
+	listener, err := net.Listen(network, address)
 	if err != nil {
 		return nil, err
 	}
-	k := &Link{target: target, listener: l, name: name, events: ledger, changed: make(chan struct{}), connections: map[net.Conn]bool{},
-		lossy: [2]map[net.Conn]bool{{}, {}}}
+	k := &Link{
+		target:      target,
+		listener:    listener,
+		name:        name,
+		events:      events,
+		changed:     make(chan struct{}),
+		connections: map[net.Conn]bool{},
+	}
+	for i := range k.lossy {
+		k.lossy[i] = map[net.Conn]bool{}
+	}
 	k.wg.Go(k.serve)
 	return k, nil
 }
 
-// network splits an address as package net wants it.
-func network(addr string) (kind, at string) {
-	if path, ok := strings.CutPrefix(addr, "unix:"); ok {
+const unixPrefix = "unix:"
+
+// splitNetwork returns the network and the address for package net.
+func splitNetwork(addr string) (network, address string) {
+	if path, ok := strings.CutPrefix(addr, unixPrefix); ok {
 		return "unix", path
 	}
 	return "tcp", addr
 }
 
-// Addr is where it listens.
+// Addr returns the address at which the link listens.
 func (k *Link) Addr() string {
-	if k.listener.Addr().Network() == "unix" {
-		return "unix:" + k.listener.Addr().String()
+	addr := k.listener.Addr()
+	if addr.Network() == "unix" {
+		return unixPrefix + addr.String()
 	}
-	return k.listener.Addr().String()
+	return addr.String()
 }
 
-// Name is what its ledger calls it.
+// Name returns the source of the link's events.
 func (k *Link) Name() string { return k.name }
 
-// SetFault changes what the link does to the ways given.
-func (k *Link) SetFault(w Direction, change func(*LinkFault)) {
+// SetFault changes the faults of some directions.
+func (k *Link) SetFault(direction Direction, change func(*LinkFault)) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for i := range k.faults {
-		if w&(1<<i) != 0 {
+		if direction&(1<<i) != 0 {
 			change(&k.faults[i])
 		}
-		if !k.faults[i].Blackhole {
-			for c := range k.lossy[i] {
-				reset(c)
-			}
-			clear(k.lossy[i])
+		if k.faults[i].Blackhole {
+			continue
+		}
+		for connection := range k.lossy[i] {
+			resetConnection(connection)
 		}
+		clear(k.lossy[i])
 	}
+	k.wakeRelays()
+}
+
+// wakeRelays wakes those that wait for a change of faults; mu is held.
+func (k *Link) wakeRelays() {
 	close(k.changed)
 	k.changed = make(chan struct{})
 }
 
-// SetDelay adds so much to every byte both ways.
-func (k *Link) SetDelay(by time.Duration) {
-	k.SetFault(BothDirections, func(s *LinkFault) { s.Delay = by })
+// SetDelay adds a delay to every byte in both directions.
+func (k *Link) SetDelay(delay time.Duration) {
+	k.SetFault(BothDirections, func(f *LinkFault) { f.Delay = delay })
 }
 
-// SetBlackhole drops all bytes both ways, or ends that.
+// SetBlackhole drops all bytes in both directions, or ends that.
 func (k *Link) SetBlackhole(on bool) {
-	k.SetFault(BothDirections, func(s *LinkFault) { s.Blackhole = on })
+	k.SetFault(BothDirections, func(f *LinkFault) { f.Blackhole = on })
 }
 
-// SetStalled holds all bytes both ways, or lets them go on.
-func (k *Link) SetStalled(on bool) { k.SetFault(BothDirections, func(s *LinkFault) { s.Stall = on }) }
+// SetStalled stalls both directions, or ends that.
+func (k *Link) SetStalled(on bool) {
+	k.SetFault(BothDirections, func(f *LinkFault) { f.Stall = on })
+}
 
-// SetRate lets so many bytes a second through each way; 0 for any number.
-func (k *Link) SetRate(bytes int64) {
-	k.SetFault(BothDirections, func(s *LinkFault) { s.BytesPerSecond = bytes })
+// SetRate limits each direction to a number of bytes per second; 0 for no limit.
+func (k *Link) SetRate(bytesPerSecond int64) {
+	k.SetFault(BothDirections, func(f *LinkFault) { f.BytesPerSecond = bytesPerSecond })
 }
 
-// SetRejecting resets whoever comes, or ends that. What stands goes on.
+// SetRejecting resets each new connection, or ends that. Existing connections go on.
 func (k *Link) SetRejecting(on bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.rejecting = on
 }
 
-// ResetConnections resets all connections that stand.
+// ResetConnections resets all existing connections.
 func (k *Link) ResetConnections() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	for c := range k.connections {
-		reset(c)
+	for connection := range k.connections {
+		resetConnection(connection)
 	}
 }
 
-// Close ends the link and what it carries.
+// Close ends the link and its connections.
 func (k *Link) Close() {
 	_ = k.listener.Close()
 	k.mu.Lock()
 	k.closed = true
-	close(k.changed)
-	k.changed = make(chan struct{})
+	k.wakeRelays()
 	k.mu.Unlock()
 	k.ResetConnections()
 	k.wg.Wait()
 }
 
-// reset ends a connection as a machine does that does not know it; a Unix socket has but one end.
-func reset(c net.Conn) {
-	if t, ok := c.(*net.TCPConn); ok {
-		_ = t.SetLinger(0)
-	}
-	_ = c.Close()
-}
-
-func (k *Link) serve() {
-	for {
-		c, err := k.listener.Accept()
-		if errors.Is(err, net.ErrClosed) {
-			return
-		} else if err != nil {
-			time.Sleep(5 * time.Millisecond)
-			continue
-		}
-		k.wg.Go(func() { k.relay(c) })
+// resetConnection closes a TCP connection with a RST; a Unix socket is closed.
+func resetConnection(connection net.Conn) {
+	if tcp, ok := connection.(*net.TCPConn); ok {
+		_ = tcp.SetLinger(0)
 	}
+	_ = connection.Close()
 }
 
-// register registers a connection so that commands reach it; false once the link has ended.
-func (k *Link) register(c net.Conn) bool {
+// register lets faults reach a connection; false if the link rejects it or is closed.
+func (k *Link) register(connection net.Conn) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	ok := !k.closed && !k.rejecting
-	if ok {
-		k.connections[c] = true
+	if k.closed || k.rejecting {
+		return false
 	}
-	return ok
+	k.connections[connection] = true
+	return true
 }
 
-func (k *Link) unregister(c net.Conn) {
+func (k *Link) unregister(connection net.Conn) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	delete(k.connections, c)
-	delete(k.lossy[0], c)
-	delete(k.lossy[1], c)
+	delete(k.connections, connection)
+	for i := range k.lossy {
+		delete(k.lossy[i], connection)
+	}
 }
 
-// markLossy notes that bytes of a connection were dropped.
-func (k *Link) markLossy(i int, c net.Conn) {
+// markLossy notes that a connection lost bytes in a direction.
+func (k *Link) markLossy(direction int, connection net.Conn) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.connections[c] {
-		k.lossy[i][c] = true
-	}
-}
-
-// relay is one connection's life.
-func (k *Link) relay(c net.Conn) {
-	ok := k.register(c)
-	k.events.Add(Event{Source: k.name, Kind: EventDialed, Detail: map[bool]string{true: "", false: "refused"}[ok]})
-	if !ok {
-		reset(c)
-		return
-	}
-	defer k.unregister(c)
-	kind, at := network(k.target)
-	t, err := net.Dial(kind, at)
-	if err != nil || !k.register(t) {
-		reset(c)
-		return
+	if k.connections[connection] {
+		k.lossy[direction][connection] = true
 	}
-	defer k.unregister(t)
-	var both sync.WaitGroup
-	both.Go(func() { k.relayDirection(0, c, t) })
-	k.relayDirection(1, t, c)
-	both.Wait()
-	_ = c.Close()
-	_ = t.Close()
 }
 
-// chunk is bytes on their way.
-type chunk struct {
-	bytes []byte
-	due   time.Time
+// awaitUnstalled waits while a direction is stalled, and returns its faults; closed once the link is.
+func (k *Link) awaitUnstalled(direction int) (fault LinkFault, closed bool) {
+	return k.awaitFault(direction, func(f LinkFault) bool { return !f.Stall })
 }
 
-// A link holds at most inFlight chunks of chunkSize bytes a way; past that who writes waits.
-const (
-	maxChunks = 64
-	chunkSize = 16 << 10
-)
-
-// relayDirection carries bytes from a to b, and the end of a after them: a FIN as a FIN, a reset as a reset.
-func (k *Link) relayDirection(i int, a, b net.Conn) {
-	pipe := make(chan chunk, maxChunks)
-	var end, failed error // of reading, once pipe is closed, and of writing
-	go func() {
-		defer close(pipe)
-		for {
-			buf := make([]byte, chunkSize)
-			n, err := a.Read(buf)
-			if n > 0 {
-				k.mu.Lock()
-				due := time.Now().Add(k.faults[i].Delay)
-				k.mu.Unlock()
-				pipe <- chunk{buf[:n], due}
-			}
-			if err != nil {
-				end = err
-				return
-			}
-		}
-	}()
-	free, lost := time.Now(), false
-	for c := range pipe {
-		s, gone := k.awaitUnstalled(i)
-		if gone || lost && !s.Blackhole {
-			break
-		}
-		if s.Blackhole {
-			lost = true
-			k.markLossy(i, a)
-			k.markLossy(i, b)
-			continue
-		}
-		if wait := time.Until(later(c.due, free)); wait > 0 {
-			time.Sleep(wait)
-		}
-		if s.BytesPerSecond > 0 {
-			free = later(free, time.Now()).Add(time.Duration(float64(len(c.bytes)) / float64(s.BytesPerSecond) * float64(time.Second)))
-		}
-		if _, err := b.Write(c.bytes); err != nil {
-			failed = err
-			break
-		}
-	}
-	_ = a.SetReadDeadline(time.Now()) // whoever reads must get to its end
-	for range pipe {
-	}
-	switch s, gone := k.awaitUnstalled(i); {
-	case gone || lost || failed != nil || errors.Is(end, syscall.ECONNRESET):
-		if s.Blackhole {
-			k.awaitBlackholeEnd(i)
-		}
-		reset(a)
-		reset(b)
-	default:
-		_ = b.(interface{ CloseWrite() error }).CloseWrite()
-	}
-}
-
-func later(a, b time.Time) time.Time {
-	if a.After(b) {
-		return a
-	}
-	return b
-}
-
-// awaitUnstalled waits while the way stalls and returns what is done to it; gone once the link has ended.
-func (k *Link) awaitUnstalled(i int) (s LinkFault, gone bool) {
-	for {
-		k.mu.Lock()
-		s, gone = k.faults[i], k.closed
-		turned := k.changed
-		k.mu.Unlock()
-		if gone || !s.Stall {
-			return s, gone
-		}
-		<-turned
-	}
+// awaitBlackholeEnd waits until a direction is no blackhole, or the link is closed.
+func (k *Link) awaitBlackholeEnd(direction int) {
+	k.awaitFault(direction, func(f LinkFault) bool { return !f.Blackhole })
 }
 
-// awaitBlackholeEnd waits until a way is silent no more.
-func (k *Link) awaitBlackholeEnd(i int) {
+// awaitFault waits until the faults of a direction match or the link is closed.
+func (k *Link) awaitFault(direction int, match func(LinkFault) bool) (fault LinkFault, closed bool) {
 	for {
 		k.mu.Lock()
-		over := !k.faults[i].Blackhole || k.closed
-		turned := k.changed
+		fault, closed = k.faults[direction], k.closed
+		changed := k.changed
 		k.mu.Unlock()
-		if over {
-			return
+		if closed || match(fault) {
+			return fault, closed
 		}
-		<-turned
+		<-changed
 	}
 }
--- a/internal/fakeserver/traffic.go
+++ b/internal/fakeserver/traffic.go
@@ -5,26 +5,35 @@
 	"sync/atomic"
 )
 
-// Traffic is what went over a stand-in's connections so far, as payload of TCP: headers of packets are not counted.
+// Traffic counts the TCP payload on a server's connections, without packet headers.
 type Traffic struct {
 	BytesIn, BytesOut       int64
-	MessagesIn, MessagesOut int64 // reads that brought something, and writes
+	MessagesIn, MessagesOut int64 // reads that returned data, and writes
 }
 
 // Sub returns the traffic since an earlier reading.
 func (t Traffic) Sub(earlier Traffic) Traffic {
-	return Traffic{t.BytesIn - earlier.BytesIn, t.BytesOut - earlier.BytesOut,
-		t.MessagesIn - earlier.MessagesIn, t.MessagesOut - earlier.MessagesOut}
+	return Traffic{
+		BytesIn:     t.BytesIn - earlier.BytesIn,
+		BytesOut:    t.BytesOut - earlier.BytesOut,
+		MessagesIn:  t.MessagesIn - earlier.MessagesIn,
+		MessagesOut: t.MessagesOut - earlier.MessagesOut,
+	}
 }
 
-// meter counts traffic; it may be read and written from any goroutine.
+// meter counts traffic. It is safe for concurrent use.
 type meter struct{ bytesIn, bytesOut, messagesIn, messagesOut atomic.Int64 }
 
 func (m *meter) traffic() Traffic {
-	return Traffic{m.bytesIn.Load(), m.bytesOut.Load(), m.messagesIn.Load(), m.messagesOut.Load()}
+	return Traffic{
+		BytesIn:     m.bytesIn.Load(),
+		BytesOut:    m.bytesOut.Load(),
+		MessagesIn:  m.messagesIn.Load(),
+		MessagesOut: m.messagesOut.Load(),
+	}
 }
 
-// meteredListener counts what goes over the connections that it accepts.
+// meteredListener counts the traffic of the connections that it accepts.
 type meteredListener struct {
 	net.Listener
 	meter *meter
@@ -32,11 +41,11 @@
 
 // Accept waits for the next connection.
 func (l *meteredListener) Accept() (net.Conn, error) {
-	c, err := l.Listener.Accept()
+	connection, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return &meteredConn{c, l.meter}, nil
+	return &meteredConn{connection, l.meter}, nil
 }
 
 type meteredConn struct {
@@ -44,7 +53,7 @@
 	meter *meter
 }
 
-// Read counts what came.
+// Read counts the bytes that it returns.
 func (c *meteredConn) Read(into []byte) (int, error) {
 	n, err := c.Conn.Read(into)
 	if n > 0 {
@@ -54,7 +63,7 @@
 	return n, err
 }
 
-// Write counts what was taken.
+// Write counts the bytes that were written.
 func (c *meteredConn) Write(from []byte) (int, error) {
 	n, err := c.Conn.Write(from)
 	if n > 0 {
@@ -63,6 +72,3 @@
 	}
 	return n, err
 }
-
-// Traffic is what the service's callers have sent and were sent.
-func (d *Discovery) Traffic() Traffic { return d.meter.traffic() }
