--- /dev/null
+++ b/internal/fakeserver/host_faults.go
@@ -0,0 +1,152 @@
+package fakeserver
+
+import (
+	"fmt"
+	"net"
+	"time"
+)
+
+// Hang stops all answers until Resume. Connections are accepted and the kernel takes their bytes meanwhile.
+func (h *Host) Hang() {
+	h.runInLoop(func() {
+		if h.hangEnd != nil {
+			return
+		}
+		h.hangEnd = make(chan struct{})
+		hangEnd := h.hangEnd
+		h.hangGate.Store(&hangEnd)
+		h.recordFault("hangs")
+	})
+}
+
+// Resume ends a hang.
+func (h *Host) Resume() { h.runInLoop(h.endHang) }
+
+// endHang ends a hang, if there is one. It runs in the loop.
+func (h *Host) endHang() {
+	if h.hangEnd == nil {
+		return
+	}
+	close(h.hangEnd)
+	h.hangEnd = nil
+	h.hangGate.Store(nil)
+	h.recordFault("goes on")
+}
+
+// SetSlowFactor multiplies the duration of all work by factor; 1 restores normal speed.
+func (h *Host) SetSlowFactor(factor float64) {
+	h.runInLoop(func() {
+		h.model.SetSlowFactor(factor)
+		h.recordFault(fmt.Sprintf("slow by %g", factor))
+	})
+}
+
+// SetStolenShare gives a fraction of the cores to another program; 0 ends that.
+func (h *Host) SetStolenShare(share float64) {
+	h.runInLoop(func() {
+		h.model.SetStolenShare(share)
+		h.recordFault(fmt.Sprintf("%g of its cores stolen", share))
+	})
+}
+
+// Drain rejects new connections, and sends MOVE to the established ones one by one, in an order drawn from the seed,
+// spread over a period; a negative period keeps them. The discovery service is not notified.
+func (h *Host) Drain(period time.Duration) {
+	h.runInLoop(func() {
+		if h.draining || h.crashed {
+			return
+		}
+		h.draining = true
+		h.recordFault("drains")
+		if period >= 0 {
+			h.migrateSessions(period)
+		}
+	})
+}
+
+// migrateSessions schedules the MOVE of all established sessions. It runs in the loop.
+func (h *Host) migrateSessions(period time.Duration) {
+	var established []*session
+	for _, id := range h.model.IDs() {
+		if s := h.sessions[id]; s != nil && s.established {
+			established = append(established, s)
+		}
+	}
+	h.rng.Shuffle(len(established), func(i, j int) {
+		established[i], established[j] = established[j], established[i]
+	})
+	for i, s := range established {
+		delay := period * time.Duration(i) / time.Duration(len(established))
+		time.AfterFunc(delay, func() {
+			h.post(func() { h.endSession(s, EventMigrated, "MOVE\r\n") })
+		})
+	}
+}
+
+// CancelDrain accepts new connections again; MOVEs that are scheduled are still sent.
+func (h *Host) CancelDrain() {
+	h.runInLoop(func() {
+		h.draining = false
+		h.recordFault("drains no more")
+	})
+}
+
+// Crash ends the host like a killed process, until Restart: connections are reset, new ones refused.
+func (h *Host) Crash() {
+	h.runInLoop(func() {
+		if !h.crashed {
+			h.recordFault("dies")
+			h.crash()
+		}
+	})
+}
+
+// crash drops all state and connections. It runs in the loop.
+func (h *Host) crash() {
+	h.endHang()
+	h.crashed = true
+	_ = h.listener.Close()
+	for c := range h.connections {
+		c.reset()
+	}
+	for _, s := range h.sessions {
+		if s.endTimer != nil {
+			s.endTimer.Stop()
+		}
+	}
+	h.sessions = map[string]*session{}
+}
+
+// Restart starts a crashed host again at its address, without connections, with a slow start if its spec has one.
+func (h *Host) Restart() error {
+	var err error
+	h.runInLoop(func() {
+		if h.crashed {
+			err = h.restart()
+		}
+	})
+	return err
+}
+
+// restart runs in the loop.
+func (h *Host) restart() error {
+	var err error
+	h.listener, err = net.Listen("tcp", h.addr)
+	if err != nil {
+		return fmt.Errorf("host %s: %w", h.config.ID, err)
+	}
+	h.crashed = false
+	h.draining = false
+	h.restarted = true
+	h.startedAt = time.Now()
+	h.model.Restart(h.clock.Now(), true)
+	h.recordFault("comes back")
+	h.accept(h.listener)
+	return nil
+}
+
+// SetReply replaces the answers of the capacity model: each opening is answered by what the function returns for its
+// line, which ends with CRLF; "" sends nothing. nil restores the model. The function runs in the host's loop.
+func (h *Host) SetReply(reply func(line string) string) {
+	h.runInLoop(func() { h.scriptedReply = reply })
+}
