--- /dev/null
+++ b/internal/testcluster/admission_probe.go
@@ -0,0 +1,149 @@
+package testcluster
+
+import (
+	"bufio"
+	"context"
+	"fmt"
+	"net"
+	"strconv"
+	"strings"
+	"time"
+
+	"onyxstream/internal/ctxtime"
+	"onyxstream/internal/fakeserver"
+)
+
+const (
+	// probeRetryInterval is the pause of a probe whose node is unreachable or that got no Retry-After.
+	probeRetryInterval = 50 * time.Millisecond
+	dialTimeout        = time.Second
+	// probeReadGrace is how long after the deadline of a request a probe waits for the answer.
+	probeReadGrace = time.Second
+	probeBuffer    = 256
+)
+
+// AdmissionProbe is the result of one client that retried at one node until it was served. Times are of the cluster's
+// clock.
+type AdmissionProbe struct {
+	Node              int           // index
+	FirstSentAt       time.Duration // of the first request
+	ServedAt          time.Duration // 0 for never
+	Rejected          int           // answers BUSY
+	WithoutRetryAfter int           // answers BUSY that had no Retry-After
+	Failed            int           // answers ERR, and connections that ended without an answer
+	MaxLatency        time.Duration // of one answer
+	LastAnswer        string        // and the error of its connection
+}
+
+// ProbeAdmission runs clients against one node, started evenly over spread. Each retries until it is served or its
+// patience is over; deadline is that of one request. Answers are recorded with the client's name as the source. It
+// returns when all clients have ended.
+func (c *Cluster) ProbeAdmission(
+	ctx context.Context, node, clients int, spread, deadline, patience time.Duration,
+) []AdmissionProbe {
+	probes := make([]AdmissionProbe, clients)
+	done := make(chan struct{})
+	for i := range clients {
+		go func() {
+			defer func() { done <- struct{}{} }()
+			probes[i].Node = node
+			if !ctxtime.Sleep(ctx, spread*time.Duration(i)/time.Duration(clients)) {
+				return
+			}
+			ctx, cancel := context.WithTimeout(ctx, patience)
+			defer cancel()
+			client := &probeClient{
+				cluster:  c,
+				result:   &probes[i],
+				name:     fmt.Sprintf("c%d-%s", i+1, c.nodes[node].name),
+				deadline: deadline,
+			}
+			client.run(ctx)
+		}()
+	}
+	for range clients {
+		<-done
+	}
+	return probes
+}
+
+// probeClient is a client of ProbeAdmission.
+type probeClient struct {
+	cluster  *Cluster
+	result   *AdmissionProbe
+	name     string
+	deadline time.Duration
+}
+
+// run sends requests until one is served or the context ends.
+func (p *probeClient) run(ctx context.Context) {
+	retryField := ""
+	addr := p.cluster.nodes[p.result.Node].addr
+	for attempt := 0; ctx.Err() == nil; attempt++ {
+		connection, err := (&net.Dialer{Timeout: dialTimeout}).DialContext(ctx, "tcp", addr)
+		if err != nil {
+			ctxtime.Sleep(ctx, probeRetryInterval)
+			continue
+		}
+		answer, err := p.request(connection, attempt, retryField)
+		served, wait := p.handleAnswer(ctx, answer, err)
+		if served {
+			// A served client stays connected for a while.
+			ctxtime.Sleep(ctx, p.deadline)
+			_ = connection.Close()
+			return
+		}
+		_ = connection.Close()
+		ctxtime.Sleep(ctx, wait)
+		retryField = ",r=1"
+	}
+}
+
+// request sends a request and returns the first line of the answer, without its end.
+func (p *probeClient) request(connection net.Conn, attempt int, retryField string) (answer string, err error) {
+	clock := p.cluster.Clock
+	start := clock.Now()
+	if p.result.FirstSentAt == 0 {
+		p.result.FirstSentAt = start
+	}
+	_ = connection.SetDeadline(time.Now().Add(p.deadline + probeReadGrace))
+	class, tenant := p.cluster.options.Classes[0].Name, p.cluster.options.Tenants[0]
+	fmt.Fprintf(connection, "OPEN %s-%d %s c=%s,t=%s,d=%d%s\r\n",
+		p.name, attempt, p.name, class, tenant, p.deadline.Milliseconds(), retryField)
+	line, err := bufio.NewReaderSize(connection, probeBuffer).ReadString('\n')
+	p.result.MaxLatency = max(p.result.MaxLatency, clock.Now()-start)
+	return strings.TrimRight(line, "\r\n"), err
+}
+
+// handleAnswer records an answer, or the error that came in its place. It reports whether the client is served, or
+// else how long to wait before the retry.
+func (p *probeClient) handleAnswer(ctx context.Context, answer string, err error) (served bool, wait time.Duration) {
+	p.record(fakeserver.EventReceived, answer)
+	p.result.LastAnswer = answer
+	if err != nil {
+		p.result.LastAnswer += err.Error()
+	}
+	word, rest, _ := strings.Cut(answer, " ")
+	switch {
+	case err == nil && word == "UP":
+		p.result.ServedAt = p.cluster.Clock.Now()
+		return true, 0
+	case err == nil && word == "BUSY":
+		p.result.Rejected++
+		ms, err := strconv.Atoi(rest)
+		if err != nil {
+			p.result.WithoutRetryAfter++
+			return false, probeRetryInterval
+		}
+		return false, time.Duration(ms) * time.Millisecond
+	}
+	p.result.Failed++
+	if ctx.Err() == nil {
+		p.record(fakeserver.EventFailed, p.result.LastAnswer)
+	}
+	return false, probeRetryInterval
+}
+
+func (p *probeClient) record(kind, detail string) {
+	p.cluster.EventLog.Add(fakeserver.Event{Source: p.name, Kind: kind, Detail: detail})
+}
--- /dev/null
+++ b/internal/testcluster/cluster.go
@@ -0,0 +1,272 @@
+package testcluster
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"os"
+	"os/exec"
+	"slices"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"onyxstream/internal/fakeserver"
+	"onyxstream/internal/fakeserver/capacity"
+	"onyxstream/internal/pki"
+	"onyxstream/internal/wire"
+)
+
+// Options are what the caller of a cluster provides.
+type Options struct {
+	Program string    // path of the onyxstream program
+	Log     io.Writer // receives the logs of all processes; nil for none
+	Debug   bool      // nodes log every connection and every change of the endpoint list
+	Seed    uint64
+	Classes []ClassConfig
+	Tenants []string
+	// Starter starts a node's process in place of cmd.Start, at each start of the node; nil for cmd.Start.
+	Starter func(name string, cmd *exec.Cmd) error
+}
+
+// Cluster is a running cluster. Its methods are safe for concurrent use once it is launched, but for Close.
+type Cluster struct {
+	Clock     *fakeserver.Clock
+	EventLog  *fakeserver.EventLog
+	Discovery *fakeserver.Discovery
+	Frontend  *fakeserver.FrontendBalancer // nil before the launch
+
+	number       int // among the clusters of this process
+	launchedAt   time.Duration
+	config       Config
+	options      Options
+	store        *fakeserver.SharedSessionStore
+	dir          string // the processes' files
+	nodes        []*process
+	agents       []*process
+	listLinks    []*fakeserver.Link // by node
+	controlLinks []*fakeserver.Link // from a process to a node's control listener, named "n1>n2" or "a1>n2"
+	timeline     timeline
+
+	mu          sync.Mutex
+	hosts       []*fakeserver.Host
+	hostLinks   []*fakeserver.Link // by host
+	directPicks int
+	closed      bool
+}
+
+// clusterCount numbers the clusters of this process, whose nodes must not share an address.
+var clusterCount atomic.Int64
+
+const (
+	// readyTimeout is how long nodes may take until they pass their health checks.
+	readyTimeout = 30 * time.Second
+	// certificateLifetime bounds the length of a run.
+	certificateLifetime = time.Hour
+	authorityName       = "rig"
+	temporaryPrefix     = "onyxstream-rig"
+)
+
+// Start runs a cluster and waits until all of its nodes serve. On an error it ends what it has started.
+func Start(ctx context.Context, config Config, options Options) (*Cluster, error) {
+	c, err := Prepare(config, options)
+	if err != nil {
+		return nil, err
+	}
+	if err = c.Launch(); err == nil {
+		err = c.Ready(ctx)
+	}
+	if err != nil {
+		c.Close()
+		return nil, err
+	}
+	return c, nil
+}
+
+// Prepare starts the fake servers and links and writes the files of the processes, but does not start these, so that
+// faults can begin before. On an error it ends what it has started.
+func Prepare(config Config, options Options) (*Cluster, error) {
+	clock := fakeserver.NewClock()
+	store := capacity.SessionStore{Latency: config.Store.Latency.D(), Rate: config.Store.CallsPerSecond}
+	c := &Cluster{
+		Clock:    clock,
+		EventLog: fakeserver.NewEventLog(clock),
+		config:   config,
+		options:  options,
+		number:   int(clusterCount.Add(1)),
+		store:    fakeserver.NewSharedSessionStore(store),
+	}
+	if err := c.prepare(); err != nil {
+		c.Close()
+		return nil, err
+	}
+	return c, nil
+}
+
+func (c *Cluster) prepare() error {
+	endpoints, err := c.startServers()
+	if err != nil {
+		return err
+	}
+	if c.dir, err = os.MkdirTemp("", temporaryPrefix); err != nil {
+		return err
+	}
+	if err := c.createKeys(); err != nil {
+		return err
+	}
+	if err := c.createProcesses(); err != nil {
+		return err
+	}
+	if c.config.Discovery.StartsUnknown {
+		endpoints = nil
+	}
+	return c.SetKnownEndpoints(1, endpoints...)
+}
+
+// startServers starts the hosts and the discovery service, and returns its list.
+func (c *Cluster) startServers() (endpoints []wire.Endpoint, err error) {
+	for range c.config.Hosts {
+		host, err := c.addHost(c.config.Host.StartsCold)
+		if err != nil {
+			return nil, err
+		}
+		endpoints = append(endpoints, c.HostEndpoint(host, wire.Serving))
+	}
+	c.Discovery, err = fakeserver.NewDiscovery("", c.Clock, c.EventLog, 1, endpoints...)
+	if err != nil {
+		return nil, err
+	}
+	c.Discovery.SetLimits(fakeserver.DiscoveryLimits{
+		CallDuration: c.config.Discovery.CallDuration.D(),
+		MaxWait:      c.config.Discovery.MaxWait.D(),
+		MaxQueue:     c.config.Discovery.MaxQueue,
+		RetryAfter:   c.config.Discovery.RetryAfter,
+	})
+	return endpoints, nil
+}
+
+// createKeys makes the certificate authority of a cluster that uses TLS.
+func (c *Cluster) createKeys() error {
+	if !c.config.usesTLS() {
+		return nil
+	}
+	if err := pki.Create(c.keyFolder(), authorityName); err != nil {
+		return err
+	}
+	_, err := pki.Issue(c.keyFolder(), listReader, pki.Look, certificateLifetime)
+	return err
+}
+
+// createProcesses makes the nodes and agents, their files and links, without starting them.
+func (c *Cluster) createProcesses() error {
+	for i := range c.config.Nodes {
+		if err := c.newNode(i); err != nil {
+			return err
+		}
+	}
+	if c.config.ColdStart != nil {
+		for i := range c.config.Nodes {
+			if err := c.configurePeers(i); err != nil {
+				return err
+			}
+		}
+	}
+	for i := range c.config.Agents {
+		if err := c.newAgent(i); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// Launch starts all processes concurrently, and the frontend balancer.
+func (c *Cluster) Launch() error {
+	processes := c.processes()
+	errs := make([]error, len(processes))
+	c.launchedAt = c.Clock.Now()
+	if down := c.config.Discovery.DownAtStart.D(); down > 0 {
+		c.Discovery.SetMode(fakeserver.ModeReset)
+		c.runAfter(down, func() { c.Discovery.SetMode(fakeserver.ModeNormal) })
+	}
+	var wg sync.WaitGroup
+	for i, p := range processes {
+		wg.Go(func() { errs[i] = p.start() })
+	}
+	wg.Wait()
+	var nodes []fakeserver.Node
+	for _, p := range c.nodes {
+		nodes = append(nodes, fakeserver.Node{Name: p.name, Addr: p.addr, Zone: p.zone})
+	}
+	c.Frontend = fakeserver.NewFrontendBalancer(c.EventLog, c.config.FrontendDelay.D(), nodes...)
+	return errors.Join(errs...)
+}
+
+// LaunchedAt returns when the processes were started, by the cluster's clock.
+func (c *Cluster) LaunchedAt() time.Duration { return c.launchedAt }
+
+// Ready waits until all nodes serve.
+func (c *Cluster) Ready(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
+	defer cancel()
+	if err := c.Frontend.Ready(ctx); err != nil {
+		return fmt.Errorf("the nodes are not ready: %w", errors.Join(err, c.unexpectedExits()))
+	}
+	return nil
+}
+
+// processes returns the nodes and agents.
+func (c *Cluster) processes() []*process { return slices.Concat(c.nodes, c.agents) }
+
+// unexpectedExits returns an error for the processes that ended without being stopped.
+func (c *Cluster) unexpectedExits() (err error) {
+	for _, p := range c.processes() {
+		err = errors.Join(err, p.unexpectedExit())
+	}
+	return err
+}
+
+// runAfter runs a function after a delay, unless the cluster is closed by then.
+func (c *Cluster) runAfter(delay time.Duration, f func()) {
+	time.AfterFunc(delay, func() {
+		c.mu.Lock()
+		closed := c.closed
+		c.mu.Unlock()
+		if !closed {
+			f()
+		}
+	})
+}
+
+// Close kills the processes, ends the fake servers and links, and removes all files.
+func (c *Cluster) Close() {
+	c.mu.Lock()
+	wasClosed := c.closed
+	c.closed = true
+	c.mu.Unlock()
+	if wasClosed {
+		return
+	}
+	c.timeline.stop()
+	if c.Frontend != nil {
+		c.Frontend.Close()
+	}
+	var wg sync.WaitGroup
+	for _, p := range c.processes() {
+		wg.Go(p.kill)
+	}
+	wg.Wait()
+	for _, link := range slices.Concat(c.hostLinks, c.listLinks, c.controlLinks) {
+		wg.Go(link.Close)
+	}
+	wg.Wait()
+	for _, host := range c.hosts {
+		host.Close()
+	}
+	if c.Discovery != nil {
+		c.Discovery.Close()
+	}
+	if c.dir != "" {
+		_ = os.RemoveAll(c.dir)
+	}
+}
--- a/internal/testcluster/coldstart_test.go
+++ b/internal/testcluster/coldstart_test.go
@@ -137,7 +137,7 @@
 		}()
 	}
 	all := probeAllNodes(ctx, r, n, 5, time.Second, down+40*time.Second)
-	recs, _ := r.Events.Events()
+	recs, _ := r.EventLog.Events()
 	c := CountDiscoveryCalls(recs)
 	asked := EventTimes(recs, "discovery", fakeserver.EventRequested)
 	var up []time.Duration
--- /dev/null
+++ b/internal/testcluster/config_check.go
@@ -0,0 +1,123 @@
+package testcluster
+
+import (
+	"strings"
+	"time"
+
+	"onyxstream/internal/tomlfile"
+)
+
+// The modes of the nodes, as in the settings.
+const (
+	modePass  = "pass"
+	modeProxy = "proxy"
+)
+
+const (
+	maxNodes  = 1250 // each has a loopback address of its own
+	maxHosts  = 4096
+	maxAgents = 1024
+	maxPeers  = 1024 // of a node: each takes a link, and with it descriptors of this process
+)
+
+// Defaults of Config.
+const (
+	defaultZone           = "a"
+	defaultCores          = 1
+	defaultHostCores      = 2
+	defaultHostSpeed      = 1
+	defaultMemoryMB       = 256
+	defaultSockets        = 4096
+	defaultDiscoveryDelay = tomlfile.Duration(500 * time.Millisecond)
+	defaultPollInterval   = tomlfile.Duration(10 * time.Second)
+)
+
+// Check sets defaults and validates the configuration. Its errors are *tomlfile.FieldError.
+func (c *Config) Check(classes []ClassConfig, tenants []string) error {
+	c.setDefaults()
+	if c.Mode != modePass && c.Mode != modeProxy {
+		return tomlfile.Wrong("fleet.mode", `%q is neither "pass" nor "proxy"`, c.Mode)
+	}
+	if err := c.checkPeers(); err != nil {
+		return err
+	}
+	if err := c.checkRanges(); err != nil {
+		return err
+	}
+	for i, zone := range c.Zones {
+		if zone == "" || strings.ContainsAny(zone, " ,=\"\\") {
+			return tomlfile.Wrong("fleet.zones", "%q is no name (number %d)", zone, i+1)
+		}
+	}
+	if field, err := c.hostSpec(0).Check(); err != nil {
+		return tomlfile.Wrong("fleet.host."+field, "%w", err)
+	}
+	return nil
+}
+
+func (c *Config) setDefaults() {
+	if len(c.Zones) == 0 {
+		c.Zones = []string{defaultZone}
+	}
+	setDefault(&c.Mode, modeProxy)
+	setDefault(&c.Cores, defaultCores)
+	setDefault(&c.Host.Cores, defaultHostCores)
+	setDefault(&c.Host.Speed, defaultHostSpeed)
+	setDefault(&c.MemoryMB, defaultMemoryMB)
+	setDefault(&c.Sockets, defaultSockets)
+	setDefault(&c.DiscoveryDelay, defaultDiscoveryDelay)
+	setDefault(&c.Discovery.PollInterval, defaultPollInterval)
+}
+
+// setDefault replaces a zero value.
+func setDefault[T comparable](field *T, value T) {
+	var zero T
+	if *field == zero {
+		*field = value
+	}
+}
+
+func (c *Config) checkPeers() error {
+	if c.ColdStart == nil {
+		return nil
+	}
+	peers := c.ColdStart.Peers
+	if peers < 0 || peers > maxPeers || peers >= max(c.Nodes, 1) {
+		return tomlfile.Wrong("fleet.coldstart.peers", "%d is not between 0 and %d, and under the nodes", peers, maxPeers)
+	}
+	return nil
+}
+
+// checkRanges validates the figures, durations in seconds.
+func (c *Config) checkRanges() error {
+	for _, field := range []struct {
+		key             string
+		value, min, max float64
+	}{
+		{"nodes", float64(c.Nodes), 0, maxNodes},
+		{"hosts", float64(c.Hosts), 1, maxHosts},
+		{"zones", float64(len(c.Zones)), 1, 100},
+		{"cores", c.Cores, 0.05, 64},
+		{"memory_mb", float64(c.MemoryMB), 16, 1 << 20},
+		{"sockets", float64(c.Sockets), 64, 1 << 20},
+		{"notice", c.DiscoveryDelay.D().Seconds(), 0, 600},
+		{"front_notice", c.FrontendDelay.D().Seconds(), 0, 600},
+		{"park", c.ResumeTimeout.D().Seconds(), 0, 600},
+		{"quota", c.TenantQuota, 0, 1e9},
+		{"host.uneven", c.Host.SpeedSpread, 0, 0.99},
+		{"store.latency", c.Store.Latency.D().Seconds(), 0, 600},
+		{"store.rate", c.Store.CallsPerSecond, 0, 1e9},
+		{"agents", float64(c.Agents), 0, maxAgents},
+		{"list.cost", c.Discovery.CallDuration.D().Seconds(), 0, 60},
+		{"list.wait", c.Discovery.MaxWait.D().Seconds(), 0, 600},
+		{"list.queue", float64(c.Discovery.MaxQueue), 0, 1e6},
+		{"list.down", c.Discovery.DownAtStart.D().Seconds(), 0, 600},
+		{"list.ask_within", c.Discovery.PollInterval.D().Seconds(), 0.1, 600},
+	} {
+		inRange := field.value >= field.min && field.value <= field.max // false for NaN too
+		if !inRange {
+			return tomlfile.Wrong("fleet."+field.key, "%g is not between %g and %g", field.value, field.min, field.max)
+		}
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/testcluster/fault_spec.go
@@ -0,0 +1,151 @@
+package testcluster
+
+import (
+	"fmt"
+
+	"onyxstream/internal/tomlfile"
+)
+
+// FaultSpec is one fault on a timeline.
+type FaultSpec struct {
+	At       tomlfile.Duration `toml:"at"`   // from the start of the load
+	Kind     string            `toml:"what"` // see faultKinds
+	Target   string            `toml:"on"`   // "h1", "n1", "discovery", "store", "link-h1", or several as in "n3..n40"
+	Duration tomlfile.Duration `toml:"for"`  // 0 for a fault that does not end
+	Amount   float64           `toml:"by"`   // a factor, a fraction, or bytes per second
+	Period   tomlfile.Duration `toml:"over"` // of a drain, over which MOVE is sent; of a lag or delay, the delay
+}
+
+// The kinds of faults, as in scenario files.
+const (
+	faultHang      = "hang"
+	faultSlow      = "slow"
+	faultSteal     = "steal"
+	faultDrain     = "drain"
+	faultCrash     = "die"
+	faultAdd       = "add"
+	faultKill      = "kill"
+	faultStop      = "stop" // graceful shutdown
+	faultStall     = "stall"
+	faultLose      = "lose" // kill, and loss of the folder
+	faultLag       = "lag"
+	faultFreeze    = "freeze"
+	faultReject    = "busy"
+	faultReset     = "reset"
+	faultMute      = "mute" // of a link: what is sent to the target is dropped
+	faultRestart   = "restart"
+	faultBlackhole = "silence"
+	faultDelay     = "delay"
+	faultRate      = "limit"
+	faultDeaf      = "deaf" // of a link: what the target sends is dropped
+	faultRefuse    = "refuse"
+)
+
+// faultParameters are the fields of a FaultSpec that a kind of fault uses.
+type faultParameters struct{ amount, period bool }
+
+var processFaults = map[string]faultParameters{faultKill: {}, faultStop: {}, faultStall: {}, faultLose: {}}
+
+// faultKinds lists the faults of each kind of target.
+var faultKinds = map[targetKind]map[string]faultParameters{
+	targetHost: {
+		faultHang:  {},
+		faultSlow:  {amount: true},
+		faultSteal: {amount: true},
+		faultDrain: {period: true},
+		faultCrash: {},
+		faultAdd:   {},
+	},
+	targetNode:  processFaults,
+	targetAgent: processFaults,
+	targetDiscovery: {
+		faultLag:     {period: true},
+		faultFreeze:  {},
+		faultReject:  {},
+		faultReset:   {},
+		faultMute:    {},
+		faultRestart: {},
+	},
+	targetStore: {faultSlow: {amount: true}},
+	targetLink: {
+		faultBlackhole: {},
+		faultStall:     {},
+		faultReset:     {},
+		faultDelay:     {period: true},
+		faultRate:      {amount: true},
+		faultDeaf:      {},
+		faultMute:      {},
+		faultRefuse:    {},
+	},
+}
+
+// CheckFaults validates a timeline. Its errors are *tomlfile.FieldError.
+func (c *Config) CheckFaults(faults []FaultSpec) error {
+	hosts := c.Hosts
+	for i, fault := range faults {
+		key := fmt.Sprintf("fault[%d].", i)
+		targets, err := c.parseTargets(fault.Target)
+		if err != nil {
+			return tomlfile.Wrong(key+"on", "%w", err)
+		}
+		for _, t := range targets {
+			if err := c.checkFault(key, fault, t); err != nil {
+				return err
+			}
+			if err := checkHostExists(key, fault, t, &hosts); err != nil {
+				return err
+			}
+		}
+	}
+	return nil
+}
+
+// checkFault validates a fault on one target; key is the prefix of its keys.
+func (c *Config) checkFault(key string, fault FaultSpec, t target) error {
+	parameters, known := faultKinds[t.kind][fault.Kind]
+	isProcess := t.kind == targetNode || t.kind == targetAgent
+	switch {
+	case !known:
+		return tomlfile.Wrong(key+"what", "%q can't happen to a %s", fault.Kind, t.kind)
+	case fault.At < 0:
+		return tomlfile.Wrong(key+"at", "%s is negative", fault.At.D())
+	case fault.Duration < 0:
+		return tomlfile.Wrong(key+"for", "%s is negative", fault.Duration.D())
+	case parameters.amount && fault.Amount <= 0:
+		return tomlfile.Wrong(key+"by", "%s needs a figure above 0", fault.Kind)
+	case fault.Period < 0:
+		return tomlfile.Wrong(key+"over", "%s is negative", fault.Period.D())
+	case t.kind == targetLink && c.missingLinkKey(t.linkOf) != "":
+		return tomlfile.Wrong(key+"on", "%s is off, so there is no link", c.missingLinkKey(t.linkOf))
+	case fault.Kind == faultStall && isProcess && fault.Duration == 0:
+		return tomlfile.Wrong(key+"for", "a process that stalls for ever is killed, not stalled")
+	}
+	return nil
+}
+
+// missingLinkKey returns the key that is to be set for the links of an owner to exist; "" if they do.
+func (c *Config) missingLinkKey(owner linkOwner) string {
+	switch {
+	case owner == linkOfHost && !c.HostLinks:
+		return "fleet.links"
+	case owner == linkOfNode && !c.Discovery.NodeLinks:
+		return "fleet.list.links"
+	case owner == linkOfPeers && !c.hasPeers():
+		return "fleet.coldstart.peers"
+	}
+	return ""
+}
+
+// checkHostExists checks that a host exists when a fault hits it, and counts those that are added.
+func checkHostExists(key string, fault FaultSpec, t target, hosts *int) error {
+	switch {
+	case t.kind != targetHost:
+	case fault.Kind == faultAdd && t.index != *hosts:
+		return tomlfile.Wrong(key+"on", "the next host to add is h%d", *hosts+1)
+	case fault.Kind == faultAdd:
+		*hosts++
+	case t.index >= *hosts:
+		return tomlfile.Wrong(key+"on", "there is no h%d by then", t.index+1)
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/testcluster/hosts.go
@@ -0,0 +1,98 @@
+package testcluster
+
+import (
+	"errors"
+	"fmt"
+	"slices"
+
+	"onyxstream/internal/fakeserver"
+	"onyxstream/internal/wire"
+)
+
+const anyLoopbackPort = "127.0.0.1:0"
+
+// ErrNoNode reports that the frontend balancer has no healthy node.
+var ErrNoNode = errors.New("the front knows no node that serves")
+
+// Hosts returns the hosts in the order in which they were added.
+func (c *Cluster) Hosts() []*fakeserver.Host {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return slices.Clone(c.hosts)
+}
+
+// addHost starts a host, and its link if the cluster has them.
+func (c *Cluster) addHost(cold bool) (*fakeserver.Host, error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	index := len(c.hosts)
+	config := fakeserver.HostConfig{
+		ID:            fmt.Sprint("h", index+1),
+		Zone:          c.config.zone(index),
+		Spec:          c.config.hostSpec(index),
+		Store:         c.store,
+		Seed:          c.options.Seed + uint64(index),
+		StartsCold:    cold,
+		ReportsLoad:   c.config.ReportsLoad,
+		ResumeTimeout: c.config.ResumeTimeout.D(),
+	}
+	host, err := fakeserver.NewHost(config, c.Clock, c.EventLog)
+	if err != nil {
+		return nil, err
+	}
+	c.hosts = append(c.hosts, host)
+	if !c.config.HostLinks {
+		return host, nil
+	}
+	link, err := fakeserver.NewLinkAt(anyLoopbackPort, host.Addr(), "link-"+host.ID(), c.EventLog)
+	if err != nil {
+		return nil, err
+	}
+	c.hostLinks = append(c.hostLinks, link)
+	return host, nil
+}
+
+// HostEndpoint returns a host's entry in the endpoint list, with the address of its link if it has one.
+func (c *Cluster) HostEndpoint(host *fakeserver.Host, phase wire.Phase) wire.Endpoint {
+	endpoint := host.Endpoint(phase)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for i, link := range c.hostLinks {
+		if c.hosts[i] == host {
+			endpoint.Addr = link.Addr()
+		}
+	}
+	return endpoint
+}
+
+// ClientAddress returns where the next client of a zone connects: a node that the frontend balancer picks, or a host
+// if direct is set or the cluster has no nodes. It fails with ErrNoNode.
+func (c *Cluster) ClientAddress(zone string, direct bool) (string, error) {
+	if direct || c.config.Nodes == 0 {
+		hosts := c.Hosts()
+		c.mu.Lock()
+		defer c.mu.Unlock()
+		c.directPicks++
+		return hosts[c.directPicks%len(hosts)].Addr(), nil
+	}
+	node, ok := c.Frontend.Pick(zone)
+	if !ok {
+		return "", ErrNoNode
+	}
+	return node.Addr, nil
+}
+
+// Listener is the address of one part of a cluster.
+type Listener struct{ Kind, Name, Addr string }
+
+// Listeners returns the addresses of the discovery service, the hosts and the nodes.
+func (c *Cluster) Listeners() []Listener {
+	listeners := []Listener{{Kind: "discovery", Name: "discovery", Addr: c.Discovery.Addr()}}
+	for _, host := range c.Hosts() {
+		listeners = append(listeners, Listener{Kind: "host", Name: host.ID(), Addr: host.Addr()})
+	}
+	for _, p := range c.nodes {
+		listeners = append(listeners, Listener{Kind: "node", Name: p.name, Addr: p.addr})
+	}
+	return listeners
+}
--- a/internal/testcluster/judge.go
+++ b/internal/testcluster/judge.go
@@ -7,108 +7,129 @@
 	"onyxstream/internal/fakeserver"
 )
 
-// Judges over ledgers: what stand-ins and links saw on the rig's one clock, never what processes say of themselves.
+// The judges of this file count what fake servers and links saw, by the cluster's clock. They use nothing that the
+// processes report of themselves.
 
-// EventTimes picks the times of one's records of a kind, in order.
-func EventTimes(recs []fakeserver.Event, who, what string) (out []time.Duration) {
-	for _, r := range recs {
-		if r.Kind == what && r.Source == who {
-			out = append(out, r.At)
+// discoverySource is the source of the discovery service's events.
+const discoverySource = "discovery"
+
+// EventTimes returns the sorted times of a source's events of a kind.
+func EventTimes(events []fakeserver.Event, source, kind string) []time.Duration {
+	var times []time.Duration
+	for _, event := range events {
+		if event.Kind == kind && event.Source == source {
+			times = append(times, event.At)
 		}
 	}
-	slices.Sort(out)
-	return out
+	slices.Sort(times)
+	return times
 }
 
-// MaxInWindow is the largest number of times within any span.
-func MaxInWindow(times []time.Duration, span time.Duration) (most int) {
+// MaxInWindow returns the largest number of times within any window of a length. The times must be sorted.
+func MaxInWindow(times []time.Duration, window time.Duration) (largest int) {
 	first := 0
 	for i, at := range times {
-		for times[first] <= at-span {
+		for times[first] <= at-window {
 			first++
 		}
-		most = max(most, i-first+1)
+		largest = max(largest, i-first+1)
 	}
-	return most
+	return largest
 }
 
-// CountBetween counts the times from one moment to another, the end left out.
-func CountBetween(times []time.Duration, from, to time.Duration) (n int) {
+// CountBetween returns the number of times from one moment, included, to another, excluded.
+func CountBetween(times []time.Duration, from, to time.Duration) (count int) {
 	for _, at := range times {
 		if at >= from && at < to {
-			n++
+			count++
 		}
 	}
-	return n
+	return count
 }
 
-// DiscoveryCalls is what the list service saw.
+// callWindow is the window of DiscoveryCalls.MaxIn100ms.
+const callWindow = 100 * time.Millisecond
+
+// DiscoveryCalls is what the discovery service saw.
 type DiscoveryCalls struct {
 	Calls      int `json:"calls"`
-	ListsSent  int `json:"told"`   // lists and news, those to watches that stand included
-	Rejected   int `json:"turned"` // calls that were turned away
+	ListsSent  int `json:"told"`   // lists and updates, those of open watches included
+	Rejected   int `json:"turned"` // calls
 	MaxIn100ms int `json:"most"`   // calls within 100 ms
 }
 
-// CountDiscoveryCalls judges the calls to the list service.
-func CountDiscoveryCalls(recs []fakeserver.Event) DiscoveryCalls {
-	asked := EventTimes(recs, "discovery", fakeserver.EventRequested)
-	return DiscoveryCalls{Calls: len(asked), ListsSent: len(EventTimes(recs, "discovery", fakeserver.EventListSent)), Rejected: len(EventTimes(recs, "discovery", fakeserver.EventCallRejected)),
-		MaxIn100ms: MaxInWindow(asked, 100*time.Millisecond)}
+// CountDiscoveryCalls counts the calls to the discovery service.
+func CountDiscoveryCalls(events []fakeserver.Event) DiscoveryCalls {
+	calls := EventTimes(events, discoverySource, fakeserver.EventRequested)
+	return DiscoveryCalls{
+		Calls:      len(calls),
+		ListsSent:  len(EventTimes(events, discoverySource, fakeserver.EventListSent)),
+		Rejected:   len(EventTimes(events, discoverySource, fakeserver.EventCallRejected)),
+		MaxIn100ms: MaxInWindow(calls, callWindow),
+	}
 }
 
-// StartStep is a part of a start.
+// StartStep is what discovery and the hosts saw in one step of a start.
 type StartStep struct {
-	At               float64 `json:"at_s"` // its begin, from the start of the processes on
+	At               float64 `json:"at_s"` // begin of the step, since the launch
 	Calls            int     `json:"calls"`
-	Rejected         int     `json:"turned"`
+	Rejected         int     `json:"turned"`  // calls
 	Setups           int     `json:"set_ups"` // at all hosts
-	MaxSetupsPerHost int     `json:"most"`    // of them at one
+	MaxSetupsPerHost int     `json:"most"`
 }
 
-// stepWidth is a step's length, and mostSteps bounds how many there are.
 const (
 	stepWidth = 100 * time.Millisecond
 	maxSteps  = 3000
 )
 
-// StartSteps counts what the list service and the hosts saw of a start, step by step, to the last step with anything in it.
-func StartSteps(recs []fakeserver.Event, launched time.Duration) (out []StartStep) {
-	at := map[int]map[string]int{}
-	for _, x := range recs {
-		i := int((x.At - launched) / stepWidth)
-		if x.At < launched || i >= maxSteps {
-			continue
-		}
-		call, turned, host := x.Source == "discovery" && x.Kind == fakeserver.EventRequested, x.Source == "discovery" && x.Kind == fakeserver.EventCallRejected, x.Kind == fakeserver.EventOpened
-		if !call && !turned && !host {
+// StartSteps counts the events since a launch step by step, to the last step that has any.
+func StartSteps(events []fakeserver.Event, launched time.Duration) []StartStep {
+	var steps []StartStep
+	setupsByHost := map[int]map[string]int{} // by step
+	for _, event := range events {
+		index := int((event.At - launched) / stepWidth)
+		if event.At < launched || index >= maxSteps || !countsInStep(event) {
 			continue
 		}
-		for len(out) <= i {
-			out = append(out, StartStep{At: (time.Duration(len(out)) * stepWidth).Seconds()})
+		for len(steps) <= index {
+			steps = append(steps, StartStep{At: (time.Duration(len(steps)) * stepWidth).Seconds()})
 		}
-		switch s := &out[i]; {
-		case call:
-			s.Calls++
-		case turned:
-			s.Rejected++
+		step := &steps[index]
+		switch event.Kind {
+		case fakeserver.EventRequested:
+			step.Calls++
+		case fakeserver.EventCallRejected:
+			step.Rejected++
 		default:
-			if at[i] == nil {
-				at[i] = map[string]int{}
+			if setupsByHost[index] == nil {
+				setupsByHost[index] = map[string]int{}
 			}
-			at[i][x.Source]++
-			s.Setups, s.MaxSetupsPerHost = s.Setups+1, max(s.MaxSetupsPerHost, at[i][x.Source])
+			setupsByHost[index][event.Source]++
+			step.Setups++
+			step.MaxSetupsPerHost = max(step.MaxSetupsPerHost, setupsByHost[index][event.Source])
 		}
 	}
-	return out
+	return steps
+}
+
+// countsInStep reports whether StartSteps counts an event.
+func countsInStep(event fakeserver.Event) bool {
+	switch event.Kind {
+	case fakeserver.EventRequested, fakeserver.EventCallRejected:
+		return event.Source == discoverySource
+	case fakeserver.EventOpened:
+		return true
+	}
+	return false
 }
 
-// MaxSetupBurst is the largest number of set-ups at one host within a span, and which host that was.
-func MaxSetupBurst(recs []fakeserver.Event, hosts []string, span time.Duration) (most int, host string) {
-	for _, h := range hosts {
-		if n := MaxInWindow(EventTimes(recs, h, fakeserver.EventOpened), span); n > most {
-			most, host = n, h
+// MaxSetupBurst returns the largest number of set-ups at one host within a window, and the ID of that host.
+func MaxSetupBurst(events []fakeserver.Event, hosts []string, window time.Duration) (largest int, host string) {
+	for _, id := range hosts {
+		if n := MaxInWindow(EventTimes(events, id, fakeserver.EventOpened), window); n > largest {
+			largest, host = n, id
 		}
 	}
-	return most, host
+	return largest, host
 }
--- a/internal/testcluster/process.go
+++ b/internal/testcluster/process.go
@@ -1,85 +1,96 @@
 package testcluster
 
 import (
-	"bytes"
 	"fmt"
 	"io"
 	"os"
 	"os/exec"
-	"strconv"
 	"sync"
 	"syscall"
 	"time"
 )
 
-// process is one node's or agent's, over all its starts.
+// processKillTimeout is how long a killed process may take to end.
+const processKillTimeout = 10 * time.Second
+
+// process is a node or an agent over all its starts. Its methods are safe for concurrent use.
 type process struct {
-	name, zone, addr, config, program string
-	args                              []string // the kind of process, and its flags
-	env                               []string // beside its configuration
-	control                           string   // where it listens for others over TLS; "" for nowhere
-	folder                            string   // what it may keep over its starts; "" for nothing
-	log                               io.Writer
-	starter                           func(name string, cmd *exec.Cmd) error // in place of cmd.Start; nil for that
+	name, zone, addr string
+	config           string // path of the platform's configuration; "" for an agent
+	program          string
+	args             []string // the command and its flags
+	env              []string // in addition to the configuration
+	control          string   // TLS address of the control listener; "" for none
+	folder           string   // files that outlast a restart; "" for none
+	log              io.Writer
+	starter          func(name string, cmd *exec.Cmd) error // replaces cmd.Start; may be nil
 
 	mu            sync.Mutex
 	cmd           *exec.Cmd
-	done          chan struct{} // closed once the present one has ended
-	stopRequested bool          // to end
+	done          chan struct{} // closed when cmd has ended
+	stopRequested bool
 	exitErr       error
-	pastUsage     Usage // of those that have ended
+	pastUsage     Usage // of earlier starts
 }
 
+// start starts the process.
 func (p *process) start() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	cmd := exec.Command(p.program, p.args...)
 	cmd.Env = append(append(os.Environ(), "PROXY_CONFIG="+p.config), p.env...)
 	cmd.Stdout, cmd.Stderr = p.log, p.log
-	// A node must not outlive who started it, however that ends.
+	// The process must not outlive this one, however that ends.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
-	begin := cmd.Start
-	if p.starter != nil {
-		begin = func() error { return p.starter(p.name, cmd) }
-	}
-	if err := begin(); err != nil {
+	if err := p.startCommand(cmd); err != nil {
 		return fmt.Errorf("%s %s: %w", p.args[0], p.name, err)
 	}
 	done := make(chan struct{})
 	p.cmd, p.done, p.stopRequested = cmd, done, false
-	go func() {
-		err := cmd.Wait()
-		p.mu.Lock()
-		defer p.mu.Unlock()
-		if s := cmd.ProcessState; s != nil {
-			p.pastUsage.CPU += s.UserTime() + s.SystemTime()
-			if u, ok := s.SysUsage().(*syscall.Rusage); ok {
-				p.pastUsage.PeakMB = max(p.pastUsage.PeakMB, float64(u.Maxrss)/1024)
-			}
-		}
-		if !p.stopRequested {
-			p.exitErr = fmt.Errorf("%s %s ended by itself: %v", p.args[0], p.name, err)
-		}
-		close(done)
-	}()
+	go p.wait(cmd, done)
 	return nil
 }
 
-func (p *process) signal(s syscall.Signal) {
+func (p *process) startCommand(cmd *exec.Cmd) error {
+	if p.starter != nil {
+		return p.starter(p.name, cmd)
+	}
+	return cmd.Start()
+}
+
+// wait waits until a started command ends and adds up its usage.
+func (p *process) wait(cmd *exec.Cmd, done chan struct{}) {
+	err := cmd.Wait()
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if state := cmd.ProcessState; state != nil {
+		p.pastUsage.CPU += state.UserTime() + state.SystemTime()
+		if usage, ok := state.SysUsage().(*syscall.Rusage); ok {
+			p.pastUsage.PeakMB = max(p.pastUsage.PeakMB, float64(usage.Maxrss)/kilobytesPerMB)
+		}
+	}
+	if !p.stopRequested {
+		p.exitErr = fmt.Errorf("%s %s ended by itself: %v", p.args[0], p.name, err)
+	}
+	close(done)
+}
+
+// signal sends a signal to the process, if it has been started.
+func (p *process) signal(signal syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd == nil {
 		return
 	}
-	if s == syscall.SIGKILL || s == syscall.SIGTERM {
+	if signal == syscall.SIGKILL || signal == syscall.SIGTERM {
 		p.stopRequested = true
 	}
-	_ = p.cmd.Process.Signal(s)
+	_ = p.cmd.Process.Signal(signal)
 }
 
-// end signals and waits, and kills what has not ended by then.
-func (p *process) end(s syscall.Signal, within time.Duration) {
-	p.signal(s)
+// stop sends a signal and waits for the end of the process, which it kills after the timeout.
+func (p *process) stop(signal syscall.Signal, timeout time.Duration) {
+	p.signal(signal)
 	p.mu.Lock()
 	done := p.done
 	p.mu.Unlock()
@@ -88,15 +99,16 @@
 	}
 	select {
 	case <-done:
-	case <-time.After(within):
+	case <-time.After(timeout):
 		p.signal(syscall.SIGKILL)
 		<-done
 	}
 }
 
-func (p *process) kill() { p.end(syscall.SIGKILL, 10*time.Second) }
+// kill kills the process and waits for its end.
+func (p *process) kill() { p.stop(syscall.SIGKILL, processKillTimeout) }
 
-// clearFolder empties its folder. It is called between two starts.
+// clearFolder empties the folder of a process that is not running.
 func (p *process) clearFolder() error {
 	if p.folder == "" {
 		return nil
@@ -104,57 +116,29 @@
 	if err := os.RemoveAll(p.folder); err != nil {
 		return err
 	}
-	return os.Mkdir(p.folder, 0o700)
+	return os.Mkdir(p.folder, privateFolder)
 }
 
-// unexpectedExit says that a node has ended though nobody told it to.
+// unexpectedExit returns an error if the process ended without being stopped.
 func (p *process) unexpectedExit() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.exitErr
 }
 
-// usage is what the node has taken over all its starts.
+// usage returns the resources that all starts have used.
 func (p *process) usage() Usage {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	u := p.pastUsage
+	past := p.pastUsage
 	if p.cmd == nil {
-		return u
+		return past
 	}
 	select {
 	case <-p.done:
-		return u
+		return past
 	default:
 	}
 	now := ProcessUsage(p.cmd.Process.Pid)
-	return Usage{CPU: u.CPU + now.CPU, PeakMB: max(u.PeakMB, now.PeakMB), Descriptors: now.Descriptors}
-}
-
-// ProcessUsage is what a running process of this machine has taken so far; what can't be read is 0.
-func ProcessUsage(pid int) (u Usage) {
-	proc := fmt.Sprintf("/proc/%d/", pid)
-	if text, err := os.ReadFile(proc + "stat"); err == nil {
-		// utime and stime are the 12th and 13th figures behind the name, which may hold anything.
-		f := bytes.Fields(text[bytes.LastIndexByte(text, ')')+1:])
-		if len(f) > 12 {
-			for _, ticks := range f[11:13] {
-				n, _ := strconv.Atoi(string(ticks))
-				u.CPU += time.Duration(n) * (time.Second / userHZ)
-			}
-		}
-	}
-	if text, err := os.ReadFile(proc + "status"); err == nil {
-		if _, rest, ok := bytes.Cut(text, []byte("VmHWM:")); ok {
-			kb, _ := strconv.Atoi(string(bytes.Fields(rest)[0]))
-			u.PeakMB = max(u.PeakMB, float64(kb)/1024)
-		}
-	}
-	if names, err := os.ReadDir(proc + "fd"); err == nil {
-		u.Descriptors = len(names)
-	}
-	return u
+	return Usage{CPU: past.CPU + now.CPU, PeakMB: max(past.PeakMB, now.PeakMB), Descriptors: now.Descriptors}
 }
-
-// userHZ is what Linux counts a process's time in, whatever the kernel's own clock.
-const userHZ = 100
--- /dev/null
+++ b/internal/testcluster/request_outcomes.go
@@ -0,0 +1,128 @@
+package testcluster
+
+import (
+	"fmt"
+	"strings"
+	"time"
+
+	"onyxstream/internal/fakeserver"
+)
+
+// RequestOutcomes is what became of the requests that clients wrote completely to nodes, judged by the events of
+// clients and hosts alone.
+type RequestOutcomes struct {
+	Requests int `json:"asked"`
+	Served   int `json:"served"`
+	Rejected int `json:"refused"`
+	Failed   int `json:"failed"`
+	// Violations describes each request that did not get exactly one complete answer in time.
+	Violations []string `json:"wrong"`
+}
+
+// answerGrace is how long after its timeout a request may still be answered.
+const answerGrace = 500 * time.Millisecond
+
+// requestEvents is what a client recorded of one request.
+type requestEvents struct {
+	id                 string
+	sentAt, answeredAt time.Duration
+	timeout            time.Duration
+	answers            []string
+	resetByNode        bool
+}
+
+// requestLog is the events of a run by request.
+type requestLog struct {
+	requests map[string]*requestEvents // by ID
+	order    []string                  // IDs in the order sent
+	receipts map[receiptKey]bool
+}
+
+// receiptKey is a receipt that a host gave for a request.
+type receiptKey struct{ id, receipt string }
+
+// JudgeRequests checks that every request got one complete answer in time, and that an established one has a host's
+// receipt. If resetIsViolation is set, an established connection that its node ended without MOVE is a violation.
+//
+// The events of a client carry the ID of its request: EventRequested with the timeout as the detail, EventReceived with
+// each complete line, and at the end one of EventDisconnected, EventMigrated and EventReset.
+func JudgeRequests(events []fakeserver.Event, resetIsViolation bool) RequestOutcomes {
+	log := groupByRequest(events)
+	outcomes := RequestOutcomes{Requests: len(log.order)}
+	for _, id := range log.order {
+		outcomes.judge(log.requests[id], log.receipts, resetIsViolation)
+	}
+	return outcomes
+}
+
+// groupByRequest collects the events of clients by request, and the receipts of hosts.
+func groupByRequest(events []fakeserver.Event) requestLog {
+	log := requestLog{requests: map[string]*requestEvents{}, receipts: map[receiptKey]bool{}}
+	for _, event := range events {
+		if !strings.HasPrefix(event.Source, clientPrefix) {
+			if event.Kind == fakeserver.EventEstablished {
+				log.receipts[receiptKey{event.ID, event.Detail}] = true
+			}
+			continue
+		}
+		if event.Kind == fakeserver.EventRequested {
+			timeout, _ := time.ParseDuration(event.Detail)
+			log.requests[event.ID] = &requestEvents{id: event.ID, sentAt: event.At, timeout: timeout}
+			log.order = append(log.order, event.ID)
+			continue
+		}
+		if request := log.requests[event.ID]; request != nil {
+			request.add(event)
+		}
+	}
+	return log
+}
+
+// add takes a client's event after the request was sent.
+func (r *requestEvents) add(event fakeserver.Event) {
+	switch event.Kind {
+	case fakeserver.EventReceived:
+		if len(r.answers) == 0 {
+			r.answeredAt = event.At
+		}
+		r.answers = append(r.answers, event.Detail)
+	case fakeserver.EventReset:
+		r.resetByNode = true
+	}
+}
+
+// judge adds the outcome of one request.
+func (o *RequestOutcomes) judge(request *requestEvents, receipts map[receiptKey]bool, resetIsViolation bool) {
+	if len(request.answers) == 0 {
+		o.addViolation(request, "no whole answer")
+		return
+	}
+	answer := request.answers[0]
+	if latency := request.answeredAt - request.sentAt; latency > request.timeout+answerGrace {
+		o.addViolation(request, "%q after %v", answer, latency)
+	}
+	word, receipt, _ := strings.Cut(answer, " ")
+	switch word {
+	case "UP":
+		o.Served++
+		if !receipts[receiptKey{request.id, receipt}] {
+			o.addViolation(request, "%q is no host's answer", answer)
+		}
+		if resetIsViolation && request.resetByNode {
+			o.addViolation(request, "cut off while it stood")
+		}
+		return // further lines are the connection's
+	case "BUSY":
+		o.Rejected++
+	default:
+		o.Failed++
+	}
+	if len(request.answers) > 1 {
+		o.addViolation(request, "more answers than one: %q", request.answers)
+	}
+}
+
+func (o *RequestOutcomes) addViolation(request *requestEvents, format string, args ...any) {
+	prefix := fmt.Sprintf("%s, asked at %v for %v: ", request.id, request.sentAt, request.timeout)
+	o.Violations = append(o.Violations, prefix+fmt.Sprintf(format, args...))
+}
--- a/internal/testcluster/rolling_test.go
+++ b/internal/testcluster/rolling_test.go
@@ -25,7 +25,7 @@
 	if err := r.RunRollingRestart(t.Context(), x); err != nil {
 		t.Fatalf("seed %d: %v", x.Seed, err)
 	}
-	recs, lost := r.Events.Events()
+	recs, lost := r.EventLog.Events()
 	if lost > 0 {
 		t.Fatalf("%d records are lost", lost)
 	}
--- a/internal/testcluster/startfaults_test.go
+++ b/internal/testcluster/startfaults_test.go
@@ -91,7 +91,7 @@
 	on()
 	back()
 	expectAllServed(t, r, startNodeCount, 2)
-	recs, _ := r.Events.Events()
+	recs, _ := r.EventLog.Events()
 	asked := EventTimes(recs, "discovery", fakeserver.EventRequested)
 	if most := CountBetween(asked, began, began+100*time.Millisecond); most > startNodeCount/2 {
 		t.Errorf("%d of %d nodes call in the tenth of a second in which they go on", most, startNodeCount)
@@ -375,7 +375,7 @@
 			t.Errorf("%+v", k)
 		}
 	}
-	recs, _ := r.Events.Events()
+	recs, _ := r.EventLog.Events()
 	for _, h := range []string{"link-h5", "link-h6"} {
 		// Without a word from others each node dials three times and more; on a busy machine some dial before they hear.
 		if n := CountBetween(EventTimes(recs, h, fakeserver.EventDialed), from, r.Clock.Now()); n == 0 || n > nodes {
--- a/internal/testcluster/starthelp_test.go
+++ b/internal/testcluster/starthelp_test.go
@@ -55,7 +55,7 @@
 
 // discoveryCalls counts those to the list service so far, and through which nodes' links they came.
 func discoveryCalls(r *Cluster) (n int, by map[string]int) {
-	recs, _ := r.Events.Events()
+	recs, _ := r.EventLog.Events()
 	by = map[string]int{}
 	for _, x := range recs {
 		if node, ok := strings.CutSuffix(x.Source, ">list"); ok && x.Kind == fakeserver.EventDialed {
@@ -67,7 +67,7 @@
 
 // setupsByHost counts what hosts were sent from a moment on.
 func setupsByHost(r *Cluster, from time.Duration) map[string]int {
-	recs, _ := r.Events.Events()
+	recs, _ := r.EventLog.Events()
 	out := map[string]int{}
 	for _, x := range recs {
 		if x.Kind == fakeserver.EventOpened && x.At >= from {
--- /dev/null
+++ b/internal/testcluster/timeline.go
@@ -0,0 +1,140 @@
+package testcluster
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"slices"
+	"sync"
+	"time"
+
+	"onyxstream/internal/ctxtime"
+	"onyxstream/internal/fakeserver"
+)
+
+// timeline runs the faults of a cluster.
+type timeline struct {
+	cancel context.CancelFunc // nil before the first run
+	wg     sync.WaitGroup
+	mu     sync.Mutex
+	err    error // the first one
+}
+
+// stop ends a timeline and waits for its goroutines.
+func (t *timeline) stop() {
+	if t.cancel != nil {
+		t.cancel()
+	}
+	t.wg.Wait()
+}
+
+// setError keeps the first error.
+func (t *timeline) setError(err error) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.err == nil {
+		t.err = err
+	}
+}
+
+// PlayFaults starts a timeline of faults now. Faults at the same time start in the order given; added hosts must be in
+// the order of that time.
+func (c *Cluster) PlayFaults(ctx context.Context, faults []FaultSpec) {
+	ctx, c.timeline.cancel = context.WithCancel(ctx)
+	faults = slices.Clone(faults)
+	slices.SortStableFunc(faults, func(a, b FaultSpec) int { return int(a.At - b.At) })
+	start := time.Now()
+	c.timeline.wg.Go(func() {
+		for _, fault := range faults {
+			if !ctxtime.Sleep(ctx, time.Until(start.Add(fault.At.D()))) {
+				return
+			}
+			end, err := c.StartFault(fault)
+			if err != nil {
+				c.timeline.setError(err)
+			}
+			if fault.Duration <= 0 {
+				continue
+			}
+			endAt := start.Add(fault.At.D() + fault.Duration.D())
+			c.timeline.wg.Go(func() { c.endFaultAt(ctx, endAt, end) })
+		}
+	})
+}
+
+// endFaultAt ends a fault at a time, unless the context ends before.
+func (c *Cluster) endFaultAt(ctx context.Context, at time.Time, end func() error) {
+	if !ctxtime.Sleep(ctx, time.Until(at)) {
+		return
+	}
+	if err := end(); err != nil {
+		c.timeline.setError(err)
+	}
+}
+
+// Err returns the first fault that could not be started or ended, or else the processes that ended by themselves.
+func (c *Cluster) Err() error {
+	c.timeline.mu.Lock()
+	defer c.timeline.mu.Unlock()
+	if c.timeline.err != nil {
+		return c.timeline.err
+	}
+	return c.unexpectedExits()
+}
+
+// StartFault starts a fault now, concurrently on all of its targets, and returns a function that ends it. The fault's At
+// and Duration are ignored. The error says on which targets it could not be started.
+func (c *Cluster) StartFault(fault FaultSpec) (end func() error, err error) {
+	targets, err := c.config.parseTargets(fault.Target)
+	if err != nil {
+		return func() error { return nil }, err
+	}
+	active := &activeFault{
+		fault:   fault,
+		targets: targets,
+		ends:    make([]func() error, len(targets)),
+		errs:    make([]error, len(targets)),
+	}
+	err = active.forEach(func(i int) (err error) {
+		active.ends[i], err = c.startFaultOn(fault, targets[i])
+		return err
+	})
+	return active.end, err
+}
+
+// activeFault is a fault that was started on several targets.
+type activeFault struct {
+	fault   FaultSpec
+	targets []target
+	ends    []func() error // by target; nil where nothing ends the fault
+	errs    []error        // by target, the last one
+}
+
+// end ends the fault on all targets. Its error includes those of the start.
+func (a *activeFault) end() error {
+	return a.forEach(func(i int) error {
+		if a.ends[i] == nil {
+			return nil
+		}
+		return a.ends[i]()
+	})
+}
+
+// forEach runs a function for all targets concurrently and joins their errors.
+func (a *activeFault) forEach(f func(i int) error) error {
+	var wg sync.WaitGroup
+	for i, t := range a.targets {
+		wg.Go(func() {
+			if err := f(i); err != nil {
+				a.errs[i] = fmt.Errorf("%s on %s: %w", a.fault.Kind, t.name, err)
+			}
+		})
+	}
+	wg.Wait()
+	return errors.Join(a.errs...)
+}
+
+// recordFault adds an event of a fault that began or ended.
+func (c *Cluster) recordFault(source, detail string) {
+	c.EventLog.Add(fakeserver.Event{Source: source, Kind: fakeserver.EventFault, Detail: detail})
+}
