--- a/internal/faultinject/faultinject.go
+++ b/internal/faultinject/faultinject.go
@@ -1,19 +1,18 @@
-// Package faultinject runs a real program whose system calls fail on command, and whose wall clock can be stepped. It is for
-// tests. The program is started by a launcher, which is the test's own binary: that sets a seccomp filter on itself, without
-// special rights, hands the filter's listener to the test, and becomes the program. The kernel asks the test about each
-// call that the filter names; the test lets it go on or has it fail. It needs Linux 5.19 or newer.
+// Package faultinject runs a program whose system calls fail on command, and whose wall clock can be stepped, for tests.
+//
+// The program is started by a launcher, which is the test's own binary. The launcher installs a seccomp filter on
+// itself, which needs no privileges, passes the filter's listener to the test, and executes the program. The kernel
+// then notifies the test of each system call that the filter names, and the test lets it proceed or has it fail. It
+// needs Linux 5.19 or newer.
 package faultinject
 
 import (
-	"errors"
 	"fmt"
 	"math/rand/v2"
 	"os"
 	"os/exec"
-	"strings"
 	"sync"
 	"time"
-	"unsafe"
 
 	"golang.org/x/sys/unix"
 )
@@ -34,28 +33,31 @@
 	Rename  Call = unix.SYS_RENAMEAT
 )
 
-// Rule has a share of a program's calls fail.
+// Rule makes some of a program's calls fail.
 type Rule struct {
 	Call        Call
 	Errors      []unix.Errno // one of them is drawn
-	Probability float64      // of the calls, 1 for all
-	// OnSockets leaves calls on anything else alone: Read and Write are of files, pipes and the runtime's own too.
+	Probability float64      // that a call fails; 1 for all calls
+	// OnSockets restricts the rule to sockets: Read and Write are also used on files, on pipes and by the runtime.
 	OnSockets bool
-	// MaxBytes has reads and writes on sockets carry so many bytes at most, in place of failing; 0 for not.
+	// MaxBytes makes reads and writes on sockets transfer at most this number of bytes, instead of failing; 0 for not.
 	MaxBytes int
 }
 
-// Options say what a program's process can be made to meet. What is not named here costs it nothing.
+// onSocketsOnly reports whether the rule is restricted to sockets.
+func (r *Rule) onSocketsOnly() bool { return r.OnSockets || r.MaxBytes > 0 }
+
+// Options name what can be injected into a program. Calls that are not named run at full speed.
 type Options struct {
 	Calls      []Call
 	StepsClock bool // the wall clock can be stepped
 	Seed       uint64
-	Rules      []Rule // that hold from the first call on, as by Fail
+	Rules      []Rule // in force from the first call on, see Process.Fail
 }
 
-// Process is a program under faults.
+// Process is a program under fault injection. Its methods are safe for concurrent use.
 type Process struct {
-	listener int
+	listener int // descriptor of the filter's notifications
 	served   sync.WaitGroup
 
 	mu          sync.Mutex
@@ -65,8 +67,10 @@
 	injected    map[Call]int
 }
 
-// Start starts a command under faults; none is on yet. Its path and arguments are replaced by the launcher's: the test's
-// TestMain must call RunLauncher first.
+const rngStream = 0x73797366
+
+// Start starts a command under fault injection. It replaces the command's path and arguments by the launcher's: the
+// TestMain of the test must call RunLauncher first.
 func Start(cmd *exec.Cmd, options Options) (*Process, error) {
 	pair, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_SEQPACKET|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -81,133 +85,42 @@
 	if err := cmd.Start(); err != nil {
 		return nil, err
 	}
-	_ = launcherEnd.Close() // so that a launcher that fails is seen
+	_ = launcherEnd.Close() // so that a launcher that fails ends the receive below
 	listener, err := receiveListener(pair[0])
 	if err != nil {
 		_ = cmd.Process.Kill()
 		return nil, fmt.Errorf("faultinject: the launcher set no filter: %w", err)
 	}
-	p := &Process{listener: listener, rng: rand.New(rand.NewPCG(options.Seed, 0x73797366)), rules: options.Rules, injected: map[Call]int{}}
+	p := &Process{
+		listener: listener,
+		rng:      rand.New(rand.NewPCG(options.Seed, rngStream)),
+		rules:    options.Rules,
+		injected: map[Call]int{},
+	}
 	p.served.Go(p.serve)
 	return p, nil
 }
 
-// Fail has calls fail by rules from now on, in place of earlier ones; none ends that.
+// Fail replaces the rules. Without any, no call fails from now on.
 func (p *Process) Fail(rules ...Rule) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.rules = rules
 }
 
-// StepClock sets how far the program's wall clock is from the machine's.
-func (p *Process) StepClock(by time.Duration) {
+// StepClock sets the offset of the program's wall clock from the machine's.
+func (p *Process) StepClock(offset time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.clockOffset = by
+	p.clockOffset = offset
 }
 
-// Injected tells how many calls have failed by a rule.
-func (p *Process) Injected(c Call) int {
+// Injected returns how many calls a rule has hit so far.
+func (p *Process) Injected(call Call) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.injected[c]
+	return p.injected[call]
 }
 
-// Wait waits until the program has ended and nothing of it is served any more.
+// Wait waits until the program has ended and no notification is being served.
 func (p *Process) Wait() { p.served.Wait() }
-
-// notification is the kernel's struct seccomp_notif.
-type notification struct {
-	id         uint64
-	pid, flags uint32
-	call       int32
-	arch       uint32
-	ip         uint64
-	args       [6]uint64
-}
-
-// response is the kernel's struct seccomp_notif_resp.
-type response struct {
-	id    uint64
-	value int64
-	error int32
-	flags uint32
-}
-
-// serve answers the kernel until the program has ended.
-func (p *Process) serve() {
-	defer unix.Close(p.listener)
-	for {
-		ready := []unix.PollFd{{Fd: int32(p.listener), Events: unix.POLLIN}}
-		switch _, err := unix.Poll(ready, -1); {
-		case errors.Is(err, unix.EINTR):
-			continue
-		case err != nil || ready[0].Revents&unix.POLLIN == 0:
-			return
-		}
-		var request notification
-		if ioctl(p.listener, unix.SECCOMP_IOCTL_NOTIF_RECV, unsafe.Pointer(&request)) != nil {
-			continue // whoever asked has ended meanwhile
-		}
-		reply := p.decide(&request)
-		reply.id = request.id
-		_ = ioctl(p.listener, unix.SECCOMP_IOCTL_NOTIF_SEND, unsafe.Pointer(&reply))
-	}
-}
-
-// decide says what becomes of a call.
-func (p *Process) decide(request *notification) response {
-	proceed := response{flags: unix.SECCOMP_USER_NOTIF_FLAG_CONTINUE}
-	call := Call(request.call)
-	if call == unix.SYS_CLOCK_GETTIME {
-		if p.writeClock(request) != nil {
-			return proceed
-		}
-		return response{}
-	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	for _, r := range p.rules {
-		if r.Call != call || p.rng.Float64() >= r.Probability || (r.OnSockets || r.MaxBytes > 0) && !isSocket(request) {
-			continue
-		}
-		p.injected[call]++
-		if r.MaxBytes > 0 {
-			return transferAtMost(request, call, r.MaxBytes)
-		}
-		return response{error: -int32(r.Errors[p.rng.IntN(len(r.Errors))])}
-	}
-	return proceed
-}
-
-// writeClock writes the program's wall clock to where it wants it.
-func (p *Process) writeClock(request *notification) error {
-	p.mu.Lock()
-	at := time.Now().Add(p.clockOffset)
-	p.mu.Unlock()
-	timespec := unix.NsecToTimespec(at.UnixNano())
-	size := int(unsafe.Sizeof(timespec))
-	from := []unix.Iovec{{Base: (*byte)(unsafe.Pointer(&timespec)), Len: uint64(size)}}
-	to := []unix.RemoteIovec{{Base: uintptr(request.args[1]), Len: size}}
-	_, err := unix.ProcessVMWritev(int(request.pid), from, to, 0)
-	return err
-}
-
-// isSocket reports whether a call's first argument is a socket's descriptor.
-func isSocket(request *notification) bool {
-	name, err := os.Readlink(fmt.Sprintf("/proc/%d/fd/%d", request.pid, request.args[0]))
-	return err == nil && strings.HasPrefix(name, "socket:")
-}
-
-func ioctl(fd int, request uintptr, argument unsafe.Pointer) error {
-	for {
-		_, _, errno := unix.Syscall(unix.SYS_IOCTL, uintptr(fd), request, uintptr(argument))
-		switch errno {
-		case 0:
-			return nil
-		case unix.EINTR:
-			continue
-		}
-		return errno
-	}
-}
--- a/internal/faultinject/transfer.go
+++ b/internal/faultinject/transfer.go
@@ -6,21 +6,23 @@
 	"golang.org/x/sys/unix"
 )
 
-// transferAtMost makes a read or write in the program's place, of so many bytes at most, on a copy of its socket.
+// transferAtMost carries out a read or write in the program's place, of a limited number of bytes, on a copy of its
+// socket.
 func transferAtMost(request *notification, call Call, maxBytes int) response {
 	n, err := transfer(request, call, maxBytes)
-	var errno unix.Errno
-	switch {
-	case err == nil:
+	if err == nil {
 		return response{value: int64(n)}
-	case errors.As(err, &errno):
-		return response{error: -int32(errno)}
 	}
-	return response{error: -int32(unix.EIO)}
+	var errno unix.Errno
+	if errors.As(err, &errno) {
+		return failWith(errno)
+	}
+	return failWith(unix.EIO)
 }
 
 func transfer(request *notification, call Call, maxBytes int) (n int, err error) {
-	fd, err := copyDescriptor(int(request.pid), int(request.args[0]))
+	pid := int(request.pid)
+	fd, err := copyDescriptor(pid, int(request.args[0]))
 	if err != nil {
 		return 0, err
 	}
@@ -29,26 +31,27 @@
 	if size == 0 {
 		return 0, nil
 	}
-	buf := make([]byte, size)
-	here := []unix.Iovec{{Base: &buf[0], Len: uint64(size)}}
-	there := []unix.RemoteIovec{{Base: uintptr(request.args[1]), Len: size}}
+	buffer := make([]byte, size)
+	local := []unix.Iovec{{Base: &buffer[0], Len: uint64(size)}}
+	remote := []unix.RemoteIovec{{Base: uintptr(request.args[1]), Len: size}}
 	if call == Write {
-		if _, err := unix.ProcessVMReadv(int(request.pid), here, there, 0); err != nil {
+		if _, err := unix.ProcessVMReadv(pid, local, remote, 0); err != nil {
 			return 0, err
 		}
-		return unix.SendmsgN(fd, buf, nil, nil, unix.MSG_DONTWAIT|unix.MSG_NOSIGNAL)
+		return unix.SendmsgN(fd, buffer, nil, nil, unix.MSG_DONTWAIT|unix.MSG_NOSIGNAL)
 	}
-	if n, _, err = unix.Recvfrom(fd, buf, unix.MSG_DONTWAIT); err != nil || n == 0 {
+	n, _, err = unix.Recvfrom(fd, buffer, unix.MSG_DONTWAIT)
+	if err != nil || n == 0 {
 		return 0, err
 	}
-	here[0].Len, there[0].Len = uint64(n), n
-	if _, err := unix.ProcessVMWritev(int(request.pid), here, there, 0); err != nil {
+	local[0].Len, remote[0].Len = uint64(n), n
+	if _, err := unix.ProcessVMWritev(pid, local, remote, 0); err != nil {
 		return 0, err
 	}
 	return n, nil
 }
 
-// copyDescriptor copies a descriptor of a process; pid is one of its threads.
+// copyDescriptor duplicates a descriptor of another process into this one; pid is one of its threads.
 func copyDescriptor(pid, fd int) (int, error) {
 	process, err := unix.PidfdOpen(pid, unix.PIDFD_THREAD)
 	if err != nil {
