--- a/internal/loadtest/play.go
+++ b/internal/loadtest/play.go
@@ -126,7 +126,7 @@
 		u := r.Usage()
 		u.CPU -= before.CPU
 		res.Nodes = &u
-		recs, lost := r.Events.Events()
+		recs, lost := r.EventLog.Events()
 		res.told(recs, began)
 		list := testcluster.CountDiscoveryCalls(recs)
 		res.List, res.Start = &list, testcluster.StartSteps(recs, r.LaunchedAt())
--- a/internal/soaktest/client.go
+++ b/internal/soaktest/client.go
@@ -101,7 +101,7 @@
 }
 
 func (c *connection) note(what, text string) {
-	c.rig.Events.Add(fakeserver.Event{Source: clientPrefix + c.node, Kind: what, ID: c.id, Key: c.key, Class: c.class, Detail: text})
+	c.rig.EventLog.Add(fakeserver.Event{Source: clientPrefix + c.node, Kind: what, ID: c.id, Key: c.key, Class: c.class, Detail: text})
 }
 
 // come makes one connection, and reports whether it stood and was broken by the node's side.
--- a/internal/soaktest/run.go
+++ b/internal/soaktest/run.go
@@ -88,7 +88,7 @@
 	run.calls(calls)
 	run.clients(cfg.Rate)
 	run.wg.Wait()
-	recs, lost := r.Events.Events()
+	recs, lost := r.EventLog.Events()
 	if lost > 0 {
 		return nil, fmt.Errorf("%d records are lost", lost)
 	}
