--- a/internal/fakeserver/capacity/capacity_test.go
+++ b/internal/fakeserver/capacity/capacity_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// The same verdict every time: other draws are had by -rapid.seed.
+// A fixed seed makes the tests deterministic; -rapid.seed sets another one.
 func init() { _ = flag.Set("rapid.seed", "1") }
 
 var baseSpec = Spec{Cores: 2, Speed: 1, ConnectionLoad: 0.1, SetupWork: 0.1, LineWork: 0.001, LoadDrift: 0.5, GroupCost: 2}
@@ -25,25 +25,25 @@
 }
 
 func TestBeginSetup_SeveralSetups_ShareFreeCapacity(t *testing.T) {
-	h := New(baseSpec, nil, 1, 0, false)
+	host := New(baseSpec, nil, 1, 0, false)
 	for i := range 4 {
-		h.BeginSetup(0, fmt.Sprint(i), "", 1)
+		host.BeginSetup(0, fmt.Sprint(i), "", 1)
 	}
-	if got := establishedIDs(h.Advance(99 * time.Millisecond)); len(got) != 0 {
-		t.Errorf("up before the work is done: %v", got)
+	if got := establishedIDs(host.Advance(99 * time.Millisecond)); len(got) != 0 {
+		t.Errorf("established before the work is done: %v", got)
 	}
-	if got := establishedIDs(h.Advance(101 * time.Millisecond)); len(got) != 2 {
-		t.Errorf("two cores set up %v in the time of one set-up", got)
+	if got := establishedIDs(host.Advance(101 * time.Millisecond)); len(got) != 2 {
+		t.Errorf("two cores complete %v in the time of one set-up", got)
 	}
-	// What stands takes from what set-ups get.
+	// Established connections take capacity from set-ups.
 	for i := range 19 {
-		h.AddEstablished(fmt.Sprint("s", i), "", 1)
+		host.AddEstablished(fmt.Sprint("s", i), "", 1)
 	}
-	if got := establishedIDs(h.Advance(250 * time.Millisecond)); len(got) != 0 {
-		t.Errorf("a full host sets up at full speed: %v", got)
+	if got := establishedIDs(host.Advance(250 * time.Millisecond)); len(got) != 0 {
+		t.Errorf("an overloaded host completes set-ups at full speed: %v", got)
 	}
-	if got := establishedIDs(h.Advance(10 * time.Second)); len(got) != 2 {
-		t.Errorf("a full host never sets up: %v", got)
+	if got := establishedIDs(host.Advance(10 * time.Second)); len(got) != 2 {
+		t.Errorf("an overloaded host completes %v, want two set-ups", got)
 	}
 }
 
@@ -62,150 +62,188 @@
 	}
 	slow := SessionStore{Latency: time.Millisecond, SlowFactor: 8}
 	if at := slow.Call(0); at != 8*time.Millisecond {
-		t.Errorf("a store eight times slower answers after %v", at)
+		t.Errorf("a store with slow factor 8 answers after %v", at)
 	}
 }
 
 func TestHost_FaultsEnd_CapacityRestored(t *testing.T) {
-	h := New(baseSpec, nil, 1, 0, false)
-	h.SetSlowFactor(4)
-	h.SetStolenShare(0.5)
-	if c := h.Capacity(); c != 0.25 {
-		t.Errorf("capacity %g, want an eighth of 2", c)
-	}
-	before := h.LineLatency()
-	h.SetSlowFactor(1)
-	h.SetStolenShare(0)
-	if h.Capacity() != 2 || before < 7*h.LineLatency() {
-		t.Errorf("capacity %g, a line %v before and %v now", h.Capacity(), before, h.LineLatency())
+	host := New(baseSpec, nil, 1, 0, false)
+	host.SetSlowFactor(4)
+	host.SetStolenShare(0.5)
+	if got := host.Capacity(); got != 0.25 {
+		t.Errorf("capacity %g, want an eighth of 2", got)
+	}
+	before := host.LineLatency()
+	host.SetSlowFactor(1)
+	host.SetStolenShare(0)
+	if host.Capacity() != 2 || before < 7*host.LineLatency() {
+		t.Errorf("capacity %g, line latency %v before and %v now", host.Capacity(), before, host.LineLatency())
 	}
 }
 
 func TestDemand_Group_CountedOnceUntilLastRemoved(t *testing.T) {
-	h := New(baseSpec, nil, 1, 0, false)
-	h.AddEstablished("a", "choir", 1)
-	h.AddEstablished("b", "choir", 1)
-	if d := h.Demand(); d < 0.399 || d > 0.401 {
+	host := New(baseSpec, nil, 1, 0, false)
+	host.AddEstablished("a", "choir", 1)
+	host.AddEstablished("b", "choir", 1)
+	if d := host.Demand(); d < 0.399 || d > 0.401 {
 		t.Errorf("demand %g, want two loads and one group of two", d)
 	}
-	h.Remove("a")
-	h.Remove("b")
-	h.Remove("b")
-	if d := h.Demand(); d > 1e-9 {
+	host.Remove("a")
+	host.Remove("b")
+	host.Remove("b")
+	if d := host.Demand(); d > 1e-9 {
 		t.Errorf("demand %g of an empty host", d)
 	}
 }
 
 func TestHost_ColdAndOverloaded_Collapses(t *testing.T) {
-	spec := Spec{Cores: 2, Speed: 1, ConnectionLoad: 0.05, SetupWork: 0.05, SlowStartFraction: 0.3, SlowStartDuration: 8 * time.Second, CollapseMultiple: 4, CollapseAfter: time.Second}
-	run := func(every time.Duration, cold bool) *Host {
-		h := New(spec, nil, 1, 0, cold)
-		for now := time.Duration(0); now < 3*time.Second; now += every {
-			h.Advance(now)
-			h.BeginSetup(now, fmt.Sprint(now), "", 0)
+	spec := Spec{
+		Cores:             2,
+		Speed:             1,
+		ConnectionLoad:    0.05,
+		SetupWork:         0.05,
+		SlowStartFraction: 0.3,
+		SlowStartDuration: 8 * time.Second,
+		CollapseMultiple:  4,
+		CollapseAfter:     time.Second,
+	}
+	run := func(interval time.Duration, cold bool) *Host {
+		host := New(spec, nil, 1, 0, cold)
+		for now := time.Duration(0); now < 3*time.Second; now += interval {
+			host.Advance(now)
+			host.BeginSetup(now, fmt.Sprint(now), "", 0)
 		}
-		return h
+		return host
 	}
 	if run(50*time.Millisecond, true).Collapsed() {
-		t.Error("a cold host falls under what it can nearly bear")
+		t.Error("a cold host collapses below the multiple")
 	}
-	h := run(10*time.Millisecond, true)
-	if !h.Collapsed() || h.BeginSetup(4*time.Second, "x", "", 1) != Unavailable {
-		t.Error("a cold host that is pushed does not fall")
+	host := run(10*time.Millisecond, true)
+	if !host.Collapsed() || host.BeginSetup(4*time.Second, "x", "", 1) != Unavailable {
+		t.Error("an overloaded cold host does not collapse")
 	}
-	if _, ok := h.Next(); ok {
-		t.Error("a fallen host still has something to do")
+	if _, ok := host.Next(); ok {
+		t.Error("a collapsed host has a next event")
 	}
 	if run(10*time.Millisecond, false).Collapsed() {
-		t.Error("a warm host falls")
+		t.Error("a warm host collapses")
 	}
-	h = New(spec, nil, 1, 0, true)
-	h.Advance(4 * time.Second)
-	if c := h.Capacity(); c < 1.29 || c > 1.31 {
-		t.Errorf("half warm, capacity %g", c)
+	host = New(spec, nil, 1, 0, true)
+	host.Advance(4 * time.Second)
+	if got := host.Capacity(); got < 1.29 || got > 1.31 {
+		t.Errorf("capacity %g halfway through slow start", got)
 	}
-	h.Advance(8 * time.Second)
-	if c := h.Capacity(); c != 2 {
-		t.Errorf("warm, capacity %g", c)
+	host.Advance(8 * time.Second)
+	if got := host.Capacity(); got != 2 {
+		t.Errorf("capacity %g after slow start", got)
 	}
 }
 
 func TestBeginSetup_LimitReached_Rejected(t *testing.T) {
 	spec := baseSpec
 	spec.MaxConnections, spec.MaxSetups = 3, 2
-	h := New(spec, nil, 1, 0, false)
+	host := New(spec, nil, 1, 0, false)
 	for i, want := range []Admission{Admitted, Admitted, Rejected} {
-		if got := h.BeginSetup(0, fmt.Sprint(i), "", 1); got != want {
-			t.Errorf("set-up %d: verdict %d, want %d", i, got, want)
+		if got := host.BeginSetup(0, fmt.Sprint(i), "", 1); got != want {
+			t.Errorf("set-up %d: admission %d, want %d", i, got, want)
 		}
 	}
-	h.Advance(time.Second)
-	if h.BeginSetup(time.Second, "3", "", 1) != Admitted || h.BeginSetup(time.Second, "4", "", 1) != Rejected {
-		t.Error("the limit of connections does not hold")
+	host.Advance(time.Second)
+	if host.BeginSetup(time.Second, "3", "", 1) != Admitted || host.BeginSetup(time.Second, "4", "", 1) != Rejected {
+		t.Error("the limit of connections is not kept")
 	}
-	if h.BeginSetup(time.Second, "0", "", 1) != Rejected {
-		t.Error("an id that stands is taken twice")
+	if host.BeginSetup(time.Second, "0", "", 1) != Rejected {
+		t.Error("an ID in use is admitted again")
 	}
 }
 
-// Whatever comes in which order: the same seed gives the same events, nothing is up twice or after its end, time in
-// one step or in many is the same, and an emptied host asks for nothing.
+// Under random calls, the same seed gives the same events, their times never decrease, every set-up of a host that does
+// not collapse ends, and an empty host has no demand.
 func TestHost_RandomEvents_InvariantsHold(t *testing.T) {
-	type call struct {
-		at   time.Duration
-		kind int
-		id   string
-		x    float64
-	}
 	rapid.Check(t, func(t *rapid.T) {
-		spec := Spec{Cores: rapid.Float64Range(0.1, 4).Draw(t, "cores"), Speed: rapid.Float64Range(0.2, 3).Draw(t, "speed"),
-			ConnectionLoad: 0.05, SetupWork: rapid.Float64Range(0, 0.2).Draw(t, "setup"), LineWork: 0.001, LoadDrift: 0.5, GroupCost: 2,
-			SlowStartFraction: 0.3, SlowStartDuration: 5 * time.Second, CollapseMultiple: 4, CollapseAfter: time.Second, MaxConnections: 30}
-		var calls []call
-		at := time.Duration(0)
-		for range rapid.IntRange(1, 60).Draw(t, "calls") {
-			at += time.Duration(rapid.IntRange(0, 300_000_000).Draw(t, "wait"))
-			calls = append(calls, call{at, rapid.IntRange(0, 4).Draw(t, "kind"), fmt.Sprint(rapid.IntRange(0, 20).Draw(t, "id")),
-				rapid.Float64Range(0, 3).Draw(t, "x")})
-		}
-		play := func() (events []Event, h *Host) {
-			h = New(spec, &SessionStore{Latency: 5 * time.Millisecond, Rate: 50}, 7, 0, true)
-			for _, c := range calls {
-				events = append(events, h.Advance(c.at)...)
-				switch c.kind {
-				case 0, 1:
-					h.BeginSetup(c.at, c.id, fmt.Sprint("g", c.x > 1), c.x)
-				case 2:
-					h.Remove(c.id)
-				case 3:
-					h.SetSlowFactor(c.x * 3)
-				case 4:
-					h.SetStolenShare(c.x / 3)
-				}
-			}
-			return append(events, h.Advance(at+time.Hour)...), h
-		}
-		events, h := play()
-		again, _ := play()
-		if !reflect.DeepEqual(events, again) {
+		spec := drawSpec(t)
+		operations := drawOperations(t)
+		events, host := runOperations(spec, operations)
+		repeated, _ := runOperations(spec, operations)
+		if !reflect.DeepEqual(events, repeated) {
 			t.Fatal("the same seed gives other events")
 		}
 		var last time.Duration
-		for _, e := range events {
-			if e.At < last {
-				t.Fatalf("events go back from %v to %v", last, e.At)
+		for _, event := range events {
+			if event.At < last {
+				t.Fatalf("times of events decrease from %v to %v", last, event.At)
 			}
-			last = e.At
+			last = event.At
 		}
-		up, setups := h.Counts()
-		if !h.Collapsed() && setups > 0 {
+		established, setups := host.Counts()
+		if !host.Collapsed() && setups > 0 {
 			t.Fatalf("%d set-ups never end", setups)
 		}
 		for i := range 21 {
-			h.Remove(fmt.Sprint(i))
+			host.Remove(fmt.Sprint(i))
 		}
-		if d := h.Demand(); d > 1e-6 {
-			t.Fatalf("demand %g left of %d connections", d, up)
+		if demand := host.Demand(); demand > 1e-6 {
+			t.Fatalf("demand %g left of %d connections", demand, established)
 		}
 	})
 }
+
+func drawSpec(t *rapid.T) Spec {
+	return Spec{
+		Cores:             rapid.Float64Range(0.1, 4).Draw(t, "cores"),
+		Speed:             rapid.Float64Range(0.2, 3).Draw(t, "speed"),
+		ConnectionLoad:    0.05,
+		SetupWork:         rapid.Float64Range(0, 0.2).Draw(t, "setup"),
+		LineWork:          0.001,
+		LoadDrift:         0.5,
+		GroupCost:         2,
+		SlowStartFraction: 0.3,
+		SlowStartDuration: 5 * time.Second,
+		CollapseMultiple:  4,
+		CollapseAfter:     time.Second,
+		MaxConnections:    30,
+	}
+}
+
+// operation is one call to a host.
+type operation struct {
+	at    time.Duration
+	kind  int
+	id    string
+	value float64
+}
+
+func drawOperations(t *rapid.T) (operations []operation) {
+	at := time.Duration(0)
+	for range rapid.IntRange(1, 60).Draw(t, "calls") {
+		at += time.Duration(rapid.IntRange(0, 300_000_000).Draw(t, "wait"))
+		operations = append(operations, operation{
+			at:    at,
+			kind:  rapid.IntRange(0, 4).Draw(t, "kind"),
+			id:    fmt.Sprint(rapid.IntRange(0, 20).Draw(t, "id")),
+			value: rapid.Float64Range(0, 3).Draw(t, "x"),
+		})
+	}
+	return operations
+}
+
+// runOperations runs operations on a new host, and one hour more.
+func runOperations(spec Spec, operations []operation) (events []Event, host *Host) {
+	host = New(spec, &SessionStore{Latency: 5 * time.Millisecond, Rate: 50}, 7, 0, true)
+	end := time.Duration(0)
+	for _, o := range operations {
+		end = o.at
+		events = append(events, host.Advance(o.at)...)
+		switch o.kind {
+		case 0, 1:
+			host.BeginSetup(o.at, o.id, fmt.Sprint("g", o.value > 1), o.value)
+		case 2:
+			host.Remove(o.id)
+		case 3:
+			host.SetSlowFactor(o.value * 3)
+		case 4:
+			host.SetStolenShare(o.value / 3)
+		}
+	}
+	return append(events, host.Advance(end+time.Hour)...), host
+}
--- a/internal/fakeserver/discovery_test.go
+++ b/internal/fakeserver/discovery_test.go
@@ -12,91 +12,111 @@
 	"onyxstream/internal/wire"
 )
 
-func TestDiscovery_DelayFreezeRestart_WatchFollows(t *testing.T) {
-	env := newFixture(t)
-	m := func(id string, p wire.Phase) wire.Endpoint {
-		return wire.Endpoint{ID: id, Addr: "127.0.0.1:1", Phase: p, Size: 1}
+// discoveryCaller calls a discovery service; its calls end with the test.
+type discoveryCaller struct {
+	ctx    context.Context
+	client *http.Client
+	url    string
+}
+
+func newDiscoveryCaller(t *testing.T, discovery *Discovery) *discoveryCaller {
+	return &discoveryCaller{
+		ctx:    t.Context(),
+		client: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}},
+		url:    "http://" + discovery.Addr() + "/catalog/members",
 	}
-	d, err := NewDiscovery("", env.clock, env.events, 41, m("a", wire.Serving))
+}
+
+// call returns the body and the status of an answer, 0 where the connection was reset.
+func (c *discoveryCaller) call(query string) (body *bufio.Reader, status int) {
+	request, _ := http.NewRequestWithContext(c.ctx, http.MethodGet, c.url+query, nil)
+	response, err := c.client.Do(request)
 	if err != nil {
-		t.Fatal(err)
+		return bufio.NewReader(strings.NewReader("")), 0
 	}
-	defer d.Close()
-	ctx, cancel := context.WithCancel(t.Context())
-	defer cancel()
-	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
-	ask := func(query string) (*bufio.Reader, int) {
-		q, _ := http.NewRequestWithContext(ctx, "GET", "http://"+d.Addr()+"/catalog/members"+query, nil)
-		resp, err := client.Do(q)
+	return bufio.NewReader(response.Body), response.StatusCode
+}
+
+// nextList reads the next list or update, past heartbeats; ended where the connection has ended.
+func nextList(t *testing.T, body *bufio.Reader) (list wire.EndpointList, ended bool) {
+	t.Helper()
+	for {
+		line, err := body.ReadString('\n')
 		if err != nil {
-			return bufio.NewReader(strings.NewReader("")), 0
+			return list, true
+		}
+		line = strings.TrimSpace(line)
+		if line == "" {
+			continue
 		}
-		return bufio.NewReader(resp.Body), resp.StatusCode
-	}
-	next := func(b *bufio.Reader) (c wire.EndpointList, ended bool) {
-		for {
-			line, err := b.ReadString('\n')
-			if err != nil {
-				return c, true
-			}
-			if line = strings.TrimSpace(line); line != "" {
-				if err := json.Unmarshal([]byte(line), &c); err != nil {
-					t.Fatal(err)
-				}
-				return c, false
-			}
+		if err := json.Unmarshal([]byte(line), &list); err != nil {
+			t.Fatal(err)
 		}
+		return list, false
+	}
+}
+
+func TestDiscovery_DelayFreezeRestart_WatchFollows(t *testing.T) {
+	env := newFixture(t)
+	endpoint := func(id string, phase wire.Phase) wire.Endpoint {
+		return wire.Endpoint{ID: id, Addr: "127.0.0.1:1", Phase: phase, Size: 1}
+	}
+	discovery, err := NewDiscovery("", env.clock, env.events, 41, endpoint("a", wire.Serving))
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer discovery.Close()
+	caller := newDiscoveryCaller(t, discovery)
+	watch, _ := caller.call("?watch=1&after=41")
+	if list, _ := nextList(t, watch); list.Revision != 41 || list.Complete || len(list.Endpoints) != 0 {
+		t.Errorf("a watch without changes begins with %+v", list)
+	}
+	discovery.SetNotifyDelay(150 * time.Millisecond)
+	setAt := env.clock.Now()
+	discovery.Set(endpoint("a", wire.Draining))
+	discovery.SetNotifyDelay(0)
+	discovery.Set(endpoint("b", wire.Serving)) // is published after the change before it
+	list, _ := nextList(t, watch)
+	if now := env.clock.Now(); now < setAt+150*time.Millisecond {
+		t.Errorf("notified %v after the change, want at least 150 ms", now-setAt)
 	}
-	w, _ := ask("?watch=1&after=41")
-	if c, _ := next(w); c.Revision != 41 || c.Complete || len(c.Endpoints) != 0 {
-		t.Errorf("a watch on which nothing has changed begins with %+v", c)
-	}
-	d.SetNotifyDelay(150 * time.Millisecond)
-	set := env.clock.Now()
-	d.Set(m("a", wire.Draining))
-	d.SetNotifyDelay(0)
-	d.Set(m("b", wire.Serving)) // does not overtake
-	c, _ := next(w)
-	if now := env.clock.Now(); now < set+150*time.Millisecond {
-		t.Errorf("told %v after the change, want 150 ms at least", now-set)
-	}
-	for c.Revision < 43 {
-		if c.Complete || len(c.Endpoints) == 0 || c.Endpoints[0].Phase != wire.Draining {
-			t.Errorf("told %+v", c)
+	for list.Revision < 43 {
+		if list.Complete || len(list.Endpoints) == 0 || list.Endpoints[0].Phase != wire.Draining {
+			t.Errorf("update %+v", list)
 		}
-		c, _ = next(w)
+		list, _ = nextList(t, watch)
 	}
-	whole, _ := ask("")
-	if c, _ := next(whole); c.Revision != 43 || !c.Complete || len(c.Endpoints) != 2 {
-		t.Errorf("the list is %+v", c)
+	complete, _ := caller.call("")
+	if list, _ := nextList(t, complete); list.Revision != 43 || !list.Complete || len(list.Endpoints) != 2 {
+		t.Errorf("the list is %+v", list)
 	}
-	d.SetFrozen(true)
-	d.Set(m("b", wire.Removed))
-	frozen, _ := ask("")
-	if c, _ := next(frozen); c.Revision != 43 {
-		t.Errorf("a frozen list is at %d", c.Revision)
+	discovery.SetFrozen(true)
+	discovery.Set(endpoint("b", wire.Removed))
+	frozen, _ := caller.call("")
+	if list, _ := nextList(t, frozen); list.Revision != 43 {
+		t.Errorf("a frozen list has revision %d", list.Revision)
 	}
-	d.SetFrozen(false)
-	if c, _ := next(w); c.Revision != 44 || c.Endpoints[0].Phase != wire.Removed {
-		t.Errorf("told %+v", c)
+	discovery.SetFrozen(false)
+	if list, _ := nextList(t, watch); list.Revision != 44 || list.Endpoints[0].Phase != wire.Removed {
+		t.Errorf("update %+v", list)
 	}
-	d.Restart(7)
-	if _, ended := next(w); !ended {
+	discovery.Restart(7)
+	if _, ended := nextList(t, watch); !ended {
 		t.Error("a watch outlives the restart")
 	}
-	w, _ = ask("?watch=1&after=44") // of the old count: the whole list
-	if c, _ := next(w); c.Revision != 7 || !c.Complete || len(c.Endpoints) != 1 {
-		t.Errorf("after the restart %+v", c)
+	watch, _ = caller.call("?watch=1&after=44") // a revision before the restart: the complete list
+	if list, _ := nextList(t, watch); list.Revision != 7 || !list.Complete || len(list.Endpoints) != 1 {
+		t.Errorf("after the restart %+v", list)
 	}
-	d.SetMode(ModeUnavailable)
-	if _, ended := next(w); !ended {
+	discovery.SetMode(ModeUnavailable)
+	if _, ended := nextList(t, watch); !ended {
 		t.Error("a watch outlives the failure")
 	}
-	if _, status := ask(""); status != 503 {
-		t.Errorf("status %d while it is busy", status)
+	if _, status := caller.call(""); status != http.StatusServiceUnavailable {
+		t.Errorf("status %d while unavailable", status)
 	}
-	d.SetMode(ModeReset)
-	if _, status := ask(""); status != 0 {
-		t.Errorf("status %d while it resets", status)
+	discovery.SetMode(ModeReset)
+	if _, status := caller.call(""); status != 0 {
+		t.Errorf("status %d while calls are reset", status)
 	}
 }
--- a/internal/fakeserver/frontend_test.go
+++ b/internal/fakeserver/frontend_test.go
@@ -7,29 +7,38 @@
 
 func TestFrontendBalancer_NodeCrashes_EjectedAfterDelay(t *testing.T) {
 	env := newFixture(t)
-	a, b := env.host("a", nil), env.host("b", nil)
-	f := NewFrontendBalancer(env.events, 200*time.Millisecond, Node{"na", a.Addr(), "a"}, Node{"nb", b.Addr(), "b"})
-	defer f.Close()
-	if err := f.Ready(t.Context()); err != nil {
+	hostA, hostB := env.host("a", nil), env.host("b", nil)
+	const ejectAfter = 200 * time.Millisecond
+	balancer := NewFrontendBalancer(env.events, ejectAfter,
+		Node{Name: "na", Addr: hostA.Addr(), Zone: "a"},
+		Node{Name: "nb", Addr: hostB.Addr(), Zone: "b"})
+	defer balancer.Close()
+	if err := balancer.Ready(t.Context()); err != nil {
 		t.Fatal(err)
 	}
 	for range 5 {
-		if n, ok := f.Pick("b"); !ok || n.Name != "nb" {
-			t.Errorf("zone b is dealt to %v", n)
+		if node, ok := balancer.Pick("b"); !ok || node.Name != "nb" {
+			t.Errorf("picked %v for zone b", node)
 		}
 	}
-	died := env.clock.Now()
-	b.Crash()
-	eventually(t, "clients of b go to a", func() bool { n, _ := f.Pick("b"); return n.Name == "na" })
-	recs, _ := env.events.Events()
-	for _, x := range recs {
-		// The last check that went well may have been up to one check before the death.
-		if x.Kind == EventNodeUnhealthy && x.At < died+200*time.Millisecond-4*healthCheckInterval {
-			t.Errorf("noticed %v after the death", x.At-died)
+	crashedAt := env.clock.Now()
+	hostB.Crash()
+	picksForB := func(want string) func() bool {
+		return func() bool {
+			node, _ := balancer.Pick("b")
+			return node.Name == want
 		}
 	}
-	if err := b.Restart(); err != nil {
+	eventually(t, "clients of zone b go to na", picksForB("na"))
+	events, _ := env.events.Events()
+	for _, event := range events {
+		// The delay counts from the last passed check, before the crash.
+		if event.Kind == EventNodeUnhealthy && event.At < crashedAt+ejectAfter-4*healthCheckInterval {
+			t.Errorf("ejected %v after the crash", event.At-crashedAt)
+		}
+	}
+	if err := hostB.Restart(); err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "b is in again", func() bool { n, _ := f.Pick("b"); return n.Name == "nb" })
+	eventually(t, "nb is healthy again", picksForB("nb"))
 }
--- a/internal/fakeserver/helpers_test.go
+++ b/internal/fakeserver/helpers_test.go
@@ -15,8 +15,10 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
+// testTimeout bounds each connection and wait.
 const testTimeout = 20 * time.Second
 
+// fixture is the clock and the event log of a test.
 type fixture struct {
 	t      *testing.T
 	clock  *Clock
@@ -24,73 +26,88 @@
 }
 
 func newFixture(t *testing.T) *fixture {
-	c := NewClock()
-	return &fixture{t, c, NewEventLog(c)}
+	clock := NewClock()
+	return &fixture{t, clock, NewEventLog(clock)}
 }
 
+// host starts a host in zone a, after a change, and closes it after the test.
 func (env *fixture) host(id string, change func(*HostConfig)) *Host {
 	env.t.Helper()
-	cfg := HostConfig{ID: id, Zone: "a", Spec: capacity.Spec{Cores: 4, Speed: 1, ConnectionLoad: 0.01, SetupWork: 0.001}, Seed: 1}
+	config := HostConfig{
+		ID:   id,
+		Zone: "a",
+		Spec: capacity.Spec{Cores: 4, Speed: 1, ConnectionLoad: 0.01, SetupWork: 0.001},
+		Seed: 1,
+	}
 	if change != nil {
-		change(&cfg)
+		change(&config)
 	}
-	h, err := NewHost(cfg, env.clock, env.events)
+	host, err := NewHost(config, env.clock, env.events)
 	if err != nil {
 		env.t.Fatal(err)
 	}
-	env.t.Cleanup(h.Close)
-	return h
+	env.t.Cleanup(host.Close)
+	return host
 }
 
-func (env *fixture) count(what string) int {
-	return env.events.Count(func(x Event) bool { return x.Kind == what })
+// count returns the number of events of a kind.
+func (env *fixture) count(kind string) int {
+	return env.events.Count(func(event Event) bool { return event.Kind == kind })
 }
 
+// testClient is a client's connection.
 type testClient struct {
-	t *testing.T
-	c *net.TCPConn
-	r *bufio.Reader
+	t          *testing.T
+	connection *net.TCPConn
+	reader     *bufio.Reader
 }
 
+// dial connects and sends a line.
 func dial(t *testing.T, addr, line string) *testClient {
 	t.Helper()
-	c, err := net.Dial("tcp", addr)
+	connection, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = c.Close() })
-	_ = c.SetDeadline(time.Now().Add(testTimeout))
-	p := &testClient{t, c.(*net.TCPConn), bufio.NewReader(c)}
-	p.send(line)
-	return p
+	t.Cleanup(func() { _ = connection.Close() })
+	_ = connection.SetDeadline(time.Now().Add(testTimeout))
+	client := &testClient{t, connection.(*net.TCPConn), bufio.NewReader(connection)}
+	client.send(line)
+	return client
 }
 
-func (p *testClient) send(line string) {
-	p.t.Helper()
-	if _, err := io.WriteString(p.c, line+"\r\n"); err != nil {
-		p.t.Fatal(err)
+// send writes a line.
+func (c *testClient) send(line string) {
+	c.t.Helper()
+	if _, err := io.WriteString(c.connection, line+"\r\n"); err != nil {
+		c.t.Fatal(err)
 	}
 }
 
-func (p *testClient) expect(want string) string {
-	p.t.Helper()
-	line, err := p.r.ReadString('\n')
-	if err != nil || !strings.HasPrefix(line, want) {
-		p.t.Fatalf("heard %q, error %v; want %q", line, err, want)
+// expect reads a line, which must have a prefix, and returns it.
+func (c *testClient) expect(prefix string) string {
+	c.t.Helper()
+	line, err := c.reader.ReadString('\n')
+	if err != nil || !strings.HasPrefix(line, prefix) {
+		c.t.Fatalf("received %q, error %v; want %q", line, err, prefix)
 	}
 	return strings.TrimSpace(line)
 }
 
-func (p *testClient) expectEnd() {
-	p.t.Helper()
-	if rest, err := io.ReadAll(p.r); len(rest) > 0 || err != nil && strings.Contains(err.Error(), "timeout") {
-		p.t.Fatalf("ended with %q, error %v", rest, err)
+// expectEnd waits for the end of the connection, without any further byte.
+func (c *testClient) expectEnd() {
+	c.t.Helper()
+	rest, err := io.ReadAll(c.reader)
+	timedOut := err != nil && strings.Contains(err.Error(), "timeout")
+	if len(rest) > 0 || timedOut {
+		c.t.Fatalf("ended with %q, error %v", rest, err)
 	}
 }
 
-func eventually(t *testing.T, what string, f func() bool) {
+// eventually waits for a condition.
+func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for begin := time.Now(); !f(); time.Sleep(5 * time.Millisecond) {
+	for begin := time.Now(); !condition(); time.Sleep(5 * time.Millisecond) {
 		if time.Since(begin) > testTimeout {
 			t.Fatalf("never: %s", what)
 		}
--- a/internal/fakeserver/host_test.go
+++ b/internal/fakeserver/host_test.go
@@ -11,108 +11,127 @@
 
 func TestHost_OpeningWithDuration_EndsConnection(t *testing.T) {
 	env := newFixture(t)
-	h := env.host("h1", func(c *HostConfig) { c.ReportsLoad, c.AnswersStats = true, true })
-	p := dial(t, h.Addr(), "OPEN a key c=chat,t=acme,d=2000,life=50")
-	if up := p.expect("UP "); up != "UP h1-1" {
-		t.Errorf("receipt %q", up)
+	host := env.host("h1", func(config *HostConfig) {
+		config.ReportsLoad = true
+		config.AnswersStats = true
+	})
+	client := dial(t, host.Addr(), "OPEN a key c=chat,t=acme,d=2000,life=50")
+	if receipt := client.expect("UP "); receipt != "UP h1-1" {
+		t.Errorf("receipt %q", receipt)
 	}
-	p.expect("LOAD ")
-	p.expect("BYE")
-	p.expectEnd()
-	for line, want := range map[string]string{"PING": "PONG", "STATS": "PONG x0=", "HELLO": "SYNTAX", "OPEN x": "SYNTAX"} {
-		dial(t, h.Addr(), line).expect(want)
+	client.expect("LOAD ")
+	client.expect("BYE")
+	client.expectEnd()
+	for line, want := range map[string]string{
+		"PING":   "PONG",
+		"STATS":  "PONG x0=",
+		"HELLO":  "SYNTAX",
+		"OPEN x": "SYNTAX",
+	} {
+		dial(t, host.Addr(), line).expect(want)
 	}
-	if env.count(EventOpened) != 1 || env.count(EventEstablished) != 1 || env.count(EventEnded) != 1 || env.count(EventHealthCheck) != 2 {
-		recs, _ := env.events.Events()
-		t.Errorf("ledger %v", recs)
+	for kind, want := range map[string]int{
+		EventOpened:      1,
+		EventEstablished: 1,
+		EventEnded:       1,
+		EventHealthCheck: 2,
+	} {
+		if got := env.count(kind); got != want {
+			events, _ := env.events.Events()
+			t.Errorf("%d events %q, want %d, in %v", got, kind, want, events)
+		}
 	}
 }
 
 func TestHostDrain_EstablishedConnections_MigratedGradually(t *testing.T) {
 	env := newFixture(t)
-	h := env.host("h1", nil)
-	var on []*testClient
+	host := env.host("h1", nil)
+	var established []*testClient
 	for i := range 8 {
-		p := dial(t, h.Addr(), fmt.Sprintf("OPEN %d key c=chat,t=acme,d=2000", i))
-		p.expect("UP ")
-		on = append(on, p)
+		client := dial(t, host.Addr(), fmt.Sprintf("OPEN %d key c=chat,t=acme,d=2000", i))
+		client.expect("UP ")
+		established = append(established, client)
 	}
-	h.Drain(80 * time.Millisecond)
-	dial(t, h.Addr(), "OPEN late key c=chat,t=acme,d=2000").expect("BUSY")
-	for _, p := range on {
-		p.expect("MOVE")
-		p.expectEnd()
+	host.Drain(80 * time.Millisecond)
+	dial(t, host.Addr(), "OPEN late key c=chat,t=acme,d=2000").expect("BUSY")
+	for _, client := range established {
+		client.expect("MOVE")
+		client.expectEnd()
 	}
 	if n := env.count(EventMigrated); n != 8 {
-		t.Errorf("%d moved", n)
+		t.Errorf("%d migrated", n)
 	}
-	h.CancelDrain()
-	p := dial(t, h.Addr(), "OPEN again key c=chat,t=acme,d=2000")
-	p.expect("UP ")
-	h.Drain(-1)
-	p.send("M 1")
-	p.expect("M 1")
+	host.CancelDrain()
+	client := dial(t, host.Addr(), "OPEN again key c=chat,t=acme,d=2000")
+	client.expect("UP ")
+	host.Drain(-1)
+	client.send("M 1")
+	client.expect("M 1")
 }
 
 func TestHostHang_Resumed_AnswersPending(t *testing.T) {
 	env := newFixture(t)
-	h := env.host("h1", nil)
-	on := dial(t, h.Addr(), "OPEN a key c=chat,t=acme,d=2000,life=20")
-	on.expect("UP ")
-	h.Hang()
-	p := dial(t, h.Addr(), "OPEN b key c=chat,t=acme,d=2000")
+	host := env.host("h1", nil)
+	established := dial(t, host.Addr(), "OPEN a key c=chat,t=acme,d=2000,life=20")
+	established.expect("UP ")
+	host.Hang()
+	pending := dial(t, host.Addr(), "OPEN b key c=chat,t=acme,d=2000")
 	time.Sleep(100 * time.Millisecond)
 	if env.count(EventEnded) != 0 || env.count(EventOpened) != 1 {
-		t.Error("a host that hangs reads or ends connections")
+		t.Error("a hanging host reads or ends connections")
 	}
-	h.Resume()
-	p.expect("UP ")
-	on.expect("BYE")
+	host.Resume()
+	pending.expect("UP ")
+	established.expect("BYE")
 }
 
 func TestHostCrash_Restarted_EmptyAndCold(t *testing.T) {
 	env := newFixture(t)
-	h := env.host("h1", func(c *HostConfig) { c.Spec.SlowStartFraction, c.Spec.SlowStartDuration = 0.3, time.Hour })
-	warm := h.State().Capacity
-	was := h.Endpoint(wire.Serving)
-	p := dial(t, h.Addr(), "OPEN a key c=chat,t=acme,d=2000")
-	p.expect("UP ")
-	h.Crash()
-	p.expectEnd()
-	if c, err := net.Dial("tcp", h.Addr()); err == nil {
-		_ = c.Close()
-		t.Error("a dead host accepts")
+	host := env.host("h1", func(config *HostConfig) {
+		config.Spec.SlowStartFraction = 0.3
+		config.Spec.SlowStartDuration = time.Hour
+	})
+	warmCapacity := host.State().Capacity
+	before := host.Endpoint(wire.Serving)
+	client := dial(t, host.Addr(), "OPEN a key c=chat,t=acme,d=2000")
+	client.expect("UP ")
+	host.Crash()
+	client.expectEnd()
+	if connection, err := net.Dial("tcp", host.Addr()); err == nil {
+		_ = connection.Close()
+		t.Error("a crashed host accepts connections")
 	}
-	if err := h.Restart(); err != nil {
+	if err := host.Restart(); err != nil {
 		t.Fatal(err)
 	}
-	s := h.State()
-	if s.Established != 0 || s.Crashed || s.Capacity > 0.31*warm {
-		t.Errorf("came back as %+v, warm it can do %g", s, warm)
+	state := host.State()
+	if state.Established != 0 || state.Crashed || state.Capacity > 0.31*warmCapacity {
+		t.Errorf("state %+v after the restart, warm capacity %g", state, warmCapacity)
 	}
-	if m := h.Endpoint(wire.Serving); was.StartedAtMS != 0 || m.StartedAtMS == 0 || m.Addr != was.Addr {
-		t.Errorf("before %+v, now %+v", was, m)
+	after := host.Endpoint(wire.Serving)
+	if before.StartedAtMS != 0 || after.StartedAtMS == 0 || after.Addr != before.Addr {
+		t.Errorf("endpoint %+v before, %+v after", before, after)
 	}
-	dial(t, h.Addr(), "OPEN a key c=chat,t=acme,d=2000").expect("UP ")
+	dial(t, host.Addr(), "OPEN a key c=chat,t=acme,d=2000").expect("UP ")
 }
 
-// A connection whose node broke it goes on where it is held, under its receipt, and is reset elsewhere.
+// A connection that its node reset is resumed with its receipt, and reset where no session waits to be resumed.
 func TestHost_MidFlowReconnect_ResumesSession(t *testing.T) {
 	env := newFixture(t)
-	h := env.host("h1", func(c *HostConfig) { c.ResumeTimeout = time.Hour })
-	p := dial(t, h.Addr(), "OPEN a key c=chat,t=acme,d=2000")
-	receipt := p.expect("UP ")
-	_ = p.c.SetLinger(0)
-	_ = p.c.Close()
-	eventually(t, "the host sees the break", func() bool { return h.State().Connections == 0 })
-	back := dial(t, h.Addr(), "OPEN a key c=chat,t=acme,d=2000,mid=1")
-	if got := back.expect("UP "); got != receipt {
-		t.Errorf("taken up under %q, was %q", got, receipt)
+	host := env.host("h1", func(config *HostConfig) { config.ResumeTimeout = time.Hour })
+	client := dial(t, host.Addr(), "OPEN a key c=chat,t=acme,d=2000")
+	receipt := client.expect("UP ")
+	_ = client.connection.SetLinger(0)
+	_ = client.connection.Close()
+	eventually(t, "the host sees the reset", func() bool { return host.State().Connections == 0 })
+	resumed := dial(t, host.Addr(), "OPEN a key c=chat,t=acme,d=2000,mid=1")
+	if got := resumed.expect("UP "); got != receipt {
+		t.Errorf("resumed with %q, was %q", got, receipt)
 	}
-	back.send("M 1")
-	back.expect("M 1")
-	dial(t, h.Addr(), "OPEN a key c=chat,t=acme,d=2000,mid=1").expectEnd() // held by another connection now
-	dial(t, h.Addr(), "OPEN other key c=chat,t=acme,d=2000,mid=1").expectEnd()
-	dial(t, h.Addr(), "OPEN stood key c=chat,t=acme,d=2000,at=h1").expect("UP ")
-	dial(t, h.Addr(), "OPEN stood2 key c=chat,t=acme,d=2000,at=h2").expect("ERR")
+	resumed.send("M 1")
+	resumed.expect("M 1")
+	dial(t, host.Addr(), "OPEN a key c=chat,t=acme,d=2000,mid=1").expectEnd() // has a connection already
+	dial(t, host.Addr(), "OPEN other key c=chat,t=acme,d=2000,mid=1").expectEnd()
+	dial(t, host.Addr(), "OPEN stood key c=chat,t=acme,d=2000,at=h1").expect("UP ")
+	dial(t, host.Addr(), "OPEN stood2 key c=chat,t=acme,d=2000,at=h2").expect("ERR")
 }
--- a/internal/testcluster/bench_test.go
+++ b/internal/testcluster/bench_test.go
@@ -13,8 +13,8 @@
 	"time"
 )
 
-// BenchmarkRelay measures lines there and back through one node and directly at the same host, in turns, with 16
-// connections that each keep 64 lines on the way: the ratio counts, the figures are the machine's.
+// BenchmarkRelay measures echoed lines through one node and directly at the same host, in turns, over 16 connections with
+// 64 lines in flight each. The ratio is comparable between machines, the rates are not.
 //
 //	go test -run '^$' -bench Relay ./internal/testcluster
 func BenchmarkRelay(b *testing.B) {
@@ -22,21 +22,22 @@
 	if out, err := exec.Command("go", "build", "-o", program, "onyxstream/cmd/onyxstream").CombinedOutput(); err != nil {
 		b.Fatalf("%v: %s", err, out)
 	}
-	f := Config{Nodes: 1, Hosts: 1, Host: HostConfig{Cores: 64}}
-	classes, tenants := []ClassConfig{{Name: "chat", Deadline: 3 * time.Second}}, []string{"acme"}
-	if err := f.Check(classes, tenants); err != nil {
+	config := Config{Nodes: 1, Hosts: 1, Host: HostConfig{Cores: 64}}
+	classes := []ClassConfig{{Name: "chat", Deadline: 3 * time.Second}}
+	tenants := []string{"acme"}
+	if err := config.Check(classes, tenants); err != nil {
 		b.Fatal(err)
 	}
-	r, err := Start(b.Context(), f, Options{Program: program, Classes: classes, Tenants: tenants})
+	cluster, err := Start(b.Context(), config, Options{Program: program, Classes: classes, Tenants: tenants})
 	if err != nil {
 		b.Fatal(err)
 	}
-	defer r.Close()
+	defer cluster.Close()
 	const rounds = 5
 	var rates [2][]float64
 	for range rounds {
 		for path, direct := range []bool{true, false} {
-			addr, err := r.ClientAddress("", direct)
+			addr, err := cluster.ClientAddress("", direct)
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -52,31 +53,31 @@
 	b.ReportMetric(node/direct, "ratio")
 }
 
-// echo sends n lines over 16 connections and reads them back; it returns lines a second.
-func echo(b *testing.B, addr string, n int) float64 {
-	const conns, onTheWay = 16, 64
+// echo sends lines over 16 connections and reads them back; it returns the lines per second.
+func echo(b *testing.B, addr string, lines int) float64 {
+	const connections, linesInFlight = 16, 64
 	line := strings.Repeat("x", 62) + "\r\n"
-	done := make(chan error, conns)
-	begin := time.Now()
-	for i := range conns {
+	done := make(chan error, connections)
+	start := time.Now()
+	for i := range connections {
 		go func() {
-			c, err := net.Dial("tcp", addr)
+			connection, err := net.Dial("tcp", addr)
 			if err != nil {
 				done <- err
 				return
 			}
-			defer c.Close()
-			in := bufio.NewReaderSize(c, 8<<10)
-			fmt.Fprintf(c, "OPEN b%d-%d key%d c=chat,t=acme,d=3000\r\n", begin.UnixNano(), i, i)
-			if up, err := in.ReadString('\n'); err != nil || !strings.HasPrefix(up, "UP ") {
+			defer connection.Close()
+			reader := bufio.NewReaderSize(connection, 8<<10)
+			fmt.Fprintf(connection, "OPEN b%d-%d key%d c=chat,t=acme,d=3000\r\n", start.UnixNano(), i, i)
+			if up, err := reader.ReadString('\n'); err != nil || !strings.HasPrefix(up, "UP ") {
 				done <- fmt.Errorf("answered %q, error %v", up, err)
 				return
 			}
-			block := []byte(strings.Repeat(line, onTheWay))
-			buf := make([]byte, len(block))
-			for sent := 0; sent < n/conns; sent += onTheWay {
-				if _, err = c.Write(block); err == nil {
-					_, err = io.ReadFull(in, buf)
+			block := []byte(strings.Repeat(line, linesInFlight))
+			buffer := make([]byte, len(block))
+			for sent := 0; sent < lines/connections; sent += linesInFlight {
+				if _, err = connection.Write(block); err == nil {
+					_, err = io.ReadFull(reader, buffer)
 				}
 				if err != nil {
 					break
@@ -85,10 +86,10 @@
 			done <- err
 		}()
 	}
-	for range conns {
+	for range connections {
 		if err := <-done; err != nil {
 			b.Fatal(err)
 		}
 	}
-	return float64(n) / time.Since(begin).Seconds()
+	return float64(lines) / time.Since(start).Seconds()
 }
--- /dev/null
+++ b/internal/testcluster/coldstart_discovery_test.go
@@ -0,0 +1,182 @@
+package testcluster
+
+import (
+	"strings"
+	"testing"
+	"time"
+
+	"onyxstream/internal/fakeserver"
+	"onyxstream/internal/tomlfile"
+	"onyxstream/internal/wire"
+)
+
+const startNodeCount = 12
+
+// Half of the nodes can't reach discovery, by each fault of a link. They get the list from their peers.
+func TestColdStart_HalfCutOffFromDiscovery_AllServed(t *testing.T) {
+	for _, kind := range []string{faultRefuse, faultBlackhole, faultDeaf, faultMute, faultStall} {
+		t.Run(kind, func(t *testing.T) {
+			t.Parallel()
+			cluster := prepare(t, startConfig(startNodeCount, nil))
+			startFault(t, cluster, FaultSpec{Kind: kind, Target: "link-n1..n6"})
+			launch(t, cluster)
+			expectAllServed(t, cluster, startNodeCount, 2)
+			if n, callers := discoveryCalls(cluster); n > startNodeCount || len(callers) > startNodeCount {
+				t.Errorf("%d calls by %v", n, callers)
+			}
+		})
+	}
+}
+
+// Discovery rejects all calls, with a Retry-After that is absent, long, a date or invalid. Nodes make few calls meanwhile,
+// and all get the list soon after it recovers.
+func TestColdStart_DiscoveryRejectsWithRetryAfter_CallsStayFew(t *testing.T) {
+	for name, retryAfter := range map[string]string{
+		"none":        "",
+		"at once":     "0",
+		"an hour":     "3600",
+		"nonsense":    "soon, -7",
+		"a date":      "Tue, 01 Dec 2026 10:00:00 GMT",
+		"without end": strings.Repeat("9", 40),
+	} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			cluster := prepare(t, startConfig(startNodeCount, func(config *Config) {
+				config.Discovery.RetryAfter = retryAfter
+				config.Discovery.PollInterval = tomlfile.Duration(2 * time.Second) // the backoff is at most four times that
+			}))
+			cluster.Discovery.SetMode(fakeserver.ModeUnavailable)
+			launch(t, cluster)
+			recoverDiscoveryAfter(cluster, 3*time.Second)
+			expectAllServed(t, cluster, startNodeCount, 1)
+			if n, _ := discoveryCalls(cluster); n > 4*startNodeCount {
+				t.Errorf("%d calls of %d nodes while discovery rejected them", n, startNodeCount)
+			}
+		})
+	}
+}
+
+// While discovery is down a third of the nodes is killed and the others stall. When all resume at once, all are served,
+// and their calls are spread.
+func TestColdStart_NodesKilledAndStalled_CallsSpread(t *testing.T) {
+	t.Parallel()
+	cluster := prepare(t, startConfig(startNodeCount, nil))
+	cluster.Discovery.SetMode(fakeserver.ModeReset)
+	launch(t, cluster)
+	time.Sleep(500 * time.Millisecond)
+	restart := startFault(t, cluster, FaultSpec{Kind: faultKill, Target: "n1..n4"})
+	resume := startFault(t, cluster, FaultSpec{Kind: faultStall, Target: "n5..n12"})
+	time.Sleep(5 * time.Second)
+	cluster.Discovery.SetMode(fakeserver.ModeNormal)
+	start := cluster.Clock.Now()
+	resume()
+	restart()
+	expectAllServed(t, cluster, startNodeCount, 2)
+	events, _ := cluster.EventLog.Events()
+	calls := EventTimes(events, discoverySource, fakeserver.EventRequested)
+	if early := CountBetween(calls, start, start+100*time.Millisecond); early > startNodeCount/2 {
+		t.Errorf("%d calls of %d nodes in the first 100 ms after they resume", early, startNodeCount)
+	}
+}
+
+// Discovery is restored with an older list that is shorter or empty. Nodes follow it, whatever their peers gossip: hosts
+// that it does not list get no clients. When the complete list is back, all clients are served.
+func TestColdStart_DiscoveryRestoredWithOlderList_Followed(t *testing.T) {
+	for name, listed := range map[string]int{"shorter": 2, "empty": 0} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			cluster := prepare(t, startConfig(6, func(config *Config) {
+				config.Discovery.PollInterval = tomlfile.Duration(2 * time.Second)
+			}))
+			var all []wire.Endpoint
+			for _, host := range cluster.Hosts() {
+				all = append(all, cluster.HostEndpoint(host, wire.Serving))
+			}
+			cluster.Discovery.Set(all...) // revision 2
+			launch(t, cluster)
+			expectAllServed(t, cluster, 6, 2)
+			cluster.Discovery.Restore(1, all[:listed]...)
+			isListed := map[string]bool{}
+			for _, endpoint := range all[:listed] {
+				isListed[endpoint.ID] = true
+			}
+			// Nodes that got the list from peers poll discovery once nobody confirms it.
+			time.Sleep(8 * time.Second)
+			from := cluster.Clock.Now()
+			if listed > 0 {
+				expectAllServed(t, cluster, 6, 2)
+				for id := range setupsByHost(cluster, from) {
+					if !isListed[id] {
+						t.Errorf("%s was sent clients, discovery lists %v", id, isListed)
+					}
+				}
+			} else {
+				for _, probe := range probeAllNodes(t.Context(), cluster, 6, 2, 0, 2*time.Second) {
+					rejectedFast := probe.WithoutRetryAfter == 0 && probe.Failed == 0 && probe.MaxLatency <= 500*time.Millisecond
+					if probe.ServedAt > 0 || !rejectedFast {
+						t.Errorf("with no host: %+v", probe)
+					}
+				}
+				if got := setupsByHost(cluster, from); len(got) > 0 {
+					t.Errorf("hosts that are not listed were sent %v", got)
+				}
+			}
+			cluster.Discovery.Restore(3, all...)
+			expectAllServed(t, cluster, 6, 1)
+		})
+	}
+}
+
+// A reload sets another discovery service soon after the start. Nodes follow its list and no longer gossip the old one,
+// and their calls to it are spread.
+func TestColdStart_DiscoveryAddressChanges_CallsSpread(t *testing.T) {
+	t.Parallel()
+	const nodes = 40
+	cluster := prepare(t, startConfig(nodes, func(config *Config) { config.Discovery.NodeLinks = false }))
+	onlyHost := cluster.Hosts()[0]
+	eventLog := fakeserver.NewEventLog(cluster.Clock)
+	next, err := fakeserver.NewDiscovery("", cluster.Clock, eventLog, 1, cluster.HostEndpoint(onlyHost, wire.Serving))
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(next.Close)
+	launch(t, cluster)
+	expectAllServed(t, cluster, nodes, 1)
+	start := cluster.Clock.Now()
+	for i := range nodes {
+		if err := cluster.SwitchDiscovery(i, next.Addr()); err != nil {
+			t.Fatal(err)
+		}
+	}
+	waitUntil(t, "all nodes follow the new list", func() bool {
+		from := cluster.Clock.Now()
+		expectAllServed(t, cluster, nodes, 1)
+		got := setupsByHost(cluster, from)
+		return len(got) == 1 && got[onlyHost.ID()] > 0
+	})
+	events, _ := eventLog.Events()
+	var listCalls []time.Duration // one a node: each gets the complete list and then opens its watch
+	for _, event := range events {
+		isListCall := event.Kind == fakeserver.EventRequested && !strings.Contains(event.Detail, "watch")
+		if isListCall && event.At >= start {
+			listCalls = append(listCalls, event.At)
+		}
+	}
+	if burst := MaxInWindow(listCalls, 200*time.Millisecond); len(listCalls) == 0 || burst > nodes/3 {
+		t.Errorf("%d of %d nodes call the new service within 200 ms; %d calls in all", burst, nodes, len(listCalls))
+	}
+}
+
+// Two hundred clients connect to a node that has no list. Each is rejected with a Retry-After, and served once it has one.
+func TestColdStart_ManyClientsNoList_RejectedThenServed(t *testing.T) {
+	t.Parallel()
+	cluster := prepare(t, startConfig(3, func(config *Config) { config.ColdStart.Peers = 2 }))
+	cluster.Discovery.SetMode(fakeserver.ModeReset)
+	launch(t, cluster)
+	recoverDiscoveryAfter(cluster, 2*time.Second)
+	for _, probe := range cluster.ProbeAdmission(t.Context(), 1, 200, time.Second, time.Second, 40*time.Second) {
+		if probe.ServedAt == 0 || probe.WithoutRetryAfter > 0 || probe.Failed > 0 {
+			t.Errorf("%+v", probe)
+		}
+	}
+}
