--- a/internal/fakeserver/capacity/advance.go
+++ b/internal/fakeserver/capacity/advance.go
@@ -88,7 +88,7 @@
 	if len(active) == 0 {
 		return nil, 0
 	}
-	free := max(h.Capacity()-h.Demand(), minSetupShare*h.Capacity())
+	free := max(h.Capacity()-h.Demand(), minSetupFraction*h.Capacity())
 	return active, min(free/float64(len(active)), h.coreSpeed())
 }
 
--- a/internal/fakeserver/capacity/capacity_test.go
+++ b/internal/fakeserver/capacity/capacity_test.go
@@ -13,7 +13,15 @@
 // A fixed seed makes the tests deterministic; -rapid.seed sets another one.
 func init() { _ = flag.Set("rapid.seed", "1") }
 
-var baseSpec = Spec{Cores: 2, Speed: 1, ConnectionLoad: 0.1, SetupWork: 0.1, LineWork: 0.001, LoadDrift: 0.5, GroupCost: 2}
+var baseSpec = Spec{
+	Cores:          2,
+	Speed:          1,
+	ConnectionLoad: 0.1,
+	SetupWork:      0.1,
+	LineWork:       0.001,
+	LoadDrift:      0.5,
+	GroupCost:      2,
+}
 
 func establishedIDs(events []Event) (ids []string) {
 	for _, e := range events {
@@ -69,13 +77,13 @@
 func TestHost_FaultsEnd_CapacityRestored(t *testing.T) {
 	host := New(baseSpec, nil, 1, 0, false)
 	host.SetSlowFactor(4)
-	host.SetStolenShare(0.5)
+	host.SetStolenFraction(0.5)
 	if got := host.Capacity(); got != 0.25 {
 		t.Errorf("capacity %g, want an eighth of 2", got)
 	}
 	before := host.LineLatency()
 	host.SetSlowFactor(1)
-	host.SetStolenShare(0)
+	host.SetStolenFraction(0)
 	if host.Capacity() != 2 || before < 7*host.LineLatency() {
 		t.Errorf("capacity %g, line latency %v before and %v now", host.Capacity(), before, host.LineLatency())
 	}
@@ -242,7 +250,7 @@
 		case 3:
 			host.SetSlowFactor(o.value * 3)
 		case 4:
-			host.SetStolenShare(o.value / 3)
+			host.SetStolenFraction(o.value / 3)
 		}
 	}
 	return append(events, host.Advance(end+time.Hour)...), host
--- a/internal/fakeserver/capacity/host.go
+++ b/internal/fakeserver/capacity/host.go
@@ -43,10 +43,10 @@
 	rng   *rand.Rand
 	now   time.Duration
 
-	startedAt   time.Duration // last start
-	startedCold bool          // last start
-	slowFactor  float64       // multiplies all work; 1 for none
-	stolenShare float64       // fraction of the cores that another program uses
+	startedAt      time.Duration // last start
+	startedCold    bool          // last start
+	slowFactor     float64       // multiplies all work; 1 for none
+	stolenFraction float64       // fraction of the cores that another program uses
 
 	connections     map[string]*connection
 	order           []*connection // all connections, in an order that depends on the events alone
@@ -62,11 +62,11 @@
 }
 
 const (
-	driftInterval  = time.Second
-	driftOneIn     = 4    // one connection in this many changes its load at a drift
-	minSetupShare  = 0.05 // fraction of the capacity that set-ups get at any demand: schedulers are fair
-	negligibleWork = 1e-9 // work that counts as none
-	rngStream      = 0x686f7374
+	driftInterval    = time.Second
+	driftOneIn       = 4    // one connection in this many changes its load at a drift
+	minSetupFraction = 0.05 // fraction of the capacity that set-ups get at any demand: schedulers are fair
+	negligibleWork   = 1e-9 // work that counts as none
+	rngStream        = 0x686f7374
 )
 
 // New returns a host that starts at now, with a slow start if cold is set and the spec has one. Hosts with the same
--- a/internal/fakeserver/capacity/load.go
+++ b/internal/fakeserver/capacity/load.go
@@ -6,10 +6,10 @@
 )
 
 const (
-	minSlowFactor  = 0.01
-	maxStolenShare = 0.99
-	// minIdleShare bounds the queueing delay of a line: at most 1/minIdleShare times its work.
-	minIdleShare = 0.02
+	minSlowFactor     = 0.01
+	maxStolenFraction = 0.99
+	// minIdleFraction bounds the queueing delay of a line: at most 1/minIdleFraction times its work.
+	minIdleFraction = 0.02
 	// setupWorkDecay is the time constant of the average that measures the overload of a cold host.
 	setupWorkDecay = 250 * time.Millisecond
 	maxSeconds     = 1e9
@@ -18,16 +18,18 @@
 // SetSlowFactor multiplies the duration of all work by factor; 1 restores normal speed.
 func (h *Host) SetSlowFactor(factor float64) { h.slowFactor = max(factor, minSlowFactor) }
 
-// SetStolenShare gives a fraction of the cores to another program; 0 ends that.
-func (h *Host) SetStolenShare(share float64) { h.stolenShare = min(max(share, 0), maxStolenShare) }
+// SetStolenFraction gives a fraction of the cores to another program; 0 ends that.
+func (h *Host) SetStolenFraction(fraction float64) {
+	h.stolenFraction = min(max(fraction, 0), maxStolenFraction)
+}
 
 // Capacity returns the current capacity in cores of speed 1.
 func (h *Host) Capacity() float64 {
-	return h.spec.Cores * h.spec.Speed * (1 - h.stolenShare) / h.slowFactor * h.slowStartFactor()
+	return h.spec.Cores * h.spec.Speed * (1 - h.stolenFraction) / h.slowFactor * h.slowStartFactor()
 }
 
 // coreSpeed returns the current speed of one core.
-func (h *Host) coreSpeed() float64 { return h.spec.Speed * (1 - h.stolenShare) / h.slowFactor }
+func (h *Host) coreSpeed() float64 { return h.spec.Speed * (1 - h.stolenFraction) / h.slowFactor }
 
 // slowStartFactor returns the fraction of the capacity that slow start allows now.
 func (h *Host) slowStartFactor() float64 {
@@ -50,8 +52,8 @@
 // LineLatency returns the current time to answer a line: its work, and the queueing delay of an M/M/1 queue at this
 // utilization, at most fifty times the work.
 func (h *Host) LineLatency() time.Duration {
-	work := h.spec.LineWork / h.spec.Speed * h.slowFactor / (1 - h.stolenShare)
-	return seconds(work / max(1-h.Utilization(), minIdleShare))
+	work := h.spec.LineWork / h.spec.Speed * h.slowFactor / (1 - h.stolenFraction)
+	return seconds(work / max(1-h.Utilization(), minIdleFraction))
 }
 
 // addSetupWork counts the work of a requested set-up, rejected ones included: rejecting costs work too.
--- a/internal/fakeserver/discovery_test.go
+++ b/internal/fakeserver/discovery_test.go
@@ -56,6 +56,15 @@
 	}
 }
 
+// expectList reads the next list or update, and checks its revision, completeness and number of endpoints.
+func expectList(t *testing.T, body *bufio.Reader, revision int64, complete bool, endpoints int) {
+	t.Helper()
+	list, _ := nextList(t, body)
+	if list.Revision != revision || list.Complete != complete || len(list.Endpoints) != endpoints {
+		t.Errorf("list %+v, want revision %d, complete %v, %d endpoints", list, revision, complete, endpoints)
+	}
+}
+
 func TestDiscovery_DelayFreezeRestart_WatchFollows(t *testing.T) {
 	env := newFixture(t)
 	endpoint := func(id string, phase wire.Phase) wire.Endpoint {
@@ -68,9 +77,7 @@
 	defer discovery.Close()
 	caller := newDiscoveryCaller(t, discovery)
 	watch, _ := caller.call("?watch=1&after=41")
-	if list, _ := nextList(t, watch); list.Revision != 41 || list.Complete || len(list.Endpoints) != 0 {
-		t.Errorf("a watch without changes begins with %+v", list)
-	}
+	expectList(t, watch, 41, false, 0) // no changes yet
 	discovery.SetNotifyDelay(150 * time.Millisecond)
 	setAt := env.clock.Now()
 	discovery.Set(endpoint("a", wire.Draining))
@@ -87,9 +94,7 @@
 		list, _ = nextList(t, watch)
 	}
 	complete, _ := caller.call("")
-	if list, _ := nextList(t, complete); list.Revision != 43 || !list.Complete || len(list.Endpoints) != 2 {
-		t.Errorf("the list is %+v", list)
-	}
+	expectList(t, complete, 43, true, 2)
 	discovery.SetFrozen(true)
 	discovery.Set(endpoint("b", wire.Removed))
 	frozen, _ := caller.call("")
@@ -105,9 +110,7 @@
 		t.Error("a watch outlives the restart")
 	}
 	watch, _ = caller.call("?watch=1&after=44") // a revision before the restart: the complete list
-	if list, _ := nextList(t, watch); list.Revision != 7 || !list.Complete || len(list.Endpoints) != 1 {
-		t.Errorf("after the restart %+v", list)
-	}
+	expectList(t, watch, 7, true, 1)
 	discovery.SetMode(ModeUnavailable)
 	if _, ended := nextList(t, watch); !ended {
 		t.Error("a watch outlives the failure")
--- a/internal/fakeserver/host_faults.go
+++ b/internal/fakeserver/host_faults.go
@@ -41,11 +41,11 @@
 	})
 }
 
-// SetStolenShare gives a fraction of the cores to another program; 0 ends that.
-func (h *Host) SetStolenShare(share float64) {
+// SetStolenFraction gives a fraction of the cores to another program; 0 ends that.
+func (h *Host) SetStolenFraction(fraction float64) {
 	h.runInLoop(func() {
-		h.model.SetStolenShare(share)
-		h.recordFault(fmt.Sprintf("%g of its cores stolen", share))
+		h.model.SetStolenFraction(fraction)
+		h.recordFault(fmt.Sprintf("%g of its cores stolen", fraction))
 	})
 }
 
--- a/internal/testcluster/coldstart_discovery_test.go
+++ b/internal/testcluster/coldstart_discovery_test.go
@@ -14,7 +14,7 @@
 
 // Half of the nodes can't reach discovery, by each fault of a link. They get the list from their peers.
 func TestColdStart_HalfCutOffFromDiscovery_AllServed(t *testing.T) {
-	for _, kind := range []string{faultRefuse, faultBlackhole, faultDeaf, faultMute, faultStall} {
+	for _, kind := range []string{faultRejectConnections, faultBlackhole, faultDeaf, faultMute, faultStall} {
 		t.Run(kind, func(t *testing.T) {
 			t.Parallel()
 			cluster := prepare(t, startConfig(startNodeCount, nil))
@@ -28,8 +28,8 @@
 	}
 }
 
-// Discovery rejects all calls, with a Retry-After that is absent, long, a date or invalid. Nodes make few calls meanwhile,
-// and all get the list soon after it recovers.
+// Discovery rejects all calls, with a Retry-After that is absent, long, a date or invalid. Nodes make few calls
+// meanwhile, and all get the list soon after it recovers.
 func TestColdStart_DiscoveryRejectsWithRetryAfter_CallsStayFew(t *testing.T) {
 	for name, retryAfter := range map[string]string{
 		"none":        "",
@@ -167,7 +167,8 @@
 	}
 }
 
-// Two hundred clients connect to a node that has no list. Each is rejected with a Retry-After, and served once it has one.
+// Two hundred clients connect to a node that has no list. Each is rejected with a Retry-After, and served once it has
+// one.
 func TestColdStart_ManyClientsNoList_RejectedThenServed(t *testing.T) {
 	t.Parallel()
 	cluster := prepare(t, startConfig(3, func(config *Config) { config.ColdStart.Peers = 2 }))
--- a/internal/testcluster/coldstart_figures_test.go
+++ b/internal/testcluster/coldstart_figures_test.go
@@ -48,41 +48,65 @@
 			cluster.Discovery.SetMode(fakeserver.ModeNormal)
 		}()
 	}
-	all := probeAllNodes(ctx, cluster, n, 5, time.Second, down+40*time.Second)
+	probes := probeAllNodes(ctx, cluster, n, 5, time.Second, down+40*time.Second)
+	servedAfter := servedTimes(probes, start)
+	if cold {
+		logColdHosts(t, cluster, servedAfter, down, len(probes))
+	}
 	events, _ := cluster.EventLog.Events()
-	calls := CountDiscoveryCalls(events)
-	asked := EventTimes(events, "discovery", fakeserver.EventRequested)
-	var up []time.Duration
-	refused, noAdvice, failed, served, longest := 0, 0, 0, 0, time.Duration(0)
-	for _, probe := range all {
-		refused, noAdvice, failed = refused+probe.Rejected, noAdvice+probe.WithoutRetryAfter, failed+probe.Failed
-		longest = max(longest, probe.MaxLatency)
+	calls := EventTimes(events, discoverySource, fakeserver.EventRequested)
+	t.Logf("%d nodes launched in %v: calls %+v, in the first second %d, while down %d", n, launched-start,
+		CountDiscoveryCalls(events), CountBetween(calls, start, start+time.Second), CountBetween(calls, start, start+down))
+	logProbes(t, probes, servedAfter)
+	usage := cluster.Usage()
+	t.Logf("usage %+v; CPU of a node %v", usage, usage.CPU/time.Duration(n))
+}
+
+// servedTimes returns the sorted times from a start until clients were served.
+func servedTimes(probes []AdmissionProbe, start time.Duration) (times []time.Duration) {
+	for _, probe := range probes {
 		if probe.ServedAt > 0 {
-			served++
-			up = append(up, probe.ServedAt-start)
+			times = append(times, probe.ServedAt-start)
 		}
 	}
-	slices.Sort(up)
-	if cold {
-		fell, most, mean := 0, 0, 0.0
-		for _, h := range cluster.Hosts() {
-			if h.State().Collapsed {
-				fell++
-			}
-			times := EventTimes(events, h.ID(), fakeserver.EventOpened)
-			most = max(most, MaxInWindow(times, 100*time.Millisecond))
-			if len(times) > 1 {
-				mean += float64(len(times)) / (times[len(times)-1] - times[0]).Seconds() / 10 / float64(config.Hosts)
-			}
+	slices.Sort(times)
+	return times
+}
+
+// logColdHosts logs collapses and set-ups of hosts, and the clients served within 10 s of the recovery of discovery.
+func logColdHosts(t *testing.T, cluster *Cluster, servedAfter []time.Duration, down time.Duration, clients int) {
+	t.Helper()
+	events, _ := cluster.EventLog.Events()
+	hosts := cluster.Hosts()
+	collapsed, burst, meanPer100ms := 0, 0, 0.0
+	for _, host := range hosts {
+		if host.State().Collapsed {
+			collapsed++
+		}
+		setups := EventTimes(events, host.ID(), fakeserver.EventOpened)
+		burst = max(burst, MaxInWindow(setups, 100*time.Millisecond))
+		if len(setups) > 1 {
+			length := setups[len(setups)-1] - setups[0]
+			meanPer100ms += float64(len(setups)) / length.Seconds() / 10 / float64(len(hosts))
 		}
-		within, _ := slices.BinarySearch(up, down+10*time.Second)
-		t.Logf("cold hosts: %d pushed over; most set-ups at one in 100 ms %d, mean %.2f; served within 10 s %d of %d", fell, most, mean,
-			within, len(all))
 	}
-	usage := cluster.Usage()
-	t.Logf("%d nodes launched in %v: calls %+v, in the first second %d, while down %d", n, launched-start, calls,
-		CountBetween(asked, start, start+time.Second), CountBetween(asked, start, start+down))
-	t.Logf("clients %d, served %d (median %v, last %v), refusals %d (%d without advice), failed %d, longest answer %v", len(all), served,
-		up[len(up)/2], up[len(up)-1], refused, noAdvice, failed, longest)
-	t.Logf("usage %+v; CPU of a node %v", usage, usage.CPU/time.Duration(n))
+	within, _ := slices.BinarySearch(servedAfter, down+10*time.Second)
+	t.Logf("cold hosts: %d collapsed; set-ups of a host in 100 ms: at most %d, mean %.2f; served within 10 s %d of %d",
+		collapsed, burst, meanPer100ms, within, clients)
+}
+
+// logProbes logs what became of all clients.
+func logProbes(t *testing.T, probes []AdmissionProbe, servedAfter []time.Duration) {
+	t.Helper()
+	var total AdmissionProbe
+	for _, probe := range probes {
+		total.Rejected += probe.Rejected
+		total.WithoutRetryAfter += probe.WithoutRetryAfter
+		total.Failed += probe.Failed
+		total.MaxLatency = max(total.MaxLatency, probe.MaxLatency)
+	}
+	served := len(servedAfter)
+	t.Logf("clients %d, served %d (median %v, last %v), rejections %d (%d without Retry-After), failed %d, max latency %v",
+		len(probes), served, servedAfter[served/2], servedAfter[served-1],
+		total.Rejected, total.WithoutRetryAfter, total.Failed, total.MaxLatency)
 }
--- a/internal/testcluster/coldstart_hosts_test.go
+++ b/internal/testcluster/coldstart_hosts_test.go
@@ -116,7 +116,7 @@
 		config.Hosts = 6
 	}))
 	cluster.Discovery.SetMode(fakeserver.ModeReset)
-	startFault(t, cluster, FaultSpec{Kind: faultRefuse, Target: "link-h5..h6"})
+	startFault(t, cluster, FaultSpec{Kind: faultRejectConnections, Target: "link-h5..h6"})
 	launch(t, cluster)
 	time.Sleep(time.Second) // all nodes are up and watch their peers
 	from := cluster.Clock.Now()
--- a/internal/testcluster/coldstart_peers_test.go
+++ b/internal/testcluster/coldstart_peers_test.go
@@ -16,7 +16,7 @@
 func TestColdStart_NodeUnreachableByPeers_PollsDiscovery(t *testing.T) {
 	t.Parallel()
 	cluster := prepare(t, startConfig(startNodeCount, nil))
-	startFault(t, cluster, FaultSpec{Kind: faultRefuse, Target: "peers-n9"})
+	startFault(t, cluster, FaultSpec{Kind: faultRejectConnections, Target: "peers-n9"})
 	launch(t, cluster)
 	expectAllServed(t, cluster, startNodeCount, 1)
 	if _, callers := discoveryCalls(cluster); callers["n9"] == 0 {
@@ -39,7 +39,7 @@
 	removed := all[3]
 	removed.Phase = wire.Removed
 	cluster.Discovery.Set(removed)
-	startFault(t, cluster, FaultSpec{Kind: faultRefuse, Target: "link-n1"})
+	startFault(t, cluster, FaultSpec{Kind: faultRejectConnections, Target: "link-n1"})
 	launch(t, cluster)
 	expectAllServed(t, cluster, startNodeCount, 2)
 	time.Sleep(time.Second) // n1 gets the new list from its peers
@@ -68,7 +68,7 @@
 	if err := cluster.SetKnownEndpointsOf(1, 6, append(rest, serving)...); err != nil {
 		t.Fatal(err)
 	}
-	restoreLinks := startFault(t, cluster, FaultSpec{Kind: faultRefuse, Target: "link-n1..n2"})
+	restoreLinks := startFault(t, cluster, FaultSpec{Kind: faultRejectConnections, Target: "link-n1..n2"})
 	launch(t, cluster)
 	waitUntil(t, "n1 gets n2's list", func() bool { return cluster.status(t, 0).Revision == 6 })
 	from := cluster.Clock.Now()
@@ -90,12 +90,12 @@
 	})
 }
 
-// Nodes gossip lists over TLS as over Unix sockets, until the certificate is revoked; then lists of nodes that don't reach
-// discovery become old.
+// Nodes gossip lists over TLS as over Unix sockets, until the certificate is revoked; then the lists of nodes that
+// don't reach discovery become old.
 func TestColdStart_PeersOverTLS_ListsGossiped(t *testing.T) {
 	t.Parallel()
 	cluster := prepare(t, startConfig(6, func(config *Config) { config.ColdStart.TLS = true }))
-	startFault(t, cluster, FaultSpec{Kind: faultRefuse, Target: "link-n5..n6"})
+	startFault(t, cluster, FaultSpec{Kind: faultRejectConnections, Target: "link-n5..n6"})
 	launch(t, cluster)
 	expectAllServed(t, cluster, 6, 1)
 	if _, callers := discoveryCalls(cluster); callers["n1"]+callers["n2"]+callers["n3"]+callers["n4"] == 0 {
@@ -156,7 +156,7 @@
 	cluster.Discovery.SetMode(fakeserver.ModeNormal)
 	waitUntil(t, "three nodes with a current list", shows("current ("))
 	// Cut off from discovery and from each other the nodes' lists become old; the agent still reaches the nodes.
-	end := startFault(t, cluster, FaultSpec{Kind: faultRefuse, Target: "link-n1..n3"})
+	end := startFault(t, cluster, FaultSpec{Kind: faultRejectConnections, Target: "link-n1..n3"})
 	waitUntil(t, "three nodes with an old list", shows("old ("))
 	end()
 	waitUntil(t, "three nodes with a current list again", shows("current ("))
--- a/internal/testcluster/fault_spec.go
+++ b/internal/testcluster/fault_spec.go
@@ -18,27 +18,27 @@
 
 // The kinds of faults, as in scenario files.
 const (
-	faultHang      = "hang"
-	faultSlow      = "slow"
-	faultSteal     = "steal"
-	faultDrain     = "drain"
-	faultCrash     = "die"
-	faultAdd       = "add"
-	faultKill      = "kill"
-	faultStop      = "stop" // graceful shutdown
-	faultStall     = "stall"
-	faultLose      = "lose" // kill, and loss of the folder
-	faultLag       = "lag"
-	faultFreeze    = "freeze"
-	faultReject    = "busy"
-	faultReset     = "reset"
-	faultMute      = "mute" // of a link: what is sent to the target is dropped
-	faultRestart   = "restart"
-	faultBlackhole = "silence"
-	faultDelay     = "delay"
-	faultRate      = "limit"
-	faultDeaf      = "deaf" // of a link: what the target sends is dropped
-	faultRefuse    = "refuse"
+	faultHang              = "hang"
+	faultSlow              = "slow"
+	faultSteal             = "steal"
+	faultDrain             = "drain"
+	faultCrash             = "die"
+	faultAdd               = "add"
+	faultKill              = "kill"
+	faultStop              = "stop" // graceful shutdown
+	faultStall             = "stall"
+	faultLose              = "lose" // kill, and loss of the folder
+	faultLag               = "lag"
+	faultFreeze            = "freeze"
+	faultRejectCalls       = "busy"
+	faultReset             = "reset"
+	faultMute              = "mute" // of a link: what is sent to the target is dropped
+	faultRestart           = "restart"
+	faultBlackhole         = "silence"
+	faultDelay             = "delay"
+	faultRate              = "limit"
+	faultDeaf              = "deaf" // of a link: what the target sends is dropped
+	faultRejectConnections = "refuse"
 )
 
 // faultParameters are the fields of a FaultSpec that a kind of fault uses.
@@ -59,23 +59,23 @@
 	targetNode:  processFaults,
 	targetAgent: processFaults,
 	targetDiscovery: {
-		faultLag:     {period: true},
-		faultFreeze:  {},
-		faultReject:  {},
-		faultReset:   {},
-		faultMute:    {},
-		faultRestart: {},
+		faultLag:         {period: true},
+		faultFreeze:      {},
+		faultRejectCalls: {},
+		faultReset:       {},
+		faultMute:        {},
+		faultRestart:     {},
 	},
 	targetStore: {faultSlow: {amount: true}},
 	targetLink: {
-		faultBlackhole: {},
-		faultStall:     {},
-		faultReset:     {},
-		faultDelay:     {period: true},
-		faultRate:      {amount: true},
-		faultDeaf:      {},
-		faultMute:      {},
-		faultRefuse:    {},
+		faultBlackhole:         {},
+		faultStall:             {},
+		faultReset:             {},
+		faultDelay:             {period: true},
+		faultRate:              {amount: true},
+		faultDeaf:              {},
+		faultMute:              {},
+		faultRejectConnections: {},
 	},
 }
 
--- a/internal/testcluster/faults.go
+++ b/internal/testcluster/faults.go
@@ -54,8 +54,8 @@
 		host.SetSlowFactor(fault.Amount)
 		return noError(func() { host.SetSlowFactor(1) }), nil
 	case faultSteal:
-		host.SetStolenShare(fault.Amount)
-		return noError(func() { host.SetStolenShare(0) }), nil
+		host.SetStolenFraction(fault.Amount)
+		return noError(func() { host.SetStolenFraction(0) }), nil
 	case faultDrain:
 		return noError(c.drainHost(host, fault.Period.D())), nil
 	}
@@ -166,7 +166,7 @@
 
 // discoveryModes are the modes of discovery under faults.
 var discoveryModes = map[string]fakeserver.DiscoveryMode{
-	faultReject: fakeserver.ModeUnavailable,
-	faultReset:  fakeserver.ModeReset,
-	faultMute:   fakeserver.ModeSilent,
+	faultRejectCalls: fakeserver.ModeUnavailable,
+	faultReset:       fakeserver.ModeReset,
+	faultMute:        fakeserver.ModeSilent,
 }
--- a/internal/testcluster/link_faults.go
+++ b/internal/testcluster/link_faults.go
@@ -51,7 +51,7 @@
 	case faultRate:
 		start = func(link *fakeserver.Link) { link.SetRate(int64(fault.Amount)) }
 		return start, func(link *fakeserver.Link) { link.SetRate(0) }
-	case faultRefuse:
+	case faultRejectConnections:
 		start = func(link *fakeserver.Link) {
 			link.SetRejecting(true)
 			link.ResetConnections()
--- a/internal/testcluster/request_outcomes_test.go
+++ b/internal/testcluster/request_outcomes_test.go
@@ -7,7 +7,7 @@
 	"onyxstream/internal/fakeserver"
 )
 
-// Each kind of violation is told from the outcomes that are none.
+// Each kind of violation is distinguished from valid outcomes.
 func TestJudgeRequests_EachOutcome_Classified(t *testing.T) {
 	const ms = time.Millisecond
 	var events []fakeserver.Event
