--- a/internal/fakeserver/discovery.go
+++ b/internal/fakeserver/discovery.go
@@ -94,7 +94,7 @@
 
 // record adds an event of the service.
 func (d *Discovery) record(kind, detail string) {
-	d.events.Add(Event{Source: sourceDiscovery, Kind: kind, Detail: detail})
+	d.events.Add(Event{Source: SourceDiscovery, Kind: kind, Detail: detail})
 }
 
 // wakeWatches has the watches look for updates and faults; mu is held.
--- a/internal/fakeserver/eventlog.go
+++ b/internal/fakeserver/eventlog.go
@@ -31,10 +31,21 @@
 	EventNodeUnhealthy = "out"     // frontend balancer: stopped sending clients to the node
 )
 
-// The sources of events that have no name of their own.
+// The sources of events of servers that have no name of their own.
 const (
-	sourceDiscovery = "discovery"
-	sourceFrontend  = "front"
+	SourceDiscovery = "discovery"
+	SourceFrontend  = "front"
+)
+
+// The details of a host's EventFault. Their values are part of the event files that users read.
+const (
+	DetailHang        = "hangs"
+	DetailResume      = "goes on"
+	DetailDrain       = "drains"
+	DetailCancelDrain = "drains no more"
+	DetailCrash       = "dies"
+	DetailRestart     = "comes back"
+	DetailCollapse    = "fell over"
 )
 
 // Event is one thing that a fake server, a link or a client saw.
--- a/internal/fakeserver/frontend.go
+++ b/internal/fakeserver/frontend.go
@@ -83,7 +83,7 @@
 	if passed {
 		kind = EventNodeHealthy
 	}
-	f.events.Add(Event{Source: sourceFrontend, Kind: kind, Detail: f.nodes[index].Name})
+	f.events.Add(Event{Source: SourceFrontend, Kind: kind, Detail: f.nodes[index].Name})
 }
 
 // Pick returns the next healthy node of a zone in turn, or of any zone if the zone has none or is empty. ok is false
--- a/internal/fakeserver/host.go
+++ b/internal/fakeserver/host.go
@@ -209,7 +209,7 @@
 	}
 	for _, event := range h.config.Store.advance(h.model, h.clock.Now()) {
 		if event.Collapsed {
-			h.recordFault("fell over")
+			h.recordFault(DetailCollapse)
 			h.crash()
 			return
 		}
--- a/internal/fakeserver/host_faults.go
+++ b/internal/fakeserver/host_faults.go
@@ -15,7 +15,7 @@
 		h.hangEnd = make(chan struct{})
 		hangEnd := h.hangEnd
 		h.hangGate.Store(&hangEnd)
-		h.recordFault("hangs")
+		h.recordFault(DetailHang)
 	})
 }
 
@@ -30,7 +30,7 @@
 	close(h.hangEnd)
 	h.hangEnd = nil
 	h.hangGate.Store(nil)
-	h.recordFault("goes on")
+	h.recordFault(DetailResume)
 }
 
 // SetSlowFactor multiplies the duration of all work by factor; 1 restores normal speed.
@@ -57,7 +57,7 @@
 			return
 		}
 		h.draining = true
-		h.recordFault("drains")
+		h.recordFault(DetailDrain)
 		if period >= 0 {
 			h.migrateSessions(period)
 		}
@@ -87,7 +87,7 @@
 func (h *Host) CancelDrain() {
 	h.runInLoop(func() {
 		h.draining = false
-		h.recordFault("drains no more")
+		h.recordFault(DetailCancelDrain)
 	})
 }
 
@@ -95,7 +95,7 @@
 func (h *Host) Crash() {
 	h.runInLoop(func() {
 		if !h.crashed {
-			h.recordFault("dies")
+			h.recordFault(DetailCrash)
 			h.crash()
 		}
 	})
@@ -140,7 +140,7 @@
 	h.restarted = true
 	h.startedAt = time.Now()
 	h.model.Restart(h.clock.Now(), true)
-	h.recordFault("comes back")
+	h.recordFault(DetailRestart)
 	h.accept(h.listener)
 	return nil
 }
--- a/internal/testcluster/coldstart_discovery_test.go
+++ b/internal/testcluster/coldstart_discovery_test.go
@@ -73,7 +73,7 @@
 	restart()
 	expectAllServed(t, cluster, startNodeCount, 2)
 	events, _ := cluster.EventLog.Events()
-	calls := EventTimes(events, discoverySource, fakeserver.EventRequested)
+	calls := EventTimes(events, fakeserver.SourceDiscovery, fakeserver.EventRequested)
 	if early := CountBetween(calls, start, start+100*time.Millisecond); early > startNodeCount/2 {
 		t.Errorf("%d calls of %d nodes in the first 100 ms after they resume", early, startNodeCount)
 	}
--- a/internal/testcluster/coldstart_figures_test.go
+++ b/internal/testcluster/coldstart_figures_test.go
@@ -54,7 +54,7 @@
 		logColdHosts(t, cluster, servedAfter, down, len(probes))
 	}
 	events, _ := cluster.EventLog.Events()
-	calls := EventTimes(events, discoverySource, fakeserver.EventRequested)
+	calls := EventTimes(events, fakeserver.SourceDiscovery, fakeserver.EventRequested)
 	t.Logf("%d nodes launched in %v: calls %+v, in the first second %d, while down %d", n, launched-start,
 		CountDiscoveryCalls(events), CountBetween(calls, start, start+time.Second), CountBetween(calls, start, start+down))
 	logProbes(t, probes, servedAfter)
--- a/internal/testcluster/faults.go
+++ b/internal/testcluster/faults.go
@@ -32,11 +32,11 @@
 }
 
 func (c *Cluster) startStoreFault(fault FaultSpec) (end func() error) {
-	c.recordFault(fault.Target, "slow")
+	c.recordFault(fault.Target, detailSlow)
 	c.store.SetSlowFactor(fault.Amount)
 	return func() error {
 		c.store.SetSlowFactor(1)
-		c.recordFault(fault.Target, "well")
+		c.recordFault(fault.Target, detailEnd)
 		return nil
 	}
 }
@@ -76,7 +76,7 @@
 	if err != nil {
 		return err
 	}
-	c.recordFault(host.ID(), "added")
+	c.recordFault(host.ID(), detailAdd)
 	c.listHost(host, wire.Serving)
 	return nil
 }
@@ -118,7 +118,7 @@
 func (c *Cluster) startProcessFault(fault FaultSpec, p *process) (end func() error, err error) {
 	c.recordFault(p.name, fault.Kind)
 	restart := func() error {
-		c.recordFault(p.name, "starts")
+		c.recordFault(p.name, detailStart)
 		return p.start()
 	}
 	switch fault.Kind {
@@ -126,7 +126,7 @@
 		p.signal(syscall.SIGSTOP)
 		return func() error {
 			p.signal(syscall.SIGCONT)
-			c.recordFault(p.name, "goes on")
+			c.recordFault(p.name, fakeserver.DetailResume)
 			return nil
 		}, nil
 	case faultKill:
--- a/internal/testcluster/judge.go
+++ b/internal/testcluster/judge.go
@@ -10,9 +10,6 @@
 // The judges of this file count what fake servers and links saw, by the cluster's clock. They use nothing that the
 // processes report of themselves.
 
-// discoverySource is the source of the discovery service's events.
-const discoverySource = "discovery"
-
 // EventTimes returns the sorted times of a source's events of a kind.
 func EventTimes(events []fakeserver.Event, source, kind string) []time.Duration {
 	var times []time.Duration
@@ -60,11 +57,11 @@
 
 // CountDiscoveryCalls counts the calls to the discovery service.
 func CountDiscoveryCalls(events []fakeserver.Event) DiscoveryCalls {
-	calls := EventTimes(events, discoverySource, fakeserver.EventRequested)
+	calls := EventTimes(events, fakeserver.SourceDiscovery, fakeserver.EventRequested)
 	return DiscoveryCalls{
 		Calls:      len(calls),
-		ListsSent:  len(EventTimes(events, discoverySource, fakeserver.EventListSent)),
-		Rejected:   len(EventTimes(events, discoverySource, fakeserver.EventCallRejected)),
+		ListsSent:  len(EventTimes(events, fakeserver.SourceDiscovery, fakeserver.EventListSent)),
+		Rejected:   len(EventTimes(events, fakeserver.SourceDiscovery, fakeserver.EventCallRejected)),
 		MaxIn100ms: MaxInWindow(calls, callWindow),
 	}
 }
@@ -117,7 +114,7 @@
 func countsInStep(event fakeserver.Event) bool {
 	switch event.Kind {
 	case fakeserver.EventRequested, fakeserver.EventCallRejected:
-		return event.Source == discoverySource
+		return event.Source == fakeserver.SourceDiscovery
 	case fakeserver.EventOpened:
 		return true
 	}
--- a/internal/testcluster/link_faults.go
+++ b/internal/testcluster/link_faults.go
@@ -82,7 +82,7 @@
 		for _, link := range links {
 			endChange(link)
 		}
-		c.recordFault(t.name, "well")
+		c.recordFault(t.name, detailEnd)
 		return nil
 	}
 }
--- a/internal/testcluster/rolling_restart.go
+++ b/internal/testcluster/rolling_restart.go
@@ -150,7 +150,7 @@
 	}
 	p.stop(signal, nodeKillTimeout)
 	picker.setExcluded(node, true)
-	c.recordFault(p.name, "starts")
+	c.recordFault(p.name, detailStart)
 	if err := p.start(); err != nil {
 		return err
 	}
--- a/internal/testcluster/timeline.go
+++ b/internal/testcluster/timeline.go
@@ -134,6 +134,14 @@
 	return errors.Join(a.errs...)
 }
 
+// The details of fault events that are not the kind of a fault.
+const (
+	detailSlow  = "slow"
+	detailEnd   = "well" // the fault has ended
+	detailAdd   = "added"
+	detailStart = "starts" // of a process
+)
+
 // recordFault adds an event of a fault that began or ended.
 func (c *Cluster) recordFault(source, detail string) {
 	c.EventLog.Add(fakeserver.Event{Source: source, Kind: fakeserver.EventFault, Detail: detail})
