--- a/internal/cli/load_result.go
+++ b/internal/cli/load_result.go
@@ -96,7 +96,7 @@
 	}
 	if result.List != nil {
 		fmt.Fprintf(w, "list service: %d calls, %d rejected, %d within 100 ms at most\n",
-			result.List.Calls, result.List.Turned, result.List.Most)
+			result.List.Calls, result.List.Rejected, result.List.MaxIn100ms)
 	}
 	if result.Wrong > 0 {
 		fmt.Fprintf(w, "%d receipts that no host had made\n", result.Wrong)
--- a/internal/cli/load_stand.go
+++ b/internal/cli/load_stand.go
@@ -40,10 +40,10 @@
 		return err
 	}
 	defer cluster.Close()
-	for _, address := range cluster.Addresses() {
+	for _, address := range cluster.Listeners() {
 		fmt.Fprintf(c.OutOrStdout(), "%s %s %s\n", address.Kind, address.Name, address.Addr)
 	}
-	cluster.Play(ctx, scenario.Faults)
+	cluster.PlayFaults(ctx, scenario.Faults)
 	<-ctx.Done()
-	return cluster.Failed()
+	return cluster.Err()
 }
--- /dev/null
+++ b/internal/fakeserver/host_test.go
@@ -0,0 +1,137 @@
+package fakeserver
+
+import (
+	"fmt"
+	"net"
+	"testing"
+	"time"
+
+	"onyxstream/internal/wire"
+)
+
+func TestHost_OpeningWithDuration_EndsConnection(t *testing.T) {
+	env := newFixture(t)
+	host := env.host("h1", func(config *HostConfig) {
+		config.ReportsLoad = true
+		config.AnswersStats = true
+	})
+	client := dial(t, host.Addr(), "OPEN a key c=chat,t=acme,d=2000,life=50")
+	if receipt := client.expect("UP "); receipt != "UP h1-1" {
+		t.Errorf("receipt %q", receipt)
+	}
+	client.expect("LOAD ")
+	client.expect("BYE")
+	client.expectEnd()
+	for line, want := range map[string]string{
+		"PING":   "PONG",
+		"STATS":  "PONG x0=",
+		"HELLO":  "SYNTAX",
+		"OPEN x": "SYNTAX",
+	} {
+		dial(t, host.Addr(), line).expect(want)
+	}
+	for kind, want := range map[string]int{
+		EventOpened:      1,
+		EventEstablished: 1,
+		EventEnded:       1,
+		EventHealthCheck: 2,
+	} {
+		if got := env.count(kind); got != want {
+			events, _ := env.events.Events()
+			t.Errorf("%d events %q, want %d, in %v", got, kind, want, events)
+		}
+	}
+}
+
+func TestHostDrain_EstablishedConnections_MigratedGradually(t *testing.T) {
+	env := newFixture(t)
+	host := env.host("h1", nil)
+	var established []*testClient
+	for i := range 8 {
+		client := dial(t, host.Addr(), fmt.Sprintf("OPEN %d key c=chat,t=acme,d=2000", i))
+		client.expect("UP ")
+		established = append(established, client)
+	}
+	host.Drain(80 * time.Millisecond)
+	dial(t, host.Addr(), "OPEN late key c=chat,t=acme,d=2000").expect("BUSY")
+	for _, client := range established {
+		client.expect("MOVE")
+		client.expectEnd()
+	}
+	if n := env.count(EventMigrated); n != 8 {
+		t.Errorf("%d migrated", n)
+	}
+	host.CancelDrain()
+	client := dial(t, host.Addr(), "OPEN again key c=chat,t=acme,d=2000")
+	client.expect("UP ")
+	host.Drain(-1)
+	client.send("M 1")
+	client.expect("M 1")
+}
+
+func TestHostHang_Resumed_AnswersPending(t *testing.T) {
+	env := newFixture(t)
+	host := env.host("h1", nil)
+	established := dial(t, host.Addr(), "OPEN a key c=chat,t=acme,d=2000,life=20")
+	established.expect("UP ")
+	host.Hang()
+	pending := dial(t, host.Addr(), "OPEN b key c=chat,t=acme,d=2000")
+	time.Sleep(100 * time.Millisecond)
+	if env.count(EventEnded) != 0 || env.count(EventOpened) != 1 {
+		t.Error("a hanging host reads or ends connections")
+	}
+	host.Resume()
+	pending.expect("UP ")
+	established.expect("BYE")
+}
+
+func TestHostCrash_Restarted_EmptyAndCold(t *testing.T) {
+	env := newFixture(t)
+	host := env.host("h1", func(config *HostConfig) {
+		config.Spec.SlowStartFraction = 0.3
+		config.Spec.SlowStartDuration = time.Hour
+	})
+	warmCapacity := host.State().Capacity
+	before := host.Endpoint(wire.Serving)
+	client := dial(t, host.Addr(), "OPEN a key c=chat,t=acme,d=2000")
+	client.expect("UP ")
+	host.Crash()
+	client.expectEnd()
+	if connection, err := net.Dial("tcp", host.Addr()); err == nil {
+		_ = connection.Close()
+		t.Error("a crashed host accepts connections")
+	}
+	if err := host.Restart(); err != nil {
+		t.Fatal(err)
+	}
+	state := host.State()
+	if state.Established != 0 || state.Crashed || state.Capacity > 0.31*warmCapacity {
+		t.Errorf("state %+v after the restart, warm capacity %g", state, warmCapacity)
+	}
+	after := host.Endpoint(wire.Serving)
+	if before.StartedAtMS != 0 || after.StartedAtMS == 0 || after.Addr != before.Addr {
+		t.Errorf("endpoint %+v before, %+v after", before, after)
+	}
+	dial(t, host.Addr(), "OPEN a key c=chat,t=acme,d=2000").expect("UP ")
+}
+
+// A connection that its node reset is resumed with its receipt, and reset where no session waits to be resumed.
+func TestHost_MidFlowReconnect_ResumesSession(t *testing.T) {
+	env := newFixture(t)
+	host := env.host("h1", func(config *HostConfig) { config.ResumeTimeout = time.Hour })
+	client := dial(t, host.Addr(), "OPEN a key c=chat,t=acme,d=2000")
+	receipt := client.expect("UP ")
+	_ = client.connection.SetLinger(0)
+	_ = client.connection.Close()
+	eventually(t, "the host sees the reset", func() bool { return host.State().Connections == 0 })
+	resumed := dial(t, host.Addr(), "OPEN a key c=chat,t=acme,d=2000,mid=1")
+	if got := resumed.expect("UP "); got != receipt {
+		t.Errorf("resumed with %q, was %q", got, receipt)
+	}
+	resumed.send("M 1")
+	resumed.expect("M 1")
+	dial(t, host.Addr(), "OPEN a key c=chat,t=acme,d=2000,mid=1").expectEnd() // has a connection already
+	dial(t, host.Addr(), "OPEN other key c=chat,t=acme,d=2000,mid=1").expectEnd()
+	dial(t, host.Addr(), "OPEN stood key c=chat,t=acme,d=2000,at=h1").expect("UP ")
+	dial(t, host.Addr(), "OPEN stood2 key c=chat,t=acme,d=2000,at=h2").expect("ERR")
+}
--- a/internal/loadtest/play.go
+++ b/internal/loadtest/play.go
@@ -44,11 +44,11 @@
 }
 
 // wrong counts receipts that no host gave for that connection.
-func (r *receipts) wrong(recs []fakeserver.Record) (n int64) {
+func (r *receipts) wrong(recs []fakeserver.Event) (n int64) {
 	given := map[string]bool{}
 	for _, x := range recs {
-		if x.What == fakeserver.Up {
-			given[x.ID+" "+x.Note] = true
+		if x.Kind == fakeserver.EventEstablished {
+			given[x.ID+" "+x.Detail] = true
 		}
 	}
 	r.mu.Lock()
@@ -80,7 +80,7 @@
 		}
 		cfg.Source, cfg.Length = t, time.Duration(float64(sum.Length)/o.Speed)
 	}
-	var r *testcluster.Rig
+	var r *testcluster.Cluster
 	rec := &receipts{byID: map[string]string{}}
 	switch {
 	case len(o.Targets) > 0:
@@ -92,7 +92,7 @@
 			return nil, err
 		}
 		defer r.Close()
-		cfg.Address, cfg.Receipt = r.Address, rec.note
+		cfg.Address, cfg.Receipt = r.ClientAddress, rec.note
 		for _, h := range r.Hosts() {
 			cfg.Hosts = append(cfg.Hosts, h.ID())
 		}
@@ -109,7 +109,7 @@
 	if r != nil {
 		cfg.Begin = func() {
 			began, before = r.Clock.Now(), r.Usage()
-			r.Play(ctx, s.Faults)
+			r.PlayFaults(ctx, s.Faults)
 		}
 	}
 	res, err = Run(ctx, cfg)
@@ -122,26 +122,26 @@
 		res.Speed = o.Speed
 	}
 	if r != nil {
-		err = errors.Join(err, r.Failed())
+		err = errors.Join(err, r.Err())
 		u := r.Usage()
 		u.CPU -= before.CPU
 		res.Nodes = &u
-		recs, lost := r.Ledger.Records()
+		recs, lost := r.EventLog.Events()
 		res.told(recs, began)
-		list := testcluster.Counted(recs)
-		res.List, res.Start = &list, testcluster.Steps(recs, r.Launched())
+		list := testcluster.CountDiscoveryCalls(recs)
+		res.List, res.Start = &list, testcluster.StartSteps(recs, r.LaunchedAt())
 		if lost == 0 {
 			res.Wrong = rec.wrong(recs)
 		}
 		if o.Ledger != nil {
-			err = errors.Join(err, fakeserver.WriteRecords(o.Ledger, r.Clock, recs, lost))
+			err = errors.Join(err, fakeserver.WriteEvents(o.Ledger, r.Clock, recs, lost))
 		}
 	}
 	return res, err
 }
 
 // Start starts the scenario's fleet.
-func (s *Scenario) Start(ctx context.Context, o PlayOptions) (*testcluster.Rig, error) {
+func (s *Scenario) Start(ctx context.Context, o PlayOptions) (*testcluster.Cluster, error) {
 	return testcluster.Start(ctx, *s.Fleet, testcluster.Options{Program: o.Program, Log: o.NodeLog, Seed: s.Seed, Classes: s.classNames(),
 		Tenants: names(s.Tenants)})
 }
@@ -192,23 +192,23 @@
 }
 
 // told takes what the stand-ins saw into the result.
-func (r *Result) told(recs []fakeserver.Record, began time.Duration) {
+func (r *Result) told(recs []fakeserver.Event, began time.Duration) {
 	at := map[string]int{}
 	for _, x := range recs {
 		switch {
-		case x.What == fakeserver.Fault || x.What == fakeserver.In || x.What == fakeserver.Out:
+		case x.Kind == fakeserver.EventFault || x.Kind == fakeserver.EventNodeHealthy || x.Kind == fakeserver.EventNodeUnhealthy:
 			if x.At >= began {
-				r.Marks = append(r.Marks, Mark{(x.At - began).Seconds(), x.Who, strings.TrimSpace(x.Note + map[string]string{
-					fakeserver.In: " is dealt clients", fakeserver.Out: " is dealt none"}[x.What])})
+				r.Marks = append(r.Marks, Mark{(x.At - began).Seconds(), x.Source, strings.TrimSpace(x.Detail + map[string]string{
+					fakeserver.EventNodeHealthy: " is dealt clients", fakeserver.EventNodeUnhealthy: " is dealt none"}[x.Kind])})
 			}
-		case strings.HasPrefix(x.Who, "h"):
-			i, ok := at[x.Who]
+		case strings.HasPrefix(x.Source, "h"):
+			i, ok := at[x.Source]
 			if !ok {
 				i = len(r.Hosts)
-				at[x.Who] = i
-				r.Hosts = append(r.Hosts, HostCount{ID: x.Who, Records: map[string]int64{}})
+				at[x.Source] = i
+				r.Hosts = append(r.Hosts, HostCount{ID: x.Source, Records: map[string]int64{}})
 			}
-			r.Hosts[i].Records[x.What]++
+			r.Hosts[i].Records[x.Kind]++
 		}
 	}
 }
--- a/internal/proxy/endpointlist_test.go
+++ b/internal/proxy/endpointlist_test.go
@@ -34,7 +34,7 @@
 		endpoints[i] = wire.Endpoint{ID: fmt.Sprint("h", i), Addr: addr, Size: 1}
 	}
 	clock := fakeserver.NewClock()
-	service, err := fakeserver.NewDiscovery("", clock, fakeserver.NewLedger(clock), 7, endpoints[:]...)
+	service, err := fakeserver.NewDiscovery("", clock, fakeserver.NewEventLog(clock), 7, endpoints[:]...)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -72,13 +72,13 @@
 	service.Set(endpoints[0])
 	expectOnly("the first host is draining", 1)
 
-	service.Answer(fakeserver.Mute)
+	service.SetMode(fakeserver.ModeSilent)
 	endpoints[0].Phase, endpoints[1].Phase = wire.Serving, wire.Draining
 	service.Set(endpoints[0])
 	service.Set(endpoints[1])
 	if counts := openRound(); counts[1] != 16 {
 		t.Errorf("while discovery is silent: forwarded %v of 16", counts)
 	}
-	service.Answer(fakeserver.Well)
+	service.SetMode(fakeserver.ModeNormal)
 	expectOnly("the missed change is known", 0)
 }
--- a/internal/soaktest/soak_test.go
+++ b/internal/soaktest/soak_test.go
@@ -84,12 +84,12 @@
 func keep(t *testing.T, folder string, seed int, plan Plan, report *Report) {
 	t.Helper()
 	var ledger strings.Builder
-	if err := fakeserver.WriteRecords(&ledger, fakeserver.NewClock(), report.Records, 0); err != nil {
+	if err := fakeserver.WriteEvents(&ledger, fakeserver.NewClock(), report.Records, 0); err != nil {
 		t.Fatal(err)
 	}
 	var told strings.Builder
 	for _, x := range plan.Faults {
-		fmt.Fprintf(&told, "%v for %v: %s on %s by %g over %v\n", x.At.D(), x.For.D(), x.What, x.On, x.By, x.Over.D())
+		fmt.Fprintf(&told, "%v for %v: %s on %s by %g over %v\n", x.At.D(), x.Duration.D(), x.Kind, x.Target, x.Amount, x.Period.D())
 	}
 	fmt.Fprintf(&told, "reloads %+v\ncrowds %+v\ncalls %+v\n", plan.Reloads, plan.Crowds, plan.Calls)
 	for name, text := range map[string]string{"log": string(report.Log), "ledger": ledger.String(), "plan": told.String()} {
--- a/internal/testcluster/judge.go
+++ b/internal/testcluster/judge.go
@@ -7,108 +7,126 @@
 	"onyxstream/internal/fakeserver"
 )
 
-// Judges over ledgers: what stand-ins and links saw on the rig's one clock, never what processes say of themselves.
+// The judges of this file count what fake servers and links saw, by the cluster's clock. They use nothing that the
+// processes report of themselves.
 
-// Times picks the times of one's records of a kind, in order.
-func Times(recs []fakeserver.Record, who, what string) (out []time.Duration) {
-	for _, r := range recs {
-		if r.What == what && r.Who == who {
-			out = append(out, r.At)
+// EventTimes returns the sorted times of a source's events of a kind.
+func EventTimes(events []fakeserver.Event, source, kind string) []time.Duration {
+	var times []time.Duration
+	for _, event := range events {
+		if event.Kind == kind && event.Source == source {
+			times = append(times, event.At)
 		}
 	}
-	slices.Sort(out)
-	return out
+	slices.Sort(times)
+	return times
 }
 
-// Most is the largest number of times within any span.
-func Most(times []time.Duration, span time.Duration) (most int) {
+// MaxInWindow returns the largest number of times within any window of a length. The times must be sorted.
+func MaxInWindow(times []time.Duration, window time.Duration) (largest int) {
 	first := 0
 	for i, at := range times {
-		for times[first] <= at-span {
+		for times[first] <= at-window {
 			first++
 		}
-		most = max(most, i-first+1)
+		largest = max(largest, i-first+1)
 	}
-	return most
+	return largest
 }
 
-// Within counts the times from one moment to another, the end left out.
-func Within(times []time.Duration, from, to time.Duration) (n int) {
+// CountBetween returns the number of times from one moment, included, to another, excluded.
+func CountBetween(times []time.Duration, from, to time.Duration) (count int) {
 	for _, at := range times {
 		if at >= from && at < to {
-			n++
+			count++
 		}
 	}
-	return n
+	return count
 }
 
-// ListCount is what the list service saw.
-type ListCount struct {
-	Calls  int `json:"calls"`
-	Told   int `json:"told"`   // lists and news, those to watches that stand included
-	Turned int `json:"turned"` // calls that were turned away
-	Most   int `json:"most"`   // calls within 100 ms
+// callWindow is the window of DiscoveryCalls.MaxIn100ms.
+const callWindow = 100 * time.Millisecond
+
+// DiscoveryCalls is what the discovery service saw.
+type DiscoveryCalls struct {
+	Calls      int `json:"calls"`
+	ListsSent  int `json:"told"`   // lists and updates, those of open watches included
+	Rejected   int `json:"turned"` // calls
+	MaxIn100ms int `json:"most"`   // calls within 100 ms
 }
 
-// Counted judges the calls to the list service.
-func Counted(recs []fakeserver.Record) ListCount {
-	asked := Times(recs, "discovery", fakeserver.Asked)
-	return ListCount{Calls: len(asked), Told: len(Times(recs, "discovery", fakeserver.Told)), Turned: len(Times(recs, "discovery", fakeserver.Turned)),
-		Most: Most(asked, 100*time.Millisecond)}
+// CountDiscoveryCalls counts the calls to the discovery service.
+func CountDiscoveryCalls(events []fakeserver.Event) DiscoveryCalls {
+	calls := EventTimes(events, fakeserver.SourceDiscovery, fakeserver.EventRequested)
+	return DiscoveryCalls{
+		Calls:      len(calls),
+		ListsSent:  len(EventTimes(events, fakeserver.SourceDiscovery, fakeserver.EventListSent)),
+		Rejected:   len(EventTimes(events, fakeserver.SourceDiscovery, fakeserver.EventCallRejected)),
+		MaxIn100ms: MaxInWindow(calls, callWindow),
+	}
 }
 
-// Step is a part of a start.
-type Step struct {
-	At     float64 `json:"at_s"` // its begin, from the start of the processes on
-	Calls  int     `json:"calls"`
-	Turned int     `json:"turned"`
-	SetUps int     `json:"set_ups"` // at all hosts
-	Most   int     `json:"most"`    // of them at one
+// StartStep is what discovery and the hosts saw in one step of a start.
+type StartStep struct {
+	At               float64 `json:"at_s"` // begin of the step, since the launch
+	Calls            int     `json:"calls"`
+	Rejected         int     `json:"turned"`  // calls
+	Setups           int     `json:"set_ups"` // at all hosts
+	MaxSetupsPerHost int     `json:"most"`
 }
 
-// stepWidth is a step's length, and mostSteps bounds how many there are.
 const (
 	stepWidth = 100 * time.Millisecond
-	mostSteps = 3000
+	maxSteps  = 3000
 )
 
-// Steps counts what the list service and the hosts saw of a start, step by step, to the last step with anything in it.
-func Steps(recs []fakeserver.Record, launched time.Duration) (out []Step) {
-	at := map[int]map[string]int{}
-	for _, x := range recs {
-		i := int((x.At - launched) / stepWidth)
-		if x.At < launched || i >= mostSteps {
-			continue
-		}
-		call, turned, host := x.Who == "discovery" && x.What == fakeserver.Asked, x.Who == "discovery" && x.What == fakeserver.Turned, x.What == fakeserver.Opened
-		if !call && !turned && !host {
+// StartSteps counts the events since a launch step by step, to the last step that has any.
+func StartSteps(events []fakeserver.Event, launched time.Duration) []StartStep {
+	var steps []StartStep
+	setupsByHost := map[int]map[string]int{} // by step
+	for _, event := range events {
+		index := int((event.At - launched) / stepWidth)
+		if event.At < launched || index >= maxSteps || !countsInStep(event) {
 			continue
 		}
-		for len(out) <= i {
-			out = append(out, Step{At: (time.Duration(len(out)) * stepWidth).Seconds()})
+		for len(steps) <= index {
+			steps = append(steps, StartStep{At: (time.Duration(len(steps)) * stepWidth).Seconds()})
 		}
-		switch s := &out[i]; {
-		case call:
-			s.Calls++
-		case turned:
-			s.Turned++
+		step := &steps[index]
+		switch event.Kind {
+		case fakeserver.EventRequested:
+			step.Calls++
+		case fakeserver.EventCallRejected:
+			step.Rejected++
 		default:
-			if at[i] == nil {
-				at[i] = map[string]int{}
+			if setupsByHost[index] == nil {
+				setupsByHost[index] = map[string]int{}
 			}
-			at[i][x.Who]++
-			s.SetUps, s.Most = s.SetUps+1, max(s.Most, at[i][x.Who])
+			setupsByHost[index][event.Source]++
+			step.Setups++
+			step.MaxSetupsPerHost = max(step.MaxSetupsPerHost, setupsByHost[index][event.Source])
 		}
 	}
-	return out
+	return steps
+}
+
+// countsInStep reports whether StartSteps counts an event.
+func countsInStep(event fakeserver.Event) bool {
+	switch event.Kind {
+	case fakeserver.EventRequested, fakeserver.EventCallRejected:
+		return event.Source == fakeserver.SourceDiscovery
+	case fakeserver.EventOpened:
+		return true
+	}
+	return false
 }
 
-// Burst is the largest number of set-ups at one host within a span, and which host that was.
-func Burst(recs []fakeserver.Record, hosts []string, span time.Duration) (most int, host string) {
-	for _, h := range hosts {
-		if n := Most(Times(recs, h, fakeserver.Opened), span); n > most {
-			most, host = n, h
+// MaxSetupBurst returns the largest number of set-ups at one host within a window, and the ID of that host.
+func MaxSetupBurst(events []fakeserver.Event, hosts []string, window time.Duration) (largest int, host string) {
+	for _, id := range hosts {
+		if n := MaxInWindow(EventTimes(events, id, fakeserver.EventOpened), window); n > largest {
+			largest, host = n, id
 		}
 	}
-	return most, host
+	return largest, host
 }
