--- a/cmd/onyxstream/load_test.go
+++ b/cmd/onyxstream/load_test.go
@@ -103,8 +103,8 @@
 		t.Fatal(err)
 	}
 	c := r.Classes[0]
-	if c.Asked < 30 || c.Outcomes["served"] < c.Asked/2 || r.Wrong != 0 || len(r.Marks) == 0 || r.Nodes.CPU <= 0 || r.Partial {
-		t.Errorf("result %+v, marks %v, usage %+v", c, r.Marks, r.Nodes)
+	if c.Requests < 30 || c.Outcomes["served"] < c.Requests/2 || r.WrongReceipts != 0 || len(r.FleetEvents) == 0 || r.Nodes.CPU <= 0 || r.Partial {
+		t.Errorf("result %+v, marks %v, usage %+v", c, r.FleetEvents, r.Nodes)
 	}
 	// What clients and hosts counted must fit: each UP that a client was given is one that a host gave.
 	ups, ledger := int64(0), readLedger(t, file("ledger"))
@@ -113,7 +113,7 @@
 			ups++
 		}
 	}
-	if served := c.Tries["served"]; ups != served {
+	if served := c.Attempts["served"]; ups != served {
 		t.Errorf("hosts put up %d, clients were put up %d times", ups, served)
 	}
 	for name, want := range map[string]string{"r.html": "<svg", "r.hgrm": "Percentile", "log": "started"} {
@@ -189,11 +189,11 @@
 		t.Fatalf("%d recorded, %d replayed", len(a), len(b))
 	}
 	for i := range a {
-		if math.Abs(float64(a[i].At)/3-float64(b[i].At)) > 1000 || a[i].Key != b[i].Key || a[i].Life != b[i].Life {
+		if math.Abs(float64(a[i].IntendedAt)/3-float64(b[i].IntendedAt)) > 1000 || a[i].Key != b[i].Key || a[i].Lifetime != b[i].Lifetime {
 			t.Fatalf("row %d is replayed as %+v, was %+v", i, b[i], a[i])
 		}
 	}
-	if r, err := loadtest.ReadResult(result); err != nil || r.Speed != 3 || r.Classes[0].Asked != int64(len(a)) {
+	if r, err := loadtest.ReadResult(result); err != nil || r.Speed != 3 || r.Classes[0].Requests != int64(len(a)) {
 		t.Errorf("result %+v, error %v", r, err)
 	}
 }
@@ -209,7 +209,7 @@
 			_ = c.Process.Signal(s)
 		})
 		r, err := loadtest.ReadResult(result)
-		if status != 4 || err != nil || !r.Partial || len(r.Classes) == 0 || r.Classes[0].Asked == 0 {
+		if status != 4 || err != nil || !r.Partial || len(r.Classes) == 0 || r.Classes[0].Requests == 0 {
 			t.Errorf("exit %d: %s; result %+v, error %v", status, errs, r, err)
 		}
 	}
@@ -303,10 +303,10 @@
 	for _, n := range c.Outcomes {
 		total += n
 	}
-	if total != c.Asked || c.Asked < 120 || c.Outcomes["served"] < c.Asked/2 || c.Outcomes["cut"]+c.Outcomes["unsent"] > 0 || r.Wrong != 0 {
-		t.Errorf("asked %d, outcomes %v, %d wrong receipts", c.Asked, c.Outcomes, r.Wrong)
+	if total != c.Requests || c.Requests < 120 || c.Outcomes["served"] < c.Requests/2 || c.Outcomes["cut"]+c.Outcomes["unsent"] > 0 || r.WrongReceipts != 0 {
+		t.Errorf("asked %d, outcomes %v, %d wrong receipts", c.Requests, c.Outcomes, r.WrongReceipts)
 	}
-	if len(r.Marks) < want {
-		t.Errorf("%d marks of %d faults: %v", len(r.Marks), want, r.Marks)
+	if len(r.FleetEvents) < want {
+		t.Errorf("%d marks of %d faults: %v", len(r.FleetEvents), want, r.FleetEvents)
 	}
 }
--- a/internal/cli/load.go
+++ b/internal/cli/load.go
@@ -105,7 +105,7 @@
 			if scenario != "" {
 				s, text, err = loadtest.ReadScenario(scenario)
 			} else {
-				s, err = loadtest.Plain(args[0], deadline)
+				s, err = loadtest.ReplayScenario(args[0], deadline)
 			}
 			if err != nil {
 				return err
@@ -152,11 +152,11 @@
 	defer stop()
 	context.AfterFunc(ctx, stop) // a second signal ends the process at once
 	if !f.quiet && terminal(c.ErrOrStderr()) {
-		o.Progress = progress(c.ErrOrStderr())
+		o.OnProgress = progress(c.ErrOrStderr())
 	}
 	for i := range f.repeat {
 		r, err := loadtest.Play(ctx, s, text, o)
-		if o.Progress != nil {
+		if o.OnProgress != nil {
 			fmt.Fprint(c.ErrOrStderr(), "\r\x1b[K")
 		}
 		if r == nil {
@@ -167,9 +167,9 @@
 		}
 		switch {
 		case r.Partial:
-			return &status{ExitPartial, fmt.Errorf("the result is partial: %s", r.Why)}
-		case r.Behind != "":
-			return &status{ExitBehind, errors.New(r.Behind)}
+			return &status{ExitPartial, fmt.Errorf("the result is partial: %s", r.PartialReason)}
+		case r.BehindReason != "":
+			return &status{ExitBehind, errors.New(r.BehindReason)}
 		}
 	}
 	return nil
@@ -217,7 +217,7 @@
 		return err
 	}
 	for _, p := range r.Paths() {
-		all, err := r.All(p)
+		all, err := r.Aggregate(p)
 		if err != nil {
 			return errors.Join(err, w.Close())
 		}
@@ -238,7 +238,7 @@
 func progress(w io.Writer) func(loadtest.Progress) {
 	return func(p loadtest.Progress) {
 		fmt.Fprintf(w, "\r\x1b[K%4.0f s  %d asked, %d served, %d refused, %d neither; %d open; %.2f ms late",
-			p.At.Seconds(), p.Asked, p.Served, p.Refused, p.Failed, p.Open, float64(p.Lateness.Microseconds())/1000)
+			p.Elapsed.Seconds(), p.Started, p.Served, p.Rejected, p.Failed, p.Open, float64(p.Lateness.Microseconds())/1000)
 	}
 }
 
@@ -248,14 +248,14 @@
 	fmt.Fprintln(w, "class\tpath\tasked\tserved\trefused\tneither\tp50 ms\tp99 ms\tmax ms\tservice p99\tbroken\tmoved\t")
 	line := func(c *loadtest.ClassResult) {
 		s, lat := c.Outcomes["served"], c.Latency["served"]
-		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%d\t%.2f\t%.2f\t%.2f\t%.2f\t%d\t%d\t\n", c.Class, c.Path, c.Asked, s, c.Outcomes["refused"],
-			c.Asked-s-c.Outcomes["refused"], lat.P50, lat.P99, lat.Max, c.Service.P99, c.Broken, c.Moved)
+		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%d\t%.2f\t%.2f\t%.2f\t%.2f\t%d\t%d\t\n", c.Class, c.Path, c.Requests, s, c.Outcomes["refused"],
+			c.Requests-s-c.Outcomes["refused"], lat.P50, lat.P99, lat.Max, c.Service.P99, c.Broken, c.Migrated)
 	}
 	for i := range r.Classes {
 		line(&r.Classes[i])
 	}
 	for _, p := range r.Paths() {
-		all, err := r.All(p)
+		all, err := r.Aggregate(p)
 		if err != nil {
 			return err
 		}
@@ -268,11 +268,11 @@
 	if r.Nodes != nil {
 		fmt.Fprintf(out, "nodes: %.2f s of CPU, %.0f MB at most\n", r.Nodes.CPU.Seconds(), r.Nodes.PeakMB)
 	}
-	if r.List != nil {
-		fmt.Fprintf(out, "list service: %d calls, %d turned away, %d within 100 ms at most\n", r.List.Calls, r.List.Turned, r.List.Most)
+	if r.ListService != nil {
+		fmt.Fprintf(out, "list service: %d calls, %d turned away, %d within 100 ms at most\n", r.ListService.Calls, r.ListService.Turned, r.ListService.Most)
 	}
-	if r.Wrong > 0 {
-		fmt.Fprintf(out, "%d receipts were given that no host had made\n", r.Wrong)
+	if r.WrongReceipts > 0 {
+		fmt.Fprintf(out, "%d receipts were given that no host had made\n", r.WrongReceipts)
 	}
 	return nil
 }
@@ -344,14 +344,14 @@
 	fmt.Fprintln(w, "class\tpath\tfigure\tbase\tnew\tnoise\tverdict\t")
 	shown := 0
 	for _, d := range diffs {
-		if d.Word == loadtest.Worse {
+		if d.Verdict == loadtest.Worse {
 			worse++
 		}
-		if d.Word == loadtest.Same && !all {
+		if d.Verdict == loadtest.WithinNoise && !all {
 			continue
 		}
 		shown++
-		fmt.Fprintf(w, "%s\t%s\t%s\t%.4g\t%.4g\t%.2g\t%s\t\n", d.Class, d.Path, d.Figure, d.Median[0], d.Median[1], d.Noise, d.Word)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%.4g\t%.4g\t%.2g\t%s\t\n", d.Class, d.Path, d.Metric, d.Medians[0], d.Medians[1], d.Noise, d.Verdict)
 	}
 	switch {
 	case asJSON:
--- /dev/null
+++ b/internal/loadtest/client_test.go
@@ -0,0 +1,168 @@
+package loadtest
+
+import (
+	"bufio"
+	"io"
+	"net"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+)
+
+// Each request has exactly one outcome, whatever the server does.
+func TestRun_EachServerBehavior_HasItsOutcome(t *testing.T) {
+	write := func(text string) func(string, *net.TCPConn, *bufio.Reader) {
+		return func(_ string, c *net.TCPConn, _ *bufio.Reader) { _, _ = io.WriteString(c, text) }
+	}
+	for name, c := range map[string]struct {
+		script func(string, *net.TCPConn, *bufio.Reader)
+		want   Outcome
+		tries  int64 // of each request
+	}{
+		"says nothing": {func(_ string, _ *net.TCPConn, r *bufio.Reader) { _, _ = r.ReadByte() }, TimedOut, 2},
+		"busy":         {write("BUSY 30\r\n"), Rejected, 2},
+		"an error":     {write("ERR\r\n"), Failed, 2},
+		"nonsense":     {write(strings.Repeat("x", 5000) + "\r\n"), Failed, 2},
+		"closes":       {write(""), Lost, 2},
+		"half a line":  {write("UP "), Lost, 2},
+		"serves":       {func(_ string, c *net.TCPConn, r *bufio.Reader) { establishAndEcho(c, r) }, Served, 1},
+	} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			s := scenario(t, "[clients]\nretries = 1\nmarks = true\n", "rate = 100", "rate = 20", `deadline = "2s"`, `deadline = "250ms"`, `life = "300ms"`, `life = "10ms"`)
+			var marked atomic.Int64
+			addr := startServer(t, func(line string, conn *net.TCPConn, r *bufio.Reader) {
+				if strings.HasSuffix(line, ",r=1") {
+					marked.Add(1)
+				}
+				if !strings.Contains(line, " c=chat,t=acme,d=250,life=") {
+					t.Errorf("sent %q", line)
+				}
+				c.script(line, conn, r)
+			})
+			r := runScenario(t, t.Context(), s, addr, nil).Classes[0]
+			if r.Outcomes[c.want.String()] != 20 || r.Attempts[c.want.String()] != 20*c.tries || marked.Load() != 20*(c.tries-1) {
+				t.Errorf("outcomes %v, tries %v, %d marked", r.Outcomes, r.Attempts, marked.Load())
+			}
+		})
+	}
+	s := scenario(t, "", "rate = 100", "rate = 20")
+	if r := runScenario(t, t.Context(), s, "127.0.0.1:1", nil).Classes[0]; r.Outcomes["unreachable"] != 20 {
+		t.Errorf("nobody listens: %v", r.Outcomes)
+	}
+}
+
+// A retry comes no sooner than Retry-After asks, and latency is measured from the intended time of the first attempt.
+func TestRun_RetryAfter_Honored(t *testing.T) {
+	var mu sync.Mutex
+	first := map[string]time.Time{}
+	addr := startServer(t, func(line string, c *net.TCPConn, r *bufio.Reader) {
+		key := strings.Fields(line)[2]
+		mu.Lock()
+		began, again := first[key]
+		first[key] = time.Now()
+		mu.Unlock()
+		if !again {
+			_, _ = io.WriteString(c, "BUSY 200\r\n")
+			return
+		}
+		if d := time.Since(began); d < 200*time.Millisecond {
+			t.Errorf("came again after %v, told 200 ms", d)
+		}
+		establishAndEcho(c, r)
+	})
+	s := scenario(t, "[clients]\nretries = 1\n", "rate = 100", "rate = 20", `life = "300ms"`, `life = "10ms"`)
+	r := runScenario(t, t.Context(), s, addr, nil).Classes[0]
+	if r.Outcomes["served"] != 20 || r.Attempts["refused"] != 20 || r.Latency["served"].P50 < 199 || r.Service.P50 > 100 {
+		t.Errorf("%v of %v; latency %g ms, of the try alone %g ms", r.Outcomes, r.Attempts, r.Latency["served"].P50, r.Service.P50)
+	}
+}
+
+// The server migrates, closes and breaks connections in turn.
+func TestRun_ConnectionsEnd_CountedByReason(t *testing.T) {
+	var n, reconnects atomic.Int64
+	addr := startServer(t, func(line string, c *net.TCPConn, r *bufio.Reader) {
+		if strings.Contains(line, ",again=1") {
+			reconnects.Add(1)
+			_, _ = io.WriteString(c, "UP x\r\nBYE\r\n")
+			return
+		}
+		_, _ = io.WriteString(c, "UP x\r\n"+[]string{"BYE\r\n", "MOVE\r\n", "half a line"}[n.Add(1)%3])
+	})
+	s := scenario(t, "[clients]\ncome_back = [\"1ms\", \"5ms\"]\n[limits]\nlinger = \"5s\"\n", "rate = 100", "rate = 30")
+	r := runScenario(t, t.Context(), s, addr, nil).Classes[0]
+	if r.Migrated != 10 || r.Broken != 10 || r.Completed != 30 || r.Reconnects != 20 || reconnects.Load() != 20 || r.Reconnect.Count != 20 {
+		t.Errorf("moved %d, broken %d, ended %d, came again %d, served then %d", r.Migrated, r.Broken, r.Completed, r.Reconnects, r.Reconnect.Count)
+	}
+}
+
+func TestRun_MidFlow_ResumesBrokenConnection(t *testing.T) {
+	var mu sync.Mutex
+	ids := map[string]int{}
+	addr := startServer(t, func(line string, c *net.TCPConn, r *bufio.Reader) {
+		id := strings.Fields(line)[1]
+		mu.Lock()
+		ids[id]++
+		seen := ids[id]
+		mu.Unlock()
+		switch {
+		case strings.Contains(line, ",mid=1"):
+			if seen != 2 {
+				t.Errorf("mid-flow under a new id: %q", line)
+			}
+			_, _ = io.WriteString(c, "UP x\r\nBYE\r\n")
+		default:
+			_, _ = io.WriteString(c, "UP x\r\n") // and breaks
+		}
+	})
+	s := scenario(t, "[clients]\nmid_flow = true\n[limits]\nlinger = \"5s\"\n", "rate = 100", "rate = 20")
+	if r := runScenario(t, t.Context(), s, addr, nil).Classes[0]; r.Broken != 20 || r.Completed != 20 || r.Reconnects != 0 {
+		t.Errorf("broken %d, ended %d, came again %d", r.Broken, r.Completed, r.Reconnects)
+	}
+}
+
+// A surge drops its share of the established connections, and their clients reconnect.
+func TestRun_ReconnectSurge_DropsShareAndReconnects(t *testing.T) {
+	var reconnects atomic.Int64
+	addr := startServer(t, func(line string, c *net.TCPConn, r *bufio.Reader) {
+		if strings.Contains(line, ",again=1") {
+			reconnects.Add(1)
+		}
+		establishAndEcho(c, r)
+	})
+	s := scenario(t, "[[wave]]\nat = \"900ms\"\nshare = 0.5\nwithin = \"200ms\"\n[limits]\nlinger = \"1s\"\n", "rate = 100", "rate = 200",
+		`life = "300ms"`, "life = \"1h\"\nspread = \"fixed\"", `for = "1s"`, `for = "500ms"`)
+	r := runScenario(t, t.Context(), s, addr, nil).Classes[0]
+	want := int64(0)
+	for n := range int64(100) {
+		if drops, _ := s.DropsInSurge(0, n); drops {
+			want++
+		}
+	}
+	if r.Dropped != want || r.Reconnects != want || reconnects.Load() != want || r.Aborted != 100 {
+		t.Errorf("%d dropped, %d came again, want %d; %d cut", r.Dropped, r.Reconnects, want, r.Aborted)
+	}
+}
+
+// Lines are timed from their intended time, also where the echo is slower than the lines come.
+func TestRun_SlowEcho_LinesTimedFromIntendedTime(t *testing.T) {
+	addr := startServer(t, func(_ string, c *net.TCPConn, r *bufio.Reader) {
+		_, _ = io.WriteString(c, "UP x\r\n")
+		for {
+			line, err := r.ReadString('\n')
+			if err != nil {
+				return
+			}
+			time.Sleep(100 * time.Millisecond) // slower than lines come: they pile up
+			_, _ = io.WriteString(c, line)
+		}
+	})
+	s := scenario(t, "", "rate = 100", "rate = 5", `life = "300ms"`, "life = \"1s\"\nspread = \"fixed\"\nmessage = \"50ms\"")
+	s.Limits.Linger = 1500e6
+	r := runScenario(t, t.Context(), s, addr, nil).Classes[0]
+	if r.LinesSent < 5*19 || r.LinesAnswered < 30 || r.Message.Max < 400 {
+		t.Errorf("%d lines sent, %d answered, the slowest after %g ms: they pile up by half a second", r.LinesSent, r.LinesAnswered, r.Message.Max)
+	}
+}
--- a/internal/loadtest/compare.go
+++ b/internal/loadtest/compare.go
@@ -9,187 +9,150 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Difference is one figure of two builds or settings, each from one run or several.
+// Difference compares one metric of two builds or settings, each measured in one run or several.
 type Difference struct {
-	Path   string     `json:"path"`
-	Class  string     `json:"class"` // "all" for all together
-	Figure string     `json:"figure"`
-	Base   []float64  `json:"base"`
-	New    []float64  `json:"new"`
-	Median [2]float64 `json:"medians"`
-	Noise  float64    `json:"noise"` // what the difference of medians would be by chance alone, about; -1 where not known
-	Word   string     `json:"verdict"`
+	Path      string     `json:"path"`
+	Class     string     `json:"class"` // or "all"
+	Metric    string     `json:"figure"`
+	Base      []float64  `json:"base"`
+	Candidate []float64  `json:"new"`
+	Medians   [2]float64 `json:"medians"`
+	Noise     float64    `json:"noise"` // twice the standard error of the difference; -1 with too few runs
+	Verdict   string     `json:"verdict"`
 }
 
 // Verdicts of a comparison.
 const (
-	Same    = "within noise"
-	Better  = "better"
-	Worse   = "worse"
-	Other   = "differs" // a figure of which neither way is better
-	Unknown = "noise unknown"
+	WithinNoise  = "within noise"
+	Better       = "better"
+	Worse        = "worse"
+	Differs      = "differs" // of a metric where neither more nor less is better
+	NoiseUnknown = "noise unknown"
 )
 
-// leastRuns is how many runs of each side tell noise from a difference.
-const leastRuns = 3
+// minRuns is how many runs of each side are needed to estimate the noise.
+const minRuns = 3
 
-// figures are what is compared; sign is 1 where more is better, -1 where less is, 0 where neither.
-var figures = []struct {
+// metric is a figure of a class. Its function returns false where the class has none.
+type metric struct {
 	name string
-	sign float64
+	sign float64 // 1 where more is better, -1 where less is, 0 for neither
 	of   func(c *ClassResult) (float64, bool)
-}{
-	{"served, share", 1, func(c *ClassResult) (float64, bool) { return c.share("served") }},
-	{"refused, share", -1, func(c *ClassResult) (float64, bool) { return c.share("refused") }},
+}
+
+// metrics are the metrics that Compare compares, in its order.
+var metrics = []metric{
+	{"served, share", 1, func(c *ClassResult) (float64, bool) { return c.share(Served) }},
+	{"refused, share", -1, func(c *ClassResult) (float64, bool) { return c.share(Rejected) }},
 	{"neither, share", -1, func(c *ClassResult) (float64, bool) {
-		served, ok := c.share("served")
-		refused, _ := c.share("refused")
-		unsent, _ := c.share("unsent")
-		return 1 - served - refused - unsent, ok
+		served, ok := c.share(Served)
+		rejected, _ := c.share(Rejected)
+		unsent, _ := c.share(Unsent)
+		return 1 - served - rejected - unsent, ok
 	}},
-	{"latency p50, ms", -1, func(c *ClassResult) (float64, bool) { return c.Latency["served"].P50, c.Latency["served"].Count > 0 }},
-	{"latency p99, ms", -1, func(c *ClassResult) (float64, bool) { return c.Latency["served"].P99, c.Latency["served"].Count > 0 }},
+	{"latency p50, ms", -1, func(c *ClassResult) (float64, bool) { return c.served().P50, c.served().Count > 0 }},
+	{"latency p99, ms", -1, func(c *ClassResult) (float64, bool) { return c.served().P99, c.served().Count > 0 }},
 	{"service p50, ms", -1, func(c *ClassResult) (float64, bool) { return c.Service.P50, c.Service.Count > 0 }},
 	{"service p99, ms", -1, func(c *ClassResult) (float64, bool) { return c.Service.P99, c.Service.Count > 0 }},
 	{"line p50, ms", -1, func(c *ClassResult) (float64, bool) { return c.Message.P50, c.Message.Count > 0 }},
 	{"line p99, ms", -1, func(c *ClassResult) (float64, bool) { return c.Message.P99, c.Message.Count > 0 }},
-	{"broken, share of served", -1, func(c *ClassResult) (float64, bool) { return c.ofServed(c.Broken) }},
-	{"moved, share of served", 0, func(c *ClassResult) (float64, bool) { return c.ofServed(c.Moved) }},
+	{"broken, share of served", -1, func(c *ClassResult) (float64, bool) { return c.perServed(c.Broken) }},
+	{"moved, share of served", 0, func(c *ClassResult) (float64, bool) { return c.perServed(c.Migrated) }},
 }
 
-func (c *ClassResult) share(outcome string) (float64, bool) {
-	return float64(c.Outcomes[outcome]) / float64(max(c.Asked, 1)), c.Asked > 0
+// share is the share of the requests with an outcome.
+func (c *ClassResult) share(outcome Outcome) (float64, bool) {
+	return float64(c.Outcomes[outcome.String()]) / float64(max(c.Requests, 1)), c.Requests > 0
 }
 
-func (c *ClassResult) ofServed(n int64) (float64, bool) {
-	served := c.Outcomes["served"]
+// served is the latency of served requests.
+func (c *ClassResult) served() Summary { return c.Latency[Served.String()] }
+
+// perServed is n divided by the number of served requests.
+func (c *ClassResult) perServed(n int64) (float64, bool) {
+	served := c.Outcomes[Served.String()]
 	return float64(n) / float64(max(served, 1)), served > 0
 }
 
-// All puts the classes of a path together; shares and percentiles are of all requests.
-func (r *Result) All(path string) (ClassResult, error) {
-	all := ClassResult{Path: path, Class: "all", Outcomes: map[string]int64{}, Tries: map[string]int64{}, Latency: map[string]Summary{}}
-	latency := map[string]Summary{}
-	for i := range r.Classes {
-		c := &r.Classes[i]
-		if c.Path != path {
-			continue
-		}
-		all.Asked += c.Asked
-		all.Late += c.Late
-		all.Ended, all.Moved, all.Broken = all.Ended+c.Ended, all.Moved+c.Moved, all.Broken+c.Broken
-		all.Dropped, all.Cut, all.Returns = all.Dropped+c.Dropped, all.Cut+c.Cut, all.Returns+c.Returns
-		all.Sent, all.Answered = all.Sent+c.Sent, all.Answered+c.Answered
-		for k, n := range c.Outcomes {
-			all.Outcomes[k] += n
-		}
-		for k, n := range c.Tries {
-			all.Tries[k] += n
-		}
-		for k, s := range c.Latency {
-			if err := merge(latency, k, s); err != nil {
-				return all, err
-			}
-		}
-		for k, s := range map[string]Summary{"service": c.Service, "back": c.Back, "message": c.Message} {
-			if err := merge(latency, "."+k, s); err != nil {
-				return all, err
-			}
+// errNoRuns is returned where one side of a comparison is empty.
+var errNoRuns = errors.New("each side needs a run at least")
+
+const runTimeFormat = "2006-01-02 15:04:05"
+
+// Compare compares runs of one load in all metrics, by path and class. Runs that are partial, or in which the generator
+// fell behind, are rejected: their figures are not the node's.
+func Compare(base, candidate []*Result) ([]Difference, error) {
+	if len(base) == 0 || len(candidate) == 0 {
+		return nil, errNoRuns
+	}
+	for _, r := range append(slices.Clone(base), candidate...) {
+		if err := checkComparable(base[0], r); err != nil {
+			return nil, err
 		}
 	}
-	all.Service, all.Back, all.Message = latency[".service"], latency[".back"], latency[".message"]
-	for k, s := range latency {
-		if k[0] != '.' {
-			all.Latency[k] = s
+	var out []Difference
+	for _, path := range base[0].Paths() {
+		for _, class := range base[0].classNames(path) {
+			differences, err := compareClass(base, candidate, path, class)
+			if err != nil {
+				return nil, err
+			}
+			out = append(out, differences...)
 		}
 	}
-	return all, nil
+	return out, nil
 }
 
-func merge(into map[string]Summary, k string, s Summary) error {
-	h, err := s.Histogram()
-	if err != nil {
-		return err
-	}
-	was := into[k]
-	old, err := was.Histogram()
-	if err != nil {
-		return err
+// checkComparable returns an error where a run has no valid figures or is of another load than the reference.
+func checkComparable(reference, r *Result) error {
+	switch {
+	case r.Partial:
+		return fmt.Errorf("a run of %s is partial (%s): it can't be compared", r.Began.Format(runTimeFormat), r.PartialReason)
+	case r.BehindReason != "":
+		return fmt.Errorf("in a run of %s the generator fell behind (%s): it can't be compared",
+			r.Began.Format(runTimeFormat), r.BehindReason)
+	case r.Name != reference.Name || r.Loop != reference.Loop || r.Speed != reference.Speed:
+		return fmt.Errorf("the runs are of other loads: %q and %q", reference.Name, r.Name)
 	}
-	old.Merge(h)
-	into[k] = summary(old, true)
 	return nil
 }
 
-// Paths names the paths that a run has: "node" first.
-func (r *Result) Paths() (out []string) {
+// classNames returns allClasses and the classes of a path.
+func (r *Result) classNames(path string) []string {
+	names := []string{allClasses}
 	for _, c := range r.Classes {
-		if !slices.Contains(out, c.Path) {
-			out = append(out, c.Path)
+		if c.Path == path {
+			names = append(names, c.Class)
 		}
 	}
-	return out
+	return names
 }
 
-// Compare sets runs of one load side by side. Runs that are partial, or in which the generator fell behind, are
-// refused: their figures are not the node's.
-func Compare(base, next []*Result) ([]Difference, error) {
-	if len(base) == 0 || len(next) == 0 {
-		return nil, errors.New("each side needs a run at least")
-	}
-	for _, r := range append(slices.Clone(base), next...) {
-		switch {
-		case r.Partial:
-			return nil, fmt.Errorf("a run of %s is partial (%s): it can't be compared", r.Began.Format("2006-01-02 15:04:05"), r.Why)
-		case r.Behind != "":
-			return nil, fmt.Errorf("in a run of %s the generator fell behind (%s): it can't be compared",
-				r.Began.Format("2006-01-02 15:04:05"), r.Behind)
-		case r.Name != base[0].Name || r.Loop != base[0].Loop || r.Speed != base[0].Speed:
-			return nil, fmt.Errorf("the runs are of other loads: %q and %q", base[0].Name, r.Name)
+// compareClass compares one class in all metrics that both sides have.
+func compareClass(base, candidate []*Result, path, class string) (out []Difference, err error) {
+	for _, metric := range metrics {
+		d := Difference{Path: path, Class: class, Metric: metric.name}
+		if d.Base, err = metricValues(base, path, class, metric.of); err != nil {
+			return nil, err
 		}
-	}
-	var out []Difference
-	for _, path := range base[0].Paths() {
-		classes := []string{"all"}
-		for _, c := range base[0].Classes {
-			if c.Path == path {
-				classes = append(classes, c.Class)
-			}
+		if d.Candidate, err = metricValues(candidate, path, class, metric.of); err != nil {
+			return nil, err
 		}
-		for _, class := range classes {
-			for _, f := range figures {
-				d := Difference{Path: path, Class: class, Figure: f.name}
-				var err error
-				if d.Base, err = values(base, path, class, f.of); err != nil {
-					return nil, err
-				}
-				if d.New, err = values(next, path, class, f.of); err != nil {
-					return nil, err
-				}
-				if len(d.Base) == 0 || len(d.New) == 0 {
-					continue
-				}
-				d.judge(f.sign)
-				out = append(out, d)
-			}
+		if len(d.Base) == 0 || len(d.Candidate) == 0 {
+			continue
 		}
+		d.setVerdict(metric.sign)
+		out = append(out, d)
 	}
 	return out, nil
 }
 
-func values(runs []*Result, path, class string, of func(*ClassResult) (float64, bool)) (out []float64, err error) {
+// metricValues returns a metric of each run that has it.
+func metricValues(runs []*Result, path, class string, of func(*ClassResult) (float64, bool)) (out []float64, err error) {
 	for _, r := range runs {
-		c, found := ClassResult{}, false
-		if class == "all" {
-			if c, err = r.All(path); err != nil {
-				return nil, err
-			}
-			found = c.Asked > 0
-		}
-		for _, k := range r.Classes {
-			if k.Path == path && k.Class == class {
-				c, found = k, true
-			}
+		c, found, err := r.class(path, class)
+		if err != nil {
+			return nil, err
 		}
 		if v, ok := of(&c); found && ok {
 			out = append(out, v)
@@ -198,34 +161,54 @@
 	return out, nil
 }
 
-// judge says whether the difference is over the noise: twice the standard error of the difference by both sides'
-// spread, and no overlap of the runs, since few runs tell little of a spread.
-func (d *Difference) judge(sign float64) {
-	d.Median = [2]float64{median(d.Base), median(d.New)}
-	d.Noise, d.Word = -1, Unknown
-	if len(d.Base) < leastRuns || len(d.New) < leastRuns {
+// class returns the result of a class, or of all classes together.
+func (r *Result) class(path, class string) (c ClassResult, found bool, err error) {
+	if class == allClasses {
+		if c, err = r.Aggregate(path); err != nil {
+			return c, false, err
+		}
+		found = c.Requests > 0
+	}
+	for _, k := range r.Classes {
+		if k.Path == path && k.Class == class {
+			c, found = k, true
+		}
+	}
+	return c, found, nil
+}
+
+// setVerdict decides whether the difference exceeds the noise. It has to be over twice the standard error of the
+// difference, and the two sides must not overlap, since a few runs say little about the variance.
+func (d *Difference) setVerdict(sign float64) {
+	d.Medians = [2]float64{median(d.Base), median(d.Candidate)}
+	d.Noise = -1
+	d.Verdict = NoiseUnknown
+	if len(d.Base) < minRuns || len(d.Candidate) < minRuns {
 		return
 	}
-	d.Noise = 2 * math.Sqrt(stat.Variance(d.Base, nil)/float64(len(d.Base))+stat.Variance(d.New, nil)/float64(len(d.New)))
-	diff := d.Median[1] - d.Median[0]
-	apart := slices.Min(d.New) > slices.Max(d.Base) || slices.Max(d.New) < slices.Min(d.Base)
+	baseVariance := stat.Variance(d.Base, nil) / float64(len(d.Base))
+	candidateVariance := stat.Variance(d.Candidate, nil) / float64(len(d.Candidate))
+	d.Noise = 2 * math.Sqrt(baseVariance+candidateVariance)
+	difference := d.Medians[1] - d.Medians[0]
+	disjoint := slices.Min(d.Candidate) > slices.Max(d.Base) || slices.Max(d.Candidate) < slices.Min(d.Base)
 	switch {
-	case !apart || math.Abs(diff) <= d.Noise:
-		d.Word = Same
+	case !disjoint || math.Abs(difference) <= d.Noise:
+		d.Verdict = WithinNoise
 	case sign == 0:
-		d.Word = Other
-	case diff*sign > 0:
-		d.Word = Better
+		d.Verdict = Differs
+	case difference*sign > 0:
+		d.Verdict = Better
 	default:
-		d.Word = Worse
+		d.Verdict = Worse
 	}
 }
 
-func median(v []float64) float64 {
-	s := slices.Clone(v)
-	slices.Sort(s)
-	if n := len(s); n%2 == 0 {
-		return (s[n/2-1] + s[n/2]) / 2
+func median(values []float64) float64 {
+	sorted := slices.Clone(values)
+	slices.Sort(sorted)
+	middle := len(sorted) / 2
+	if len(sorted)%2 == 0 {
+		return (sorted[middle-1] + sorted[middle]) / 2
 	}
-	return s[len(s)/2]
+	return sorted[middle]
 }
--- /dev/null
+++ b/internal/loadtest/connection.go
@@ -0,0 +1,82 @@
+package loadtest
+
+import (
+	"net"
+	"sync/atomic"
+	"time"
+)
+
+// endReason is why an established connection ended.
+type endReason uint8
+
+const (
+	endCompleted endReason = iota // the host closed it, or its lifetime was over
+	endMigrated                   // the host asked the client to migrate
+	endBroken                     // it failed without either
+	endDropped                    // the client dropped it in a reconnect surge
+	endAborted                    // the run ended
+)
+
+// clientConnection is an open connection that a reconnect surge or the end of the run can terminate from outside the
+// goroutine that reads it.
+type clientConnection struct {
+	request        int64 // number of the request
+	conn           *net.TCPConn
+	endReason      atomic.Int32 // reason of terminate plus one; 0 while the connection is not terminated
+	reconnectDelay atomic.Int64 // nanoseconds until a dropped client reconnects
+	established    atomic.Bool
+}
+
+// terminate unblocks the reader of the connection. Only the first reason is kept.
+func (c *clientConnection) terminate(reason endReason) {
+	if c.endReason.CompareAndSwap(0, int32(reason)+1) {
+		_ = c.conn.SetReadDeadline(time.Now())
+	}
+}
+
+// terminatedBy returns the reason given to terminate; ok is false where it was not called.
+func (c *clientConnection) terminatedBy() (reason endReason, ok bool) {
+	stored := c.endReason.Load()
+	return endReason(stored - 1), stored != 0
+}
+
+// track registers an open connection. It returns false once the run has ended.
+func (e *engine) track(c *clientConnection) bool {
+	e.connectionsMu.Lock()
+	defer e.connectionsMu.Unlock()
+	if !e.ended.Load() {
+		e.connections[c] = struct{}{}
+	}
+	return !e.ended.Load()
+}
+
+func (e *engine) untrack(c *clientConnection) {
+	e.connectionsMu.Lock()
+	defer e.connectionsMu.Unlock()
+	delete(e.connections, c)
+}
+
+// dropForSurge drops the surge's share of the established connections at once.
+func (e *engine) dropForSurge(surge int) {
+	e.connectionsMu.Lock()
+	defer e.connectionsMu.Unlock()
+	for c := range e.connections {
+		drops, delay := e.scenario.DropsInSurge(surge, c.request)
+		if drops && c.established.Load() {
+			c.reconnectDelay.Store(int64(delay))
+			c.terminate(endDropped)
+		}
+	}
+}
+
+// terminateAll ends the run: it terminates all connections, dials and pauses.
+func (e *engine) terminateAll() {
+	e.connectionsMu.Lock()
+	defer e.connectionsMu.Unlock()
+	e.ended.Store(true)
+	close(e.stop)
+	e.cancelDials()
+	for c := range e.connections {
+		c.terminate(endAborted)
+	}
+}
--- /dev/null
+++ b/internal/loadtest/pacer.go
@@ -0,0 +1,152 @@
+package loadtest
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"runtime"
+	"sync"
+	"time"
+)
+
+// Values of Requests.Loop.
+const (
+	loopOpen   = "open"
+	loopClosed = "closed"
+)
+
+// Values of Result's paths.
+const (
+	pathNode   = "node"
+	pathDirect = "direct"
+)
+
+const (
+	// maxPacerSleep bounds how long the pacer takes to notice that the run is canceled.
+	maxPacerSleep = 50 * time.Millisecond
+	// spinThreshold is how late timers of the runtime may be: for shorter waits the pacer yields in a loop. A sleep would
+	// also delay the goroutines that it has just started on its processor.
+	spinThreshold = 1200 * time.Microsecond
+)
+
+// sendRequests sends all requests of the source. The error says that the source could not be read.
+func (e *engine) sendRequests(ctx context.Context) error {
+	if e.scenario.Requests.Loop == loopClosed {
+		return e.runClosedLoop(ctx)
+	}
+	return e.runOpenLoop(ctx)
+}
+
+// runOpenLoop sends each request at its intended time, whatever became of those before.
+func (e *engine) runOpenLoop(ctx context.Context) error {
+	for {
+		r, err := e.cfg.Source.Next()
+		if err != nil {
+			return ignoreEOF(err)
+		}
+		for ctx.Err() == nil {
+			wait := r.IntendedAt - e.now()
+			if wait <= 0 {
+				break
+			}
+			sleepOrYield(min(wait, maxPacerSleep))
+		}
+		if ctx.Err() != nil {
+			return nil
+		}
+		e.send(r)
+	}
+}
+
+func sleepOrYield(d time.Duration) {
+	if d > spinThreshold {
+		time.Sleep(d - spinThreshold)
+		return
+	}
+	runtime.Gosched()
+}
+
+func ignoreEOF(err error) error {
+	if errors.Is(err, io.EOF) {
+		return nil
+	}
+	return err
+}
+
+// send starts a client for a request, or records the request as unsent where too many connections are open.
+func (e *engine) send(r Request) {
+	if e.cfg.OnRequest != nil {
+		e.cfg.OnRequest(r)
+	}
+	path := pathOf(&r)
+	e.started.Add(1) // before the client starts, as awaitOutcomes must count it
+	if e.open.Load() >= int64(e.scenario.Limits.MaxOpen) {
+		e.recorder.requestStarted(&r, path, e.now()-r.IntendedAt)
+		e.recordUnsent(&r, path, fmt.Errorf("%d connections are open, as many as limits.open allows", e.scenario.Limits.MaxOpen))
+		return
+	}
+	e.open.Add(1)
+	e.clients.Go(func() {
+		defer e.open.Add(-1)
+		e.recorder.requestStarted(&r, path, e.now()-r.IntendedAt)
+		e.newClient(&r).run(r.IntendedAt, func() {})
+	})
+}
+
+func pathOf(r *Request) string {
+	if r.Direct {
+		return pathDirect
+	}
+	return pathNode
+}
+
+// recordUnsent records a request that the generator itself could not send.
+func (e *engine) recordUnsent(r *Request, path string, reason error) {
+	e.localErrorOnce.Do(func() { e.localError.Store(&reason) })
+	e.recorder.requestFinished(r, path, Unsent, e.now()-r.IntendedAt, e.deadlines[r.Class])
+}
+
+// runClosedLoop sends each worker's next request only after the outcome of the one before, with latencies from the time
+// of sending. It suffers from coordinated omission and serves as a comparison for the open loop.
+func (e *engine) runClosedLoop(ctx context.Context) error {
+	var mu sync.Mutex
+	var sourceError error
+	next := func() (Request, error) {
+		mu.Lock()
+		defer mu.Unlock()
+		r, err := e.cfg.Source.Next()
+		if err != nil && sourceError == nil {
+			sourceError = ignoreEOF(err)
+		}
+		return r, err
+	}
+	var workers sync.WaitGroup
+	for range e.scenario.Requests.Workers {
+		workers.Go(func() {
+			for ctx.Err() == nil {
+				r, err := next()
+				if err != nil || e.now() > e.cfg.Length || !e.sleepUntil(ctx, r.IntendedAt) {
+					return
+				}
+				e.sendAndWait(r)
+			}
+		})
+	}
+	workers.Wait()
+	return sourceError
+}
+
+// sendAndWait sends a request now and returns when it has its outcome; its connection may stay established.
+func (e *engine) sendAndWait(r Request) {
+	r.IntendedAt = e.now()
+	finished := make(chan struct{})
+	e.started.Add(1)
+	e.open.Add(1)
+	e.clients.Go(func() {
+		defer e.open.Add(-1)
+		e.recorder.requestStarted(&r, pathOf(&r), 0)
+		e.newClient(&r).run(r.IntendedAt, sync.OnceFunc(func() { close(finished) }))
+	})
+	<-finished
+}
--- a/internal/loadtest/play.go
+++ b/internal/loadtest/play.go
@@ -5,97 +5,50 @@
 	"errors"
 	"fmt"
 	"io"
-	"strings"
 	"sync"
 	"time"
 
 	"onyxstream/internal/fakeserver"
 	"onyxstream/internal/testcluster"
-	"onyxstream/internal/tomlfile"
 )
 
-// PlayOptions are what a run needs beside its scenario.
+// PlayOptions are the options of Play. All are optional unless noted.
 type PlayOptions struct {
-	Program  string    // the node's program, for a scenario with a fleet
-	Targets  []string  // addresses of nodes; with them no fleet is started
-	NodeLog  io.Writer // nil for none
-	Record   string    // the file that the requests are recorded in as a trace; "" for none
-	Ledger   io.Writer // the stand-ins' ledgers as JSON Lines; nil for none
-	Progress func(Progress)
-	Trace    string  // a trace that is replayed in place of the scenario's schedule
-	Speed    float64 // of the replay
+	Program    string    // the node's program; required for a scenario with a fleet
+	Targets    []string  // addresses of nodes; with them no fleet is started
+	NodeLog    io.Writer // log of the fleet's nodes
+	Record     string    // file that the requests are written to as a trace
+	Ledger     io.Writer // events of the fake servers as JSON Lines
+	OnProgress func(Progress)
+	Trace      string  // trace that is replayed instead of the scenario's schedule
+	Speed      float64 // of the replay; required with Trace
 }
 
-// receipts are those that clients were given, to be held against the hosts' ledgers.
-type receipts struct {
-	mu   sync.Mutex
-	byID map[string]string
-}
-
-// mostReceipts bounds what is held against the ledgers.
-const mostReceipts = 1 << 20
-
-func (r *receipts) note(id, receipt string) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if len(r.byID) < mostReceipts {
-		r.byID[id] = receipt
-	}
-}
-
-// wrong counts receipts that no host gave for that connection.
-func (r *receipts) wrong(recs []fakeserver.Record) (n int64) {
-	given := map[string]bool{}
-	for _, x := range recs {
-		if x.What == fakeserver.Up {
-			given[x.ID+" "+x.Note] = true
-		}
-	}
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	for id, receipt := range r.byID {
-		if !given[id+" "+receipt] {
-			n++
-		}
-	}
-	return n
-}
-
-// Play starts what a scenario needs, plays it, and ends that again. The result is there also with an error where the
-// run had begun.
-func Play(ctx context.Context, s *Scenario, text []byte, o PlayOptions) (res *Result, err error) {
-	cfg := Config{Scenario: s, Source: NewSchedule(s), Length: s.Length(), Progress: o.Progress}
+// Play starts the fleet of a scenario, runs its load and stops the fleet. text is the scenario's text for the result.
+// Where the run had begun a result is returned beside an error too.
+func Play(ctx context.Context, s *Scenario, text []byte, o PlayOptions) (result *Result, err error) {
+	cfg := Config{Scenario: s, Source: NewSchedule(s), Length: s.Length(), OnProgress: o.OnProgress}
 	if o.Trace != "" {
-		sum, err := CheckTrace(o.Trace)
+		trace, err := useTrace(&cfg, o)
 		if err != nil {
 			return nil, err
 		}
-		t, err := OpenTrace(o.Trace, o.Speed)
-		if err != nil {
-			return nil, err
-		}
-		defer t.Close()
-		if err := s.fit(sum); err != nil {
-			return nil, fmt.Errorf("%s: %w", o.Trace, err)
-		}
-		cfg.Source, cfg.Length = t, time.Duration(float64(sum.Length)/o.Speed)
+		defer trace.Close()
 	}
-	var r *testcluster.Rig
-	rec := &receipts{byID: map[string]string{}}
+	var fleet *playedFleet
 	switch {
 	case len(o.Targets) > 0:
-		cfg.Address = turns(o.Targets)
+		cfg.Address = roundRobin(o.Targets)
 	case s.Fleet == nil:
 		return nil, errors.New("the scenario has no fleet, and no target is given")
 	default:
-		if r, err = s.Start(ctx, o); err != nil {
+		rig, err := s.Start(ctx, o)
+		if err != nil {
 			return nil, err
 		}
-		defer r.Close()
-		cfg.Address, cfg.Receipt = r.Address, rec.note
-		for _, h := range r.Hosts() {
-			cfg.Hosts = append(cfg.Hosts, h.ID())
-		}
+		defer rig.Close()
+		fleet = &playedFleet{rig: rig, receipts: receipts{byID: map[string]string{}}}
+		fleet.configure(ctx, &cfg)
 	}
 	if o.Record != "" {
 		finish, err := recordTo(&cfg, o.Record)
@@ -104,50 +57,54 @@
 		}
 		defer func() { err = errors.Join(err, finish()) }()
 	}
-	var began time.Duration
-	before := testcluster.Usage{}
-	if r != nil {
-		cfg.Begin = func() {
-			began, before = r.Clock.Now(), r.Usage()
-			r.Play(ctx, s.Faults)
-		}
-	}
-	res, err = Run(ctx, cfg)
-	if res == nil {
+	result, err = Run(ctx, cfg)
+	if result == nil {
 		return nil, err
 	}
-	res.Self = self()
-	res.Scenario, res.Trace = string(text), o.Trace
+	result.Generator = ownUsage()
+	result.Scenario = string(text)
+	result.Trace = o.Trace
 	if o.Trace != "" {
-		res.Speed = o.Speed
+		result.Speed = o.Speed
 	}
-	if r != nil {
-		err = errors.Join(err, r.Failed())
-		u := r.Usage()
-		u.CPU -= before.CPU
-		res.Nodes = &u
-		recs, lost := r.Ledger.Records()
-		res.told(recs, began)
-		list := testcluster.Counted(recs)
-		res.List, res.Start = &list, testcluster.Steps(recs, r.Launched())
-		if lost == 0 {
-			res.Wrong = rec.wrong(recs)
-		}
-		if o.Ledger != nil {
-			err = errors.Join(err, fakeserver.WriteRecords(o.Ledger, r.Clock, recs, lost))
-		}
+	if fleet != nil {
+		err = errors.Join(err, fleet.addTo(result, o.Ledger))
+	}
+	return result, err
+}
+
+// useTrace makes a run replay the options' trace. The caller closes it.
+func useTrace(cfg *Config, o PlayOptions) (*TraceReader, error) {
+	summary, err := CheckTrace(o.Trace)
+	if err != nil {
+		return nil, err
 	}
-	return res, err
+	trace, err := OpenTrace(o.Trace, o.Speed)
+	if err != nil {
+		return nil, err
+	}
+	if err := cfg.Scenario.adoptTrace(summary); err != nil {
+		_ = trace.Close()
+		return nil, fmt.Errorf("%s: %w", o.Trace, err)
+	}
+	cfg.Source = trace
+	cfg.Length = time.Duration(float64(summary.Duration) / o.Speed)
+	return trace, nil
 }
 
 // Start starts the scenario's fleet.
 func (s *Scenario) Start(ctx context.Context, o PlayOptions) (*testcluster.Rig, error) {
-	return testcluster.Start(ctx, *s.Fleet, testcluster.Options{Program: o.Program, Log: o.NodeLog, Seed: s.Seed, Classes: s.classNames(),
-		Tenants: names(s.Tenants)})
+	return testcluster.Start(ctx, *s.Fleet, testcluster.Options{
+		Program: o.Program,
+		Log:     o.NodeLog,
+		Seed:    s.Seed,
+		Classes: s.classNames(),
+		Tenants: namesOf(s.Tenants),
+	})
 }
 
-// turns deals targets in turn.
-func turns(targets []string) func(string, bool) (string, error) {
+// roundRobin returns an address function that yields the targets in turn.
+func roundRobin(targets []string) func(string, bool) (string, error) {
 	var mu sync.Mutex
 	n := 0
 	return func(string, bool) (string, error) {
@@ -158,96 +115,44 @@
 	}
 }
 
-// recordTo has the requests of a run written as a trace, beside the run.
-func recordTo(cfg *Config, path string) (finish func() error, err error) {
-	w, err := CreateTrace(path)
-	if err != nil {
-		return nil, err
-	}
-	rows := make(chan Request, 1<<16)
-	lost, failed := 0, error(nil)
-	var done sync.WaitGroup
-	done.Go(func() {
-		for r := range rows {
-			if failed == nil {
-				failed = w.Write(r)
-			}
-		}
-	})
-	cfg.Record = func(r Request) { // the pacer's: it must not wait for a disk
-		select {
-		case rows <- r:
-		default:
-			lost++
-		}
-	}
-	return func() error {
-		close(rows)
-		done.Wait()
-		if lost > 0 {
-			failed = errors.Join(failed, fmt.Errorf("%s: %d requests are missing: the disk was too slow", path, lost))
-		}
-		return errors.Join(failed, w.Close())
-	}, nil
+// playedFleet is the fleet of a run.
+type playedFleet struct {
+	rig         *testcluster.Rig
+	receipts    receipts
+	began       time.Duration // start of the first request, by the fleet's clock
+	usageBefore testcluster.Usage
 }
 
-// told takes what the stand-ins saw into the result.
-func (r *Result) told(recs []fakeserver.Record, began time.Duration) {
-	at := map[string]int{}
-	for _, x := range recs {
-		switch {
-		case x.What == fakeserver.Fault || x.What == fakeserver.In || x.What == fakeserver.Out:
-			if x.At >= began {
-				r.Marks = append(r.Marks, Mark{(x.At - began).Seconds(), x.Who, strings.TrimSpace(x.Note + map[string]string{
-					fakeserver.In: " is dealt clients", fakeserver.Out: " is dealt none"}[x.What])})
-			}
-		case strings.HasPrefix(x.Who, "h"):
-			i, ok := at[x.Who]
-			if !ok {
-				i = len(r.Hosts)
-				at[x.Who] = i
-				r.Hosts = append(r.Hosts, HostCount{ID: x.Who, Records: map[string]int64{}})
-			}
-			r.Hosts[i].Records[x.What]++
-		}
+// configure makes a run send its requests to the fleet, and play the scenario's faults.
+func (f *playedFleet) configure(ctx context.Context, cfg *Config) {
+	cfg.Address = f.rig.Address
+	cfg.OnReceipt = f.receipts.add
+	for _, host := range f.rig.Hosts() {
+		cfg.Hosts = append(cfg.Hosts, host.ID())
+	}
+	cfg.OnStart = func() {
+		f.began = f.rig.Clock.Now()
+		f.usageBefore = f.rig.Usage()
+		f.rig.Play(ctx, cfg.Scenario.Faults)
 	}
 }
 
-// fit gives a scenario the classes and tenants of a trace where it does not name them itself.
-func (s *Scenario) fit(t TraceSummary) error {
-	known := map[string]bool{}
-	for _, c := range s.Classes {
-		known[c.Name] = true
-	}
-	for _, c := range t.Classes {
-		if !known[c] {
-			return fmt.Errorf("class %q of the trace is not in the scenario, so its deadline is not known", c)
-		}
-	}
-	known = map[string]bool{}
-	for _, c := range s.Tenants {
-		known[c.Name] = true
-	}
-	for _, c := range t.Tenants {
-		if !known[c] {
-			s.Tenants = append(s.Tenants, Share{Name: c})
-		}
-	}
-	return nil
-}
-
-// Plain is a scenario for a trace that is replayed without one: classes of the trace with one deadline.
-func Plain(path string, deadline time.Duration) (*Scenario, error) {
-	sum, err := CheckTrace(path)
-	if err != nil {
-		return nil, err
-	}
-	s := &Scenario{Name: "replay", Seed: 1, Phases: []Phase{{For: tomlfile.Duration(max(sum.Length, time.Millisecond))}}}
-	for _, c := range sum.Classes {
-		s.Classes = append(s.Classes, Class{Name: c, Share: 1, Deadline: tomlfile.Duration(deadline), Life: tomlfile.Duration(time.Minute)})
-	}
-	for _, t := range sum.Tenants {
-		s.Tenants = append(s.Tenants, Share{Name: t, Share: 1})
-	}
-	return s, s.Check()
+// addTo adds the fleet's figures to a result, and writes the fake servers' events to ledger unless it is nil.
+func (f *playedFleet) addTo(result *Result, ledger io.Writer) error {
+	err := f.rig.Failed()
+	usage := f.rig.Usage()
+	usage.CPU -= f.usageBefore.CPU
+	result.Nodes = &usage
+	events, lost := f.rig.Ledger.Records()
+	result.addEvents(events, f.began)
+	list := testcluster.Counted(events)
+	result.ListService = &list
+	result.Startup = testcluster.Steps(events, f.rig.Launched())
+	if lost == 0 {
+		result.WrongReceipts = f.receipts.countWrong(events)
+	}
+	if ledger != nil {
+		err = errors.Join(err, fakeserver.WriteRecords(ledger, f.rig.Clock, events, lost))
+	}
+	return err
 }
--- a/internal/loadtest/scenario.go
+++ b/internal/loadtest/scenario.go
@@ -1,6 +1,7 @@
-// Package loadtest is an open-loop load generator for long-lived connections. What is meant to be sent, and when, is a
-// pure function of a scenario and a seed; the engine sends it then, whatever became of what was sent before, and
-// counts every latency from that moment.
+// Package loadtest is an open-loop load generator for long-lived connections. The requests and their intended times are a
+// pure function of a scenario and a seed, or come from a trace. The engine sends each request at its intended time,
+// whatever became of those before, and measures latencies from the intended time, so that the figures do not suffer from
+// coordinated omission.
 package loadtest
 
 import (
@@ -10,383 +11,164 @@
 	"onyxstream/internal/tomlfile"
 )
 
-// Scenario is a load and, where it has one, the fleet that it is put on.
+// Scenario describes a load and, optionally, the fleet that is started for it. It is the content of a scenario file.
 type Scenario struct {
-	Name     string                  `toml:"name"`
-	Seed     uint64                  `toml:"seed"`
-	Requests Requests                `toml:"requests"`
-	Phases   []Phase                 `toml:"phase"`
-	Classes  []Class                 `toml:"class"`
-	Tenants  []Share                 `toml:"tenant"`
-	Zones    []Share                 `toml:"zone"`
-	Keys     Draw                    `toml:"keys"`
-	Groups   Draw                    `toml:"groups"`
-	Clients  Clients                 `toml:"clients"`
-	Waves    []Wave                  `toml:"wave"`
-	Standing Standing                `toml:"standing"`
-	Limits   Limits                  `toml:"limits"`
-	Fleet    *testcluster.Fleet      `toml:"fleet"`
-	Faults   []testcluster.FaultSpec `toml:"fault"`
-}
-
-// Requests says how arrivals are spaced and sent.
+	Name               string                  `toml:"name"`
+	Seed               uint64                  `toml:"seed"`
+	Requests           Requests                `toml:"requests"`
+	Phases             []Phase                 `toml:"phase"`
+	Classes            []Class                 `toml:"class"`
+	Tenants            []WeightedName          `toml:"tenant"`
+	Zones              []WeightedName          `toml:"zone"`
+	Keys               Distribution            `toml:"keys"`
+	Groups             Distribution            `toml:"groups"`
+	Clients            ClientBehavior          `toml:"clients"`
+	Surges             []ReconnectSurge        `toml:"wave"`
+	InitialConnections InitialConnections      `toml:"standing"`
+	Limits             Limits                  `toml:"limits"`
+	Fleet              *testcluster.Fleet      `toml:"fleet"`
+	Faults             []testcluster.FaultSpec `toml:"fault"`
+}
+
+// Requests describes how requests arrive and are sent.
 type Requests struct {
-	Arrivals string  `toml:"arrivals"` // "poisson", or "even"
-	Loop     string  `toml:"loop"`     // "open"; "closed" waits for each answer, for comparison only
+	Arrivals string  `toml:"arrivals"` // arrivalsPoisson or arrivalsEven
+	Loop     string  `toml:"loop"`     // loopOpen, or loopClosed for comparison
 	Workers  int     `toml:"workers"`  // of a closed loop
-	Direct   float64 `toml:"direct"`   // share of the requests that go to hosts directly, past the nodes, as a baseline
+	Direct   float64 `toml:"direct"`   // share of the requests that are sent to hosts, as a baseline
 }
 
-// Phase is a stretch of time and its rate, in requests a second.
+// Values of Requests.Arrivals.
+const (
+	arrivalsPoisson = "poisson"
+	arrivalsEven    = "even"
+)
+
+// Values of Phase.Shape.
+const (
+	shapeConstant = "constant"
+	shapeRamp     = "ramp"
+	shapeStep     = "step"
+	shapeBurst    = "burst"
+	shapeOnOff    = "onoff"
+)
+
+// Values of Class.LifetimeDistribution.
+const (
+	lifetimeExponential = "exponential"
+	lifetimeFixed       = "fixed"
+	lifetimeUniform     = "uniform"
+	lifetimePareto      = "pareto"
+)
+
+// Values of ClientBehavior.Backoff. Exponential backoff doubles the wait before each further retry.
+const (
+	backoffFixed       = "fixed"
+	backoffExponential = "exponential"
+)
+
+// Phase is a time with one shape of the rate. Rates are in requests per second.
 type Phase struct {
-	Shape  string            `toml:"shape"` // constant, ramp, step, burst or onoff
-	For    tomlfile.Duration `toml:"for"`
-	Rate   float64           `toml:"rate"`
-	To     float64           `toml:"to"`     // ramp and step: the rate at the end; onoff: the rate while off
-	Steps  int               `toml:"steps"`  // step: how many
-	Burst  float64           `toml:"burst"`  // burst: requests of each, beside the rate
-	Within tomlfile.Duration `toml:"within"` // burst: how long one lasts
-	Every  tomlfile.Duration `toml:"every"`  // burst, onoff: from the start of one to the next
-	Duty   float64           `toml:"duty"`   // onoff: share of the time that is on
+	Shape         string            `toml:"shape"` // one of the shape constants
+	Duration      tomlfile.Duration `toml:"for"`
+	Rate          float64           `toml:"rate"`
+	EndRate       float64           `toml:"to"`     // ramp and step: at the end; onoff: while off
+	Steps         int               `toml:"steps"`  // step: number of steps
+	BurstRequests float64           `toml:"burst"`  // burst: requests of one burst, in addition to the rate
+	BurstDuration tomlfile.Duration `toml:"within"` // burst: of one burst
+	Period        tomlfile.Duration `toml:"every"`  // burst and onoff: from one start to the next
+	DutyCycle     float64           `toml:"duty"`   // onoff: share of the period that is on
 }
 
 // Class is a class of requests.
 type Class struct {
-	Name     string            `toml:"name"`
-	Share    float64           `toml:"share"`
-	Deadline tomlfile.Duration `toml:"deadline"` // how long a client waits for its answer
-	Life     tomlfile.Duration `toml:"life"`     // mean time that a connection is to stand
-	Spread   string            `toml:"spread"`   // of lives: exponential, fixed, uniform or pareto
-	Message  tomlfile.Duration `toml:"message"`  // from one line that a client sends to the next; 0 for none
-	Load     float64           `toml:"load"`     // of a connection, in mean loads of its host; 0 for one
+	Name                 string            `toml:"name"`
+	Share                float64           `toml:"share"`
+	Deadline             tomlfile.Duration `toml:"deadline"` // of the answer to the opening line
+	Lifetime             tomlfile.Duration `toml:"life"`     // mean, of established connections
+	LifetimeDistribution string            `toml:"spread"`   // one of the lifetime constants
+	MessageInterval      tomlfile.Duration `toml:"message"`  // between two lines of a client; 0 for no lines
+	Load                 float64           `toml:"load"`     // of a connection, in mean loads of its host; 0 for 1
 }
 
-// Share is a name and its part of the whole.
-type Share struct {
+// WeightedName is a tenant or zone with its share of the requests.
+type WeightedName struct {
 	Name  string  `toml:"name"`
 	Share float64 `toml:"share"`
 }
 
-// Draw is how one of many is drawn.
-type Draw struct {
-	Count int     `toml:"count"` // of how many; 0 for a new one each time, or none
-	Zipf  float64 `toml:"zipf"`  // exponent above 1; 0 for all alike
+// Distribution describes how keys or groups are drawn.
+type Distribution struct {
+	Count int     `toml:"count"` // of distinct values; 0 for unique keys, or no groups
+	Zipf  float64 `toml:"zipf"`  // exponent above 1; 0 for a uniform distribution
 }
 
-// Clients says what clients do when they are not served at once.
-type Clients struct {
-	Retries  int                 `toml:"retries"`   // further tries of a request
-	Wait     tomlfile.Duration   `toml:"wait"`      // before one, where the answer gives no advice
-	Backoff  string              `toml:"backoff"`   // fixed or exponential, both with jitter
-	Honour   *bool               `toml:"honour"`    // the advice of BUSY is followed; true unless set
-	Marks    bool                `toml:"marks"`     // retries are marked r=1
-	MidFlow  bool                `toml:"mid_flow"`  // a broken connection is tried mid-flow at another node first
-	Comeback []tomlfile.Duration `toml:"come_back"` // from and to: how soon clients come again that were moved or broken
-	Returns  int                 `toml:"returns"`   // how often one comes again at most
+// ClientBehavior describes retries and reconnects.
+type ClientBehavior struct {
+	Retries         int                 `toml:"retries"`   // of one request at most
+	RetryWait       tomlfile.Duration   `toml:"wait"`      // mean wait before a retry without Retry-After
+	Backoff         string              `toml:"backoff"`   // backoffFixed or backoffExponential, both with jitter
+	HonorRetryAfter *bool               `toml:"honour"`    // of a rejection; nil for true
+	MarkRetries     bool                `toml:"marks"`     // in the opening line
+	MidFlow         bool                `toml:"mid_flow"`  // a broken connection is first resumed by another node
+	ReconnectDelay  []tomlfile.Duration `toml:"come_back"` // shortest and longest, after a migration or a broken connection
+	MaxReconnects   int                 `toml:"returns"`   // of one client
 }
 
-// Wave is a share of all who stand dropping at once and coming back.
-type Wave struct {
+// ReconnectSurge makes a share of the clients with established connections drop them at once and reconnect.
+type ReconnectSurge struct {
 	At     tomlfile.Duration `toml:"at"`
 	Share  float64           `toml:"share"`
-	Within tomlfile.Duration `toml:"within"` // they come back spread over this time
+	Within tomlfile.Duration `toml:"within"` // over which the reconnects are spread
 }
 
-// Standing are connections that stood at the fleet's hosts before the run.
-type Standing struct {
+// InitialConnections are connections that are established at the fleet's hosts before the first request.
+type InitialConnections struct {
 	Count int `toml:"count"`
 }
 
-// Limits bound the generator and say what is a run that counts.
+// Limits bound the generator and define a valid run.
 type Limits struct {
-	Lateness tomlfile.Duration `toml:"lateness"` // at the 99th percentile; a generator that is later fell behind
-	Open     int               `toml:"open"`     // connections at one time; requests past it are not sent, and told as such
-	Sources  int               `toml:"sources"`  // loopback addresses that connections come from; ports of one run out
-	Linger   tomlfile.Duration `toml:"linger"`   // how long after the last request those who stand are watched
+	MaxLateness     tomlfile.Duration `toml:"lateness"` // at the 99th percentile; beyond it the generator fell behind
+	MaxOpen         int               `toml:"open"`     // connections at one time; requests beyond it are recorded as unsent
+	SourceAddresses int               `toml:"sources"`  // loopback addresses, each with its own range of ports
+	Linger          tomlfile.Duration `toml:"linger"`   // after the last outcome, for connections that are still established
 }
 
-// The defaults, and what bounds a scenario.
+// Defaults and bounds of a scenario.
 const (
-	defaultLateness = 10 * time.Millisecond
-	defaultOpen     = 16000
-	defaultReturns  = 16
-	mostLength      = 24 * time.Hour
-	mostRate        = 1e6
-	mostNames       = 4096
-	mostSources     = 250
+	defaultMaxLateness       = 10 * time.Millisecond
+	defaultMaxOpen           = 16000
+	defaultMaxReconnects     = 16
+	defaultMinReconnectDelay = 50 * time.Millisecond
+	defaultMaxReconnectDelay = time.Second
+
+	minSeconds         = 0.001 // of most durations
+	maxLength          = 24 * time.Hour
+	maxWait            = 10 * time.Minute // of deadlines and of the wait before a retry
+	maxReconnectDelay  = time.Hour
+	maxRate            = 1e6
+	maxSteps           = 1000
+	maxPeriods         = 1000
+	maxWorkers         = 10000
+	maxRetries         = 100
+	maxMaxReconnects   = 1000
+	maxConnections     = 1e6
+	maxNames           = 4096
+	maxSourceAddresses = 250
 )
 
-// ReadScenario reads a scenario file. Errors are *tomlfile.Error.
+// ReadScenario reads and checks a scenario file. It also returns its text. Errors are *tomlfile.Error.
 func ReadScenario(path string) (*Scenario, []byte, error) {
 	s := &Scenario{}
 	text, err := tomlfile.Read(path, s)
 	return s, text, err
 }
 
-// Length is how long requests are sent.
+// Length is the total duration of the phases.
 func (s *Scenario) Length() (d time.Duration) {
 	for _, p := range s.Phases {
-		d += p.For.D()
+		d += p.Duration.D()
 	}
 	return d
 }
-
-// Check fills in defaults and says what is wrong, as a *tomlfile.FieldError.
-func (s *Scenario) Check() error {
-	for _, f := range []func() error{s.checkRequests, s.checkPhases, s.checkClasses, s.checkClients, s.checkLimits} {
-		if err := f(); err != nil {
-			return err
-		}
-	}
-	if s.Fleet == nil {
-		if len(s.Faults) > 0 {
-			return tomlfile.Wrong("fault[0].what", "a scenario without a fleet has nothing to break")
-		}
-		return nil
-	}
-	if err := s.Fleet.Check(s.classNames(), names(s.Tenants)); err != nil {
-		return err
-	}
-	return s.Fleet.CheckFaults(s.Faults)
-}
-
-func (s *Scenario) classNames() (out []testcluster.ClassSpec) {
-	for _, c := range s.Classes {
-		out = append(out, testcluster.ClassSpec{Name: c.Name, Deadline: c.Deadline.D()})
-	}
-	return out
-}
-
-func names(shares []Share) (out []string) {
-	for _, t := range shares {
-		out = append(out, t.Name)
-	}
-	return out
-}
-
-func word(path, v, def string, known ...string) (string, error) {
-	if v == "" {
-		return def, nil
-	}
-	for _, k := range known {
-		if v == k {
-			return v, nil
-		}
-	}
-	return v, tomlfile.Wrong(path, "%q is none of %q", v, known)
-}
-
-func within(path string, v, from, to float64) error {
-	if !(v >= from && v <= to) {
-		return tomlfile.Wrong(path, "%g is not between %g and %g", v, from, to)
-	}
-	return nil
-}
-
-func first(errs ...error) error {
-	for _, err := range errs {
-		if err != nil {
-			return err
-		}
-	}
-	return nil
-}
-
-func (s *Scenario) checkRequests() (err error) {
-	r := &s.Requests
-	if r.Arrivals, err = word("requests.arrivals", r.Arrivals, "poisson", "poisson", "even"); err != nil {
-		return err
-	}
-	if r.Loop, err = word("requests.loop", r.Loop, "open", "open", "closed"); err != nil {
-		return err
-	}
-	if r.Loop == "closed" {
-		if err := within("requests.workers", float64(r.Workers), 1, 10000); err != nil {
-			return err
-		}
-	}
-	return within("requests.direct", r.Direct, 0, 1)
-}
-
-func (s *Scenario) checkPhases() error {
-	if len(s.Phases) == 0 {
-		return tomlfile.Wrong("phase", "there is none")
-	}
-	for i := range s.Phases {
-		p, at := &s.Phases[i], path("phase", i)
-		shape, err := word(at+"shape", p.Shape, "constant", "constant", "ramp", "step", "burst", "onoff")
-		if err != nil {
-			return err
-		}
-		p.Shape = shape
-		err = first(within(at+"for", p.For.D().Seconds(), 0.001, mostLength.Seconds()),
-			within(at+"rate", p.Rate, 0, mostRate), within(at+"to", p.To, 0, mostRate),
-			within(at+"burst", p.Burst, 0, mostRate), within(at+"duty", p.Duty, 0, 1))
-		if err != nil {
-			return err
-		}
-		switch shape {
-		case "step":
-			err = within(at+"steps", float64(p.Steps), 1, 1000)
-		case "burst":
-			err = first(within(at+"within", p.Within.D().Seconds(), 0.001, p.For.D().Seconds()),
-				within(at+"every", p.Every.D().Seconds(), max(p.Within.D().Seconds(), p.For.D().Seconds()/1000), mostLength.Seconds()))
-		case "onoff":
-			err = first(within(at+"every", p.Every.D().Seconds(), max(0.001, p.For.D().Seconds()/1000), mostLength.Seconds()),
-				within(at+"duty", p.Duty, 0.001, 1))
-		}
-		if err != nil {
-			return err
-		}
-	}
-	return within("phase[0].for", s.Length().Seconds(), 0.001, mostLength.Seconds())
-}
-
-func path(table string, i int) string { return table + "[" + itoa(i) + "]." }
-
-func (s *Scenario) checkClasses() error {
-	if len(s.Classes) == 0 {
-		return tomlfile.Wrong("class", "there is none")
-	}
-	seen := map[string]bool{}
-	for i := range s.Classes {
-		c, at := &s.Classes[i], path("class", i)
-		if err := plainName(at+"name", c.Name, seen); err != nil {
-			return err
-		}
-		if len(s.Classes) == 1 && c.Share == 0 {
-			c.Share = 1
-		}
-		spread, err := word(at+"spread", c.Spread, "exponential", "exponential", "fixed", "uniform", "pareto")
-		if err != nil {
-			return err
-		}
-		c.Spread = spread
-		if err := first(within(at+"share", c.Share, 0, 1e9), within(at+"deadline", c.Deadline.D().Seconds(), 0.001, 600),
-			within(at+"life", c.Life.D().Seconds(), 0.001, mostLength.Seconds()),
-			within(at+"message", c.Message.D().Seconds(), 0, mostLength.Seconds()), within(at+"load", c.Load, 0, 1000)); err != nil {
-			return err
-		}
-	}
-	for _, list := range []struct {
-		name   string
-		shares []Share
-	}{{"tenant", s.Tenants}, {"zone", s.Zones}} {
-		seen := map[string]bool{}
-		for i := range list.shares {
-			t, at := &list.shares[i], path(list.name, i)
-			if len(list.shares) == 1 && t.Share == 0 {
-				t.Share = 1
-			}
-			if err := first(plainName(at+"name", t.Name, seen), within(at+"share", t.Share, 0, 1e9)); err != nil {
-				return err
-			}
-		}
-	}
-	if len(s.Tenants) == 0 {
-		return tomlfile.Wrong("tenant", "there is none")
-	}
-	for _, d := range []struct {
-		name string
-		Draw
-	}{{"keys", s.Keys}, {"groups", s.Groups}} {
-		if err := within(d.name+".count", float64(d.Count), 0, 1e9); err != nil {
-			return err
-		}
-		if d.Zipf != 0 && !(d.Zipf > 1 && d.Zipf <= 20) {
-			return tomlfile.Wrong(d.name+".zipf", "%g is not above 1 and up to 20", d.Zipf)
-		}
-	}
-	return sums(s)
-}
-
-// sums checks that shares sum up to something.
-func sums(s *Scenario) error {
-	total := 0.0
-	for _, c := range s.Classes {
-		total += c.Share
-	}
-	if total <= 0 {
-		return tomlfile.Wrong("class[0].share", "all shares are 0")
-	}
-	for name, list := range map[string][]Share{"tenant": s.Tenants, "zone": s.Zones} {
-		total := 0.0
-		for _, t := range list {
-			total += t.Share
-		}
-		if len(list) > 0 && total <= 0 {
-			return tomlfile.Wrong(name+"[0].share", "all shares are 0")
-		}
-	}
-	return nil
-}
-
-// plainName checks a name that goes into a list of names and values on the wire.
-func plainName(at, v string, seen map[string]bool) error {
-	if v == "" || len(v) > 64 {
-		return tomlfile.Wrong(at, "a name has 1 to 64 bytes")
-	}
-	for _, b := range []byte(v) {
-		if b <= ' ' || b >= 0x7f || b == ',' || b == '=' {
-			return tomlfile.Wrong(at, "%q has a character that a name can't have", v)
-		}
-	}
-	if seen[v] {
-		return tomlfile.Wrong(at, "%q is given twice", v)
-	}
-	if len(seen) >= mostNames {
-		return tomlfile.Wrong(at, "there are over %d", mostNames)
-	}
-	seen[v] = true
-	return nil
-}
-
-func (s *Scenario) checkClients() (err error) {
-	c := &s.Clients
-	if c.Backoff, err = word("clients.backoff", c.Backoff, "fixed", "fixed", "exponential"); err != nil {
-		return err
-	}
-	if c.Honour == nil {
-		yes := true
-		c.Honour = &yes
-	}
-	if len(c.Comeback) == 0 {
-		c.Comeback = []tomlfile.Duration{tomlfile.Duration(50 * time.Millisecond), tomlfile.Duration(time.Second)}
-	}
-	if len(c.Comeback) != 2 || c.Comeback[0] < 0 || c.Comeback[1] < c.Comeback[0] || c.Comeback[1].D() > time.Hour {
-		return tomlfile.Wrong("clients.come_back", "it is two times, the first no longer than the second")
-	}
-	if c.Returns == 0 {
-		c.Returns = defaultReturns
-	}
-	for i, w := range s.Waves {
-		at := path("wave", i)
-		if err := first(within(at+"at", w.At.D().Seconds(), 0, mostLength.Seconds()), within(at+"share", w.Share, 0, 1),
-			within(at+"within", w.Within.D().Seconds(), 0, 3600)); err != nil {
-			return err
-		}
-	}
-	return first(within("clients.retries", float64(c.Retries), 0, 100), within("clients.wait", c.Wait.D().Seconds(), 0, 600),
-		within("clients.returns", float64(c.Returns), 0, 1000), within("standing.count", float64(s.Standing.Count), 0, 1e6))
-}
-
-func (s *Scenario) checkLimits() error {
-	l := &s.Limits
-	if l.Lateness == 0 {
-		l.Lateness = tomlfile.Duration(defaultLateness)
-	}
-	if l.Open == 0 {
-		l.Open = defaultOpen
-	}
-	if l.Sources == 0 {
-		l.Sources = 1
-	}
-	if s.Standing.Count > 0 && s.Fleet == nil {
-		return tomlfile.Wrong("standing.count", "only a fleet of the scenario's own can have held connections before")
-	}
-	if s.Requests.Direct > 0 && s.Fleet == nil {
-		return tomlfile.Wrong("requests.direct", "only a fleet of the scenario's own has hosts that are known here")
-	}
-	return first(within("limits.lateness", l.Lateness.D().Seconds(), 1e-6, 60), within("limits.open", float64(l.Open), 1, 1e6),
-		within("limits.sources", float64(l.Sources), 1, mostSources), within("limits.linger", l.Linger.D().Seconds(), 0, 3600))
-}
--- /dev/null
+++ b/internal/loadtest/scenario_check.go
@@ -0,0 +1,212 @@
+package loadtest
+
+import (
+	"fmt"
+	"time"
+
+	"onyxstream/internal/testcluster"
+	"onyxstream/internal/tomlfile"
+)
+
+// Check sets defaults and validates the scenario. Errors are *tomlfile.FieldError.
+func (s *Scenario) Check() error {
+	for _, check := range []func() error{s.checkRequests, s.checkPhases, s.checkNames, s.checkClients, s.checkLimits} {
+		if err := check(); err != nil {
+			return err
+		}
+	}
+	if s.Fleet == nil {
+		if len(s.Faults) > 0 {
+			return tomlfile.Wrong("fault[0].what", "a scenario without a fleet has nothing to break")
+		}
+		return nil
+	}
+	if err := s.Fleet.Check(s.classNames(), namesOf(s.Tenants)); err != nil {
+		return err
+	}
+	return s.Fleet.CheckFaults(s.Faults)
+}
+
+func (s *Scenario) classNames() (out []testcluster.ClassSpec) {
+	for _, c := range s.Classes {
+		out = append(out, testcluster.ClassSpec{Name: c.Name, Deadline: c.Deadline.D()})
+	}
+	return out
+}
+
+func namesOf(list []WeightedName) (out []string) {
+	for _, n := range list {
+		out = append(out, n.Name)
+	}
+	return out
+}
+
+// checkOneOf returns the value, or the default for "", and an error where it is not among the known values.
+func checkOneOf(path, value, defaultValue string, known ...string) (string, error) {
+	if value == "" {
+		return defaultValue, nil
+	}
+	for _, k := range known {
+		if value == k {
+			return value, nil
+		}
+	}
+	return value, tomlfile.Wrong(path, "%q is none of %q", value, known)
+}
+
+// checkRange returns an error where the value is not a number from low to high.
+func checkRange(path string, value, low, high float64) error {
+	if !(value >= low && value <= high) {
+		return tomlfile.Wrong(path, "%g is not between %g and %g", value, low, high)
+	}
+	return nil
+}
+
+// checkSeconds returns an error where a duration is not from low to high seconds.
+func checkSeconds(path string, value tomlfile.Duration, low, high float64) error {
+	return checkRange(path, value.D().Seconds(), low, high)
+}
+
+func firstError(errs ...error) error {
+	for _, err := range errs {
+		if err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// arrayPath is the path of a table in an array of tables, up to its fields.
+func arrayPath(table string, i int) string { return fmt.Sprintf("%s[%d].", table, i) }
+
+func (s *Scenario) checkRequests() (err error) {
+	r := &s.Requests
+	r.Arrivals, err = checkOneOf("requests.arrivals", r.Arrivals, arrivalsPoisson, arrivalsPoisson, arrivalsEven)
+	if err != nil {
+		return err
+	}
+	r.Loop, err = checkOneOf("requests.loop", r.Loop, loopOpen, loopOpen, loopClosed)
+	if err != nil {
+		return err
+	}
+	if r.Loop == loopClosed {
+		if err := checkRange("requests.workers", float64(r.Workers), 1, maxWorkers); err != nil {
+			return err
+		}
+	}
+	return checkRange("requests.direct", r.Direct, 0, 1)
+}
+
+func (s *Scenario) checkPhases() error {
+	if len(s.Phases) == 0 {
+		return tomlfile.Wrong("phase", "there is none")
+	}
+	for i := range s.Phases {
+		if err := s.Phases[i].check(arrayPath("phase", i)); err != nil {
+			return err
+		}
+	}
+	return checkRange("phase[0].for", s.Length().Seconds(), minSeconds, maxLength.Seconds())
+}
+
+func (p *Phase) check(at string) (err error) {
+	p.Shape, err = checkOneOf(at+"shape", p.Shape, shapeConstant, shapeConstant, shapeRamp, shapeStep, shapeBurst, shapeOnOff)
+	if err != nil {
+		return err
+	}
+	err = firstError(
+		checkSeconds(at+"for", p.Duration, minSeconds, maxLength.Seconds()),
+		checkRange(at+"rate", p.Rate, 0, maxRate),
+		checkRange(at+"to", p.EndRate, 0, maxRate),
+		checkRange(at+"burst", p.BurstRequests, 0, maxRate),
+		checkRange(at+"duty", p.DutyCycle, 0, 1))
+	if err != nil {
+		return err
+	}
+	minPeriod := p.Duration.D().Seconds() / maxPeriods
+	switch p.Shape {
+	case shapeStep:
+		return checkRange(at+"steps", float64(p.Steps), 1, maxSteps)
+	case shapeBurst:
+		return firstError(
+			checkSeconds(at+"within", p.BurstDuration, minSeconds, p.Duration.D().Seconds()),
+			checkSeconds(at+"every", p.Period, max(p.BurstDuration.D().Seconds(), minPeriod), maxLength.Seconds()))
+	case shapeOnOff:
+		return firstError(
+			checkSeconds(at+"every", p.Period, max(minSeconds, minPeriod), maxLength.Seconds()),
+			checkRange(at+"duty", p.DutyCycle, 0.001, 1))
+	}
+	return nil
+}
+
+func (s *Scenario) checkClients() (err error) {
+	c := &s.Clients
+	c.Backoff, err = checkOneOf("clients.backoff", c.Backoff, backoffFixed, backoffFixed, backoffExponential)
+	if err != nil {
+		return err
+	}
+	if c.HonorRetryAfter == nil {
+		honor := true
+		c.HonorRetryAfter = &honor
+	}
+	if len(c.ReconnectDelay) == 0 {
+		c.ReconnectDelay = []tomlfile.Duration{
+			tomlfile.Duration(defaultMinReconnectDelay),
+			tomlfile.Duration(defaultMaxReconnectDelay),
+		}
+	}
+	if !isDelayRange(c.ReconnectDelay) {
+		return tomlfile.Wrong("clients.come_back", "it is two times, the first no longer than the second")
+	}
+	if c.MaxReconnects == 0 {
+		c.MaxReconnects = defaultMaxReconnects
+	}
+	for i, surge := range s.Surges {
+		at := arrayPath("wave", i)
+		err := firstError(
+			checkSeconds(at+"at", surge.At, 0, maxLength.Seconds()),
+			checkRange(at+"share", surge.Share, 0, 1),
+			checkSeconds(at+"within", surge.Within, 0, maxReconnectDelay.Seconds()))
+		if err != nil {
+			return err
+		}
+	}
+	return firstError(
+		checkRange("clients.retries", float64(c.Retries), 0, maxRetries),
+		checkSeconds("clients.wait", c.RetryWait, 0, maxWait.Seconds()),
+		checkRange("clients.returns", float64(c.MaxReconnects), 0, maxMaxReconnects),
+		checkRange("standing.count", float64(s.InitialConnections.Count), 0, maxConnections))
+}
+
+// isDelayRange reports whether the delays are a shortest and a longest one.
+func isDelayRange(delays []tomlfile.Duration) bool {
+	if len(delays) != 2 {
+		return false
+	}
+	shortest, longest := delays[0], delays[1]
+	return shortest >= 0 && longest >= shortest && longest.D() <= maxReconnectDelay
+}
+
+func (s *Scenario) checkLimits() error {
+	l := &s.Limits
+	if l.MaxLateness == 0 {
+		l.MaxLateness = tomlfile.Duration(defaultMaxLateness)
+	}
+	if l.MaxOpen == 0 {
+		l.MaxOpen = defaultMaxOpen
+	}
+	if l.SourceAddresses == 0 {
+		l.SourceAddresses = 1
+	}
+	if s.InitialConnections.Count > 0 && s.Fleet == nil {
+		return tomlfile.Wrong("standing.count", "only a fleet of the scenario's own can have held connections before")
+	}
+	if s.Requests.Direct > 0 && s.Fleet == nil {
+		return tomlfile.Wrong("requests.direct", "only a fleet of the scenario's own has hosts that are known here")
+	}
+	return firstError(
+		checkSeconds("limits.lateness", l.MaxLateness, 1e-6, time.Minute.Seconds()),
+		checkRange("limits.open", float64(l.MaxOpen), 1, maxConnections),
+		checkRange("limits.sources", float64(l.SourceAddresses), 1, maxSourceAddresses),
+		checkSeconds("limits.linger", l.Linger, 0, time.Hour.Seconds()))
+}
--- a/internal/loadtest/schedule.go
+++ b/internal/loadtest/schedule.go
@@ -8,213 +8,248 @@
 	"time"
 )
 
-func itoa(i int) string { return strconv.Itoa(i) }
-
-// Request is one connection that is meant to be asked for.
+// Request is one connection that a client is to open.
 type Request struct {
-	N                   int64
-	At                  time.Duration // when it is meant to be sent, from the start of the run
+	Number              int64
+	IntendedAt          time.Duration // intended arrival, from the start of the run
 	Class, Tenant, Zone string
 	Key, Group          string        // Group is "" for none
-	Life                time.Duration // how long the connection is to stand
-	Message             time.Duration // from one line of the client to the next; 0 for none
+	Lifetime            time.Duration // of the established connection
+	MessageInterval     time.Duration // from one line of the client to the next; 0 for none
 	Load                float64       // in mean loads of a host; 0 for one
-	Direct              bool          // past the nodes
-	Host                string        // it stood at this host before the run; "" for one that comes
+	Direct              bool          // sent to a host rather than a node
+	Host                string        // of a connection that was established before the run; "" for all others
 }
 
-// Source gives requests in order of their time, and io.EOF after the last.
+// Source yields requests in order of their intended time, and io.EOF after the last.
 type Source interface {
 	Next() (Request, error)
 }
 
-// Schedule is the requests of a scenario: a pure function of it and its seed.
+// Seeds of the independent random streams, which are combined with the scenario's seed.
+const (
+	arrivalStream   = 0x6172726976616c73
+	retryStream     = 0x7472696573
+	reconnectStream = 0x6261636b
+	messageStream   = 0x6d7367
+	surgeStream     = 0x77617665
+)
+
+// Schedule yields the requests of a scenario: a pure function of the scenario and its seed.
 type Schedule struct {
-	s      *Scenario
-	rng    *rand.Rand // of arrivals; each request has its own beside
-	segs   []segment
-	seg    int
-	start  time.Duration // of segs[seg]
-	passed float64       // requests expected before it
-	due    float64       // the next request's place on the scale of requests expected
-	n      int64
+	scenario *Scenario
+	rng      *rand.Rand // of the arrivals; each request has a generator of its own
+	segments []segment
+
+	segment        int           // index of the current segment
+	segmentStart   time.Duration // of the current segment
+	expectedBefore float64       // requests expected before the current segment
+	nextArrival    float64       // of the next request, measured in requests expected since the start
+	count          int64         // of requests yielded
 
-	classes, tenants, zones picker
+	classes, tenants, zones weightedPicker
 }
 
-// segment is a stretch over which the rate changes evenly.
+// segment is a time over which the rate changes linearly, in requests per second.
 type segment struct {
-	length   time.Duration
-	from, to float64
+	length             time.Duration
+	startRate, endRate float64
 }
 
-// expected is how many requests a segment is expected to have.
-func (g segment) expected() float64 { return (g.from + g.to) / 2 * g.length.Seconds() }
+// expectedRequests is the mean number of requests in a segment.
+func (g segment) expectedRequests() float64 {
+	return (g.startRate + g.endRate) / 2 * g.length.Seconds()
+}
 
-// NewSchedule starts a scenario's schedule from its beginning.
+// NewSchedule returns the schedule of a checked scenario.
 func NewSchedule(s *Scenario) *Schedule {
-	c := &Schedule{s: s, rng: rand.New(rand.NewPCG(s.Seed, 0x6172726976616c73))}
-	for _, p := range s.Phases {
-		c.segs = append(c.segs, p.segments()...)
+	c := &Schedule{scenario: s, rng: rand.New(rand.NewPCG(s.Seed, arrivalStream))}
+	for _, phase := range s.Phases {
+		c.segments = append(c.segments, phase.segments()...)
 	}
-	for _, k := range s.Classes {
-		c.classes = append(c.classes, k.Share)
+	for _, class := range s.Classes {
+		c.classes = append(c.classes, class.Share)
 	}
-	for _, t := range s.Tenants {
-		c.tenants = append(c.tenants, t.Share)
+	for _, tenant := range s.Tenants {
+		c.tenants = append(c.tenants, tenant.Share)
 	}
-	for _, z := range s.Zones {
-		c.zones = append(c.zones, z.Share)
+	for _, zone := range s.Zones {
+		c.zones = append(c.zones, zone.Share)
 	}
-	c.due = c.gap() * 0.5
-	if s.Requests.Arrivals == "poisson" {
-		c.due = c.gap()
+	c.nextArrival = c.interarrival() * 0.5
+	if s.Requests.Arrivals == arrivalsPoisson {
+		c.nextArrival = c.interarrival()
 	}
 	return c
 }
 
-// gap is how far the next request is on the scale on which one comes for each unit: always there, or on average.
-func (c *Schedule) gap() float64 {
-	if c.s.Requests.Arrivals == "even" {
+// interarrival is the distance to the next request, in requests expected: 1, or exponentially distributed with mean 1.
+func (c *Schedule) interarrival() float64 {
+	if c.scenario.Requests.Arrivals == arrivalsEven {
 		return 1
 	}
 	return c.rng.ExpFloat64()
 }
 
-// segments cuts a phase into stretches of one slope.
-func (p *Phase) segments() (out []segment) {
-	length := p.For.D()
+// segments divides a phase into segments.
+func (p *Phase) segments() []segment {
+	length := p.Duration.D()
 	switch p.Shape {
-	case "ramp":
-		return []segment{{length, p.Rate, p.To}}
-	case "step":
-		for i := range p.Steps {
-			rate := p.Rate
-			if p.Steps > 1 {
-				rate += (p.To - p.Rate) * float64(i) / float64(p.Steps-1)
-			}
-			out = append(out, segment{length / time.Duration(p.Steps), rate, rate})
-		}
-		return out
-	case "burst", "onoff":
-		on, high, low := p.Within.D(), p.Rate, p.Rate
-		if p.Shape == "onoff" {
-			on, low = time.Duration(p.Duty*float64(p.Every.D())), p.To
-		} else {
-			high += p.Burst / on.Seconds()
+	case shapeRamp:
+		return []segment{{length, p.Rate, p.EndRate}}
+	case shapeStep:
+		return p.stepSegments()
+	case shapeBurst:
+		on := p.BurstDuration.D()
+		return p.alternate(on, p.Rate+p.BurstRequests/on.Seconds(), p.Rate)
+	case shapeOnOff:
+		on := time.Duration(p.DutyCycle * float64(p.Period.D()))
+		return p.alternate(on, p.Rate, p.EndRate)
+	}
+	return []segment{{length, p.Rate, p.Rate}}
+}
+
+func (p *Phase) stepSegments() (out []segment) {
+	for i := range p.Steps {
+		rate := p.Rate
+		if p.Steps > 1 {
+			rate += (p.EndRate - p.Rate) * float64(i) / float64(p.Steps-1)
 		}
-		for at := time.Duration(0); at < length; at += p.Every.D() {
-			first := min(on, length-at)
-			out = append(out, segment{first, high, high})
-			if rest := min(p.Every.D(), length-at) - first; rest > 0 {
-				out = append(out, segment{rest, low, low})
-			}
+		out = append(out, segment{p.Duration.D() / time.Duration(p.Steps), rate, rate})
+	}
+	return out
+}
+
+// alternate returns the segments of a phase in which each period begins with the on rate and goes on with the off rate.
+func (p *Phase) alternate(on time.Duration, onRate, offRate float64) (out []segment) {
+	length := p.Duration.D()
+	for at := time.Duration(0); at < length; at += p.Period.D() {
+		onLength := min(on, length-at)
+		out = append(out, segment{onLength, onRate, onRate})
+		offLength := min(p.Period.D(), length-at) - onLength
+		if offLength > 0 {
+			out = append(out, segment{offLength, offRate, offRate})
 		}
-		return out
 	}
-	return []segment{{length, p.Rate, p.Rate}}
+	return out
 }
 
-// Next gives the next request.
+// Next returns the next request, or io.EOF.
 func (c *Schedule) Next() (Request, error) {
-	for c.seg < len(c.segs) {
-		g := c.segs[c.seg]
-		if n := g.expected(); c.due >= c.passed+n {
-			c.passed += n
-			c.start += g.length
-			c.seg++
+	for c.segment < len(c.segments) {
+		g := c.segments[c.segment]
+		expected := g.expectedRequests()
+		if c.nextArrival >= c.expectedBefore+expected {
+			c.expectedBefore += expected
+			c.segmentStart += g.length
+			c.segment++
 			continue
 		}
-		at := c.start + g.when(c.due-c.passed)
-		c.due += c.gap()
-		r := c.draw(c.n)
-		r.At = at
-		c.n++
+		intendedAt := c.segmentStart + g.arrivalOffset(c.nextArrival-c.expectedBefore)
+		c.nextArrival += c.interarrival()
+		r := c.drawRequest(c.count)
+		r.IntendedAt = intendedAt
+		c.count++
 		return r, nil
 	}
 	return Request{}, io.EOF
 }
 
-// when is how far into the segment n requests are expected: the root of from*t + slope*t*t/2 = n.
-func (g segment) when(n float64) time.Duration {
-	slope := (g.to - g.from) / g.length.Seconds()
-	t := n / max(g.from, 1e-300)
-	if slope != 0 { // the form of the root that does not lose digits when the slope is small
-		t = 2 * n / (g.from + math.Sqrt(max(g.from*g.from+2*slope*n, 0)))
+// arrivalOffset is the time into the segment by which n requests are expected: the root t of
+// startRate*t + slope*t*t/2 = n.
+func (g segment) arrivalOffset(n float64) time.Duration {
+	slope := (g.endRate - g.startRate) / g.length.Seconds()
+	t := n / max(g.startRate, 1e-300)
+	if slope != 0 { // in the form of the root that is precise for small slopes
+		t = 2 * n / (g.startRate + math.Sqrt(max(g.startRate*g.startRate+2*slope*n, 0)))
 	}
 	return min(time.Duration(t*float64(time.Second)), g.length)
 }
 
-// draw makes all of request n but its time. It hangs on the seed and n alone, so that another rate or shape has the
-// same clients.
-func (c *Schedule) draw(n int64) Request {
-	rng := requestRand(c.s.Seed, n)
-	k := &c.s.Classes[c.classes.pick(rng.Float64())]
-	r := Request{N: n, Class: k.Name, Message: k.Message.D(), Load: k.Load,
-		Tenant: c.s.Tenants[c.tenants.pick(rng.Float64())].Name}
+// drawRequest draws request n but for its intended time. It depends on the seed and n alone, so that scenarios of other
+// rates or shapes have the same clients.
+func (c *Schedule) drawRequest(n int64) Request {
+	rng := requestRand(c.scenario.Seed, n)
+	class := &c.scenario.Classes[c.classes.pick(rng.Float64())]
+	r := Request{
+		Number:          n,
+		Class:           class.Name,
+		MessageInterval: class.MessageInterval.D(),
+		Load:            class.Load,
+		Tenant:          c.scenario.Tenants[c.tenants.pick(rng.Float64())].Name,
+	}
 	if len(c.zones) > 0 {
-		r.Zone = c.s.Zones[c.zones.pick(rng.Float64())].Name
+		r.Zone = c.scenario.Zones[c.zones.pick(rng.Float64())].Name
 	}
 	r.Key = "k" + strconv.FormatUint(rng.Uint64(), 36)
-	if d := c.s.Keys; d.Count > 0 {
-		r.Key = "k" + itoa(d.draw(rng))
+	if keys := c.scenario.Keys; keys.Count > 0 {
+		r.Key = "k" + strconv.Itoa(keys.draw(rng))
 	}
-	if d := c.s.Groups; d.Count > 0 {
-		r.Group = "g" + itoa(d.draw(rng))
+	if groups := c.scenario.Groups; groups.Count > 0 {
+		r.Group = "g" + strconv.Itoa(groups.draw(rng))
 	}
-	r.Life = time.Duration(spread(k.Spread, rng) * float64(k.Life))
-	r.Direct = rng.Float64() < c.s.Requests.Direct
+	r.Lifetime = time.Duration(lifetimeFactor(class.LifetimeDistribution, rng) * float64(class.Lifetime))
+	r.Direct = rng.Float64() < c.scenario.Requests.Direct
 	return r
 }
 
-// requestRand is the random numbers of one request.
+// requestRand returns the random number generator of request n.
 func requestRand(seed uint64, n int64) *rand.Rand {
 	return rand.New(rand.NewPCG(seed, uint64(n)*0x9e3779b97f4a7c15+1))
 }
 
-// paretoShape is the exponent of lives with a long tail: few connections hold most of the time.
-const paretoShape = 1.5
+const (
+	// paretoShape is the exponent of the heavy-tailed distribution of lifetimes.
+	paretoShape = 1.5
+	// maxParetoFactor bounds its factor.
+	maxParetoFactor = 1000
+)
 
-// spread is a factor with mean 1.
-func spread(kind string, rng *rand.Rand) float64 {
-	switch kind {
-	case "fixed":
+// lifetimeFactor draws a factor with mean 1 from a distribution.
+func lifetimeFactor(distribution string, rng *rand.Rand) float64 {
+	switch distribution {
+	case lifetimeFixed:
 		return 1
-	case "uniform":
+	case lifetimeUniform:
 		return 0.5 + rng.Float64()
-	case "pareto":
-		return min((paretoShape-1)/paretoShape*math.Pow(1-rng.Float64(), -1/paretoShape), 1000)
+	case lifetimePareto:
+		return min((paretoShape-1)/paretoShape*math.Pow(1-rng.Float64(), -1/paretoShape), maxParetoFactor)
 	}
 	return rng.ExpFloat64()
 }
 
-func (d Draw) draw(rng *rand.Rand) int {
+// draw returns an index below Count.
+func (d Distribution) draw(rng *rand.Rand) int {
 	if d.Zipf > 1 {
 		return int(rand.NewZipf(rng, d.Zipf, 1, uint64(d.Count-1)).Uint64())
 	}
 	return rng.IntN(d.Count)
 }
 
-// picker draws one of several by their shares.
-type picker []float64
+// weightedPicker picks indexes in proportion to its weights.
+type weightedPicker []float64
 
-func (p picker) pick(x float64) int {
+// pick returns the index for x, which is uniform in [0, 1).
+func (p weightedPicker) pick(x float64) int {
 	total := 0.0
-	for _, share := range p {
-		total += share
+	for _, weight := range p {
+		total += weight
 	}
 	x *= total
-	for i, share := range p {
-		if x -= share; x < 0 {
+	for i, weight := range p {
+		x -= weight
+		if x < 0 {
 			return i
 		}
 	}
 	return len(p) - 1
 }
 
-// Drops says whether the client of request n drops in a wave, and how long after the wave's start it comes back.
-func (s *Scenario) Drops(wave int, n int64) (drops bool, back time.Duration) {
-	rng := requestRand(s.Seed^0x77617665, n*1009+int64(wave))
-	w := s.Waves[wave]
-	return rng.Float64() < w.Share, time.Duration(rng.Float64() * float64(w.Within))
+// DropsInSurge reports whether the client of request n drops its connection in a surge, and its delay until it
+// reconnects.
+func (s *Scenario) DropsInSurge(surge int, n int64) (drops bool, delay time.Duration) {
+	rng := requestRand(s.Seed^surgeStream, n*1009+int64(surge))
+	w := s.Surges[surge]
+	drops = rng.Float64() < w.Share
+	return drops, time.Duration(rng.Float64() * float64(w.Within))
 }
--- a/internal/loadtest/schedule_test.go
+++ b/internal/loadtest/schedule_test.go
@@ -15,10 +15,10 @@
 	"onyxstream/internal/tomlfile"
 )
 
-// The same verdict every time: other draws are had by -rapid.seed.
+// Tests are deterministic unless -rapid.seed is set.
 func init() { _ = flag.Set("rapid.seed", "1") }
 
-const usual = `
+const baseScenario = `
 name = "t"
 seed = 3
 [requests]
@@ -34,17 +34,17 @@
 name = "acme"
 `
 
-// scenario reads the usual scenario with changes, old and new in turn, and more behind it.
+// scenario decodes baseScenario with replacements, old and new in turn, and with more appended.
 func scenario(t *testing.T, more string, changes ...string) *Scenario {
 	t.Helper()
 	s := &Scenario{}
-	if err := tomlfile.Decode("t.toml", []byte(strings.NewReplacer(changes...).Replace(usual)+more), s); err != nil {
+	if err := tomlfile.Decode("t.toml", []byte(strings.NewReplacer(changes...).Replace(baseScenario)+more), s); err != nil {
 		t.Fatal(err)
 	}
 	return s
 }
 
-func all(t *testing.T, s Source) (out []Request) {
+func readAll(t *testing.T, s Source) (out []Request) {
 	t.Helper()
 	for {
 		r, err := s.Next()
@@ -57,7 +57,7 @@
 	}
 }
 
-func TestShapesHaveTheirRates(t *testing.T) {
+func TestSchedule_EachShape_HasItsRate(t *testing.T) {
 	for name, c := range map[string]struct {
 		phase string
 		want  map[[2]time.Duration]int // from and to: how many
@@ -72,11 +72,11 @@
 		"onoff": {"rate = 100\nto = 20\nshape = \"onoff\"\nduty = 0.25\nevery = \"4s\"",
 			map[[2]time.Duration]int{{0, time.Second}: 100, {time.Second, 4 * time.Second}: 60, {8 * time.Second, 9 * time.Second}: 100}},
 	} {
-		got := all(t, NewSchedule(scenario(t, "", `for = "1s"`, `for = "10s"`, "rate = 100", c.phase)))
+		got := readAll(t, NewSchedule(scenario(t, "", `for = "1s"`, `for = "10s"`, "rate = 100", c.phase)))
 		for span, want := range c.want {
 			n := 0
 			for _, r := range got {
-				if r.At >= span[0] && r.At < span[1] {
+				if r.IntendedAt >= span[0] && r.IntendedAt < span[1] {
 					n++
 				}
 			}
@@ -87,14 +87,14 @@
 	}
 }
 
-func TestPoissonArrivalsAreSpreadAsTheirLawSays(t *testing.T) {
-	got := all(t, NewSchedule(scenario(t, "", `"even"`, `"poisson"`, `for = "1s"`, `for = "100s"`)))
+func TestSchedule_PoissonArrivals_GapsExponential(t *testing.T) {
+	got := readAll(t, NewSchedule(scenario(t, "", `"even"`, `"poisson"`, `for = "1s"`, `for = "100s"`)))
 	if d := math.Abs(float64(len(got)) - 10000); d > 400 { // four standard deviations
 		t.Errorf("%d requests, want about 10000", len(got))
 	}
 	var sum, squares float64
 	for i := 1; i < len(got); i++ {
-		gap := (got[i].At - got[i-1].At).Seconds()
+		gap := (got[i].IntendedAt - got[i-1].IntendedAt).Seconds()
 		sum, squares = sum+gap, squares+gap*gap
 	}
 	mean := sum / float64(len(got)-1)
@@ -103,18 +103,18 @@
 	}
 }
 
-// Whatever the scenario: times never go back or past its length, the same seed gives the same requests, and another
-// rate gives the same clients.
-func TestScheduleIsAFunctionOfScenarioAndSeed(t *testing.T) {
+// Intended times ascend and stay within the length, the same seed yields the same requests, and another rate yields the
+// same clients at other times.
+func TestSchedule_SameScenarioAndSeed_SameRequests(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := &Scenario{Seed: rapid.Uint64().Draw(t, "seed"), Requests: Requests{Arrivals: rapid.SampledFrom([]string{"even", "poisson"}).Draw(t, "arrivals")},
-			Classes: []Class{{Name: "a", Share: 1, Spread: "pareto", Life: tomlfile.Duration(time.Second), Deadline: tomlfile.Duration(time.Second)},
-				{Name: "b", Share: 3, Life: tomlfile.Duration(time.Second), Deadline: tomlfile.Duration(time.Second)}},
-			Tenants: []Share{{"x", 1}}, Groups: Draw{50, 1.2}, Keys: Draw{Count: 9}}
+			Classes: []Class{{Name: "a", Share: 1, LifetimeDistribution: "pareto", Lifetime: tomlfile.Duration(time.Second), Deadline: tomlfile.Duration(time.Second)},
+				{Name: "b", Share: 3, Lifetime: tomlfile.Duration(time.Second), Deadline: tomlfile.Duration(time.Second)}},
+			Tenants: []WeightedName{{"x", 1}}, Groups: Distribution{50, 1.2}, Keys: Distribution{Count: 9}}
 		for range rapid.IntRange(1, 4).Draw(t, "phases") {
 			s.Phases = append(s.Phases, Phase{Shape: rapid.SampledFrom([]string{"constant", "ramp", "step", "onoff", "burst"}).Draw(t, "shape"),
-				For: tomlfile.Duration(rapid.Int64Range(1e6, 5e9).Draw(t, "for")), Rate: rapid.Float64Range(0, 300).Draw(t, "rate"),
-				To: rapid.Float64Range(0, 300).Draw(t, "to"), Steps: 3, Burst: 20, Within: tomlfile.Duration(1e6), Every: tomlfile.Duration(1e9), Duty: 0.3})
+				Duration: tomlfile.Duration(rapid.Int64Range(1e6, 5e9).Draw(t, "for")), Rate: rapid.Float64Range(0, 300).Draw(t, "rate"),
+				EndRate: rapid.Float64Range(0, 300).Draw(t, "to"), Steps: 3, BurstRequests: 20, BurstDuration: tomlfile.Duration(1e6), Period: tomlfile.Duration(1e9), DutyCycle: 0.3})
 		}
 		if err := s.Check(); err != nil {
 			t.Fatal(err)
@@ -134,10 +134,10 @@
 		}
 		last := time.Duration(0)
 		for i, r := range one {
-			if r.At < last || r.At > s.Length() || r.N != int64(i) || r.Life < 0 {
+			if r.IntendedAt < last || r.IntendedAt > s.Length() || r.Number != int64(i) || r.Lifetime < 0 {
 				t.Fatalf("request %d is %+v after %v of %v", i, r, last, s.Length())
 			}
-			last = r.At
+			last = r.IntendedAt
 		}
 		for i := range s.Phases {
 			s.Phases[i].Rate *= 2
@@ -145,7 +145,7 @@
 		other := read(s)
 		for i := range min(len(one), len(other)) {
 			a, b := one[i], other[i]
-			a.At, b.At = 0, 0
+			a.IntendedAt, b.IntendedAt = 0, 0
 			if a != b {
 				t.Fatalf("at another rate client %d is %+v, was %+v", i, b, a)
 			}
@@ -153,15 +153,15 @@
 	})
 }
 
-func TestSharesAndWavesComeOut(t *testing.T) {
+func TestSchedule_SharesAndSurges_DrawnAsConfigured(t *testing.T) {
 	s := scenario(t, "[[tenant]]\nname = \"b\"\nshare = 0.25\n[[wave]]\nat = \"1s\"\nshare = 0.4\nwithin = \"2s\"\n[groups]\ncount = 100\nzipf = 1.5\n",
 		`for = "1s"`, `for = "100s"`, "name = \"acme\"", "name = \"acme\"\nshare = 0.75")
-	got := all(t, NewSchedule(s))
+	got := readAll(t, NewSchedule(s))
 	tenants, groups, dropped, back := map[string]int{}, map[string]int{}, 0, time.Duration(0)
 	for _, r := range got {
 		tenants[r.Tenant]++
 		groups[r.Group]++
-		if drops, after := s.Drops(0, r.N); drops {
+		if drops, after := s.DropsInSurge(0, r.Number); drops {
 			dropped++
 			back = max(back, after)
 		}
@@ -178,7 +178,7 @@
 	}
 }
 
-func TestWrongScenariosAreRefusedWithLineAndKey(t *testing.T) {
+func TestScenario_Invalid_ErrorNamesLineAndKey(t *testing.T) {
 	fleet := "\n[fleet]\nhosts = 2\nnodes = 1\n"
 	for _, c := range []struct{ from, to, more, want string }{
 		{"rate = 100", "rte = 100", "", "t.toml:8: phase.rte: no such key"},
@@ -205,7 +205,7 @@
 		{"", "", fleet + "[[fault]]\non = \"link-h1\"\nwhat = \"stall\"\n", "t.toml:20: fault[0].on: fleet.links is off"},
 		{"[[phase]]", "[[phase", "", "t.toml:6"},
 	} {
-		err := tomlfile.Decode("t.toml", []byte(strings.Replace(usual, c.from, c.to, 1)+c.more), &Scenario{})
+		err := tomlfile.Decode("t.toml", []byte(strings.Replace(baseScenario, c.from, c.to, 1)+c.more), &Scenario{})
 		if err == nil || !strings.HasPrefix(err.Error(), c.want) {
 			t.Errorf("%q and %q: %v, want %s", c.to, c.more, err, c.want)
 		}
--- a/internal/loadtest/stats.go
+++ b/internal/loadtest/stats.go
@@ -1,204 +1,181 @@
 package loadtest
 
 import (
-	"fmt"
+	"slices"
 	"sync"
 	"time"
 
 	hdr "github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Outcome is what became of a request, all its tries taken together, or of one try.
+// Outcome is the outcome of one attempt, or of a request with all its attempts.
 type Outcome uint8
 
 // The outcomes.
 const (
-	Served      Outcome = iota // UP
-	Refused                    // BUSY
-	Failed                     // ERR or what the protocol does not know
-	Lost                       // the connection ended with no answer
-	Unanswered                 // nothing came by the deadline
-	Unreachable                // no connection came up
-	Unsent                     // the generator could not send it: its own fault, not the node's
-	Cut                        // the run was stopped before its answer
-	outcomes
+	Served      Outcome = iota // answered with UP
+	Rejected                   // answered with BUSY
+	Failed                     // answered with ERR or what is not in the protocol
+	Lost                       // the connection ended without an answer
+	TimedOut                   // no answer by the deadline
+	Unreachable                // no connection could be opened
+	Unsent                     // the generator lacked resources to send it
+	Aborted                    // the run ended before the answer
+	outcomeCount
 )
 
-var outcomeNames = [outcomes]string{"served", "refused", "failed", "lost", "unanswered", "unreachable", "unsent", "cut"}
+// outcomeNames are the values in results.
+var outcomeNames = [outcomeCount]string{
+	Served:      "served",
+	Rejected:    "refused",
+	Failed:      "failed",
+	Lost:        "lost",
+	TimedOut:    "unanswered",
+	Unreachable: "unreachable",
+	Unsent:      "unsent",
+	Aborted:     "cut",
+}
 
 func (o Outcome) String() string { return outcomeNames[o] }
 
-// Times are kept in microseconds up to ten minutes, to three digits; a second's to two.
-const (
-	mostMicros   = int64(10 * time.Minute / time.Microsecond)
-	digits       = 3
-	secondDigits = 2
-	mostBuckets  = 600 // of the time line
-)
+// OutcomeNames returns the names of all outcomes in their order.
+func OutcomeNames() []string { return slices.Clone(outcomeNames[:]) }
 
-func newHist(digits int) *hdr.Histogram { return hdr.New(1, mostMicros, digits) }
+// classStats are the counters and histograms of one class on one path.
+type classStats struct {
+	requests  int64
+	late      int64 // requests that were served after the deadline, measured from their intended time
+	outcomes  [outcomeCount]int64
+	attempts  [outcomeCount]int64
+	latency   [outcomeCount]*hdr.Histogram // from the intended time to the outcome
+	service   *hdr.Histogram               // of the served attempt alone
+	reconnect *hdr.Histogram               // from the intended reconnect until it is served
+	message   *hdr.Histogram               // from a line's intended time to its echo
 
-// record puts a time into h; what is over the range counts as its end.
-func record(h *hdr.Histogram, d time.Duration) {
-	_ = h.RecordValue(min(max(d.Microseconds(), 1), mostMicros))
-}
+	completed, migrated, broken, dropped, aborted int64 // established connections by end
 
-// tally is what one class saw over one path.
-type tally struct {
-	asked, late int64 // late: served past the deadline from the intended moment
-	outcomes    [outcomes]int64
-	tries       [outcomes]int64
-	latency     [outcomes]*hdr.Histogram // from the intended moment to the final answer
-	service     *hdr.Histogram           // of the try that was served, from its first byte
-	back        *hdr.Histogram           // of clients that came again, from when they meant to
-	message     *hdr.Histogram           // from when a line was meant to be sent to its answer
-
-	ended, moved, broken, dropped, cut int64 // how connections that were up ended
-	returns                            int64
-	sent, answered                     int64 // lines
+	reconnects               int64
+	linesSent, linesAnswered int64
 }
 
-func newTally() *tally {
-	t := &tally{service: newHist(digits), back: newHist(digits), message: newHist(digits)}
-	for i := range t.latency {
-		t.latency[i] = newHist(digits)
+func newClassStats() *classStats {
+	s := &classStats{
+		service:   newHistogram(histogramDigits),
+		reconnect: newHistogram(histogramDigits),
+		message:   newHistogram(histogramDigits),
 	}
-	return t
+	for i := range s.latency {
+		s.latency[i] = newHistogram(histogramDigits)
+	}
+	return s
 }
 
-// bucket is a stretch of the time line, by the intended moment.
+// bucket is an interval of the timeline, by intended time.
 type bucket struct {
-	intended, stood, back int64
-	outcomes              [outcomes]int64
-	latency               *hdr.Histogram
+	intended, established, reconnects int64
+	outcomes                          [outcomeCount]int64
+	latency                           *hdr.Histogram // of served requests; nil for none
 }
 
-// stats is all that a run counts. One lock serves: a record takes under a microsecond.
-type stats struct {
-	mu       sync.Mutex
-	tallies  map[tallyKey]*tally
-	lateness *hdr.Histogram // of the generator: from the intended moment to the start of the dial
-	wake     *hdr.Histogram // how late a goroutine that slept a millisecond was woken
-	width    time.Duration  // of a bucket
-	line     []bucket
-	open     int64 // connections that are up
-	started  int64
-	ended    int64
+// maxBuckets bounds the timeline: longer runs have wider buckets.
+const maxBuckets = 600
+
+// statsRecorder collects the statistics of a run. Its methods may be called from any goroutine.
+type statsRecorder struct {
+	mu          sync.Mutex
+	classes     map[classKey]*classStats
+	lateness    *hdr.Histogram // of the generator: from the intended time to the start of the dial
+	wakeupDelay *hdr.Histogram // of sleeping goroutines
+	bucketWidth time.Duration
+	timeline    []bucket
+	established int64 // connections now
+	started     int64 // requests
+	finished    int64 // requests
 }
 
-type tallyKey struct{ path, class string }
+type classKey struct{ path, class string }
 
-func newStats(length time.Duration) *stats {
+func newStatsRecorder(length time.Duration) *statsRecorder {
 	width := time.Second
-	for int64(length/width) >= mostBuckets {
+	for int64(length/width) >= maxBuckets {
 		width *= 2
 	}
-	return &stats{tallies: map[tallyKey]*tally{}, lateness: newHist(digits), wake: newHist(digits), width: width}
+	return &statsRecorder{
+		classes:     map[classKey]*classStats{},
+		lateness:    newHistogram(histogramDigits),
+		wakeupDelay: newHistogram(histogramDigits),
+		bucketWidth: width,
+	}
 }
 
-// with runs f with the tally of a class, locked.
-func (s *stats) with(path, class string, f func(*tally)) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	k := tallyKey{path, class}
-	t := s.tallies[k]
-	if t == nil {
-		t = newTally()
-		s.tallies[k] = t
+// updateClass calls f with the statistics of a class while the lock is held.
+func (r *statsRecorder) updateClass(path, class string, f func(*classStats)) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	key := classKey{path, class}
+	stats := r.classes[key]
+	if stats == nil {
+		stats = newClassStats()
+		r.classes[key] = stats
 	}
-	f(t)
+	f(stats)
 }
 
-// at is the bucket of a time, nil where the line is full; mu is held.
-func (s *stats) at(d time.Duration) *bucket {
-	i := int(d / s.width)
-	if d < 0 || i > mostBuckets {
+// bucketAt returns the bucket of a time, nil outside the timeline. The lock must be held.
+func (r *statsRecorder) bucketAt(d time.Duration) *bucket {
+	i := int(d / r.bucketWidth)
+	if d < 0 || i > maxBuckets {
 		return nil
 	}
-	for len(s.line) <= i {
-		s.line = append(s.line, bucket{})
+	for len(r.timeline) <= i {
+		r.timeline = append(r.timeline, bucket{})
 	}
-	return &s.line[i]
+	return &r.timeline[i]
 }
 
-func (s *stats) bucket(d time.Duration, f func(*bucket)) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if b := s.at(d); b != nil {
+// updateBucket calls f with the bucket of a time while the lock is held, unless the time is outside the timeline.
+func (r *statsRecorder) updateBucket(d time.Duration, f func(*bucket)) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if b := r.bucketAt(d); b != nil {
 		f(b)
 	}
 }
 
-// began is a request whose dial starts now, late by so much.
-func (s *stats) began(r *Request, path string, late time.Duration) {
-	s.with(path, r.Class, func(t *tally) {
-		t.asked++
-		s.started++
-		record(s.lateness, late)
-		if b := s.at(r.At); b != nil {
+// requestStarted records a request whose first attempt starts now, with its lateness.
+func (r *statsRecorder) requestStarted(request *Request, path string, lateness time.Duration) {
+	r.updateClass(path, request.Class, func(stats *classStats) {
+		stats.requests++
+		r.started++
+		record(r.lateness, lateness)
+		if b := r.bucketAt(request.IntendedAt); b != nil {
 			b.intended++
 		}
 	})
 }
 
-// final is a request's final answer, so long after its intended moment.
-func (s *stats) final(r *Request, path string, o Outcome, latency, deadline time.Duration) {
-	s.with(path, r.Class, func(t *tally) {
-		s.ended++
-		t.outcomes[o]++
-		record(t.latency[o], latency)
-		if o == Served && latency > deadline {
-			t.late++
+// requestFinished records the outcome of a request, with its latency from the intended time.
+func (r *statsRecorder) requestFinished(request *Request, path string, outcome Outcome, latency, deadline time.Duration) {
+	r.updateClass(path, request.Class, func(stats *classStats) {
+		r.finished++
+		stats.outcomes[outcome]++
+		record(stats.latency[outcome], latency)
+		if outcome == Served && latency > deadline {
+			stats.late++
 		}
-		if b := s.at(r.At); b != nil {
-			b.outcomes[o]++
-			if o == Served {
-				if b.latency == nil {
-					b.latency = newHist(secondDigits)
-				}
-				record(b.latency, latency)
-			}
+		if b := r.bucketAt(request.IntendedAt); b != nil {
+			b.addOutcome(outcome, latency)
 		}
 	})
 }
 
-// Summary is a distribution of times, in milliseconds.
-type Summary struct {
-	Count int64   `json:"count"`
-	Mean  float64 `json:"mean_ms"`
-	P50   float64 `json:"p50_ms"`
-	P90   float64 `json:"p90_ms"`
-	P99   float64 `json:"p99_ms"`
-	P999  float64 `json:"p999_ms"`
-	Max   float64 `json:"max_ms"`
-	Hist  string  `json:"hdr,omitempty"` // HdrHistogram's V2 form in base64, of microseconds
-}
-
-func summary(h *hdr.Histogram, whole bool) Summary {
-	s := Summary{Count: h.TotalCount()}
-	if s.Count == 0 {
-		return s
-	}
-	p := h.ValueAtPercentilesSlice([]float64{50, 90, 99, 99.9, 100})
-	s.Mean, s.P50, s.P90, s.P99, s.P999, s.Max = h.Mean()/1000, ms(p[0]), ms(p[1]), ms(p[2]), ms(p[3]), ms(p[4])
-	if whole {
-		if raw, err := h.EncodeV2(); err == nil {
-			s.Hist = string(raw)
-		}
-	}
-	return s
-}
-
-func ms(micros int64) float64 { return float64(micros) / 1000 }
-
-// Histogram gives back the whole distribution, of microseconds.
-func (s *Summary) Histogram() (*hdr.Histogram, error) {
-	if s.Count == 0 || s.Hist == "" {
-		return newHist(digits), nil
+func (b *bucket) addOutcome(outcome Outcome, latency time.Duration) {
+	b.outcomes[outcome]++
+	if outcome != Served {
+		return
 	}
-	h, err := hdr.Decode([]byte(s.Hist))
-	if err != nil {
-		return nil, fmt.Errorf("a histogram can't be read: %w", err)
+	if b.latency == nil {
+		b.latency = newHistogram(bucketDigits)
 	}
-	return h, nil
+	record(b.latency, latency)
 }
--- a/internal/loadtest/stored_test.go
+++ b/internal/loadtest/stored_test.go
@@ -11,8 +11,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// The files in testdata were written by the release before the names in the code changed, the result with a value in every
-// field: results are compared with those of earlier releases, and traces are played again.
+// The files in testdata were written by an earlier release, the result with a value in every field. Results are compared
+// with those of earlier releases, and traces are replayed.
 
 func TestStoredResult_FromEarlierRelease_IsReadAndWrittenAlike(t *testing.T) {
 	r, err := ReadResult("testdata/result-v1.json")
@@ -50,9 +50,9 @@
 		got = append(got, r)
 	}
 	want := []Request{
-		{N: 0, At: time.Second, Class: "chat", Tenant: "acme", Zone: "z1", Key: "k1", Group: "g1", Life: time.Minute,
-			Message: 250 * time.Millisecond, Load: 1.5},
-		{N: 1, At: 1500 * time.Millisecond, Class: "chat", Tenant: "acme", Key: "k2", Life: 90 * time.Second},
+		{Number: 0, IntendedAt: time.Second, Class: "chat", Tenant: "acme", Zone: "z1", Key: "k1", Group: "g1", Lifetime: time.Minute,
+			MessageInterval: 250 * time.Millisecond, Load: 1.5},
+		{Number: 1, IntendedAt: 1500 * time.Millisecond, Class: "chat", Tenant: "acme", Key: "k2", Lifetime: 90 * time.Second},
 	}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Error(diff)
--- /dev/null
+++ b/internal/loadtest/summary.go
@@ -0,0 +1,69 @@
+package loadtest
+
+import (
+	"fmt"
+	"time"
+
+	hdr "github.com/HdrHistogram/hdrhistogram-go"
+)
+
+// Histograms count microseconds.
+const (
+	maxMicros       = int64(10 * time.Minute / time.Microsecond)
+	histogramDigits = 3 // significant decimal digits
+	bucketDigits    = 2 // of the timeline's histograms, which are many
+)
+
+func newHistogram(digits int) *hdr.Histogram { return hdr.New(1, maxMicros, digits) }
+
+// record adds a time to a histogram; times out of its range count as the nearest bound.
+func record(h *hdr.Histogram, d time.Duration) {
+	_ = h.RecordValue(min(max(d.Microseconds(), 1), maxMicros))
+}
+
+// Summary is a distribution of times, in milliseconds.
+type Summary struct {
+	Count            int64   `json:"count"`
+	Mean             float64 `json:"mean_ms"`
+	P50              float64 `json:"p50_ms"`
+	P90              float64 `json:"p90_ms"`
+	P99              float64 `json:"p99_ms"`
+	P999             float64 `json:"p999_ms"`
+	Max              float64 `json:"max_ms"`
+	EncodedHistogram string  `json:"hdr,omitempty"` // HdrHistogram's V2 form in base64, in microseconds
+}
+
+// summarize returns the summary of a histogram, with the histogram itself if withHistogram is set.
+func summarize(h *hdr.Histogram, withHistogram bool) Summary {
+	s := Summary{Count: h.TotalCount()}
+	if s.Count == 0 {
+		return s
+	}
+	percentiles := h.ValueAtPercentilesSlice([]float64{50, 90, 99, 99.9, 100})
+	s.Mean = h.Mean() / 1000
+	s.P50 = milliseconds(percentiles[0])
+	s.P90 = milliseconds(percentiles[1])
+	s.P99 = milliseconds(percentiles[2])
+	s.P999 = milliseconds(percentiles[3])
+	s.Max = milliseconds(percentiles[4])
+	if withHistogram {
+		if encoded, err := h.EncodeV2(); err == nil {
+			s.EncodedHistogram = string(encoded)
+		}
+	}
+	return s
+}
+
+func milliseconds(micros int64) float64 { return float64(micros) / 1000 }
+
+// Histogram decodes the histogram, which is in microseconds. Without one it is empty.
+func (s *Summary) Histogram() (*hdr.Histogram, error) {
+	if s.Count == 0 || s.EncodedHistogram == "" {
+		return newHistogram(histogramDigits), nil
+	}
+	h, err := hdr.Decode([]byte(s.EncodedHistogram))
+	if err != nil {
+		return nil, fmt.Errorf("a histogram can't be read: %w", err)
+	}
+	return h, nil
+}
--- /dev/null
+++ b/internal/loadtest/trace_reader.go
@@ -0,0 +1,249 @@
+package loadtest
+
+import (
+	"bufio"
+	"bytes"
+	"compress/gzip"
+	"container/heap"
+	"errors"
+	"fmt"
+	"io"
+	"os"
+	"slices"
+	"strings"
+	"time"
+)
+
+// A trace is a list of requests, one per line, in order of time. It is CSV with a header of column names, or JSON Lines
+// with the same names, and may be compressed with gzip. The columns zone, key, group, message_ms and load are optional.
+var columns = []string{"id", "at_ms", "class", "tenant", "zone", "key", "group", "life_ms", "message_ms", "load"}
+
+var requiredColumns = []string{"id", "at_ms", "class", "tenant", "life_ms"}
+
+const (
+	// traceWindow is how many rows are sorted at one time, and within which a repeated id is noticed. It bounds the
+	// memory that reading a trace of any length takes.
+	traceWindow = 4096
+	maxRow      = 4 << 10 // in bytes
+
+	traceBufferSize = 64 << 10
+	maxReplaySpeed  = 1000
+)
+
+var gzipMagic = []byte{0x1f, 0x8b}
+
+// TraceError is an error at a line of a trace.
+type TraceError struct {
+	File  string
+	Line  int
+	Field string // "" where the error is not in one field
+	Err   error
+}
+
+func (e *TraceError) Error() string {
+	text := fmt.Sprintf("%s:%d: ", e.File, e.Line)
+	if e.Field != "" {
+		text += e.Field + ": "
+	}
+	return text + e.Err.Error()
+}
+
+// Unwrap returns the cause.
+func (e *TraceError) Unwrap() error { return e.Err }
+
+// TraceReader reads a trace as a Source, in bounded memory. It sorts rows that are slightly out of order.
+type TraceReader struct {
+	name   string
+	input  *bufio.Reader
+	close  func() error
+	line   int
+	header []string // column names of CSV; nil for JSON Lines
+	speed  float64
+
+	window    rowHeap
+	linesByID map[string]int // of the last traceWindow rows
+	recentIDs []string       // ring buffer of the keys of linesByID
+	ringIndex int
+	lastTime  time.Duration // of the last row yielded
+	atEnd     bool
+	count     int64 // of rows yielded
+}
+
+// OpenTrace opens a trace for a replay at a speed: at 3 the intended times of an hour take 20 minutes. Lifetimes are not
+// scaled.
+func OpenTrace(path string, speed float64) (*TraceReader, error) {
+	if !(speed > 0 && speed <= maxReplaySpeed) {
+		return nil, fmt.Errorf("a speed of %g is not above 0 and up to %d", speed, maxReplaySpeed)
+	}
+	f, err := os.Open(path)
+	if err != nil {
+		return nil, err
+	}
+	t, err := newTraceReader(path, f, speed)
+	if err != nil {
+		_ = f.Close()
+		return nil, err
+	}
+	t.close = f.Close
+	return t, nil
+}
+
+func newTraceReader(name string, r io.Reader, speed float64) (*TraceReader, error) {
+	t := &TraceReader{
+		name:      name,
+		input:     bufio.NewReaderSize(r, traceBufferSize),
+		close:     func() error { return nil },
+		speed:     speed,
+		linesByID: map[string]int{},
+		recentIDs: make([]string, traceWindow),
+	}
+	if magic, _ := t.input.Peek(len(gzipMagic)); bytes.Equal(magic, gzipMagic) {
+		z, err := gzip.NewReader(t.input)
+		if err != nil {
+			return nil, t.truncated(err)
+		}
+		t.input = bufio.NewReaderSize(z, traceBufferSize)
+	}
+	first, err := t.input.Peek(1)
+	if err != nil {
+		return nil, t.errorAt("", errors.New("there is nothing in it"))
+	}
+	if first[0] == '{' {
+		return t, nil
+	}
+	header, err := t.readLine()
+	if err != nil {
+		return nil, err
+	}
+	t.header = strings.Split(string(header), ",")
+	if err := t.checkHeader(); err != nil {
+		return nil, err
+	}
+	return t, nil
+}
+
+func (t *TraceReader) checkHeader() error {
+	seen := map[string]bool{}
+	for _, column := range t.header {
+		if !slices.Contains(columns, column) {
+			return t.errorAt(column, fmt.Errorf("no such column; there are %s", strings.Join(columns, ", ")))
+		}
+		if seen[column] {
+			return t.errorAt(column, errors.New("the column is there twice"))
+		}
+		seen[column] = true
+	}
+	for _, column := range requiredColumns {
+		if !seen[column] {
+			return t.errorAt(column, errors.New("the column is missing"))
+		}
+	}
+	return nil
+}
+
+// Close closes the file.
+func (t *TraceReader) Close() error { return t.close() }
+
+// errorAt returns an error at the current line.
+func (t *TraceReader) errorAt(field string, err error) error {
+	return &TraceError{t.name, max(t.line, 1), field, err}
+}
+
+func (t *TraceReader) truncated(err error) error {
+	return t.errorAt("", fmt.Errorf("the trace is cut off here: %w", err))
+}
+
+// readLine returns the next line without its end, valid until the next call, and io.EOF after the last.
+func (t *TraceReader) readLine() ([]byte, error) {
+	t.line++
+	line, err := t.input.ReadSlice('\n')
+	switch {
+	case err == nil && len(line) <= maxRow:
+		return bytes.TrimRight(line, "\r\n"), nil
+	case err == nil || errors.Is(err, bufio.ErrBufferFull):
+		return nil, t.errorAt("", fmt.Errorf("the line is longer than %d bytes", maxRow))
+	case errors.Is(err, io.EOF) && len(line) == 0:
+		return nil, io.EOF
+	case errors.Is(err, io.EOF):
+		return nil, t.truncated(errors.New("the last line has no end"))
+	}
+	return nil, t.truncated(err)
+}
+
+// Next returns the next request in order of time, and io.EOF after the last. Other errors are *TraceError.
+func (t *TraceReader) Next() (Request, error) {
+	if err := t.fillWindow(); err != nil {
+		return Request{}, err
+	}
+	if len(t.window) == 0 {
+		return Request{}, io.EOF
+	}
+	r := heap.Pop(&t.window).(traceRow)
+	t.lastTime = r.IntendedAt
+	r.Number = t.count
+	t.count++
+	r.IntendedAt = time.Duration(float64(r.IntendedAt) / t.speed)
+	return r.Request, nil
+}
+
+// fillWindow reads rows until the window is full or the trace ends.
+func (t *TraceReader) fillWindow() error {
+	for !t.atEnd && len(t.window) < traceWindow {
+		line, err := t.readLine()
+		if errors.Is(err, io.EOF) {
+			t.atEnd = true
+			return nil
+		}
+		if err != nil {
+			return err
+		}
+		if len(line) == 0 {
+			continue
+		}
+		if err := t.addRow(line); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// addRow parses and checks a row, and puts it into the window.
+func (t *TraceReader) addRow(line []byte) error {
+	r, field, err := t.parseRow(line)
+	if err != nil {
+		return t.errorAt(field, err)
+	}
+	r.line = t.line
+	if earlier, ok := t.linesByID[r.id]; ok {
+		return t.errorAt("id", fmt.Errorf("%q stands in line %d already", r.id, earlier))
+	}
+	if r.IntendedAt < t.lastTime {
+		return t.errorAt("at_ms", fmt.Errorf("it goes back by more than %d rows can be put in order: sort the trace", traceWindow))
+	}
+	delete(t.linesByID, t.recentIDs[t.ringIndex])
+	t.recentIDs[t.ringIndex] = r.id
+	t.linesByID[r.id] = t.line
+	t.ringIndex = (t.ringIndex + 1) % traceWindow
+	heap.Push(&t.window, r)
+	return nil
+}
+
+// rowHeap is a heap of rows by time, and by line for equal times.
+type rowHeap []traceRow
+
+func (h rowHeap) Len() int { return len(h) }
+func (h rowHeap) Less(i, j int) bool {
+	return h[i].IntendedAt < h[j].IntendedAt || h[i].IntendedAt == h[j].IntendedAt && h[i].line < h[j].line
+}
+func (h rowHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+
+// Push appends a row, for package heap.
+func (h *rowHeap) Push(x any) { *h = append(*h, x.(traceRow)) }
+
+// Pop removes the last row, for package heap.
+func (h *rowHeap) Pop() any {
+	old := *h
+	last := old[len(old)-1]
+	*h = old[:len(old)-1]
+	return last
+}
--- /dev/null
+++ b/internal/loadtest/trace_recorder.go
@@ -0,0 +1,192 @@
+package loadtest
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"sync"
+	"time"
+
+	"golang.org/x/sync/errgroup"
+
+	"onyxstream/internal/wire"
+)
+
+// TraceRecorder relays clients to a node and records their requests as a trace: arrival, class, key and lifetime.
+type TraceRecorder struct {
+	target string
+	out    *TraceWriter
+
+	mu          sync.Mutex
+	begin       time.Time          // of the first request
+	pending     []*recordedRequest // in order of time; written once all before them are complete
+	writeError  error
+	connections map[net.Conn]bool
+	closed      bool
+
+	relays sync.WaitGroup
+}
+
+const (
+	// maxPendingRequests bounds how many requests wait for the end of an earlier one. Beyond it the earlier one is written
+	// with its lifetime so far.
+	maxPendingRequests = 1 << 18
+
+	acceptRetryWait = 5 * time.Millisecond
+)
+
+// NewTraceRecorder returns a recorder in front of target that writes to out.
+func NewTraceRecorder(target string, out *TraceWriter) *TraceRecorder {
+	return &TraceRecorder{target: target, out: out, connections: map[net.Conn]bool{}}
+}
+
+// RecordLive listens, relays clients to target and records their requests in the file path, until ctx ends. It calls ready
+// with the listening address, and returns the number of requests recorded.
+func RecordLive(ctx context.Context, listen, target, path string, ready func(addr string)) (int64, error) {
+	l, err := net.Listen("tcp", listen)
+	if err != nil {
+		return 0, err
+	}
+	out, err := CreateTrace(path)
+	if err != nil {
+		_ = l.Close()
+		return 0, err
+	}
+	ready(l.Addr().String())
+	n, err := NewTraceRecorder(target, out).Serve(ctx, l)
+	if err != nil {
+		return n, fmt.Errorf("%s: %w", path, err)
+	}
+	return n, nil
+}
+
+// Serve relays clients until ctx ends. It then closes all connections and completes the trace. It returns the number of
+// requests recorded.
+func (t *TraceRecorder) Serve(ctx context.Context, l net.Listener) (int64, error) {
+	g, ctx := errgroup.WithContext(ctx)
+	g.Go(func() error {
+		<-ctx.Done()
+		return l.Close()
+	})
+	g.Go(func() error {
+		t.acceptClients(l)
+		return nil
+	})
+	err := g.Wait()
+	t.closeConnections()
+	t.relays.Wait()
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.flush(0)
+	return t.out.rows, errors.Join(err, t.writeError, t.out.Close())
+}
+
+// acceptClients relays clients until the listener or the recorder is closed.
+func (t *TraceRecorder) acceptClients(l net.Listener) {
+	for {
+		client, err := l.Accept()
+		if errors.Is(err, net.ErrClosed) {
+			return
+		}
+		if err != nil {
+			time.Sleep(acceptRetryWait)
+			continue
+		}
+		if !t.track(client) {
+			_ = client.Close()
+			return
+		}
+		t.relays.Go(func() { t.relay(client) })
+	}
+}
+
+func (t *TraceRecorder) closeConnections() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.closed = true
+	for c := range t.connections {
+		_ = c.Close()
+	}
+}
+
+// track registers a connection. It returns false once the recorder is closed.
+func (t *TraceRecorder) track(c net.Conn) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if !t.closed {
+		t.connections[c] = true
+	}
+	return !t.closed
+}
+
+func (t *TraceRecorder) untrack(c net.Conn) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	delete(t.connections, c)
+}
+
+func (t *TraceRecorder) relay(client net.Conn) {
+	defer t.untrack(client)
+	defer client.Close()
+	node, err := net.Dial("tcp", t.target)
+	if err != nil || !t.track(node) {
+		return
+	}
+	defer t.untrack(node)
+	defer node.Close()
+	var toClient sync.WaitGroup
+	toClient.Go(func() { copyStream(client, node, io.Discard) })
+	observer := &clientObserver{recorder: t}
+	copyStream(node, client, observer)
+	toClient.Wait()
+	observer.connectionClosed()
+}
+
+// copyStream copies from source to destination and to observer, and passes on the end: a FIN or a reset.
+func copyStream(destination, source net.Conn, observer io.Writer) {
+	_, err := io.Copy(destination, io.TeeReader(source, observer))
+	if err != nil {
+		_ = destination.(*net.TCPConn).SetLinger(0)
+		_ = destination.Close()
+		return
+	}
+	_ = destination.(*net.TCPConn).CloseWrite()
+}
+
+// recordOpening records the request of an opening line. It returns nil where the line is none.
+func (t *TraceRecorder) recordOpening(line []byte) *recordedRequest {
+	_, o, err := wire.ParseOpening(line)
+	if err != nil || o.ID == "" || o.Class == "" || o.Tenant == "" {
+		return nil
+	}
+	request := &recordedRequest{
+		Request: Request{Class: o.Class, Tenant: o.Tenant, Key: o.Key, Group: o.Group},
+		opened:  time.Now(),
+	}
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.begin.IsZero() {
+		t.begin = request.opened
+	}
+	request.opened = time.Now() // under the lock, so that rows are in order
+	request.IntendedAt = max(request.opened.Sub(t.begin), 0).Round(time.Microsecond)
+	t.pending = append(t.pending, request)
+	t.flush(maxPendingRequests)
+	return request
+}
+
+// flush writes the complete requests at the front, and incomplete ones while more than maxPending are pending. The lock
+// must be held.
+func (t *TraceRecorder) flush(maxPending int) {
+	written := 0
+	for written < len(t.pending) && (t.pending[written].ended || len(t.pending)-written > maxPending) {
+		t.pending[written].complete()
+		if t.writeError == nil {
+			t.writeError = t.out.Write(t.pending[written].Request)
+		}
+		written++
+	}
+	t.pending = t.pending[written:]
+}
--- a/internal/loadtest/trace_test.go
+++ b/internal/loadtest/trace_test.go
@@ -13,49 +13,49 @@
 	"time"
 )
 
-func reader(t *testing.T, text string, speed float64) *Trace {
+func newTestTrace(t *testing.T, text string, speed float64) *TraceReader {
 	t.Helper()
-	tr, err := newTrace("t.csv", strings.NewReader(text), speed)
+	tr, err := newTraceReader("t.csv", strings.NewReader(text), speed)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return tr
 }
 
-const head = "id,at_ms,class,tenant,life_ms\n"
+const csvHeader = "id,at_ms,class,tenant,life_ms\n"
 
-func TestWrongTracesAreRefusedWithLineAndField(t *testing.T) {
+func TestTraceReader_Invalid_ErrorNamesLineAndField(t *testing.T) {
 	var far strings.Builder // a row that comes more than the window too late
 	for i := range traceWindow + 10 {
 		fmt.Fprintf(&far, "%d,%d,a,b,1\n", i, 1000+i)
 	}
 	var packed bytes.Buffer
 	z := gzip.NewWriter(&packed)
-	_, _ = io.WriteString(z, head+far.String())
+	_, _ = io.WriteString(z, csvHeader+far.String())
 	_ = z.Close()
 	for _, c := range []struct{ text, want string }{
 		{"", "t.csv:1: there is nothing in it"},
 		{"id,at_ms\n", "t.csv:1: class: the column is missing"},
 		{"id,at_ms,class,tenant,life_ms,colour\n", "t.csv:1: colour: no such column"},
 		{"id,id,class,tenant,life_ms\n", "t.csv:1: id: the column is there twice"},
-		{head + "1,0,a,b,5\n2,soon,a,b,5\n", `t.csv:3: at_ms: "soon" is no time`},
-		{head + "1,-4,a,b,5\n", "t.csv:2: at_ms"},
-		{head + "1,NaN,a,b,5\n", "t.csv:2: at_ms"},
-		{head + "1,0,a,b\n", "t.csv:2: 4 fields, the first line names 5"},
-		{head + "1,0,,b,5\n", "t.csv:2: class: it is missing"},
-		{head + "1,0,a b,b,5\n", `t.csv:2: class: "a b" is no name`},
-		{head + "1,0,a,b,5\n1,2,a,b,5\n", `t.csv:3: id: "1" stands in line 2 already`},
-		{head + "1,0,a,b,5\n2,1,a,b,12", "t.csv:3: the trace is cut off here: the last line has no end"},
-		{head + far.String() + "x,1,a,b,5\n", fmt.Sprintf("t.csv:%d: at_ms: it goes back", traceWindow+12)},
-		{head + "1,0,a,b," + strings.Repeat("5", 10000) + "\n", "t.csv:2: the line is longer"},
-		{head + "1,0,a,b," + strings.Repeat("5", 100000) + "\n", "t.csv:2: the line is longer"},
+		{csvHeader + "1,0,a,b,5\n2,soon,a,b,5\n", `t.csv:3: at_ms: "soon" is no time`},
+		{csvHeader + "1,-4,a,b,5\n", "t.csv:2: at_ms"},
+		{csvHeader + "1,NaN,a,b,5\n", "t.csv:2: at_ms"},
+		{csvHeader + "1,0,a,b\n", "t.csv:2: 4 fields, the first line names 5"},
+		{csvHeader + "1,0,,b,5\n", "t.csv:2: class: it is missing"},
+		{csvHeader + "1,0,a b,b,5\n", `t.csv:2: class: "a b" is no name`},
+		{csvHeader + "1,0,a,b,5\n1,2,a,b,5\n", `t.csv:3: id: "1" stands in line 2 already`},
+		{csvHeader + "1,0,a,b,5\n2,1,a,b,12", "t.csv:3: the trace is cut off here: the last line has no end"},
+		{csvHeader + far.String() + "x,1,a,b,5\n", fmt.Sprintf("t.csv:%d: at_ms: it goes back", traceWindow+12)},
+		{csvHeader + "1,0,a,b," + strings.Repeat("5", 10000) + "\n", "t.csv:2: the line is longer"},
+		{csvHeader + "1,0,a,b," + strings.Repeat("5", 100000) + "\n", "t.csv:2: the line is longer"},
 		{`{"id":"1","at_ms":0,"class":"a","tenant":"b","life_ms":5,"x":1}` + "\n", "t.csv:1: x: no such field"},
 		{`{"id":"1","at_ms":[],"class":"a","tenant":"b","life_ms":5}` + "\n", "t.csv:1: at_ms"},
 		{`{"id":` + "\n", "t.csv:1: no object of JSON"},
 		{string(packed.Bytes()[:packed.Len()/2]), "cut off here: unexpected EOF"},
 		{"\x1f\x8b\x00", "t.csv:1: the trace is cut off here"},
 	} {
-		tr, err := newTrace("t.csv", strings.NewReader(c.text), 1)
+		tr, err := newTraceReader("t.csv", strings.NewReader(c.text), 1)
 		for err == nil {
 			_, err = tr.Next()
 		}
@@ -66,12 +66,12 @@
 	}
 }
 
-// Rows that are a little out of order are put right; forms are alike; the speed keeps order and spacing.
-func TestReplayKeepsOrderAndSpacing(t *testing.T) {
-	rows := all(t, reader(t, head+"a,30,x,t,5\nb,0,x,t,6\nc,30,y,t,7\nd,15,x,t,8\n", 1))
+// Rows that are slightly out of order are sorted, CSV and JSON Lines are equivalent, and the speed scales all intended times.
+func TestTraceReader_Speed_KeepsOrderAndSpacing(t *testing.T) {
+	rows := readAll(t, newTestTrace(t, csvHeader+"a,30,x,t,5\nb,0,x,t,6\nc,30,y,t,7\nd,15,x,t,8\n", 1))
 	text := ""
 	for _, r := range rows {
-		text += fmt.Sprint(r.At, " ", r.Key, "; ")
+		text += fmt.Sprint(r.IntendedAt, " ", r.Key, "; ")
 	}
 	if text != "0s kb; 15ms kd; 30ms ka; 30ms kc; " {
 		t.Errorf("read as %s", text)
@@ -79,30 +79,30 @@
 	lines := `{"id":"b","at_ms":0,"class":"x","tenant":"t","life_ms":6}
 {"id":"d","at_ms":"15","class":"x","tenant":"t","life_ms":8}
 `
-	if got := all(t, reader(t, lines, 1)); len(got) != 2 || got[1] != rows[1] {
+	if got := readAll(t, newTestTrace(t, lines, 1)); len(got) != 2 || got[1] != rows[1] {
 		t.Errorf("as JSON Lines %+v", got)
 	}
-	for i, r := range all(t, reader(t, head+"a,30,x,t,5\nb,0,x,t,6\nc,30,y,t,7\nd,15,x,t,8\n", 3)) {
-		if r.At != rows[i].At/3 || r.Life != rows[i].Life || r.Key != rows[i].Key {
+	for i, r := range readAll(t, newTestTrace(t, csvHeader+"a,30,x,t,5\nb,0,x,t,6\nc,30,y,t,7\nd,15,x,t,8\n", 3)) {
+		if r.IntendedAt != rows[i].IntendedAt/3 || r.Lifetime != rows[i].Lifetime || r.Key != rows[i].Key {
 			t.Errorf("at three times the speed %+v, was %+v", r, rows[i])
 		}
 	}
 }
 
-// endless is a trace of n rows that is never in memory whole.
-type endless struct {
+// generatedTrace is a reader of a trace of n rows, which it generates as they are read.
+type generatedTrace struct {
 	n, at int
 	rest  []byte
 }
 
-func (e *endless) Read(p []byte) (int, error) {
+func (e *generatedTrace) Read(p []byte) (int, error) {
 	for len(e.rest) == 0 {
 		if e.at == e.n {
 			return 0, io.EOF
 		}
 		e.rest = fmt.Appendf(nil, "%d,%d,a,b,5\n", e.at, e.at)
 		if e.at == 0 {
-			e.rest = append([]byte(head), e.rest...)
+			e.rest = append([]byte(csvHeader), e.rest...)
 		}
 		e.at++
 	}
@@ -111,8 +111,8 @@
 	return n, nil
 }
 
-func TestALongTraceIsReadInBoundedMemory(t *testing.T) {
-	tr, err := newTrace("long.csv", &endless{n: 100_000}, 1)
+func TestTraceReader_LongTrace_BoundedMemory(t *testing.T) {
+	tr, err := newTraceReader("long.csv", &generatedTrace{n: 100_000}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -123,8 +123,8 @@
 		} else if err != nil {
 			t.Fatal(err)
 		}
-		if len(tr.rows) > traceWindow || len(tr.ids) > traceWindow+1 {
-			t.Fatalf("%d rows and %d ids are held", len(tr.rows), len(tr.ids))
+		if len(tr.window) > traceWindow || len(tr.linesByID) > traceWindow+1 {
+			t.Fatalf("%d rows and %d ids are held", len(tr.window), len(tr.linesByID))
 		}
 	}
 	if n != 100_000 {
@@ -132,9 +132,9 @@
 	}
 }
 
-func TestWhatIsWrittenIsReadAgain(t *testing.T) {
+func TestTraceWriter_RoundTrip_SameRequests(t *testing.T) {
 	s := scenario(t, "[groups]\ncount = 5\n[[zone]]\nname = \"z\"\n", "life = \"300ms\"", "life = \"300ms\"\nload = 1.5\nmessage = \"20ms\"")
-	want := all(t, NewSchedule(s))
+	want := readAll(t, NewSchedule(s))
 	for _, name := range []string{"t.csv", "t.csv.gz"} {
 		path := filepath.Join(t.TempDir(), name)
 		w, err := CreateTrace(path)
@@ -153,13 +153,13 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		got := all(t, tr)
+		got := readAll(t, tr)
 		_ = tr.Close()
 		for i := range want {
-			if d := got[i].At - want[i].At; d > time.Microsecond || d < -time.Microsecond {
-				t.Fatalf("row %d is at %v, was %v", i, got[i].At, want[i].At)
+			if d := got[i].IntendedAt - want[i].IntendedAt; d > time.Microsecond || d < -time.Microsecond {
+				t.Fatalf("row %d is at %v, was %v", i, got[i].IntendedAt, want[i].IntendedAt)
 			}
-			got[i].At, got[i].Life = want[i].At, want[i].Life
+			got[i].IntendedAt, got[i].Lifetime = want[i].IntendedAt, want[i].Lifetime
 			if got[i] != want[i] {
 				t.Fatalf("row %d is %+v, was %+v", i, got[i], want[i])
 			}
@@ -174,10 +174,10 @@
 }
 
 func FuzzTrace(f *testing.F) {
-	f.Add([]byte(head + "1,0,a,b,5\n2,1.5,a,b,5\n"))
+	f.Add([]byte(csvHeader + "1,0,a,b,5\n2,1.5,a,b,5\n"))
 	f.Add([]byte(`{"id":"1","at_ms":0,"class":"a","tenant":"b","life_ms":5}` + "\n"))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		tr, err := newTrace("f", bytes.NewReader(text), 2)
+		tr, err := newTraceReader("f", bytes.NewReader(text), 2)
 		if err != nil {
 			return
 		}
@@ -187,10 +187,10 @@
 			if err != nil {
 				return
 			}
-			if r.At < last || r.Life < 0 || r.Class == "" {
+			if r.IntendedAt < last || r.Lifetime < 0 || r.Class == "" {
 				t.Fatalf("%+v after %v", r, last)
 			}
-			last = r.At
+			last = r.IntendedAt
 		}
 	})
 }
