--- a/internal/loadtest/page/page.go
+++ b/internal/loadtest/page/page.go
@@ -49,11 +49,11 @@
 	title string
 	draw  func(*loadtest.Result) (*plot.Plot, error)
 }{
-	{"Latency of served requests, from the intended moment", plotPercentiles},
-	{"Requests by what became of them", plotOutcomes},
+	{"Latency of served requests, from the intended time", plotPercentiles},
+	{"Requests by outcome", plotOutcomes},
 	{"Latency over time", plotLatency},
-	{"Connections that stand", plotConnections},
-	{"The start: calls to the list service and set-ups at hosts, from the start of the processes on", plotStartup},
+	{"Established connections", plotConnections},
+	{"Startup: calls to the list service and connection set-ups at hosts, since the launch of the nodes", plotStartup},
 }
 
 // Write writes the page of a result.
--- a/internal/loadtest/page/plots.go
+++ b/internal/loadtest/page/plots.go
@@ -142,16 +142,16 @@
 }
 
 func plotOutcomes(r *loadtest.Result) (*plot.Plot, error) {
-	p := newPlot("s", "requests a second")
+	p := newPlot("s", "requests per second")
 	for i, line := range []struct {
 		name  string
 		count func(*loadtest.Interval) int64
 	}{
-		{"meant", func(s *loadtest.Interval) int64 { return s.Intended }},
+		{"intended", func(s *loadtest.Interval) int64 { return s.Intended }},
 		{"served", func(s *loadtest.Interval) int64 { return s.Outcomes[loadtest.Served.String()] }},
 		{"refused", func(s *loadtest.Interval) int64 { return s.Outcomes[loadtest.Rejected.String()] }},
-		{"neither", otherOutcomes},
-		{"came again", func(s *loadtest.Interval) int64 { return s.Reconnects }},
+		{"other", otherOutcomes},
+		{"reconnects", func(s *loadtest.Interval) int64 { return s.Reconnects }},
 	} {
 		rate := func(s *loadtest.Interval) float64 { return float64(line.count(s)) / s.Width }
 		if err := addLine(p, line.name, i, i == 0, timelinePoints(r, rate)); err != nil {
@@ -198,15 +198,15 @@
 
 // plotStartup plots the load on the list service and the hosts from the launch of the fleet.
 func plotStartup(r *loadtest.Result) (*plot.Plot, error) {
-	p := newPlot("s", "in 100 ms")
+	p := newPlot("s", "per 100 ms")
 	for i, line := range []struct {
 		name   string
 		figure func(s *testcluster.Step) int
 	}{
 		{"calls to the list service", func(s *testcluster.Step) int { return s.Calls }},
-		{"of them turned away", func(s *testcluster.Step) int { return s.Turned }},
+		{"rejected calls", func(s *testcluster.Step) int { return s.Turned }},
 		{"set-ups at all hosts", func(s *testcluster.Step) int { return s.SetUps }},
-		{"most at one host", func(s *testcluster.Step) int { return s.Most }},
+		{"set-ups at the busiest host", func(s *testcluster.Step) int { return s.Most }},
 	} {
 		var points plotter.XYs
 		for k := range r.Startup {
