--- /dev/null
+++ b/internal/soaktest/call_faults.go
@@ -0,0 +1,125 @@
+package soaktest
+
+import (
+	"os/exec"
+	"strings"
+	"sync"
+	"time"
+
+	"golang.org/x/sys/unix"
+
+	"onyxstream/internal/ctxtime"
+	"onyxstream/internal/faultinject"
+)
+
+// CallFault makes system calls of a node fail for a time, or steps its wall clock.
+type CallFault struct {
+	At, Duration time.Duration
+	Node         string
+	Rules        []faultinject.Rule // nil for a step of the clock
+	ClockStep    time.Duration      // offset of the wall clock from now on
+}
+
+// callFaultRules are failures of system calls that may occur in service.
+var callFaultRules = [][]faultinject.Rule{
+	{{Call: faultinject.Accept, Share: 0.5, Errors: []unix.Errno{unix.ECONNABORTED, unix.ENFILE, unix.EMFILE, unix.ENOBUFS, unix.EPROTO}}},
+	{{Call: faultinject.Socket, Share: 0.5, Errors: []unix.Errno{unix.ENFILE, unix.EMFILE, unix.ENOBUFS}}},
+	{{Call: faultinject.Connect, Share: 0.5, Errors: []unix.Errno{unix.EADDRNOTAVAIL, unix.ENETUNREACH, unix.EAGAIN}}},
+	{{Call: faultinject.Read, Share: 0.1, Errors: []unix.Errno{unix.ENOMEM, unix.ENOBUFS, unix.EINTR}, OnSockets: true},
+		{Call: faultinject.Write, Share: 0.1, Errors: []unix.Errno{unix.ENOMEM, unix.ENOBUFS, unix.EINTR}, OnSockets: true}},
+	{{Call: faultinject.Read, Share: 0.7, Short: 5}, {Call: faultinject.Write, Share: 0.7, Short: 5}},
+}
+
+// clockSteps are the offsets of a node's wall clock from the machine's.
+var clockSteps = []time.Duration{time.Hour, -time.Hour, 5 * time.Second, -5 * time.Second, 0}
+
+// tracedCalls are the system calls that nodes are started to be traced for.
+var tracedCalls = []faultinject.Call{faultinject.Accept, faultinject.Socket, faultinject.Connect, faultinject.Read, faultinject.Write}
+
+// drawCallFaults makes system calls of one to three nodes fail for a time.
+func (d *planDrawer) drawCallFaults(at time.Duration) {
+	for range 1 + d.IntN(3) {
+		length := d.duration(100*time.Millisecond, time.Second)
+		_, name, ok := d.reserve(callFaultPrefix+nodePrefix, d.options.Nodes, at, at+length)
+		if !ok {
+			continue
+		}
+		d.plan.CallFaults = append(d.plan.CallFaults, CallFault{
+			At:       at,
+			Duration: length,
+			Node:     strings.TrimPrefix(name, callFaultPrefix),
+			Rules:    callFaultRules[d.IntN(len(callFaultRules))],
+		})
+	}
+}
+
+// drawClockSteps steps the wall clocks of one to three nodes.
+func (d *planDrawer) drawClockSteps(at time.Duration) {
+	for range 1 + d.IntN(3) {
+		_, name, ok := d.reserve(clockPrefix+nodePrefix, d.options.Nodes, at, at)
+		if !ok {
+			continue
+		}
+		d.plan.CallFaults = append(d.plan.CallFaults, CallFault{
+			At:        at,
+			Node:      strings.TrimPrefix(name, clockPrefix),
+			ClockStep: clockSteps[d.IntN(len(clockSteps))],
+		})
+	}
+}
+
+// processes starts nodes under fault injection, and keeps each node's current process.
+type processes struct {
+	seed uint64
+
+	mu     sync.Mutex
+	byNode map[string]*faultinject.Process
+}
+
+func (p *processes) start(name string, cmd *exec.Cmd) error {
+	process, err := faultinject.Start(cmd, faultinject.Options{Calls: tracedCalls, Clock: true, Seed: p.seed})
+	if err != nil {
+		return err
+	}
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.byNode[name] = process
+	return nil
+}
+
+func (p *processes) process(name string) *faultinject.Process {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.byNode[name]
+}
+
+// injectedCount counts the calls that have failed in the current processes.
+func (p *processes) injectedCount() (n int) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for _, process := range p.byNode {
+		for _, call := range tracedCalls {
+			n += process.Injected(call)
+		}
+	}
+	return n
+}
+
+// startCallFaults plays the plan's call faults. A node that restarts meanwhile has none.
+func (r *runner) startCallFaults(p *processes) {
+	for _, fault := range r.plan.CallFaults {
+		r.wg.Go(func() {
+			if !ctxtime.Sleep(r.ctx, fault.At) {
+				return
+			}
+			process := p.process(fault.Node)
+			if len(fault.Rules) == 0 {
+				process.StepClock(fault.ClockStep)
+				return
+			}
+			process.Fail(fault.Rules...)
+			ctxtime.Sleep(r.ctx, fault.Duration)
+			process.Fail()
+		})
+	}
+}
--- a/internal/soaktest/judge.go
+++ b/internal/soaktest/judge.go
@@ -9,208 +9,227 @@
 	"onyxstream/internal/fakeserver"
 )
 
-// Limits are the rules' figures, with what the way to a ledger may take.
+// Limits are the times of the rules, and the tolerances of their measurement.
 type Limits struct {
-	Late       time.Duration // an answer may come so long after the client's time
-	DrainGrace time.Duration
-	Told       time.Duration // after it could be reached, discovery has told of a change by then
-	Left       time.Duration // after its client has left, a line may begin for so long
-	Ledger     time.Duration // between a deed and its record, on a busy machine
+	AnswerGrace      time.Duration // after the client's deadline, for its answer
+	DrainGrace       time.Duration // after all nodes know that a host drains, for new connections to it
+	Propagation      time.Duration // for a change of the endpoint list to reach all nodes, while discovery is reachable
+	DisconnectNotice time.Duration // after a client has disconnected, for a connection to a host on its behalf
+	RecordDelay      time.Duration // from an event to its record, on a busy machine
 }
 
-// Usual are the limits of the operators' terms.
-var Usual = Limits{Late: 500 * time.Millisecond, DrainGrace: 450 * time.Millisecond, Told: 6 * time.Second, Left: 100 * time.Millisecond,
-	Ledger: 250 * time.Millisecond}
-
-// Facts are what a judge is told beside the records.
-type Facts struct {
-	Unsafe map[string]bool // classes that may not be repeated
-	Cut    bool            // what a node cut off that stood, without MOVE, is wrong
-	// Unreachable are the times in which a node or more could not reach discovery.
-	Unreachable []Span
-	// Delayed are hosts whose records may come long after the deed: they hung, or their link held bytes back.
-	Delayed map[string]bool
-	// Crowded are the times in which idle clients filled a node's descriptors: new connections may be shut unread then.
-	Crowded map[string][]Span
+// DefaultLimits are the limits of the operators' rules.
+var DefaultLimits = Limits{
+	AnswerGrace:      500 * time.Millisecond,
+	DrainGrace:       450 * time.Millisecond,
+	Propagation:      6 * time.Second,
+	DisconnectNotice: 100 * time.Millisecond,
+	RecordDelay:      250 * time.Millisecond,
 }
 
-// Span is a time from one moment to another.
-type Span struct{ From, To time.Duration }
-
-func (s Span) has(at time.Duration) bool { return s.From <= at && at <= s.To }
-
-// Verdict is what a run comes to.
+// Verdict is the result of Judge.
 type Verdict struct {
-	Asked, Served, Refused, Failed int
-	Exempt                         int      // were shut unread in a crowd, or held by a node that was killed
-	Wrong                          []string // broken rules, one line each
-}
-
-func (v *Verdict) wrong(format string, args ...any) {
-	v.Wrong = append(v.Wrong, fmt.Sprintf(format, args...))
+	Requests, Served, Rejected, Failed int
+	// Exempt counts requests without an answer that no rule covers: their node was killed, or had no descriptors left.
+	Exempt         int
+	RuleViolations []string // one line each
 }
 
-// clientPrefix begins the names of clients in the ledger, before the node that they came to.
+// clientPrefix starts the source of clients' events; the node that they connected to follows.
 const clientPrefix = "c-"
 
-// fate is what became of one request, a connection to one node.
-type fate struct {
-	id, node     string
-	asked, heard time.Duration
-	patience     time.Duration
-	answers      []string
-	left, broken time.Duration // 0 for not
+// judge checks the events of a run against the rules.
+type judge struct {
+	verdict    Verdict
+	events     []fakeserver.Record
+	limits     Limits
+	conditions Conditions
+
+	requests []*request
+	receipts map[string]bool            // of hosts, as "id receipt"
+	kills    map[string][]time.Duration // by node
+}
+
+// request is one request, on a connection to one node.
+type request struct {
+	id, node       string
+	sentAt         time.Duration
+	deadline       time.Duration
+	answers        []string
+	answeredAt     time.Duration // of the first answer
+	disconnectedAt time.Duration // by the client; 0 for never
+	brokenAt       time.Duration // 0 for never
 }
 
-// Judge finds what the records of a run break.
-func Judge(recs []fakeserver.Record, limits Limits, facts Facts) Verdict {
-	v := Verdict{}
-	fates, receipts, kills := gather(recs)
-	for _, f := range fates {
-		v.answer(f, receipts, kills, limits, facts)
+// Judge checks the events of a run against the rules.
+func Judge(events []fakeserver.Record, limits Limits, conditions Conditions) Verdict {
+	j := &judge{
+		events:     events,
+		limits:     limits,
+		conditions: conditions,
+		receipts:   map[string]bool{},
+		kills:      map[string][]time.Duration{},
 	}
-	v.leavers(recs, fates, limits, facts)
-	v.falls(recs)
-	v.drains(recs, limits, facts)
-	v.repeats(recs, facts)
-	return v
+	j.groupEvents()
+	for _, r := range j.requests {
+		j.judgeAnswer(r)
+	}
+	j.judgeDisconnects()
+	j.judgeOverloads()
+	j.judgeDrains()
+	j.judgeRetries()
+	return j.verdict
+}
+
+func (j *judge) addViolation(format string, args ...any) {
+	j.verdict.RuleViolations = append(j.verdict.RuleViolations, fmt.Sprintf(format, args...))
 }
 
-// gather sorts the records of clients by connection, those of hosts' receipts, and those of kills by node.
-func gather(recs []fakeserver.Record) (fates []*fate, receipts map[string]bool, kills map[string][]time.Duration) {
-	receipts, kills = map[string]bool{}, map[string][]time.Duration{}
-	open := map[string]*fate{}
-	for _, r := range recs {
-		node, client := strings.CutPrefix(r.Who, clientPrefix)
-		f := open[r.Key]
+// groupEvents collects the requests of clients, the receipts of hosts and the kills of nodes.
+func (j *judge) groupEvents() {
+	open := map[string]*request{} // by the key of the connection
+	for _, event := range j.events {
+		node, isClient := strings.CutPrefix(event.Who, clientPrefix)
 		switch {
-		case r.What == fakeserver.Fault && (r.Note == "kill" || r.Note == "lose"):
-			kills[r.Who] = append(kills[r.Who], r.At)
-		case !client && r.What == fakeserver.Up:
-			receipts[r.ID+" "+r.Note] = true
-		case !client:
-		case r.What == fakeserver.Asked:
-			patience, _ := time.ParseDuration(r.Note)
-			f = &fate{id: r.ID, node: node, asked: r.At, patience: patience}
-			open[r.Key] = f
-			fates = append(fates, f)
-		case f == nil:
-		case r.What == fakeserver.Heard:
-			if f.answers = append(f.answers, r.Note); len(f.answers) == 1 {
-				f.heard = r.At
-			}
-		case r.What == fakeserver.Left:
-			f.left = r.At
-		case r.What == fakeserver.Broken:
-			f.broken = r.At
+		case event.What == fakeserver.Fault && (event.Note == "kill" || event.Note == "lose"):
+			j.kills[event.Who] = append(j.kills[event.Who], event.At)
+		case !isClient && event.What == fakeserver.Up:
+			j.receipts[event.ID+" "+event.Note] = true
+		case !isClient:
+		case event.What == fakeserver.Asked:
+			deadline, _ := time.ParseDuration(event.Note)
+			r := &request{id: event.ID, node: node, sentAt: event.At, deadline: deadline}
+			open[event.Key] = r
+			j.requests = append(j.requests, r)
+		case open[event.Key] != nil:
+			open[event.Key].addEvent(event)
 		}
 	}
-	return fates, receipts, kills
 }
 
-// answer judges whether a request that was written whole got one whole answer in time.
-func (v *Verdict) answer(f *fate, receipts map[string]bool, kills map[string][]time.Duration, limits Limits, facts Facts) {
-	v.Asked++
-	by := f.asked + f.patience + limits.Late + limits.Ledger
-	if len(f.answers) == 0 {
-		killed := slices.ContainsFunc(kills[f.node], func(at time.Duration) bool { return Span{f.asked - time.Second, by}.has(at) })
-		crowded := slices.ContainsFunc(facts.Crowded[f.node], func(s Span) bool { return s.has(f.asked) })
-		switch {
-		case f.left > 0: // it went first
-		case killed, crowded && f.broken > 0:
-			v.Exempt++
-		default:
-			v.wrong("%s at %s, asked at %v for %v: no whole answer, broken at %v", f.id, f.node, f.asked, f.patience, f.broken)
+// addEvent adds an event of the client after its request.
+func (r *request) addEvent(event fakeserver.Record) {
+	switch event.What {
+	case fakeserver.Heard:
+		r.answers = append(r.answers, event.Note)
+		if len(r.answers) == 1 {
+			r.answeredAt = event.At
 		}
+	case fakeserver.Left:
+		r.disconnectedAt = event.At
+	case fakeserver.Broken:
+		r.brokenAt = event.At
+	}
+}
+
+// judgeAnswer checks that a request whose opening line was sent completely got one complete answer in time.
+func (j *judge) judgeAnswer(r *request) {
+	j.verdict.Requests++
+	latest := r.sentAt + r.deadline + j.limits.AnswerGrace + j.limits.RecordDelay
+	if len(r.answers) == 0 {
+		j.judgeMissingAnswer(r, latest)
 		return
 	}
-	if f.heard > by {
-		v.wrong("%s at %s, asked at %v for %v: %q only at %v", f.id, f.node, f.asked, f.patience, f.answers[0], f.heard)
+	if r.answeredAt > latest {
+		j.addViolation("%s at %s, asked at %v for %v: %q only at %v", r.id, r.node, r.sentAt, r.deadline, r.answers[0], r.answeredAt)
 	}
-	word, receipt, _ := strings.Cut(f.answers[0], " ")
+	word, receipt, _ := strings.Cut(r.answers[0], " ")
 	switch word {
 	case "UP":
-		v.Served++
-		if !receipts[f.id+" "+receipt] {
-			v.wrong("%s: %q is no host's answer", f.id, f.answers[0])
+		j.verdict.Served++
+		if !j.receipts[r.id+" "+receipt] {
+			j.addViolation("%s: %q is no host's answer", r.id, r.answers[0])
 		}
-		return
+		return // what follows are lines of the host
 	case "BUSY":
-		v.Refused++
+		j.verdict.Rejected++
 	default:
-		v.Failed++
+		j.verdict.Failed++
 	}
-	if len(f.answers) > 1 {
-		v.wrong("%s: more answers than one: %q", f.id, f.answers)
+	if len(r.answers) > 1 {
+		j.addViolation("%s: more answers than one: %q", r.id, r.answers)
 	}
 }
 
-// leavers finds lines that began for clients that had left. A request of the same id that came later is another one.
-func (v *Verdict) leavers(recs []fakeserver.Record, fates []*fate, limits Limits, facts Facts) {
-	left, last := map[string]time.Duration{}, map[string]time.Duration{}
-	for _, f := range fates {
-		if last[f.id] = max(last[f.id], f.asked); f.left > 0 && len(f.answers) == 0 {
-			left[f.id] = f.left
-		}
-	}
-	for _, r := range recs {
-		at, ok := left[r.ID]
-		if r.What == fakeserver.Opened && ok && !facts.Delayed[r.Who] && at > last[r.ID] && r.At > at+limits.Left+limits.Ledger {
-			v.wrong("%s: it began at %s at %v, its client left at %v", r.ID, r.Who, r.At, at)
-		}
+// judgeMissingAnswer decides whether a request may have no answer.
+func (j *judge) judgeMissingAnswer(r *request, latest time.Duration) {
+	inFlight := Interval{r.sentAt - time.Second, latest}
+	killed := slices.ContainsFunc(j.kills[r.node], inFlight.contains)
+	exhausted := slices.ContainsFunc(j.conditions.DescriptorsExhausted[r.node], func(i Interval) bool { return i.contains(r.sentAt) })
+	switch {
+	case r.disconnectedAt > 0:
+	case killed, exhausted && r.brokenAt > 0:
+		j.verdict.Exempt++
+	default:
+		j.addViolation("%s at %s, asked at %v for %v: no whole answer, broken at %v", r.id, r.node, r.sentAt, r.deadline, r.brokenAt)
 	}
 }
 
-// drains finds lines to hosts that drain for good, past the time at which every node counts as told, and the grace.
-func (v *Verdict) drains(recs []fakeserver.Record, limits Limits, facts Facts) {
-	since := map[string]time.Duration{}
-	for _, r := range recs {
-		switch at, ok := since[r.Who]; {
-		case r.What == fakeserver.Fault && r.Note == "drains":
-			since[r.Who] = ToldBy(r.At, limits.Told, facts.Unreachable)
-		case r.What == fakeserver.Opened && ok && !facts.Delayed[r.Who] && r.At > at+limits.DrainGrace+limits.Ledger:
-			v.wrong("%s: it began at %s at %v, which drains, and all count as told at %v", r.ID, r.Who, r.At, at)
+// judgeDisconnects checks that hosts are not connected to for clients that have disconnected. A later request with the
+// same id is another one.
+func (j *judge) judgeDisconnects() {
+	disconnected := map[string]time.Duration{} // by id, of clients without an answer
+	lastSent := map[string]time.Duration{}     // by id
+	for _, r := range j.requests {
+		lastSent[r.id] = max(lastSent[r.id], r.sentAt)
+		if r.disconnectedAt > 0 && len(r.answers) == 0 {
+			disconnected[r.id] = r.disconnectedAt
+		}
+	}
+	for _, event := range j.events {
+		at, ok := disconnected[event.ID]
+		if event.What != fakeserver.Opened || !ok || j.conditions.DelayedHosts[event.Who] || at <= lastSent[event.ID] {
+			continue
+		}
+		if event.At > at+j.limits.DisconnectNotice+j.limits.RecordDelay {
+			j.addViolation("%s: it began at %s at %v, its client left at %v", event.ID, event.Who, event.At, at)
 		}
 	}
 }
 
-// falls finds hosts in slow start that all nodes together pushed over.
-func (v *Verdict) falls(recs []fakeserver.Record) {
-	for _, r := range recs {
-		if r.What == fakeserver.Fault && r.Note == "fell over" {
-			v.wrong("%s: it was pushed over at %v", r.Who, r.At)
+// judgeOverloads checks that the nodes together do not overload hosts in slow start.
+func (j *judge) judgeOverloads() {
+	for _, event := range j.events {
+		if event.What == fakeserver.Fault && event.Note == "fell over" {
+			j.addViolation("%s: it was pushed over at %v", event.Who, event.At)
 		}
 	}
 }
 
-// ToldBy is when all count as told of a change: the first moment before which discovery could be reached for so long on
-// end, since the change.
-func ToldBy(change, within time.Duration, unreachable []Span) time.Duration {
-	from := change
-	spans := slices.Clone(unreachable)
-	slices.SortFunc(spans, func(a, b Span) int { return int(a.From - b.From) })
-	for _, s := range spans {
-		if s.To > from && s.From < from+within {
-			from = s.To
+// judgeDrains checks that draining hosts are not connected to once all nodes know, after the grace.
+func (j *judge) judgeDrains() {
+	knownAt := map[string]time.Duration{} // by host
+	for _, event := range j.events {
+		if event.What == fakeserver.Fault && event.Note == "drains" {
+			knownAt[event.Who] = PropagatedBy(event.At, j.limits.Propagation, j.conditions.DiscoveryUnreachable)
+			continue
+		}
+		at, draining := knownAt[event.Who]
+		if event.What != fakeserver.Opened || !draining || j.conditions.DelayedHosts[event.Who] {
+			continue
+		}
+		if event.At > at+j.limits.DrainGrace+j.limits.RecordDelay {
+			j.addViolation("%s: it began at %s at %v, which drains, and all count as told at %v", event.ID, event.Who, event.At, at)
 		}
 	}
-	return from + within
 }
 
-// repeats finds requests that may not be repeated and were, though an earlier host may have run them.
-func (v *Verdict) repeats(recs []fakeserver.Record, facts Facts) {
-	type place struct{ host, id string }
-	first, refused := map[string]string{}, map[place]bool{}
-	for _, r := range recs {
+// judgeRetries checks that requests that are not idempotent are retried only where the earlier host rejected them.
+func (j *judge) judgeRetries() {
+	type attempt struct{ host, id string }
+	lastHost := map[string]string{} // by id
+	rejected := map[attempt]bool{}
+	for _, event := range j.events {
 		switch {
-		case strings.HasPrefix(r.Who, clientPrefix) || !facts.Unsafe[r.Class]:
-		case r.What == fakeserver.Refused:
-			refused[place{r.Who, r.ID}] = true
-		case r.What == fakeserver.Opened && !strings.Contains(r.Note, "mid"):
-			if was, ok := first[r.ID]; ok && !refused[place{was, r.ID}] {
-				v.wrong("%s: it was sent to %s, may have run, and was sent to %s", r.ID, was, r.Who)
+		case strings.HasPrefix(event.Who, clientPrefix) || !j.conditions.NonIdempotent[event.Class]:
+		case event.What == fakeserver.Refused:
+			rejected[attempt{event.Who, event.ID}] = true
+		case event.What == fakeserver.Opened && !strings.Contains(event.Note, "mid"):
+			earlier, isRetry := lastHost[event.ID]
+			if isRetry && !rejected[attempt{earlier, event.ID}] {
+				j.addViolation("%s: it was sent to %s, may have run, and was sent to %s", event.ID, earlier, event.Who)
 			}
-			first[r.ID] = r.Who
+			lastHost[event.ID] = event.Who
 		}
 	}
 }
--- a/internal/soaktest/judge_test.go
+++ b/internal/soaktest/judge_test.go
@@ -10,122 +10,122 @@
 
 const ms = time.Millisecond
 
-// book is a ledger that a test writes.
-type book []fakeserver.Record
+// testLedger is a list of events under construction.
+type testLedger []fakeserver.Record
 
-func (b *book) add(at time.Duration, who, what, id, note string) {
+func (b *testLedger) add(at time.Duration, who, what, id, note string) {
 	*b = append(*b, fakeserver.Record{At: at, Who: who, What: what, ID: id, Key: id, Class: "order", Note: note})
 }
 
-func (b *book) asked(id string) { b.add(0, "c-n1", fakeserver.Asked, id, "1s") }
+func (b *testLedger) request(id string) { b.add(0, "c-n1", fakeserver.Asked, id, "1s") }
 
-// Each way in which a request can come to a wrong end is found, and what is allowed is not.
-func TestJudge_EachRule(t *testing.T) {
-	late := time.Second + Usual.Late + Usual.Ledger + ms
-	unsafe := Facts{Unsafe: map[string]bool{"order": true}}
+// Each rule's violation is found, and what the rules allow is not reported.
+func TestJudge_EachRule_FindsViolation(t *testing.T) {
+	late := time.Second + DefaultLimits.AnswerGrace + DefaultLimits.RecordDelay + ms
+	unsafe := Conditions{NonIdempotent: map[string]bool{"order": true}}
 	for _, c := range []struct {
 		name  string
-		facts Facts
-		write func(b *book)
+		facts Conditions
+		write func(b *testLedger)
 		want  string // in the one line of the verdict; "" for none
 	}{
-		{"served", Facts{}, func(b *book) {
-			b.asked("a")
+		{"served", Conditions{}, func(b *testLedger) {
+			b.request("a")
 			b.add(5*ms, "h1", fakeserver.Up, "a", "h1-1")
 			b.add(6*ms, "c-n1", fakeserver.Heard, "a", "UP h1-1")
 			b.add(9*ms, "c-n1", fakeserver.Heard, "a", "M a line")
 		}, ""},
-		{"refused", Facts{}, func(b *book) { b.asked("a"); b.add(ms, "c-n1", fakeserver.Heard, "a", "BUSY 5") }, ""},
-		{"no answer", Facts{}, func(b *book) { b.asked("a"); b.add(ms, "c-n1", fakeserver.Broken, "a", "EOF") }, "no whole answer"},
-		{"left first", Facts{}, func(b *book) { b.asked("a"); b.add(ms, "c-n1", fakeserver.Left, "a", "") }, ""},
-		{"its node was killed", Facts{}, func(b *book) {
-			b.asked("a")
+		{"refused", Conditions{}, func(b *testLedger) { b.request("a"); b.add(ms, "c-n1", fakeserver.Heard, "a", "BUSY 5") }, ""},
+		{"no answer", Conditions{}, func(b *testLedger) { b.request("a"); b.add(ms, "c-n1", fakeserver.Broken, "a", "EOF") }, "no whole answer"},
+		{"left first", Conditions{}, func(b *testLedger) { b.request("a"); b.add(ms, "c-n1", fakeserver.Left, "a", "") }, ""},
+		{"its node was killed", Conditions{}, func(b *testLedger) {
+			b.request("a")
 			b.add(ms, "n1", fakeserver.Fault, "", "kill")
 			b.add(2*ms, "c-n1", fakeserver.Broken, "a", "reset")
 		}, ""},
-		{"another node was killed", Facts{}, func(b *book) {
-			b.asked("a")
+		{"another node was killed", Conditions{}, func(b *testLedger) {
+			b.request("a")
 			b.add(ms, "n2", fakeserver.Fault, "", "kill")
 			b.add(2*ms, "c-n1", fakeserver.Broken, "a", "reset")
 		}, "no whole answer"},
-		{"shut in a crowd", Facts{Crowded: map[string][]Span{"n1": {{0, time.Second}}}}, func(b *book) {
-			b.asked("a")
+		{"shut in a crowd", Conditions{DescriptorsExhausted: map[string][]Interval{"n1": {{0, time.Second}}}}, func(b *testLedger) {
+			b.request("a")
 			b.add(ms, "c-n1", fakeserver.Broken, "a", "reset")
 		}, ""},
-		{"silent in a crowd", Facts{Crowded: map[string][]Span{"n1": {{0, time.Second}}}}, func(b *book) { b.asked("a") }, "no whole answer"},
-		{"late", Facts{}, func(b *book) { b.asked("a"); b.add(late, "c-n1", fakeserver.Heard, "a", "ERR") }, "only at"},
-		{"twice", Facts{}, func(b *book) {
-			b.asked("a")
+		{"silent in a crowd", Conditions{DescriptorsExhausted: map[string][]Interval{"n1": {{0, time.Second}}}}, func(b *testLedger) { b.request("a") }, "no whole answer"},
+		{"late", Conditions{}, func(b *testLedger) { b.request("a"); b.add(late, "c-n1", fakeserver.Heard, "a", "ERR") }, "only at"},
+		{"twice", Conditions{}, func(b *testLedger) {
+			b.request("a")
 			b.add(ms, "c-n1", fakeserver.Heard, "a", "BUSY")
 			b.add(ms, "c-n1", fakeserver.Heard, "a", "ERR")
 		}, "more answers than one"},
-		{"made up", Facts{}, func(b *book) { b.asked("a"); b.add(ms, "c-n1", fakeserver.Heard, "a", "UP h1-1") }, "no host's answer"},
-		{"begun for a leaver", Facts{}, func(b *book) {
-			b.asked("a")
+		{"made up", Conditions{}, func(b *testLedger) { b.request("a"); b.add(ms, "c-n1", fakeserver.Heard, "a", "UP h1-1") }, "no host's answer"},
+		{"begun for a leaver", Conditions{}, func(b *testLedger) {
+			b.request("a")
 			b.add(ms, "c-n1", fakeserver.Left, "a", "")
 			b.add(time.Second, "h1", fakeserver.Opened, "a", "")
 		}, "its client left"},
-		{"begun before it left", Facts{}, func(b *book) {
-			b.asked("a")
+		{"begun before it left", Conditions{}, func(b *testLedger) {
+			b.request("a")
 			b.add(ms, "h1", fakeserver.Opened, "a", "")
 			b.add(2*ms, "c-n1", fakeserver.Left, "a", "")
 		}, ""},
-		{"read late by a host that hung", Facts{Delayed: map[string]bool{"h1": true}}, func(b *book) {
-			b.asked("a")
+		{"read late by a host that hung", Conditions{DelayedHosts: map[string]bool{"h1": true}}, func(b *testLedger) {
+			b.request("a")
 			b.add(ms, "c-n1", fakeserver.Left, "a", "")
 			b.add(time.Second, "h1", fakeserver.Opened, "a", "")
 		}, ""},
-		{"sent to a drained host", Facts{}, func(b *book) {
+		{"sent to a drained host", Conditions{}, func(b *testLedger) {
 			b.add(0, "h1", fakeserver.Fault, "", "drains")
-			b.add(Usual.Told+Usual.DrainGrace+Usual.Ledger+ms, "h1", fakeserver.Opened, "a", "")
+			b.add(DefaultLimits.Propagation+DefaultLimits.DrainGrace+DefaultLimits.RecordDelay+ms, "h1", fakeserver.Opened, "a", "")
 		}, "which drains"},
-		{"sent while not all are told", Facts{Unreachable: []Span{{time.Second, 2 * time.Second}}}, func(b *book) {
+		{"sent while not all are told", Conditions{DiscoveryUnreachable: []Interval{{time.Second, 2 * time.Second}}}, func(b *testLedger) {
 			b.add(0, "h1", fakeserver.Fault, "", "drains")
-			b.add(Usual.Told+Usual.DrainGrace+Usual.Ledger+ms, "h1", fakeserver.Opened, "a", "")
+			b.add(DefaultLimits.Propagation+DefaultLimits.DrainGrace+DefaultLimits.RecordDelay+ms, "h1", fakeserver.Opened, "a", "")
 		}, ""},
-		{"pushed over", Facts{}, func(b *book) { b.add(0, "h1", fakeserver.Fault, "", "fell over") }, "pushed over"},
-		{"repeated", unsafe, func(b *book) {
+		{"pushed over", Conditions{}, func(b *testLedger) { b.add(0, "h1", fakeserver.Fault, "", "fell over") }, "pushed over"},
+		{"repeated", unsafe, func(b *testLedger) {
 			b.add(0, "h1", fakeserver.Opened, "a", "")
 			b.add(time.Second, "h2", fakeserver.Opened, "a", "")
 		}, "may have run"},
-		{"repeated as it never ran", unsafe, func(b *book) {
+		{"repeated as it never ran", unsafe, func(b *testLedger) {
 			b.add(0, "h1", fakeserver.Opened, "a", "")
 			b.add(ms, "h1", fakeserver.Refused, "a", "full")
 			b.add(time.Second, "h2", fakeserver.Opened, "a", "")
 		}, ""},
-		{"a safe repeat", Facts{}, func(b *book) {
+		{"a safe repeat", Conditions{}, func(b *testLedger) {
 			b.add(0, "h1", fakeserver.Opened, "a", "")
 			b.add(time.Second, "h2", fakeserver.Opened, "a", "")
 		}, ""},
 	} {
-		var b book
+		var b testLedger
 		c.write(&b)
-		got := Judge(b, Usual, c.facts).Wrong
+		got := Judge(b, DefaultLimits, c.facts).RuleViolations
 		if (c.want == "") != (len(got) == 0) || c.want != "" && (len(got) != 1 || !strings.Contains(got[0], c.want)) {
 			t.Errorf("%s: %q, want %q", c.name, got, c.want)
 		}
 	}
 }
 
-func TestToldBy_DiscoveryUnreachable(t *testing.T) {
+func TestPropagatedBy_DiscoveryUnreachable_Later(t *testing.T) {
 	const within = 6 * time.Second
-	s := func(from, to time.Duration) Span { return Span{from * time.Second, to * time.Second} }
+	s := func(from, to time.Duration) Interval { return Interval{from * time.Second, to * time.Second} }
 	for _, c := range []struct {
-		spans []Span
+		spans []Interval
 		want  time.Duration
 	}{
-		{nil, 7}, {[]Span{s(8, 9)}, 7}, {[]Span{s(0, 1)}, 7}, {[]Span{s(0, 3)}, 9}, {[]Span{s(2, 3)}, 9},
-		{[]Span{s(8, 10), s(2, 3)}, 16}, {[]Span{s(2, 3), s(9, 10)}, 9},
+		{nil, 7}, {[]Interval{s(8, 9)}, 7}, {[]Interval{s(0, 1)}, 7}, {[]Interval{s(0, 3)}, 9}, {[]Interval{s(2, 3)}, 9},
+		{[]Interval{s(8, 10), s(2, 3)}, 16}, {[]Interval{s(2, 3), s(9, 10)}, 9},
 	} {
-		if got := ToldBy(time.Second, within, c.spans); got != c.want*time.Second {
+		if got := PropagatedBy(time.Second, within, c.spans); got != c.want*time.Second {
 			t.Errorf("%v: told by %v, want %v", c.spans, got, c.want*time.Second)
 		}
 	}
 }
 
-func TestSift_FindsViolationsAndCrashes(t *testing.T) {
+func TestFindErrors_NodeLog_ViolationsAndCrashes(t *testing.T) {
 	log := "1 info started\n2 error rule violated {}\n3 error panic while handling event\n4 debug news of the list\n"
-	violations, crashes := sift([]byte(log))
+	violations, crashes := findErrors([]byte(log))
 	if len(violations) != 1 || len(crashes) != 1 {
 		t.Errorf("violations %q, crashes %q", violations, crashes)
 	}
--- /dev/null
+++ b/internal/soaktest/node_log.go
@@ -0,0 +1,50 @@
+package soaktest
+
+import (
+	"bytes"
+	"slices"
+	"strings"
+	"sync"
+
+	"onyxstream/internal/invariant"
+)
+
+// clockStepMessage is the message that a node logs when it notices a step of its wall clock.
+const clockStepMessage = "wall clock stepped"
+
+// crashPatterns are in the log lines of panics, data races and the like.
+var crashPatterns = []string{"panic", "failed badly", "could not be handled", "DATA RACE", "fatal error"}
+
+// logBuffer collects the logs of all nodes.
+type logBuffer struct {
+	mu  sync.Mutex
+	buf bytes.Buffer
+}
+
+// Write appends a part of a log.
+func (l *logBuffer) Write(p []byte) (int, error) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.buf.Write(p)
+}
+
+func (l *logBuffer) bytes() []byte {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return bytes.Clone(l.buf.Bytes())
+}
+
+// findErrors returns the lines of a log that report invariant violations, and of the others those that report crashes.
+func findErrors(log []byte) (violations, crashes []string) {
+	for line := range strings.Lines(string(log)) {
+		line = strings.TrimRight(line, "\n")
+		isCrash := func(pattern string) bool { return strings.Contains(line, pattern) }
+		switch {
+		case strings.Contains(line, invariant.LogMessage):
+			violations = append(violations, line)
+		case slices.ContainsFunc(crashPatterns, isCrash):
+			crashes = append(crashes, line)
+		}
+	}
+	return violations, crashes
+}
--- /dev/null
+++ b/internal/soaktest/runner.go
@@ -0,0 +1,188 @@
+package soaktest
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"math/rand/v2"
+	"net"
+	"os"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"onyxstream/internal/ctxtime"
+	"onyxstream/internal/fakeserver"
+	"onyxstream/internal/testcluster"
+)
+
+// runner plays a plan. Its goroutines are waited for by wg.
+type runner struct {
+	plan      Plan
+	rig       *testcluster.Rig
+	ctx       context.Context
+	startedAt time.Duration // by the rig's clock
+	wg        sync.WaitGroup
+
+	mu   sync.Mutex
+	errs error
+}
+
+func (r *runner) addError(err error) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.errs = errors.Join(r.errs, err)
+}
+
+func (r *runner) err() error {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.errs
+}
+
+// invalidConfigTime is how long a configuration file stays invalid.
+const invalidConfigTime = 60 * time.Millisecond
+
+// startReloads plays the plan's reloads.
+func (r *runner) startReloads() {
+	var filesMu sync.Mutex // held while a file is invalid
+	for _, reload := range r.plan.Reloads {
+		r.wg.Go(func() {
+			if !ctxtime.Sleep(r.ctx, reload.At) {
+				return
+			}
+			if reload.Invalid {
+				filesMu.Lock()
+				defer filesMu.Unlock()
+				restore, err := r.invalidateConfig(reload.Node)
+				if err != nil {
+					r.addError(err)
+					return
+				}
+				defer restore()
+			}
+			for range 1 + reload.Repeats {
+				r.rig.Reload(reload.Node)
+				ctxtime.Sleep(r.ctx, invalidConfigTime/4)
+			}
+			ctxtime.Sleep(r.ctx, invalidConfigTime)
+		})
+	}
+}
+
+// invalidateConfig truncates a node's configuration file. restore writes it back and makes the node reload it.
+func (r *runner) invalidateConfig(node int) (restore func(), err error) {
+	path := r.rig.NodeConfig(node)
+	text, err := os.ReadFile(path)
+	if err != nil {
+		return nil, err
+	}
+	if err := os.WriteFile(path, text[:len(text)/2], 0o600); err != nil {
+		return nil, err
+	}
+	return func() {
+		if err := os.WriteFile(path, text, 0o600); err != nil {
+			r.addError(err)
+		}
+		r.rig.Reload(node)
+	}, nil
+}
+
+// startIdleClients plays the plan's idle clients.
+func (r *runner) startIdleClients() {
+	for _, idle := range r.plan.IdleClients {
+		r.wg.Go(func() {
+			if !ctxtime.Sleep(r.ctx, idle.At) {
+				return
+			}
+			var connections []net.Conn
+			for range idle.Count {
+				conn, err := net.DialTimeout("tcp", r.rig.NodeAddress(idle.Node), dialTimeout)
+				if err != nil {
+					continue // the node may be restarting
+				}
+				connections = append(connections, conn)
+			}
+			ctxtime.Sleep(r.ctx, idle.Duration)
+			for _, conn := range connections {
+				_ = conn.Close()
+			}
+		})
+	}
+}
+
+const (
+	// frontNoticeDelay is how long the front still sends clients to a node that is stopping.
+	frontNoticeDelay = 400 * time.Millisecond
+	// maxPicks bounds how often another node is picked while many of them are stopping.
+	maxPicks = 64
+)
+
+// pickNode picks a node for a client as the platform's front would, which notices a stopping node sooner than the fake
+// front does.
+func (r *runner) pickNode() (node fakeserver.Node, ok bool) {
+	at := r.rig.Clock.Now() - r.startedAt
+	for range maxPicks {
+		node, ok = r.rig.Front.Pick("")
+		if !ok || !r.plan.isStopping(node.Name, at) {
+			return node, ok
+		}
+	}
+	return node, false
+}
+
+// isStopping reports whether a node is stopping at a time, for long enough that the front has noticed.
+func (p Plan) isStopping(node string, at time.Duration) bool {
+	for _, fault := range p.Faults {
+		if fault.On != node || fault.What != "stop" {
+			continue
+		}
+		if at > fault.At.D()+frontNoticeDelay && at < fault.At.D()+restartReservation/2 {
+			return true
+		}
+	}
+	return false
+}
+
+// clientStream is combined with the seed of a plan for the random numbers of its clients.
+const clientStream = 0x636c69656e74
+
+// startClients starts clients by a Poisson process with a rate per second, and returns after the plan's duration.
+func (r *runner) startClients(rate float64) {
+	draw := rand.New(rand.NewPCG(r.plan.Seed, clientStream))
+	var connections atomic.Int64
+	newKey := func() string { return fmt.Sprint("k", connections.Add(1)) }
+	begin := time.Now()
+	at := time.Duration(0)
+	for n := 1; at < r.plan.Duration; n++ {
+		if !ctxtime.Sleep(r.ctx, time.Until(begin.Add(at))) {
+			return
+		}
+		s := &session{client: r.drawClient(draw, n), rig: r.rig, pickNode: r.pickNode, newKey: newKey}
+		r.wg.Go(func() { s.run(r.ctx, r.plan.Mode == modePass) })
+		at += time.Duration(draw.ExpFloat64() / rate * float64(time.Second))
+	}
+}
+
+const (
+	maxHoldTime = 3 * time.Second
+	maxPause    = 1500 * time.Millisecond
+)
+
+// drawClient draws client n.
+func (r *runner) drawClient(draw *rand.Rand, n int) client {
+	class := classes[draw.IntN(len(classes))]
+	c := client{
+		id:        fmt.Sprintf("s%d-%d", r.plan.Seed, n),
+		class:     class.Name,
+		behavior:  drawBehavior(draw),
+		deadline:  time.Duration((0.2 + 0.8*draw.Float64()) * float64(class.Deadline)),
+		holdTime:  time.Duration(draw.Float64() * float64(maxHoldTime)),
+		pause:     time.Duration(draw.Float64() * float64(maxPause)),
+		reconnect: draw.IntN(4) == 0,
+	}
+	if c.behavior == behaviorDisconnect || c.behavior == behaviorReset {
+		c.pause /= 5
+	}
+	return c
+}
--- a/internal/soaktest/soak_test.go
+++ b/internal/soaktest/soak_test.go
@@ -22,7 +22,7 @@
 	os.Exit(m.Run())
 }
 
-var built = sync.OnceValues(func() (string, error) {
+var buildProgram = sync.OnceValues(func() (string, error) {
 	dir, err := os.MkdirTemp("", "onyxstream-soak")
 	if err != nil {
 		return "", err
@@ -36,102 +36,109 @@
 	return path, nil
 })
 
-// number is a figure of the environment, or what is usual.
-func number(name string, usual int) int {
+// environmentInt returns a positive number from the environment, or a default.
+func environmentInt(name string, defaultValue int) int {
 	if n, err := strconv.Atoi(os.Getenv(name)); err == nil && n > 0 {
 		return n
 	}
-	return usual
+	return defaultValue
 }
 
-// Troubles that overlap, drawn from a seed, break no rule at a fleet of real processes. ONYXSTREAM_SOAK plays so many
-// seeds from ONYXSTREAM_SEED on, with ONYXSTREAM_NODES nodes and clients for ONYXSTREAM_SOAK_SECONDS; ONYXSTREAM_SOAK_LOGS names a folder for the logs of runs in
-// which a rule broke.
-func TestSoak_OverlappingTroubles_RulesHold(t *testing.T) {
-	program, err := built()
+// Overlapping faults on a fleet of real processes break no rule. ONYXSTREAM_SOAK is the number of seeds, ONYXSTREAM_SEED the
+// first one, ONYXSTREAM_NODES the number of nodes, and ONYXSTREAM_SOAK_SECONDS the duration of each plan.
+// ONYXSTREAM_SOAK_LOGS is a folder for the logs of runs that fail.
+func TestSoak_OverlappingFaults_RulesHold(t *testing.T) {
+	program, err := buildProgram()
 	if err != nil {
 		t.Fatal(err)
 	}
-	shape := Shape{Nodes: number("ONYXSTREAM_NODES", 24), Hosts: 12, Length: time.Duration(number("ONYXSTREAM_SOAK_SECONDS", 8)) * time.Second}
-	first := number("ONYXSTREAM_SEED", 1)
-	for seed := first; seed < first+number("ONYXSTREAM_SOAK", 2); seed++ {
+	options := PlanOptions{
+		Nodes:    environmentInt("ONYXSTREAM_NODES", 24),
+		Hosts:    12,
+		Duration: time.Duration(environmentInt("ONYXSTREAM_SOAK_SECONDS", 8)) * time.Second,
+	}
+	first := environmentInt("ONYXSTREAM_SEED", 1)
+	for seed := first; seed < first+environmentInt("ONYXSTREAM_SOAK", 2); seed++ {
 		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) {
-			plan := Draw(uint64(seed), shape)
+			plan := Draw(uint64(seed), options)
 			logs := os.Getenv("ONYXSTREAM_SOAK_LOGS")
-			report, err := Play(t.Context(), plan, shape, Config{Program: program, Rate: 150, Debug: logs != ""})
+			report, err := Play(t.Context(), plan, options, Config{Program: program, Rate: 150, Debug: logs != ""})
 			if err != nil {
 				t.Errorf("seed %d: %v", seed, err)
 			}
 			if report == nil {
 				return
 			}
-			t.Logf("seed %d, %s: %d troubles, %d system calls failed, %d clock steps seen, %d asked, %d served, %d refused, %d failed, %d exempt", seed, plan.Mode,
-				len(plan.Faults)+len(plan.Reloads)+len(plan.Crowds)+len(plan.Calls), report.CallsFailed, report.ClockSteps, report.Asked, report.Served, report.Refused, report.Failed, report.Exempt)
-			for _, line := range report.Broken() {
+			faults := len(plan.Faults) + len(plan.Reloads) + len(plan.IdleClients) + len(plan.CallFaults)
+			t.Logf("seed %d, %s: %d faults, %d system calls failed, %d clock steps seen, "+
+				"%d requests, %d served, %d rejected, %d failed, %d exempt",
+				seed, plan.Mode, faults, report.CallsFailed, report.ClockSteps,
+				report.Requests, report.Served, report.Rejected, report.Failed, report.Exempt)
+			for _, line := range report.Failures() {
 				t.Errorf("seed %d: %s", seed, line)
 			}
-			if report.Served < report.Asked/5 {
-				t.Errorf("seed %d: %d of %d are served", seed, report.Served, report.Asked)
+			if report.Served < report.Requests/5 {
+				t.Errorf("seed %d: %d of %d are served", seed, report.Served, report.Requests)
 			}
 			if logs != "" && t.Failed() {
-				keep(t, logs, seed, plan, report)
+				saveRun(t, logs, seed, plan, report)
 			}
 		})
 	}
 }
 
-// keep writes what a run leaves for whoever looks for the cause.
-func keep(t *testing.T, folder string, seed int, plan Plan, report *Report) {
+// saveRun writes the log, the events and the plan of a failed run to a folder.
+func saveRun(t *testing.T, folder string, seed int, plan Plan, report *Report) {
 	t.Helper()
 	var ledger strings.Builder
 	if err := fakeserver.WriteRecords(&ledger, fakeserver.NewClock(), report.Records, 0); err != nil {
 		t.Fatal(err)
 	}
-	var told strings.Builder
+	var planText strings.Builder
 	for _, x := range plan.Faults {
-		fmt.Fprintf(&told, "%v for %v: %s on %s by %g over %v\n", x.At.D(), x.For.D(), x.What, x.On, x.By, x.Over.D())
+		fmt.Fprintf(&planText, "%v for %v: %s on %s by %g over %v\n", x.At.D(), x.For.D(), x.What, x.On, x.By, x.Over.D())
 	}
-	fmt.Fprintf(&told, "reloads %+v\ncrowds %+v\ncalls %+v\n", plan.Reloads, plan.Crowds, plan.Calls)
-	for name, text := range map[string]string{"log": string(report.Log), "ledger": ledger.String(), "plan": told.String()} {
+	fmt.Fprintf(&planText, "reloads %+v\nidle clients %+v\ncall faults %+v\n", plan.Reloads, plan.IdleClients, plan.CallFaults)
+	for name, text := range map[string]string{"log": string(report.Log), "ledger": ledger.String(), "plan": planText.String()} {
 		if err := os.WriteFile(filepath.Join(folder, fmt.Sprintf("seed%d.%s", seed, name)), []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
 }
 
-// A seed gives one plan, and other seeds others; troubles overlap in each.
+// A seed always gives the same plan, other seeds give others, and faults overlap in each plan.
 func TestDraw_SameSeed_SamePlan(t *testing.T) {
-	shape := Shape{Nodes: 24, Hosts: 12, Length: 20 * time.Second}
+	options := PlanOptions{Nodes: 24, Hosts: 12, Duration: 20 * time.Second}
 	for seed := range uint64(50) {
-		plan := Draw(seed, shape)
-		if diff := cmp.Diff(plan, Draw(seed, shape)); diff != "" {
+		plan := Draw(seed, options)
+		if diff := cmp.Diff(plan, Draw(seed, options)); diff != "" {
 			t.Fatalf("seed %d: %s", seed, diff)
 		}
-		if cmp.Equal(plan.Faults, Draw(seed+1, shape).Faults) {
+		if cmp.Equal(plan.Faults, Draw(seed+1, options).Faults) {
 			t.Errorf("seed %d and the next one give the same faults", seed)
 		}
-		f := fleet(plan, shape)
-		if err := f.Check(classes, []string{"acme"}); err != nil {
+		f := fleetFor(plan, options)
+		if err := f.Check(classes, tenants); err != nil {
 			t.Fatal(err)
 		}
 		if err := f.CheckFaults(plan.Faults); err != nil {
 			t.Errorf("seed %d: %v", seed, err)
 		}
-		if n := overlapping(plan); n < 5 {
-			t.Errorf("seed %d: troubles overlap only %d times", seed, n)
+		if n := countOverlapping(plan); n < 5 {
+			t.Errorf("seed %d: faults overlap only %d times", seed, n)
 		}
 	}
 }
 
-// overlapping counts pairs of troubles that begin within a moment.
-func overlapping(p Plan) (n int) {
+// countOverlapping counts the pairs of faults that begin within faultSpread.
+func countOverlapping(p Plan) (n int) {
 	var at []time.Duration
 	for _, x := range p.Faults {
 		at = append(at, x.At.D())
 	}
 	for i, a := range at {
 		for _, b := range at[:i] {
-			if (a - b).Abs() < overlap {
+			if (a - b).Abs() < faultSpread {
 				n++
 			}
 		}
