--- a/internal/cli/scale.go
+++ b/internal/cli/scale.go
@@ -73,8 +73,8 @@
 			if failed != nil {
 				return failed
 			}
-			if result.Short != "" {
-				return &status{ExitPartial, errors.New(result.Short)}
+			if result.Shortage != "" {
+				return &status{ExitPartial, errors.New(result.Shortage)}
 			}
 			return nil
 		},
@@ -98,7 +98,7 @@
 			if err != nil {
 				return err
 			}
-			return scaletest.RunHollow(c.Context(), cfg, n, c.InOrStdin(), c.ErrOrStderr())
+			return scaletest.RunSimulatedNodes(c.Context(), cfg, n, c.InOrStdin(), c.ErrOrStderr())
 		},
 	}
 }
@@ -110,9 +110,9 @@
 		for _, p := range []struct {
 			name string
 			scaletest.Phase
-		}{{"rest", s.Rest}, {"changes", s.Changes}, {"restart", s.Restart}} {
+		}{{"rest", s.Idle}, {"changes", s.Changes}, {"restart", s.Restart}} {
 			fmt.Fprintf(w, "%d\t%s\t%s\t%.0f\t%.2f\t%.3f\t%.2f\t%v\t%v\t%v\t%d\t\n", s.Nodes, s.Kind, p.name, p.BytesPerS, p.MessagesPerS,
-				100*p.Cores, s.MemoryMB, millis(p.Latency.Median), millis(p.Latency.P99), millis(p.Latency.Last), p.Latency.Missing)
+				100*p.Cores, s.MemoryMB, millis(p.Latency.Median), millis(p.Latency.P99), millis(p.Latency.Max), p.Latency.Missing)
 		}
 	}
 	fmt.Fprintln(w, "\nhollow over real\t\tbytes\tmessages\tcore\tmemory\tmedian\t")
@@ -123,12 +123,12 @@
 	for _, f := range r.Fits {
 		budget, verdict := "-", "-"
 		if f.Budget > 0 {
-			budget, verdict = fmt.Sprintf("%.4g", f.Budget), map[bool]string{true: "yes", false: "NO"}[f.Fits]
+			budget, verdict = fmt.Sprintf("%.4g", f.Budget), map[bool]string{true: "yes", false: "NO"}[f.WithinBudget]
 		}
-		fmt.Fprintf(w, "%s\t%.4g\t%.4g\t%.3f\t%d\t%.0f\t%.4g\t%s\t%s\t\n", f.What, f.Base, f.Slope, f.R2, f.Samples, f.Spread, f.At, budget, verdict)
+		fmt.Fprintf(w, "%s\t%.4g\t%.4g\t%.3f\t%d\t%.0f\t%.4g\t%s\t%s\t\n", f.Metric, f.Intercept, f.Slope, f.R2, f.Samples, f.SizeRatio, f.AtTarget, budget, verdict)
 	}
-	if r.Short != "" {
-		fmt.Fprintf(w, "\nnot all was measured: %s\n", r.Short)
+	if r.Shortage != "" {
+		fmt.Fprintf(w, "\nnot all was measured: %s\n", r.Shortage)
 	}
 	return w.Flush()
 }
--- a/internal/scaletest/fit.go
+++ b/internal/scaletest/fit.go
@@ -6,88 +6,104 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Fit is a line through samples: y = Base + Slope * nodes.
+// Fit is a linear fit of a metric over the number of nodes: Intercept + Slope * nodes.
 type Fit struct {
-	What    string  `json:"what"`
-	Base    float64 `json:"base"`
-	Slope   float64 `json:"slope"`
-	R2      float64 `json:"r2"` // 1 where the line meets all samples
-	Samples int     `json:"samples"`
-	Spread  float64 `json:"spread"` // the largest size over the smallest
-	At      float64 `json:"at_target"`
-	Budget  float64 `json:"budget"` // 0 for none
-	Fits    bool    `json:"fits"`
+	Metric       string  `json:"what"`
+	Intercept    float64 `json:"base"`
+	Slope        float64 `json:"slope"`
+	R2           float64 `json:"r2"` // coefficient of determination: 1 for an exact fit
+	Samples      int     `json:"samples"`
+	SizeRatio    float64 `json:"spread"`    // largest size over smallest
+	AtTarget     float64 `json:"at_target"` // extrapolated to the target size
+	Budget       float64 `json:"budget"`    // 0 for none
+	WithinBudget bool    `json:"fits"`
 }
 
-var errFewSizes = errors.New("a slope needs two sizes")
+var errTooFewSizes = errors.New("a slope needs two sizes")
 
-// fit lays a line through samples by size and reckons it up to the target.
-func fit(what string, sizes, values []float64, target int, budget float64) (Fit, error) {
+// fitLine fits a line to values by size, which ascend, and extrapolates it to the target.
+func fitLine(metric string, sizes, values []float64, target int, budget float64) (Fit, error) {
 	if len(sizes) < 2 || sizes[0] == sizes[len(sizes)-1] {
-		return Fit{What: what}, errFewSizes
+		return Fit{Metric: metric}, errTooFewSizes
 	}
-	f := Fit{What: what, Samples: len(sizes), Spread: sizes[len(sizes)-1] / sizes[0], Budget: budget}
-	f.Base, f.Slope = stat.LinearRegression(sizes, values, nil, false)
-	f.R2 = stat.RSquared(sizes, values, nil, f.Base, f.Slope)
-	f.At = f.Base + f.Slope*float64(target)
-	f.Fits = budget == 0 || f.At <= budget
+	f := Fit{Metric: metric, Samples: len(sizes), SizeRatio: sizes[len(sizes)-1] / sizes[0], Budget: budget}
+	f.Intercept, f.Slope = stat.LinearRegression(sizes, values, nil, false)
+	f.R2 = stat.RSquared(sizes, values, nil, f.Intercept, f.Slope)
+	f.AtTarget = f.Intercept + f.Slope*float64(target)
+	f.WithinBudget = budget == 0 || f.AtTarget <= budget
 	return f, nil
 }
 
-// fits lays lines through the samples of hollow fleets.
-func fits(samples []Sample, target Target) (out []Fit) {
+// fleetMetric is a metric of a whole fleet, with its budget at the target size; 0 for none.
+type fleetMetric struct {
+	name   string
+	budget float64
+	value  func(s Sample) float64
+}
+
+func fleetMetrics(target Target) []fleetMetric {
 	n := float64(target.Nodes)
-	for _, m := range []struct {
-		what   string
-		budget float64
-		value  func(s Sample) float64
-	}{
-		{"service, at rest, bytes/s", 0, func(s Sample) float64 { return s.Rest.BytesPerS * float64(s.Nodes) }},
+	return []fleetMetric{
+		{"service, at rest, bytes/s", 0, func(s Sample) float64 { return s.Idle.BytesPerS * float64(s.Nodes) }},
 		{"service, with changes, bytes/s", target.BytesPerS * n, func(s Sample) float64 { return s.Changes.BytesPerS * float64(s.Nodes) }},
 		{"service, with changes, messages/s", 0, func(s Sample) float64 { return s.Changes.MessagesPerS * float64(s.Nodes) }},
-		{"nodes, with changes, cores", target.CorePart * n, func(s Sample) float64 { return s.Changes.Cores * float64(s.Nodes) }},
+		{"nodes, with changes, cores", target.Cores * n, func(s Sample) float64 { return s.Changes.Cores * float64(s.Nodes) }},
 		{"nodes, memory, MB", target.MemoryMB * n, func(s Sample) float64 { return s.MemoryMB * float64(s.Nodes) }},
-		{"last node has a change, s", target.InForceMax.D().Seconds(), func(s Sample) float64 { return s.Changes.Latency.Last.Seconds() }},
-	} {
+		{"last node has a change, s", target.MaxPropagation.D().Seconds(), func(s Sample) float64 { return s.Changes.Latency.Max.Seconds() }},
+	}
+}
+
+// fitMetrics fits the metrics of the fleets of simulated nodes.
+func fitMetrics(samples []Sample, target Target) (out []Fit) {
+	for _, metric := range fleetMetrics(target) {
 		var sizes, values []float64
 		for _, s := range samples {
-			if s.Kind == Hollow {
-				sizes, values = append(sizes, float64(s.Nodes)), append(values, m.value(s))
+			if s.Kind == Simulated {
+				sizes = append(sizes, float64(s.Nodes))
+				values = append(values, metric.value(s))
 			}
 		}
-		if f, err := fit(m.what, sizes, values, target.Nodes, m.budget); err == nil {
+		if f, err := fitLine(metric.name, sizes, values, target.Nodes, metric.budget); err == nil {
 			out = append(out, f)
 		}
 	}
 	return out
 }
 
-// Difference is what a hollow node costs against a real one, in fleets of one size: 1 where they cost the same.
+// Difference has the costs of a simulated node divided by those of a real one, in fleets of one size with changes.
 type Difference struct {
 	Nodes    int     `json:"nodes"`
 	Bytes    float64 `json:"bytes"`
 	Messages float64 `json:"messages"`
 	Cores    float64 `json:"cores"`
 	Memory   float64 `json:"memory"`
-	Median   float64 `json:"median"`
+	Median   float64 `json:"median"` // of the propagation latency
 }
 
-// differences compares samples of both kinds at the sizes that both have, with changes under way.
-func differences(samples []Sample) (out []Difference) {
-	for _, r := range samples {
-		for _, h := range samples {
-			if r.Kind == Real && h.Kind == Hollow && r.Nodes == h.Nodes {
-				out = append(out, Difference{Nodes: r.Nodes, Bytes: ratio(h.Changes.BytesPerS, r.Changes.BytesPerS),
-					Messages: ratio(h.Changes.MessagesPerS, r.Changes.MessagesPerS), Cores: ratio(h.Changes.Cores, r.Changes.Cores),
-					Memory: ratio(h.MemoryMB, r.MemoryMB),
-					Median: ratio(h.Changes.Latency.Median.Seconds(), r.Changes.Latency.Median.Seconds())})
+// compareKinds compares the samples of both kinds at the sizes that both have.
+func compareKinds(samples []Sample) (out []Difference) {
+	for _, real := range samples {
+		for _, simulated := range samples {
+			if real.Kind == Real && simulated.Kind == Simulated && real.Nodes == simulated.Nodes {
+				out = append(out, difference(simulated, real))
 			}
 		}
 	}
 	return out
 }
 
-// ratio is a over b, 0 where b is not measurable.
+func difference(simulated, real Sample) Difference {
+	return Difference{
+		Nodes:    real.Nodes,
+		Bytes:    ratio(simulated.Changes.BytesPerS, real.Changes.BytesPerS),
+		Messages: ratio(simulated.Changes.MessagesPerS, real.Changes.MessagesPerS),
+		Cores:    ratio(simulated.Changes.Cores, real.Changes.Cores),
+		Memory:   ratio(simulated.MemoryMB, real.MemoryMB),
+		Median:   ratio(simulated.Changes.Latency.Median.Seconds(), real.Changes.Latency.Median.Seconds()),
+	}
+}
+
+// ratio is a over b, 0 where b is 0.
 func ratio(a, b float64) float64 {
 	if b == 0 {
 		return 0
--- /dev/null
+++ b/internal/scaletest/fleet.go
@@ -0,0 +1,82 @@
+package scaletest
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"os"
+	"time"
+
+	"onyxstream/internal/testcluster"
+)
+
+// measuredFleet is a running fleet of real or simulated nodes.
+type measuredFleet interface {
+	usage() testcluster.Usage // of all its processes; the peak memory is that of the largest
+	memoryMB() float64        // of one node
+	restart(n int) error      // restarts n nodes at once
+	close()
+}
+
+// fleetFor returns the configuration of a fleet of n nodes. No requests are sent to its hosts.
+func fleetFor(s Spec, n int) (testcluster.Fleet, testcluster.Options, error) {
+	fleet := testcluster.Fleet{Nodes: n, Hosts: s.Hosts, List: testcluster.List{Push: true}}
+	options := testcluster.Options{
+		Seed:    s.Seed,
+		Classes: []testcluster.ClassSpec{{Name: "chat", Deadline: 3 * time.Second}},
+		Tenants: []string{"acme"},
+		Debug:   true,
+	}
+	return fleet, options, fleet.Check(options.Classes, options.Tenants)
+}
+
+// startFleet starts a fleet of n nodes. What was started is returned beside an error too, and has to be closed.
+func startFleet(s Spec, kind Kind, n int, opt Options, log io.Writer) (*testcluster.Rig, measuredFleet, error) {
+	configured := n
+	if kind == Simulated {
+		configured = 1 // simulated nodes share one configuration
+	}
+	fleet, options, err := fleetFor(s, configured)
+	if err != nil {
+		return nil, nil, err
+	}
+	options.Program = opt.Program
+	options.Log = log
+	rig, err := testcluster.Prepare(fleet, options)
+	if err != nil {
+		return rig, nil, err
+	}
+	if kind == Simulated {
+		simulated, err := startSimulatedFleet(opt.Program, rig.NodeConfig(0), n, log)
+		if err != nil {
+			return rig, nil, err
+		}
+		return rig, simulated, nil
+	}
+	return rig, &realFleet{rig}, rig.Launch()
+}
+
+// realFleet is a fleet of real nodes, which the rig starts and stops.
+type realFleet struct {
+	rig *testcluster.Rig
+}
+
+func (f *realFleet) usage() testcluster.Usage { return f.rig.Usage() }
+func (f *realFleet) memoryMB() float64        { return f.rig.Usage().PeakMB }
+func (f *realFleet) close()                   {}
+
+// restart kills the first n nodes and starts them again.
+func (f *realFleet) restart(n int) error {
+	var errs []error
+	for i := range n {
+		end, err := f.rig.Begin(testcluster.FaultSpec{What: "kill", On: fmt.Sprint("n", i+1)})
+		errs = append(errs, err)
+		if err == nil && end != nil {
+			errs = append(errs, end())
+		}
+	}
+	return errors.Join(errs...)
+}
+
+// nodeEnvironment is the environment of a process of simulated nodes.
+func nodeEnvironment(config string) []string { return append(os.Environ(), "PROXY_CONFIG="+config) }
--- /dev/null
+++ b/internal/scaletest/measurement.go
@@ -0,0 +1,160 @@
+package scaletest
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"time"
+
+	"onyxstream/internal/testcluster"
+	"onyxstream/internal/wire"
+)
+
+const (
+	startupTimeout     = 60 * time.Second
+	propagationTimeout = 10 * time.Second
+	pollInterval       = 10 * time.Millisecond
+
+	// firstRevision is that of the endpoint list that nodes start with.
+	firstRevision = 1
+)
+
+// measurement measures the phases of one fleet.
+type measurement struct {
+	spec        Spec
+	rig         *testcluster.Rig
+	fleet       measuredFleet
+	nodes       int
+	propagation *propagationRecorder
+	nextHost    int   // index of the next change's host, not reduced to the number of hosts
+	revision    int64 // of the last change; 0 before the first
+}
+
+// measureFleet starts a fleet, measures its phases and stops it. It returns a *ShortageError where the machine lacks a
+// resource.
+func measureFleet(ctx context.Context, s Spec, kind Kind, n int, opt Options) (sample Sample, err error) {
+	descriptors, err := opt.descriptorLimit()
+	if err != nil {
+		return sample, err
+	}
+	if resource := missingResource(kind, n, descriptors); resource != "" {
+		return sample, &ShortageError{kind, n, resource}
+	}
+	propagation := newPropagationRecorder()
+	rig, fleet, err := startFleet(s, kind, n, opt, propagation)
+	if rig != nil {
+		defer rig.Close()
+	}
+	if fleet != nil {
+		defer fleet.close()
+	}
+	if err != nil {
+		return sample, err
+	}
+	m := &measurement{spec: s, rig: rig, fleet: fleet, nodes: n, propagation: propagation}
+	return m.measurePhases(ctx, kind)
+}
+
+func (m *measurement) measurePhases(ctx context.Context, kind Kind) (Sample, error) {
+	sample := Sample{Kind: kind, Nodes: m.nodes}
+	begin := time.Now()
+	if !m.awaitWatches(ctx, startupTimeout) {
+		if err := ctx.Err(); err != nil {
+			return sample, err
+		}
+		resource := fmt.Sprintf("processor: %d follow the list after %v", m.rig.Discovery.Watching(), startupTimeout)
+		return sample, &ShortageError{kind, m.nodes, resource}
+	}
+	sample.StartupTime = time.Since(begin)
+	sample.Idle = m.measurePhase(func() { sleep(ctx, m.spec.IdleDuration.D()) })
+	sample.Changes = m.measurePhase(func() { m.applyChanges(ctx, m.spec.Changes) })
+	var restartError error
+	sample.Restart = m.measurePhase(func() { restartError = m.restartNodes(ctx) })
+	sample.MemoryMB = m.fleet.memoryMB()
+	used := sample.MemoryMB * float64(m.nodes)
+	if used > float64(m.spec.MaxMemoryMB) {
+		resource := fmt.Sprintf("memory: %.0f MB are taken, %d may be", used, m.spec.MaxMemoryMB)
+		return sample, &ShortageError{kind, m.nodes, resource}
+	}
+	return sample, errors.Join(restartError, ctx.Err())
+}
+
+// restartNodes restarts the spec's share of the nodes, with changes meanwhile.
+func (m *measurement) restartNodes(ctx context.Context) error {
+	if err := m.fleet.restart(int(float64(m.nodes) * m.spec.RestartShare)); err != nil {
+		return err
+	}
+	m.applyChanges(ctx, max(m.spec.Changes/4, 1))
+	m.awaitWatches(ctx, startupTimeout)
+	return nil
+}
+
+// awaitWatches waits until all nodes watch the endpoint list. It returns false on a timeout or the end of ctx.
+func (m *measurement) awaitWatches(ctx context.Context, timeout time.Duration) bool {
+	deadline := time.Now().Add(timeout)
+	for ; time.Now().Before(deadline) && ctx.Err() == nil; sleep(ctx, pollInterval) {
+		if m.rig.Discovery.Watching() >= m.nodes {
+			return true
+		}
+	}
+	return false
+}
+
+// measurePhase measures the fleet while f runs.
+func (m *measurement) measurePhase(f func()) Phase {
+	begin := time.Now()
+	trafficBefore := m.rig.Discovery.Traffic()
+	usageBefore := m.fleet.usage()
+	f()
+	duration := time.Since(begin)
+	nodeSeconds := duration.Seconds() * float64(m.nodes)
+	traffic := m.rig.Discovery.Traffic().Sub(trafficBefore)
+	return Phase{
+		Duration:     duration,
+		BytesPerS:    float64(traffic.BytesIn+traffic.BytesOut) / nodeSeconds,
+		MessagesPerS: float64(traffic.MessagesIn+traffic.MessagesOut) / nodeSeconds,
+		Cores:        (m.fleet.usage().CPU - usageBefore.CPU).Seconds() / nodeSeconds,
+		Latency:      m.propagation.takeLatency(m.nodes),
+	}
+}
+
+// applyChanges makes n changes of the endpoint list, one host each, at the spec's rate, and waits until all nodes have
+// them or a timeout has passed.
+func (m *measurement) applyChanges(ctx context.Context, n int) {
+	ticker := time.NewTicker(m.spec.changeInterval())
+	defer ticker.Stop()
+	for range n {
+		m.applyChange()
+		select {
+		case <-ticker.C:
+		case <-ctx.Done():
+			return
+		}
+	}
+	deadline := time.Now().Add(propagationTimeout)
+	for !m.propagation.isComplete(m.nodes) && time.Now().Before(deadline) && ctx.Err() == nil {
+		sleep(ctx, pollInterval)
+	}
+}
+
+// applyChange makes the next host drain, or serve again once all hosts have been drained.
+func (m *measurement) applyChange() {
+	hosts := m.rig.Hosts()
+	phase := wire.Draining
+	if m.nextHost/len(hosts)%2 == 1 {
+		phase = wire.Serving
+	}
+	host := hosts[m.nextHost%len(hosts)]
+	m.nextHost++
+	m.revision = max(m.revision, firstRevision) + 1
+	m.propagation.recordChange(m.revision)
+	m.rig.Discovery.Set(m.rig.Member(host, phase))
+}
+
+// sleep waits for d or until ctx ends.
+func sleep(ctx context.Context, d time.Duration) {
+	select {
+	case <-time.After(d):
+	case <-ctx.Done():
+	}
+}
--- a/internal/scaletest/scale_test.go
+++ b/internal/scaletest/scale_test.go
@@ -17,14 +17,14 @@
 
 func TestMain(m *testing.M) {
 	code := m.Run()
-	if dir, err := program(); err == nil {
+	if dir, err := buildProgram(); err == nil {
 		_ = os.RemoveAll(filepath.Dir(dir))
 	}
 	os.Exit(code)
 }
 
-// program is the program itself, built once.
-var program = sync.OnceValues(func() (string, error) {
+// buildProgram builds the program once, and returns its path.
+var buildProgram = sync.OnceValues(func() (string, error) {
 	dir, err := os.MkdirTemp("", "onyxstream-scale")
 	if err != nil {
 		return "", err
@@ -38,21 +38,21 @@
 })
 
 func smallSpec() Spec {
-	return Spec{Name: "small", Seed: 1, Hollow: []int{3, 50}, Real: []int{3}, Hosts: 10, Rest: tomlfile.Duration(time.Second),
-		Changes: 5, PerDay: 1600, Factor: 720, Restart: 0.1, MemoryMB: 4000, Target: Target{Nodes: 2600, BytesPerS: 2000}}
+	return Spec{Name: "small", Seed: 1, SimulatedSizes: []int{3, 50}, RealSizes: []int{3}, Hosts: 10, IdleDuration: tomlfile.Duration(time.Second),
+		Changes: 5, ChangesPerDay: 1600, Speedup: 720, RestartShare: 0.1, MaxMemoryMB: 4000, Target: Target{Nodes: 2600, BytesPerS: 2000}}
 }
 
-// Fifty hollow nodes and three real ones follow the list: each has each change, also those that restarted meanwhile, and
-// what a hollow node is sent is what a real one is sent.
+// Each change reaches each simulated and each real node, also those that restart meanwhile, and discovery sends a simulated
+// node as many bytes as a real one.
 func TestRun_SmallFleets_EveryNodeHasEveryChange(t *testing.T) {
-	path, err := program()
+	path, err := buildProgram()
 	if err != nil {
 		t.Fatal(err)
 	}
 	spec := smallSpec()
 	result, err := Run(t.Context(), spec, Options{Program: path})
-	if err != nil || result.Short != "" {
-		t.Fatalf("%v, short of %q", err, result.Short)
+	if err != nil || result.Shortage != "" {
+		t.Fatalf("%v, short of %q", err, result.Shortage)
 	}
 	if len(result.Samples) != 3 {
 		t.Fatalf("%d samples, want 3 real, 3 hollow and 50 hollow nodes", len(result.Samples))
@@ -62,23 +62,23 @@
 			t.Errorf("%d %s nodes: %d changes did not reach a node, %d while some restarted", s.Nodes, s.Kind,
 				s.Changes.Latency.Missing, s.Restart.Latency.Missing)
 		}
-		if l := s.Changes.Latency; l.Received != spec.Changes*s.Nodes || l.Last < l.P99 || l.P99 < l.Median {
+		if l := s.Changes.Latency; l.Received != spec.Changes*s.Nodes || l.Max < l.P99 || l.P99 < l.Median {
 			t.Errorf("%d %s nodes: %+v of %d changes", s.Nodes, s.Kind, l, spec.Changes)
 		}
 		if l := s.Restart.Latency; l.Received != s.Nodes {
 			t.Errorf("%d %s nodes, some restarting: %+v of one change", s.Nodes, s.Kind, l)
 		}
-		if s.Changes.BytesPerS <= s.Rest.BytesPerS || s.MemoryMB <= 0 {
-			t.Errorf("%d %s nodes: %.0f bytes a second with changes, %.0f at rest, %.1f MB", s.Nodes, s.Kind, s.Changes.BytesPerS, s.Rest.BytesPerS, s.MemoryMB)
+		if s.Changes.BytesPerS <= s.Idle.BytesPerS || s.MemoryMB <= 0 {
+			t.Errorf("%d %s nodes: %.0f bytes a second with changes, %.0f at rest, %.1f MB", s.Nodes, s.Kind, s.Changes.BytesPerS, s.Idle.BytesPerS, s.MemoryMB)
 		}
 	}
 	moved := map[Kind]float64{}
 	for _, s := range result.Samples {
 		if s.Nodes == 3 { // in all, as how long it took depends on the machine
-			moved[s.Kind] = s.Changes.BytesPerS * s.Changes.Length.Seconds()
+			moved[s.Kind] = s.Changes.BytesPerS * s.Changes.Duration.Seconds()
 		}
 	}
-	if len(result.Differences) != 1 || math.Abs(moved[Hollow]/moved[Real]-1) > 0.2 {
+	if len(result.Differences) != 1 || math.Abs(moved[Simulated]/moved[Real]-1) > 0.2 {
 		t.Errorf("a hollow node is sent other than a real one: %v bytes, %+v", moved, result.Differences)
 	}
 	if len(result.Fits) == 0 || result.Fits[0].Samples != 2 {
@@ -87,29 +87,29 @@
 }
 
 func TestRun_MachineTooSmall_KeepsSamplesAndSaysWhat(t *testing.T) {
-	if what := lacks(Hollow, 2600, 1024); !strings.Contains(what, "descriptors") {
+	if what := missingResource(Simulated, 2600, 1024); !strings.Contains(what, "descriptors") {
 		t.Errorf("2,600 nodes with 1,024 descriptors lack %q", what)
 	}
-	if what := lacks(Hollow, 2600, 20_000); what != "" {
+	if what := missingResource(Simulated, 2600, 20_000); what != "" {
 		t.Errorf("2,600 nodes with 20,000 descriptors lack %q", what)
 	}
-	path, err := program()
+	path, err := buildProgram()
 	if err != nil {
 		t.Fatal(err)
 	}
 	spec := smallSpec()
-	spec.Real, spec.Hollow = nil, []int{2, 1000}
+	spec.RealSizes, spec.SimulatedSizes = nil, []int{2, 1000}
 	result, err := Run(t.Context(), spec, Options{Program: path, Descriptors: 500})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(result.Samples) != 1 || !strings.Contains(result.Short, "1000 hollow nodes: short of descriptors") {
-		t.Errorf("%d samples, short of %q", len(result.Samples), result.Short)
+	if len(result.Samples) != 1 || !strings.Contains(result.Shortage, "1000 hollow nodes: short of descriptors") {
+		t.Errorf("%d samples, short of %q", len(result.Samples), result.Shortage)
 	}
 }
 
 func TestRun_Cancelled_EndsSoon(t *testing.T) {
-	path, err := program()
+	path, err := buildProgram()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -150,66 +150,65 @@
 	}
 }
 
-func TestFit_LineThroughSamples(t *testing.T) {
-	f, err := fit("bytes", []float64{10, 100, 1000}, []float64{25, 205, 2005}, 2600, 5000)
+func TestFitLine_Samples_InterceptAndSlope(t *testing.T) {
+	f, err := fitLine("bytes", []float64{10, 100, 1000}, []float64{25, 205, 2005}, 2600, 5000)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if math.Abs(f.Base-5) > 1e-6 || math.Abs(f.Slope-2) > 1e-9 || math.Abs(f.R2-1) > 1e-9 || math.Abs(f.At-5205) > 1e-6 || f.Fits || f.Spread != 100 {
+	if math.Abs(f.Intercept-5) > 1e-6 || math.Abs(f.Slope-2) > 1e-9 || math.Abs(f.R2-1) > 1e-9 || math.Abs(f.AtTarget-5205) > 1e-6 || f.WithinBudget || f.SizeRatio != 100 {
 		t.Errorf("5 and 2 for each make %+v", f)
 	}
-	if _, err := fit("bytes", []float64{10}, []float64{25}, 2600, 0); !errors.Is(err, errFewSizes) {
+	if _, err := fitLine("bytes", []float64{10}, []float64{25}, 2600, 0); !errors.Is(err, errTooFewSizes) {
 		t.Errorf("one size has a slope: %v", err)
 	}
 }
 
-// A node that restarts has the whole list at once: that counts for all revisions up to its own. A line that does not come
-// whole, or came before the change, counts for none.
-func TestReceipts_RevisionsAndLateLines(t *testing.T) {
-	r := newReceipts()
+// A revision that a node logs counts for all earlier ones. An incomplete line, or one from before the change, does not count.
+func TestPropagationRecorder_RevisionsAndLateLines_Counted(t *testing.T) {
+	r := newPropagationRecorder()
 	line := func(at time.Time, node, revision string) string {
-		return at.Format(logTime) + "\tdebug\tnews of the list\t{\"node\": \"" + node + "\", \"revision\": " + revision + ", \"members\": 1}\n"
+		return at.Format(logTimeFormat) + "\tdebug\tnews of the list\t{\"node\": \"" + node + "\", \"revision\": " + revision + ", \"members\": 1}\n"
 	}
 	now := time.Now()
 	_, _ = r.Write([]byte(line(now.Add(-time.Second), "n1", "9")))
-	r.change(2)
-	r.change(3)
+	r.recordChange(2)
+	r.recordChange(3)
 	at := time.Now().Add(20 * time.Millisecond)
 	_, _ = r.Write([]byte(line(at, "n1", "3") + line(at, "n2", "2") + line(at, "n3", "3")[:40]))
-	if r.complete(2) {
+	if r.isComplete(2) {
 		t.Error("n2 has not had revision 3")
 	}
-	l := r.latency(2)
-	if l.Missing != 1 || l.Last < 10*time.Millisecond || l.Last > time.Second {
+	l := r.takeLatency(2)
+	if l.Missing != 1 || l.Max < 10*time.Millisecond || l.Max > time.Second {
 		t.Errorf("%+v, want one missing and the last after some 20ms", l)
 	}
-	if l = r.latency(2); l.Last != 0 || l.Missing != 0 {
+	if l = r.takeLatency(2); l.Max != 0 || l.Missing != 0 {
 		t.Errorf("after it was summed up there is still %+v", l)
 	}
 }
 
-// What a process writes is read in pieces that end anywhere: of 78,000 lines seven were cut in two and counted as missing.
-func TestWholeLines_CutAnywhere_OneReceiptEach(t *testing.T) {
-	r := newReceipts()
-	r.change(2)
+// The output of a process is read in parts that end anywhere in a line.
+func TestLineWriter_CutAnywhere_EachLineOnce(t *testing.T) {
+	r := newPropagationRecorder()
+	r.recordChange(2)
 	text := ""
 	for _, node := range []string{"n1", "n2", "n3"} {
-		text += time.Now().Add(time.Second).Format(logTime) + "\tdebug\tnews of the list\t{\"node\": \"" + node + "\", \"revision\": 2, \"members\": 1}\n"
+		text += time.Now().Add(time.Second).Format(logTimeFormat) + "\tdebug\tnews of the list\t{\"node\": \"" + node + "\", \"revision\": 2, \"members\": 1}\n"
 	}
 	for cut := range len(text) {
-		r.change(2)
-		w := &wholeLines{to: r}
+		r.recordChange(2)
+		w := &lineWriter{out: r}
 		_, _ = w.Write([]byte(text[:cut]))
 		_, _ = w.Write([]byte(text[cut:]))
-		if !r.complete(3) {
-			t.Fatalf("cut at %d: %v", cut, r.received)
+		if !r.isComplete(3) {
+			t.Fatalf("cut at %d: %v", cut, r.latencies)
 		}
 	}
-	w := &wholeLines{to: r}
+	w := &lineWriter{out: r}
 	for range 100 {
 		_, _ = w.Write(make([]byte, 1<<10))
 	}
-	if len(w.rest) > maxLine {
-		t.Errorf("%d bytes without an end are held back", len(w.rest))
+	if len(w.partial) > maxPartialLine {
+		t.Errorf("%d bytes without an end are held back", len(w.partial))
 	}
 }
--- a/internal/scaletest/spec.go
+++ b/internal/scaletest/spec.go
@@ -1,6 +1,6 @@
-// Package scaletest measures what following the list of hosts costs a fleet of many sizes, and reckons from the samples what
-// it costs at a target size. Hollow nodes, many in a process, run the real loop, the real protocol of the list and the
-// real decision module without clients; beside them real processes are measured in the same way, and the two compared.
+// Package scaletest measures what watching the endpoint list costs fleets of many sizes, and extrapolates the cost at a
+// target size. Simulated nodes, many in one process, run the event loop, the discovery protocol and the balancer of a real
+// node without clients. Fleets of real processes are measured in the same way, and the two are compared.
 package scaletest
 
 import (
@@ -9,80 +9,84 @@
 	"onyxstream/internal/tomlfile"
 )
 
-// Spec says what to measure.
+// Spec describes what is measured. It is the content of a spec file; its JSON keys are part of results.
 type Spec struct {
-	Name   string `toml:"name"`
-	Seed   uint64 `toml:"seed"`
-	Hollow []int  `toml:"hollow"` // sizes of fleets of hollow nodes
-	Real   []int  `toml:"real"`   // sizes of fleets of real processes, each measured with hollow nodes too
-	Hosts  int    `toml:"hosts"`
+	Name           string `toml:"name" json:"Name"`
+	Seed           uint64 `toml:"seed" json:"Seed"`
+	SimulatedSizes []int  `toml:"hollow" json:"Hollow"` // of fleets of simulated nodes, in nodes
+	RealSizes      []int  `toml:"real" json:"Real"`     // of fleets of real processes; also measured with simulated nodes
+	Hosts          int    `toml:"hosts" json:"Hosts"`
 
-	Rest     tomlfile.Duration `toml:"rest"`    // without a change
-	Changes  int               `toml:"changes"` // of the list, one host each
-	PerDay   float64           `toml:"per_day"` // changes a day in service
-	Factor   float64           `toml:"factor"`  // so much faster they come here
-	Restart  float64           `toml:"restart"` // share of the nodes that restart at once, in the last phase
-	MemoryMB int               `toml:"memory_mb"`
+	IdleDuration  tomlfile.Duration `toml:"rest" json:"Rest"`       // of the phase without changes
+	Changes       int               `toml:"changes" json:"Changes"` // of the endpoint list, one host each
+	ChangesPerDay float64           `toml:"per_day" json:"PerDay"`  // in service
+	Speedup       float64           `toml:"factor" json:"Factor"`   // of the changes against those in service
+	RestartShare  float64           `toml:"restart" json:"Restart"` // of the nodes, which restart at once in the last phase
+	MaxMemoryMB   int               `toml:"memory_mb" json:"MemoryMB"`
 
-	Target Target `toml:"target"`
+	Target Target `toml:"target" json:"Target"`
 }
 
-// Target is the size that the samples are reckoned up to, and what a node may spend there.
+// Target is the size that the samples are extrapolated to, and the budget of a node there.
 type Target struct {
-	Nodes      int               `toml:"nodes"`
-	BytesPerS  float64           `toml:"bytes_per_s"`
-	CorePart   float64           `toml:"core_part"` // of one core
-	MemoryMB   float64           `toml:"memory_mb"`
-	InForceMax tomlfile.Duration `toml:"in_force"` // from a change until the last node has it
+	Nodes          int               `toml:"nodes" json:"Nodes"`
+	BytesPerS      float64           `toml:"bytes_per_s" json:"BytesPerS"`
+	Cores          float64           `toml:"core_part" json:"CorePart"`
+	MemoryMB       float64           `toml:"memory_mb" json:"MemoryMB"`
+	MaxPropagation tomlfile.Duration `toml:"in_force" json:"InForceMax"` // from a change until the last node has it
 }
 
+// Bounds of a spec.
 const (
-	maxNodes   = 20_000
-	maxReal    = 250
-	maxHosts   = 4096
-	minSizes   = 2
-	maxChanges = 10_000
+	maxNodes          = 20_000
+	maxRealNodes      = 250
+	minHosts          = 2
+	maxHosts          = 4096
+	minSizes          = 2
+	maxChanges        = 10_000
+	minIdleDuration   = time.Second
+	minChangeInterval = time.Millisecond
 )
 
-// interval is the time between changes.
-func (s *Spec) interval() time.Duration {
+// changeInterval is the time between two changes.
+func (s *Spec) changeInterval() time.Duration {
 	const day = 24 * time.Hour
-	return time.Duration(float64(day) / s.PerDay / s.Factor)
+	return time.Duration(float64(day) / s.ChangesPerDay / s.Speedup)
 }
 
-// Check says what is wrong, as a *tomlfile.FieldError.
+// Check validates the spec. Errors are *tomlfile.FieldError.
 func (s *Spec) Check() error {
 	switch {
-	case len(s.Hollow) < minSizes:
-		return tomlfile.Wrong("hollow", "%d sizes, a slope needs %d at least", len(s.Hollow), minSizes)
-	case !ascending(s.Hollow, maxNodes):
+	case len(s.SimulatedSizes) < minSizes:
+		return tomlfile.Wrong("hollow", "%d sizes, a slope needs %d at least", len(s.SimulatedSizes), minSizes)
+	case !isAscending(s.SimulatedSizes, maxNodes):
 		return tomlfile.Wrong("hollow", "sizes are to grow, from 1 to %d", maxNodes)
-	case !ascending(s.Real, maxReal):
-		return tomlfile.Wrong("real", "sizes are to grow, from 1 to %d", maxReal)
-	case s.Hosts < 2 || s.Hosts > maxHosts:
-		return tomlfile.Wrong("hosts", "%d is not from 2 to %d", s.Hosts, maxHosts)
-	case s.Rest.D() < time.Second:
-		return tomlfile.Wrong("rest", "%v is under 1s: processor time is counted in hundredths of a second", s.Rest.D())
+	case !isAscending(s.RealSizes, maxRealNodes):
+		return tomlfile.Wrong("real", "sizes are to grow, from 1 to %d", maxRealNodes)
+	case s.Hosts < minHosts || s.Hosts > maxHosts:
+		return tomlfile.Wrong("hosts", "%d is not from %d to %d", s.Hosts, minHosts, maxHosts)
+	case s.IdleDuration.D() < minIdleDuration:
+		return tomlfile.Wrong("rest", "%v is under 1s: processor time is counted in hundredths of a second", s.IdleDuration.D())
 	case s.Changes < 1 || s.Changes > maxChanges:
 		return tomlfile.Wrong("changes", "%d is not from 1 to %d", s.Changes, maxChanges)
-	case !(s.PerDay > 0):
-		return tomlfile.Wrong("per_day", "%g is not above 0", s.PerDay)
-	case !(s.Factor >= 1):
-		return tomlfile.Wrong("factor", "%g is under 1", s.Factor)
-	case s.interval() < time.Millisecond:
-		return tomlfile.Wrong("factor", "changes would come each %v, 1ms is the least", s.interval())
-	case !(s.Restart >= 0 && s.Restart <= 1):
-		return tomlfile.Wrong("restart", "%g is not from 0 to 1", s.Restart)
-	case s.MemoryMB < 1:
-		return tomlfile.Wrong("memory_mb", "%d MB for the measured processes is under 1", s.MemoryMB)
+	case !(s.ChangesPerDay > 0):
+		return tomlfile.Wrong("per_day", "%g is not above 0", s.ChangesPerDay)
+	case !(s.Speedup >= 1):
+		return tomlfile.Wrong("factor", "%g is under 1", s.Speedup)
+	case s.changeInterval() < minChangeInterval:
+		return tomlfile.Wrong("factor", "changes would come each %v, %v is the least", s.changeInterval(), minChangeInterval)
+	case !(s.RestartShare >= 0 && s.RestartShare <= 1):
+		return tomlfile.Wrong("restart", "%g is not from 0 to 1", s.RestartShare)
+	case s.MaxMemoryMB < 1:
+		return tomlfile.Wrong("memory_mb", "%d MB for the measured processes is under 1", s.MaxMemoryMB)
 	case s.Target.Nodes < 1:
 		return tomlfile.Wrong("target.nodes", "%d is under 1", s.Target.Nodes)
 	}
 	return nil
 }
 
-// ascending reports whether sizes grow from 1 to a bound.
-func ascending(sizes []int, bound int) bool {
+// isAscending reports whether sizes are strictly ascending from 1 to a bound.
+func isAscending(sizes []int, bound int) bool {
 	last := 0
 	for _, n := range sizes {
 		if n <= last || n > bound {
