--- a/internal/loadtest/client_test.go
+++ b/internal/loadtest/client_test.go
@@ -31,7 +31,10 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s := scenario(t, "[clients]\nretries = 1\nmarks = true\n", "rate = 100", "rate = 20", `deadline = "2s"`, `deadline = "250ms"`, `life = "300ms"`, `life = "10ms"`)
+			s := scenario(t, "[clients]\nretries = 1\nmarks = true\n",
+				"rate = 100", "rate = 20",
+				`deadline = "2s"`, `deadline = "250ms"`,
+				`life = "300ms"`, `life = "10ms"`)
 			var marked atomic.Int64
 			addr := startServer(t, func(line string, conn *net.TCPConn, r *bufio.Reader) {
 				if strings.HasSuffix(line, ",r=1") {
@@ -132,8 +135,10 @@
 		}
 		establishAndEcho(c, r)
 	})
-	s := scenario(t, "[[wave]]\nat = \"900ms\"\nshare = 0.5\nwithin = \"200ms\"\n[limits]\nlinger = \"1s\"\n", "rate = 100", "rate = 200",
-		`life = "300ms"`, "life = \"1h\"\nspread = \"fixed\"", `for = "1s"`, `for = "500ms"`)
+	s := scenario(t, "[[wave]]\nat = \"900ms\"\nshare = 0.5\nwithin = \"200ms\"\n[limits]\nlinger = \"1s\"\n",
+		"rate = 100", "rate = 200",
+		`life = "300ms"`, "life = \"1h\"\nspread = \"fixed\"",
+		`for = "1s"`, `for = "500ms"`)
 	r := runScenario(t, t.Context(), s, addr, nil).Classes[0]
 	want := int64(0)
 	for n := range int64(100) {
--- a/internal/loadtest/engine_test.go
+++ b/internal/loadtest/engine_test.go
@@ -28,7 +28,10 @@
 			defer stall.RUnlock()
 			_, _ = io.WriteString(c, "UP x\r\nBYE\r\n")
 		})
-		s := scenario(t, "", `for = "1s"`, `for = "4s"`, `life = "300ms"`, "life = \"20ms\"\nspread = \"fixed\"", `deadline = "2s"`, `deadline = "5s"`,
+		s := scenario(t, "",
+			`for = "1s"`, `for = "4s"`,
+			`life = "300ms"`, "life = \"20ms\"\nspread = \"fixed\"",
+			`deadline = "2s"`, `deadline = "5s"`,
 			`"even"`, "\"even\"\nworkers = 4\nloop = \""+loop+"\"")
 		return runScenario(t, t.Context(), s, addr, func(c *Config) {
 			c.OnStart = func() {
@@ -84,9 +87,15 @@
 				_, _ = io.Copy(io.Discard, r)
 				bounds.add(&bounds.upper, line)
 			})
-			s := scenario(t, "", "rate = 100", "rate = 50", `for = "1s"`, `for = "4s"`, `deadline = "2s"`, `deadline = "30s"`, `life = "300ms"`, `life = "10ms"`)
+			s := scenario(t, "",
+				"rate = 100", "rate = 50",
+				`for = "1s"`, `for = "4s"`,
+				`deadline = "2s"`, `deadline = "30s"`,
+				`life = "300ms"`, `life = "10ms"`)
 			r := runScenario(t, t.Context(), s, addr, func(c *Config) {
-				c.Source, c.OnStart, c.OnRequest = &numberedKeys{Source: c.Source}, func() { bounds.earliestStart = time.Now() }, bounds.requestSent
+				c.Source = &numberedKeys{Source: c.Source}
+				c.OnStart = func() { bounds.earliestStart = time.Now() }
+				c.OnRequest = bounds.requestSent
 			})
 			eventually(t, "all connections have ended", func() bool {
 				bounds.mu.Lock()
@@ -94,17 +103,21 @@
 				return len(bounds.upper) == 200
 			})
 			slices.Sort(want)
-			lower, upper := bounds.sortedMilliseconds(bounds.lower, bounds.latestStart), bounds.sortedMilliseconds(bounds.upper, bounds.earliestStart)
+			lower := bounds.sortedMilliseconds(bounds.lower, bounds.latestStart)
+			upper := bounds.sortedMilliseconds(bounds.upper, bounds.earliestStart)
 			got := r.Classes[0].Latency["served"]
 			for _, q := range []struct {
 				share, got float64
 			}{{0.5, got.P50}, {0.9, got.P90}, {0.99, got.P99}} {
 				i := int(math.Ceil(q.share*float64(len(want)))) - 1
-				if low, high := lower[i]*0.998, upper[i]*1.002; q.got < low || q.got > high { // the histogram keeps three digits
+				low := lower[i] * 0.998 // the histogram has three digits
+				high := upper[i] * 1.002
+				if q.got < low || q.got > high {
 					t.Errorf("percentile %g is reported as %g ms, is from %g to %g ms", 100*q.share, q.got, low, high)
 				}
-				if ms := want[i].Seconds() * 1000; q.got < ms*0.998 {
-					t.Errorf("percentile %g is reported as %g ms, the delay alone is %g ms", 100*q.share, q.got, ms)
+				delay := want[i].Seconds() * 1000
+				if q.got < delay*0.998 {
+					t.Errorf("percentile %g is reported as %g ms, the delay alone is %g ms", 100*q.share, q.got, delay)
 				}
 			}
 		})
@@ -119,8 +132,9 @@
 	r := runScenario(t, ctx, s, addr, func(c *Config) {
 		c.OnStart = func() { time.AfterFunc(300*time.Millisecond, cancel) }
 	})
-	if !r.Partial || r.PartialReason == "" || r.Classes[0].Outcomes["cut"] == 0 || r.Classes[0].Outcomes["cut"] != r.Classes[0].Requests {
-		t.Errorf("partial %v, outcomes %v of %d", r.Partial, r.Classes[0].Outcomes, r.Classes[0].Requests)
+	c := r.Classes[0]
+	if !r.Partial || r.PartialReason == "" || c.Outcomes["cut"] == 0 || c.Outcomes["cut"] != c.Requests {
+		t.Errorf("partial %v, outcomes %v of %d", r.Partial, c.Outcomes, c.Requests)
 	}
 }
 
@@ -129,7 +143,8 @@
 	addr := startServer(t, func(_ string, c *net.TCPConn, r *bufio.Reader) { establishAndEcho(c, r) })
 	s := scenario(t, "[limits]\nopen = 10\n", `life = "300ms"`, "life = \"1h\"\nspread = \"fixed\"")
 	r := runScenario(t, t.Context(), s, addr, nil)
-	if c := r.Classes[0]; !strings.Contains(r.BehindReason, "limits.open") || c.Outcomes["unsent"] != 90 || c.Outcomes["served"] != 10 {
+	c := r.Classes[0]
+	if !strings.Contains(r.BehindReason, "limits.open") || c.Outcomes["unsent"] != 90 || c.Outcomes["served"] != 10 {
 		t.Errorf("behind %q, outcomes %v", r.BehindReason, c.Outcomes)
 	}
 	s = scenario(t, "[limits]\nlateness = \"1us\"\n", `life = "300ms"`, `life = "10ms"`)
--- a/internal/loadtest/initial.go
+++ b/internal/loadtest/initial.go
@@ -66,7 +66,7 @@
 		}
 		e.close(result)
 		if ctx.Err() != nil {
-			established <- fmt.Errorf("a connection that stood at %s before the run did not come up: %s", c.request.Host, result.outcome)
+			established <- fmt.Errorf("initial connection to host %s not established: %s", c.request.Host, result.outcome)
 			return
 		}
 		time.Sleep(initialConnectionRetry)
--- a/internal/loadtest/result.go
+++ b/internal/loadtest/result.go
@@ -15,27 +15,29 @@
 
 // Result is the result of a run, with all that it takes to repeat the run and to compare it with others.
 type Result struct {
-	Format        int       `json:"format"`
-	Tool          string    `json:"tool"`
-	Go            string    `json:"go"`
-	Name          string    `json:"name"`
-	Seed          uint64    `json:"seed"`
-	Scenario      string    `json:"scenario,omitempty"` // the text of the scenario file
-	Trace         string    `json:"trace,omitempty"`
-	Speed         float64   `json:"speed,omitempty"`
-	Loop          string    `json:"loop"`
-	Began         time.Time `json:"began"`
-	Seconds       float64   `json:"seconds"`          // from the first request to the end
-	Partial       bool      `json:"partial"`          // the run was canceled, or its source failed
-	BehindReason  string    `json:"behind,omitempty"` // why the generator fell behind, which invalidates the figures; "" where it did not
-	PartialReason string    `json:"why,omitempty"`    // "" unless Partial
+	Format   int       `json:"format"`
+	Tool     string    `json:"tool"`
+	Go       string    `json:"go"`
+	Name     string    `json:"name"`
+	Seed     uint64    `json:"seed"`
+	Scenario string    `json:"scenario,omitempty"` // the text of the scenario file
+	Trace    string    `json:"trace,omitempty"`
+	Speed    float64   `json:"speed,omitempty"`
+	Loop     string    `json:"loop"`
+	Began    time.Time `json:"began"`
+	Seconds  float64   `json:"seconds"` // from the first request to the end
+	Partial  bool      `json:"partial"` // the run was canceled, or its source failed
+	// BehindReason says why the generator fell behind, which makes the figures invalid; "" where it did not.
+	BehindReason  string `json:"behind,omitempty"`
+	PartialReason string `json:"why,omitempty"` // "" unless Partial
 
-	Lateness      Summary                `json:"lateness"` // of the generator: from the intended time to the dial
-	WakeupDelay   Summary                `json:"wake"`     // of the generator's goroutines: a part of every latency
-	Classes       []ClassResult          `json:"classes"`
-	Timeline      []Interval             `json:"line"`
-	FleetEvents   []FleetEvent           `json:"marks,omitempty"`
-	WrongReceipts int64                  `json:"wrong_receipts"` // receipts that no host issued for their connection; 0 unless there is a fault
+	Lateness    Summary       `json:"lateness"` // of the generator: from the intended time to the dial
+	WakeupDelay Summary       `json:"wake"`     // of the generator's goroutines: a part of every latency
+	Classes     []ClassResult `json:"classes"`
+	Timeline    []Interval    `json:"line"`
+	FleetEvents []FleetEvent  `json:"marks,omitempty"`
+	// WrongReceipts counts receipts that no host issued for their connection: above 0 only by a fault.
+	WrongReceipts int64                  `json:"wrong_receipts"`
 	Nodes         *testcluster.Usage     `json:"nodes,omitempty"`
 	Hosts         []HostCount            `json:"hosts,omitempty"`
 	ListService   *testcluster.ListCount `json:"list,omitempty"`  // calls to the list service
--- a/internal/loadtest/schedule_test.go
+++ b/internal/loadtest/schedule_test.go
@@ -107,14 +107,30 @@
 // same clients at other times.
 func TestSchedule_SameScenarioAndSeed_SameRequests(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := &Scenario{Seed: rapid.Uint64().Draw(t, "seed"), Requests: Requests{Arrivals: rapid.SampledFrom([]string{"even", "poisson"}).Draw(t, "arrivals")},
-			Classes: []Class{{Name: "a", Share: 1, LifetimeDistribution: "pareto", Lifetime: tomlfile.Duration(time.Second), Deadline: tomlfile.Duration(time.Second)},
-				{Name: "b", Share: 3, Lifetime: tomlfile.Duration(time.Second), Deadline: tomlfile.Duration(time.Second)}},
-			Tenants: []WeightedName{{"x", 1}}, Groups: Distribution{50, 1.2}, Keys: Distribution{Count: 9}}
+		second := tomlfile.Duration(time.Second)
+		s := &Scenario{
+			Seed:     rapid.Uint64().Draw(t, "seed"),
+			Requests: Requests{Arrivals: rapid.SampledFrom([]string{arrivalsEven, arrivalsPoisson}).Draw(t, "arrivals")},
+			Classes: []Class{
+				{Name: "a", Share: 1, LifetimeDistribution: lifetimePareto, Lifetime: second, Deadline: second},
+				{Name: "b", Share: 3, Lifetime: second, Deadline: second},
+			},
+			Tenants: []WeightedName{{"x", 1}},
+			Groups:  Distribution{50, 1.2},
+			Keys:    Distribution{Count: 9},
+		}
 		for range rapid.IntRange(1, 4).Draw(t, "phases") {
-			s.Phases = append(s.Phases, Phase{Shape: rapid.SampledFrom([]string{"constant", "ramp", "step", "onoff", "burst"}).Draw(t, "shape"),
-				Duration: tomlfile.Duration(rapid.Int64Range(1e6, 5e9).Draw(t, "for")), Rate: rapid.Float64Range(0, 300).Draw(t, "rate"),
-				EndRate: rapid.Float64Range(0, 300).Draw(t, "to"), Steps: 3, BurstRequests: 20, BurstDuration: tomlfile.Duration(1e6), Period: tomlfile.Duration(1e9), DutyCycle: 0.3})
+			s.Phases = append(s.Phases, Phase{
+				Shape:         rapid.SampledFrom([]string{shapeConstant, shapeRamp, shapeStep, shapeOnOff, shapeBurst}).Draw(t, "shape"),
+				Duration:      tomlfile.Duration(rapid.Int64Range(1e6, 5e9).Draw(t, "for")),
+				Rate:          rapid.Float64Range(0, 300).Draw(t, "rate"),
+				EndRate:       rapid.Float64Range(0, 300).Draw(t, "to"),
+				Steps:         3,
+				BurstRequests: 20,
+				BurstDuration: tomlfile.Duration(1e6),
+				Period:        second,
+				DutyCycle:     0.3,
+			})
 		}
 		if err := s.Check(); err != nil {
 			t.Fatal(err)
@@ -157,21 +173,24 @@
 	s := scenario(t, "[[tenant]]\nname = \"b\"\nshare = 0.25\n[[wave]]\nat = \"1s\"\nshare = 0.4\nwithin = \"2s\"\n[groups]\ncount = 100\nzipf = 1.5\n",
 		`for = "1s"`, `for = "100s"`, "name = \"acme\"", "name = \"acme\"\nshare = 0.75")
 	got := readAll(t, NewSchedule(s))
-	tenants, groups, dropped, back := map[string]int{}, map[string]int{}, 0, time.Duration(0)
+	tenants := map[string]int{}
+	groups := map[string]int{}
+	dropped := 0
+	maxDelay := time.Duration(0)
 	for _, r := range got {
 		tenants[r.Tenant]++
 		groups[r.Group]++
-		if drops, after := s.DropsInSurge(0, r.Number); drops {
+		if drops, delay := s.DropsInSurge(0, r.Number); drops {
 			dropped++
-			back = max(back, after)
+			maxDelay = max(maxDelay, delay)
 		}
 	}
 	n := float64(len(got))
 	if share := float64(tenants["b"]) / n; math.Abs(share-0.25) > 0.02 {
 		t.Errorf("tenant b has %g", share)
 	}
-	if share := float64(dropped) / n; math.Abs(share-0.4) > 0.02 || back > 2*time.Second || back < 1900*time.Millisecond {
-		t.Errorf("%g drop, the last is back after %v", share, back)
+	if share := float64(dropped) / n; math.Abs(share-0.4) > 0.02 || maxDelay > 2*time.Second || maxDelay < 1900*time.Millisecond {
+		t.Errorf("%g drop, the last reconnects after %v", share, maxDelay)
 	}
 	if groups["g0"] < 3*groups["g4"] || len(groups) < 50 {
 		t.Errorf("the first of %d groups has %d, the fifth %d", len(groups), groups["g0"], groups["g4"])
--- a/internal/loadtest/summary.go
+++ b/internal/loadtest/summary.go
@@ -63,7 +63,7 @@
 	}
 	h, err := hdr.Decode([]byte(s.EncodedHistogram))
 	if err != nil {
-		return nil, fmt.Errorf("a histogram can't be read: %w", err)
+		return nil, fmt.Errorf("decode histogram: %w", err)
 	}
 	return h, nil
 }
--- a/internal/scaletest/fit.go
+++ b/internal/scaletest/fit.go
@@ -43,13 +43,18 @@
 
 func fleetMetrics(target Target) []fleetMetric {
 	n := float64(target.Nodes)
+	ofFleet := func(perNode func(s Sample) float64) func(Sample) float64 {
+		return func(s Sample) float64 { return perNode(s) * float64(s.Nodes) }
+	}
 	return []fleetMetric{
-		{"service, at rest, bytes/s", 0, func(s Sample) float64 { return s.Idle.BytesPerS * float64(s.Nodes) }},
-		{"service, with changes, bytes/s", target.BytesPerS * n, func(s Sample) float64 { return s.Changes.BytesPerS * float64(s.Nodes) }},
-		{"service, with changes, messages/s", 0, func(s Sample) float64 { return s.Changes.MessagesPerS * float64(s.Nodes) }},
-		{"nodes, with changes, cores", target.Cores * n, func(s Sample) float64 { return s.Changes.Cores * float64(s.Nodes) }},
-		{"nodes, memory, MB", target.MemoryMB * n, func(s Sample) float64 { return s.MemoryMB * float64(s.Nodes) }},
-		{"last node has a change, s", target.MaxPropagation.D().Seconds(), func(s Sample) float64 { return s.Changes.Latency.Max.Seconds() }},
+		{"service, at rest, bytes/s", 0, ofFleet(func(s Sample) float64 { return s.Idle.BytesPerS })},
+		{"service, with changes, bytes/s", target.BytesPerS * n, ofFleet(func(s Sample) float64 { return s.Changes.BytesPerS })},
+		{"service, with changes, messages/s", 0, ofFleet(func(s Sample) float64 { return s.Changes.MessagesPerS })},
+		{"nodes, with changes, cores", target.Cores * n, ofFleet(func(s Sample) float64 { return s.Changes.Cores })},
+		{"nodes, memory, MB", target.MemoryMB * n, ofFleet(func(s Sample) float64 { return s.MemoryMB })},
+		{"last node has a change, s", target.MaxPropagation.D().Seconds(), func(s Sample) float64 {
+			return s.Changes.Latency.Max.Seconds()
+		}},
 	}
 }
 
--- a/internal/soaktest/call_faults.go
+++ b/internal/soaktest/call_faults.go
@@ -22,19 +22,33 @@
 
 // callFaultRules are failures of system calls that may occur in service.
 var callFaultRules = [][]faultinject.Rule{
-	{{Call: faultinject.Accept, Share: 0.5, Errors: []unix.Errno{unix.ECONNABORTED, unix.ENFILE, unix.EMFILE, unix.ENOBUFS, unix.EPROTO}}},
+	{{
+		Call:   faultinject.Accept,
+		Share:  0.5,
+		Errors: []unix.Errno{unix.ECONNABORTED, unix.ENFILE, unix.EMFILE, unix.ENOBUFS, unix.EPROTO},
+	}},
 	{{Call: faultinject.Socket, Share: 0.5, Errors: []unix.Errno{unix.ENFILE, unix.EMFILE, unix.ENOBUFS}}},
 	{{Call: faultinject.Connect, Share: 0.5, Errors: []unix.Errno{unix.EADDRNOTAVAIL, unix.ENETUNREACH, unix.EAGAIN}}},
-	{{Call: faultinject.Read, Share: 0.1, Errors: []unix.Errno{unix.ENOMEM, unix.ENOBUFS, unix.EINTR}, OnSockets: true},
-		{Call: faultinject.Write, Share: 0.1, Errors: []unix.Errno{unix.ENOMEM, unix.ENOBUFS, unix.EINTR}, OnSockets: true}},
-	{{Call: faultinject.Read, Share: 0.7, Short: 5}, {Call: faultinject.Write, Share: 0.7, Short: 5}},
+	{
+		{Call: faultinject.Read, Share: 0.1, Errors: socketErrors, OnSockets: true},
+		{Call: faultinject.Write, Share: 0.1, Errors: socketErrors, OnSockets: true},
+	},
+	{
+		{Call: faultinject.Read, Share: 0.7, Short: 5},
+		{Call: faultinject.Write, Share: 0.7, Short: 5},
+	},
 }
 
+// socketErrors are failures of reads and writes on sockets.
+var socketErrors = []unix.Errno{unix.ENOMEM, unix.ENOBUFS, unix.EINTR}
+
 // clockSteps are the offsets of a node's wall clock from the machine's.
 var clockSteps = []time.Duration{time.Hour, -time.Hour, 5 * time.Second, -5 * time.Second, 0}
 
 // tracedCalls are the system calls that nodes are started to be traced for.
-var tracedCalls = []faultinject.Call{faultinject.Accept, faultinject.Socket, faultinject.Connect, faultinject.Read, faultinject.Write}
+var tracedCalls = []faultinject.Call{
+	faultinject.Accept, faultinject.Socket, faultinject.Connect, faultinject.Read, faultinject.Write,
+}
 
 // drawCallFaults makes system calls of one to three nodes fail for a time.
 func (d *planDrawer) drawCallFaults(at time.Duration) {
--- a/internal/soaktest/client.go
+++ b/internal/soaktest/client.go
@@ -72,7 +72,14 @@
 
 // record adds an event of the client.
 func (c *connection) record(what, text string) {
-	c.rig.Ledger.Add(fakeserver.Record{Who: clientPrefix + c.node, What: what, ID: c.id, Key: c.key, Class: c.class, Note: text})
+	c.rig.Ledger.Add(fakeserver.Record{
+		Who:   clientPrefix + c.node,
+		What:  what,
+		ID:    c.id,
+		Key:   c.key,
+		Class: c.class,
+		Note:  text,
+	})
 }
 
 // connect plays one connection. It reports whether it was established and then broken by the node's side.
--- a/internal/soaktest/judge.go
+++ b/internal/soaktest/judge.go
@@ -131,14 +131,15 @@
 		return
 	}
 	if r.answeredAt > latest {
-		j.addViolation("%s at %s, asked at %v for %v: %q only at %v", r.id, r.node, r.sentAt, r.deadline, r.answers[0], r.answeredAt)
+		j.addViolation("%s at %s, sent at %v with a deadline of %v: %q only at %v",
+			r.id, r.node, r.sentAt, r.deadline, r.answers[0], r.answeredAt)
 	}
 	word, receipt, _ := strings.Cut(r.answers[0], " ")
 	switch word {
 	case "UP":
 		j.verdict.Served++
 		if !j.receipts[r.id+" "+receipt] {
-			j.addViolation("%s: %q is no host's answer", r.id, r.answers[0])
+			j.addViolation("%s: %q was issued by no host", r.id, r.answers[0])
 		}
 		return // what follows are lines of the host
 	case "BUSY":
@@ -147,7 +148,7 @@
 		j.verdict.Failed++
 	}
 	if len(r.answers) > 1 {
-		j.addViolation("%s: more answers than one: %q", r.id, r.answers)
+		j.addViolation("%s: more than one answer: %q", r.id, r.answers)
 	}
 }
 
@@ -155,13 +156,15 @@
 func (j *judge) judgeMissingAnswer(r *request, latest time.Duration) {
 	inFlight := Interval{r.sentAt - time.Second, latest}
 	killed := slices.ContainsFunc(j.kills[r.node], inFlight.contains)
-	exhausted := slices.ContainsFunc(j.conditions.DescriptorsExhausted[r.node], func(i Interval) bool { return i.contains(r.sentAt) })
+	coversRequest := func(i Interval) bool { return i.contains(r.sentAt) }
+	exhausted := slices.ContainsFunc(j.conditions.DescriptorsExhausted[r.node], coversRequest)
 	switch {
 	case r.disconnectedAt > 0:
 	case killed, exhausted && r.brokenAt > 0:
 		j.verdict.Exempt++
 	default:
-		j.addViolation("%s at %s, asked at %v for %v: no whole answer, broken at %v", r.id, r.node, r.sentAt, r.deadline, r.brokenAt)
+		j.addViolation("%s at %s, sent at %v with a deadline of %v: no complete answer, broken at %v",
+			r.id, r.node, r.sentAt, r.deadline, r.brokenAt)
 	}
 }
 
@@ -182,7 +185,7 @@
 			continue
 		}
 		if event.At > at+j.limits.DisconnectNotice+j.limits.RecordDelay {
-			j.addViolation("%s: it began at %s at %v, its client left at %v", event.ID, event.Who, event.At, at)
+			j.addViolation("%s: connected to %s at %v, its client disconnected at %v", event.ID, event.Who, event.At, at)
 		}
 	}
 }
@@ -191,7 +194,7 @@
 func (j *judge) judgeOverloads() {
 	for _, event := range j.events {
 		if event.What == fakeserver.Fault && event.Note == "fell over" {
-			j.addViolation("%s: it was pushed over at %v", event.Who, event.At)
+			j.addViolation("%s: overloaded at %v", event.Who, event.At)
 		}
 	}
 }
@@ -209,7 +212,8 @@
 			continue
 		}
 		if event.At > at+j.limits.DrainGrace+j.limits.RecordDelay {
-			j.addViolation("%s: it began at %s at %v, which drains, and all count as told at %v", event.ID, event.Who, event.At, at)
+			j.addViolation("%s: connected to %s at %v, which drains, propagated by %v",
+				event.ID, event.Who, event.At, at)
 		}
 	}
 }
@@ -227,7 +231,7 @@
 		case event.What == fakeserver.Opened && !strings.Contains(event.Note, "mid"):
 			earlier, isRetry := lastHost[event.ID]
 			if isRetry && !rejected[attempt{earlier, event.ID}] {
-				j.addViolation("%s: it was sent to %s, may have run, and was sent to %s", event.ID, earlier, event.Who)
+				j.addViolation("%s: sent to %s, may have run, and retried at %s", event.ID, earlier, event.Who)
 			}
 			lastHost[event.ID] = event.Who
 		}
--- a/internal/soaktest/judge_test.go
+++ b/internal/soaktest/judge_test.go
@@ -19,88 +19,100 @@
 
 func (b *testLedger) request(id string) { b.add(0, "c-n1", fakeserver.Asked, id, "1s") }
 
+// lateAnswer is just after the latest time of an answer to a request with a deadline of 1 s.
+var lateAnswer = time.Second + DefaultLimits.AnswerGrace + DefaultLimits.RecordDelay + ms
+
+// drainedLate is just after the latest time of a connection to a host that drains from 0 on.
+var drainedLate = DefaultLimits.Propagation + DefaultLimits.DrainGrace + DefaultLimits.RecordDelay + ms
+
+var (
+	orderNonIdempotent = Conditions{NonIdempotent: map[string]bool{"order": true}}
+	exhausted          = Conditions{DescriptorsExhausted: map[string][]Interval{"n1": {{0, time.Second}}}}
+)
+
+// judgeCases are short ledgers with the rule violation in each, "" for none.
+var judgeCases = []struct {
+	name       string
+	conditions Conditions
+	write      func(b *testLedger)
+	want       string // in the only line of the verdict
+}{
+	{"served", Conditions{}, func(b *testLedger) {
+		b.request("a")
+		b.add(5*ms, "h1", fakeserver.Up, "a", "h1-1")
+		b.add(6*ms, "c-n1", fakeserver.Heard, "a", "UP h1-1")
+		b.add(9*ms, "c-n1", fakeserver.Heard, "a", "M a line")
+	}, ""},
+	{"rejected", Conditions{}, func(b *testLedger) { b.request("a"); b.add(ms, "c-n1", fakeserver.Heard, "a", "BUSY 5") }, ""},
+	{"no answer", Conditions{}, func(b *testLedger) { b.request("a"); b.add(ms, "c-n1", fakeserver.Broken, "a", "EOF") }, "no complete answer"},
+	{"client disconnected", Conditions{}, func(b *testLedger) { b.request("a"); b.add(ms, "c-n1", fakeserver.Left, "a", "") }, ""},
+	{"node killed", Conditions{}, func(b *testLedger) {
+		b.request("a")
+		b.add(ms, "n1", fakeserver.Fault, "", "kill")
+		b.add(2*ms, "c-n1", fakeserver.Broken, "a", "reset")
+	}, ""},
+	{"another node killed", Conditions{}, func(b *testLedger) {
+		b.request("a")
+		b.add(ms, "n2", fakeserver.Fault, "", "kill")
+		b.add(2*ms, "c-n1", fakeserver.Broken, "a", "reset")
+	}, "no complete answer"},
+	{"closed while descriptors are exhausted", exhausted, func(b *testLedger) {
+		b.request("a")
+		b.add(ms, "c-n1", fakeserver.Broken, "a", "reset")
+	}, ""},
+	{"silent while descriptors are exhausted", exhausted, func(b *testLedger) { b.request("a") }, "no complete answer"},
+	{"late", Conditions{}, func(b *testLedger) { b.request("a"); b.add(lateAnswer, "c-n1", fakeserver.Heard, "a", "ERR") }, "only at"},
+	{"two answers", Conditions{}, func(b *testLedger) {
+		b.request("a")
+		b.add(ms, "c-n1", fakeserver.Heard, "a", "BUSY")
+		b.add(ms, "c-n1", fakeserver.Heard, "a", "ERR")
+	}, "more than one answer"},
+	{"unknown receipt", Conditions{}, func(b *testLedger) { b.request("a"); b.add(ms, "c-n1", fakeserver.Heard, "a", "UP h1-1") }, "issued by no host"},
+	{"connected after the client disconnected", Conditions{}, func(b *testLedger) {
+		b.request("a")
+		b.add(ms, "c-n1", fakeserver.Left, "a", "")
+		b.add(time.Second, "h1", fakeserver.Opened, "a", "")
+	}, "its client disconnected"},
+	{"connected before the client disconnected", Conditions{}, func(b *testLedger) {
+		b.request("a")
+		b.add(ms, "h1", fakeserver.Opened, "a", "")
+		b.add(2*ms, "c-n1", fakeserver.Left, "a", "")
+	}, ""},
+	{"recorded late by a host that hung", Conditions{DelayedHosts: map[string]bool{"h1": true}}, func(b *testLedger) {
+		b.request("a")
+		b.add(ms, "c-n1", fakeserver.Left, "a", "")
+		b.add(time.Second, "h1", fakeserver.Opened, "a", "")
+	}, ""},
+	{"connected to a draining host", Conditions{}, func(b *testLedger) {
+		b.add(0, "h1", fakeserver.Fault, "", "drains")
+		b.add(drainedLate, "h1", fakeserver.Opened, "a", "")
+	}, "which drains"},
+	{"connected before the drain has propagated", Conditions{DiscoveryUnreachable: []Interval{{time.Second, 2 * time.Second}}}, func(b *testLedger) {
+		b.add(0, "h1", fakeserver.Fault, "", "drains")
+		b.add(drainedLate, "h1", fakeserver.Opened, "a", "")
+	}, ""},
+	{"overloaded", Conditions{}, func(b *testLedger) { b.add(0, "h1", fakeserver.Fault, "", "fell over") }, "overloaded at"},
+	{"retried", orderNonIdempotent, func(b *testLedger) {
+		b.add(0, "h1", fakeserver.Opened, "a", "")
+		b.add(time.Second, "h2", fakeserver.Opened, "a", "")
+	}, "may have run"},
+	{"retried after a rejection", orderNonIdempotent, func(b *testLedger) {
+		b.add(0, "h1", fakeserver.Opened, "a", "")
+		b.add(ms, "h1", fakeserver.Refused, "a", "full")
+		b.add(time.Second, "h2", fakeserver.Opened, "a", "")
+	}, ""},
+	{"retried an idempotent request", Conditions{}, func(b *testLedger) {
+		b.add(0, "h1", fakeserver.Opened, "a", "")
+		b.add(time.Second, "h2", fakeserver.Opened, "a", "")
+	}, ""},
+}
+
 // Each rule's violation is found, and what the rules allow is not reported.
 func TestJudge_EachRule_FindsViolation(t *testing.T) {
-	late := time.Second + DefaultLimits.AnswerGrace + DefaultLimits.RecordDelay + ms
-	unsafe := Conditions{NonIdempotent: map[string]bool{"order": true}}
-	for _, c := range []struct {
-		name  string
-		facts Conditions
-		write func(b *testLedger)
-		want  string // in the one line of the verdict; "" for none
-	}{
-		{"served", Conditions{}, func(b *testLedger) {
-			b.request("a")
-			b.add(5*ms, "h1", fakeserver.Up, "a", "h1-1")
-			b.add(6*ms, "c-n1", fakeserver.Heard, "a", "UP h1-1")
-			b.add(9*ms, "c-n1", fakeserver.Heard, "a", "M a line")
-		}, ""},
-		{"refused", Conditions{}, func(b *testLedger) { b.request("a"); b.add(ms, "c-n1", fakeserver.Heard, "a", "BUSY 5") }, ""},
-		{"no answer", Conditions{}, func(b *testLedger) { b.request("a"); b.add(ms, "c-n1", fakeserver.Broken, "a", "EOF") }, "no whole answer"},
-		{"left first", Conditions{}, func(b *testLedger) { b.request("a"); b.add(ms, "c-n1", fakeserver.Left, "a", "") }, ""},
-		{"its node was killed", Conditions{}, func(b *testLedger) {
-			b.request("a")
-			b.add(ms, "n1", fakeserver.Fault, "", "kill")
-			b.add(2*ms, "c-n1", fakeserver.Broken, "a", "reset")
-		}, ""},
-		{"another node was killed", Conditions{}, func(b *testLedger) {
-			b.request("a")
-			b.add(ms, "n2", fakeserver.Fault, "", "kill")
-			b.add(2*ms, "c-n1", fakeserver.Broken, "a", "reset")
-		}, "no whole answer"},
-		{"shut in a crowd", Conditions{DescriptorsExhausted: map[string][]Interval{"n1": {{0, time.Second}}}}, func(b *testLedger) {
-			b.request("a")
-			b.add(ms, "c-n1", fakeserver.Broken, "a", "reset")
-		}, ""},
-		{"silent in a crowd", Conditions{DescriptorsExhausted: map[string][]Interval{"n1": {{0, time.Second}}}}, func(b *testLedger) { b.request("a") }, "no whole answer"},
-		{"late", Conditions{}, func(b *testLedger) { b.request("a"); b.add(late, "c-n1", fakeserver.Heard, "a", "ERR") }, "only at"},
-		{"twice", Conditions{}, func(b *testLedger) {
-			b.request("a")
-			b.add(ms, "c-n1", fakeserver.Heard, "a", "BUSY")
-			b.add(ms, "c-n1", fakeserver.Heard, "a", "ERR")
-		}, "more answers than one"},
-		{"made up", Conditions{}, func(b *testLedger) { b.request("a"); b.add(ms, "c-n1", fakeserver.Heard, "a", "UP h1-1") }, "no host's answer"},
-		{"begun for a leaver", Conditions{}, func(b *testLedger) {
-			b.request("a")
-			b.add(ms, "c-n1", fakeserver.Left, "a", "")
-			b.add(time.Second, "h1", fakeserver.Opened, "a", "")
-		}, "its client left"},
-		{"begun before it left", Conditions{}, func(b *testLedger) {
-			b.request("a")
-			b.add(ms, "h1", fakeserver.Opened, "a", "")
-			b.add(2*ms, "c-n1", fakeserver.Left, "a", "")
-		}, ""},
-		{"read late by a host that hung", Conditions{DelayedHosts: map[string]bool{"h1": true}}, func(b *testLedger) {
-			b.request("a")
-			b.add(ms, "c-n1", fakeserver.Left, "a", "")
-			b.add(time.Second, "h1", fakeserver.Opened, "a", "")
-		}, ""},
-		{"sent to a drained host", Conditions{}, func(b *testLedger) {
-			b.add(0, "h1", fakeserver.Fault, "", "drains")
-			b.add(DefaultLimits.Propagation+DefaultLimits.DrainGrace+DefaultLimits.RecordDelay+ms, "h1", fakeserver.Opened, "a", "")
-		}, "which drains"},
-		{"sent while not all are told", Conditions{DiscoveryUnreachable: []Interval{{time.Second, 2 * time.Second}}}, func(b *testLedger) {
-			b.add(0, "h1", fakeserver.Fault, "", "drains")
-			b.add(DefaultLimits.Propagation+DefaultLimits.DrainGrace+DefaultLimits.RecordDelay+ms, "h1", fakeserver.Opened, "a", "")
-		}, ""},
-		{"pushed over", Conditions{}, func(b *testLedger) { b.add(0, "h1", fakeserver.Fault, "", "fell over") }, "pushed over"},
-		{"repeated", unsafe, func(b *testLedger) {
-			b.add(0, "h1", fakeserver.Opened, "a", "")
-			b.add(time.Second, "h2", fakeserver.Opened, "a", "")
-		}, "may have run"},
-		{"repeated as it never ran", unsafe, func(b *testLedger) {
-			b.add(0, "h1", fakeserver.Opened, "a", "")
-			b.add(ms, "h1", fakeserver.Refused, "a", "full")
-			b.add(time.Second, "h2", fakeserver.Opened, "a", "")
-		}, ""},
-		{"a safe repeat", Conditions{}, func(b *testLedger) {
-			b.add(0, "h1", fakeserver.Opened, "a", "")
-			b.add(time.Second, "h2", fakeserver.Opened, "a", "")
-		}, ""},
-	} {
+	for _, c := range judgeCases {
 		var b testLedger
 		c.write(&b)
-		got := Judge(b, DefaultLimits, c.facts).RuleViolations
+		got := Judge(b, DefaultLimits, c.conditions).RuleViolations
 		if (c.want == "") != (len(got) == 0) || c.want != "" && (len(got) != 1 || !strings.Contains(got[0], c.want)) {
 			t.Errorf("%s: %q, want %q", c.name, got, c.want)
 		}
