--- a/internal/cli/load_compare.go
+++ b/internal/cli/load_compare.go
@@ -59,7 +59,7 @@
 	}
 	worse := 0
 	for _, difference := range differences {
-		if difference.Word == loadtest.Worse {
+		if difference.Verdict == loadtest.Worse {
 			worse++
 		}
 	}
@@ -88,11 +88,11 @@
 	fmt.Fprintln(table, "class\tpath\tfigure\tbase\tnew\tnoise\tverdict\t")
 	shown := 0
 	for _, d := range differences {
-		if d.Word == loadtest.Same && !c.all {
+		if d.Verdict == loadtest.WithinNoise && !c.all {
 			continue
 		}
 		shown++
-		fmt.Fprintf(table, "%s\t%s\t%s\t%.4g\t%.4g\t%.2g\t%s\t\n", d.Class, d.Path, d.Figure, d.Median[0], d.Median[1], d.Noise, d.Word)
+		fmt.Fprintf(table, "%s\t%s\t%s\t%.4g\t%.4g\t%.2g\t%s\t\n", d.Class, d.Path, d.Metric, d.Medians[0], d.Medians[1], d.Noise, d.Verdict)
 	}
 	if shown == 0 {
 		fmt.Fprintf(stdout, "%d figures, no significant differences\n", len(differences))
--- a/internal/cli/load_flags.go
+++ b/internal/cli/load_flags.go
@@ -77,7 +77,7 @@
 	defer stop()
 	context.AfterFunc(ctx, stop) // a second signal ends the process at once
 	if !f.quiet && isTerminal(c.ErrOrStderr()) {
-		options.Progress = progressPrinter(c.ErrOrStderr())
+		options.OnProgress = progressPrinter(c.ErrOrStderr())
 	}
 	for i := range f.repeat {
 		if err := f.runOnce(ctx, c, scenario, text, options, i); err != nil {
@@ -119,7 +119,7 @@
 	ctx context.Context, c *cobra.Command, scenario *loadtest.Scenario, text []byte, options loadtest.PlayOptions, i int,
 ) error {
 	result, err := loadtest.Play(ctx, scenario, text, options)
-	if options.Progress != nil {
+	if options.OnProgress != nil {
 		fmt.Fprint(c.ErrOrStderr(), clearLine)
 	}
 	if result == nil {
@@ -130,9 +130,9 @@
 	}
 	switch {
 	case result.Partial:
-		return &exitError{ExitPartial, fmt.Errorf("the result is partial: %s", result.Why)}
-	case result.Behind != "":
-		return &exitError{ExitGeneratorLate, errors.New(result.Behind)}
+		return &exitError{ExitPartial, fmt.Errorf("the result is partial: %s", result.PartialReason)}
+	case result.BehindReason != "":
+		return &exitError{ExitGeneratorLate, errors.New(result.BehindReason)}
 	}
 	return nil
 }
@@ -170,6 +170,6 @@
 func progressPrinter(w io.Writer) func(loadtest.Progress) {
 	return func(p loadtest.Progress) {
 		fmt.Fprintf(w, clearLine+"%4.0f s  %d requests, %d served, %d rejected, %d failed; %d open; %.2f ms late",
-			p.At.Seconds(), p.Asked, p.Served, p.Refused, p.Failed, p.Open, float64(p.Lateness.Microseconds())/1000)
+			p.Elapsed.Seconds(), p.Started, p.Served, p.Rejected, p.Failed, p.Open, float64(p.Lateness.Microseconds())/1000)
 	}
 }
--- a/internal/cli/load_replay.go
+++ b/internal/cli/load_replay.go
@@ -51,6 +51,6 @@
 	if path != "" {
 		return loadtest.ReadScenario(path)
 	}
-	scenario, err := loadtest.Plain(trace, deadline)
+	scenario, err := loadtest.ReplayScenario(trace, deadline)
 	return scenario, nil, err
 }
--- a/internal/cli/load_result.go
+++ b/internal/cli/load_result.go
@@ -44,7 +44,7 @@
 }
 
 func writePathHDR(w io.Writer, result *loadtest.Result, requestPath string) error {
-	total, err := result.All(requestPath)
+	total, err := result.Aggregate(requestPath)
 	if err != nil {
 		return err
 	}
@@ -66,7 +66,7 @@
 		printClass(table, &result.Classes[i])
 	}
 	for _, path := range result.Paths() {
-		total, err := result.All(path)
+		total, err := result.Aggregate(path)
 		if err != nil {
 			return err
 		}
@@ -82,11 +82,11 @@
 func printClass(w io.Writer, class *loadtest.ClassResult) {
 	served := class.Outcomes[outcomeServed]
 	rejected := class.Outcomes[outcomeRejected]
-	failed := class.Asked - served - rejected
+	failed := class.Requests - served - rejected
 	latency := class.Latency[outcomeServed]
 	fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%d\t%.2f\t%.2f\t%.2f\t%.2f\t%d\t%d\t\n",
-		class.Class, class.Path, class.Asked, served, rejected, failed,
-		latency.P50, latency.P99, latency.Max, class.Service.P99, class.Broken, class.Moved)
+		class.Class, class.Path, class.Requests, served, rejected, failed,
+		latency.P50, latency.P99, latency.Max, class.Service.P99, class.Broken, class.Migrated)
 }
 
 func printTotals(w io.Writer, result *loadtest.Result) {
@@ -94,11 +94,11 @@
 	if result.Nodes != nil {
 		fmt.Fprintf(w, "nodes: %.2f s of CPU, %.0f MB at most\n", result.Nodes.CPU.Seconds(), result.Nodes.PeakMB)
 	}
-	if result.List != nil {
+	if result.ListService != nil {
 		fmt.Fprintf(w, "list service: %d calls, %d rejected, %d within 100 ms at most\n",
-			result.List.Calls, result.List.Rejected, result.List.MaxIn100ms)
+			result.ListService.Calls, result.ListService.Rejected, result.ListService.MaxIn100ms)
 	}
-	if result.Wrong > 0 {
-		fmt.Fprintf(w, "%d receipts that no host had made\n", result.Wrong)
+	if result.WrongReceipts > 0 {
+		fmt.Fprintf(w, "%d receipts that no host had made\n", result.WrongReceipts)
 	}
 }
--- a/internal/cli/scale.go
+++ b/internal/cli/scale.go
@@ -64,8 +64,8 @@
 		return err
 	case runErr != nil:
 		return runErr
-	case result.Short != "":
-		return &exitError{ExitPartial, errors.New(result.Short)}
+	case result.Shortage != "":
+		return &exitError{ExitPartial, errors.New(result.Shortage)}
 	}
 	return nil
 }
@@ -85,7 +85,7 @@
 			if err != nil {
 				return err
 			}
-			return scaletest.RunHollow(c.Context(), cfg, count, c.InOrStdin(), c.ErrOrStderr())
+			return scaletest.RunSimulatedNodes(c.Context(), cfg, count, c.InOrStdin(), c.ErrOrStderr())
 		},
 	}
 }
--- a/internal/cli/scale_print.go
+++ b/internal/cli/scale_print.go
@@ -14,8 +14,8 @@
 	printSamples(table, result.Samples)
 	printDifferences(table, result.Differences)
 	printFits(table, result)
-	if result.Short != "" {
-		fmt.Fprintf(table, "\nnot all was measured: %s\n", result.Short)
+	if result.Shortage != "" {
+		fmt.Fprintf(table, "\nnot all was measured: %s\n", result.Shortage)
 	}
 	return table.Flush()
 }
@@ -23,7 +23,7 @@
 func printSamples(w io.Writer, samples []scaletest.Sample) {
 	fmt.Fprintln(w, "nodes\tkind\tphase\tbytes/s\tmessages/s\tcore %\tMB\tmedian\tp99\tlast\tmissing\t")
 	for _, sample := range samples {
-		printPhase(w, &sample, "rest", sample.Rest)
+		printPhase(w, &sample, "rest", sample.Idle)
 		printPhase(w, &sample, "changes", sample.Changes)
 		printPhase(w, &sample, "restart", sample.Restart)
 	}
@@ -32,7 +32,7 @@
 func printPhase(w io.Writer, sample *scaletest.Sample, name string, phase scaletest.Phase) {
 	fmt.Fprintf(w, "%d\t%s\t%s\t%.0f\t%.2f\t%.3f\t%.2f\t%v\t%v\t%v\t%d\t\n",
 		sample.Nodes, sample.Kind, name, phase.BytesPerS, phase.MessagesPerS, 100*phase.Cores, sample.MemoryMB,
-		toMillis(phase.Latency.Median), toMillis(phase.Latency.P99), toMillis(phase.Latency.Last), phase.Latency.Missing)
+		toMillis(phase.Latency.Median), toMillis(phase.Latency.P99), toMillis(phase.Latency.Max), phase.Latency.Missing)
 }
 
 func printDifferences(w io.Writer, differences []scaletest.Difference) {
@@ -50,11 +50,11 @@
 			budget = fmt.Sprintf("%.4g", fit.Budget)
 			verdict = "NO"
 		}
-		if fit.Budget > 0 && fit.Fits {
+		if fit.Budget > 0 && fit.WithinBudget {
 			verdict = "yes"
 		}
 		fmt.Fprintf(w, "%s\t%.4g\t%.4g\t%.3f\t%d\t%.0f\t%.4g\t%s\t%s\t\n",
-			fit.What, fit.Base, fit.Slope, fit.R2, fit.Samples, fit.Spread, fit.At, budget, verdict)
+			fit.Metric, fit.Intercept, fit.Slope, fit.R2, fit.Samples, fit.SizeRatio, fit.AtTarget, budget, verdict)
 	}
 }
 
