--- a/internal/node/coldstart.go
+++ b/internal/node/coldstart.go
@@ -136,7 +136,7 @@
 		return
 	}
 	n.loggedPhase = state.Phase
-	n.log.Info("cold start phase changed", zap.Stringer("list", state.Phase), zap.String("source", string(state.Source)),
+	n.log.Info("cold start phase changed", zap.Stringer("phase", state.Phase), zap.String("source", string(state.Source)),
 		zap.Int64("revision", state.Revision), zap.Duration("age", state.Age), zap.Int("calls", state.Calls),
 		zap.Int("failed", state.Failed))
 }
--- a/internal/node/coldstart_peers.go
+++ b/internal/node/coldstart_peers.go
@@ -81,7 +81,7 @@
 	published := *peerList.List
 	drainsKept := n.keepDrainingHosts(peerList.List)
 	n.log.Info("peer list adopted", zap.String("peer", peerList.Peer), zap.Int64("revision", offer.Revision),
-		zap.Duration("age", offer.Age), zap.Int("hosts", len(peerList.List.Endpoints)),
+		zap.Duration("age", offer.Age), zap.Int("endpoints", len(peerList.List.Endpoints)),
 		zap.Int("drains_kept", drainsKept))
 	n.applyList(peerList.List, balancer.ListSnapshot, false)
 	n.revision = offer.Revision
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"runtime/debug"
 	"time"
 
 	"go.uber.org/zap"
@@ -58,7 +57,7 @@
 	defer func() {
 		if p := recover(); p != nil {
 			n.pendingEvents = n.pendingEvents[:0]
-			n.log.Error("panic while handling event", zap.Any("panic", p), zap.ByteString("stack", debug.Stack()))
+			n.log.Error("panic while handling event", zap.Any("panic", p), zap.Stack("stack"))
 		}
 	}()
 	f()
--- a/internal/node/requests.go
+++ b/internal/node/requests.go
@@ -188,26 +188,24 @@
 
 // rejectRequest gives the final answer BUSY.
 func (n *Node) rejectRequest(action balancer.Reject) {
-	r := n.requests[action.ID]
-	if r == nil || r.answered {
-		return
-	}
-	n.markAnswered(r)
-	n.recordGivenUp(action.ID, r, true, action.Reason)
-	r.conn.Reject(action.RetryAfter)
-	n.releaseRequest(action.ID, r)
+	n.giveUp(action.ID, true, action.Reason, func(conn ClientConn) { conn.Reject(action.RetryAfter) })
 }
 
 // failRequest gives the final answer ERR.
 func (n *Node) failRequest(action balancer.Fail) {
-	r := n.requests[action.ID]
+	n.giveUp(action.ID, false, action.Reason, ClientConn.Fail)
+}
+
+// giveUp answers a request that the balancer rejects or fails, unless it has been answered.
+func (n *Node) giveUp(id balancer.RequestID, rejected bool, reason balancer.Reason, answer func(ClientConn)) {
+	r := n.requests[id]
 	if r == nil || r.answered {
 		return
 	}
 	n.markAnswered(r)
-	n.recordGivenUp(action.ID, r, false, action.Reason)
-	r.conn.Fail()
-	n.releaseRequest(action.ID, r)
+	n.recordGivenUp(id, r, rejected, reason)
+	answer(r.conn)
+	n.releaseRequest(id, r)
 }
 
 // recordGivenUp counts a request that is rejected or failed, by reason.
