--- a/internal/ctxtime/sleep.go
+++ b/internal/ctxtime/sleep.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Sleep waits for d, and reports false where ctx ended first.
+// Sleep waits for d, and reports false if ctx ended first.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/discovery/stream.go
+++ b/internal/discovery/stream.go
@@ -146,7 +146,7 @@
 	return received, nil
 }
 
-// readLate reads what a watch that timed out has received, and returns timeout where that is nothing: if this process was
+// readLate reads what a watch that timed out has received, and returns timeout if that is nothing: if this process was
 // suspended, the watch was not silent.
 func readLate(c *net.TCPConn, into []byte, timeout error) (int, error) {
 	n, err := netio.ReadAvailable(c, into)
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -121,7 +121,7 @@
 	w.node.WatchFailed(c.Sequence, 0)
 }
 
-// follow fetches a snapshot where the node has none, and watches the changes behind it.
+// follow fetches a snapshot if the node has none, and watches the changes behind it.
 func (w *Watcher) follow(ctx context.Context, c *call) (err error) {
 	defer func() {
 		if panicked := recover(); panicked != nil {
--- a/internal/healthcheck/pinger.go
+++ b/internal/healthcheck/pinger.go
@@ -37,7 +37,7 @@
 
 // Receiver is notified of the results of pings.
 type Receiver interface {
-	// PingCompleted reports a ping's round-trip time: at least the timeout where no answer came in time, FailedPing where
+	// PingCompleted reports a ping's round-trip time: at least the timeout if no answer came in time, FailedPing if
 	// the connection failed.
 	PingCompleted(id balancer.ServerID, took time.Duration)
 }
@@ -72,7 +72,7 @@
 // Attach sets who is notified of results.
 func (p *Pinger) Attach(receiver Receiver) { p.receiver = receiver }
 
-// Ping begins to ping a host, and reports false where it does not, for want of a descriptor or because the pinger is
+// Ping begins to ping a host, and reports false if it does not, for want of a descriptor or because the pinger is
 // closed. It does not block. While a ping of that host is in flight, its result stands for this one too.
 func (p *Pinger) Ping(id balancer.ServerID, addr string) bool {
 	p.budget.Lock()
@@ -193,7 +193,7 @@
 			took = FailedPing
 		}
 	}
-	p.log.Debug("host pinged", zap.String("host", addr), zap.Duration("took", took))
+	p.log.Debug("host pinged", zap.String("addr", addr), zap.Duration("took", took))
 	p.receiver.PingCompleted(id, took)
 }
 
@@ -211,7 +211,7 @@
 	return true
 }
 
-// ping dials the host where there is no connection, sends a ping and waits for its answer.
+// ping dials the host if there is no connection, sends a ping and waits for its answer.
 func (c *connection) ping(addr string, deadline time.Time) error {
 	if c.conn == nil {
 		dialer := net.Dialer{Timeout: pingTimeout, KeepAlive: -1}
--- a/internal/logging/writer.go
+++ b/internal/logging/writer.go
@@ -1,5 +1,5 @@
 // Package logging writes a log without blocking who logs. Lines go to a bounded queue, from which one goroutine writes
-// them: where the log's pipe or file system hangs, lines are dropped and counted.
+// them: if the log's pipe or file system hangs, lines are dropped and counted.
 package logging
 
 import (
@@ -33,7 +33,7 @@
 	return w
 }
 
-// Write queues a line, or drops it where the queue is full. It never fails and never blocks.
+// Write queues a line, or drops it if the queue is full. It never fails and never blocks.
 func (w *Writer) Write(line []byte) (int, error) {
 	w.enqueue(line)
 	select {
--- a/internal/netio/netiotest/netiotest.go
+++ b/internal/netio/netiotest/netiotest.go
@@ -68,7 +68,7 @@
 	return client, server
 }
 
-// Eventually waits until a condition holds, and fails the test where it does not in time.
+// Eventually waits until a condition holds, and fails the test if it does not in time.
 func Eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	for start := time.Now(); !condition(); time.Sleep(pollInterval) {
--- a/internal/proxy/adopt.go
+++ b/internal/proxy/adopt.go
@@ -37,7 +37,7 @@
 	c.requestID = balancer.RequestID(opening.ID)
 	c.hostID = handedOff.Host
 	c.host = handedOff.Peer
-	c.replyCounted.Store(true) // by the process that established it
+	c.answerCounted.Store(true) // by the process that established it
 	close(c.established)
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -43,7 +43,7 @@
 func (e *AttemptError) Unwrap() error { return e.Err }
 
 var (
-	errCanceled      = errors.New("attempt canceled")
+	errCancelled     = errors.New("attempt canceled")
 	errNotAuthorized = errors.New("host may get no further requests")
 	errRejected      = errors.New("host rejected the request")
 	errHostError     = errors.New("host responded with an error")
@@ -52,11 +52,11 @@
 
 // Outcome returns what the attempt says of its host.
 func (e *AttemptError) Outcome() balancer.Outcome {
-	canceled := errors.Is(e.Err, errCanceled)
+	cancelled := errors.Is(e.Err, errCancelled)
 	switch {
-	case e.Stage == Authorizing, e.Stage < Awaiting && canceled, e.Stage < Awaiting && isLocal(e.Err):
+	case e.Stage == Authorizing, e.Stage < Awaiting && cancelled, e.Stage < Awaiting && isLocal(e.Err):
 		return balancer.NotSent // not the host's fault, and the host never had the complete line
-	case canceled:
+	case cancelled:
 		return balancer.Cancelled
 	case e.Stage < Awaiting:
 		return balancer.ConnectFailed
@@ -109,7 +109,7 @@
 // attemptError returns the error of an attempt that ended at a stage. A cancelled one may fail with any error.
 func attemptError(ctx context.Context, stage Stage, err error) *AttemptError {
 	if errors.Is(ctx.Err(), context.Canceled) {
-		err = errCanceled
+		err = errCancelled
 	}
 	return &AttemptError{stage, err}
 }
@@ -141,7 +141,7 @@
 	return line, stage, err
 }
 
-// awaitResponse reads the host's response, and returns its line where the connection is established.
+// awaitResponse reads the host's response, and returns its line if the connection is established.
 func awaitResponse(host *net.TCPConn, in *wire.LineBuffer) (line []byte, stage Stage, err error) {
 	for {
 		line, ok, err := in.Next()
@@ -166,7 +166,7 @@
 	}
 }
 
-// responseError returns why a response does not establish the connection, nil where it does.
+// responseError returns why a response does not establish the connection, nil if it does.
 func responseError(line []byte) error {
 	switch wire.ParseResponse(line) {
 	case wire.ResponseEstablished:
--- a/internal/proxy/budget.go
+++ b/internal/proxy/budget.go
@@ -8,7 +8,7 @@
 )
 
 // The descriptor budget. A client holds one descriptor until its opening line is complete, and again once it has had its
-// final reply; such a client is unadmitted and may be evicted for a newer one. In between it holds two, its own and its
+// final answer; such a client is unadmitted and may be evicted for a newer one. In between it holds two, its own and its
 // host's. Reserved beside them are the descriptors of the process itself and enough to read clients and reject them.
 const (
 	descriptorsPerClient = 2  // of an admitted client
@@ -25,8 +25,8 @@
 type budgetSlot struct {
 	unadmitted *list.Element // among those that hold one descriptor, nil for none
 	admitted   bool          // it holds two descriptors
-	lastActive time.Time     // when it connected, pinged, or had its final reply
-	replied    bool          // it has had its final reply
+	lastActive time.Time     // when it connected, pinged, or had its final answer
+	answered   bool          // it has had its final answer
 }
 
 // admission is the answer to a client that has sent a complete opening line.
@@ -127,7 +127,7 @@
 	p.unadmitted.MoveToBack(c.unadmitted)
 }
 
-// renew touches a client whose health check was answered, and reports false where it was evicted.
+// renew touches a client whose health check was answered, and reports false if it was evicted.
 func (p *Proxy) renew(c *conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -138,8 +138,8 @@
 	return true
 }
 
-// markReplied makes a client that has had its final reply, and holds no host any more, an unadmitted one.
-func (p *Proxy) markReplied(c *conn) {
+// markAnswered makes a client that has had its final answer, and holds no host any more, an unadmitted one.
+func (p *Proxy) markAnswered(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if c.unadmitted == nil && !c.admitted {
@@ -147,21 +147,21 @@
 	}
 	p.release(c)
 	c.lastActive = time.Now()
-	c.replied = true
+	c.answered = true
 	c.unadmitted = p.unadmitted.PushBack(c)
 }
 
-// evictable returns which client is evicted next: the first one that has had its final reply and a grace period to read
-// it, else the first one that was read and is past its grace period. It returns nil where none is. mu is held.
+// evictable returns which client is evicted next: the first one that has had its final answer and a grace period to read
+// it, else the first one that was read and is past its grace period. It returns nil if none is. mu is held.
 func (p *Proxy) evictable(now time.Time) *conn {
 	var first *conn
 	for element := p.unadmitted.Front(); element != nil; element = element.Next() {
 		c := element.Value.(*conn)
 		inGrace := now.Sub(c.lastActive) < evictionGrace
 		switch {
-		case c.replied && inGrace:
+		case c.answered && inGrace:
 			return nil
-		case c.replied:
+		case c.answered:
 			return c
 		case first == nil && !inGrace && c.openingRead.Load():
 			first = c
@@ -174,10 +174,10 @@
 // request. mu is held; the write does not block, since nothing was written before.
 func (p *Proxy) evict(c *conn) {
 	message := ""
-	if !c.replied && c.stopReadingOpening() {
+	if !c.answered && c.stopReadingOpening() {
 		message = p.rejection()
 	}
-	p.log.Info("client evicted for a newer one", zap.Bool("rejected", message != ""), zap.Bool("replied", c.replied))
+	p.log.Info("client evicted for a newer one", zap.Bool("rejected", message != ""), zap.Bool("answered", c.answered))
 	p.release(c)
 	closeWithMessage(c.client, message)
 }
--- a/internal/proxy/command.go
+++ b/internal/proxy/command.go
@@ -14,10 +14,10 @@
 // whose queue is full is broken.
 const maxQueuedCommands = 8
 
-// command is what the node asks of a connection that is not established yet: an attempt, or the final reply.
+// command is what the node asks of a connection that is not established yet: an attempt, or the final answer.
 type command struct {
 	attempt *node.Attempt
-	reply   string // where attempt is nil
+	reply   string // if attempt is nil
 }
 
 func (c *conn) enqueue(cmd command) {
--- a/internal/proxy/conn.go
+++ b/internal/proxy/conn.go
@@ -43,14 +43,14 @@
 	readingStopped   bool               // nothing more is read of the client for its host
 	quiescing        *quiescence        // while it is brought to rest for a hand-off, else nil
 	failedHandOffs   int
-	violatedProtocol bool        // the client sent more than its opening line before it was established
-	replies          replyRecord // the final replies that the client was given
-	disconnectedAt   time.Time   // when disconnected was closed
+	violatedProtocol bool         // the client sent more than its opening line before it was established
+	answers          answerRecord // the final answers that the client was given
+	disconnectedAt   time.Time    // when disconnected was closed
 
 	openingRead    atomic.Bool // the client was read from: what it had sent by then is known
 	openingStarted atomic.Bool // a part of the opening line has come
 	idle           atomic.Bool // a health check was answered, and nothing has come since
-	replyCounted   atomic.Bool // the final reply is among the metrics
+	answerCounted  atomic.Bool // the final answer is among the metrics
 	migrating      atomic.Bool // the node migrates the client
 	halfClosed     atomic.Bool // the client closed its side before it was established
 	clientClosed   atomic.Bool // the client closed its side after it was established
@@ -74,16 +74,16 @@
 	defer c.checkCompletion(deadline)
 	switch c.proxy.admit(c) {
 	case admissionEvicted:
-		c.countReply(errored)
+		c.countAnswer(errored)
 		return
 	case admissionRejected:
-		c.countReply(rejected)
+		c.countAnswer(rejected)
 		c.proxy.log.Info("client rejected: descriptor limit reached or shutting down")
 		c.reply(c.proxy.rejection())
 		return
 	}
 	if !c.checkClient(&in) {
-		c.countReply(errored)
+		c.countAnswer(errored)
 		if c.halfClosed.Load() { // it may still read
 			c.reply(wire.Failure)
 		}
@@ -171,7 +171,7 @@
 	return c.host != nil
 }
 
-// establish sets the host of the connection. It reports false where the client has disconnected or the proxy shuts down.
+// establish sets the host of the connection. It reports false if the client has disconnected or the proxy shuts down.
 func (c *conn) establish(host *net.TCPConn) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/proxy/disconnect.go
+++ b/internal/proxy/disconnect.go
@@ -26,7 +26,7 @@
 	maxUnreadBytes = 32 << 10
 )
 
-// checkClient reads what the client has sent since its opening line, and reports false where it has disconnected, as it
+// checkClient reads what the client has sent since its opening line, and reports false if it has disconnected, as it
 // may have while it waited in the listener's queue.
 func (c *conn) checkClient(in *wire.LineBuffer) bool {
 	n, err := netio.ReadAvailable(c.client, in.Space())
@@ -56,7 +56,7 @@
 	}
 }
 
-// flushToHost forwards what is buffered, and reports false where the host's side is broken: the relay notices it too, and
+// flushToHost forwards what is buffered, and reports false if the host's side is broken: the relay notices it too, and
 // ends the client likewise.
 func (c *conn) flushToHost(in *wire.LineBuffer) bool {
 	if len(in.Buffered()) == 0 {
@@ -70,8 +70,8 @@
 	return true
 }
 
-// holdBack keeps what a client sends before the connection is established. It reports false where the client is read no
-// more, and waits for the connection to be established where the buffer is full.
+// holdBack keeps what a client sends before the connection is established. It reports false if the client is read no
+// more, and waits for the connection to be established if the buffer is full.
 func (c *conn) holdBack(in *wire.LineBuffer) bool {
 	if len(in.Buffered()) == 0 {
 		return true
@@ -85,7 +85,7 @@
 	return c.awaitEstablished() && c.flushToHost(in)
 }
 
-// readClient reads more of the client, and reports false where there is no more to read.
+// readClient reads more of the client, and reports false if there is no more to read.
 func (c *conn) readClient(in *wire.LineBuffer) bool {
 	n, err := netio.Read(c.client, in.Space())
 	in.Advance(n)
@@ -101,7 +101,7 @@
 
 // awaitEstablished waits until a connection is established whose client has filled the buffer. The client is not read
 // meanwhile, so the system is polled for its close; one that sends far more is a protocol violation. It reports false
-// where there is no more to read.
+// if there is no more to read.
 func (c *conn) awaitEstablished() bool {
 	poll := time.NewTicker(disconnectPollInterval)
 	defer poll.Stop()
@@ -122,7 +122,7 @@
 	}
 }
 
-// protocolViolation disconnects a client that does not wait for its answer. It reports false where the connection has
+// protocolViolation disconnects a client that does not wait for its answer. It reports false if the connection has
 // been established meanwhile.
 func (c *conn) protocolViolation() bool {
 	c.mu.Lock()
@@ -156,7 +156,7 @@
 }
 
 // disconnectUnestablished notes that a client has ended its side before the connection is established. It reports false
-// where that has been established: what lies unread is then read first, and the end behind it.
+// if that has been established: what lies unread is then read first, and the end behind it.
 func (c *conn) disconnectUnestablished(err error) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -190,8 +190,8 @@
 	}
 }
 
-// sendingEnded reports how the peer has ended its sending, behind whatever lies unread: io.EOF where it closed its side,
-// ECONNRESET where it broke, nil where it has not or the system does not say.
+// sendingEnded reports how the peer has ended its sending, behind whatever lies unread: io.EOF if it closed its side,
+// ECONNRESET if it broke, nil if it has not or the system does not say.
 func sendingEnded(c *net.TCPConn) error {
 	raw, err := c.SyscallConn()
 	if err != nil {
@@ -214,7 +214,7 @@
 	return nil
 }
 
-// unreadBytes returns how many bytes lie unread, 0 where the system does not say.
+// unreadBytes returns how many bytes lie unread, 0 if the system does not say.
 func unreadBytes(c *net.TCPConn) (n int) {
 	raw, err := c.SyscallConn()
 	if err != nil {
--- a/internal/proxy/disconnect_test.go
+++ b/internal/proxy/disconnect_test.go
@@ -69,7 +69,7 @@
 	}
 }
 
-// The disconnect of a mid-flow client is noticed also where it has sent more than the node holds back.
+// The disconnect of a mid-flow client is noticed also if it has sent more than the node holds back.
 func TestMidFlowClient_BufferFull_DisconnectNoticed(t *testing.T) {
 	for _, end := range []string{"close", "reset"} {
 		t.Run(end, func(t *testing.T) {
--- a/internal/proxy/harness_test.go
+++ b/internal/proxy/harness_test.go
@@ -28,7 +28,7 @@
 	stop  func()
 }
 
-// startNode starts a proxy; the node's event loop runs only where runNode is set.
+// startNode starts a proxy; the node's event loop runs only if runNode is set.
 func startNode(t *testing.T, log *zap.Logger, runNode bool, hosts ...string) *testNode {
 	t.Helper()
 	return startNodeWith(t, log, runNode, netiotest.RefusedAddr(t), func(*settings.Settings) {}, hosts...)
@@ -157,7 +157,7 @@
 	return netiotest.Connect(t, l)
 }
 
-// expectLine reads a line and fails the test where it is not the one that is wanted.
+// expectLine reads a line and fails the test if it is not the one that is wanted.
 func expectLine(t *testing.T, in *bufio.Reader, want string) {
 	t.Helper()
 	if line, err := in.ReadString('\n'); line != want {
--- a/internal/proxy/invariants.go
+++ b/internal/proxy/invariants.go
@@ -9,19 +9,19 @@
 // The invariants of a client's connection are checked here, on what was done. Violations are reported to the node's
 // monitor.
 
-// replyRecord is the final replies that a client was given.
-type replyRecord struct {
+// answerRecord is the final answers that a client was given.
+type answerRecord struct {
 	count   int
 	firstAt time.Time
 }
 
-// noteReply notes a final reply.
-func (c *conn) noteReply(now time.Time) {
+// recordAnswer notes a final answer.
+func (c *conn) recordAnswer(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.replies.count++
-	if c.replies.count == 1 {
-		c.replies.firstAt = now
+	c.answers.count++
+	if c.answers.count == 1 {
+		c.answers.firstAt = now
 	}
 }
 
@@ -37,7 +37,7 @@
 	}
 }
 
-// checkCompletion checks that a request had one final reply by its deadline. One that its client resumes at its current
+// checkCompletion checks that a request had one final answer by its deadline. One that its client resumes at its current
 // host is exempt.
 func (c *conn) checkCompletion(deadline time.Time) {
 	if c.opening.CurrentHost != "" {
@@ -47,8 +47,8 @@
 	completion := invariant.Completion{
 		Request:      c.opening.ID,
 		Host:         c.hostID,
-		Answers:      c.replies.count,
-		AnsweredAt:   c.replies.firstAt,
+		Answers:      c.answers.count,
+		AnsweredAt:   c.answers.firstAt,
 		Deadline:     deadline,
 		Disconnected: c.isDisconnected() && !c.aborted,
 	}
--- a/internal/proxy/invariants_test.go
+++ b/internal/proxy/invariants_test.go
@@ -22,7 +22,7 @@
 		end  func(c *conn)
 		want map[invariant.Rule]uint64
 	}{
-		{"answered once", func(c *conn) { c.countReply(rejected) }, nil},
+		{"answered once", func(c *conn) { c.countAnswer(rejected) }, nil},
 		{"the client disconnected", func(c *conn) { c.disconnect() }, nil},
 		{"resumed at its current host", func(c *conn) { c.opening.CurrentHost = "h0" }, nil},
 		{"never answered", func(*conn) {}, violationOf(invariant.Unanswered)},
@@ -31,10 +31,10 @@
 			c.disconnect()
 		}, violationOf(invariant.Unanswered)},
 		{"answered twice", func(c *conn) {
-			c.countReply(rejected)
-			c.countReply(errored)
+			c.countAnswer(rejected)
+			c.countAnswer(errored)
 		}, violationOf(invariant.AnsweredTwice)},
-		{"answered late", func(c *conn) { c.noteReply(now.Add(2 * time.Second)) }, violationOf(invariant.AnsweredLate)},
+		{"answered late", func(c *conn) { c.recordAnswer(now.Add(2 * time.Second)) }, violationOf(invariant.AnsweredLate)},
 		{"forwarded after the disconnect", func(c *conn) {
 			c.disconnect()
 			c.checkStart("h0", c.disconnectedAt.Add(time.Second))
--- a/internal/proxy/metrics.go
+++ b/internal/proxy/metrics.go
@@ -7,7 +7,7 @@
 	"onyxstream/internal/wire"
 )
 
-// Replies counts the final replies to clients of one class.
+// Replies counts the final answers to clients of one class.
 type Replies struct {
 	Class                    string
 	Success, Rejected, Error uint64
@@ -32,7 +32,7 @@
 	return m
 }
 
-// Replies returns the final replies of each class, in the order of the settings.
+// Replies returns the final answers of each class, in the order of the settings.
 func (p *Proxy) Replies() []Replies {
 	all := make([]Replies, 0, len(p.metrics.classes))
 	for _, class := range p.metrics.classes {
@@ -53,20 +53,20 @@
 // OpenClients returns how many clients are admitted.
 func (p *Proxy) OpenClients() int64 { return p.metrics.openClients.Load() }
 
-// replyResult is the kind of a final reply.
-type replyResult uint8
+// answerResult is the kind of a final answer.
+type answerResult uint8
 
 const (
-	succeeded replyResult = iota // a host established the connection
+	succeeded answerResult = iota // a host established the connection
 	rejected
 	errored
 )
 
-// countReply counts a client's first final reply.
-func (c *conn) countReply(result replyResult) {
-	c.noteReply(time.Now())
+// countAnswer counts a client's first final answer.
+func (c *conn) countAnswer(result answerResult) {
+	c.recordAnswer(time.Now())
 	counters := c.proxy.metrics.replies[c.opening.Class]
-	if counters == nil || c.replyCounted.Swap(true) {
+	if counters == nil || c.answerCounted.Swap(true) {
 		return
 	}
 	switch result {
@@ -79,11 +79,11 @@
 	}
 }
 
-// countReplyLine counts a final reply that is not a host's by its line.
-func (c *conn) countReplyLine(line string) {
+// countAnswerLine counts a final answer that is not a host's by its line.
+func (c *conn) countAnswerLine(line string) {
 	if line == wire.Failure {
-		c.countReply(errored)
+		c.countAnswer(errored)
 	} else {
-		c.countReply(rejected)
+		c.countAnswer(rejected)
 	}
 }
--- a/internal/proxy/opening.go
+++ b/internal/proxy/opening.go
@@ -37,7 +37,7 @@
 	pings    pingRate
 }
 
-// readOpening reads the opening line into opening, and reports false where the connection has ended instead: by a
+// readOpening reads the opening line into opening, and reports false if the connection has ended instead: by a
 // protocol violation, the timeout or the client. A front may keep its connection and repeat its health checks.
 func (c *conn) readOpening(in *wire.LineBuffer) bool {
 	r := openingReader{conn: c, in: in}
@@ -93,7 +93,7 @@
 // rejectViolation replies to a client whose opening line breaks the protocol.
 func (c *conn) rejectViolation(err error) {
 	c.proxy.log.Info(protocolViolationMessage, zap.Error(err))
-	c.countReply(errored)
+	c.countAnswer(errored)
 	c.reply(wire.Failure)
 }
 
@@ -115,7 +115,7 @@
 	return true
 }
 
-// receive reads more of the opening line, and reports false where the connection has ended. On the timeout or a shutdown
+// receive reads more of the opening line, and reports false if the connection has ended. On the timeout or a shutdown
 // what has come by then is read once more: a close over a request that has just come would lose it without a reply. With
 // an incomplete line a shutdown rejects the client; everyone else is closed without a reply.
 func (r *openingReader) receive() bool {
@@ -202,7 +202,7 @@
 	last  time.Time
 }
 
-// count counts a health check, and returns an error where there were too many rapid ones. moreBytes says that it came
+// count counts a health check, and returns an error if there were too many rapid ones. moreBytes says that it came
 // together with further bytes.
 func (r *pingRate) count(now time.Time, moreBytes bool) error {
 	if moreBytes || now.Sub(r.last) < evictionGrace {
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -26,7 +26,7 @@
 	ConnectTimeout      time.Duration // of a dial to a host, 0 for none
 	AnswerSlack         time.Duration // after a client's deadline, before the proxy answers in place of the node
 	DefaultTimeout      time.Duration // of a client that names none
-	MaxRetryAfter       time.Duration // that clients follow; 0 where they follow none
+	MaxRetryAfter       time.Duration // that clients follow; 0 if they follow none
 	Classes             []string      // that clients can name
 	ReservedDescriptors int           // of other parts of the process
 }
@@ -72,7 +72,7 @@
 	p.pings.Attach(n)
 }
 
-// Ping begins to ping a host, and reports false where it does not, for want of a descriptor or because the proxy is shut
+// Ping begins to ping a host, and reports false if it does not, for want of a descriptor or because the proxy is shut
 // down. It does not block.
 func (p *Proxy) Ping(id balancer.ServerID, addr string) bool { return p.pings.Ping(id, addr) }
 
@@ -112,8 +112,8 @@
 	}
 }
 
-// accept starts the goroutine of a client, and evicts another one where the descriptors of unadmitted clients are used up.
-// It reports false where none may be evicted yet.
+// accept starts the goroutine of a client, and evicts another one if the descriptors of unadmitted clients are used up.
+// It reports false if none may be evicted yet.
 func (p *Proxy) accept(client *net.TCPConn) bool {
 	now := time.Now()
 	p.mu.Lock()
@@ -187,7 +187,7 @@
 	return pending
 }
 
-// PendingOpenings returns how many clients have not sent a complete opening line, or have had their final reply and not
+// PendingOpenings returns how many clients have not sent a complete opening line, or have had their final answer and not
 // closed. A front that was answered a health check and has sent nothing since is not counted.
 func (p *Proxy) PendingOpenings() (pending int) {
 	p.mu.Lock()
--- a/internal/proxy/quiesce.go
+++ b/internal/proxy/quiesce.go
@@ -77,7 +77,7 @@
 	return pending
 }
 
-// beginQuiesce begins to bring a connection to rest. It returns nil where it is not established, is closing, or could not
+// beginQuiesce begins to bring a connection to rest. It returns nil if it is not established, is closing, or could not
 // be handed off too often.
 func (c *conn) beginQuiesce() *quiescence {
 	c.mu.Lock()
@@ -102,7 +102,7 @@
 	return c.aborted || c.readingStopped || c.migrating.Load() || c.clientClosed.Load() || c.clientReset.Load()
 }
 
-// await waits until both goroutines have stopped, and reports false where timeout fires first.
+// await waits until both goroutines have stopped, and reports false if timeout fires first.
 func (q *quiescence) await(timeout <-chan time.Time) bool {
 	for _, stopped := range []chan struct{}{q.hostStopped, q.clientStopped} {
 		select {
--- a/internal/proxy/relay.go
+++ b/internal/proxy/relay.go
@@ -60,7 +60,7 @@
 	r.close(err)
 }
 
-// writeLines writes what is complete to the client, and notes what the lines say. It reports false where nothing is.
+// writeLines writes what is complete to the client, and notes what the lines say. It reports false if nothing is.
 func (r *relay) writeLines() (written bool, err error) {
 	chunk, stats := r.lines.CompleteLines()
 	if stats.Responses > 0 {
@@ -113,7 +113,7 @@
 	}
 	r.proxy.log.Debug(connectionClosedMessage,
 		zap.String("request", r.opening.ID),
-		zap.Stringer("host", r.host.RemoteAddr()),
+		zap.Stringer("addr", r.host.RemoteAddr()),
 		zap.Bool("migrated", migrating),
 		zap.Bool("client_closed", clientLeft),
 		zap.Duration("duration", time.Since(r.start)),
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -13,7 +13,7 @@
 	"onyxstream/internal/wire"
 )
 
-// serveRequest executes what the node decides for a request until the client has its answer or, where a host establishes
+// serveRequest executes what the node decides for a request until the client has its answer or, if a host establishes
 // the connection, until that has ended. A request that the node does not answer in time gets a reply of the proxy's own.
 func (c *conn) serveRequest(deadline time.Time) {
 	state := newRequestState()
@@ -55,7 +55,7 @@
 			zap.String("reply", strings.TrimSpace(cmd.reply)),
 			zap.Int("attempts", state.attempts),
 			zap.Duration("remaining", time.Until(deadline)))
-		c.countReplyLine(cmd.reply)
+		c.countAnswerLine(cmd.reply)
 		c.reply(cmd.reply)
 		return
 	}
@@ -95,7 +95,7 @@
 	}
 	switch {
 	case state.isOpen() || violated:
-		c.countReplyLine(state.fallback)
+		c.countAnswerLine(state.fallback)
 		c.reply(state.fallback)
 	case c.halfClosed.Load() && unanswered: // it has closed its side and may still read
 		c.writeReply(wire.Failure)
@@ -103,7 +103,7 @@
 }
 
 // resetEstablished resets both sides of an established connection, where a reply would stand among the host's lines. It
-// reports false where the connection is not established.
+// reports false if the connection is not established.
 func (c *conn) resetEstablished() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -125,7 +125,7 @@
 const (
 	attemptFailedMessage     = "attempt failed"
 	connectionClosedMessage  = "connection closed"
-	duplicateIDMessage       = "request id is in use by another connection"
+	duplicateIDMessage       = "request id already in use"
 	protocolViolationMessage = "protocol violation in opening line"
 )
 
@@ -138,11 +138,11 @@
 	took := time.Since(start)
 	if failure == nil && !c.establish(host) {
 		_ = host.Close()
-		failure = &AttemptError{Answering, errCanceled}
+		failure = &AttemptError{Answering, errCancelled}
 	}
 	if failure == nil {
 		c.logEstablished(target, took)
-		c.countReply(succeeded)
+		c.countAnswer(succeeded)
 		c.proxy.node.ConnectionEstablished(c.requestID, c, target.Number, took)
 		c.relay(host, &in, line, target.Number, start)
 		return true
@@ -150,7 +150,7 @@
 	in.Release()
 	c.proxy.log.Debug(attemptFailedMessage,
 		zap.String("request", c.opening.ID),
-		zap.String("host", target.Addr),
+		zap.String("addr", target.Addr),
 		zap.Duration("took", took),
 		zap.Error(failure))
 	isConcluded = c.isDisconnected()
@@ -164,7 +164,7 @@
 func (c *conn) logEstablished(target node.Attempt, took time.Duration) {
 	c.proxy.log.Debug("connection established",
 		zap.String("request", c.opening.ID),
-		zap.String("host", target.Addr),
+		zap.String("addr", target.Addr),
 		zap.Duration("took", took),
 		zap.Bool("mid_flow", c.opening.MidFlow),
 		zap.Bool("reconnect", c.opening.Reconnect),
@@ -174,7 +174,7 @@
 }
 
 // beginAttempt notes that an attempt is in flight, which the node or the client's disconnect can cancel, until end is
-// called. It is cancelled already where the client has disconnected or the proxy shuts down.
+// called. It is cancelled already if the client has disconnected or the proxy shuts down.
 func (c *conn) beginAttempt(number int, hostID string) (ctx context.Context, end func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	c.mu.Lock()
--- a/internal/proxy/requeststate.go
+++ b/internal/proxy/requeststate.go
@@ -10,7 +10,7 @@
 const (
 	awaitingNode requestPhase = iota // the client has no answer; no attempt is in flight
 	attempting                       // the client has no answer; the node waits for the outcome of an attempt
-	answered                         // the client was given the node's final reply
+	answered                         // the client was given the node's final answer
 	concluded                        // a host answered the client, or the client has disconnected
 )
 
@@ -18,7 +18,7 @@
 type requestState struct {
 	phase    requestPhase
 	attempts int    // that were taken up from the node
-	fallback string // the reply where the request ends without an answer
+	fallback string // the reply if the request ends without an answer
 }
 
 func newRequestState() requestState { return requestState{fallback: wire.Failure} }
@@ -40,7 +40,7 @@
 	}
 }
 
-// answer notes that the node's final reply is being written.
+// answer notes that the node's final answer is being written.
 func (s *requestState) answer() { s.phase = answered }
 
 // conclude notes that the client needs no answer of this node.
--- a/internal/proxy/resume.go
+++ b/internal/proxy/resume.go
@@ -77,13 +77,13 @@
 		return
 	}
 	state.attemptStarted(0)
-	c.countReply(succeeded)
+	c.countAnswer(succeeded)
 	c.proxy.node.ConnectionInherited(&c.opening, c)
 	c.relay(host, in, line, 0, start)
 	state.attemptReported(true)
 }
 
-// awaitRetry waits before a retry, and reports false where the client has disconnected.
+// awaitRetry waits before a retry, and reports false if the client has disconnected.
 func (c *conn) awaitRetry() bool {
 	select {
 	case <-c.disconnected:
--- a/internal/proxy/shutdown.go
+++ b/internal/proxy/shutdown.go
@@ -4,7 +4,7 @@
 	"time"
 )
 
-// shutdownGrace is how long Shutdown waits for clients that are not established to read their final reply and close.
+// shutdownGrace is how long Shutdown waits for clients that are not established to read their final answer and close.
 const shutdownGrace = 100 * time.Millisecond
 
 const shutdownPollInterval = time.Millisecond
@@ -22,7 +22,7 @@
 		time.Sleep(shutdownPollInterval)
 	}
 	for _, c := range p.unfinished(passThrough) {
-		closeWithMessage(c.client, "") // it has had its final reply and does not close
+		closeWithMessage(c.client, "") // it has had its final answer and does not close
 	}
 	if !passThrough {
 		p.clients.Wait()
--- a/internal/proxy/teardown.go
+++ b/internal/proxy/teardown.go
@@ -25,13 +25,13 @@
 	closeWriteTimeout = 20 * time.Millisecond
 )
 
-// reply writes the client's final reply and closes the connection.
+// reply writes the client's final answer and closes the connection.
 func (c *conn) reply(line string) {
 	c.writeReply(line)
 	c.lingerClose()
 }
 
-// writeReply writes a final reply to the client.
+// writeReply writes a final answer to the client.
 func (c *conn) writeReply(line string) {
 	_ = c.client.SetWriteDeadline(time.Now().Add(lingerTimeout))
 	_, _ = netio.WriteAll(c.client, []byte(line))
@@ -39,7 +39,7 @@
 
 // lingerClose closes the node's side and waits for the client to close its own.
 func (c *conn) lingerClose() {
-	c.proxy.markReplied(c)
+	c.proxy.markAnswered(c)
 	_ = c.client.CloseWrite()
 	c.mu.Lock()
 	c.readingStopped = true
@@ -64,7 +64,7 @@
 	_ = c.client.SetReadDeadline(netio.Expired)
 }
 
-// closeWithMessage writes a final reply, "" for none, and closes the connection without waiting for the client.
+// closeWithMessage writes a final answer, "" for none, and closes the connection without waiting for the client.
 func closeWithMessage(client *net.TCPConn, line string) {
 	_ = client.SetWriteDeadline(time.Now().Add(closeWriteTimeout))
 	if line != "" {
