--- a/internal/coldstart/coldstart_test.go
+++ b/internal/coldstart/coldstart_test.go
@@ -16,7 +16,7 @@
 func init() { _ = flag.Set("rapid.seed", "1") }
 
 // Hundreds of simultaneous calls overload the service. With gossip the number of calls must not grow with the fleet.
-func TestCalls_FleetStarts_StayFew(t *testing.T) {
+func TestCalls_FleetStarts_CallsBounded(t *testing.T) {
 	for _, n := range []int{3, 50, 150, 300, 600} {
 		s := &fakeService{}
 		receivedAt := runFleet(n, true, s, 5*time.Second)
@@ -35,7 +35,7 @@
 
 // Calls to a service that is down stay below a quarter of its capacity of 100 per second, and all nodes have the list
 // soon after it has recovered.
-func TestCalls_ServiceDown_StayBelowItsCapacity(t *testing.T) {
+func TestCalls_ServiceDown_BelowItsCapacity(t *testing.T) {
 	for _, down := range []time.Duration{5 * time.Second, 60 * time.Second} {
 		for _, n := range []int{50, 300, 600} {
 			s := &fakeService{downUntil: down}
@@ -56,7 +56,7 @@
 }
 
 // Retry-After is honoured; neither a missing one nor one of an hour makes a node call at once or never.
-func TestCallFailed_AnyRetryAfter_CalledAgainInTime(t *testing.T) {
+func TestCallFailed_AnyRetryAfter_RetriedInTime(t *testing.T) {
 	for _, retryAfter := range []time.Duration{0, time.Second, time.Hour, -time.Hour, 1 << 62} {
 		s := New(Config{NodeCount: 300, PollInterval: pollInterval}, rand.New(rand.NewPCG(1, 2)), 0, NoSource, Offer{})
 		now := time.Duration(0)
@@ -80,7 +80,7 @@
 
 // For offers in any order, of any age and service: the held revision never decreases, its age is never understated, and
 // no offer replaces what the service keeps current.
-func TestPeerList_AnyOffers_RevisionNeverGoesBack(t *testing.T) {
+func TestPeerList_AnyOffers_RevisionNeverDecreases(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := Config{NodeCount: 3, PollInterval: pollInterval, Peers: true, Service: "s"}
 		s := New(cfg, rand.New(rand.NewPCG(1, 2)), 0, NoSource, Offer{})
--- a/internal/ctxtime/sleep_test.go
+++ b/internal/ctxtime/sleep_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-func TestSleep_EndsWithTimeOrContext(t *testing.T) {
+func TestSleep_TimeOrContextEnds_Returns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
 		defer cancel()
--- a/internal/healthcheck/pinger_test.go
+++ b/internal/healthcheck/pinger_test.go
@@ -13,7 +13,7 @@
 func (*unlimited) Fits(int) bool { return true }
 
 // A request that comes as its host's goroutine times out for want of requests would otherwise stay without an answer.
-func TestRetire_RequestPending_Stays(t *testing.T) {
+func TestRetire_RequestPending_HostKept(t *testing.T) {
 	pinger := NewPinger(&unlimited{}, zap.NewNop())
 	host := &hostPinger{requests: make(chan struct{}, 1)}
 	pinger.hosts["h"] = host
--- a/internal/netio/netio_test.go
+++ b/internal/netio/netio_test.go
@@ -15,7 +15,7 @@
 
 // A broken connection shows by many errors of the system. ETIMEDOUT is one of them and no deadline of this process: such
 // a connection must not be read again. The close of the peer's side alone is no break.
-func TestConnectionErrors_Classified(t *testing.T) {
+func TestConnectionError_EachKind_Classified(t *testing.T) {
 	deadline := &net.OpError{Op: "read", Net: "tcp", Err: os.ErrDeadlineExceeded}
 	for _, c := range []struct {
 		err                     error
--- a/internal/node/coldstart_spread_test.go
+++ b/internal/node/coldstart_spread_test.go
@@ -39,10 +39,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		const nodes = 40
 		var mu sync.Mutex
-		var at []time.Duration
+		var firstCalls []time.Duration
 		var ended sync.WaitGroup
 		ctx, cancel := context.WithCancel(t.Context())
-		out := callTimes{&mu, &at, time.Now()}
+		transport := callTimes{&mu, &firstCalls, time.Now()}
 		for i := range nodes {
 			set := settings.Settings{Settings: balancer.Settings{
 				PollList:     true,
@@ -50,7 +50,7 @@
 				NodeCount:    nodes,
 				NodeIndex:    i,
 			}}
-			n := New(set, wire.EndpointList{}, "disco", out, zap.NewNop())
+			n := New(set, wire.EndpointList{}, "disco", transport, zap.NewNop())
 			cfg := coldstart.Config{NodeCount: nodes, Index: i, PollInterval: set.PollInterval, Service: "s"}
 			rng := rand.New(rand.NewPCG(7, uint64(i)))
 			n.EnableColdStart(coldstart.New(cfg, rng, n.now(), coldstart.NoSource, coldstart.Offer{}), "s")
@@ -59,14 +59,14 @@
 		time.Sleep(3 * time.Second)
 		cancel()
 		ended.Wait()
-		if len(at) != nodes {
-			t.Fatalf("%d of %d nodes have called the service", len(at), nodes)
+		if len(firstCalls) != nodes {
+			t.Fatalf("%d of %d nodes have called the service", len(firstCalls), nodes)
 		}
-		slices.Sort(at)
+		slices.Sort(firstCalls)
 		const together, most = 5 * time.Millisecond, 6
-		for i := range at {
-			if i >= most && at[i]-at[i-most] < together {
-				t.Fatalf("over %d of %d nodes call within %v: %v", most, nodes, together, at)
+		for i := range firstCalls {
+			if i >= most && firstCalls[i]-firstCalls[i-most] < together {
+				t.Fatalf("over %d of %d nodes call within %v: %v", most, nodes, together, firstCalls)
 			}
 		}
 	})
--- a/internal/node/coldstart_test.go
+++ b/internal/node/coldstart_test.go
@@ -17,8 +17,8 @@
 // watchRecorder is a Transport that passes on list requests.
 type watchRecorder struct{ calls chan ListRequest }
 
-func (a *watchRecorder) Watch(c ListRequest)                 { a.calls <- c }
-func (a *watchRecorder) Ping(balancer.ServerID, string) bool { return true }
+func (r *watchRecorder) Watch(c ListRequest)                 { r.calls <- c }
+func (r *watchRecorder) Ping(balancer.ServerID, string) bool { return true }
 
 // startNode returns a node whose loop runs until the test ends.
 func startNode(t *testing.T, cold bool) (*Node, *watchRecorder) {
--- a/internal/node/discovery_test.go
+++ b/internal/node/discovery_test.go
@@ -27,26 +27,26 @@
 
 // No attempt can be started to a host without an address: the balancer must be notified of that.
 func TestAttempt_HostWithoutAddress_Rejected(t *testing.T) {
-	m := endpoint("s1", wire.Serving)
-	m.Addr = ""
-	n, _, _ := newTestNode(t, m)
-	if p := arrive(t, n, "r"); p.recorded() != "reject true" || n.InFlightRequests() != 0 {
-		t.Errorf("%s; %d in flight", p.recorded(), n.InFlightRequests())
+	entry := endpoint("s1", wire.Serving)
+	entry.Addr = ""
+	n, _, _ := newTestNode(t, entry)
+	if conn := arrive(t, n, "r"); conn.recorded() != "reject true" || n.InFlightRequests() != 0 {
+		t.Errorf("%s; %d in flight", conn.recorded(), n.InFlightRequests())
 	}
-	if p := arrive(t, n, "q"); p.recorded() != "reject true" || len(n.requests) != 0 {
-		t.Errorf("%s; %d kept", p.recorded(), len(n.requests))
+	if conn := arrive(t, n, "q"); conn.recorded() != "reject true" || len(n.requests) != 0 {
+		t.Errorf("%s; %d kept", conn.recorded(), len(n.requests))
 	}
 }
 
 func TestWatch_PollDue_AsksFromHeldRevision(t *testing.T) {
 	set := testSettings()
 	set.PollInterval = time.Millisecond // the balancer polls within a twentieth of it
-	w := &fakeTransport{}
-	n := New(set, wire.EndpointList{Revision: 7}, "d:1", w, zap.NewNop())
+	transport := &fakeTransport{}
+	n := New(set, wire.EndpointList{Revision: 7}, "d:1", transport, zap.NewNop())
 	time.Sleep(time.Millisecond)
 	n.decide(balancer.Timer{Token: "sweep"})
-	if len(w.watches) != 1 || w.watches[0] != (ListRequest{1, "d:1", 7}) {
-		t.Fatalf("watches %v, want one from revision 7", w.watches)
+	if len(transport.watches) != 1 || transport.watches[0] != (ListRequest{1, "d:1", 7}) {
+		t.Fatalf("watches %v, want one from revision 7", transport.watches)
 	}
 	n.handle(listReceived{sequence: 1, list: changesOf(9, endpoint("s2", wire.Serving))})
 	if n.revision != 9 || n.hosts["s2"] == nil {
@@ -57,18 +57,18 @@
 // Another discovery is asked for a snapshot, as it does not know the old one's revisions. Until that is there the
 // balancer sees neither a failure nor an empty list.
 func TestDiscoveryAddr_Changed_AsksForSnapshot(t *testing.T) {
-	n, w, _ := newTestNode(t, endpoint("s1", wire.Serving), endpoint("s2", wire.Serving))
+	n, transport, _ := newTestNode(t, endpoint("s1", wire.Serving), endpoint("s2", wire.Serving))
 	n.watch()
 	serves := func(when string) {
 		t.Helper()
-		if p := arrive(t, n, when); !strings.HasPrefix(p.recorded(), "send 0 ") {
-			t.Errorf("%s: %q", when, p.recorded())
+		if conn := arrive(t, n, when); !strings.HasPrefix(conn.recorded(), "send 0 ") {
+			t.Errorf("%s: %q", when, conn.recorded())
 		}
 	}
 	n.handle(discoveryAddrChanged{addr: "d:2"})
 	n.handle(discoveryAddrChanged{addr: "d:3"})
-	if want := (ListRequest{3, "d:3", NoRevision}); len(w.watches) != 3 || w.watches[2] != want {
-		t.Fatalf("asked %v, want %v last", w.watches, want)
+	if want := (ListRequest{3, "d:3", NoRevision}); len(transport.watches) != 3 || transport.watches[2] != want {
+		t.Fatalf("asked %v, want %v last", transport.watches, want)
 	}
 	n.handle(watchFailed{sequence: 1})
 	n.handle(watchFailed{sequence: 2})
@@ -80,12 +80,12 @@
 	}
 	n.handle(watchFailed{sequence: 3})
 	n.watch()
-	if got := w.watches[len(w.watches)-1]; got != (ListRequest{4, "d:3", NoRevision}) {
+	if got := transport.watches[len(transport.watches)-1]; got != (ListRequest{4, "d:3", NoRevision}) {
 		t.Errorf("after a failure asked %v", got)
 	}
 	n.handle(listReceived{sequence: 4, list: snapshotOf(2, endpoint("s1", wire.Serving))})
 	n.watch()
-	if got := w.watches[len(w.watches)-1]; got != (ListRequest{5, "d:3", 2}) {
+	if got := transport.watches[len(transport.watches)-1]; got != (ListRequest{5, "d:3", 2}) {
 		t.Errorf("after the list asked %v", got)
 	}
 	if n.hosts["s2"].state != balancer.Removed || n.hosts["s1"].state != balancer.Live {
@@ -96,18 +96,18 @@
 
 // Without polling the node restarts a broken watch by itself.
 func TestWatch_FailsWithoutPolling_RetriedAfterDelay(t *testing.T) {
-	n, w, _ := newTestNode(t)
+	n, transport, _ := newTestNode(t)
 	n.settings.PollList = false
 	n.watch()
 	n.handle(watchFailed{sequence: 1})
 	n.handleTick(time.Now())
-	if len(w.watches) != 1 {
+	if len(transport.watches) != 1 {
 		t.Fatal("watched again at once")
 	}
 	n.handleTick(time.Now().Add(time.Second))
 	n.handleTick(time.Now().Add(2 * time.Second))
-	if len(w.watches) != 2 {
-		t.Errorf("%d watches, want 2", len(w.watches))
+	if len(transport.watches) != 2 {
+		t.Errorf("%d watches, want 2", len(transport.watches))
 	}
 }
 
@@ -120,22 +120,22 @@
 	} {
 		for _, polled := range []bool{true, false} {
 			t.Run(fmt.Sprintf("%s, polled %v", name, polled), func(t *testing.T) {
-				n, w, _ := newTestNode(t, endpoint("s1", wire.Serving))
+				n, transport, _ := newTestNode(t, endpoint("s1", wire.Serving))
 				n.settings.PollList = polled
 				n.watch()
 				for _, e := range order {
 					n.handle(e)
 				}
-				last := w.watches[len(w.watches)-1]
-				if len(w.watches) != 2 || last.Addr != "new:1" || last.AfterRevision != NoRevision {
-					t.Fatalf("calls %v", w.watches)
+				last := transport.watches[len(transport.watches)-1]
+				if len(transport.watches) != 2 || last.Addr != "new:1" || last.AfterRevision != NoRevision {
+					t.Fatalf("calls %v", transport.watches)
 				}
 				list := *snapshotOf(3, endpoint("s2", wire.Serving))
 				n.handle(listReceived{sequence: 2, list: &list})
 				n.handle(watchFails)
 				n.handleTick(time.Now().Add(time.Minute))
-				if len(w.watches) != 2 || n.revision != 3 {
-					t.Errorf("calls %v, revision %d", w.watches, n.revision)
+				if len(transport.watches) != 2 || n.revision != 3 {
+					t.Errorf("calls %v, revision %d", transport.watches, n.revision)
 				}
 			})
 		}
--- a/internal/node/events_bench_test.go
+++ b/internal/node/events_bench_test.go
@@ -15,21 +15,21 @@
 func BenchmarkLoadReport(b *testing.B) {
 	known := *snapshotOf(7, endpoint("s1", wire.Serving))
 	n := New(testSettings(), known, "d:1", &fakeTransport{}, zap.NewNop())
-	p := &fakeConn{}
+	conn := &fakeConn{}
 	_, o, err := wire.ParseOpening([]byte("OPEN r key c=chat,t=acme,d=2000"))
 	if err != nil {
 		b.Fatal(err)
 	}
-	n.RequestArrived(&o, time.Now().Add(2*time.Second), p)
+	n.RequestArrived(&o, time.Now().Add(2*time.Second), conn)
 	n.handle(<-n.events)
-	n.ConnectionEstablished("r", p, 0, time.Millisecond)
+	n.ConnectionEstablished("r", conn, 0, time.Millisecond)
 	n.handle(<-n.events)
 	if n.EstablishedConnections() != 1 {
 		b.Fatal("connection is not established")
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		n.ReportLoad(balancer.RequestID("r"), p, 5)
+		n.ReportLoad(balancer.RequestID("r"), conn, 5)
 		n.handle(<-n.events)
 	}
 }
--- a/internal/node/fixtures_test.go
+++ b/internal/node/fixtures_test.go
@@ -61,13 +61,13 @@
 	pingsFail bool
 }
 
-func (w *fakeTransport) Watch(c ListRequest) { w.watches = append(w.watches, c) }
+func (t *fakeTransport) Watch(c ListRequest) { t.watches = append(t.watches, c) }
 
-func (w *fakeTransport) Ping(id balancer.ServerID, _ string) bool {
-	if w.pingsFail {
+func (t *fakeTransport) Ping(id balancer.ServerID, _ string) bool {
+	if t.pingsFail {
 		return false
 	}
-	w.pings = append(w.pings, id)
+	t.pings = append(t.pings, id)
 	return true
 }
 
@@ -136,13 +136,13 @@
 // arrive passes a client's opening line to the node.
 func arrive(t *testing.T, n *Node, id string) *fakeConn {
 	t.Helper()
-	p := &fakeConn{}
+	conn := &fakeConn{}
 	n.handle(requestArrived{
-		requestRef: requestRef{id: balancer.RequestID(id), conn: p},
+		requestRef: requestRef{id: balancer.RequestID(id), conn: conn},
 		opening:    parseOpening(t, "OPEN "+id+" key c=chat,t=acme,d=2000"),
 		deadline:   time.Now().Add(2 * time.Second),
 	})
-	return p
+	return conn
 }
 
 // endAttemptEvent returns the event of an attempt's outcome.
@@ -167,7 +167,7 @@
 // establish passes an opening line to the node and establishes its connection.
 func establish(t *testing.T, n *Node, id string) *fakeConn {
 	t.Helper()
-	p := arrive(t, n, id)
+	conn := arrive(t, n, id)
 	n.handle(establishedEvent(id, 0))
-	return p
+	return conn
 }
--- a/internal/node/latency_test.go
+++ b/internal/node/latency_test.go
@@ -14,25 +14,25 @@
 func TestUnresponsiveHost_TwoTicks_ClientMigratedOnce(t *testing.T) {
 	n, _, logs := newTestNode(t, endpoint("s1", wire.Serving))
 	n.slowMessageThreshold = 0 // no latency reports
-	p, q := establish(t, n, "r"), establish(t, n, "q")
-	p.stats = MessageStats{OldestWait: unresponsiveAfter + time.Millisecond}
-	q.stats = MessageStats{OldestWait: unresponsiveAfter - time.Millisecond}
+	unresponsive, healthy := establish(t, n, "r"), establish(t, n, "q")
+	unresponsive.stats = MessageStats{OldestWait: unresponsiveAfter + time.Millisecond}
+	healthy.stats = MessageStats{OldestWait: unresponsiveAfter - time.Millisecond}
 	n.handleTick(time.Now())
-	if strings.Contains(p.recorded(), "migrate") {
+	if strings.Contains(unresponsive.recorded(), "migrate") {
 		t.Error("migrated at the first tick, as every client would be of a node that was suspended")
 	}
-	p.stats = MessageStats{}
+	unresponsive.stats = MessageStats{}
 	n.handleTick(time.Now())
-	p.stats = MessageStats{OldestWait: unresponsiveAfter + time.Millisecond}
+	unresponsive.stats = MessageStats{OldestWait: unresponsiveAfter + time.Millisecond}
 	n.handleTick(time.Now())
-	if strings.Contains(p.recorded(), "migrate") {
+	if strings.Contains(unresponsive.recorded(), "migrate") {
 		t.Error("migrated though the host had answered in between")
 	}
 	n.handleTick(time.Now())
 	n.handleTick(time.Now())
-	if strings.Count(p.recorded(), "migrate") != 1 || strings.Contains(q.recorded(), "migrate") ||
+	if strings.Count(unresponsive.recorded(), "migrate") != 1 || strings.Contains(healthy.recorded(), "migrate") ||
 		logs.FilterMessageSnippet("host unresponsive").Len() != 1 {
-		t.Errorf("unresponsive: %s; healthy: %s", p.recorded(), q.recorded())
+		t.Errorf("unresponsive: %s; healthy: %s", unresponsive.recorded(), healthy.recorded())
 	}
 }
 
@@ -43,10 +43,10 @@
 	conns := []*fakeConn{establish(t, n, "r0"), establish(t, n, "r1"), establish(t, n, "r2")}
 	host := n.hosts["s1"]
 	second := func(took ...time.Duration) {
-		for i, p := range conns {
+		for i, conn := range conns {
 			if took[i] > 0 {
-				p.stats.Answered++
-				p.stats.LastLatency = took[i]
+				conn.stats.Answered++
+				conn.stats.LastLatency = took[i]
 			}
 		}
 		for range ticksPerMeasurement {
@@ -66,8 +66,8 @@
 			t.Errorf("second %d: slow %v, want %v; %d samples kept", i, host.reportedSlow, c.slow, len(host.latencySamples))
 		}
 	}
-	for _, p := range conns { // all three: the balancer may have migrated some of them
-		p.stats.OldestWait = 40 * time.Millisecond
+	for _, conn := range conns { // all three: the balancer may have migrated some of them
+		conn.stats.OldestWait = 40 * time.Millisecond
 	}
 	if second(0, 0, 0); !host.reportedSlow {
 		t.Error("messages without a reply are not reported")
@@ -190,22 +190,22 @@
 
 // A ping that could not be sent, as without a free descriptor, says nothing of the host.
 func TestPing_NotSent_NoReport(t *testing.T) {
-	n, w, _ := newTestNode(t, endpoint("s1", wire.Serving))
+	n, transport, _ := newTestNode(t, endpoint("s1", wire.Serving))
 	n.settings.ReportsLatency, n.settings.MayProbe = true, true
-	w.pingsFail = true
-	p := establish(t, n, "r")
+	transport.pingsFail = true
+	conn := establish(t, n, "r")
 	for range 8 * ticksPerMeasurement {
 		n.handleTick(time.Now())
 	}
-	if on := n.requests["r"].host; on.reportedSlow || strings.Contains(p.recorded(), "migrate") {
-		t.Errorf("slow %v; %s", on.reportedSlow, p.recorded())
+	if host := n.requests["r"].host; host.reportedSlow || strings.Contains(conn.recorded(), "migrate") {
+		t.Errorf("slow %v; %s", host.reportedSlow, conn.recorded())
 	}
-	w.pingsFail = false
+	transport.pingsFail = false
 	for range 2 * ticksPerMeasurement {
 		n.handleTick(time.Now())
 	}
-	if len(w.pings) != 1 {
-		t.Errorf("%d pings once they can be sent, want 1", len(w.pings))
+	if len(transport.pings) != 1 {
+		t.Errorf("%d pings once they can be sent, want 1", len(transport.pings))
 	}
 }
 
@@ -225,8 +225,8 @@
 		n.handle(pingCompleted{host: "s1", took: took * time.Millisecond})
 	}
 	migrated := 0
-	for _, p := range conns {
-		migrated += strings.Count(p.recorded(), "migrate")
+	for _, conn := range conns {
+		migrated += strings.Count(conn.recorded(), "migrate")
 	}
 	if migrated < 15 || migrated > 17 {
 		t.Errorf("%d of 20 migrated, want four fifths", migrated)
@@ -251,7 +251,7 @@
 }
 
 // The backlog of a host that stays at 2.5 times its best grows with each ping.
-func TestBacklog_HostStaysSlow_GrowsEachPing(t *testing.T) {
+func TestBacklog_HostRemainsSlow_GrowsEachPing(t *testing.T) {
 	n, _, _ := newTestNode(t, endpoint("s1", wire.Serving))
 	n.settings.ReportsLatency, n.settings.MayProbe = true, true
 	establish(t, n, "r")
--- a/internal/node/loop_test.go
+++ b/internal/node/loop_test.go
@@ -18,8 +18,8 @@
 	if logs.FilterMessage("panic while handling event").Len() != 1 {
 		t.Error("the panic is not logged")
 	}
-	if p := arrive(t, n, "r"); p.recorded() != "send 0 s1:1" {
-		t.Errorf("after it: %s", p.recorded())
+	if conn := arrive(t, n, "r"); conn.recorded() != "send 0 s1:1" {
+		t.Errorf("after it: %s", conn.recorded())
 	}
 }
 
@@ -32,23 +32,23 @@
 		defer close(ended)
 		_ = n.Run(ctx)
 	}()
-	var all sync.WaitGroup
+	var clients sync.WaitGroup
 	for i := range 50 {
-		all.Add(1)
+		clients.Add(1)
 		go func() {
-			defer all.Done()
+			defer clients.Done()
 			id := balancer.RequestID(fmt.Sprint(i))
-			o := parseOpening(t, fmt.Sprintf("OPEN %d key%d c=chat,d=2000", i, i))
-			p := &fakeConn{}
-			n.RequestArrived(o, time.Now().Add(2*time.Second), p)
-			n.AttemptConnected(id, p, 0)
-			n.ConnectionEstablished(id, p, 0, time.Millisecond)
-			n.ReportLoad(id, p, float64(i))
+			opening := parseOpening(t, fmt.Sprintf("OPEN %d key%d c=chat,d=2000", i, i))
+			conn := &fakeConn{}
+			n.RequestArrived(opening, time.Now().Add(2*time.Second), conn)
+			n.AttemptConnected(id, conn, 0)
+			n.ConnectionEstablished(id, conn, 0, time.Millisecond)
+			n.ReportLoad(id, conn, float64(i))
 			n.ListReceived(1, changesOf(int64(i), endpoint(fmt.Sprint("n", i%5), wire.Serving)))
-			n.AttemptEnded(id, p, 0, time.Millisecond, balancer.Served)
+			n.AttemptEnded(id, conn, 0, time.Millisecond, balancer.Served)
 		}()
 	}
-	all.Wait()
+	clients.Wait()
 	// Earlier events have been handled once this one is answered.
 	resumed := parseOpening(t, "OPEN resumed key c=chat,t=acme,at=s1")
 	if addr, ok := n.ResumeConnection(resumed, &fakeConn{}); addr != "s1:1" || !ok {
--- a/internal/node/migrate_test.go
+++ b/internal/node/migrate_test.go
@@ -16,8 +16,8 @@
 		conns = append(conns, establish(t, n, fmt.Sprint("r", i)))
 	}
 	migrated := func() (k int) {
-		for _, p := range conns {
-			k += strings.Count(p.recorded(), "migrate")
+		for _, conn := range conns {
+			k += strings.Count(conn.recorded(), "migrate")
 		}
 		return k
 	}
--- a/internal/node/overrides_test.go
+++ b/internal/node/overrides_test.go
@@ -11,20 +11,20 @@
 
 // An override before the first list, as in a hot restart, must not count as an answer of discovery.
 func TestHostOverride_BeforeFirstList_ListStillPolled(t *testing.T) {
-	n, w, _ := newTestNode(t, endpoint("a", wire.Serving), endpoint("b", wire.Serving))
+	n, transport, _ := newTestNode(t, endpoint("a", wire.Serving), endpoint("b", wire.Serving))
 	for _, drain := range []bool{true, false} {
 		if err := n.overrideHost("a", drain, false, time.Now()); err != nil {
 			t.Fatal(err)
 		}
 	}
 	deadline := n.now() + n.settings.PollInterval
-	for now := n.now(); now < deadline && len(w.watches) == 0; now += 200 * time.Millisecond {
+	for now := n.now(); now < deadline && len(transport.watches) == 0; now += 200 * time.Millisecond {
 		for _, a := range n.balancer.Handle(now, balancer.Timer{Token: "sweep"}) {
 			n.perform(a)
 		}
 	}
-	if len(w.watches) != 1 {
-		t.Errorf("%d list requests, want 1", len(w.watches))
+	if len(transport.watches) != 1 {
+		t.Errorf("%d list requests, want 1", len(transport.watches))
 	}
 }
 
@@ -64,10 +64,10 @@
 
 // An override holds whatever the list says of the host, and an attempt that connects after the drain grace is not
 // written.
-func TestHostOverride_ListChanges_HostStaysOut(t *testing.T) {
+func TestHostOverride_ListChanges_HostNotUsed(t *testing.T) {
 	n, _, _ := newTestNode(t, endpoint("a", wire.Serving))
-	p := arrive(t, n, "r")
-	if got := p.recorded(); got == "" {
+	conn := arrive(t, n, "r")
+	if got := conn.recorded(); got == "" {
 		t.Fatal("no attempt was started")
 	}
 	if err := n.overrideHost("a", true, true, time.Now()); err != nil {
@@ -75,7 +75,7 @@
 	}
 	n.hosts["a"].notifiedAt = time.Now().Add(-time.Second)
 	n.handle(attemptConnected{requestRef: requestRef{id: "r"}})
-	if got := p.recorded(); !strings.HasSuffix(got, "proceed 0 false") {
+	if got := conn.recorded(); !strings.HasSuffix(got, "proceed 0 false") {
 		t.Errorf("attempt that connects late: %q", got)
 	}
 	restarted := endpoint("a", wire.Serving)
@@ -97,8 +97,8 @@
 			t.Errorf("with %+v the host is used", c.endpoint)
 		}
 	}
-	q := arrive(t, n, "s")
-	if got := q.recorded(); got != "reject true" {
+	second := arrive(t, n, "s")
+	if got := second.recorded(); got != "reject true" {
 		t.Errorf("with all hosts overridden: %q", got)
 	}
 }
--- a/internal/node/requests_test.go
+++ b/internal/node/requests_test.go
@@ -12,14 +12,14 @@
 
 func TestRequest_ServedAndEnded_IsReleased(t *testing.T) {
 	n, _, _ := newTestNode(t, endpoint("s1", wire.Serving))
-	p := arrive(t, n, "r")
-	if p.recorded() != "send 0 s1:1" || n.InFlightRequests() != 1 {
-		t.Fatalf("%s; %d in flight", p.recorded(), n.InFlightRequests())
+	conn := arrive(t, n, "r")
+	if conn.recorded() != "send 0 s1:1" || n.InFlightRequests() != 1 {
+		t.Fatalf("%s; %d in flight", conn.recorded(), n.InFlightRequests())
 	}
 	n.handle(attemptConnected{requestRef: requestRef{id: "r"}})
 	n.handle(establishedEvent("r", 0))
-	if p.recorded() != "send 0 s1:1, proceed 0 true" || n.InFlightRequests() != 0 || n.EstablishedConnections() != 1 {
-		t.Fatalf("%s; %d in flight, %d established", p.recorded(), n.InFlightRequests(), n.EstablishedConnections())
+	if conn.recorded() != "send 0 s1:1, proceed 0 true" || n.InFlightRequests() != 0 || n.EstablishedConnections() != 1 {
+		t.Fatalf("%s; %d in flight, %d established", conn.recorded(), n.InFlightRequests(), n.EstablishedConnections())
 	}
 	n.handle(&loadReported{requestRef: requestRef{id: "r"}, load: 5})
 	n.handle(endAttemptEvent("r", 0, balancer.Served))
@@ -30,34 +30,34 @@
 
 func TestRequest_AllHostsFail_RejectedAtOnce(t *testing.T) {
 	n, _, _ := newTestNode(t, endpoint("s1", wire.Serving), endpoint("s2", wire.Serving))
-	p := arrive(t, n, "r")
+	conn := arrive(t, n, "r")
 	n.handle(endAttemptEvent("r", 0, balancer.ConnectFailed))
-	if len(p.sent) != 2 || p.sent[0].Addr == p.sent[1].Addr {
-		t.Fatalf("sent to %v", p.sent)
+	if len(conn.sent) != 2 || conn.sent[0].Addr == conn.sent[1].Addr {
+		t.Fatalf("sent to %v", conn.sent)
 	}
 	n.handle(endAttemptEvent("r", 1, balancer.Rejected))
-	if !strings.HasSuffix(p.recorded(), "reject true") || n.InFlightRequests() != 0 || len(n.requests) != 0 {
-		t.Errorf("%s; %d in flight, %d requests kept", p.recorded(), n.InFlightRequests(), len(n.requests))
+	if !strings.HasSuffix(conn.recorded(), "reject true") || n.InFlightRequests() != 0 || len(n.requests) != 0 {
+		t.Errorf("%s; %d in flight, %d requests kept", conn.recorded(), n.InFlightRequests(), len(n.requests))
 	}
 }
 
 // Events that come twice, late or for another attempt are ignored.
 func TestRequest_LateOrDuplicateEvents_Ignored(t *testing.T) {
 	n, _, _ := newTestNode(t, endpoint("s1", wire.Serving), endpoint("s2", wire.Serving))
-	p := arrive(t, n, "r")
+	conn := arrive(t, n, "r")
 	n.handle(endAttemptEvent("r", 0, balancer.Errored))
-	calls := p.recorded()
+	calls := conn.recorded()
 	n.handle(endAttemptEvent("r", 0, balancer.Errored))
 	n.handle(establishedEvent("r", 0))
 	n.handle(endAttemptEvent("r", 7, balancer.Rejected))
 	n.handle(endAttemptEvent("other", 0, balancer.Rejected))
 	n.handle(&loadReported{requestRef: requestRef{id: "r"}, load: 1})
-	if p.recorded() != calls {
-		t.Errorf("then also %s", p.recorded())
+	if conn.recorded() != calls {
+		t.Errorf("then also %s", conn.recorded())
 	}
 	n.handle(attemptConnected{requestRef: requestRef{id: "r"}, attempt: 0})
-	if !strings.HasSuffix(p.recorded(), "proceed 0 false") {
-		t.Errorf("an attempt that is over may be written: %s", p.recorded())
+	if !strings.HasSuffix(conn.recorded(), "proceed 0 false") {
+		t.Errorf("an attempt that is over may be written: %s", conn.recorded())
 	}
 	again := arrive(t, n, "r")
 	if again.recorded() != "fail" || n.InFlightRequests() != 1 {
@@ -67,14 +67,14 @@
 
 func TestClientDisconnected_AttemptInFlight_Released(t *testing.T) {
 	n, _, _ := newTestNode(t, endpoint("s1", wire.Serving))
-	p := arrive(t, n, "r")
+	conn := arrive(t, n, "r")
 	n.handle(clientDisconnected{requestRef: requestRef{id: "r"}, attemptsTaken: 1})
-	if !strings.HasSuffix(p.recorded(), "cancel 0") || n.InFlightRequests() != 0 || len(n.requests) != 1 {
-		t.Fatalf("%s; %d in flight, %d requests kept", p.recorded(), n.InFlightRequests(), len(n.requests))
+	if !strings.HasSuffix(conn.recorded(), "cancel 0") || n.InFlightRequests() != 0 || len(n.requests) != 1 {
+		t.Fatalf("%s; %d in flight, %d requests kept", conn.recorded(), n.InFlightRequests(), len(n.requests))
 	}
 	n.handle(endAttemptEvent("r", 0, balancer.Cancelled))
-	if len(n.requests) != 0 || strings.Contains(p.recorded(), "reject") {
-		t.Errorf("%s; %d requests kept", p.recorded(), len(n.requests))
+	if len(n.requests) != 0 || strings.Contains(conn.recorded(), "reject") {
+		t.Errorf("%s; %d requests kept", conn.recorded(), len(n.requests))
 	}
 	// An attempt that the ended connection never received must be released by the loop.
 	arrive(t, n, "q")
@@ -86,14 +86,14 @@
 
 func TestArrival_UnknownClass_Failed(t *testing.T) {
 	n, _, logs := newTestNode(t, endpoint("s1", wire.Serving))
-	p := &fakeConn{}
+	conn := &fakeConn{}
 	n.handle(requestArrived{
-		requestRef: requestRef{id: "r", conn: p},
+		requestRef: requestRef{id: "r", conn: conn},
 		opening:    parseOpening(t, "OPEN r key c=odd"),
 		deadline:   time.Now().Add(time.Second),
 	})
-	if p.recorded() != "fail" || len(n.requests) != 0 || logs.FilterMessageSnippet("class").Len() != 1 {
-		t.Errorf("%s; %d requests kept", p.recorded(), len(n.requests))
+	if conn.recorded() != "fail" || len(n.requests) != 0 || logs.FilterMessageSnippet("class").Len() != 1 {
+		t.Errorf("%s; %d requests kept", conn.recorded(), len(n.requests))
 	}
 }
 
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -35,8 +35,8 @@
 		n.handle(endAttemptEvent(id, 0, balancer.Cancelled))
 	}
 	late := arrive(t, n, "late")
-	for name, p := range map[string]*fakeConn{"waits": waiting, "dials": dialling, "mid": midFlow, "late": late} {
-		calls := p.recorded()
+	for name, conn := range map[string]*fakeConn{"waits": waiting, "dials": dialling, "mid": midFlow, "late": late} {
+		calls := conn.recorded()
 		if strings.Count(calls, "reject")+strings.Count(calls, "fail") != 1 || strings.Count(calls, "send") > 1 {
 			t.Errorf("%s: %s", name, calls)
 		}
@@ -54,8 +54,8 @@
 func TestArrival_NodeShuttingDown_TimeLeftIsBounded(t *testing.T) {
 	n, _, _ := newTestNode(t, endpoint("s1", wire.Serving))
 	n.handle(shutdownRequested{deadline: time.Now().Add(50 * time.Millisecond)})
-	p := arrive(t, n, "r")
-	if len(p.sent) != 1 || p.sent[0].Timeout > 50*time.Millisecond {
-		t.Errorf("sent %+v", p.sent)
+	conn := arrive(t, n, "r")
+	if len(conn.sent) != 1 || conn.sent[0].Timeout > 50*time.Millisecond {
+		t.Errorf("sent %+v", conn.sent)
 	}
 }
--- a/internal/node/wallclock_test.go
+++ b/internal/node/wallclock_test.go
@@ -44,20 +44,20 @@
 func TestHostAcceptsWrites_DelayBeforeWrite_GraceKept(t *testing.T) {
 	const delay = 150 * time.Millisecond
 	n, _, _ := newTestNode(t, endpoint("a", wire.Serving))
-	m := n.hosts["a"]
-	m.state = balancer.Draining
+	host := n.hosts["a"]
+	host.state = balancer.Draining
 	for _, grace := range []time.Duration{
 		50 * time.Millisecond, 100 * time.Millisecond, 400 * time.Millisecond, 2 * time.Second,
 	} {
 		n.settings.DrainGrace = grace
-		m.notifiedAt = time.Now().Add(delay - grace) // a write after the delay comes just after the grace
-		if n.hostAcceptsWrites(m) {
+		host.notifiedAt = time.Now().Add(delay - grace) // a write after the delay comes just after the grace
+		if n.hostAcceptsWrites(host) {
 			t.Errorf("a grace of %v: a line may go %v before its end", grace, delay)
 		}
 	}
 	n.settings.DrainGrace = 2 * time.Second
-	m.notifiedAt = time.Now()
-	if !n.hostAcceptsWrites(m) {
+	host.notifiedAt = time.Now()
+	if !n.hostAcceptsWrites(host) {
 		t.Error("nothing may go within a long grace")
 	}
 }
--- a/internal/node/watch_test.go
+++ b/internal/node/watch_test.go
@@ -19,16 +19,16 @@
 	calls []ListRequest
 }
 
-func (a *concurrentTransport) Watch(q ListRequest) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.calls = append(a.calls, q)
+func (t *concurrentTransport) Watch(q ListRequest) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.calls = append(t.calls, q)
 }
 
-func (a *concurrentTransport) last() (q ListRequest, n int) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	return a.calls[len(a.calls)-1], len(a.calls)
+func (t *concurrentTransport) last() (q ListRequest, n int) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.calls[len(t.calls)-1], len(t.calls)
 }
 
 // The watch at the former discovery may bring an event after the request to the new one has failed. It must not count
@@ -39,18 +39,18 @@
 			synctest.Test(t, func(t *testing.T) {
 				set := testSettings()
 				set.PollList = polled
-				a := &concurrentTransport{}
+				transport := &concurrentTransport{}
 				known := *snapshotOf(7, endpoint("s1", wire.Serving))
-				n := New(set, known, "old:1", a, zap.NewNop())
+				n := New(set, known, "old:1", transport, zap.NewNop())
 				ctx, cancel := context.WithCancel(t.Context())
 				defer cancel()
 				go func() { _ = n.Run(ctx) }()
 				time.Sleep(7 * time.Second)
-				first, _ := a.last()
+				first, _ := transport.last()
 				n.ListReceived(first.Sequence, changesOf(8, endpoint("s2", wire.Serving)))
 				n.SetDiscoveryAddr("new:1")
 				synctest.Wait()
-				second, calls := a.last()
+				second, calls := transport.last()
 				if second.Addr != "new:1" {
 					t.Fatalf("requests %+v", second)
 				}
@@ -61,7 +61,7 @@
 				n.WatchFailed(first.Sequence, 0)
 				time.Sleep(3 * time.Second) // balancer.MaxRepollDelay and MaxRewatchDelay are shorter
 				synctest.Wait()
-				if third, now := a.last(); now <= calls || third.Addr != "new:1" || third.AfterRevision != NoRevision {
+				if third, now := transport.last(); now <= calls || third.Addr != "new:1" || third.AfterRevision != NoRevision {
 					t.Errorf("polled %v, complete %v: after 3 s the last of %d requests is %+v, the failed one was the %dth",
 						polled, complete, now, third, calls)
 				}
--- a/internal/node/writecheck_test.go
+++ b/internal/node/writecheck_test.go
@@ -66,9 +66,9 @@
 		}, map[invariant.Rule]uint64{invariant.ConcurrentAttempt: 1}},
 	} {
 		n, _, _ := newTestNode(t, endpoint("a", wire.Serving))
-		p := arrive(t, n, "r")
+		conn := arrive(t, n, "r")
 		c.change(n, n.requests["r"])
-		n.handle(attemptWritten{requestRef: requestRef{id: "r", conn: p}, at: time.Now()})
+		n.handle(attemptWritten{requestRef: requestRef{id: "r", conn: conn}, at: time.Now()})
 		for _, rule := range invariant.Rules() {
 			if got := n.Monitor().Count(rule); got != c.want[rule] {
 				t.Errorf("%s: %q counted %d times, want %d", c.name, rule, got, c.want[rule])
@@ -108,16 +108,16 @@
 // An attempt counts as sent at its first byte: one that connects after the grace must not be written.
 func TestAttempt_HostDrainGraceOver_NotWritten(t *testing.T) {
 	n, _, _ := newTestNode(t, endpoint("s1", wire.Serving))
-	p := arrive(t, n, "r")
+	conn := arrive(t, n, "r")
 	n.applyList(changesOf(8, endpoint("s1", wire.Draining)), balancer.ListDelta, false)
 	n.handle(attemptConnected{requestRef: requestRef{id: "r"}})
-	if !strings.HasSuffix(p.recorded(), "proceed 0 true") {
-		t.Fatalf("within the grace: %s", p.recorded())
+	if !strings.HasSuffix(conn.recorded(), "proceed 0 true") {
+		t.Fatalf("within the grace: %s", conn.recorded())
 	}
 	n.hosts["s1"].notifiedAt = time.Now().Add(-n.settings.DrainGrace)
 	n.handle(attemptConnected{requestRef: requestRef{id: "r"}})
-	if !strings.HasSuffix(p.recorded(), "proceed 0 false") {
-		t.Fatalf("after the grace: %s", p.recorded())
+	if !strings.HasSuffix(conn.recorded(), "proceed 0 false") {
+		t.Fatalf("after the grace: %s", conn.recorded())
 	}
 	// A second notification, or the removal, does not start another grace.
 	n.applyList(changesOf(9, endpoint("s1", wire.Removed)), balancer.ListDelta, false)
@@ -153,17 +153,17 @@
 			set.Classes[0].Effect, set.Classes[0].IdempotencyWindow = c.effect, window
 			known := *snapshotOf(7, endpoint("s1", wire.Serving), endpoint("s2", wire.Serving))
 			n := New(set, known, "d:1", &fakeTransport{}, zap.NewNop())
-			p := arrive(t, n, "r")
+			conn := arrive(t, n, "r")
 			n.handle(endAttemptEvent("r", 0, c.first))
-			if len(p.sent) != 2 {
-				t.Fatalf("sent to %v", p.sent)
+			if len(conn.sent) != 2 {
+				t.Fatalf("sent to %v", conn.sent)
 			}
 			if c.past {
 				time.Sleep(window)
 			}
 			n.handle(attemptConnected{requestRef: requestRef{id: "r"}, attempt: 1})
-			if !strings.HasSuffix(p.recorded(), c.want) {
-				t.Errorf("%s; want %s", p.recorded(), c.want)
+			if !strings.HasSuffix(conn.recorded(), c.want) {
+				t.Errorf("%s; want %s", conn.recorded(), c.want)
 			}
 		})
 	}
--- a/internal/proxy/invariants_test.go
+++ b/internal/proxy/invariants_test.go
@@ -15,7 +15,7 @@
 }
 
 // Every violation at the end of a request is counted, and nothing else.
-func TestCheckCompletion_ConnectionEnds(t *testing.T) {
+func TestCheckCompletion_ConnectionEnds_ViolationCounted(t *testing.T) {
 	now := time.Now()
 	for _, c := range []struct {
 		name string
--- a/internal/proxy/requeststate_test.go
+++ b/internal/proxy/requeststate_test.go
@@ -6,7 +6,7 @@
 	"onyxstream/internal/wire"
 )
 
-func TestRequestState_Transitions(t *testing.T) {
+func TestRequestState_EachChange_PhaseFollows(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		change   func(*requestState)
--- a/internal/proxy/shutdown_test.go
+++ b/internal/proxy/shutdown_test.go
@@ -142,7 +142,7 @@
 	}
 }
 
-func TestShutdown_NoGoroutineLeaked(t *testing.T) {
+func TestShutdown_ConnectionsInEachState_NoGoroutineLeaked(t *testing.T) {
 	before := goleak.IgnoreCurrent()
 	var hosts sync.WaitGroup
 	l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/proxy/teardown_test.go
+++ b/internal/proxy/teardown_test.go
@@ -90,7 +90,7 @@
 }
 
 // Small writes that a socket holds back would be lost with a reset that follows.
-func TestSockets_NoDelay(t *testing.T) {
+func TestSockets_EachSide_NoDelaySet(t *testing.T) {
 	client, accepted := connect(t)
 	f, err := accepted.File()
 	if err != nil {
--- a/internal/syserr/syserr_test.go
+++ b/internal/syserr/syserr_test.go
@@ -18,7 +18,7 @@
 	}
 }
 
-func TestClassify_EachErrno(t *testing.T) {
+func TestLacks_EachErrno_Classified(t *testing.T) {
 	type classes struct{ memory, resources, address, read bool }
 	for errno, want := range map[syscall.Errno]classes{
 		syscall.ENOBUFS:       {memory: true, resources: true, read: true},
