--- a/internal/discovery/stream.go
+++ b/internal/discovery/stream.go
@@ -10,10 +10,10 @@
 	"onyxstream/internal/wire"
 )
 
-// A change must reach the node within notifyWithin of the moment at which discovery had it and could be reached, whatever
-// failed before. A watch that falls silent is given up after heartbeatTimeout, a call in flight as discovery recovers
-// after callTimeout. The next call follows within balancer.MaxRepollDelay, or node.MaxRewatchDelay where polling is off;
-// the rest of notifyWithin is for its answer.
+// A change must reach the node within notifyWithin of the moment at which discovery had it and could be reached,
+// whatever failed before. A watch that falls silent is given up after heartbeatTimeout, a call in flight as discovery
+// recovers after callTimeout. The next call follows within balancer.MaxRepollDelay, or node.MaxRewatchDelay where
+// polling is off; the rest of notifyWithin is for its answer.
 const (
 	notifyWithin     = 6 * time.Second
 	callTimeout      = 3 * time.Second         // from the start of the dial to the first answer
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -32,8 +32,8 @@
 // Attach sets the node that is notified.
 func (w *Watcher) Attach(n *node.Node) { w.node = n }
 
-// Watch requests a call. It does not block, and may be called by any goroutine: a request that has not been taken up yet
-// is superseded.
+// Watch requests a call. It does not block, and may be called by any goroutine: a request that has not been taken up
+// yet is superseded.
 func (w *Watcher) Watch(request node.ListRequest) {
 	for {
 		select {
@@ -65,8 +65,8 @@
 	}
 }
 
-// Run makes the calls that are requested until ctx ends. A new call stops the previous one once it has delivered its first
-// list. The node is notified of the end of a call unless a newer call or ctx caused it.
+// Run makes the calls that are requested until ctx ends. A new call stops the previous one once it has delivered its
+// first list. The node is notified of the end of a call unless a newer call or ctx caused it.
 func (w *Watcher) Run(ctx context.Context) error {
 	var current *call
 	for {
@@ -83,8 +83,8 @@
 	}
 }
 
-// supersede starts a call. The current one goes on beside it if it has delivered a list; otherwise it is stopped, and the
-// one before it goes on.
+// supersede starts a call. The current one goes on beside it if it has delivered a list; otherwise it is stopped, and
+// the one before it goes on.
 func (w *Watcher) supersede(ctx context.Context, current *call, request node.ListRequest) *call {
 	previous := current
 	if current != nil && !current.delivered.Load() {
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -56,8 +56,8 @@
 	return n
 }
 
-// The longest delays between a change and the next call: a watch falls silent right behind a heartbeat; a call is lost as
-// discovery recovers. What is left of the bound is for the answer.
+// The longest delays between a change and the next call: a watch falls silent right behind a heartbeat; a call is
+// lost as discovery recovers. What is left of the bound is for the answer.
 func TestTimeouts_WorstCase_WithinNotificationBound(t *testing.T) {
 	const answer = 400 * time.Millisecond
 	for name, longest := range map[string]time.Duration{
@@ -179,8 +179,8 @@
 	})
 }
 
-// A call that is in flight as discovery is reconfigured is superseded: neither its failure nor its list counts as the new
-// call's.
+// A call that is in flight as discovery is reconfigured is superseded: neither its failure nor its list counts as the
+// new call's.
 func TestWatch_Superseded_ListIgnored(t *testing.T) {
 	hold := make(chan struct{})
 	called := make(chan struct{}, 1)
--- a/internal/healthcheck/pinger.go
+++ b/internal/healthcheck/pinger.go
@@ -20,15 +20,15 @@
 	idleTimeout = 10 * time.Second // a host that was not to be pinged for so long loses its connection
 )
 
-// ReservedPings is how many hosts can always be pinged at the same time. Their descriptors are reserved; those of further
-// pings are taken from what clients leave.
+// ReservedPings is how many hosts can always be pinged at the same time. Their descriptors are reserved; those of
+// further pings are taken from what clients leave.
 const ReservedPings = 16
 
 // FailedPing is the duration that is reported of a ping that failed before its timeout.
 const FailedPing time.Duration = -1
 
-// Budget is the descriptor budget that pings share with clients. Its lock also guards the set of pinged hosts, so that a
-// decision on the budget and its effect on that set are one step.
+// Budget is the descriptor budget that pings share with clients. Its lock also guards the set of pinged hosts, so
+// that a decision on the budget and its effect on that set are one step.
 type Budget interface {
 	sync.Locker
 	// Fits reports whether so many more descriptors are within the budget. The lock is held.
@@ -120,8 +120,8 @@
 // Unreserved returns how many descriptors pings hold beyond those that are reserved. The budget's lock is held.
 func (p *Pinger) Unreserved() int { return max(len(p.hosts)-ReservedPings, 0) }
 
-// ReleaseUntil stops pinging hosts until enough reports true or only reserved descriptors are held. The budget's lock is
-// held.
+// ReleaseUntil stops pinging hosts until enough reports true or only reserved descriptors are held. The budget's lock
+// is held.
 func (p *Pinger) ReleaseUntil(enough func() bool) {
 	for id, host := range p.hosts {
 		if enough() || len(p.hosts) <= ReservedPings {
--- a/internal/netio/available.go
+++ b/internal/netio/available.go
@@ -10,9 +10,9 @@
 	"onyxstream/internal/syserr"
 )
 
-// ReadAvailable reads what a connection has received already, whatever its deadlines are, and never blocks. It returns 0
-// and no error if nothing has been received, and io.EOF if the peer has closed its side. Beside a blocking read on
-// the same connection either of the two gets the bytes.
+// ReadAvailable reads what a connection has received already, whatever its deadlines are, and never blocks. It
+// returns 0 and no error if nothing has been received, and io.EOF if the peer has closed its side. Beside a blocking
+// read on the same connection either of the two gets the bytes.
 func ReadAvailable(c *net.TCPConn, into []byte) (n int, err error) {
 	raw, err := c.SyscallConn()
 	if err != nil {
--- a/internal/netio/netio.go
+++ b/internal/netio/netio.go
@@ -1,6 +1,6 @@
-// Package netio reads and writes TCP connections where the standard library leaves a decision to its caller: it retries
-// calls that fail for want of memory, reads what has been received without blocking, and classifies the errors that end a
-// connection.
+// Package netio reads and writes TCP connections where the standard library leaves a decision to its caller: it
+// retries calls that fail for want of memory, reads what has been received without blocking, and classifies the
+// errors that end a connection.
 package netio
 
 import (
--- a/internal/netio/netio_test.go
+++ b/internal/netio/netio_test.go
@@ -13,8 +13,8 @@
 	return &net.OpError{Op: "read", Net: "tcp", Err: os.NewSyscallError("read", errno)}
 }
 
-// A broken connection shows by many errors of the system. ETIMEDOUT is one of them and no deadline of this process: such
-// a connection must not be read again. The close of the peer's side alone is no break.
+// A broken connection shows by many errors of the system. ETIMEDOUT is one of them and no deadline of this process:
+// such a connection must not be read again. The close of the peer's side alone is no break.
 func TestConnectionError_EachKind_Classified(t *testing.T) {
 	deadline := &net.OpError{Op: "read", Net: "tcp", Err: os.ErrDeadlineExceeded}
 	for _, c := range []struct {
--- a/internal/netio/netiotest/netiotest.go
+++ b/internal/netio/netiotest/netiotest.go
@@ -50,8 +50,8 @@
 	return listener.Addr().String()
 }
 
-// Connect returns both sides of a connection that a listener accepted, and closes the listener. Both sides are closed as
-// the test ends.
+// Connect returns both sides of a connection that a listener accepted, and closes the listener. Both sides are closed
+// as the test ends.
 func Connect(t *testing.T, listener *net.TCPListener) (client, server *net.TCPConn) {
 	t.Helper()
 	defer listener.Close()
--- a/internal/netio/retry.go
+++ b/internal/netio/retry.go
@@ -16,8 +16,8 @@
 	maxImmediateRetries = 8
 )
 
-// RetryLowMemory calls call until it succeeds, fails for another reason than want of memory in the system, or has failed
-// so for a second. It returns the error of the last call. Such a failure says nothing of the connection.
+// RetryLowMemory calls call until it succeeds, fails for another reason than want of memory in the system, or has
+// failed so for a second. It returns the error of the last call. Such a failure says nothing of the connection.
 func RetryLowMemory(call func() error) error {
 	var firstFailure time.Time
 	for {
@@ -48,8 +48,8 @@
 	return n, err
 }
 
-// WriteAll writes all of data to a connection, and retries while the system lacks memory. It returns how many bytes were
-// written.
+// WriteAll writes all of data to a connection, and retries while the system lacks memory. It returns how many bytes
+// were written.
 func WriteAll(c net.Conn, data []byte) (n int, err error) {
 	err = RetryLowMemory(func() error {
 		written, err := c.Write(data[n:])
--- a/internal/proxy/adopt.go
+++ b/internal/proxy/adopt.go
@@ -15,8 +15,8 @@
 	errShutDown       = errors.New("proxy is shut down")
 )
 
-// Adopt resumes a connection that another process of the node has handed off. One that cannot be resumed is migrated: it
-// rests between two lines, and no other process has its client.
+// Adopt resumes a connection that another process of the node has handed off. One that cannot be resumed is migrated:
+// it is between two lines, and no other process has its client.
 func (p *Proxy) Adopt(handedOff EstablishedConn) error {
 	err := p.adopt(handedOff)
 	if err != nil {
--- a/internal/proxy/attempt_test.go
+++ b/internal/proxy/attempt_test.go
@@ -126,7 +126,8 @@
 	var in wire.LineBuffer
 	target := node.Attempt{Addr: addr, Timeout: time.Second}
 	_, _, failed := attemptWith(context.Background(), t, target, func() error { return errNotAuthorized }, &in)
-	if failed == nil || failed.Stage != Authorizing || failed.Outcome() != balancer.NotSent || !errors.Is(failed, errNotAuthorized) {
+	if failed == nil || failed.Stage != Authorizing || failed.Outcome() != balancer.NotSent ||
+		!errors.Is(failed, errNotAuthorized) {
 		t.Errorf("failed with %v", failed)
 	}
 	if n := <-bytesRead; n != 0 {
--- a/internal/proxy/budget.go
+++ b/internal/proxy/budget.go
@@ -7,9 +7,10 @@
 	"go.uber.org/zap"
 )
 
-// The descriptor budget. A client holds one descriptor until its opening line is complete, and again once it has had its
-// final answer; such a client is unadmitted and may be evicted for a newer one. In between it holds two, its own and its
-// host's. Reserved beside them are the descriptors of the process itself and enough to read clients and reject them.
+// The descriptor budget. A client holds one descriptor until its opening line is complete, and again once it has had
+// its final answer; such a client is unadmitted and may be evicted for a newer one. In between it holds two, its own
+// and its host's. Reserved beside them are the descriptors of the process itself and enough to read clients and
+// reject them.
 const (
 	descriptorsPerClient = 2  // of an admitted client
 	processDescriptors   = 40 // standard streams, poller, listener, one just accepted, watches, reserved pings
@@ -151,8 +152,8 @@
 	c.unadmitted = p.unadmitted.PushBack(c)
 }
 
-// evictable returns which client is evicted next: the first one that has had its final answer and a grace period to read
-// it, else the first one that was read and is past its grace period. It returns nil if none is. mu is held.
+// evictable returns which client is evicted next: the first one that has had its final answer and a grace period to
+// read it, else the first one that was read and is past its grace period. It returns nil if none is. mu is held.
 func (p *Proxy) evictable(now time.Time) *conn {
 	var first *conn
 	for element := p.unadmitted.Front(); element != nil; element = element.Next() {
@@ -170,8 +171,8 @@
 	return first
 }
 
-// evict closes an unadmitted client. One that has begun its opening line is sent a rejection: a close alone would lose its
-// request. mu is held; the write does not block, since nothing was written before.
+// evict closes an unadmitted client. One that has begun its opening line is sent a rejection: a close alone would
+// lose its request. mu is held; the write does not block, since nothing was written before.
 func (p *Proxy) evict(c *conn) {
 	message := ""
 	if !c.answered && c.stopReadingOpening() {
--- a/internal/proxy/conn.go
+++ b/internal/proxy/conn.go
@@ -16,8 +16,9 @@
 	"onyxstream/internal/wire"
 )
 
-// conn is a client's connection. One goroutine, serve, reads the opening line, makes the attempts and then copies from the
-// host to the client; another, forwardClient, reads the client meanwhile. The node calls the methods of node.ClientConn.
+// conn is a client's connection. One goroutine, serve, reads the opening line, makes the attempts and then copies
+// from the host to the client; another, forwardClient, reads the client meanwhile. The node calls the methods of
+// node.ClientConn.
 type conn struct {
 	budgetSlot
 	messageLatency
@@ -41,7 +42,7 @@
 	shuttingDown     bool               // no attempt may be established any more
 	evicted          bool               // the opening line is read no more
 	readingStopped   bool               // nothing more is read of the client for its host
-	quiescing        *quiescence        // while it is brought to rest for a hand-off, else nil
+	quiescing        *quiescence        // while it is quiesced for a hand-off, else nil
 	failedHandOffs   int
 	violatedProtocol bool         // the client sent more than its opening line before it was established
 	answers          answerRecord // the final answers that the client was given
@@ -136,8 +137,8 @@
 }
 
 // shutDown begins to end the connection; the proxy's mutex is held. An established one is reset, or left open with
-// passThrough. Any other ends by its own goroutine, which alone knows what was read: serveRequest replies to an admitted
-// client, readOpening still reads what has come of an opening line.
+// passThrough. Any other ends by its own goroutine, which alone knows what was read: serveRequest replies to an
+// admitted client, readOpening still reads what has come of an opening line.
 func (c *conn) shutDown(passThrough bool) {
 	established := c.isEstablished()
 	if established && passThrough {
--- a/internal/proxy/disconnect.go
+++ b/internal/proxy/disconnect.go
@@ -39,8 +39,8 @@
 }
 
 // forwardClient reads the client: before the connection is established to notice that the client disconnects, then to
-// forward its messages. A mid-flow client may send messages early; they are held back, and the client is read on while the
-// buffer has space.
+// forward its messages. A mid-flow client may send messages early; they are held back, and the client is read on
+// while the buffer has space.
 func (c *conn) forwardClient(in *wire.LineBuffer) {
 	for {
 		var readOn bool
--- a/internal/proxy/disconnect_test.go
+++ b/internal/proxy/disconnect_test.go
@@ -15,8 +15,8 @@
 	"onyxstream/internal/wire"
 )
 
-// A client that sent its opening line and closed while it waited in the listener's queue is replied to at once, without the
-// node or a host. The node's event queue is full, so that a request passed to it would block.
+// A client that sent its opening line and closed while it waited in the listener's queue is replied to at once,
+// without the node or a host. The node's event queue is full, so that a request passed to it would block.
 func TestServe_ClientClosedInAcceptQueue_NotForwarded(t *testing.T) {
 	host := startCountingHost(t, establishedLine)
 	r := startNode(t, zap.NewNop(), false, host.addr)
@@ -95,8 +95,8 @@
 	}
 }
 
-// A client that closes its side as its connection is established has its early messages forwarded: the close stands behind
-// what lies unread.
+// A client that closes its side as its connection is established has its early messages forwarded: the close stands
+// behind what lies unread.
 func TestMidFlowClient_ClosesAsEstablished_LinesForwarded(t *testing.T) {
 	r := startNode(t, zap.NewNop(), false)
 	client, server := connect(t)
--- a/internal/proxy/hosts_test.go
+++ b/internal/proxy/hosts_test.go
@@ -22,7 +22,8 @@
 	})
 }
 
-// echoHost starts a host that establishes every connection and echoes each line. It writes what it receives on texts at once.
+// echoHost starts a host that establishes every connection and echoes each line. It writes what it receives on texts
+// at once.
 func echoHost(t *testing.T, texts chan string) string {
 	return netiotest.Serve(t, func(c *net.TCPConn) {
 		in := bufio.NewReader(c)
--- a/internal/proxy/invariants.go
+++ b/internal/proxy/invariants.go
@@ -37,8 +37,8 @@
 	}
 }
 
-// checkCompletion checks that a request had one final answer by its deadline. One that its client resumes at its current
-// host is exempt.
+// checkCompletion checks that a request had one final answer by its deadline. One that its client resumes at its
+// current host is exempt.
 func (c *conn) checkCompletion(deadline time.Time) {
 	if c.opening.CurrentHost != "" {
 		return
--- a/internal/proxy/opening.go
+++ b/internal/proxy/opening.go
@@ -116,8 +116,8 @@
 }
 
 // receive reads more of the opening line, and reports false if the connection has ended. On the timeout or a shutdown
-// what has come by then is read once more: a close over a request that has just come would lose it without a reply. With
-// an incomplete line a shutdown rejects the client; everyone else is closed without a reply.
+// what has come by then is read once more: a close over a request that has just come would lose it without a reply.
+// With an incomplete line a shutdown rejects the client; everyone else is closed without a reply.
 func (r *openingReader) receive() bool {
 	r.openingRead.Store(true)
 	n, err := r.awaitBytes(r.in.Space())
@@ -153,8 +153,8 @@
 	return n, err
 }
 
-// readUnlessEvicted waits for bytes. The read and the note that bytes have come are one step under mu: whoever evicts the
-// connection, see stopReadingOpening, either finds the bytes unread or knows of them.
+// readUnlessEvicted waits for bytes. The read and the note that bytes have come are one step under mu: whoever evicts
+// the connection, see stopReadingOpening, either finds the bytes unread or knows of them.
 func (c *conn) readUnlessEvicted(raw syscall.RawConn, into []byte) (n int, err error) {
 	waitErr := raw.Read(func(fd uintptr) bool {
 		c.mu.Lock()
--- a/internal/proxy/panic_test.go
+++ b/internal/proxy/panic_test.go
@@ -76,7 +76,8 @@
 	}
 }
 
-// A client whose opening line was read is replied to. This proxy has no node, so that looking up the request's class panics.
+// A client whose opening line was read is replied to. This proxy has no node, so that looking up the request's class
+// panics.
 func TestServe_PanicsAfterOpening_Replied(t *testing.T) {
 	p := New(Config{MaxDescriptors: 256}, zap.NewNop())
 	client, server := connect(t)
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -79,7 +79,8 @@
 // Listener is where clients come from.
 type Listener interface{ AcceptTCP() (*net.TCPConn, error) }
 
-// Listen opens a TCP listener without multipath TCP, which neither the front nor the hosts speak, and without keep-alive.
+// Listen opens a TCP listener without multipath TCP, which neither the front nor the hosts speak, and without
+// keep-alive.
 func Listen(ctx context.Context, addr string) (*net.TCPListener, error) {
 	var cfg net.ListenConfig
 	cfg.SetMultipathTCP(false)
@@ -187,8 +188,8 @@
 	return pending
 }
 
-// PendingOpenings returns how many clients have not sent a complete opening line, or have had their final answer and not
-// closed. A front that was answered a health check and has sent nothing since is not counted.
+// PendingOpenings returns how many clients have not sent a complete opening line, or have had their final answer and
+// not closed. A front that was answered a health check and has sent nothing since is not counted.
 func (p *Proxy) PendingOpenings() (pending int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/proxy/quiesce.go
+++ b/internal/proxy/quiesce.go
@@ -8,10 +8,11 @@
 	"onyxstream/internal/netio"
 )
 
-// The hand-off of established connections to the node's next process, for a hot restart, this process's side: a connection
-// is brought to rest between two lines, and either handed off or resumed. Package sharedstate passes the sockets.
+// The hand-off of established connections to the node's next process during a hot restart, on this process's side: a
+// connection is quiesced between two lines, and then either handed off or resumed. Package hotrestart passes the
+// sockets.
 
-// EstablishedConn is an established connection at rest: what a process needs to resume it.
+// EstablishedConn is a quiesced connection, as another process needs it to resume it.
 type EstablishedConn struct {
 	Line         string // the client's opening line
 	Host         string // the host's id
@@ -21,14 +22,15 @@
 }
 
 const (
-	// quiesceTimeout bounds the wait for a connection to come to rest. One whose client or host does not read stays.
+	// quiesceTimeout bounds the wait for connections to stop. One whose client or host does not read is not handed off.
 	quiesceTimeout = 50 * time.Millisecond
-	// maxFailedHandOffs bounds how often a connection that was not handed off is brought to rest again: each time delays
-	// its messages.
+	// maxFailedHandOffs bounds how often a connection that was not handed off is quiesced again: each time delays its
+	// messages.
 	maxFailedHandOffs = 8
 )
 
-// quiescence is a connection's way to rest. Both its goroutines stop there until the hand-off is decided.
+// quiescence is the state of a connection that is being quiesced. Both its goroutines wait until the hand-off is
+// decided.
 type quiescence struct {
 	conn          *conn
 	host          *net.TCPConn
@@ -43,8 +45,9 @@
 	load    float64
 }
 
-// Quiesce brings up to n established connections to rest. It returns those that came to rest, and for each a function that
-// decides: with true another process has it, with false it is resumed here. Each must be called: the clients wait.
+// Quiesce quiesces up to n established connections. It returns those that stopped in time, and for each a function
+// that ends the wait: with true another process has the connection, with false it is resumed here. Each must be
+// called, as the clients wait.
 func (p *Proxy) Quiesce(n int) (conns []EstablishedConn, decide []func(handedOff bool)) {
 	pending := p.beginQuiesce(n)
 	timeout := time.NewTimer(quiesceTimeout)
@@ -62,7 +65,7 @@
 	return conns, decide
 }
 
-// beginQuiesce begins to bring up to n connections to rest.
+// beginQuiesce begins to quiesce up to n connections.
 func (p *Proxy) beginQuiesce(n int) (pending []*quiescence) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -77,8 +80,8 @@
 	return pending
 }
 
-// beginQuiesce begins to bring a connection to rest. It returns nil if it is not established, is closing, or could not
-// be handed off too often.
+// beginQuiesce begins to quiesce a connection. It returns nil if the connection is not established, is closing, or has
+// failed to be handed off too often.
 func (c *conn) beginQuiesce() *quiescence {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -114,7 +117,7 @@
 	return true
 }
 
-// complete reports whether both goroutines have stopped, between two lines.
+// complete reports whether both goroutines have stopped between two lines.
 func (q *quiescence) complete() bool {
 	for _, stopped := range []chan struct{}{q.hostStopped, q.clientStopped} {
 		select {
@@ -137,13 +140,13 @@
 	}
 }
 
-// decide ends the rest: the connection was handed off, or is resumed here.
+// decide ends the wait of both goroutines: the connection was handed off, or is resumed here.
 func (q *quiescence) decide(handedOff bool) {
 	q.conn.mu.Lock()
 	q.handedOff = handedOff
 	q.conn.quiescing = nil
 	if handedOff {
-		q.conn.readingStopped = true // not to be brought to rest again while it ends here
+		q.conn.readingStopped = true // not to be quiesced again while it ends here
 	} else {
 		q.conn.failedHandOffs++
 	}
@@ -160,8 +163,8 @@
 	stopHandedOff                // another process has it
 )
 
-// awaitHandOff is where the goroutines of a connection wait, each after a read of its side that timed out. stopped notes
-// in a quiescence that this goroutine has stopped.
+// awaitHandOff waits until the hand-off of a quiescing connection is decided. Each of its goroutines calls it after a
+// read of its side that timed out. stopped records in the quiescence that this goroutine has stopped.
 func (c *conn) awaitHandOff(side *net.TCPConn, stopped func(*quiescence)) handOff {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/proxy/relay.go
+++ b/internal/proxy/relay.go
@@ -26,7 +26,9 @@
 
 // relay copies from the host to the client until one side ends, and then ends the other alike. buffered holds what the
 // host has sent already, behind establishedLine.
-func (c *conn) relay(host *net.TCPConn, buffered *wire.LineBuffer, establishedLine []byte, attempt int, start time.Time) {
+func (c *conn) relay(
+	host *net.TCPConn, buffered *wire.LineBuffer, establishedLine []byte, attempt int, start time.Time,
+) {
 	r := relay{
 		conn:    c,
 		host:    host,
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -14,7 +14,8 @@
 )
 
 // serveRequest executes what the node decides for a request until the client has its answer or, if a host establishes
-// the connection, until that has ended. A request that the node does not answer in time gets a reply of the proxy's own.
+// the connection, until that has ended. A request that the node does not answer in time gets a reply of the proxy's
+// own.
 func (c *conn) serveRequest(deadline time.Time) {
 	state := newRequestState()
 	defer c.finishRequest(&state)
@@ -61,7 +62,8 @@
 	}
 	target := *cmd.attempt
 	state.attemptStarted(target.Number)
-	target.Timeout = min(target.Timeout, time.Until(deadline)+c.proxy.cfg.AnswerSlack) // the backstop does not fire meanwhile
+	// The backstop does not fire while the attempt is in flight, so the attempt must end by its time.
+	target.Timeout = min(target.Timeout, time.Until(deadline)+c.proxy.cfg.AnswerSlack)
 	state.attemptReported(c.attemptHost(target))
 }
 
@@ -129,8 +131,8 @@
 	protocolViolationMessage = "protocol violation in opening line"
 )
 
-// attemptHost makes one attempt and, if it establishes the connection, relays until that ends. It notifies the node, and
-// reports whether the client needs no further attempt: a host has answered it, or it has disconnected.
+// attemptHost makes one attempt and, if it establishes the connection, relays until that ends. It notifies the node,
+// and reports whether the client needs no further attempt: a host has answered it, or it has disconnected.
 func (c *conn) attemptHost(target node.Attempt) (isConcluded bool) {
 	start := time.Now()
 	var in wire.LineBuffer
@@ -213,8 +215,8 @@
 	}, in)
 }
 
-// awaitAuthorization asks the node whether an attempt that has connected may write. A node that does not answer must not
-// hold the client beyond the attempt's timeout.
+// awaitAuthorization asks the node whether an attempt that has connected may write. A node that does not answer must
+// not hold the client beyond the attempt's timeout.
 func (c *conn) awaitAuthorization(ctx context.Context, number int, timeout <-chan time.Time) error {
 	c.proxy.node.AttemptConnected(c.requestID, c, number)
 	select {
--- a/internal/proxy/requeststate.go
+++ b/internal/proxy/requeststate.go
@@ -32,7 +32,8 @@
 	s.attempts = number + 1
 }
 
-// attemptReported notes that the node knows the attempt's outcome. isConcluded says that the client needs no further one.
+// attemptReported notes that the node knows the attempt's outcome. isConcluded says that the client needs no further
+// one.
 func (s *requestState) attemptReported(isConcluded bool) {
 	s.phase = awaitingNode
 	if isConcluded {
--- a/internal/proxy/requeststate_test.go
+++ b/internal/proxy/requeststate_test.go
@@ -29,7 +29,8 @@
 	} {
 		state := newRequestState()
 		c.change(&state)
-		if state.phase != c.phase || state.isOpen() != c.open || state.attempts != c.attempts || state.fallback != wire.Failure {
+		if state.phase != c.phase || state.isOpen() != c.open || state.attempts != c.attempts ||
+			state.fallback != wire.Failure {
 			t.Errorf("%s: %+v, open %v; want phase %d, open %v, %d attempts",
 				c.name, state, state.isOpen(), c.phase, c.open, c.attempts)
 		}
--- a/internal/proxy/resume.go
+++ b/internal/proxy/resume.go
@@ -37,8 +37,8 @@
 	}
 }
 
-// resumeAt makes one attempt to resume at a host and, if that establishes the connection, relays until it ends. It reports
-// whether to retry.
+// resumeAt makes one attempt to resume at a host and, if that establishes the connection, relays until it ends. It
+// reports whether to retry.
 func (c *conn) resumeAt(addr string, state *requestState) (retry bool) {
 	var in wire.LineBuffer
 	start := time.Now()
--- a/internal/proxy/shutdown_test.go
+++ b/internal/proxy/shutdown_test.go
@@ -32,8 +32,8 @@
 	r.proxy.beginShutdown(false)
 }
 
-// A request or a part of one that comes on an idle connection as the shutdown begins is rejected; who has sent nothing is
-// closed by FIN. No client is reset.
+// A request or a part of one that comes on an idle connection as the shutdown begins is rejected; who has sent
+// nothing is closed by FIN. No client is reset.
 func TestShutdown_OpeningPartlyRead_Replied(t *testing.T) {
 	for _, c := range []struct{ name, text, want string }{
 		{"a complete line on an idle connection", openRequest + "\r\n", rejectionPrefix},
