--- a/internal/node/discovery.go
+++ b/internal/node/discovery.go
@@ -63,9 +63,8 @@
 	if e.list.Complete {
 		kind = balancer.ListSnapshot
 	}
-	superseded := e.sequence != n.watchSequence
-	n.applyList(e.list, kind, superseded)
-	if !superseded {
+	n.applyList(e.list, kind, e.sequence != n.watchSequence)
+	if e.sequence == n.watchSequence { // compared again: applying the list may request another one
 		n.revision = e.list.Revision
 		n.recordListReceived()
 	}
