--- a/internal/healthcheck/pinger.go
+++ b/internal/healthcheck/pinger.go
@@ -197,7 +197,7 @@
 	p.receiver.PingCompleted(id, took)
 }
 
-// retire removes a host and reports whether it did. Unless force is set, one with a request that has just come stays:
+// retire removes a host and reports whether it did. Unless force is set, one with a pending request stays:
 // without an answer the host would pass for one that does not respond.
 func (p *Pinger) retire(id balancer.ServerID, host *hostPinger, force bool) bool {
 	p.budget.Lock()
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -63,7 +63,7 @@
 	f()
 }
 
-// handle dispatches one event. Reply channels have room for the reply, so that sending it never blocks.
+// handle dispatches one event. Reply channels are buffered, so that sending it never blocks.
 func (n *Node) handle(e event) {
 	switch e := e.(type) {
 	case requestEvent:
--- a/internal/node/requests_test.go
+++ b/internal/node/requests_test.go
@@ -41,7 +41,7 @@
 	}
 }
 
-// Events that come twice, late or for another attempt are ignored.
+// Events that arrive twice, late or for another attempt are ignored.
 func TestRequest_LateOrDuplicateEvents_Ignored(t *testing.T) {
 	n, _, _ := newTestNode(t, endpoint("s1", wire.Serving), endpoint("s2", wire.Serving))
 	conn := arrive(t, n, "r")
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -14,7 +14,7 @@
 	"onyxstream/internal/wire"
 )
 
-// Stage is how far an attempt had come when it ended.
+// Stage is how far an attempt got before it ended.
 type Stage uint8
 
 // The stages of an attempt.
--- a/internal/proxy/conn.go
+++ b/internal/proxy/conn.go
@@ -49,8 +49,8 @@
 	disconnectedAt   time.Time    // when disconnected was closed
 
 	openingRead    atomic.Bool // the client was read from: what it had sent by then is known
-	openingStarted atomic.Bool // a part of the opening line has come
-	idle           atomic.Bool // a health check was answered, and nothing has come since
+	openingStarted atomic.Bool // a part of the opening line was received
+	idle           atomic.Bool // a health check was answered, and nothing has been received since
 	answerCounted  atomic.Bool // the final answer is among the metrics
 	migrating      atomic.Bool // the node migrates the client
 	halfClosed     atomic.Bool // the client closed its side before it was established
@@ -138,7 +138,7 @@
 
 // shutDown begins to end the connection; the proxy's mutex is held. An established one is reset, or left open with
 // passThrough. Any other ends by its own goroutine, which alone knows what was read: serveRequest replies to an
-// admitted client, readOpening still reads what has come of an opening line.
+// admitted client, readOpening still reads what has been received of an opening line.
 func (c *conn) shutDown(passThrough bool) {
 	established := c.isEstablished()
 	if established && passThrough {
@@ -182,7 +182,7 @@
 	_ = host.SetDeadline(time.Time{})
 	c.host = host
 	close(c.established)
-	if c.opening.MidFlow { // its reader must notice, and forward what has come early
+	if c.opening.MidFlow { // its reader must notice, and forward what was received early
 		_ = c.client.SetReadDeadline(netio.Expired)
 	}
 	return true
@@ -202,12 +202,12 @@
 // monotonicNanos returns a time in nanoseconds of the monotonic clock, never 0.
 func monotonicNanos(t time.Time) int64 { return int64(t.Sub(processStart)) + 1 }
 
-// messageSent notes that a message went to the host.
+// messageSent records that a message went to the host.
 func (l *messageLatency) messageSent(now time.Time) {
 	l.waitingSince.CompareAndSwap(0, monotonicNanos(now))
 }
 
-// responseReceived notes that a response came from the host.
+// responseReceived records that a response came from the host.
 func (l *messageLatency) responseReceived() {
 	since := l.waitingSince.Swap(0)
 	if since == 0 {
--- a/internal/proxy/disconnect.go
+++ b/internal/proxy/disconnect.go
@@ -135,7 +135,7 @@
 	return true
 }
 
-// clientEnded notes that the client has closed its side or broken, as err says.
+// clientEnded records that the client has closed its side or broken, as err says.
 func (c *conn) clientEnded(err error) {
 	if errors.Is(err, net.ErrClosed) { // closed by this node
 		return
@@ -155,8 +155,8 @@
 	_ = c.host.SetReadDeadline(time.Now().Add(lingerTimeout))
 }
 
-// disconnectUnestablished notes that a client has ended its side before the connection is established. It reports false
-// if that has been established: what lies unread is then read first, and the end behind it.
+// disconnectUnestablished records that a client has ended its side before the connection is established. It reports
+// false if that has been established: what lies unread is then read first, and the end behind it.
 func (c *conn) disconnectUnestablished(err error) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/proxy/hosts_test.go
+++ b/internal/proxy/hosts_test.go
@@ -89,7 +89,8 @@
 	return h
 }
 
-// connections returns how many connections have come. Hosts accept in order, so it connects and counts those before.
+// connections returns how many connections were accepted. Hosts accept in order, so it connects and counts those
+// before.
 func (h *countingHost) connections(t *testing.T) (before int) {
 	t.Helper()
 	c, err := net.Dial("tcp", h.addr)
--- a/internal/proxy/invariants.go
+++ b/internal/proxy/invariants.go
@@ -15,7 +15,7 @@
 	firstAt time.Time
 }
 
-// recordAnswer notes a final answer.
+// recordAnswer records a final answer.
 func (c *conn) recordAnswer(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/proxy/opening.go
+++ b/internal/proxy/opening.go
@@ -16,7 +16,7 @@
 	// openingTimeout is how long a client has for its opening line, from its start or its last health check. Bytes that
 	// trickle in do not extend it: they would hold the descriptor for ever.
 	openingTimeout = 2 * time.Second
-	// maxRapidPings is how many health checks of one connection may come within evictionGrace of the one before, or
+	// maxRapidPings is how many health checks of one connection may arrive within evictionGrace of the one before, or
 	// together with further bytes.
 	maxRapidPings = 4
 )
@@ -33,7 +33,7 @@
 type openingReader struct {
 	*conn
 	in       *wire.LineBuffer
-	timedOut bool // what had come by the timeout was read
+	timedOut bool // what had been received by the timeout was read
 	pings    pingRate
 }
 
@@ -116,8 +116,8 @@
 }
 
 // receive reads more of the opening line, and reports false if the connection has ended. On the timeout or a shutdown
-// what has come by then is read once more: a close over a request that has just come would lose it without a reply.
-// With an incomplete line a shutdown rejects the client; everyone else is closed without a reply.
+// what has been received by then is read once more: a close over a request that has just arrived would lose it
+// without a reply. With an incomplete line a shutdown rejects the client; everyone else is closed without a reply.
 func (r *openingReader) receive() bool {
 	r.openingRead.Store(true)
 	n, err := r.awaitBytes(r.in.Space())
@@ -153,8 +153,8 @@
 	return n, err
 }
 
-// readUnlessEvicted waits for bytes. The read and the note that bytes have come are one step under mu: whoever evicts
-// the connection, see stopReadingOpening, either finds the bytes unread or knows of them.
+// readUnlessEvicted waits for bytes. The read and the record that bytes were received are one step under mu: whoever
+// evicts the connection, see stopReadingOpening, either finds the bytes unread or knows of them.
 func (c *conn) readUnlessEvicted(raw syscall.RawConn, into []byte) (n int, err error) {
 	waitErr := raw.Read(func(fd uintptr) bool {
 		c.mu.Lock()
@@ -175,7 +175,7 @@
 	return n, err
 }
 
-// stopReadingOpening ends the reading of the opening line, and reports whether any of it has come.
+// stopReadingOpening ends the reading of the opening line, and reports whether any of it was received.
 func (c *conn) stopReadingOpening() (started bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -186,7 +186,7 @@
 	return n > 0 || c.openingStarted.Load()
 }
 
-// setOpeningDeadline sets until when the opening line may come; a shutdown ends the wait at once.
+// setOpeningDeadline sets until when the opening line may arrive; a shutdown ends the wait at once.
 func (c *conn) setOpeningDeadline(deadline time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/proxy/opening_test.go
+++ b/internal/proxy/opening_test.go
@@ -13,7 +13,7 @@
 )
 
 // A request that comes as an idle connection times out is served: a close over it would lose it. The proxy's mutex is
-// held in the middle of the last health check until the timeout has passed and the request has come.
+// held in the middle of the last health check until the timeout has passed and the request has arrived.
 func TestReadOpening_RequestAtTimeout_Served(t *testing.T) {
 	r := startNode(t, zap.NewNop(), true, startCountingHost(t, establishedLine).addr)
 	c, err := net.Dial("tcp", r.addr)
--- a/internal/proxy/quiesce_test.go
+++ b/internal/proxy/quiesce_test.go
@@ -40,12 +40,12 @@
 	expectLine(t, in, establishedLine)
 	expectLine(t, in, "LOAD 3\r\n")
 	texts <- "half "
-	netiotest.Eventually(t, "it rests with a part of a line", func() bool {
-		resting, decide := old.proxy.Quiesce(4)
-		if len(resting) != 1 {
+	netiotest.Eventually(t, "it is quiesced within a line", func() bool {
+		quiesced, decide := old.proxy.Quiesce(4)
+		if len(quiesced) != 1 {
 			return false
 		}
-		handedOff := resting[0]
+		handedOff := quiesced[0]
 		if string(handedOff.Partial) != "half " {
 			decide[0](false)
 			time.Sleep(20 * time.Millisecond)
@@ -64,7 +64,7 @@
 		decide[0](true)
 		for c := range old.proxy.conns { // it has not ended yet
 			if c.beginQuiesce() != nil {
-				t.Error("a connection that was handed off is brought to rest again")
+				t.Error("a connection that was handed off is quiesced again")
 			}
 		}
 		return true
@@ -87,17 +87,17 @@
 	netiotest.Eventually(t, "no connection is left", next.hasNoClients)
 }
 
-// A connection that is not handed off is resumed where it was, and one that ends at rest ends as usual.
+// A connection that is not handed off is resumed where it was, and one that ends while it is quiesced ends as usual.
 func TestQuiesce_NotHandedOff_ResumedHere(t *testing.T) {
 	r := startNode(t, zap.NewNop(), true, echoHost(t, nil))
 	c, in := r.open(t, openRequest)
 	expectLine(t, in, establishedLine)
 	expectLine(t, in, "LOAD 3\r\n")
-	resting, decide := r.proxy.Quiesce(4)
-	if len(resting) != 1 {
-		t.Fatalf("%d at rest", len(resting))
+	quiesced, decide := r.proxy.Quiesce(4)
+	if len(quiesced) != 1 {
+		t.Fatalf("%d quiesced", len(quiesced))
 	}
-	_, _ = io.WriteString(c, "M 1\r\n") // while it rests
+	_, _ = io.WriteString(c, "M 1\r\n") // while it is quiesced
 	decide[0](false)
 	expectLine(t, in, "M 1\r\n")
 	for range maxFailedHandOffs - 1 {
@@ -105,7 +105,7 @@
 		decide[0](false)
 	}
 	if more, _ := r.proxy.Quiesce(4); len(more) > 0 {
-		t.Error("it is brought to rest again without a limit")
+		t.Error("it is quiesced again without a limit")
 	}
 	second, in := r.open(t, "OPEN b key c=chat,d=5000")
 	expectLine(t, in, establishedLine)
@@ -114,7 +114,7 @@
 	_ = second.(*net.TCPConn).CloseWrite()
 	decide[0](false)
 	if _, err := in.ReadString('\n'); err != io.EOF {
-		t.Errorf("a client that closed at rest: %v", err)
+		t.Errorf("a client that closed while quiesced: %v", err)
 	}
 	netiotest.Eventually(t, "one connection is left", func() bool { return r.node.EstablishedConnections() == 1 })
 }
--- a/internal/proxy/relay.go
+++ b/internal/proxy/relay.go
@@ -51,7 +51,7 @@
 		if err == nil || !netio.IsDeadlineExceeded(err) {
 			continue
 		}
-		switch c.awaitHandOff(host, r.noteStopped) {
+		switch c.awaitHandOff(host, r.recordStopped) {
 		case stopHandedOff:
 			c.releaseHandedOff(host, attempt, start)
 			return
@@ -62,7 +62,8 @@
 	r.close(err)
 }
 
-// writeLines writes what is complete to the client, and notes what the lines say. It reports false if nothing is.
+// writeLines writes the complete lines to the client, and records the responses and load reports among them. It reports
+// false if there are none.
 func (r *relay) writeLines() (written bool, err error) {
 	chunk, stats := r.lines.CompleteLines()
 	if stats.Responses > 0 {
@@ -94,8 +95,8 @@
 	return err
 }
 
-// noteStopped notes that the relay has stopped for a hand-off, and where.
-func (r *relay) noteStopped(q *quiescence) {
+// recordStopped records that the relay has stopped for a hand-off, and where.
+func (r *relay) recordStopped(q *quiescence) {
 	q.partial = append([]byte(nil), r.lines.Buffered()...)
 	q.midLine = !r.lines.AtLineBoundary() || r.lines.Ending()
 	q.load = r.load
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -175,7 +175,7 @@
 		zap.Int("attempt", target.Number))
 }
 
-// beginAttempt notes that an attempt is in flight, which the node or the client's disconnect can cancel, until end is
+// beginAttempt records that an attempt is in flight, which the node or the client's disconnect can cancel, until end is
 // called. It is cancelled already if the client has disconnected or the proxy shuts down.
 func (c *conn) beginAttempt(number int, hostID string) (ctx context.Context, end func()) {
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/proxy/requeststate.go
+++ b/internal/proxy/requeststate.go
@@ -4,7 +4,7 @@
 	"onyxstream/internal/wire"
 )
 
-// requestPhase is how far a request has come.
+// requestPhase is how far a request has progressed.
 type requestPhase uint8
 
 const (
@@ -26,13 +26,13 @@
 // isOpen reports whether the client has no answer and has not disconnected.
 func (s *requestState) isOpen() bool { return s.phase == awaitingNode || s.phase == attempting }
 
-// attemptStarted notes that an attempt was taken up.
+// attemptStarted records that an attempt was taken up.
 func (s *requestState) attemptStarted(number int) {
 	s.phase = attempting
 	s.attempts = number + 1
 }
 
-// attemptReported notes that the node knows the attempt's outcome. isConcluded says that the client needs no further
+// attemptReported records that the node knows the attempt's outcome. isConcluded says that the client needs no further
 // one.
 func (s *requestState) attemptReported(isConcluded bool) {
 	s.phase = awaitingNode
@@ -41,8 +41,8 @@
 	}
 }
 
-// answer notes that the node's final answer is being written.
+// answer records that the node's final answer is being written.
 func (s *requestState) answer() { s.phase = answered }
 
-// conclude notes that the client needs no answer of this node.
+// conclude records that the client needs no answer of this node.
 func (s *requestState) conclude() { s.phase = concluded }
--- a/internal/proxy/teardown.go
+++ b/internal/proxy/teardown.go
@@ -10,13 +10,13 @@
 
 // The ways in which a client's connection is closed, and what each promises. A close over unread bytes sends a reset,
 // and with it the client may lose what was written before; so nothing here but reset closes before it has read what
-// has come.
+// has been received.
 //
 //   - reply: the line is written, then FIN. What the client still sends is read and dropped until it closes its side,
 //     up to lingerTimeout and maxLingerBytes.
 //   - lingerClose: the same without a line.
-//   - closeWithMessage: the line, FIN, what has come is read, and the close at once, where no goroutine may wait for
-//     the client. What comes later meets a closed connection.
+//   - closeWithMessage: the line, FIN, what has been received is read, and the close at once, where no goroutine may
+//     wait for the client. What comes later meets a closed connection.
 //   - reset: no promise. It passes on a reset from the other side, or closes what was broken.
 
 const (
--- a/internal/proxy/teardown_test.go
+++ b/internal/proxy/teardown_test.go
@@ -47,7 +47,7 @@
 }
 
 // An established connection is migrated and reset by its host, in either order: the client sees the first event
-// alone, and the host's side is closed. Each event is held until the other has come.
+// alone, and the host's side is closed. Each event is held back until the other has happened.
 func TestMigrate_HostResets_FirstEventWins(t *testing.T) {
 	for _, migratedFirst := range []bool{true, false} {
 		t.Run(fmt.Sprintf("migrated first %v", migratedFirst), func(t *testing.T) {
