--- a/internal/coldstart/coldstart.go
+++ b/internal/coldstart/coldstart.go
@@ -73,7 +73,7 @@
 		s.plannedAt = latest - s.jitter(s.spreadInterval(now)/2)
 	}
 	// Processes that were suspended together are resumed in the same instant.
-	if now > s.plannedAt+maxSchedulingDelay {
+	if now > s.plannedAt+suspensionThreshold {
 		s.plannedAt = now + s.jitter(s.spreadInterval(now))
 	}
 }
--- a/internal/coldstart/config.go
+++ b/internal/coldstart/config.go
@@ -56,8 +56,8 @@
 	firstCallers = 4
 	// peerSilenceTimeout is how long no peer may have answered before the node counts as alone.
 	peerSilenceTimeout = 6 * time.Second
-	// maxSchedulingDelay is how late a call may be before the process counts as one that was suspended.
-	maxSchedulingDelay = time.Second
+	// suspensionThreshold is how late a call may be before the process counts as one that was suspended.
+	suspensionThreshold = time.Second
 	// noCall is returned while no call is planned.
 	noCall = time.Hour
 
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -17,7 +17,7 @@
 // DrainPlan describes a drain of the node.
 type DrainPlan struct {
 	Deadline        time.Time     // established connections are migrated by then
-	AdmissionCutoff time.Time     // requests are admitted until then, as the front end may not have noticed the drain
+	AdmissionCutoff time.Time     // requests are admitted until then, as the front may not have noticed the drain
 	RetryAfter      time.Duration // advice to rejected clients
 	KeepConnections bool          // established connections stay, if packets pass through other nodes
 }
--- a/internal/node/events_bench_test.go
+++ b/internal/node/events_bench_test.go
@@ -16,11 +16,11 @@
 	known := *snapshotOf(7, endpoint("s1", wire.Serving))
 	n := New(testSettings(), known, "d:1", &fakeTransport{}, zap.NewNop())
 	conn := &fakeConn{}
-	_, o, err := wire.ParseOpening([]byte("OPEN r key c=chat,t=acme,d=2000"))
+	_, opening, err := wire.ParseOpening([]byte("OPEN r key c=chat,t=acme,d=2000"))
 	if err != nil {
 		b.Fatal(err)
 	}
-	n.RequestArrived(&o, time.Now().Add(2*time.Second), conn)
+	n.RequestArrived(&opening, time.Now().Add(2*time.Second), conn)
 	n.handle(<-n.events)
 	n.ConnectionEstablished("r", conn, 0, time.Millisecond)
 	n.handle(<-n.events)
--- a/internal/proxy/budget.go
+++ b/internal/proxy/budget.go
@@ -19,14 +19,15 @@
 	baseDescriptors      = 16 // that a process holds beside clients, hosts and pings
 )
 
-// evictionGrace is how long an unadmitted client is safe from eviction after it connected, pinged or had its reply.
+// evictionGrace is how long an unadmitted client is safe from eviction after it connected, sent a health check or had
+// its final answer.
 const evictionGrace = 20 * time.Millisecond
 
 // budgetSlot is a connection's place in the descriptor budget. The proxy's mutex guards it.
 type budgetSlot struct {
 	unadmitted *list.Element // among those that hold one descriptor, nil for none
 	admitted   bool          // it holds two descriptors
-	lastActive time.Time     // when it connected, pinged, or had its final answer
+	lastActive time.Time     // when it connected, sent a health check, or had its final answer
 	answered   bool          // it has had its final answer
 }
 
--- a/internal/proxy/opening.go
+++ b/internal/proxy/opening.go
@@ -16,14 +16,14 @@
 	// openingTimeout is how long a client has for its opening line, from its start or its last health check. Bytes that
 	// trickle in do not extend it: they would hold the descriptor for ever.
 	openingTimeout = 2 * time.Second
-	// maxRapidPings is how many health checks of one connection may arrive within evictionGrace of the one before, or
-	// together with further bytes.
-	maxRapidPings = 4
+	// maxRapidHealthChecks is how many health checks of one connection may arrive within evictionGrace of the one
+	// before, or together with further bytes.
+	maxRapidHealthChecks = 4
 )
 
 var (
-	errUnknownClass = errors.New("class or tenant is not configured")
-	errRapidPings   = errors.New("too many health checks in a row")
+	errUnknownClass      = errors.New("class or tenant is not configured")
+	errRapidHealthChecks = errors.New("too many health checks in a row")
 	// errEarlyData is the violation of a client that does not wait for the answer to its opening line. Only a mid-flow
 	// client may send more.
 	errEarlyData = errors.New("data before the connection was established")
@@ -32,9 +32,9 @@
 // openingReader reads a client's opening line, and answers the health checks before it.
 type openingReader struct {
 	*conn
-	in       *wire.LineBuffer
-	timedOut bool // what had been received by the timeout was read
-	pings    pingRate
+	in           *wire.LineBuffer
+	timedOut     bool // what had been received by the timeout was read
+	healthChecks healthCheckRate
 }
 
 // readOpening reads the opening line into opening, and reports false if the connection has ended instead: by a
@@ -81,7 +81,7 @@
 	case err != nil:
 		return kind, err
 	case kind == wire.OpeningHealthCheck:
-		return kind, r.pings.count(time.Now(), moreBytes)
+		return kind, r.healthChecks.count(time.Now(), moreBytes)
 	case !r.proxy.node.HasClassAndTenant(&r.opening):
 		return kind, errUnknownClass
 	case moreBytes && !r.opening.MidFlow:
@@ -108,7 +108,7 @@
 		return false
 	}
 	r.timedOut = false
-	r.setOpeningDeadline(r.pings.last.Add(openingTimeout))
+	r.setOpeningDeadline(r.healthChecks.last.Add(openingTimeout))
 	moreBytes := len(r.in.Buffered()) > 0
 	r.idle.Store(!moreBytes)
 	r.openingStarted.Store(moreBytes)
@@ -196,21 +196,21 @@
 	_ = c.client.SetReadDeadline(deadline)
 }
 
-// pingRate limits the health checks of one connection.
-type pingRate struct {
+// healthCheckRate limits the health checks of one connection.
+type healthCheckRate struct {
 	rapid int
 	last  time.Time
 }
 
 // count counts a health check, and returns an error if there were too many rapid ones. moreBytes says that it came
 // together with further bytes.
-func (r *pingRate) count(now time.Time, moreBytes bool) error {
+func (r *healthCheckRate) count(now time.Time, moreBytes bool) error {
 	if moreBytes || now.Sub(r.last) < evictionGrace {
 		r.rapid++
 	}
 	r.last = now
-	if r.rapid > maxRapidPings {
-		return errRapidPings
+	if r.rapid > maxRapidHealthChecks {
+		return errRapidHealthChecks
 	}
 	return nil
 }
