--- a/internal/discovery/stream.go
+++ b/internal/discovery/stream.go
@@ -10,10 +10,10 @@
 	"onyxstream/internal/wire"
 )
 
-// A change must reach the node within notifyWithin of the moment at which discovery had it and could be reached, whatever
-// failed before. A watch that falls silent is given up after heartbeatTimeout, a call in flight as discovery recovers
-// after callTimeout. The next call follows within balancer.MaxRepollDelay, or node.MaxRewatchDelay where polling is off;
-// the rest of notifyWithin is for its answer.
+// A change must reach the node within notifyWithin of the moment at which discovery had it and could be reached,
+// whatever failed before. A watch that falls silent is given up after heartbeatTimeout, a call in flight as discovery
+// recovers after callTimeout. The next call follows within balancer.MaxRepollDelay, or node.MaxRewatchDelay where
+// polling is off; the rest of notifyWithin is for its answer.
 const (
 	notifyWithin     = 6 * time.Second
 	callTimeout      = 3 * time.Second         // from the start of the dial to the first answer
@@ -146,7 +146,7 @@
 	return received, nil
 }
 
-// readLate reads what a watch that timed out has received, and returns timeout where that is nothing: if this process was
+// readLate reads what a watch that timed out has received, and returns timeout if that is nothing: if this process was
 // suspended, the watch was not silent.
 func readLate(c *net.TCPConn, into []byte, timeout error) (int, error) {
 	n, err := netio.ReadAvailable(c, into)
--- a/internal/healthcheck/pinger.go
+++ b/internal/healthcheck/pinger.go
@@ -20,15 +20,15 @@
 	idleTimeout = 10 * time.Second // a host that was not to be pinged for so long loses its connection
 )
 
-// ReservedPings is how many hosts can always be pinged at the same time. Their descriptors are reserved; those of further
-// pings are taken from what clients leave.
+// ReservedPings is how many hosts can always be pinged at the same time. Their descriptors are reserved; those of
+// further pings are taken from what clients leave.
 const ReservedPings = 16
 
 // FailedPing is the duration that is reported of a ping that failed before its timeout.
 const FailedPing time.Duration = -1
 
-// Budget is the descriptor budget that pings share with clients. Its lock also guards the set of pinged hosts, so that a
-// decision on the budget and its effect on that set are one step.
+// Budget is the descriptor budget that pings share with clients. Its lock also guards the set of pinged hosts, so
+// that a decision on the budget and its effect on that set are one step.
 type Budget interface {
 	sync.Locker
 	// Fits reports whether so many more descriptors are within the budget. The lock is held.
@@ -37,7 +37,7 @@
 
 // Receiver is notified of the results of pings.
 type Receiver interface {
-	// PingCompleted reports a ping's round-trip time: at least the timeout where no answer came in time, FailedPing where
+	// PingCompleted reports a ping's round-trip time: at least the timeout if no answer came in time, FailedPing if
 	// the connection failed.
 	PingCompleted(id balancer.ServerID, took time.Duration)
 }
@@ -72,7 +72,7 @@
 // Attach sets who is notified of results.
 func (p *Pinger) Attach(receiver Receiver) { p.receiver = receiver }
 
-// Ping begins to ping a host, and reports false where it does not, for want of a descriptor or because the pinger is
+// Ping begins to ping a host, and reports false if it does not, for want of a descriptor or because the pinger is
 // closed. It does not block. While a ping of that host is in flight, its result stands for this one too.
 func (p *Pinger) Ping(id balancer.ServerID, addr string) bool {
 	p.budget.Lock()
@@ -120,8 +120,8 @@
 // Unreserved returns how many descriptors pings hold beyond those that are reserved. The budget's lock is held.
 func (p *Pinger) Unreserved() int { return max(len(p.hosts)-ReservedPings, 0) }
 
-// ReleaseUntil stops pinging hosts until enough reports true or only reserved descriptors are held. The budget's lock is
-// held.
+// ReleaseUntil stops pinging hosts until enough reports true or only reserved descriptors are held. The budget's lock
+// is held.
 func (p *Pinger) ReleaseUntil(enough func() bool) {
 	for id, host := range p.hosts {
 		if enough() || len(p.hosts) <= ReservedPings {
@@ -193,11 +193,11 @@
 			took = FailedPing
 		}
 	}
-	p.log.Debug("host pinged", zap.String("host", addr), zap.Duration("took", took))
+	p.log.Debug("host pinged", zap.String("addr", addr), zap.Duration("took", took))
 	p.receiver.PingCompleted(id, took)
 }
 
-// retire removes a host and reports whether it did. Unless force is set, one with a request that has just come stays:
+// retire removes a host and reports whether it did. Unless force is set, one with a pending request stays:
 // without an answer the host would pass for one that does not respond.
 func (p *Pinger) retire(id balancer.ServerID, host *hostPinger, force bool) bool {
 	p.budget.Lock()
@@ -211,7 +211,7 @@
 	return true
 }
 
-// ping dials the host where there is no connection, sends a ping and waits for its answer.
+// ping dials the host if there is no connection, sends a ping and waits for its answer.
 func (c *connection) ping(addr string, deadline time.Time) error {
 	if c.conn == nil {
 		dialer := net.Dialer{Timeout: pingTimeout, KeepAlive: -1}
--- a/internal/netio/netiotest/netiotest.go
+++ b/internal/netio/netiotest/netiotest.go
@@ -50,8 +50,8 @@
 	return listener.Addr().String()
 }
 
-// Connect returns both sides of a connection that a listener accepted, and closes the listener. Both sides are closed as
-// the test ends.
+// Connect returns both sides of a connection that a listener accepted, and closes the listener. Both sides are closed
+// as the test ends.
 func Connect(t *testing.T, listener *net.TCPListener) (client, server *net.TCPConn) {
 	t.Helper()
 	defer listener.Close()
@@ -68,7 +68,7 @@
 	return client, server
 }
 
-// Eventually waits until a condition holds, and fails the test where it does not in time.
+// Eventually waits until a condition holds, and fails the test if it does not in time.
 func Eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	for start := time.Now(); !condition(); time.Sleep(pollInterval) {
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"runtime/debug"
 	"time"
 
 	"go.uber.org/zap"
@@ -58,13 +57,13 @@
 	defer func() {
 		if p := recover(); p != nil {
 			n.pendingEvents = n.pendingEvents[:0]
-			n.log.Error("panic while handling event", zap.Any("panic", p), zap.ByteString("stack", debug.Stack()))
+			n.log.Error("panic while handling event", zap.Any("panic", p), zap.Stack("stack"))
 		}
 	}()
 	f()
 }
 
-// handle dispatches one event. Reply channels have room for the reply, so that sending it never blocks.
+// handle dispatches one event. Reply channels are buffered, so that sending it never blocks.
 func (n *Node) handle(e event) {
 	switch e := e.(type) {
 	case requestEvent:
--- a/internal/proxy/conn.go
+++ b/internal/proxy/conn.go
@@ -16,8 +16,9 @@
 	"onyxstream/internal/wire"
 )
 
-// conn is a client's connection. One goroutine, serve, reads the opening line, makes the attempts and then copies from the
-// host to the client; another, forwardClient, reads the client meanwhile. The node calls the methods of node.ClientConn.
+// conn is a client's connection. One goroutine, serve, reads the opening line, makes the attempts and then copies
+// from the host to the client; another, forwardClient, reads the client meanwhile. The node calls the methods of
+// node.ClientConn.
 type conn struct {
 	budgetSlot
 	messageLatency
@@ -41,16 +42,16 @@
 	shuttingDown     bool               // no attempt may be established any more
 	evicted          bool               // the opening line is read no more
 	readingStopped   bool               // nothing more is read of the client for its host
-	quiescing        *quiescence        // while it is brought to rest for a hand-off, else nil
+	quiescing        *quiescence        // while it is quiesced for a hand-off, else nil
 	failedHandOffs   int
-	violatedProtocol bool        // the client sent more than its opening line before it was established
-	replies          replyRecord // the final replies that the client was given
-	disconnectedAt   time.Time   // when disconnected was closed
+	violatedProtocol bool         // the client sent more than its opening line before it was established
+	answers          answerRecord // the final answers that the client was given
+	disconnectedAt   time.Time    // when disconnected was closed
 
 	openingRead    atomic.Bool // the client was read from: what it had sent by then is known
-	openingStarted atomic.Bool // a part of the opening line has come
-	idle           atomic.Bool // a health check was answered, and nothing has come since
-	replyCounted   atomic.Bool // the final reply is among the metrics
+	openingStarted atomic.Bool // a part of the opening line was received
+	idle           atomic.Bool // a health check was answered, and nothing has been received since
+	answerCounted  atomic.Bool // the final answer is among the metrics
 	migrating      atomic.Bool // the node migrates the client
 	halfClosed     atomic.Bool // the client closed its side before it was established
 	clientClosed   atomic.Bool // the client closed its side after it was established
@@ -74,16 +75,16 @@
 	defer c.checkCompletion(deadline)
 	switch c.proxy.admit(c) {
 	case admissionEvicted:
-		c.countReply(errored)
+		c.countAnswer(errored)
 		return
 	case admissionRejected:
-		c.countReply(rejected)
+		c.countAnswer(rejected)
 		c.proxy.log.Info("client rejected: descriptor limit reached or shutting down")
 		c.reply(c.proxy.rejection())
 		return
 	}
 	if !c.checkClient(&in) {
-		c.countReply(errored)
+		c.countAnswer(errored)
 		if c.halfClosed.Load() { // it may still read
 			c.reply(wire.Failure)
 		}
@@ -136,8 +137,8 @@
 }
 
 // shutDown begins to end the connection; the proxy's mutex is held. An established one is reset, or left open with
-// passThrough. Any other ends by its own goroutine, which alone knows what was read: serveRequest replies to an admitted
-// client, readOpening still reads what has come of an opening line.
+// passThrough. Any other ends by its own goroutine, which alone knows what was read: serveRequest replies to an
+// admitted client, readOpening still reads what has been received of an opening line.
 func (c *conn) shutDown(passThrough bool) {
 	established := c.isEstablished()
 	if established && passThrough {
@@ -171,7 +172,7 @@
 	return c.host != nil
 }
 
-// establish sets the host of the connection. It reports false where the client has disconnected or the proxy shuts down.
+// establish sets the host of the connection. It reports false if the client has disconnected or the proxy shuts down.
 func (c *conn) establish(host *net.TCPConn) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -181,7 +182,7 @@
 	_ = host.SetDeadline(time.Time{})
 	c.host = host
 	close(c.established)
-	if c.opening.MidFlow { // its reader must notice, and forward what has come early
+	if c.opening.MidFlow { // its reader must notice, and forward what was received early
 		_ = c.client.SetReadDeadline(netio.Expired)
 	}
 	return true
@@ -201,12 +202,12 @@
 // monotonicNanos returns a time in nanoseconds of the monotonic clock, never 0.
 func monotonicNanos(t time.Time) int64 { return int64(t.Sub(processStart)) + 1 }
 
-// messageSent notes that a message went to the host.
+// messageSent records that a message went to the host.
 func (l *messageLatency) messageSent(now time.Time) {
 	l.waitingSince.CompareAndSwap(0, monotonicNanos(now))
 }
 
-// responseReceived notes that a response came from the host.
+// responseReceived records that a response came from the host.
 func (l *messageLatency) responseReceived() {
 	since := l.waitingSince.Swap(0)
 	if since == 0 {
--- a/internal/proxy/hosts_test.go
+++ b/internal/proxy/hosts_test.go
@@ -22,7 +22,8 @@
 	})
 }
 
-// echoHost starts a host that establishes every connection and echoes each line. It writes what it receives on texts at once.
+// echoHost starts a host that establishes every connection and echoes each line. It writes what it receives on texts
+// at once.
 func echoHost(t *testing.T, texts chan string) string {
 	return netiotest.Serve(t, func(c *net.TCPConn) {
 		in := bufio.NewReader(c)
@@ -88,7 +89,8 @@
 	return h
 }
 
-// connections returns how many connections have come. Hosts accept in order, so it connects and counts those before.
+// connections returns how many connections were accepted. Hosts accept in order, so it connects and counts those
+// before.
 func (h *countingHost) connections(t *testing.T) (before int) {
 	t.Helper()
 	c, err := net.Dial("tcp", h.addr)
--- a/internal/proxy/opening.go
+++ b/internal/proxy/opening.go
@@ -16,14 +16,14 @@
 	// openingTimeout is how long a client has for its opening line, from its start or its last health check. Bytes that
 	// trickle in do not extend it: they would hold the descriptor for ever.
 	openingTimeout = 2 * time.Second
-	// maxRapidPings is how many health checks of one connection may come within evictionGrace of the one before, or
-	// together with further bytes.
-	maxRapidPings = 4
+	// maxRapidHealthChecks is how many health checks of one connection may arrive within evictionGrace of the one
+	// before, or together with further bytes.
+	maxRapidHealthChecks = 4
 )
 
 var (
-	errUnknownClass = errors.New("class or tenant is not configured")
-	errRapidPings   = errors.New("too many health checks in a row")
+	errUnknownClass      = errors.New("class or tenant is not configured")
+	errRapidHealthChecks = errors.New("too many health checks in a row")
 	// errEarlyData is the violation of a client that does not wait for the answer to its opening line. Only a mid-flow
 	// client may send more.
 	errEarlyData = errors.New("data before the connection was established")
@@ -32,12 +32,12 @@
 // openingReader reads a client's opening line, and answers the health checks before it.
 type openingReader struct {
 	*conn
-	in       *wire.LineBuffer
-	timedOut bool // what had come by the timeout was read
-	pings    pingRate
+	in           *wire.LineBuffer
+	timedOut     bool // what had been received by the timeout was read
+	healthChecks healthCheckRate
 }
 
-// readOpening reads the opening line into opening, and reports false where the connection has ended instead: by a
+// readOpening reads the opening line into opening, and reports false if the connection has ended instead: by a
 // protocol violation, the timeout or the client. A front may keep its connection and repeat its health checks.
 func (c *conn) readOpening(in *wire.LineBuffer) bool {
 	r := openingReader{conn: c, in: in}
@@ -81,7 +81,7 @@
 	case err != nil:
 		return kind, err
 	case kind == wire.OpeningHealthCheck:
-		return kind, r.pings.count(time.Now(), moreBytes)
+		return kind, r.healthChecks.count(time.Now(), moreBytes)
 	case !r.proxy.node.HasClassAndTenant(&r.opening):
 		return kind, errUnknownClass
 	case moreBytes && !r.opening.MidFlow:
@@ -93,7 +93,7 @@
 // rejectViolation replies to a client whose opening line breaks the protocol.
 func (c *conn) rejectViolation(err error) {
 	c.proxy.log.Info(protocolViolationMessage, zap.Error(err))
-	c.countReply(errored)
+	c.countAnswer(errored)
 	c.reply(wire.Failure)
 }
 
@@ -108,16 +108,16 @@
 		return false
 	}
 	r.timedOut = false
-	r.setOpeningDeadline(r.pings.last.Add(openingTimeout))
+	r.setOpeningDeadline(r.healthChecks.last.Add(openingTimeout))
 	moreBytes := len(r.in.Buffered()) > 0
 	r.idle.Store(!moreBytes)
 	r.openingStarted.Store(moreBytes)
 	return true
 }
 
-// receive reads more of the opening line, and reports false where the connection has ended. On the timeout or a shutdown
-// what has come by then is read once more: a close over a request that has just come would lose it without a reply. With
-// an incomplete line a shutdown rejects the client; everyone else is closed without a reply.
+// receive reads more of the opening line, and reports false if the connection has ended. On the timeout or a shutdown
+// what has been received by then is read once more: a close over a request that has just arrived would lose it
+// without a reply. With an incomplete line a shutdown rejects the client; everyone else is closed without a reply.
 func (r *openingReader) receive() bool {
 	r.openingRead.Store(true)
 	n, err := r.awaitBytes(r.in.Space())
@@ -153,8 +153,8 @@
 	return n, err
 }
 
-// readUnlessEvicted waits for bytes. The read and the note that bytes have come are one step under mu: whoever evicts the
-// connection, see stopReadingOpening, either finds the bytes unread or knows of them.
+// readUnlessEvicted waits for bytes. The read and the record that bytes were received are one step under mu: whoever
+// evicts the connection, see stopReadingOpening, either finds the bytes unread or knows of them.
 func (c *conn) readUnlessEvicted(raw syscall.RawConn, into []byte) (n int, err error) {
 	waitErr := raw.Read(func(fd uintptr) bool {
 		c.mu.Lock()
@@ -175,7 +175,7 @@
 	return n, err
 }
 
-// stopReadingOpening ends the reading of the opening line, and reports whether any of it has come.
+// stopReadingOpening ends the reading of the opening line, and reports whether any of it was received.
 func (c *conn) stopReadingOpening() (started bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -186,7 +186,7 @@
 	return n > 0 || c.openingStarted.Load()
 }
 
-// setOpeningDeadline sets until when the opening line may come; a shutdown ends the wait at once.
+// setOpeningDeadline sets until when the opening line may arrive; a shutdown ends the wait at once.
 func (c *conn) setOpeningDeadline(deadline time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -196,21 +196,21 @@
 	_ = c.client.SetReadDeadline(deadline)
 }
 
-// pingRate limits the health checks of one connection.
-type pingRate struct {
+// healthCheckRate limits the health checks of one connection.
+type healthCheckRate struct {
 	rapid int
 	last  time.Time
 }
 
-// count counts a health check, and returns an error where there were too many rapid ones. moreBytes says that it came
+// count counts a health check, and returns an error if there were too many rapid ones. moreBytes says that it came
 // together with further bytes.
-func (r *pingRate) count(now time.Time, moreBytes bool) error {
+func (r *healthCheckRate) count(now time.Time, moreBytes bool) error {
 	if moreBytes || now.Sub(r.last) < evictionGrace {
 		r.rapid++
 	}
 	r.last = now
-	if r.rapid > maxRapidPings {
-		return errRapidPings
+	if r.rapid > maxRapidHealthChecks {
+		return errRapidHealthChecks
 	}
 	return nil
 }
--- a/internal/proxy/relay.go
+++ b/internal/proxy/relay.go
@@ -26,7 +26,9 @@
 
 // relay copies from the host to the client until one side ends, and then ends the other alike. buffered holds what the
 // host has sent already, behind establishedLine.
-func (c *conn) relay(host *net.TCPConn, buffered *wire.LineBuffer, establishedLine []byte, attempt int, start time.Time) {
+func (c *conn) relay(
+	host *net.TCPConn, buffered *wire.LineBuffer, establishedLine []byte, attempt int, start time.Time,
+) {
 	r := relay{
 		conn:    c,
 		host:    host,
@@ -49,7 +51,7 @@
 		if err == nil || !netio.IsDeadlineExceeded(err) {
 			continue
 		}
-		switch c.awaitHandOff(host, r.noteStopped) {
+		switch c.awaitHandOff(host, r.recordStopped) {
 		case stopHandedOff:
 			c.releaseHandedOff(host, attempt, start)
 			return
@@ -60,7 +62,8 @@
 	r.close(err)
 }
 
-// writeLines writes what is complete to the client, and notes what the lines say. It reports false where nothing is.
+// writeLines writes the complete lines to the client, and records the responses and load reports among them. It reports
+// false if there are none.
 func (r *relay) writeLines() (written bool, err error) {
 	chunk, stats := r.lines.CompleteLines()
 	if stats.Responses > 0 {
@@ -92,8 +95,8 @@
 	return err
 }
 
-// noteStopped notes that the relay has stopped for a hand-off, and where.
-func (r *relay) noteStopped(q *quiescence) {
+// recordStopped records that the relay has stopped for a hand-off, and where.
+func (r *relay) recordStopped(q *quiescence) {
 	q.partial = append([]byte(nil), r.lines.Buffered()...)
 	q.midLine = !r.lines.AtLineBoundary() || r.lines.Ending()
 	q.load = r.load
@@ -113,7 +116,7 @@
 	}
 	r.proxy.log.Debug(connectionClosedMessage,
 		zap.String("request", r.opening.ID),
-		zap.Stringer("host", r.host.RemoteAddr()),
+		zap.Stringer("addr", r.host.RemoteAddr()),
 		zap.Bool("migrated", migrating),
 		zap.Bool("client_closed", clientLeft),
 		zap.Duration("duration", time.Since(r.start)),
--- a/internal/proxy/requeststate.go
+++ b/internal/proxy/requeststate.go
@@ -4,13 +4,13 @@
 	"onyxstream/internal/wire"
 )
 
-// requestPhase is how far a request has come.
+// requestPhase is how far a request has progressed.
 type requestPhase uint8
 
 const (
 	awaitingNode requestPhase = iota // the client has no answer; no attempt is in flight
 	attempting                       // the client has no answer; the node waits for the outcome of an attempt
-	answered                         // the client was given the node's final reply
+	answered                         // the client was given the node's final answer
 	concluded                        // a host answered the client, or the client has disconnected
 )
 
@@ -18,7 +18,7 @@
 type requestState struct {
 	phase    requestPhase
 	attempts int    // that were taken up from the node
-	fallback string // the reply where the request ends without an answer
+	fallback string // the reply if the request ends without an answer
 }
 
 func newRequestState() requestState { return requestState{fallback: wire.Failure} }
@@ -26,13 +26,14 @@
 // isOpen reports whether the client has no answer and has not disconnected.
 func (s *requestState) isOpen() bool { return s.phase == awaitingNode || s.phase == attempting }
 
-// attemptStarted notes that an attempt was taken up.
+// attemptStarted records that an attempt was taken up.
 func (s *requestState) attemptStarted(number int) {
 	s.phase = attempting
 	s.attempts = number + 1
 }
 
-// attemptReported notes that the node knows the attempt's outcome. isConcluded says that the client needs no further one.
+// attemptReported records that the node knows the attempt's outcome. isConcluded says that the client needs no further
+// one.
 func (s *requestState) attemptReported(isConcluded bool) {
 	s.phase = awaitingNode
 	if isConcluded {
@@ -40,8 +41,8 @@
 	}
 }
 
-// answer notes that the node's final reply is being written.
+// answer records that the node's final answer is being written.
 func (s *requestState) answer() { s.phase = answered }
 
-// conclude notes that the client needs no answer of this node.
+// conclude records that the client needs no answer of this node.
 func (s *requestState) conclude() { s.phase = concluded }
--- a/internal/proxy/resume.go
+++ b/internal/proxy/resume.go
@@ -37,8 +37,8 @@
 	}
 }
 
-// resumeAt makes one attempt to resume at a host and, if that establishes the connection, relays until it ends. It reports
-// whether to retry.
+// resumeAt makes one attempt to resume at a host and, if that establishes the connection, relays until it ends. It
+// reports whether to retry.
 func (c *conn) resumeAt(addr string, state *requestState) (retry bool) {
 	var in wire.LineBuffer
 	start := time.Now()
@@ -77,13 +77,13 @@
 		return
 	}
 	state.attemptStarted(0)
-	c.countReply(succeeded)
+	c.countAnswer(succeeded)
 	c.proxy.node.ConnectionInherited(&c.opening, c)
 	c.relay(host, in, line, 0, start)
 	state.attemptReported(true)
 }
 
-// awaitRetry waits before a retry, and reports false where the client has disconnected.
+// awaitRetry waits before a retry, and reports false if the client has disconnected.
 func (c *conn) awaitRetry() bool {
 	select {
 	case <-c.disconnected:
--- a/internal/proxy/shutdown_test.go
+++ b/internal/proxy/shutdown_test.go
@@ -32,8 +32,8 @@
 	r.proxy.beginShutdown(false)
 }
 
-// A request or a part of one that comes on an idle connection as the shutdown begins is rejected; who has sent nothing is
-// closed by FIN. No client is reset.
+// A request or a part of one that comes on an idle connection as the shutdown begins is rejected; who has sent
+// nothing is closed by FIN. No client is reset.
 func TestShutdown_OpeningPartlyRead_Replied(t *testing.T) {
 	for _, c := range []struct{ name, text, want string }{
 		{"a complete line on an idle connection", openRequest + "\r\n", rejectionPrefix},
@@ -142,7 +142,7 @@
 	}
 }
 
-func TestShutdown_NoGoroutineLeaked(t *testing.T) {
+func TestShutdown_ConnectionsInEachState_NoGoroutineLeaked(t *testing.T) {
 	before := goleak.IgnoreCurrent()
 	var hosts sync.WaitGroup
 	l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/proxy/teardown.go
+++ b/internal/proxy/teardown.go
@@ -8,14 +8,15 @@
 	"onyxstream/internal/wire"
 )
 
-// The ways in which a client's connection is closed, and what each promises. A close over unread bytes sends a reset, and
-// with it the client may lose what was written before; so nothing here but reset closes before it has read what has come.
+// The ways in which a client's connection is closed, and what each promises. A close over unread bytes sends a reset,
+// and with it the client may lose what was written before; so nothing here but reset closes before it has read what
+// has been received.
 //
-//   - reply: the line is written, then FIN. What the client still sends is read and dropped until it closes its side, up
-//     to lingerTimeout and maxLingerBytes.
+//   - reply: the line is written, then FIN. What the client still sends is read and dropped until it closes its side,
+//     up to lingerTimeout and maxLingerBytes.
 //   - lingerClose: the same without a line.
-//   - closeWithMessage: the line, FIN, what has come is read, and the close at once, where no goroutine may wait for the
-//     client. What comes later meets a closed connection.
+//   - closeWithMessage: the line, FIN, what has been received is read, and the close at once, where no goroutine may
+//     wait for the client. What comes later meets a closed connection.
 //   - reset: no promise. It passes on a reset from the other side, or closes what was broken.
 
 const (
@@ -25,13 +26,13 @@
 	closeWriteTimeout = 20 * time.Millisecond
 )
 
-// reply writes the client's final reply and closes the connection.
+// reply writes the client's final answer and closes the connection.
 func (c *conn) reply(line string) {
 	c.writeReply(line)
 	c.lingerClose()
 }
 
-// writeReply writes a final reply to the client.
+// writeReply writes a final answer to the client.
 func (c *conn) writeReply(line string) {
 	_ = c.client.SetWriteDeadline(time.Now().Add(lingerTimeout))
 	_, _ = netio.WriteAll(c.client, []byte(line))
@@ -39,7 +40,7 @@
 
 // lingerClose closes the node's side and waits for the client to close its own.
 func (c *conn) lingerClose() {
-	c.proxy.markReplied(c)
+	c.proxy.markAnswered(c)
 	_ = c.client.CloseWrite()
 	c.mu.Lock()
 	c.readingStopped = true
@@ -64,7 +65,7 @@
 	_ = c.client.SetReadDeadline(netio.Expired)
 }
 
-// closeWithMessage writes a final reply, "" for none, and closes the connection without waiting for the client.
+// closeWithMessage writes a final answer, "" for none, and closes the connection without waiting for the client.
 func closeWithMessage(client *net.TCPConn, line string) {
 	_ = client.SetWriteDeadline(time.Now().Add(closeWriteTimeout))
 	if line != "" {
