--- a/internal/agent/stored_test.go
+++ b/internal/agent/stored_test.go
@@ -62,7 +62,7 @@
 	op := fleet.Operation{Request: fleet.Request{ID: "op-1", Kind: control.HostDrain, Host: "host-a", Targets: []string{"n1", "n2"},
 		Options: fleet.Options{WaveSize: 2, MaxUnavailable: 3, MaxUnavailablePerZone: 1, AllowEmptyZone: true, DrainTimeout: 20 * time.Second, RetryAfter: time.Second,
 			StepTimeout: 40 * time.Second, Deadline: time.Hour, OnFailure: "abort"}}, Fence: 7, State: fleet.Paused, Reason: "n2 is down",
-		Steps: map[string]*fleet.Step{"n1": {State: fleet.StepDone, Boot: "b1"}, "n2": {State: fleet.StepFailed, Reason: "is down"}}, Elapsed: 90 * time.Second}
+		Steps: map[string]*fleet.Step{"n1": {State: fleet.StepDone, Incarnation: "b1"}, "n2": {State: fleet.StepFailed, Reason: "is down"}}, Elapsed: 90 * time.Second}
 	hold := fleet.DesiredState{Scope: fleet.Scope{Instance: "n1", Host: "host-a"}, Command: control.Command{Operation: "op-1", Fence: 7,
 		Kind: control.HostDrain, Host: "host-a", DrainTimeout: 20 * time.Second, RetryAfter: time.Second, AdmitFor: 2 * time.Second, KeepConnections: true, HostMustExist: true}}
 	unexported := cmpopts.IgnoreUnexported(fleet.Operation{}, fleet.Step{})
--- a/internal/agent/testfleet_test.go
+++ b/internal/agent/testfleet_test.go
@@ -73,9 +73,10 @@
 	return n
 }
 
-var boots struct {
+// instanceStarts counts the starts of all instances, for their incarnations.
+var instanceStarts struct {
 	sync.Mutex
-	n int
+	count int
 }
 
 // start starts a process of the instance, without the state of the last one.
@@ -88,15 +89,15 @@
 	x.mu.Lock()
 	x.draining = false
 	x.mu.Unlock()
-	boots.Lock()
-	boots.n++
-	boot := fmt.Sprint("boot", boots.n)
-	boots.Unlock()
+	instanceStarts.Lock()
+	instanceStarts.count++
+	incarnation := fmt.Sprint("incarnation", instanceStarts.count)
+	instanceStarts.Unlock()
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		_ = control.NewServer(x, boot, 64, zap.NewNop()).Serve(ctx, l)
+		_ = control.NewServer(x, incarnation, 64, zap.NewNop()).Serve(ctx, l)
 	}()
 	x.stop = sync.OnceFunc(func() { cancel(); <-done })
 	t.Cleanup(x.stop)
--- a/internal/cli/instances.go
+++ b/internal/cli/instances.go
@@ -72,7 +72,7 @@
 	fmt.Fprintln(table, "NAME\tZONE\tREACH\tSTATE\tLIST\tCONNECTIONS\tIN-FLIGHT\tLAST-SEEN\tOPERATION\tREASON")
 	for _, view := range views {
 		state, connections, inFlight := "-", "-", "-"
-		if view.Status.Boot != "" {
+		if view.Status.Incarnation != "" {
 			state = string(view.Status.State)
 			connections = strconv.FormatInt(view.Status.Established, 10)
 			inFlight = strconv.FormatInt(view.Status.InFlight, 10)
@@ -88,7 +88,7 @@
 func describeList(view fleet.View) string {
 	list := view.Status.List
 	switch {
-	case view.Status.Boot == "" || list == nil:
+	case view.Status.Incarnation == "" || list == nil:
 		return "-"
 	case list.Source == "":
 		return fmt.Sprintf("none, %d calls", list.Calls)
--- a/internal/control/messages.go
+++ b/internal/control/messages.go
@@ -29,10 +29,11 @@
 	Host         string        `json:"host,omitempty"` // of HostDrain and HostResume
 	DrainTimeout time.Duration `json:"within_ns,omitempty"`
 	RetryAfter   time.Duration `json:"retry_after_ns,omitempty"` // sent to rejected clients
-	// AdmitFor is how long a draining node still admits clients from a front that has not noticed the drain yet.
+	// AdmitFor is how long a draining node still admits clients: the load balancer in front of the nodes may not have
+	// noticed the drain yet.
 	AdmitFor time.Duration `json:"open_ns,omitempty"`
-	// KeepConnections leaves established connections alone where packets pass through the node: they continue by way of
-	// other nodes when this one ends.
+	// KeepConnections leaves established connections alone in pass-through mode: they go on through other nodes when
+	// this one ends.
 	KeepConnections bool `json:"keep,omitempty"`
 	// HostMustExist rejects an override of an unknown host, instead of storing it until the host appears.
 	HostMustExist bool `json:"known,omitempty"`
@@ -88,8 +89,8 @@
 // Answer is an instance's answer to a command. One start of an instance answers repeats of a command alike, also after
 // later commands.
 type Answer struct {
-	Verdict Verdict `json:"verdict"`
-	Reason  string  `json:"why,omitempty"`
-	Fence   uint64  `json:"fence"` // of the command in effect for the instance, or the host
-	Boot    string  `json:"boot"`  // identifies the instance's start
+	Verdict     Verdict `json:"verdict"`
+	Reason      string  `json:"why,omitempty"`
+	Fence       uint64  `json:"fence"` // of the command in effect for the instance, or the host
+	Incarnation string  `json:"boot"`  // of the instance that answers
 }
--- a/internal/control/register.go
+++ b/internal/control/register.go
@@ -8,13 +8,13 @@
 	maxAnswers = 4096 // answers that are remembered for repeated commands
 )
 
-// errOverrideLimit goes to operators as it is, also by line calls.
+// errOverrideLimit is part of the management protocol: its text is also the answer to a line call.
 var errOverrideLimit = fmt.Errorf("words on %d hosts are held, no more can be", maxScopes)
 
 // Register applies each command once, and none after a newer one. Drain and resume of the instance share one scope;
 // the override of each host has its own. A Register is not safe for concurrent use.
 type Register struct {
-	boot           string
+	incarnation    string
 	scopes         map[string]scopeState // by host; "" is the instance
 	answers        map[string]recordedAnswer
 	answerOrder    []string // keys of answers, the oldest first
@@ -40,12 +40,12 @@
 	Rollback func() // forgets the command; only before the next call of the register, and where MustRun is set
 }
 
-// NewRegister makes an empty register for one start of an instance.
-func NewRegister(boot string) *Register {
+// NewRegister makes an empty register for one incarnation of an instance.
+func NewRegister(incarnation string) *Register {
 	return &Register{
-		boot:    boot,
-		scopes:  map[string]scopeState{},
-		answers: map[string]recordedAnswer{},
+		incarnation: incarnation,
+		scopes:      map[string]scopeState{},
+		answers:     map[string]recordedAnswer{},
 	}
 }
 
@@ -73,16 +73,16 @@
 		return Decision{}, fmt.Errorf("fence: %d is that of operation %q already", c.Fence, current.operation)
 	case known && c.Fence < current.fence:
 		answer := Answer{
-			Verdict: Rejected,
-			Reason:  fmt.Sprintf("superseded by operation %s: its fence %d is above %d", current.operation, current.fence, c.Fence),
-			Fence:   current.fence,
-			Boot:    r.boot,
+			Verdict:     Rejected,
+			Reason:      fmt.Sprintf("superseded by operation %s: its fence %d is above %d", current.operation, current.fence, c.Fence),
+			Fence:       current.fence,
+			Incarnation: r.incarnation,
 		}
 		r.record(key, c, answer)
 		return Decision{Answer: answer}, nil
 	}
 	r.scopes[c.Host] = scopeState{c.Operation, c.Fence, c.Kind}
-	answer := Answer{Verdict: Done, Fence: c.Fence, Boot: r.boot}
+	answer := Answer{Verdict: Done, Fence: c.Fence, Incarnation: r.incarnation}
 	r.record(key, c, answer)
 	return Decision{
 		Answer:  answer,
@@ -111,7 +111,7 @@
 func (r *Register) AcceptManual(c Command) (full Command, rollback func(), err error) {
 	current, known := r.scopes[c.Host]
 	r.manualCommands++
-	c.Operation = fmt.Sprintf("by-hand-%s-%d", r.boot, r.manualCommands)
+	c.Operation = fmt.Sprintf("by-hand-%s-%d", r.incarnation, r.manualCommands)
 	c.Fence = max(current.fence, 1)
 	if err := c.Check(); err != nil {
 		return c, nil, err
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -46,11 +46,11 @@
 	listDivisor  = 2
 )
 
-// Server answers on the control listeners of one start of an instance.
+// Server answers on the control listeners of one incarnation of an instance.
 type Server struct {
-	instance Instance
-	log      *zap.Logger
-	boot     string
+	instance    Instance
+	log         *zap.Logger
+	incarnation string
 
 	mu         sync.Mutex // serializes commands, from the decision to its end
 	register   *Register
@@ -58,15 +58,15 @@
 	listSlots  semaphore
 }
 
-// NewServer makes a server for one start of an instance, with listeners of conns connections each.
-func NewServer(instance Instance, boot string, conns int, log *zap.Logger) *Server {
+// NewServer makes a server for one incarnation of an instance, with listeners of conns connections each.
+func NewServer(instance Instance, incarnation string, conns int, log *zap.Logger) *Server {
 	return &Server{
-		instance:   instance,
-		log:        log,
-		boot:       boot,
-		register:   NewRegister(boot),
-		watchSlots: make(semaphore, conns/watchDivisor),
-		listSlots:  make(semaphore, conns/listDivisor),
+		instance:    instance,
+		log:         log,
+		incarnation: incarnation,
+		register:    NewRegister(incarnation),
+		watchSlots:  make(semaphore, conns/watchDivisor),
+		listSlots:   make(semaphore, conns/listDivisor),
 	}
 }
 
@@ -141,7 +141,7 @@
 	status := s.instance.Status()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	status.Boot = s.boot
+	status.Incarnation = s.incarnation
 	status.Operation, status.Fence = s.register.Current()
 	return status
 }
--- a/internal/control/server_test.go
+++ b/internal/control/server_test.go
@@ -105,7 +105,7 @@
 	wg.Wait()
 	close(answers)
 	for a := range answers {
-		if a != (Answer{Verdict: Done, Fence: 1, Boot: "boot"}) {
+		if a != (Answer{Verdict: Done, Fence: 1, Incarnation: "boot"}) {
 			t.Errorf("answered %+v", a)
 		}
 	}
@@ -125,7 +125,7 @@
 	if !isRemoteError(err, http.StatusConflict) {
 		t.Errorf("the same operation with other contents: %v", err)
 	}
-	if s, err := c.Status(t.Context()); err != nil || s.Operation != "p" || s.Fence != 9 || s.Boot != "boot" {
+	if s, err := c.Status(t.Context()); err != nil || s.Operation != "p" || s.Fence != 9 || s.Incarnation != "boot" {
 		t.Errorf("status %+v, error %v", s, err)
 	}
 }
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -14,7 +14,7 @@
 // Status is the state of an instance and what it counts.
 type Status struct {
 	Name           string              `json:"name"`
-	Boot           string              `json:"boot"` // changes with each start
+	Incarnation    string              `json:"boot"` // differs for each start of the instance
 	State          InstanceState       `json:"state"`
 	Operation      string              `json:"operation,omitempty"` // in effect for the instance
 	Fence          uint64              `json:"fence"`
@@ -26,7 +26,7 @@
 	Hosts          []HostStatus        `json:"hosts,omitempty"`
 	RuleViolations uint64              `json:"broken_rules,omitempty"` // counted by package invariant
 	Abandoned      []AbandonedRequests `json:"given_up,omitempty"`     // rejected or failed requests
-	Serial         uint64              `json:"serial"`                 // counts changes of the status
+	Serial         uint64              `json:"serial"`                 // always 0: a key that readers of the JSON know
 }
 
 // HostStatus is the state of a host as an instance sees it.
--- a/internal/fleet/delivery.go
+++ b/internal/fleet/delivery.go
@@ -16,7 +16,7 @@
 type redelivery struct {
 	attempts    int
 	notBefore   time.Duration
-	deliveredTo string // the start of the instance that has answered; it does not get the command again
+	deliveredTo string // the incarnation that has answered; it does not get the command again
 }
 
 // maxBackoffShift keeps the doubled delay from overflowing.
@@ -89,7 +89,7 @@
 		f.withdraw(o, name)
 		f.updateStep(o, step, StepSuperseded, answer.Reason)
 	default:
-		step.Boot = answer.Boot
+		step.Incarnation = answer.Incarnation
 		f.updateStep(o, step, StepAccepted, "")
 	}
 }
@@ -104,6 +104,6 @@
 		pending.notBefore = f.now + f.backoff(pending.attempts)
 		return
 	}
-	pending.deliveredTo = answer.Boot
+	pending.deliveredTo = answer.Incarnation
 	pending.attempts = 0
 }
--- a/internal/fleet/desired.go
+++ b/internal/fleet/desired.go
@@ -91,7 +91,7 @@
 			continue
 		}
 		pending := f.redeliveryOf(state)
-		if !state.isMissing(&observation.Status) || pending.deliveredTo == observation.Status.Boot {
+		if !state.isMissing(&observation.Status) || pending.deliveredTo == observation.Status.Incarnation {
 			continue
 		}
 		if f.mayAttempt(plan, pending.attempts, pending.notBefore) {
@@ -117,7 +117,7 @@
 	}
 	pending = &redelivery{}
 	if step := f.stepOf(state); step != nil && state.Host != "" {
-		pending.deliveredTo = step.Boot
+		pending.deliveredTo = step.Incarnation
 	}
 	f.redeliveries[state.Scope] = pending
 	return pending
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -24,7 +24,7 @@
 		t.Fatal(err)
 	}
 	for _, x := range list {
-		f.Observe(1, 1, x.Name, control.Status{Name: x.Name, Boot: "1", State: control.Serving}, nil)
+		f.Observe(1, 1, x.Name, control.Status{Name: x.Name, Incarnation: "1", State: control.Serving}, nil)
 	}
 	return f
 }
@@ -34,8 +34,8 @@
 	_, deliveries, _ := f.Next(now)
 	for _, t := range deliveries {
 		delivered = append(delivered, t.Instance.Name+" "+string(t.Command.Kind))
-		f.RecordAnswer(now, t, control.Answer{Verdict: control.Done, Fence: t.Command.Fence, Boot: "1"}, nil)
-		f.Observe(now+1, now+1, t.Instance.Name, control.Status{Boot: "1", State: state, Fence: t.Command.Fence}, nil)
+		f.RecordAnswer(now, t, control.Answer{Verdict: control.Done, Fence: t.Command.Fence, Incarnation: "1"}, nil)
+		f.Observe(now+1, now+1, t.Instance.Name, control.Status{Incarnation: "1", State: state, Fence: t.Command.Fence}, nil)
 	}
 	return delivered
 }
--- a/internal/fleet/operation.go
+++ b/internal/fleet/operation.go
@@ -44,9 +44,9 @@
 
 // Step is one instance's part of an operation.
 type Step struct {
-	State  StepState `json:"state"`
-	Reason string    `json:"why,omitempty"`
-	Boot   string    `json:"boot,omitempty"` // the start of the instance that accepted the command
+	State       StepState `json:"state"`
+	Reason      string    `json:"why,omitempty"`
+	Incarnation string    `json:"boot,omitempty"` // of the instance that accepted the command
 
 	attempts  int
 	retryAt   time.Duration // of the next attempt
--- a/internal/fleet/progress.go
+++ b/internal/fleet/progress.go
@@ -114,7 +114,7 @@
 	switch {
 	case !o.isInstanceWide():
 		f.updateStep(o, step, StepDone, "")
-	case isCurrent && status.Boot != step.Boot:
+	case isCurrent && status.Incarnation != step.Incarnation:
 		f.advanceRestarted(o, step)
 	case isCurrent && status.Fence > o.Fence:
 		f.updateStep(o, step, StepSuperseded, "the instance has a newer command")
@@ -135,7 +135,7 @@
 		f.updateStep(o, step, StepDone, reason)
 		return
 	}
-	step.Boot = ""
+	step.Incarnation = ""
 	step.retryAt = f.now
 	f.updateStep(o, step, StepDelivering, reason)
 }
--- a/internal/fleet/progress_test.go
+++ b/internal/fleet/progress_test.go
@@ -19,7 +19,7 @@
 	n := 0
 	for now := time.Duration(3); now < time.Minute; now += 50 * time.Millisecond {
 		for _, x := range []string{"a2", "b1"} {
-			f.Observe(now, now, x, control.Status{Boot: "1", State: control.Serving}, nil)
+			f.Observe(now, now, x, control.Status{Incarnation: "1", State: control.Serving}, nil)
 		}
 		_, deliveries, _ := f.Next(now)
 		for _, delivery := range deliveries {
@@ -36,7 +36,7 @@
 	if _, err := f.Continue(time.Minute, "d"); err != nil {
 		t.Fatal(err)
 	}
-	f.Observe(time.Minute, time.Minute, "a1", control.Status{Boot: "2", State: control.Serving}, nil)
+	f.Observe(time.Minute, time.Minute, "a1", control.Status{Incarnation: "2", State: control.Serving}, nil)
 	if got := deliverAll(f, time.Minute+1, control.Drained); strings.Join(got, "") != "b1 drain" {
 		t.Errorf("continued: %v", got)
 	}
@@ -53,16 +53,16 @@
 		t.Fatal(err)
 	}
 	deliverAll(f, 3, control.Draining)
-	f.Observe(5, 5, "a1", control.Status{Boot: "2", State: control.Serving}, nil)
+	f.Observe(5, 5, "a1", control.Status{Incarnation: "2", State: control.Serving}, nil)
 	if got := deliverAll(f, 6, control.Drained); len(got) != 1 {
 		t.Errorf("after a restart during the drain: %v", got)
 	}
-	f.Observe(8, 8, "a1", control.Status{Boot: "1", State: control.Drained, Fence: 1}, nil)
+	f.Observe(8, 8, "a1", control.Status{Incarnation: "1", State: control.Drained, Fence: 1}, nil)
 	f.Next(9)
 	if o, _ := f.Operation("d"); o.State != Succeeded {
 		t.Fatalf("the operation is %s", o.State)
 	}
-	f.Observe(20, 20, "a1", control.Status{Boot: "3", State: control.Serving}, nil)
+	f.Observe(20, 20, "a1", control.Status{Incarnation: "3", State: control.Serving}, nil)
 	if got := deliverAll(f, 21, control.Drained); len(got) != 1 || got[0] != "a1 drain" {
 		t.Errorf("after a restart: %v", got)
 	}
@@ -73,7 +73,7 @@
 		t.Fatal(err)
 	}
 	deliverAll(f, 25, control.Serving)
-	f.Observe(30, 30, "a1", control.Status{Boot: "4", State: control.Serving}, nil)
+	f.Observe(30, 30, "a1", control.Status{Incarnation: "4", State: control.Serving}, nil)
 	if got := deliverAll(f, 31, control.Serving); len(got) != 0 {
 		t.Errorf("resumed and restarted: %v", got)
 	}
@@ -94,7 +94,7 @@
 	if o, _ := f.Operation("d"); o.Steps["a1"].State != StepFailed || !o.State.Ended() {
 		t.Errorf("the step is %+v, the operation %s", o.Steps["a1"], o.State)
 	}
-	f.Observe(6, 6, "a9", control.Status{Boot: "9", State: control.Serving}, nil)
+	f.Observe(6, 6, "a9", control.Status{Incarnation: "9", State: control.Serving}, nil)
 	if got := deliverAll(f, 7, control.Drained); len(got) != 0 {
 		t.Errorf("the instance that has the address now gets %v", got)
 	}
--- a/internal/fleet/simulatedinstance_test.go
+++ b/internal/fleet/simulatedinstance_test.go
@@ -9,7 +9,7 @@
 
 type simulatedInstance struct {
 	name        string
-	boot        int
+	restarts    int
 	register    *control.Register
 	draining    bool
 	drainedAt   time.Duration // when its last connection closes
@@ -19,17 +19,17 @@
 }
 
 func (x *simulatedInstance) restart() {
-	x.boot++
-	x.register = control.NewRegister(x.bootID())
+	x.restarts++
+	x.register = control.NewRegister(x.incarnation())
 	x.draining = false
 	x.overrides = map[string]bool{}
 }
 
-// bootID identifies the instance's start.
-func (x *simulatedInstance) bootID() string { return fmt.Sprint(x.name, "-", x.boot) }
+// incarnation identifies the instance's start.
+func (x *simulatedInstance) incarnation() string { return fmt.Sprint(x.name, "-", x.restarts) }
 
 func (x *simulatedInstance) status(now time.Duration) control.Status {
-	s := control.Status{Name: x.name, Boot: x.bootID(), State: control.Serving}
+	s := control.Status{Name: x.name, Incarnation: x.incarnation(), State: control.Serving}
 	s.Operation, s.Fence = x.register.Current()
 	if x.draining {
 		s.State = control.Draining
--- a/internal/fleet/simulation_test.go
+++ b/internal/fleet/simulation_test.go
@@ -22,12 +22,12 @@
 	events   []event
 	reliable bool // no further faults
 
-	fleet       *Fleet
-	incarnation int // of the agent
-	inventory   []Instance
-	instances   map[string]*simulatedInstance
-	inFlight    map[string]int // commands of the current agent, by instance
-	wake        time.Duration
+	fleet            *Fleet
+	agentIncarnation int
+	inventory        []Instance
+	instances        map[string]*simulatedInstance
+	inFlight         map[string]int // commands of the current agent, by instance
+	wake             time.Duration
 
 	saved struct {
 		operations map[string][]byte
@@ -80,7 +80,7 @@
 }
 
 func (sim *simulation) startAgent() {
-	sim.incarnation++
+	sim.agentIncarnation++
 	sim.inFlight = map[string]int{}
 	cfg := Config{
 		DownAfter:            3 * time.Second,
@@ -93,7 +93,7 @@
 		MaxEndedOperations:   50,
 		MaxRunningOperations: 20,
 	}
-	sim.fleet = New(cfg, uint64(sim.incarnation))
+	sim.fleet = New(cfg, uint64(sim.agentIncarnation))
 	sim.fleet.now = sim.now
 	var operations []Operation
 	for _, text := range sim.saved.operations {
@@ -113,7 +113,7 @@
 // poll requests an instance's status, and schedules the next request.
 func (sim *simulation) poll(name string) {
 	x := sim.instances[name]
-	incarnation, requested := sim.incarnation, sim.now
+	agentIncarnation, requested := sim.agentIncarnation, sim.now
 	requestDelay, answerDelay := sim.delays()
 	if !sim.isLost() && x.up && !x.partitioned {
 		sim.schedule(requestDelay, func() {
@@ -122,14 +122,14 @@
 			}
 			status := x.status(sim.now)
 			sim.schedule(answerDelay, func() {
-				if incarnation == sim.incarnation && !x.partitioned {
+				if agentIncarnation == sim.agentIncarnation && !x.partitioned {
 					sim.fleet.Observe(sim.now, requested, name, status, nil)
 				}
 			})
 		})
 	} else {
 		sim.schedule(requestDelay+answerDelay, func() {
-			if incarnation == sim.incarnation {
+			if agentIncarnation == sim.agentIncarnation {
 				sim.fleet.Observe(sim.now, requested, name, control.Status{}, errLost)
 			}
 		})
@@ -152,7 +152,7 @@
 
 // send delivers a command to an instance: it may be lost, late or duplicated, and so may its answer.
 func (sim *simulation) send(delivery Delivery) {
-	name, incarnation := delivery.Instance.Name, sim.incarnation
+	name, agentIncarnation := delivery.Instance.Name, sim.agentIncarnation
 	x := sim.instances[name]
 	sim.inFlight[name]++
 	if sim.inFlight[name] > 1 {
@@ -182,7 +182,7 @@
 	}
 	lost := sim.isLost()
 	sim.schedule(requestDelay+answerDelay, func() {
-		if incarnation != sim.incarnation {
+		if agentIncarnation != sim.agentIncarnation {
 			return
 		}
 		sim.inFlight[name]--
--- a/internal/fleet/submit_test.go
+++ b/internal/fleet/submit_test.go
@@ -38,8 +38,8 @@
 	}
 	// An instance that is down counts as unavailable.
 	f = newServingFleet(t, threeInstances())
-	f.Observe(10*time.Second, 10*time.Second, "a2", control.Status{State: control.Serving, Boot: "1"}, nil)
-	f.Observe(10*time.Second, 10*time.Second, "b1", control.Status{State: control.Serving, Boot: "1"}, nil)
+	f.Observe(10*time.Second, 10*time.Second, "a2", control.Status{State: control.Serving, Incarnation: "1"}, nil)
+	f.Observe(10*time.Second, 10*time.Second, "b1", control.Status{State: control.Serving, Incarnation: "1"}, nil)
 	if _, err := f.Submit(10*time.Second, Request{ID: "x", Kind: control.Drain, Targets: []string{"a2"}}); err == nil {
 		t.Error("a drain of a zone's last available instance was accepted")
 	}
@@ -103,7 +103,7 @@
 	if got := deliverAll(f, 5, control.Serving); strings.Join(got, ", ") != "a2 resume" {
 		t.Errorf("while a command to a1 is in flight: %v", got)
 	}
-	f.RecordAnswer(6, deliveries[0], control.Answer{Verdict: control.Done, Fence: 1, Boot: "1"}, nil)
+	f.RecordAnswer(6, deliveries[0], control.Answer{Verdict: control.Done, Fence: 1, Incarnation: "1"}, nil)
 	if got := deliverAll(f, 7, control.Serving); strings.Join(got, ", ") != "a1 resume" {
 		t.Errorf("after its answer: %v", got)
 	}
@@ -119,7 +119,7 @@
 // After the store was lost, fences go on above those that instances report.
 func TestSubmit_InstancesWithHigherFence_ContinuesAbove(t *testing.T) {
 	f := newServingFleet(t, threeInstances())
-	f.Observe(2, 2, "a2", control.Status{Boot: "1", State: control.Serving, Fence: 41}, nil)
+	f.Observe(2, 2, "a2", control.Status{Incarnation: "1", State: control.Serving, Fence: 41}, nil)
 	o, err := f.Submit(3, Request{ID: "d", Kind: control.Drain, Targets: []string{"a1"}})
 	if err != nil || o.Fence != 42 {
 		t.Errorf("fence %d, error %v", o.Fence, err)
