--- a/internal/hotrestart/offer.go
+++ b/internal/hotrestart/offer.go
@@ -49,7 +49,7 @@
 	Host    string  `json:"host"`
 	Client  Socket  `json:"client"`
 	Peer    Socket  `json:"peer"`
-	Partial []byte  `json:"partial,omitempty"` // the begin of a line from the host
+	Partial []byte  `json:"partial,omitempty"` // the beginning of a line from the host
 	Load    float64 `json:"load,omitempty"`    // as last reported by the host, 0 for none
 }
 
@@ -81,8 +81,8 @@
 // NewExchange returns an exchange between the processes that share a store.
 func NewExchange(store *sharedstate.Store) *Exchange { return &Exchange{store: store} }
 
-// offerPath returns the path of an offer's file. It is unique to the offer: who is late for one must not accept the
-// next one under its name.
+// offerPath returns the path of an offer's file. It is unique to the offer: a process that read an earlier one and is
+// slow must not accept the next one by the same name.
 func (e *Exchange) offerPath(pid int, number uint64) string {
 	return e.store.ProcessFile(pid, fmt.Sprintf("-%d%s", number, offerSuffix))
 }
--- a/internal/hotrestart/socket.go
+++ b/internal/hotrestart/socket.go
@@ -8,8 +8,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// Socket is a connected socket of the process that offers it. The remote address is checked by who copies it: the
-// descriptor may be that of another socket by then.
+// Socket is a connected socket of the process that offers it. The process that copies it checks the remote address, as
+// the descriptor may be that of another socket by then.
 type Socket struct {
 	FD     int    `json:"fd"`
 	Remote string `json:"to"`
--- a/internal/lifecycle/coldstart.go
+++ b/internal/lifecycle/coldstart.go
@@ -19,20 +19,21 @@
 )
 
 const (
-	// defaultPollInterval stands in where the settings have none.
+	// defaultPollInterval is used where the settings have no poll interval.
 	defaultPollInterval = 10 * time.Second
 	// peerPollers is how many peers are polled at one time: one of them may hang.
 	peerPollers = 2
 )
 
-// coldStart is what begins a node's cold start: the service, the newest list known, and the scheduler of list calls.
+// coldStart has what a node with cold start is built from.
 type coldStart struct {
-	service   string
-	known     wire.EndpointList
+	service   string            // name of the list service
+	known     wire.EndpointList // the newest list of the configuration and the cache
 	scheduler *coldstart.Scheduler
 }
 
-// newColdStart chooses the newer of the endpoint lists of the configuration and of the cache.
+// newColdStart chooses the newer of the endpoint lists of the configuration and of the cache, and makes the scheduler of
+// calls to the list service.
 func newColdStart(options *nodeconfig.ColdStart, cfg nodeconfig.Config, log *zap.Logger) coldStart {
 	service := cmp.Or(options.Service, cfg.Discovery)
 	known := cfg.KnownEndpoints
@@ -52,7 +53,11 @@
 		}
 	}
 	offer := coldstart.Offer{Revision: known.Revision, Age: age, Hosts: len(known.Endpoints)}
-	return coldStart{service, known, newScheduler(options, cfg, service, source, offer)}
+	return coldStart{
+		service:   service,
+		known:     known,
+		scheduler: newScheduler(options, cfg, service, source, offer),
+	}
 }
 
 func newScheduler(
@@ -72,7 +77,7 @@
 	return coldstart.New(config, rng, time.Duration(time.Now().UnixNano()), source, known)
 }
 
-// startColdStartTasks starts the tasks beside the event loop: the list cache and the peer pollers.
+// startColdStartTasks starts the tasks of a cold start in a group: the list cache and the peer pollers.
 func startColdStartTasks(
 	ctx context.Context, group *errgroup.Group, options *nodeconfig.ColdStart,
 	self *node.Node, settings balancer.Settings, log *zap.Logger,
--- a/internal/migrate/value.go
+++ b/internal/migrate/value.go
@@ -110,7 +110,8 @@
 				return nil, err
 			}
 			key, _ := t.(string)
-			if at = joinPath(path, key); seen[key] {
+			at = joinPath(path, key)
+			if seen[key] {
 				return nil, &Error{r.currentLine(), at, errors.New("stands there twice")}
 			}
 			seen[key] = true
@@ -157,7 +158,9 @@
 		}
 	}
 	if at < 0 {
-		v.keys, v.items, at = append(v.keys, key), append(v.items, &value{kind: '{'}), len(v.items)
+		at = len(v.items)
+		v.keys = append(v.keys, key)
+		v.items = append(v.items, &value{kind: '{'})
 	}
 	if more {
 		if v.items[at].kind == 0 { // null counts as missing; a node rejects other scalars
--- a/internal/multiprocess/coordinator.go
+++ b/internal/multiprocess/coordinator.go
@@ -28,8 +28,8 @@
 type Config struct {
 	Node     string // its name
 	Folder   string // shared by the node's processes; "" where nothing is shared
-	Sockets  int    // descriptors that the node may hold
-	MemoryMB int
+	Sockets  int    // descriptors that all processes of the node may hold
+	MemoryMB int    // of all processes of the node
 }
 
 // Coordinator keeps the processes of one node in agreement during a hot restart. Its methods may be called from any
--- a/internal/multiprocess/handoff.go
+++ b/internal/multiprocess/handoff.go
@@ -55,7 +55,7 @@
 		}
 	}
 	c.log.Info("connections handed off",
-		zap.Int("handed_off", handedOff), zap.Int64("remaining", c.node.EstablishedConnections()))
+		zap.Int("handed_off", handedOff), zap.Int64("established", c.node.EstablishedConnections()))
 }
 
 func (c *Coordinator) hasConnections() bool {
@@ -73,8 +73,8 @@
 	return baselines
 }
 
-// offeredConns describes connections of this process. One that is closed meanwhile has no descriptor; nobody accepts
-// it.
+// offeredConns describes connections of this process. One that is closed meanwhile has no descriptor, and no process
+// accepts it.
 func offeredConns(connections []proxy.EstablishedConn) (offered []hotrestart.OfferedConn) {
 	for _, connection := range connections {
 		client, _ := hotrestart.SocketOf(connection.Client)
--- a/internal/multiprocess/overrides.go
+++ b/internal/multiprocess/overrides.go
@@ -9,7 +9,8 @@
 	"onyxstream/internal/sharedstate"
 )
 
-// SetHostOverride drains or resumes a host, here and in the node's other processes.
+// SetHostOverride drains or resumes a host, here and in the node's other processes. Its errors are those of the control
+// server and of node.SetHostOverride; after one the other processes do not get the override.
 func (c *Coordinator) SetHostOverride(host string, drain bool) error {
 	now := time.Now()
 	command := control.Command{
@@ -26,7 +27,8 @@
 	})
 }
 
-// SetDrain drains or resumes the node itself, here and in its other processes.
+// SetDrain drains or resumes the node itself, here and in its other processes; command is a Drain or Resume. After an
+// error the other processes do not get it.
 func (c *Coordinator) SetDrain(command control.Command) error {
 	drain := sharedstate.Drain{}
 	if command.Kind == control.Drain {
