--- a/internal/multiprocess/overrides_test.go
+++ b/internal/multiprocess/overrides_test.go
@@ -1,12 +1,12 @@
 package multiprocess
 
 import (
-	"context"
 	"os"
 	"path/filepath"
 	"testing"
 	"time"
 
+	"onyxstream/internal/node"
 	"onyxstream/internal/sharedstate"
 )
 
@@ -28,6 +28,14 @@
 	}
 }
 
+// startTestCoordinator returns the coordinator of a node whose event loop runs until the test ends.
+func startTestCoordinator(t *testing.T, folder string) (*Coordinator, *node.Node) {
+	t.Helper()
+	coordinator, n := newTestCoordinator(t, folder)
+	go func() { _ = n.Run(t.Context()) }()
+	return coordinator, n
+}
+
 // loadState reads the shared state.
 func loadState(c *Coordinator) (sharedstate.State, error) {
 	state, _, err := c.store.Load().Load()
@@ -46,15 +54,12 @@
 // An override that was set while the folder could not be written is written as soon as it can be.
 func TestOverride_FolderFails_IsWrittenLater(t *testing.T) {
 	folder := t.TempDir()
-	coordinator, n := newTestCoordinator(t, folder)
-	ctx, cancel := context.WithCancel(t.Context())
-	defer cancel()
-	go func() { _ = n.Run(ctx) }()
+	coordinator, _ := startTestCoordinator(t, folder)
 	unblock := blockWrites(t, folder)
 	if err := coordinator.SetHostOverride("h1", true); err != nil {
 		t.Fatal(err)
 	}
-	go coordinator.Run(ctx)
+	go coordinator.Run(t.Context())
 	time.Sleep(3 * syncInterval)
 	unblock()
 	eventually(t, "the override is written", func() bool {
@@ -66,17 +71,14 @@
 // A folder that can't be used at the start is used once it can be, and overrides set before are written then.
 func TestOverride_FolderMissingAtStart_IsWrittenLater(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "later")
-	coordinator, n := newTestCoordinator(t, dir)
-	ctx, cancel := context.WithCancel(t.Context())
-	defer cancel()
-	go func() { _ = n.Run(ctx) }()
+	coordinator, _ := startTestCoordinator(t, dir)
 	if coordinator.store.Load() != nil {
 		t.Fatal("a folder that is not there is used")
 	}
 	if err := coordinator.SetHostOverride("h1", true); err != nil {
 		t.Fatal(err)
 	}
-	go coordinator.Run(ctx)
+	go coordinator.Run(t.Context())
 	if err := os.Mkdir(dir, 0o700); err != nil {
 		t.Fatal(err)
 	}
@@ -93,10 +95,7 @@
 // have had is that of another one.
 func TestOverride_FolderFails_OthersAreApplied(t *testing.T) {
 	folder := t.TempDir()
-	coordinator, n := newTestCoordinator(t, folder)
-	ctx, cancel := context.WithCancel(t.Context())
-	defer cancel()
-	go func() { _ = n.Run(ctx) }()
+	coordinator, n := startTestCoordinator(t, folder)
 	unblock := blockWrites(t, folder)
 	if err := coordinator.SetHostOverride("h1", false); err != nil {
 		t.Fatal(err)
@@ -132,10 +131,7 @@
 	}{{"older", -time.Minute, 1, true}, {"later", time.Minute, 0, false}} {
 		t.Run(c.name, func(t *testing.T) {
 			dir := filepath.Join(t.TempDir(), "later")
-			coordinator, n := newTestCoordinator(t, dir)
-			ctx, cancel := context.WithCancel(t.Context())
-			defer cancel()
-			go func() { _ = n.Run(ctx) }()
+			coordinator, n := startTestCoordinator(t, dir)
 			if err := coordinator.SetHostOverride("h1", true); err != nil {
 				t.Fatal(err)
 			}
@@ -157,7 +153,7 @@
 			if err := os.Rename(before, dir); err != nil {
 				t.Fatal(err)
 			}
-			go coordinator.Run(ctx)
+			go coordinator.Run(t.Context())
 			eventually(t, "the shared state has the override", func() bool {
 				if coordinator.store.Load() == nil {
 					return false
