--- a/internal/pki/pki_test.go
+++ b/internal/pki/pki_test.go
@@ -7,6 +7,7 @@
 	"net"
 	"os"
 	"path/filepath"
+	"slices"
 	"strings"
 	"sync"
 	"testing"
@@ -73,6 +74,7 @@
 	return l.Addr().String()
 }
 
+// call connects to a server and asks it for the client's role.
 func call(t *testing.T, addr string, cfg *tls.Config) (*tls.Conn, string, error) {
 	d := &net.Dialer{Timeout: 10 * time.Second}
 	c, err := tls.DialWithDialer(d, "tcp", addr, cfg)
@@ -80,11 +82,12 @@
 		return nil, "", err
 	}
 	t.Cleanup(func() { _ = c.Close() })
-	role, err := again(c)
+	role, err := askRole(c)
 	return c, role, err
 }
 
-func again(c *tls.Conn) (string, error) {
+// askRole asks the server for the role that it finds in the connection's client certificate.
+func askRole(c *tls.Conn) (string, error) {
 	_ = c.SetDeadline(time.Now().Add(10 * time.Second))
 	if _, err := io.WriteString(c, "?"); err != nil {
 		return "", err
@@ -136,79 +139,105 @@
 			t.Errorf("a certificate that is %s is let in as %q", name, role)
 		}
 	}
-	// An instance must not be answered for by who only asks.
+	// A client's certificate must not serve as an instance's.
 	if _, _, err := call(t, serve(t, open(t, files(dir, "op"))), open(t, files(dir, "op")).ClientConfig("op")); err == nil {
 		t.Error("an operator's certificate answers as an instance")
 	}
 }
 
-// A renewed certificate is shown without a restart, one that is half written is not, and a revocation counts on
-// connections that stand.
-func TestKeyStore_FilesChange_AreReloaded(t *testing.T) {
+// reloadFixture is a server with the certificate of "n1", and the errors of its reloads.
+type reloadFixture struct {
+	dir    string
+	addr   string
+	client *KeyStore
+
+	mu     sync.Mutex
+	errors []error
+}
+
+func newReloadFixture(t *testing.T) *reloadFixture {
+	t.Helper()
 	dir := folder(t)
-	var mu sync.Mutex
-	var warned []error
-	k, err := Open(files(dir, "n1"), func(err error) { mu.Lock(); warned = append(warned, err); mu.Unlock() })
+	f := &reloadFixture{dir: dir}
+	server, err := Open(files(dir, "n1"), func(err error) {
+		f.mu.Lock()
+		defer f.mu.Unlock()
+		f.errors = append(f.errors, err)
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	addr := serve(t, k)
-	op := open(t, files(dir, "op"))
-	shown := func() string {
-		t.Helper()
-		c, _, err := call(t, addr, op.ClientConfig("n1"))
-		if err != nil {
-			t.Fatal(err)
-		}
-		defer c.Close()
-		return Serial(c.ConnectionState().PeerCertificates[0])
-	}
-	eventually := func(what string, f func() bool) {
-		t.Helper()
-		for begin := time.Now(); !f(); time.Sleep(50 * time.Millisecond) {
-			if time.Since(begin) > 20*time.Second {
-				t.Fatalf("never: %s", what)
-			}
+	f.addr = serve(t, server)
+	f.client = open(t, files(dir, "op"))
+	return f
+}
+
+// reloadErrors returns the errors so far.
+func (f *reloadFixture) reloadErrors() []error {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return slices.Clone(f.errors)
+}
+
+// serverSerial returns the serial number of the certificate that the server shows to a new connection.
+func (f *reloadFixture) serverSerial(t *testing.T) string {
+	t.Helper()
+	c, _, err := call(t, f.addr, f.client.ClientConfig("n1"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer c.Close()
+	return Serial(c.ConnectionState().PeerCertificates[0])
+}
+
+func eventually(t *testing.T, what string, condition func() bool) {
+	t.Helper()
+	for start := time.Now(); !condition(); time.Sleep(50 * time.Millisecond) {
+		if time.Since(start) > 20*time.Second {
+			t.Fatalf("never: %s", what)
 		}
 	}
-	was := shown()
-	whole, err := os.ReadFile(files(dir, "n1").Cert)
+}
+
+// A renewed certificate is shown without a restart, one that is half written is not, and a revocation applies to
+// established connections.
+func TestKeyStore_FilesChange_AreReloaded(t *testing.T) {
+	f := newReloadFixture(t)
+	certPath := files(f.dir, "n1").Cert
+	original := f.serverSerial(t)
+	complete, err := os.ReadFile(certPath)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(files(dir, "n1").Cert, whole[:len(whole)/2], 0o600); err != nil {
+	if err := os.WriteFile(certPath, complete[:len(complete)/2], 0o600); err != nil {
 		t.Fatal(err)
 	}
-	eventually("the half file is complained of", func() bool {
-		if shown() != was {
-			t.Fatal("half a file was taken")
+	eventually(t, "the half-written file is reported", func() bool {
+		if f.serverSerial(t) != original {
+			t.Fatal("a half-written file was loaded")
 		}
-		mu.Lock()
-		defer mu.Unlock()
-		return len(warned) > 0
+		return len(f.reloadErrors()) > 0
 	})
-	if err := os.WriteFile(files(dir, "n1").Cert, whole, 0o600); err != nil {
+	if err := os.WriteFile(certPath, complete, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Renew(dir, "n1", time.Hour); err != nil {
+	if _, err := Renew(f.dir, "n1", time.Hour); err != nil {
 		t.Fatal(err)
 	}
-	eventually("the renewed one is shown", func() bool { return shown() != was })
-	c, role, err := call(t, addr, op.ClientConfig("n1"))
+	eventually(t, "the renewed certificate is shown", func() bool { return f.serverSerial(t) != original })
+	c, role, err := call(t, f.addr, f.client.ClientConfig("n1"))
 	if err != nil || role != RoleOperator {
 		t.Fatalf("role %q, error %v", role, err)
 	}
-	if err := Revoke(dir, "op"); err != nil {
+	if err := Revoke(f.dir, "op"); err != nil {
 		t.Fatal(err)
 	}
-	eventually("the revocation counts on what stands", func() bool {
-		role, err := again(c)
+	eventually(t, "the revocation applies to an established connection", func() bool {
+		role, err := askRole(c)
 		return err == nil && role == "" || errors.Is(err, io.EOF)
 	})
-	mu.Lock()
-	defer mu.Unlock()
-	if len(warned) != 1 {
-		t.Errorf("warned %d times: %v", len(warned), warned)
+	if reported := f.reloadErrors(); len(reported) != 1 {
+		t.Errorf("%d errors were reported: %v", len(reported), reported)
 	}
 }
 
@@ -232,7 +261,15 @@
 	for _, c := range []struct {
 		name, role string
 		valid      time.Duration
-	}{{"a/b", RoleViewer, time.Hour}, {"..", RoleViewer, time.Hour}, {"", RoleViewer, time.Hour}, {"x", "king", time.Hour}, {"x", RoleViewer, 0}, {"x", RoleViewer, 10 * MaxValidity}, {authorityName, RoleViewer, time.Hour}} {
+	}{
+		{"a/b", RoleViewer, time.Hour},
+		{"..", RoleViewer, time.Hour},
+		{"", RoleViewer, time.Hour},
+		{"x", "king", time.Hour},
+		{"x", RoleViewer, 0},
+		{"x", RoleViewer, 10 * MaxValidity},
+		{authorityName, RoleViewer, time.Hour},
+	} {
 		if _, err := Issue(dir, c.name, c.role, c.valid); err == nil {
 			t.Errorf("%+v is issued", c)
 		}
