--- a/internal/hotrestart/offer_test.go
+++ b/internal/hotrestart/offer_test.go
@@ -34,7 +34,7 @@
 	if names, _ := filepath.Glob(filepath.Join(dir, "*.offer*")); len(names) > 0 {
 		t.Errorf("left are %v", names)
 	}
-	// Who has read this offer and is late must not accept the next one by it.
+	// A process that has read this offer and is slow must not accept the next one by its name.
 	first := e.offerPath(os.Getpid(), e.offerCount)
 	next := make(chan error, 1)
 	go func() {
@@ -47,7 +47,8 @@
 		}
 		select {
 		case err := <-next:
-			if over = true; err == nil {
+			over = true
+			if err == nil {
 				t.Error("the next offer counts as accepted")
 			}
 		default:
@@ -59,18 +60,20 @@
 }
 
 // An offer whose file is gone was accepted. Where the list of its accepted connections can't be read, all were.
-func TestReadAccepted_ListThereOrMissing(t *testing.T) {
+func TestReadAccepted_ListMissing_AllAccepted(t *testing.T) {
 	name := filepath.Join(t.TempDir(), "o")
 	if err := os.WriteFile(name+acceptedSuffix, []byte("1 7 x "), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	got := make([]bool, 3)
-	if readAccepted(name, got); got[0] || !got[1] || got[2] {
-		t.Errorf("accepted are %v", got)
+	accepted := make([]bool, 3)
+	readAccepted(name, accepted)
+	if accepted[0] || !accepted[1] || accepted[2] {
+		t.Errorf("accepted are %v", accepted)
 	}
-	got = make([]bool, 2)
-	if readAccepted(name, got); !got[0] || !got[1] {
-		t.Errorf("without a list: %v", got)
+	accepted = make([]bool, 2)
+	readAccepted(name, accepted)
+	if !accepted[0] || !accepted[1] {
+		t.Errorf("without a list: %v", accepted)
 	}
 }
 
@@ -132,10 +135,14 @@
 	if err != nil {
 		t.Skip("no pidfd here: ", err)
 	}
-	if got, err := copySocket(self, s); err != nil {
-		t.Logf("the system does not let a process look into another: %v", err)
-	} else if _ = got.Close(); got.RemoteAddr().String() != s.Remote {
-		t.Error("another socket")
+	copied, err := copySocket(self, s)
+	if err != nil {
+		t.Logf("the system does not allow pidfd_getfd: %v", err)
+	} else {
+		_ = copied.Close()
+		if copied.RemoteAddr().String() != s.Remote {
+			t.Error("another socket")
+		}
 	}
 	for _, bad := range []Socket{{s.FD, "127.0.0.1:1"}, {1 << 20, s.Remote}, {0, s.Remote}} {
 		if got, err := copySocket(self, bad); err == nil {
--- a/internal/hotrestart/stored_test.go
+++ b/internal/hotrestart/stored_test.go
@@ -62,7 +62,7 @@
 }
 
 // The names of the files are part of the format: two processes of one node find each other by them.
-func TestStoredFileNames_AreThoseOfEarlierReleases(t *testing.T) {
+func TestStoredFileNames_EarlierRelease_AreEqual(t *testing.T) {
 	dir := t.TempDir()
 	got := newExchange(t, dir).offerPath(4711, 7)
 	want := filepath.Join(dir, "onyxstream-51ce9f3ef4b004a7-4711-7.offer")
--- a/internal/sharedstate/stored_test.go
+++ b/internal/sharedstate/stored_test.go
@@ -77,7 +77,7 @@
 }
 
 // The names of the files are part of the format: two processes of one node find each other by them.
-func TestStoredFileNames_AreThoseOfEarlierReleases(t *testing.T) {
+func TestStoredFileNames_EarlierRelease_AreEqual(t *testing.T) {
 	dir := t.TempDir()
 	s, err := Open(dir, "n1")
 	if err != nil {
