--- a/internal/control/server_test.go
+++ b/internal/control/server_test.go
@@ -79,7 +79,8 @@
 			t.Error(err)
 		}
 	})
-	if c, err = Dial("unix:"+path, nil); err != nil {
+	c, err = Dial("unix:"+path, nil)
+	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(c.Close)
--- a/internal/fleet/progress_test.go
+++ b/internal/fleet/progress_test.go
@@ -12,26 +12,32 @@
 // Deliveries to an unreachable instance are retried within the budget, its step times out, and the operation pauses.
 func TestNext_UnreachableInstance_PausesOperation(t *testing.T) {
 	f := newServingFleet(t, threeInstances())
-	if _, err := f.Submit(2, Request{ID: "d", Kind: control.Drain, Targets: []string{"a1", "b1"},
-		Options: Options{MaxUnavailable: 3, AllowEmptyZone: true}}); err != nil {
+	request := Request{
+		ID:      "d",
+		Kind:    control.Drain,
+		Targets: []string{"a1", "b1"},
+		Options: Options{MaxUnavailable: 3, AllowEmptyZone: true},
+	}
+	if _, err := f.Submit(2, request); err != nil {
 		t.Fatal(err)
 	}
-	n := 0
+	attempts := 0
 	for now := time.Duration(3); now < time.Minute; now += 50 * time.Millisecond {
 		for _, x := range []string{"a2", "b1"} {
 			f.Observe(now, now, x, control.Status{Incarnation: "1", State: control.Serving}, nil)
 		}
 		_, deliveries, _ := f.Next(now)
 		for _, delivery := range deliveries {
-			if n++; delivery.Instance.Name != "a1" {
+			attempts++
+			if delivery.Instance.Name != "a1" {
 				t.Fatalf("%s gets a command before a1", delivery.Instance.Name)
 			}
-			f.RecordAnswer(now, delivery, control.Answer{}, errors.New("refused"))
+			f.RecordAnswer(now, delivery, control.Answer{}, errors.New("connection refused"))
 		}
 	}
 	o, _ := f.Operation("d")
-	if n < 5 || n > 20 || o.State != Paused || o.Steps["a1"].State != StepFailed || o.Steps["b1"].State != StepWaiting {
-		t.Errorf("%d deliveries; the operation is %s, a1 %s, b1 %s", n, o.State, o.Steps["a1"].State, o.Steps["b1"].State)
+	if attempts < 5 || attempts > 20 || o.State != Paused || o.Steps["a1"].State != StepFailed || o.Steps["b1"].State != StepWaiting {
+		t.Errorf("%d attempts; the operation is %s, a1 %s, b1 %s", attempts, o.State, o.Steps["a1"].State, o.Steps["b1"].State)
 	}
 	if _, err := f.Continue(time.Minute, "d"); err != nil {
 		t.Fatal(err)
--- a/internal/sharedstate/state.go
+++ b/internal/sharedstate/state.go
@@ -15,8 +15,8 @@
 	stateFormat = "onyxstream-handover-1"
 	// maxOverrides bounds the overrides in a state; more are rejected.
 	maxOverrides = 1024
-	// maxHostName bounds a host's name, in bytes.
-	maxHostName = 128
+	// maxHostIDBytes bounds a host's id, as on the control listener.
+	maxHostIDBytes = 128
 	// resumeRetention is how long an override that resumed a host is kept.
 	resumeRetention = 2 * time.Minute
 )
@@ -97,7 +97,7 @@
 		return State{}, ErrOverrideLimit
 	}
 	for _, override := range state.Overrides {
-		if override.Host == "" || len(override.Host) > maxHostName || override.Serial > state.Serial {
+		if override.Host == "" || len(override.Host) > maxHostIDBytes || override.Serial > state.Serial {
 			return State{}, fmt.Errorf("invalid override of host %.40q", override.Host)
 		}
 	}
--- a/internal/sharedstate/store_test.go
+++ b/internal/sharedstate/store_test.go
@@ -48,10 +48,9 @@
 	if state, changed, err := a.Load(); !changed || err != nil || len(state.Overrides) != 2 {
 		t.Errorf("and back: %+v, %v, %v", state, changed, err)
 	}
-	if other := openSecondStore(t, dir, "n2"); true { // another node in the same folder
-		if state, changed, err := other.Load(); changed || err != nil || len(state.Overrides) > 0 {
-			t.Errorf("another node reads %+v, %v, %v", state, changed, err)
-		}
+	otherNode := openSecondStore(t, dir, "n2")
+	if state, changed, err := otherNode.Load(); changed || err != nil || len(state.Overrides) > 0 {
+		t.Errorf("another node reads %+v, %v, %v", state, changed, err)
 	}
 }
 
