--- a/internal/agent/inventory.go
+++ b/internal/agent/inventory.go
@@ -68,7 +68,7 @@
 		err = a.fleet.SetInventory(a.now(), inventory.Instances)
 	}
 	if err != nil {
-		a.log.Error("inventory reload failed, keeping the previous one", zap.Error(err))
+		a.log.Error("inventory reload failed, keeping the current one", zap.Error(err))
 		return
 	}
 	a.log.Info("inventory reloaded", zap.Int("instances", len(inventory.Instances)))
