--- a/internal/control/server_test.go
+++ b/internal/control/server_test.go
@@ -79,7 +79,8 @@
 			t.Error(err)
 		}
 	})
-	if c, err = Dial("unix:"+path, nil); err != nil {
+	c, err = Dial("unix:"+path, nil)
+	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(c.Close)
@@ -105,7 +106,7 @@
 	wg.Wait()
 	close(answers)
 	for a := range answers {
-		if a != (Answer{Verdict: Done, Fence: 1, Boot: "boot"}) {
+		if a != (Answer{Verdict: Done, Fence: 1, Incarnation: "boot"}) {
 			t.Errorf("answered %+v", a)
 		}
 	}
@@ -125,7 +126,7 @@
 	if !isRemoteError(err, http.StatusConflict) {
 		t.Errorf("the same operation with other contents: %v", err)
 	}
-	if s, err := c.Status(t.Context()); err != nil || s.Operation != "p" || s.Fence != 9 || s.Boot != "boot" {
+	if s, err := c.Status(t.Context()); err != nil || s.Operation != "p" || s.Fence != 9 || s.Incarnation != "boot" {
 		t.Errorf("status %+v, error %v", s, err)
 	}
 }
