--- a/internal/loadtest/client.go
+++ b/internal/loadtest/client.go
@@ -40,7 +40,7 @@
 func (c *client) requestWithRetries(fields string) *attemptResult {
 	behavior := &c.scenario.Clients
 	rng := requestRand(c.scenario.Seed^retryStream, c.request.Number)
-	wait := behavior.RetryWait.D()
+	wait := behavior.RetryWait.AsDuration()
 	for retries := 0; ; retries++ {
 		attemptFields := fields
 		if retries > 0 && behavior.MarkRetries {
@@ -113,8 +113,8 @@
 
 // reconnectDelay draws how long the client waits before it reconnects.
 func (c *client) reconnectDelay() time.Duration {
-	shortest := c.scenario.Clients.ReconnectDelay[0].D()
-	longest := c.scenario.Clients.ReconnectDelay[1].D()
+	shortest := c.scenario.Clients.ReconnectDelay[0].AsDuration()
+	longest := c.scenario.Clients.ReconnectDelay[1].AsDuration()
 	fraction := requestRand(c.scenario.Seed^reconnectStream, c.request.Number).Float64()
 	return shortest + time.Duration(fraction*float64(longest-shortest))
 }
--- a/internal/loadtest/collect.go
+++ b/internal/loadtest/collect.go
@@ -49,7 +49,7 @@
 
 // behindReason says why the generator could not send the load as intended, "" where it could.
 func (e *engine) behindReason(r *Result, unsent int64) string {
-	allowedMS := e.scenario.Limits.MaxLateness.D().Seconds() * 1000
+	allowedMS := e.scenario.Limits.MaxLateness.AsDuration().Seconds() * 1000
 	localError := e.localError.Load()
 	switch {
 	case unsent > 0 && localError != nil:
--- a/internal/loadtest/engine.go
+++ b/internal/loadtest/engine.go
@@ -96,7 +96,7 @@
 	}
 	e.dialContext, e.cancelDials = context.WithCancel(context.Background())
 	for _, class := range e.scenario.Classes {
-		e.deadlines[class.Name] = class.Deadline.D()
+		e.deadlines[class.Name] = class.Deadline.AsDuration()
 	}
 	if n := e.scenario.Limits.SourceAddresses; n > 1 {
 		for i := range n {
@@ -112,7 +112,7 @@
 	background.Go(func() { e.sampleWakeups(ctx) })
 	for i, surge := range e.scenario.Surges {
 		background.Go(func() {
-			if e.sleepUntil(ctx, surge.At.D()) {
+			if e.sleepUntil(ctx, surge.At.AsDuration()) {
 				e.dropForSurge(i)
 			}
 		})
@@ -132,7 +132,7 @@
 
 // awaitOutcomes waits until all requests have an outcome, and then for Limits.Linger or the last connection's end.
 func (e *engine) awaitOutcomes(ctx context.Context) {
-	lingerEnd := time.Now().Add(e.scenario.Limits.Linger.D())
+	lingerEnd := time.Now().Add(e.scenario.Limits.Linger.AsDuration())
 	for ctx.Err() == nil {
 		e.recorder.mu.Lock()
 		inFlight := e.started.Load() - e.recorder.finished
--- a/internal/loadtest/scenario.go
+++ b/internal/loadtest/scenario.go
@@ -168,7 +168,7 @@
 // Length is the total duration of the phases.
 func (s *Scenario) Length() (d time.Duration) {
 	for _, p := range s.Phases {
-		d += p.Duration.D()
+		d += p.Duration.AsDuration()
 	}
 	return d
 }
--- a/internal/loadtest/scenario_check.go
+++ b/internal/loadtest/scenario_check.go
@@ -17,7 +17,7 @@
 	}
 	if s.Fleet == nil {
 		if len(s.Faults) > 0 {
-			return tomlfile.Wrong("fault[0].what", "a scenario without a fleet has nothing to break")
+			return tomlfile.NewFieldError("fault[0].what", "a scenario without a fleet has nothing to break")
 		}
 		return nil
 	}
@@ -29,7 +29,7 @@
 
 func (s *Scenario) classNames() (out []testcluster.ClassConfig) {
 	for _, c := range s.Classes {
-		out = append(out, testcluster.ClassConfig{Name: c.Name, Deadline: c.Deadline.D()})
+		out = append(out, testcluster.ClassConfig{Name: c.Name, Deadline: c.Deadline.AsDuration()})
 	}
 	return out
 }
@@ -51,20 +51,20 @@
 			return value, nil
 		}
 	}
-	return value, tomlfile.Wrong(path, "%q is none of %q", value, known)
+	return value, tomlfile.NewFieldError(path, "%q is none of %q", value, known)
 }
 
 // checkRange returns an error where the value is not a number from low to high.
 func checkRange(path string, value, low, high float64) error {
 	if !(value >= low && value <= high) {
-		return tomlfile.Wrong(path, "%g is not between %g and %g", value, low, high)
+		return tomlfile.NewFieldError(path, "%g is not between %g and %g", value, low, high)
 	}
 	return nil
 }
 
 // checkSeconds returns an error where a duration is not from low to high seconds.
 func checkSeconds(path string, value tomlfile.Duration, low, high float64) error {
-	return checkRange(path, value.D().Seconds(), low, high)
+	return checkRange(path, value.AsDuration().Seconds(), low, high)
 }
 
 func firstError(errs ...error) error {
@@ -99,7 +99,7 @@
 
 func (s *Scenario) checkPhases() error {
 	if len(s.Phases) == 0 {
-		return tomlfile.Wrong("phase", "there is none")
+		return tomlfile.NewFieldError("phase", "there is none")
 	}
 	for i := range s.Phases {
 		if err := s.Phases[i].check(arrayPath("phase", i)); err != nil {
@@ -123,14 +123,14 @@
 	if err != nil {
 		return err
 	}
-	minPeriod := p.Duration.D().Seconds() / maxPeriods
+	minPeriod := p.Duration.AsDuration().Seconds() / maxPeriods
 	switch p.Shape {
 	case shapeStep:
 		return checkRange(at+"steps", float64(p.Steps), 1, maxSteps)
 	case shapeBurst:
 		return firstError(
-			checkSeconds(at+"within", p.BurstDuration, minSeconds, p.Duration.D().Seconds()),
-			checkSeconds(at+"every", p.Period, max(p.BurstDuration.D().Seconds(), minPeriod), maxLength.Seconds()))
+			checkSeconds(at+"within", p.BurstDuration, minSeconds, p.Duration.AsDuration().Seconds()),
+			checkSeconds(at+"every", p.Period, max(p.BurstDuration.AsDuration().Seconds(), minPeriod), maxLength.Seconds()))
 	case shapeOnOff:
 		return firstError(
 			checkSeconds(at+"every", p.Period, max(minSeconds, minPeriod), maxLength.Seconds()),
@@ -156,7 +156,7 @@
 		}
 	}
 	if !isDelayRange(c.ReconnectDelay) {
-		return tomlfile.Wrong("clients.come_back", "it is two times, the first no longer than the second")
+		return tomlfile.NewFieldError("clients.come_back", "it is two times, the first no longer than the second")
 	}
 	if c.MaxReconnects == 0 {
 		c.MaxReconnects = defaultMaxReconnects
@@ -184,7 +184,7 @@
 		return false
 	}
 	shortest, longest := delays[0], delays[1]
-	return shortest >= 0 && longest >= shortest && longest.D() <= maxReconnectDelay
+	return shortest >= 0 && longest >= shortest && longest.AsDuration() <= maxReconnectDelay
 }
 
 func (s *Scenario) checkLimits() error {
@@ -199,10 +199,10 @@
 		l.SourceAddresses = 1
 	}
 	if s.InitialConnections.Count > 0 && s.Fleet == nil {
-		return tomlfile.Wrong("standing.count", "only a fleet of the scenario's own can have held connections before")
+		return tomlfile.NewFieldError("standing.count", "only a fleet of the scenario's own can have held connections before")
 	}
 	if s.Requests.Direct > 0 && s.Fleet == nil {
-		return tomlfile.Wrong("requests.direct", "only a fleet of the scenario's own has hosts that are known here")
+		return tomlfile.NewFieldError("requests.direct", "only a fleet of the scenario's own has hosts that are known here")
 	}
 	return firstError(
 		checkSeconds("limits.lateness", l.MaxLateness, 1e-6, time.Minute.Seconds()),
--- a/internal/loadtest/scenario_names.go
+++ b/internal/loadtest/scenario_names.go
@@ -13,7 +13,7 @@
 // checkNames checks what requests are drawn from: classes, tenants, zones, keys and groups.
 func (s *Scenario) checkNames() error {
 	if len(s.Classes) == 0 {
-		return tomlfile.Wrong("class", "there is none")
+		return tomlfile.NewFieldError("class", "there is none")
 	}
 	if err := s.checkClasses(); err != nil {
 		return err
@@ -25,7 +25,7 @@
 		return err
 	}
 	if len(s.Tenants) == 0 {
-		return tomlfile.Wrong("tenant", "there is none")
+		return tomlfile.NewFieldError("tenant", "there is none")
 	}
 	return firstError(s.Keys.check("keys"), s.Groups.check("groups"), s.checkShares())
 }
@@ -82,7 +82,7 @@
 		return err
 	}
 	if d.Zipf != 0 && !(d.Zipf > 1 && d.Zipf <= maxZipf) {
-		return tomlfile.Wrong(table+".zipf", "%g is not above 1 and up to %d", d.Zipf, maxZipf)
+		return tomlfile.NewFieldError(table+".zipf", "%g is not above 1 and up to %d", d.Zipf, maxZipf)
 	}
 	return nil
 }
@@ -94,7 +94,7 @@
 		total += c.Share
 	}
 	if total <= 0 {
-		return tomlfile.Wrong("class[0].share", "all shares are 0")
+		return tomlfile.NewFieldError("class[0].share", "all shares are 0")
 	}
 	return firstError(checkShareSum("tenant", s.Tenants), checkShareSum("zone", s.Zones))
 }
@@ -105,7 +105,7 @@
 		total += n.Share
 	}
 	if len(list) > 0 && total <= 0 {
-		return tomlfile.Wrong(table+"[0].share", "all shares are 0")
+		return tomlfile.NewFieldError(table+"[0].share", "all shares are 0")
 	}
 	return nil
 }
@@ -113,18 +113,18 @@
 // checkName checks a name that is sent in the opening line, and adds it to those seen.
 func checkName(at, name string, seen map[string]bool) error {
 	if name == "" || len(name) > maxNameLength {
-		return tomlfile.Wrong(at, "a name has 1 to %d bytes", maxNameLength)
+		return tomlfile.NewFieldError(at, "a name has 1 to %d bytes", maxNameLength)
 	}
 	for _, b := range []byte(name) {
 		if b <= ' ' || b >= 0x7f || b == ',' || b == '=' {
-			return tomlfile.Wrong(at, "%q has a character that a name can't have", name)
+			return tomlfile.NewFieldError(at, "%q has a character that a name can't have", name)
 		}
 	}
 	if seen[name] {
-		return tomlfile.Wrong(at, "%q is given twice", name)
+		return tomlfile.NewFieldError(at, "%q is given twice", name)
 	}
 	if len(seen) >= maxNames {
-		return tomlfile.Wrong(at, "there are over %d", maxNames)
+		return tomlfile.NewFieldError(at, "there are over %d", maxNames)
 	}
 	seen[name] = true
 	return nil
--- a/internal/loadtest/schedule.go
+++ b/internal/loadtest/schedule.go
@@ -93,17 +93,17 @@
 
 // segments divides a phase into segments.
 func (p *Phase) segments() []segment {
-	length := p.Duration.D()
+	length := p.Duration.AsDuration()
 	switch p.Shape {
 	case shapeRamp:
 		return []segment{{length, p.Rate, p.EndRate}}
 	case shapeStep:
 		return p.stepSegments()
 	case shapeBurst:
-		on := p.BurstDuration.D()
+		on := p.BurstDuration.AsDuration()
 		return p.alternate(on, p.Rate+p.BurstRequests/on.Seconds(), p.Rate)
 	case shapeOnOff:
-		on := time.Duration(p.DutyCycle * float64(p.Period.D()))
+		on := time.Duration(p.DutyCycle * float64(p.Period.AsDuration()))
 		return p.alternate(on, p.Rate, p.EndRate)
 	}
 	return []segment{{length, p.Rate, p.Rate}}
@@ -115,18 +115,18 @@
 		if p.Steps > 1 {
 			rate += (p.EndRate - p.Rate) * float64(i) / float64(p.Steps-1)
 		}
-		out = append(out, segment{p.Duration.D() / time.Duration(p.Steps), rate, rate})
+		out = append(out, segment{p.Duration.AsDuration() / time.Duration(p.Steps), rate, rate})
 	}
 	return out
 }
 
 // alternate returns the segments of a phase in which each period begins with the on rate and goes on with the off rate.
 func (p *Phase) alternate(on time.Duration, onRate, offRate float64) (out []segment) {
-	length := p.Duration.D()
-	for at := time.Duration(0); at < length; at += p.Period.D() {
+	length := p.Duration.AsDuration()
+	for at := time.Duration(0); at < length; at += p.Period.AsDuration() {
 		onLength := min(on, length-at)
 		out = append(out, segment{onLength, onRate, onRate})
-		offLength := min(p.Period.D(), length-at) - onLength
+		offLength := min(p.Period.AsDuration(), length-at) - onLength
 		if offLength > 0 {
 			out = append(out, segment{offLength, offRate, offRate})
 		}
@@ -174,7 +174,7 @@
 	r := Request{
 		Number:          n,
 		Class:           class.Name,
-		MessageInterval: class.MessageInterval.D(),
+		MessageInterval: class.MessageInterval.AsDuration(),
 		Load:            class.Load,
 		Tenant:          c.scenario.Tenants[c.tenants.pick(rng.Float64())].Name,
 	}
--- a/internal/scaletest/fit.go
+++ b/internal/scaletest/fit.go
@@ -52,7 +52,7 @@
 		{"service, with changes, messages/s", 0, ofFleet(func(s Sample) float64 { return s.Changes.MessagesPerS })},
 		{"nodes, with changes, cores", target.Cores * n, ofFleet(func(s Sample) float64 { return s.Changes.Cores })},
 		{"nodes, memory, MB", target.MemoryMB * n, ofFleet(func(s Sample) float64 { return s.MemoryMB })},
-		{"last node has a change, s", target.MaxPropagation.D().Seconds(), func(s Sample) float64 {
+		{"last node has a change, s", target.MaxPropagation.AsDuration().Seconds(), func(s Sample) float64 {
 			return s.Changes.Latency.Max.Seconds()
 		}},
 	}
--- a/internal/scaletest/measurement.go
+++ b/internal/scaletest/measurement.go
@@ -66,7 +66,7 @@
 		return sample, &ShortageError{kind, m.nodes, resource}
 	}
 	sample.StartupTime = time.Since(begin)
-	sample.Idle = m.measurePhase(func() { sleep(ctx, m.spec.IdleDuration.D()) })
+	sample.Idle = m.measurePhase(func() { sleep(ctx, m.spec.IdleDuration.AsDuration()) })
 	sample.Changes = m.measurePhase(func() { m.applyChanges(ctx, m.spec.Changes) })
 	var restartError error
 	sample.Restart = m.measurePhase(func() { restartError = m.restartNodes(ctx) })
--- a/internal/scaletest/spec.go
+++ b/internal/scaletest/spec.go
@@ -58,29 +58,29 @@
 func (s *Spec) Check() error {
 	switch {
 	case len(s.SimulatedSizes) < minSizes:
-		return tomlfile.Wrong("hollow", "%d sizes, a slope needs %d at least", len(s.SimulatedSizes), minSizes)
+		return tomlfile.NewFieldError("hollow", "%d sizes, a slope needs %d at least", len(s.SimulatedSizes), minSizes)
 	case !isAscending(s.SimulatedSizes, maxNodes):
-		return tomlfile.Wrong("hollow", "sizes are to grow, from 1 to %d", maxNodes)
+		return tomlfile.NewFieldError("hollow", "sizes are to grow, from 1 to %d", maxNodes)
 	case !isAscending(s.RealSizes, maxRealNodes):
-		return tomlfile.Wrong("real", "sizes are to grow, from 1 to %d", maxRealNodes)
+		return tomlfile.NewFieldError("real", "sizes are to grow, from 1 to %d", maxRealNodes)
 	case s.Hosts < minHosts || s.Hosts > maxHosts:
-		return tomlfile.Wrong("hosts", "%d is not from %d to %d", s.Hosts, minHosts, maxHosts)
-	case s.IdleDuration.D() < minIdleDuration:
-		return tomlfile.Wrong("rest", "%v is under 1s: processor time is counted in hundredths of a second", s.IdleDuration.D())
+		return tomlfile.NewFieldError("hosts", "%d is not from %d to %d", s.Hosts, minHosts, maxHosts)
+	case s.IdleDuration.AsDuration() < minIdleDuration:
+		return tomlfile.NewFieldError("rest", "%v is under 1s: processor time is counted in hundredths of a second", s.IdleDuration.AsDuration())
 	case s.Changes < 1 || s.Changes > maxChanges:
-		return tomlfile.Wrong("changes", "%d is not from 1 to %d", s.Changes, maxChanges)
+		return tomlfile.NewFieldError("changes", "%d is not from 1 to %d", s.Changes, maxChanges)
 	case !(s.ChangesPerDay > 0):
-		return tomlfile.Wrong("per_day", "%g is not above 0", s.ChangesPerDay)
+		return tomlfile.NewFieldError("per_day", "%g is not above 0", s.ChangesPerDay)
 	case !(s.Speedup >= 1):
-		return tomlfile.Wrong("factor", "%g is under 1", s.Speedup)
+		return tomlfile.NewFieldError("factor", "%g is under 1", s.Speedup)
 	case s.changeInterval() < minChangeInterval:
-		return tomlfile.Wrong("factor", "changes would come each %v, %v is the least", s.changeInterval(), minChangeInterval)
+		return tomlfile.NewFieldError("factor", "changes would come each %v, %v is the least", s.changeInterval(), minChangeInterval)
 	case !(s.RestartShare >= 0 && s.RestartShare <= 1):
-		return tomlfile.Wrong("restart", "%g is not from 0 to 1", s.RestartShare)
+		return tomlfile.NewFieldError("restart", "%g is not from 0 to 1", s.RestartShare)
 	case s.MaxMemoryMB < 1:
-		return tomlfile.Wrong("memory_mb", "%d MB for the measured processes is under 1", s.MaxMemoryMB)
+		return tomlfile.NewFieldError("memory_mb", "%d MB for the measured processes is under 1", s.MaxMemoryMB)
 	case s.Target.Nodes < 1:
-		return tomlfile.Wrong("target.nodes", "%d is under 1", s.Target.Nodes)
+		return tomlfile.NewFieldError("target.nodes", "%d is under 1", s.Target.Nodes)
 	}
 	return nil
 }
--- a/internal/soaktest/conditions.go
+++ b/internal/soaktest/conditions.go
@@ -38,13 +38,13 @@
 		DescriptorsExhausted: map[string][]Interval{},
 	}
 	for _, fault := range p.Faults {
-		interval := Interval{begin + fault.At.D(), begin + fault.At.D() + fault.Duration.D()}
+		interval := Interval{begin + fault.At.AsDuration(), begin + fault.At.AsDuration() + fault.Duration.AsDuration()}
 		if fault.Duration == 0 {
 			interval.To = end
 		}
 		switch {
 		case fault.Target == discoveryTarget:
-			interval.To += fault.Period.D()
+			interval.To += fault.Period.AsDuration()
 			c.DiscoveryUnreachable = append(c.DiscoveryUnreachable, interval)
 		case strings.HasPrefix(fault.Target, nodeLinkPrefix), strings.HasPrefix(fault.Target, nodePrefix):
 			interval.To += startupTime
--- a/internal/soaktest/runner.go
+++ b/internal/soaktest/runner.go
@@ -137,7 +137,7 @@
 		if fault.Target != node || fault.Kind != "stop" {
 			continue
 		}
-		if at > fault.At.D()+frontNoticeDelay && at < fault.At.D()+restartReservation/2 {
+		if at > fault.At.AsDuration()+frontNoticeDelay && at < fault.At.AsDuration()+restartReservation/2 {
 			return true
 		}
 	}
--- a/internal/soaktest/soak_test.go
+++ b/internal/soaktest/soak_test.go
@@ -96,7 +96,7 @@
 	}
 	var planText strings.Builder
 	for _, x := range plan.Faults {
-		fmt.Fprintf(&planText, "%v for %v: %s on %s by %g over %v\n", x.At.D(), x.Duration.D(), x.Kind, x.Target, x.Amount, x.Period.D())
+		fmt.Fprintf(&planText, "%v for %v: %s on %s by %g over %v\n", x.At.AsDuration(), x.Duration.AsDuration(), x.Kind, x.Target, x.Amount, x.Period.AsDuration())
 	}
 	fmt.Fprintf(&planText, "reloads %+v\nidle clients %+v\ncall faults %+v\n", plan.Reloads, plan.IdleClients, plan.CallFaults)
 	for name, text := range map[string]string{"log": string(report.Log), "ledger": ledger.String(), "plan": planText.String()} {
@@ -134,7 +134,7 @@
 func countOverlapping(p Plan) (n int) {
 	var at []time.Duration
 	for _, x := range p.Faults {
-		at = append(at, x.At.D())
+		at = append(at, x.At.AsDuration())
 	}
 	for i, a := range at {
 		for _, b := range at[:i] {
--- a/internal/testcluster/cluster.go
+++ b/internal/testcluster/cluster.go
@@ -88,7 +88,7 @@
 // faults can begin before. On an error it ends what it has started.
 func Prepare(config Config, options Options) (*Cluster, error) {
 	clock := fakeserver.NewClock()
-	store := capacity.SessionStore{Latency: config.Store.Latency.D(), Rate: config.Store.CallsPerSecond}
+	store := capacity.SessionStore{Latency: config.Store.Latency.AsDuration(), Rate: config.Store.CallsPerSecond}
 	c := &Cluster{
 		Clock:    clock,
 		EventLog: fakeserver.NewEventLog(clock),
@@ -138,8 +138,8 @@
 		return nil, err
 	}
 	c.Discovery.SetLimits(fakeserver.DiscoveryLimits{
-		CallDuration: c.config.Discovery.CallDuration.D(),
-		MaxWait:      c.config.Discovery.MaxWait.D(),
+		CallDuration: c.config.Discovery.CallDuration.AsDuration(),
+		MaxWait:      c.config.Discovery.MaxWait.AsDuration(),
 		MaxQueue:     c.config.Discovery.MaxQueue,
 		RetryAfter:   c.config.Discovery.RetryAfter,
 	})
@@ -185,7 +185,7 @@
 	processes := c.processes()
 	errs := make([]error, len(processes))
 	c.launchedAt = c.Clock.Now()
-	if down := c.config.Discovery.DownAtStart.D(); down > 0 {
+	if down := c.config.Discovery.DownAtStart.AsDuration(); down > 0 {
 		c.Discovery.SetMode(fakeserver.ModeReset)
 		c.runAfter(down, func() { c.Discovery.SetMode(fakeserver.ModeNormal) })
 	}
@@ -198,7 +198,7 @@
 	for _, p := range c.nodes {
 		nodes = append(nodes, fakeserver.Node{Name: p.name, Addr: p.addr, Zone: p.zone})
 	}
-	c.Frontend = fakeserver.NewFrontendBalancer(c.EventLog, c.config.FrontendDelay.D(), nodes...)
+	c.Frontend = fakeserver.NewFrontendBalancer(c.EventLog, c.config.FrontendDelay.AsDuration(), nodes...)
 	return errors.Join(errs...)
 }
 
--- a/internal/testcluster/config.go
+++ b/internal/testcluster/config.go
@@ -105,13 +105,13 @@
 		ConnectionLoad:    host.ConnectionLoad,
 		LoadDrift:         host.LoadDrift,
 		GroupCost:         host.GroupCost,
-		SetupWork:         host.SetupWork.D().Seconds(),
-		LineWork:          host.LineWork.D().Seconds(),
+		SetupWork:         host.SetupWork.AsDuration().Seconds(),
+		LineWork:          host.LineWork.AsDuration().Seconds(),
 		MaxConnections:    host.MaxConnections,
 		MaxSetups:         host.MaxSetups,
 		SlowStartFraction: host.SlowStartFraction,
-		SlowStartDuration: host.SlowStartDuration.D(),
+		SlowStartDuration: host.SlowStartDuration.AsDuration(),
 		CollapseMultiple:  host.CollapseMultiple,
-		CollapseAfter:     host.CollapseAfter.D(),
+		CollapseAfter:     host.CollapseAfter.AsDuration(),
 	}
 }
--- a/internal/testcluster/config_check.go
+++ b/internal/testcluster/config_check.go
@@ -36,7 +36,7 @@
 func (c *Config) Check(classes []ClassConfig, tenants []string) error {
 	c.setDefaults()
 	if c.Mode != modePass && c.Mode != modeProxy {
-		return tomlfile.Wrong("fleet.mode", `%q is neither "pass" nor "proxy"`, c.Mode)
+		return tomlfile.NewFieldError("fleet.mode", `%q is neither "pass" nor "proxy"`, c.Mode)
 	}
 	if err := c.checkPeers(); err != nil {
 		return err
@@ -46,11 +46,11 @@
 	}
 	for i, zone := range c.Zones {
 		if zone == "" || strings.ContainsAny(zone, " ,=\"\\") {
-			return tomlfile.Wrong("fleet.zones", "%q is no name (number %d)", zone, i+1)
+			return tomlfile.NewFieldError("fleet.zones", "%q is no name (number %d)", zone, i+1)
 		}
 	}
 	if field, err := c.hostSpec(0).Check(); err != nil {
-		return tomlfile.Wrong("fleet.host."+field, "%w", err)
+		return tomlfile.NewFieldError("fleet.host."+field, "%w", err)
 	}
 	return nil
 }
@@ -83,7 +83,7 @@
 	}
 	peers := c.ColdStart.Peers
 	if peers < 0 || peers > maxPeers || peers >= max(c.Nodes, 1) {
-		return tomlfile.Wrong("fleet.coldstart.peers", "%d is not between 0 and %d, and under the nodes", peers, maxPeers)
+		return tomlfile.NewFieldError("fleet.coldstart.peers", "%d is not between 0 and %d, and under the nodes", peers, maxPeers)
 	}
 	return nil
 }
@@ -100,23 +100,23 @@
 		{"cores", c.Cores, 0.05, 64},
 		{"memory_mb", float64(c.MemoryMB), 16, 1 << 20},
 		{"sockets", float64(c.Sockets), 64, 1 << 20},
-		{"notice", c.DiscoveryDelay.D().Seconds(), 0, 600},
-		{"front_notice", c.FrontendDelay.D().Seconds(), 0, 600},
-		{"park", c.ResumeTimeout.D().Seconds(), 0, 600},
+		{"notice", c.DiscoveryDelay.AsDuration().Seconds(), 0, 600},
+		{"front_notice", c.FrontendDelay.AsDuration().Seconds(), 0, 600},
+		{"park", c.ResumeTimeout.AsDuration().Seconds(), 0, 600},
 		{"quota", c.TenantQuota, 0, 1e9},
 		{"host.uneven", c.Host.SpeedSpread, 0, 0.99},
-		{"store.latency", c.Store.Latency.D().Seconds(), 0, 600},
+		{"store.latency", c.Store.Latency.AsDuration().Seconds(), 0, 600},
 		{"store.rate", c.Store.CallsPerSecond, 0, 1e9},
 		{"agents", float64(c.Agents), 0, maxAgents},
-		{"list.cost", c.Discovery.CallDuration.D().Seconds(), 0, 60},
-		{"list.wait", c.Discovery.MaxWait.D().Seconds(), 0, 600},
+		{"list.cost", c.Discovery.CallDuration.AsDuration().Seconds(), 0, 60},
+		{"list.wait", c.Discovery.MaxWait.AsDuration().Seconds(), 0, 600},
 		{"list.queue", float64(c.Discovery.MaxQueue), 0, 1e6},
-		{"list.down", c.Discovery.DownAtStart.D().Seconds(), 0, 600},
-		{"list.ask_within", c.Discovery.PollInterval.D().Seconds(), 0.1, 600},
+		{"list.down", c.Discovery.DownAtStart.AsDuration().Seconds(), 0, 600},
+		{"list.ask_within", c.Discovery.PollInterval.AsDuration().Seconds(), 0.1, 600},
 	} {
 		inRange := field.value >= field.min && field.value <= field.max // false for NaN too
 		if !inRange {
-			return tomlfile.Wrong("fleet."+field.key, "%g is not between %g and %g", field.value, field.min, field.max)
+			return tomlfile.NewFieldError("fleet."+field.key, "%g is not between %g and %g", field.value, field.min, field.max)
 		}
 	}
 	return nil
--- a/internal/testcluster/faults.go
+++ b/internal/testcluster/faults.go
@@ -57,7 +57,7 @@
 		host.SetStolenFraction(fault.Amount)
 		return noError(func() { host.SetStolenFraction(0) }), nil
 	case faultDrain:
-		return noError(c.drainHost(host, fault.Period.D())), nil
+		return noError(c.drainHost(host, fault.Period.AsDuration())), nil
 	}
 	return c.crashHost(host), nil
 }
@@ -105,12 +105,12 @@
 // crashHost crashes a host and returns what restarts it. The endpoint list follows either after a delay.
 func (c *Cluster) crashHost(host *fakeserver.Host) (restart func() error) {
 	host.Crash()
-	c.runAfter(c.config.DiscoveryDelay.D(), func() { c.listHost(host, wire.Removed) })
+	c.runAfter(c.config.DiscoveryDelay.AsDuration(), func() { c.listHost(host, wire.Removed) })
 	return func() error {
 		if err := host.Restart(); err != nil {
 			return err
 		}
-		c.runAfter(c.config.DiscoveryDelay.D(), func() { c.listHost(host, wire.Serving) })
+		c.runAfter(c.config.DiscoveryDelay.AsDuration(), func() { c.listHost(host, wire.Serving) })
 		return nil
 	}
 }
@@ -151,7 +151,7 @@
 	discovery := c.Discovery
 	switch fault.Kind {
 	case faultLag:
-		discovery.SetNotifyDelay(fault.Period.D())
+		discovery.SetNotifyDelay(fault.Period.AsDuration())
 		return noError(func() { discovery.SetNotifyDelay(0) })
 	case faultFreeze:
 		discovery.SetFrozen(true)
--- a/internal/testcluster/hosts.go
+++ b/internal/testcluster/hosts.go
@@ -34,7 +34,7 @@
 		Seed:          c.options.Seed + uint64(index),
 		StartsCold:    cold,
 		ReportsLoad:   c.config.ReportsLoad,
-		ResumeTimeout: c.config.ResumeTimeout.D(),
+		ResumeTimeout: c.config.ResumeTimeout.AsDuration(),
 	}
 	host, err := fakeserver.NewHost(config, c.Clock, c.EventLog)
 	if err != nil {
--- a/internal/testcluster/link_faults.go
+++ b/internal/testcluster/link_faults.go
@@ -46,7 +46,7 @@
 		start = func(link *fakeserver.Link) { link.SetStalled(true) }
 		return start, func(link *fakeserver.Link) { link.SetStalled(false) }
 	case faultDelay:
-		start = func(link *fakeserver.Link) { link.SetDelay(fault.Period.D()) }
+		start = func(link *fakeserver.Link) { link.SetDelay(fault.Period.AsDuration()) }
 		return start, func(link *fakeserver.Link) { link.SetDelay(0) }
 	case faultRate:
 		start = func(link *fakeserver.Link) { link.SetRate(int64(fault.Amount)) }
--- a/internal/testcluster/node_settings.go
+++ b/internal/testcluster/node_settings.go
@@ -168,12 +168,12 @@
 	host := c.config.Host
 	return ruleSettings{
 		AnswerSlack:       answerSlackMS,
-		PollInterval:      milliseconds(c.config.Discovery.PollInterval.D()),
+		PollInterval:      milliseconds(c.config.Discovery.PollInterval.AsDuration()),
 		SlowStartFraction: cmp.Or(host.SlowStartFraction, 1),
 		CollapseMultiple:  max(host.CollapseMultiple, 1),
-		CollapseAfter:     milliseconds(host.CollapseAfter.D()),
+		CollapseAfter:     milliseconds(host.CollapseAfter.AsDuration()),
 		StopSendingWithin: stopSendingWithinMS,
-		SlowStartDuration: milliseconds(host.SlowStartDuration.D()),
+		SlowStartDuration: milliseconds(host.SlowStartDuration.AsDuration()),
 	}
 }
 
--- a/internal/testcluster/timeline.go
+++ b/internal/testcluster/timeline.go
@@ -46,7 +46,7 @@
 	start := time.Now()
 	c.timeline.wg.Go(func() {
 		for _, fault := range faults {
-			if !ctxtime.Sleep(ctx, time.Until(start.Add(fault.At.D()))) {
+			if !ctxtime.Sleep(ctx, time.Until(start.Add(fault.At.AsDuration()))) {
 				return
 			}
 			end, err := c.StartFault(fault)
@@ -56,7 +56,7 @@
 			if fault.Duration <= 0 {
 				continue
 			}
-			endAt := start.Add(fault.At.D() + fault.Duration.D())
+			endAt := start.Add(fault.At.AsDuration() + fault.Duration.AsDuration())
 			c.timeline.wg.Go(func() { c.endFaultAt(ctx, endAt, end) })
 		}
 	})
