--- a/cmd/onyxstream/handcross_test.go
+++ b/cmd/onyxstream/handcross_test.go
@@ -15,16 +15,16 @@
 // Connections go from one process to the next while either of the two is stopped, or told to stop, in between: the orders
 // are brought about by holding the process that is to come second.
 
-// signalled sends a signal to the process.
-func (p *running) signalled(t testing.TB, s os.Signal) {
+// sendSignal sends a signal to the process.
+func (p *nodeProcess) sendSignal(t testing.TB, s os.Signal) {
 	t.Helper()
 	if err := p.cmd.Process.Signal(s); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// offered reports whether connections are on offer in a folder.
-func offered(t testing.TB, dir string) bool {
+// offerPending reports whether connections are on offer in a folder.
+func offerPending(t testing.TB, dir string) bool {
 	t.Helper()
 	names, err := filepath.Glob(dir + "/*.offer")
 	if err != nil {
@@ -33,27 +33,27 @@
 	return len(names) > 0
 }
 
-// atOffer brings n connections up, starts a second process and tells the first to stop. Both stand still: the first one's
+// stopDuringOffer brings n connections up, starts a second process and tells the first to stop. Both stand still: the first one's
 // first offer is valid, and not taken. One that was taken back before its process could be stopped is tried anew.
-func atOffer(t testing.TB, a *host, mode string, n int) (dir string, p, next *running, on []*client) {
+func stopDuringOffer(t testing.TB, host *fakeHost, mode string, n int) (dir string, node, successor *nodeProcess, clients []*testClient) {
 	t.Helper()
 	for range 5 {
-		o, reg := inherited(t, a)
-		o.mode = mode
-		p, on = start(t, o, reg.addr), nil
+		options, discovery := inheritedSocketOptions(t, host)
+		options.mode = mode
+		node, clients = startNode(t, options, discovery.addr), nil
 		for range n {
-			on = append(on, p.open(t, ""))
-			on[len(on)-1].hears("UP")
+			clients = append(clients, node.openRequest(t, ""))
+			clients[len(clients)-1].expectLine("UP")
 		}
-		next = upgrade(t, o, reg.addr)
-		next.signalled(t, syscall.SIGSTOP)
-		p.signal(t)
-		eventually(t, "connections are on offer", func() bool { return offered(t, o.tmp()) })
-		if p.signalled(t, syscall.SIGSTOP); offered(t, o.tmp()) {
-			return o.tmp(), p, next, on
+		successor = startSuccessor(t, options, discovery.addr)
+		successor.sendSignal(t, syscall.SIGSTOP)
+		node.terminate(t)
+		eventually(t, "connections are on offer", func() bool { return offerPending(t, options.sharedDir()) })
+		if node.sendSignal(t, syscall.SIGSTOP); offerPending(t, options.sharedDir()) {
+			return options.sharedDir(), node, successor, clients
 		}
-		p.signalled(t, syscall.SIGCONT)
-		next.signalled(t, syscall.SIGCONT)
+		node.sendSignal(t, syscall.SIGCONT)
+		successor.sendSignal(t, syscall.SIGCONT)
 	}
 	t.Fatal("no process could be stopped within the time of its offer")
 	return "", nil, nil, nil
@@ -61,37 +61,37 @@
 
 // A process is told to stop as it has taken over a part of what another one has, which ends too: neither is there for the
 // other any more. They handed the same connections back and forth, until one ended with what it had just taken.
-func TestTwoProcessesToldToStopHandNothingBack(t *testing.T) {
+func TestHandoff_BothProcessesStop_NothingHandedBack(t *testing.T) {
 	t.Parallel()
-	a := newHost(t, "ha")
-	dir, p, next, on := atOffer(t, a, "proxy", 20) // more than one offer
-	next.signalled(t, syscall.SIGCONT)
-	eventually(t, "the offer is taken", func() bool { return !offered(t, dir) })
-	next.signal(t)
+	host := newFakeHost(t, "ha")
+	dir, node, successor, clients := stopDuringOffer(t, host, "proxy", 20) // more than one offer
+	successor.sendSignal(t, syscall.SIGCONT)
+	eventually(t, "the offer is taken", func() bool { return !offerPending(t, dir) })
+	successor.terminate(t)
 	var moved atomic.Int32
-	var all sync.WaitGroup
-	for _, k := range on {
-		all.Go(func() {
-			line, err := k.r.ReadString('\n')
-			rest, end := io.ReadAll(k.r)
+	var readers sync.WaitGroup
+	for _, client := range clients {
+		readers.Go(func() {
+			line, err := client.reader.ReadString('\n')
+			rest, end := io.ReadAll(client.reader)
 			if moved.Add(1); line != "MOVE\r\n" || err != nil || len(rest) > 0 || end != nil {
 				t.Errorf("heard %q, %v, then %q, %v; want MOVE and the end", line, err, rest, end)
 			}
 		})
 	}
-	eventually(t, "the second offers what it has, or moves it", func() bool { return offered(t, dir) || moved.Load() > 0 })
-	p.signalled(t, syscall.SIGCONT)
-	all.Wait()
-	p.ended(t)
-	next.ended(t)
-	eventually(t, "the host is left", func() bool { return a.open() == 0 })
-	if n := p.handedOff(t) + next.handedOff(t); n > len(on) {
-		t.Errorf("%d connections were handed over %d times", len(on), n)
+	eventually(t, "the second offers what it has, or moves it", func() bool { return offerPending(t, dir) || moved.Load() > 0 })
+	node.sendSignal(t, syscall.SIGCONT)
+	readers.Wait()
+	node.waitForCleanExit(t)
+	successor.waitForCleanExit(t)
+	eventually(t, "the host is left", func() bool { return host.openConnections() == 0 })
+	if n := node.connectionsHandedOff(t) + successor.connectionsHandedOff(t); n > len(clients) {
+		t.Errorf("%d connections were handed over %d times", len(clients), n)
 	}
 }
 
-// handedOff counts the connections that a process has handed off, by its log.
-func (p *running) handedOff(t testing.TB) (sum int) {
+// connectionsHandedOff counts the connections that a process has handed off, by its log.
+func (p *nodeProcess) connectionsHandedOff(t testing.TB) (sum int) {
 	t.Helper()
 	for _, m := range regexp.MustCompile(`"handed_off": (\d+)`).FindAllStringSubmatch(p.log.String(), -1) {
 		n, err := strconv.Atoi(m[1])
@@ -105,22 +105,22 @@
 
 // The process that offers connections stands still while they are taken, for longer than an offer is valid. Once it goes
 // on they are the other one's, and it touches none of them.
-func TestAnOfferIsTakenWhileItsProcessStandsStill(t *testing.T) {
+func TestHandoff_OfferingProcessStopped_OfferAccepted(t *testing.T) {
 	t.Parallel()
-	a := newHost(t, "ha")
-	_, p, next, on := atOffer(t, a, "pass", 5)
-	next.signalled(t, syscall.SIGCONT)
-	for _, k := range on { // only the next process can pass it on
-		k.say("M 1\r\n")
-		k.hears("M 1")
+	host := newFakeHost(t, "ha")
+	_, node, successor, clients := stopDuringOffer(t, host, "pass", 5)
+	successor.sendSignal(t, syscall.SIGCONT)
+	for _, client := range clients { // only the next process can pass it on
+		client.send("M 1\r\n")
+		client.expectLine("M 1")
 	}
-	p.signalled(t, syscall.SIGCONT)
-	p.ended(t)
-	for _, k := range on {
-		k.say("M 2\r\n")
-		k.hears("M 2")
-		k.say("DO bye\r\n")
-		k.hears("BYE")
-		k.ends(false)
+	node.sendSignal(t, syscall.SIGCONT)
+	node.waitForCleanExit(t)
+	for _, client := range clients {
+		client.send("M 2\r\n")
+		client.expectLine("M 2")
+		client.send("DO bye\r\n")
+		client.expectLine("BYE")
+		client.expectClose(false)
 	}
 }
--- a/cmd/onyxstream/log_test.go
+++ b/cmd/onyxstream/log_test.go
@@ -21,34 +21,34 @@
 	return read, write
 }
 
-// servedAndEnds has clients come to a node, then tells it to end, and wants each answered and the end in time.
-func (p *running) servedAndEnds(t *testing.T, clients int) {
+// serveAndShutDown has clients come to a node, then tells it to end, and wants each answered and the end in time.
+func (p *nodeProcess) serveAndShutDown(t *testing.T, clients int) {
 	t.Helper()
 	for range clients {
-		p.open(t, "").hears("UP ")
+		p.openRequest(t, "").expectLine("UP ")
 	}
-	p.signal(t)
-	p.ended(t)
+	p.terminate(t)
+	p.waitForCleanExit(t)
 }
 
 // A log that nobody reads must not hold up the node: a write to a full pipe blocked whoever had a line to write, the loop
 // that decides for all clients among them.
-func TestLog_ReaderStands_RequestsAreAnswered(t *testing.T) {
+func TestLog_ReaderBlocked_RequestsAreAnswered(t *testing.T) {
 	t.Parallel()
-	h := newHost(t, "h1")
-	reg := newRegistry(t, list(1, true, h.member("SERVING")))
+	host := newFakeHost(t, "h1")
+	discovery := newFakeDiscovery(t, endpointListJSON(1, true, host.endpoint("SERVING")))
 	_, write := logPipe(t)
-	p := start(t, options{known: list(1, true, h.member("SERVING")), stderr: write, env: []string{"PROXY_DEBUG=1"}}, reg.addr)
-	p.servedAndEnds(t, 60)
+	node := startNode(t, nodeOptions{initialList: endpointListJSON(1, true, host.endpoint("SERVING")), stderr: write, env: []string{"PROXY_DEBUG=1"}}, discovery.addr)
+	node.serveAndShutDown(t, 60)
 }
 
 // A log whose reader is gone must not end the node: the first line behind that raised SIGPIPE, and all clients were lost.
-func TestLog_ReaderGone_NodeGoesOn(t *testing.T) {
+func TestLog_ReaderGone_NodeKeepsServing(t *testing.T) {
 	t.Parallel()
-	h := newHost(t, "h1")
-	reg := newRegistry(t, list(1, true, h.member("SERVING")))
+	host := newFakeHost(t, "h1")
+	discovery := newFakeDiscovery(t, endpointListJSON(1, true, host.endpoint("SERVING")))
 	read, write := logPipe(t)
-	p := start(t, options{known: list(1, true, h.member("SERVING")), stderr: write, env: []string{"PROXY_DEBUG=1"}}, reg.addr)
+	node := startNode(t, nodeOptions{initialList: endpointListJSON(1, true, host.endpoint("SERVING")), stderr: write, env: []string{"PROXY_DEBUG=1"}}, discovery.addr)
 	_, _ = read.Close(), write.Close()
-	p.servedAndEnds(t, 10)
+	node.serveAndShutDown(t, 10)
 }
--- a/cmd/onyxstream/reload_test.go
+++ b/cmd/onyxstream/reload_test.go
@@ -7,18 +7,18 @@
 	"testing"
 )
 
-// hup replaces the program's configuration by a changed one and tells it.
-func (p *running) hup(t *testing.T, change ...string) {
+// reload replaces the program's configuration by a changed one and tells it.
+func (p *nodeProcess) reload(t *testing.T, change ...string) {
 	t.Helper()
-	text, err := os.ReadFile(p.config)
+	text, err := os.ReadFile(p.configPath)
 	if err != nil {
 		t.Fatal(err)
 	}
 	changed := strings.NewReplacer(change...).Replace(string(text))
-	if err := os.WriteFile(p.config+".new", []byte(changed), 0o600); err != nil {
+	if err := os.WriteFile(p.configPath+".new", []byte(changed), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if err := os.Rename(p.config+".new", p.config); err != nil {
+	if err := os.Rename(p.configPath+".new", p.configPath); err != nil {
 		t.Fatal(err)
 	}
 	if err := p.cmd.Process.Signal(syscall.SIGHUP); err != nil {
@@ -26,60 +26,60 @@
 	}
 }
 
-func (p *running) logs(t testing.TB, text string) {
+func (p *nodeProcess) waitForLog(t testing.TB, text string) {
 	t.Helper()
 	eventually(t, "the log says "+text, func() bool { return strings.Contains(p.log.String(), text) })
 }
 
 // On SIGHUP the node follows the discovery that the file names: with its whole list, whatever version the old one
 // was at, and without a word to the connections that stand.
-func TestReloadFollowsAnotherDiscovery(t *testing.T) {
+func TestReload_DiscoveryChanged_NewListFollowed(t *testing.T) {
 	t.Parallel()
-	a, b := newHost(t, "ha"), newHost(t, "hb")
-	old := newRegistry(t, list(41, true, a.member("SERVING")))
-	p := start(t, options{known: list(41, true, a.member("SERVING"))}, old.addr)
-	on := p.open(t, "")
-	on.hears("UP from-ha")
-	eventually(t, "the first watch", func() bool { return len(old.called()) == 1 })
-	reg := newRegistry(t, list(3, true, b.member("SERVING")))
-	p.hup(t, old.addr, reg.addr)
-	p.logs(t, "configuration reloaded")
+	hostA, hostB := newFakeHost(t, "ha"), newFakeHost(t, "hb")
+	oldDiscovery := newFakeDiscovery(t, endpointListJSON(41, true, hostA.endpoint("SERVING")))
+	node := startNode(t, nodeOptions{initialList: endpointListJSON(41, true, hostA.endpoint("SERVING"))}, oldDiscovery.addr)
+	established := node.openRequest(t, "")
+	established.expectLine("UP from-ha")
+	eventually(t, "the first watch", func() bool { return len(oldDiscovery.requestPaths()) == 1 })
+	discovery := newFakeDiscovery(t, endpointListJSON(3, true, hostB.endpoint("SERVING")))
+	node.reload(t, oldDiscovery.addr, discovery.addr)
+	node.waitForLog(t, "configuration reloaded")
 	eventually(t, "the new list alone holds", func() bool {
-		return strings.Contains(p.open(t, "").hears("UP "), "from-hb")
+		return strings.Contains(node.openRequest(t, "").expectLine("UP "), "from-hb")
 	})
-	eventually(t, "the old watch is left", func() bool { return old.Watching() == 0 })
-	old.turn(true)
+	eventually(t, "the old watch is left", func() bool { return oldDiscovery.Watching() == 0 })
+	oldDiscovery.setUnavailable(true)
 	for range 10 {
-		p.open(t, "").hears("UP from-hb")
+		node.openRequest(t, "").expectLine("UP from-hb")
 	}
-	eventually(t, "the new watch", func() bool { return len(reg.called()) >= 2 })
-	if calls := reg.called(); calls[0] != "/catalog/members" || calls[1] != "/catalog/members?watch=1&after=3" {
+	eventually(t, "the new watch", func() bool { return len(discovery.requestPaths()) >= 2 })
+	if calls := discovery.requestPaths(); calls[0] != "/catalog/members" || calls[1] != "/catalog/members?watch=1&after=3" {
 		t.Errorf("asked %q", calls)
 	}
-	if n := len(old.called()); n != 1 {
+	if n := len(oldDiscovery.requestPaths()); n != 1 {
 		t.Errorf("the old discovery was asked %d times", n)
 	}
-	reg.tell(list(4, false, a.member("SERVING"), b.member("DRAINING")))
-	eventually(t, "changes are followed", func() bool { return strings.Contains(p.open(t, "").hears("UP "), "from-ha") })
-	on.say("M still here\r\n")
-	on.hears("M still here")
+	discovery.sendEvent(endpointListJSON(4, false, hostA.endpoint("SERVING"), hostB.endpoint("DRAINING")))
+	eventually(t, "changes are followed", func() bool { return strings.Contains(node.openRequest(t, "").expectLine("UP "), "from-ha") })
+	established.send("M still here\r\n")
+	established.expectLine("M still here")
 }
 
 // A discovery that does not answer yet takes nothing from what is known, and is asked until it does.
-func TestReloadToADiscoveryThatIsDown(t *testing.T) {
+func TestReload_NewDiscoveryDown_OldListKept(t *testing.T) {
 	t.Parallel()
-	a, b := newHost(t, "ha"), newHost(t, "hb")
-	old := newRegistry(t, list(41, true, a.member("SERVING")))
-	p := start(t, options{known: list(41, true, a.member("SERVING"))}, old.addr)
-	eventually(t, "the first watch", func() bool { return len(old.called()) == 1 })
-	reg := newRegistry(t, list(3, true, b.member("SERVING")))
-	reg.turn(true)
-	p.hup(t, old.addr, reg.addr)
-	eventually(t, "the new discovery is asked again", func() bool { return len(reg.called()) >= 2 })
-	p.open(t, "").hears("UP from-ha")
-	reg.turn(false)
-	eventually(t, "its list holds", func() bool { return strings.Contains(p.open(t, "").hears("UP "), "from-hb") })
-	for _, call := range reg.called() {
+	hostA, hostB := newFakeHost(t, "ha"), newFakeHost(t, "hb")
+	oldDiscovery := newFakeDiscovery(t, endpointListJSON(41, true, hostA.endpoint("SERVING")))
+	node := startNode(t, nodeOptions{initialList: endpointListJSON(41, true, hostA.endpoint("SERVING"))}, oldDiscovery.addr)
+	eventually(t, "the first watch", func() bool { return len(oldDiscovery.requestPaths()) == 1 })
+	discovery := newFakeDiscovery(t, endpointListJSON(3, true, hostB.endpoint("SERVING")))
+	discovery.setUnavailable(true)
+	node.reload(t, oldDiscovery.addr, discovery.addr)
+	eventually(t, "the new discovery is asked again", func() bool { return len(discovery.requestPaths()) >= 2 })
+	node.openRequest(t, "").expectLine("UP from-ha")
+	discovery.setUnavailable(false)
+	eventually(t, "its list holds", func() bool { return strings.Contains(node.openRequest(t, "").expectLine("UP "), "from-hb") })
+	for _, call := range discovery.requestPaths() {
 		if strings.Contains(call, "after=41") {
 			t.Errorf("a version of the old discovery was named to the new one: %q", call)
 		}
@@ -87,97 +87,97 @@
 }
 
 // What can't be read changes nothing, and what can't change is named.
-func TestReloadKeepsWhatItCanNotTake(t *testing.T) {
+func TestReload_InvalidOrFixedFields_Kept(t *testing.T) {
 	t.Parallel()
-	h := newHost(t, "h1")
-	reg := newRegistry(t, list(1, true, h.member("SERVING")))
-	p := start(t, options{known: list(1, true, h.member("SERVING"))}, reg.addr)
-	eventually(t, "the first watch", func() bool { return len(reg.called()) == 1 })
-	on := p.open(t, "")
-	on.hears("UP ")
-	p.hup(t, `"sockets":256`, `"sockets":"many"`)
-	p.logs(t, `field \"limits.sockets\"`)
-	p.hup(t, `"sockets":"many"`, `"sockets":256`, reg.addr, "nowhere")
-	p.logs(t, `field \"discovery\"`)
-	p.hup(t, `"discovery":"nowhere",`, "")
-	p.logs(t, `field \"discovery\": \"\" is no address`)
-	p.hup(t, `"listen"`, `"discovery":"`+reg.addr+`","listen"`, "}", "")
-	p.logs(t, "can't be read")
-	text, _ := os.ReadFile(config(t, "127.0.0.1:1", reg.addr, options{mode: "pass", known: list(0, true), sockets: 512}))
-	if err := os.WriteFile(p.config, text, 0o600); err != nil {
+	host := newFakeHost(t, "h1")
+	discovery := newFakeDiscovery(t, endpointListJSON(1, true, host.endpoint("SERVING")))
+	node := startNode(t, nodeOptions{initialList: endpointListJSON(1, true, host.endpoint("SERVING"))}, discovery.addr)
+	eventually(t, "the first watch", func() bool { return len(discovery.requestPaths()) == 1 })
+	established := node.openRequest(t, "")
+	established.expectLine("UP ")
+	node.reload(t, `"sockets":256`, `"sockets":"many"`)
+	node.waitForLog(t, `field \"limits.sockets\"`)
+	node.reload(t, `"sockets":"many"`, `"sockets":256`, discovery.addr, "nowhere")
+	node.waitForLog(t, `field \"discovery\"`)
+	node.reload(t, `"discovery":"nowhere",`, "")
+	node.waitForLog(t, `field \"discovery\": \"\" is no address`)
+	node.reload(t, `"listen"`, `"discovery":"`+discovery.addr+`","listen"`, "}", "")
+	node.waitForLog(t, "can't be read")
+	text, _ := os.ReadFile(writeConfig(t, "127.0.0.1:1", discovery.addr, nodeOptions{mode: "pass", initialList: endpointListJSON(0, true), socketLimit: 512}))
+	if err := os.WriteFile(node.configPath, text, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	p.hup(t)
-	p.logs(t, `"field": "listen"`)
-	p.logs(t, `"field": "limits.sockets"`)
-	if strings.Contains(p.log.String(), `"field": "settings"`) {
+	node.reload(t)
+	node.waitForLog(t, `"field": "listen"`)
+	node.waitForLog(t, `"field": "limits.sockets"`)
+	if strings.Contains(node.log.String(), `"field": "settings"`) {
 		t.Error("settings that are the same are named as left")
 	}
-	on.say("M\r\n")
-	on.hears("M")
-	p.open(t, "").hears("UP ")
-	if n := len(reg.called()); n != 1 {
+	established.send("M\r\n")
+	established.expectLine("M")
+	node.openRequest(t, "").expectLine("UP ")
+	if n := len(discovery.requestPaths()); n != 1 {
 		t.Errorf("discovery was asked %d times, though its address is the same", n)
 	}
 }
 
-func TestManyReloadsAndOneWhileItStops(t *testing.T) {
+func TestReload_RepeatedAndDuringShutdown_StopsCleanly(t *testing.T) {
 	t.Parallel()
-	h := newHost(t, "h1")
-	reg := newRegistry(t, list(1, true, h.member("SERVING")))
-	p := start(t, options{known: list(1, true, h.member("SERVING")), mode: "proxy"}, reg.addr)
-	on := p.open(t, "")
-	on.hears("UP ")
-	was := reg.addr
+	host := newFakeHost(t, "h1")
+	discovery := newFakeDiscovery(t, endpointListJSON(1, true, host.endpoint("SERVING")))
+	node := startNode(t, nodeOptions{initialList: endpointListJSON(1, true, host.endpoint("SERVING")), mode: "proxy"}, discovery.addr)
+	established := node.openRequest(t, "")
+	established.expectLine("UP ")
+	previousAddr := discovery.addr
 	for range 6 {
-		next := newRegistry(t, list(1, true, h.member("SERVING")))
-		p.hup(t, was, next.addr)
-		was = next.addr
+		next := newFakeDiscovery(t, endpointListJSON(1, true, host.endpoint("SERVING")))
+		node.reload(t, previousAddr, next.addr)
+		previousAddr = next.addr
 	}
-	last := newRegistry(t, list(1, true, h.member("SERVING")))
-	p.hup(t, was, last.addr)
-	eventually(t, "the last one named is watched", func() bool { return len(last.called()) >= 2 })
-	p.open(t, "").hears("UP ")
-	p.signal(t)
-	p.logs(t, "shutting down gracefully")
-	drain := newRegistry(t, list(1, true, h.member("SERVING")))
-	p.hup(t, last.addr, drain.addr)
-	on.hears("MOVE\r\n")
-	on.ends(false)
-	if err := <-p.done; err != nil {
+	last := newFakeDiscovery(t, endpointListJSON(1, true, host.endpoint("SERVING")))
+	node.reload(t, previousAddr, last.addr)
+	eventually(t, "the last one named is watched", func() bool { return len(last.requestPaths()) >= 2 })
+	node.openRequest(t, "").expectLine("UP ")
+	node.terminate(t)
+	node.waitForLog(t, "shutting down gracefully")
+	drain := newFakeDiscovery(t, endpointListJSON(1, true, host.endpoint("SERVING")))
+	node.reload(t, last.addr, drain.addr)
+	established.expectLine("MOVE\r\n")
+	established.expectClose(false)
+	if err := <-node.exited; err != nil {
 		t.Errorf("the node ended with %v", err)
 	}
 }
 
 // The watch at the old discovery goes on while the new one refuses, and brings news behind that refusal; then it ends too.
 // The new one is asked on: that news passed for a watch at it, and nothing that came to the list was heard of any more.
-func TestNewsOfTheOldWatchBehindARefusalOfTheNewOne(t *testing.T) {
+func TestReload_OldWatchEventAfterNewFails_NewStillPolled(t *testing.T) {
 	t.Parallel()
-	a, b, c := newHost(t, "ha"), newHost(t, "hb"), newHost(t, "hc")
-	old := newRegistry(t, list(41, true, a.member("SERVING")))
-	p := start(t, options{known: list(41, true, a.member("SERVING"))}, old.addr)
-	eventually(t, "the first watch", func() bool { return old.Watching() == 1 })
-	reg := newRegistry(t, list(3, true, c.member("SERVING")))
-	reg.turn(true)
-	p.hup(t, old.addr, reg.addr)
-	uses := func(on *host) { // each client leaves again: they would fill the node
+	hostA, hostB, hostC := newFakeHost(t, "ha"), newFakeHost(t, "hb"), newFakeHost(t, "hc")
+	oldDiscovery := newFakeDiscovery(t, endpointListJSON(41, true, hostA.endpoint("SERVING")))
+	node := startNode(t, nodeOptions{initialList: endpointListJSON(41, true, hostA.endpoint("SERVING"))}, oldDiscovery.addr)
+	eventually(t, "the first watch", func() bool { return oldDiscovery.Watching() == 1 })
+	discovery := newFakeDiscovery(t, endpointListJSON(3, true, hostC.endpoint("SERVING")))
+	discovery.setUnavailable(true)
+	node.reload(t, oldDiscovery.addr, discovery.addr)
+	waitUntilUsed := func(host *fakeHost) { // each client leaves again: they would fill the node
 		t.Helper()
-		eventually(t, on.id+" is used", func() bool {
-			k := p.open(t, "")
-			defer k.c.Close()
-			return strings.Contains(k.hears("UP "), "from-"+on.id)
+		eventually(t, host.id+" is used", func() bool {
+			client := node.openRequest(t, "")
+			defer client.conn.Close()
+			return strings.Contains(client.expectLine("UP "), "from-"+host.id)
 		})
 	}
-	eventually(t, "the new discovery is asked", func() bool { return len(reg.called()) > 0 })
-	p.logs(t, "discovery answered 503")
+	eventually(t, "the new discovery is asked", func() bool { return len(discovery.requestPaths()) > 0 })
+	node.waitForLog(t, "discovery answered 503")
 	for i := int64(0); i < 4; i += 2 { // one of them comes while no call to the new one is out
-		old.tell(list(42+i, false, b.member("SERVING"), a.member("DRAINING")))
-		uses(b)
-		old.tell(list(43+i, false, a.member("SERVING"), b.member("DRAINING")))
-		uses(a)
+		oldDiscovery.sendEvent(endpointListJSON(42+i, false, hostB.endpoint("SERVING"), hostA.endpoint("DRAINING")))
+		waitUntilUsed(hostB)
+		oldDiscovery.sendEvent(endpointListJSON(43+i, false, hostA.endpoint("SERVING"), hostB.endpoint("DRAINING")))
+		waitUntilUsed(hostA)
 	}
-	old.turn(true)
-	eventually(t, "the old watch has ended", func() bool { return old.Watching() == 0 })
-	reg.turn(false)
-	uses(c)
+	oldDiscovery.setUnavailable(true)
+	eventually(t, "the old watch has ended", func() bool { return oldDiscovery.Watching() == 0 })
+	discovery.setUnavailable(false)
+	waitUntilUsed(hostC)
 }
--- a/cmd/onyxstream/stop_test.go
+++ b/cmd/onyxstream/stop_test.go
@@ -6,61 +6,61 @@
 	"time"
 )
 
-func TestStopWherePacketsPassThrough(t *testing.T) {
+func TestShutdown_PassMode_ServesUntilExit(t *testing.T) {
 	t.Parallel()
-	h := newHost(t, "h1")
-	reg := newRegistry(t, list(1, true, h.member("SERVING")))
-	p := start(t, options{known: list(1, true, h.member("SERVING"))}, reg.addr)
-	on := p.open(t, "")
-	on.hears("UP ")
-	p.signal(t)
-	late := p.open(t, "") // the front has not noticed yet
-	late.hears("UP ")
+	host := newFakeHost(t, "h1")
+	discovery := newFakeDiscovery(t, endpointListJSON(1, true, host.endpoint("SERVING")))
+	node := startNode(t, nodeOptions{initialList: endpointListJSON(1, true, host.endpoint("SERVING"))}, discovery.addr)
+	established := node.openRequest(t, "")
+	established.expectLine("UP ")
+	node.terminate(t)
+	late := node.openRequest(t, "") // the front has not noticed yet
+	late.expectLine("UP ")
 	// What is open goes on until the time is up: other nodes take it over only from a process that has ended.
 	for range 10 {
 		time.Sleep(200 * time.Millisecond)
-		on.say("M\r\n")
-		on.hears("M")
+		established.send("M\r\n")
+		established.expectLine("M")
 	}
-	if err := <-p.done; err != nil {
+	if err := <-node.exited; err != nil {
 		t.Errorf("the node ended with %v", err)
 	}
-	if line, err := on.r.ReadString('\n'); line != "" || err == nil {
+	if line, err := established.reader.ReadString('\n'); line != "" || err == nil {
 		t.Errorf("heard %q from a node that has ended", line)
 	}
 }
 
 // A client that came in the last moment in which the front still sends may wait for longer than the node lasts. Where
 // its host hangs it has its answer before the node ends, and not the end of its connection.
-func TestStopWhileAHostHangsAnswersWhoWaitsLonger(t *testing.T) {
+func TestShutdown_HostHangs_WaitingClientsAnswered(t *testing.T) {
 	t.Parallel()
 	for _, mode := range []string{"pass", "proxy"} {
 		t.Run(mode, func(t *testing.T) {
 			t.Parallel()
-			h := newHost(t, "h1")
-			h.says("")
-			reg := newRegistry(t, list(1, true, h.member("SERVING")))
-			p := start(t, options{known: list(1, true, h.member("SERVING")), mode: mode, aim: 9000}, reg.addr)
-			var waiting []*client
+			host := newFakeHost(t, "h1")
+			host.setReply("")
+			discovery := newFakeDiscovery(t, endpointListJSON(1, true, host.endpoint("SERVING")))
+			node := startNode(t, nodeOptions{initialList: endpointListJSON(1, true, host.endpoint("SERVING")), mode: mode, latencyObjectiveMS: 9000}, discovery.addr)
+			var waiting []*testClient
 			for _, when := range []string{"before", "after"} {
-				k := p.dial(t)
-				k.say("OPEN " + when + " key c=chat,t=acme,d=9000\r\n")
-				waiting = append(waiting, k)
-				eventually(t, "the host has it", func() bool { return len(h.lines()) == len(waiting) })
+				client := node.dial(t)
+				client.send("OPEN " + when + " key c=chat,t=acme,d=9000\r\n")
+				waiting = append(waiting, client)
+				eventually(t, "the host has it", func() bool { return len(host.openings()) == len(waiting) })
 				if when == "before" {
-					p.signal(t)
-					p.logs(t, "shutting down gracefully")
+					node.terminate(t)
+					node.waitForLog(t, "shutting down gracefully")
 				}
 			}
-			half := p.dial(t) // whose line comes in pieces around the stop
-			half.say("OPEN half key c=ch")
+			partial := node.dial(t) // whose line comes in pieces around the stop
+			partial.send("OPEN half key c=ch")
 			time.Sleep(1200 * time.Millisecond)
-			half.say("at,t=acme,d=9000\r\n")
-			for _, k := range append(waiting, half) {
-				k.hears("BUSY ")
-				k.ends(false)
+			partial.send("at,t=acme,d=9000\r\n")
+			for _, client := range append(waiting, partial) {
+				client.expectLine("BUSY ")
+				client.expectClose(false)
 			}
-			if err := <-p.done; err != nil {
+			if err := <-node.exited; err != nil {
 				t.Errorf("the node ended with %v", err)
 			}
 		})
@@ -68,38 +68,38 @@
 }
 
 // Where nothing is open there is nothing to wait for.
-func TestStopWithNothingOpen(t *testing.T) {
+func TestShutdown_NothingOpen_ExitsAtOnce(t *testing.T) {
 	t.Parallel()
-	reg := newRegistry(t, list(1, true))
-	p := start(t, options{}, reg.addr)
-	p.signal(t)
-	if err := <-p.done; err != nil {
+	discovery := newFakeDiscovery(t, endpointListJSON(1, true))
+	node := startNode(t, nodeOptions{}, discovery.addr)
+	node.terminate(t)
+	if err := <-node.exited; err != nil {
 		t.Errorf("the node ended with %v", err)
 	}
-	if !strings.Contains(p.log.String(), "stopped") {
+	if !strings.Contains(node.log.String(), "stopped") {
 		t.Error("it did not stop in order")
 	}
 }
 
-func TestStopWhereConnectionsEndAtTheNode(t *testing.T) {
+func TestShutdown_ProxyMode_MigratesConnections(t *testing.T) {
 	t.Parallel()
-	h := newHost(t, "h1")
-	reg := newRegistry(t, list(1, true, h.member("SERVING")))
-	p := start(t, options{known: list(1, true, h.member("SERVING")), mode: "proxy"}, reg.addr)
-	var on []*client
+	host := newFakeHost(t, "h1")
+	discovery := newFakeDiscovery(t, endpointListJSON(1, true, host.endpoint("SERVING")))
+	node := startNode(t, nodeOptions{initialList: endpointListJSON(1, true, host.endpoint("SERVING")), mode: "proxy"}, discovery.addr)
+	var clients []*testClient
 	for range 10 {
-		k := p.open(t, "")
-		k.hears("UP ")
-		on = append(on, k)
+		client := node.openRequest(t, "")
+		client.expectLine("UP ")
+		clients = append(clients, client)
 	}
-	p.signal(t)
-	late := p.open(t, "")
-	late.hears("UP ")
-	for _, k := range append(on, late) {
-		k.hears("MOVE\r\n")
-		k.ends(false)
+	node.terminate(t)
+	late := node.openRequest(t, "")
+	late.expectLine("UP ")
+	for _, client := range append(clients, late) {
+		client.expectLine("MOVE\r\n")
+		client.expectClose(false)
 	}
-	if err := <-p.done; err != nil {
+	if err := <-node.exited; err != nil {
 		t.Errorf("the node ended with %v", err)
 	}
 }
--- a/cmd/onyxstream/upgrade_bench_test.go
+++ b/cmd/onyxstream/upgrade_bench_test.go
@@ -27,19 +27,19 @@
 	}
 }
 
-func measureUpgrade(b *testing.B, n int, moved bool) {
-	h := newHost(b, "ha")
-	o, reg := inherited(b, h)
-	p := start(b, o, reg.addr)
+func measureUpgrade(b *testing.B, n int, migrated bool) {
+	host := newFakeHost(b, "ha")
+	options, discovery := inheritedSocketOptions(b, host)
+	node := startNode(b, options, discovery.addr)
 	var mu sync.Mutex
 	var during bool
 	var calm, longest time.Duration
-	away := 0
+	disconnected := 0
 	stop := make(chan struct{})
 	var all sync.WaitGroup
 	for range n {
-		k := p.open(b, "")
-		k.hears("UP")
+		client := node.openRequest(b, "")
+		client.expectLine("UP")
 		all.Add(1)
 		go func() {
 			defer all.Done()
@@ -50,15 +50,15 @@
 				case <-time.After(50 * time.Millisecond):
 				}
 				sent := time.Now()
-				_, err := k.c.Write([]byte("M 1\r\n"))
+				_, err := client.conn.Write([]byte("M 1\r\n"))
 				line := ""
 				if err == nil {
-					line, err = k.r.ReadString('\n')
+					line, err = client.reader.ReadString('\n')
 				}
 				took := time.Since(sent)
 				mu.Lock()
 				if err != nil || !strings.HasPrefix(line, "M 1") {
-					away++
+					disconnected++
 					mu.Unlock()
 					return
 				}
@@ -72,23 +72,23 @@
 		}()
 	}
 	time.Sleep(500 * time.Millisecond)
-	if moved {
-		marks, _ := filepath.Glob(o.tmp() + "/*.alive")
-		noOffers(b, marks[0])
+	if migrated {
+		presenceFiles, _ := filepath.Glob(options.sharedDir() + "/*.alive")
+		blockOffers(b, presenceFiles[0])
 	}
 	mu.Lock()
 	during = true
 	mu.Unlock()
-	upgrade(b, o, reg.addr)
-	told := time.Now()
-	p.signal(b)
-	p.ended(b)
-	ends := time.Since(told)
+	startSuccessor(b, options, discovery.addr)
+	signalledAt := time.Now()
+	node.terminate(b)
+	node.waitForCleanExit(b)
+	exitTime := time.Since(signalledAt)
 	time.Sleep(300 * time.Millisecond)
 	close(stop)
 	all.Wait()
 	b.ReportMetric(float64(calm)/1e6, "calm-ms")
 	b.ReportMetric(float64(longest)/1e6, "longest-ms")
-	b.ReportMetric(float64(away)/float64(n), "away")
-	b.ReportMetric(float64(ends)/1e6, "ends-ms")
+	b.ReportMetric(float64(disconnected)/float64(n), "away")
+	b.ReportMetric(float64(exitTime)/1e6, "ends-ms")
 }
--- a/cmd/onyxstream/upgrade_test.go
+++ b/cmd/onyxstream/upgrade_test.go
@@ -14,8 +14,8 @@
 	"onyxstream/internal/wire"
 )
 
-// door is the clients' listening socket as the platform holds it.
-func door(t testing.TB) (addr string, f *os.File) {
+// listeningSocket is the clients' listening socket as the platform holds it.
+func listeningSocket(t testing.TB) (addr string, f *os.File) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -30,46 +30,46 @@
 	return l.Addr().String(), f
 }
 
-// inherited is a node's configuration, with hosts that it knows, where the platform holds the clients' socket.
-func inherited(t testing.TB, hosts ...*host) (o options, reg *registry) {
+// inheritedSocketOptions is a node's configuration, with hosts that it knows, where the platform holds the clients' socket.
+func inheritedSocketOptions(t testing.TB, hosts ...*fakeHost) (options nodeOptions, discovery *fakeDiscovery) {
 	t.Helper()
 	var members []wire.Endpoint
-	for _, h := range hosts {
-		members = append(members, h.member("SERVING"))
+	for _, host := range hosts {
+		members = append(members, host.endpoint("SERVING"))
 	}
-	o = options{known: list(1, true, members...), manage: freeAddr(t), sockets: 4096, env: []string{"TMPDIR=" + t.TempDir()}}
-	o.addr, o.inherit = door(t)
-	return o, newRegistry(t, o.known)
+	options = nodeOptions{initialList: endpointListJSON(1, true, members...), managementAddr: freeAddr(t), socketLimit: 4096, env: []string{"TMPDIR=" + t.TempDir()}}
+	options.addr, options.listener = listeningSocket(t)
+	return options, newFakeDiscovery(t, options.initialList)
 }
 
-// tmp is the folder that the node's processes share.
-func (o options) tmp() string { return strings.TrimPrefix(o.env[0], "TMPDIR=") }
+// sharedDir is the folder that the node's processes share.
+func (o nodeOptions) sharedDir() string { return strings.TrimPrefix(o.env[0], "TMPDIR=") }
 
-// upgrade starts the program beside the one that runs, with an operators' address of its own.
-func upgrade(t testing.TB, o options, discovery string) *running {
+// startSuccessor starts the program beside the one that runs, with an operators' address of its own.
+func startSuccessor(t testing.TB, options nodeOptions, discoveryAddr string) *nodeProcess {
 	t.Helper()
-	o.manage = freeAddr(t)
-	p := launchWith(t, config(t, o.addr, discovery, o), o)
-	p.addr, p.manage = o.addr, o.manage
+	options.managementAddr = freeAddr(t)
+	successor := startProcessWith(t, writeConfig(t, options.addr, discoveryAddr, options), options)
+	successor.addr, successor.managementAddr = options.addr, options.managementAddr
 	eventually(t, "the new process is ready", func() bool {
-		c, err := net.Dial("tcp", p.manage)
+		c, err := net.Dial("tcp", successor.managementAddr)
 		if err != nil {
 			return false
 		}
 		_ = c.Close()
-		return strings.HasPrefix(p.call(t, "ready"), "YES")
+		return strings.HasPrefix(successor.managementCall(t, "ready"), "YES")
 	})
-	return p
+	return successor
 }
 
-func (p *running) ended(t testing.TB) {
+func (p *nodeProcess) waitForCleanExit(t testing.TB) {
 	t.Helper()
 	select {
-	case err := <-p.done:
+	case err := <-p.exited:
 		if err != nil {
 			t.Errorf("the process ended with %v", err)
 		}
-	case <-time.After(long):
+	case <-time.After(waitLimit):
 		t.Fatal("the process does not end")
 	}
 }
@@ -77,21 +77,21 @@
 // While clients come without a pause, the program is started beside itself twice and the older process told to stop:
 // nobody who comes is lost at the door, and what an operator said of a host holds all the while, whichever process was
 // told, and ends likewise.
-func TestUpgradesUnderLoad(t *testing.T) {
+func TestUpgrade_UnderLoad_NoClientLost(t *testing.T) {
 	t.Parallel()
-	a, b := newHost(t, "ha"), newHost(t, "hb")
-	o, reg := inherited(t, a, b)
-	p := start(t, o, reg.addr)
-	p.yes(t, "disable-server ha")
-	after := len(a.lines())
-	var stand []*client
+	hostA, hostB := newFakeHost(t, "ha"), newFakeHost(t, "hb")
+	options, discovery := inheritedSocketOptions(t, hostA, hostB)
+	node := startNode(t, options, discovery.addr)
+	node.mustSucceed(t, "disable-server ha")
+	before := len(hostA.openings())
+	var established []*testClient
 	for range 40 { // more than one offer
-		stand = append(stand, p.open(t, ""))
-		stand[len(stand)-1].hears("UP from-hb")
+		established = append(established, node.openRequest(t, ""))
+		established[len(established)-1].expectLine("UP from-hb")
 	}
 
 	var mu sync.Mutex
-	came, lost := 0, []string{}
+	total, lost := 0, []string{}
 	stop, done := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(done)
@@ -106,18 +106,18 @@
 			all.Add(1)
 			go func() {
 				defer all.Done()
-				c, err := net.Dial("tcp", o.addr)
+				c, err := net.Dial("tcp", options.addr)
 				line := make([]byte, 64)
 				n := 0
 				if err == nil {
 					defer c.Close()
-					_ = c.SetDeadline(time.Now().Add(long))
+					_ = c.SetDeadline(time.Now().Add(waitLimit))
 					_, _ = fmt.Fprintf(c, "OPEN u%d k%d c=chat,t=acme,d=2500\r\n", i, i)
 					n, err = c.Read(line)
 				}
 				mu.Lock()
 				defer mu.Unlock()
-				if came++; err != nil || !strings.HasPrefix(string(line[:n]), "UP from-hb") {
+				if total++; err != nil || !strings.HasPrefix(string(line[:n]), "UP from-hb") {
 					lost = append(lost, fmt.Sprintf("%d: %q, %v", i, line[:n], err))
 				}
 			}()
@@ -125,64 +125,64 @@
 	}()
 	for range 2 {
 		time.Sleep(200 * time.Millisecond)
-		next := upgrade(t, o, reg.addr)
-		p.signal(t)
-		p.logs(t, "shutting down gracefully")
-		p.ended(t)
-		p = next
+		successor := startSuccessor(t, options, discovery.addr)
+		node.terminate(t)
+		node.waitForLog(t, "shutting down gracefully")
+		node.waitForCleanExit(t)
+		node = successor
 	}
 	close(stop)
 	<-done
-	for _, k := range stand { // they have gone through three processes, and their host has noticed none of it
-		k.say("M 1\r\n")
-		k.hears("M 1")
-		k.say("DO end\r\n")
+	for _, client := range established { // they have gone through three processes, and their host has noticed none of it
+		client.send("M 1\r\n")
+		client.expectLine("M 1")
+		client.send("DO end\r\n")
 	}
-	if len(lost) > 0 || came < 300 {
-		t.Errorf("of %d clients %d were lost at the door: %.500s", came, len(lost), strings.Join(lost, "; "))
+	if len(lost) > 0 || total < 300 {
+		t.Errorf("of %d clients %d were lost at the door: %.500s", total, len(lost), strings.Join(lost, "; "))
 	}
-	if got := len(a.lines()) - after; got > 0 {
+	if got := len(hostA.openings()) - before; got > 0 {
 		t.Errorf("the host that is out was sent %d lines", got)
 	}
-	p.yes(t, "enable-server ha")
-	p.uses(t, a, after)
+	node.mustSucceed(t, "enable-server ha")
+	node.waitUntilUsed(t, hostA, before)
 }
 
 // While both processes are there, a word to either binds the other, and a drain too.
-func TestAWordToOneProcessBindsTheOther(t *testing.T) {
+func TestHostOverride_TwoProcesses_Shared(t *testing.T) {
 	t.Parallel()
-	a, b := newHost(t, "ha"), newHost(t, "hb")
-	o, reg := inherited(t, a, b)
-	p := start(t, o, reg.addr)
-	next := upgrade(t, o, reg.addr)
-	disabled := func(p *running, want int) {
+	hostA, hostB := newFakeHost(t, "ha"), newFakeHost(t, "hb")
+	options, discovery := inheritedSocketOptions(t, hostA, hostB)
+	node := startNode(t, options, discovery.addr)
+	successor := startSuccessor(t, options, discovery.addr)
+	disabled := func(node *nodeProcess, want int) {
 		t.Helper()
-		eventually(t, fmt.Sprint(want, " hosts are avoided"), func() bool { return p.figures(t)["targets_disabled"] == want })
+		eventually(t, fmt.Sprint(want, " hosts are avoided"), func() bool { return node.stats(t)["targets_disabled"] == want })
 	}
-	p.yes(t, "disable-server ha")
-	disabled(next, 1)
-	next.yes(t, "disable-server hb")
-	disabled(p, 2)
-	p.open(t, "").hears("BUSY") // whichever takes it
-	next.yes(t, "enable-server ha")
-	disabled(p, 1)
-	p.yes(t, "enable-server hb")
-	disabled(next, 0)
-	p.yes(t, "drain")
-	p.pinged(t, "BUSY\r\n")
-	next.yes(t, "resume")
-	p.pinged(t, "PONG\r\n")
+	node.mustSucceed(t, "disable-server ha")
+	disabled(successor, 1)
+	successor.mustSucceed(t, "disable-server hb")
+	disabled(node, 2)
+	node.openRequest(t, "").expectLine("BUSY") // whichever takes it
+	successor.mustSucceed(t, "enable-server ha")
+	disabled(node, 1)
+	node.mustSucceed(t, "enable-server hb")
+	disabled(successor, 0)
+	node.mustSucceed(t, "drain")
+	node.waitForPingAnswer(t, "BUSY\r\n")
+	successor.mustSucceed(t, "resume")
+	node.waitForPingAnswer(t, "PONG\r\n")
 }
 
-// pinged waits until all processes behind an address answer PING alike: any of them may take a call.
-func (p *running) pinged(t *testing.T, want string) {
+// waitForPingAnswer waits until all processes behind an address answer PING alike: any of them may take a call.
+func (p *nodeProcess) waitForPingAnswer(t *testing.T, want string) {
 	t.Helper()
 	eventually(t, "PING is answered "+want, func() bool {
 		for range 8 {
-			k := p.dial(t)
-			k.say("PING\r\n")
-			line, _ := k.r.ReadString('\n')
-			_ = k.c.Close()
+			client := p.dial(t)
+			client.send("PING\r\n")
+			line, _ := client.reader.ReadString('\n')
+			_ = client.conn.Close()
 			if line != want {
 				return false
 			}
@@ -193,148 +193,148 @@
 
 // A new process that ends at its start changes nothing for the old one; told to stop before a new one is ready, the old
 // one goes on taking who comes until the front has noticed.
-func TestAnUpgradeThatFails(t *testing.T) {
+func TestUpgrade_SuccessorFails_OldProcessServes(t *testing.T) {
 	t.Parallel()
-	a := newHost(t, "ha")
-	o, reg := inherited(t, a)
-	p := start(t, o, reg.addr)
-	broken := o
-	broken.known = `{"members":[{"id":""}]}`
-	next := launchWith(t, config(t, o.addr, reg.addr, broken), broken)
-	if err := <-next.done; err == nil {
+	host := newFakeHost(t, "ha")
+	options, discovery := inheritedSocketOptions(t, host)
+	node := startNode(t, options, discovery.addr)
+	invalid := options
+	invalid.initialList = `{"members":[{"id":""}]}`
+	successor := startProcessWith(t, writeConfig(t, options.addr, discovery.addr, invalid), invalid)
+	if err := <-successor.exited; err == nil {
 		t.Error("the broken one ended well")
 	}
-	p.open(t, "").hears("UP")
-	p.signal(t)
-	p.logs(t, "shutting down gracefully")
-	p.open(t, "").hears("UP")
-	p.ended(t)
+	node.openRequest(t, "").expectLine("UP")
+	node.terminate(t)
+	node.waitForLog(t, "shutting down gracefully")
+	node.openRequest(t, "").expectLine("UP")
+	node.waitForCleanExit(t)
 }
 
 // Where the folder can't be used the node starts and serves, says so, and words hold in the process that is told.
-func TestWithoutAFolderToShare(t *testing.T) {
+func TestSharedState_DirectoryUnusable_NodeServes(t *testing.T) {
 	t.Parallel()
-	a := newHost(t, "ha")
-	known := list(1, true, a.member("SERVING"))
-	damaged := t.TempDir()
+	host := newFakeHost(t, "ha")
+	known := endpointListJSON(1, true, host.endpoint("SERVING"))
+	directory := t.TempDir()
 	for name, c := range map[string]struct{ dir, says string }{"unset": {"", "TMPDIR is not set"},
-		"gone": {damaged + "/none", "TMPDIR can't be used"}} {
-		p := start(t, options{known: known, manage: freeAddr(t), env: []string{"TMPDIR=" + c.dir}}, newRegistry(t, known).addr)
-		p.logs(t, c.says)
-		p.yes(t, "disable-server ha")
-		p.open(t, "").hears("BUSY")
+		"gone": {directory + "/none", "TMPDIR can't be used"}} {
+		node := startNode(t, nodeOptions{initialList: known, managementAddr: freeAddr(t), env: []string{"TMPDIR=" + c.dir}}, newFakeDiscovery(t, known).addr)
+		node.waitForLog(t, c.says)
+		node.mustSucceed(t, "disable-server ha")
+		node.openRequest(t, "").expectLine("BUSY")
 		if t.Failed() {
 			t.Log(name)
 		}
 	}
-	p := start(t, options{known: known, manage: freeAddr(t), env: []string{"TMPDIR=" + damaged}}, newRegistry(t, known).addr)
-	p.yes(t, "disable-server ha")
-	names, err := os.ReadDir(damaged)
+	node := startNode(t, nodeOptions{initialList: known, managementAddr: freeAddr(t), env: []string{"TMPDIR=" + directory}}, newFakeDiscovery(t, known).addr)
+	node.mustSucceed(t, "disable-server ha")
+	names, err := os.ReadDir(directory)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, n := range names {
-		if strings.HasSuffix(n.Name(), ".words") {
-			if err := os.WriteFile(damaged+"/"+n.Name(), []byte("no document"), 0o600); err != nil {
+	for _, entry := range names {
+		if strings.HasSuffix(entry.Name(), ".words") {
+			if err := os.WriteFile(directory+"/"+entry.Name(), []byte("no document"), 0o600); err != nil {
 				t.Fatal(err)
 			}
 		}
 	}
-	p.logs(t, "file is of an unknown format")
-	p.open(t, "").hears("BUSY") // the word holds on
-	for _, n := range names {   // nothing can be written there any more
-		if strings.HasSuffix(n.Name(), ".words") {
-			_ = os.Remove(damaged + "/" + n.Name())
-			if err := os.MkdirAll(damaged+"/"+n.Name()+"/full", 0o700); err != nil {
+	node.waitForLog(t, "file is of an unknown format")
+	node.openRequest(t, "").expectLine("BUSY") // the word holds on
+	for _, entry := range names {              // nothing can be written there any more
+		if strings.HasSuffix(entry.Name(), ".words") {
+			_ = os.Remove(directory + "/" + entry.Name())
+			if err := os.MkdirAll(directory+"/"+entry.Name()+"/full", 0o700); err != nil {
 				t.Fatal(err)
 			}
 		}
 	}
-	p.yes(t, "enable-server ha")
-	p.logs(t, "shared state unavailable")
+	node.mustSucceed(t, "enable-server ha")
+	node.waitForLog(t, "shared state unavailable")
 	eventually(t, "it is used again", func() bool {
-		k := p.open(t, "")
-		line, _ := k.r.ReadString('\n')
-		_ = k.c.Close()
+		client := node.openRequest(t, "")
+		line, _ := client.reader.ReadString('\n')
+		_ = client.conn.Close()
 		return strings.HasPrefix(line, "UP")
 	})
-	for _, n := range names {
-		if strings.HasSuffix(n.Name(), ".words") {
-			_ = os.RemoveAll(damaged + "/" + n.Name())
-			if err := os.WriteFile(damaged+"/"+n.Name(), []byte("no document"), 0o600); err != nil {
+	for _, entry := range names {
+		if strings.HasSuffix(entry.Name(), ".words") {
+			_ = os.RemoveAll(directory + "/" + entry.Name())
+			if err := os.WriteFile(directory+"/"+entry.Name(), []byte("no document"), 0o600); err != nil {
 				t.Fatal(err)
 			}
 		}
 	}
-	_ = p.cmd.Process.Signal(syscall.SIGKILL)
-	<-p.done
-	next := start(t, options{known: known, manage: freeAddr(t), env: []string{"TMPDIR=" + damaged}}, newRegistry(t, known).addr)
-	next.logs(t, "file is of an unknown format")
-	next.open(t, "").hears("UP")
+	_ = node.cmd.Process.Signal(syscall.SIGKILL)
+	<-node.exited
+	successor := startNode(t, nodeOptions{initialList: known, managementAddr: freeAddr(t), env: []string{"TMPDIR=" + directory}}, newFakeDiscovery(t, known).addr)
+	successor.waitForLog(t, "file is of an unknown format")
+	successor.openRequest(t, "").expectLine("UP")
 }
 
-func TestABadDescriptorIsNamed(t *testing.T) {
+func TestInheritedSocket_BadDescriptor_ErrorNamesVariable(t *testing.T) {
 	t.Parallel()
 	udp, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer udp.Close()
-	noStream, err := udp.(*net.UDPConn).File()
+	packetSocket, err := udp.(*net.UDPConn).File()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer noStream.Close()
-	_, elsewhere := door(t)
+	defer packetSocket.Close()
+	_, otherListener := listeningSocket(t)
 	for _, c := range []struct {
 		value string
 		file  *os.File
 		says  string
 	}{{"three", nil, "is no descriptor"}, {"-1", nil, "is no descriptor"}, {"1", nil, "is no descriptor"}, {"9", nil, "no listening socket"},
-		{"3", noStream, "no listening"}, {"3", elsewhere, "listens at"}} {
-		o := options{known: list(0, true), inherit: c.file}
-		p := launchWith(t, config(t, freeAddr(t), freeAddr(t), o), options{inherit: c.file, env: []string{"PROXY_ACCEPT_FD=" + c.value}})
-		if err := <-p.done; err == nil {
+		{"3", packetSocket, "no listening"}, {"3", otherListener, "listens at"}} {
+		options := nodeOptions{initialList: endpointListJSON(0, true), listener: c.file}
+		node := startProcessWith(t, writeConfig(t, freeAddr(t), freeAddr(t), options), nodeOptions{listener: c.file, env: []string{"PROXY_ACCEPT_FD=" + c.value}})
+		if err := <-node.exited; err == nil {
 			t.Errorf("%s: it starts", c.value)
 		}
-		if text := p.log.String(); !strings.Contains(text, "PROXY_ACCEPT_FD") || !strings.Contains(text, c.says) {
+		if text := node.log.String(); !strings.Contains(text, "PROXY_ACCEPT_FD") || !strings.Contains(text, c.says) {
 			t.Errorf("%s: it says %q", c.value, text)
 		}
 	}
 }
 
-// noOffers makes it impossible for the process of a mark to write an offer.
-func noOffers(t testing.TB, mark string) {
+// blockOffers makes it impossible for the process of a mark to write an offer.
+func blockOffers(t testing.TB, presenceFile string) {
 	t.Helper()
 	for i := 1; i <= 2; i++ { // it gives up at the second
-		if err := os.Mkdir(fmt.Sprintf("%s-%d.offer", strings.TrimSuffix(mark, ".alive"), i), 0o700); err != nil {
+		if err := os.Mkdir(fmt.Sprintf("%s-%d.offer", strings.TrimSuffix(presenceFile, ".alive"), i), 0o700); err != nil {
 			t.Fatal(err)
 		}
 	}
 }
 
 // Where connections can't go over, their clients are moved before the older process ends, and none is cut off.
-func TestWhatCanNotBeHandedOverIsMoved(t *testing.T) {
+func TestHandoff_OffersBlocked_ClientsMigrated(t *testing.T) {
 	t.Parallel()
-	a := newHost(t, "ha")
-	o, reg := inherited(t, a)
-	p := start(t, o, reg.addr)
-	var on []*client
+	host := newFakeHost(t, "ha")
+	options, discovery := inheritedSocketOptions(t, host)
+	node := startNode(t, options, discovery.addr)
+	var clients []*testClient
 	for range 5 {
-		on = append(on, p.open(t, ""))
-		on[len(on)-1].hears("UP")
+		clients = append(clients, node.openRequest(t, ""))
+		clients[len(clients)-1].expectLine("UP")
 	}
-	marks, err := filepath.Glob(o.tmp() + "/*.alive")
-	if err != nil || len(marks) != 1 {
-		t.Fatalf("%v, %v", marks, err)
+	presenceFiles, err := filepath.Glob(options.sharedDir() + "/*.alive")
+	if err != nil || len(presenceFiles) != 1 {
+		t.Fatalf("%v, %v", presenceFiles, err)
 	}
-	noOffers(t, marks[0])
-	upgrade(t, o, reg.addr)
-	p.signal(t)
-	for _, k := range on {
-		k.hears("MOVE")
-		k.ends(false)
+	blockOffers(t, presenceFiles[0])
+	startSuccessor(t, options, discovery.addr)
+	node.terminate(t)
+	for _, client := range clients {
+		client.expectLine("MOVE")
+		client.expectClose(false)
 	}
-	p.logs(t, "connection handoff failed")
-	p.ended(t)
+	node.waitForLog(t, "connection handoff failed")
+	node.waitForCleanExit(t)
 }
