--- a/cmd/onyxstream/answers_test.go
+++ b/cmd/onyxstream/final_answers_test.go
@@ -4,8 +4,6 @@
 	"fmt"
 	"io"
 	"net"
-	"os"
-	"path/filepath"
 	"strconv"
 	"strings"
 	"syscall"
@@ -68,23 +66,6 @@
 	}
 }
 
-// allThreadsStopped reports whether a signal has stopped every thread of the node: each does so on its own.
-func (p *nodeProcess) allThreadsStopped(t testing.TB) bool {
-	t.Helper()
-	tasks, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/stat", p.cmd.Process.Pid))
-	if err != nil || len(tasks) == 0 {
-		t.Fatalf("no threads are found: %v", err)
-	}
-	for _, task := range tasks {
-		text, err := os.ReadFile(task)
-		_, behind, _ := strings.Cut(string(text), ") ") // the state stands behind the name
-		if err != nil || !strings.HasPrefix(behind, "T") {
-			return false
-		}
-	}
-	return true
-}
-
 // Where room is made for those who come, clients that have had their last word go first; one in the middle of its first
 // line that has to go is told so.
 func TestEviction_PartialOpening_KeptOrRejected(t *testing.T) {
--- a/cmd/onyxstream/handcross_test.go
+++ b/cmd/onyxstream/handoff_races_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"io"
-	"os"
 	"path/filepath"
 	"regexp"
 	"strconv"
@@ -12,17 +11,6 @@
 	"testing"
 )
 
-// Connections go from one process to the next while either of the two is stopped, or told to stop, in between: the orders
-// are brought about by holding the process that is to come second.
-
-// sendSignal sends a signal to the process.
-func (p *nodeProcess) sendSignal(t testing.TB, s os.Signal) {
-	t.Helper()
-	if err := p.cmd.Process.Signal(s); err != nil {
-		t.Fatal(err)
-	}
-}
-
 // offerPending reports whether connections are on offer in a folder.
 func offerPending(t testing.TB, dir string) bool {
 	t.Helper()
--- a/cmd/onyxstream/reload_test.go
+++ b/cmd/onyxstream/reload_test.go
@@ -5,31 +5,11 @@
 	"strings"
 	"syscall"
 	"testing"
-)
 
-// reload replaces the program's configuration by a changed one and tells it.
-func (p *nodeProcess) reload(t *testing.T, change ...string) {
-	t.Helper()
-	text, err := os.ReadFile(p.configPath)
-	if err != nil {
-		t.Fatal(err)
-	}
-	changed := strings.NewReplacer(change...).Replace(string(text))
-	if err := os.WriteFile(p.configPath+".new", []byte(changed), 0o600); err != nil {
-		t.Fatal(err)
-	}
-	if err := os.Rename(p.configPath+".new", p.configPath); err != nil {
-		t.Fatal(err)
-	}
-	if err := p.cmd.Process.Signal(syscall.SIGHUP); err != nil {
-		t.Fatal(err)
-	}
-}
+	"golang.org/x/sys/unix"
 
-func (p *nodeProcess) waitForLog(t testing.TB, text string) {
-	t.Helper()
-	eventually(t, "the log says "+text, func() bool { return strings.Contains(p.log.String(), text) })
-}
+	"onyxstream/internal/faultinject"
+)
 
 // On SIGHUP the node follows the discovery that the file names: with its whole list, whatever version the old one
 // was at, and without a word to the connections that stand.
@@ -181,3 +161,41 @@
 	discovery.setUnavailable(false)
 	waitUntilUsed(hostC)
 }
+
+// A signal to read the configuration again is not forgotten where the file can't be read just then.
+func TestReload_FileUnreadableBriefly_Retried(t *testing.T) {
+	t.Parallel()
+	hostA, hostB := newFakeHost(t, "ha"), newFakeHost(t, "hb")
+	oldDiscovery, discovery := newFakeDiscovery(t, endpointListJSON(1, true, hostA.endpoint("SERVING"))), newFakeDiscovery(t, endpointListJSON(1, true, hostB.endpoint("SERVING")))
+	node := startNode(t, nodeOptions{initialList: endpointListJSON(1, true, hostA.endpoint("SERVING")), faults: &faultinject.Options{Calls: []faultinject.Call{faultinject.OpenAt}}}, oldDiscovery.addr)
+	eventually(t, "the first watch", func() bool { return len(oldDiscovery.requestPaths()) == 1 })
+	node.faults.Fail(faultinject.Rule{Call: faultinject.OpenAt, Share: 1, Errors: []unix.Errno{unix.ENFILE}})
+	node.reload(t, oldDiscovery.addr, discovery.addr)
+	node.waitForLog(t, "configuration reload failed")
+	node.faults.Fail()
+	node.waitUntilServedBy(t, "hb")
+}
+
+// A file that is still being written as the signal comes is read again once it is whole.
+func TestReload_FileHalfWritten_ReadOnceComplete(t *testing.T) {
+	t.Parallel()
+	hostA, hostB := newFakeHost(t, "ha"), newFakeHost(t, "hb")
+	oldDiscovery, discovery := newFakeDiscovery(t, endpointListJSON(1, true, hostA.endpoint("SERVING"))), newFakeDiscovery(t, endpointListJSON(1, true, hostB.endpoint("SERVING")))
+	node := startNode(t, nodeOptions{initialList: endpointListJSON(1, true, hostA.endpoint("SERVING"))}, oldDiscovery.addr)
+	eventually(t, "the first watch", func() bool { return len(oldDiscovery.requestPaths()) == 1 })
+	text, err := os.ReadFile(node.configPath)
+	if err != nil {
+		t.Fatal(err)
+	}
+	complete := strings.ReplaceAll(string(text), oldDiscovery.addr, discovery.addr)
+	overwrite := func(text string) {
+		if err := os.WriteFile(node.configPath, []byte(text), 0o600); err != nil {
+			t.Fatal(err)
+		}
+	}
+	overwrite(complete[:len(complete)/2])
+	node.sendSignal(t, syscall.SIGHUP)
+	node.waitForLog(t, "configuration reload failed")
+	overwrite(complete)
+	node.waitUntilServedBy(t, "hb")
+}
--- a/cmd/onyxstream/starting_test.go
+++ b/cmd/onyxstream/startup_test.go
@@ -5,6 +5,11 @@
 	"path/filepath"
 	"syscall"
 	"testing"
+	"time"
+
+	"golang.org/x/sys/unix"
+
+	"onyxstream/internal/faultinject"
 )
 
 // A node that is told to stop before it has started ends like any other: it is no crash. The configuration is a pipe, so
@@ -38,3 +43,27 @@
 		}
 	}
 }
+
+// A node whose listening socket can't be had for a moment starts a moment later. It ended.
+func TestStartup_SocketFailsBriefly_NodeStarts(t *testing.T) {
+	t.Parallel()
+	host := newFakeHost(t, "h1")
+	all := endpointListJSON(1, true, host.endpoint("SERVING"))
+	discovery := newFakeDiscovery(t, all)
+	options := nodeOptions{mode: "pass", initialList: all, managementAddr: freeAddr(t), faults: &faultinject.Options{Calls: []faultinject.Call{faultinject.Socket},
+		Rules: []faultinject.Rule{{Call: faultinject.Socket, Share: 1, Errors: []unix.Errno{unix.ENFILE, unix.ENOBUFS, unix.ENOMEM}}}}}
+	addr := freeAddr(t)
+	node := startProcessWith(t, writeConfig(t, addr, discovery.addr, options), options)
+	node.addr = addr
+	time.Sleep(300 * time.Millisecond)
+	node.faults.Fail()
+	eventually(t, "the node serves", func() bool {
+		select {
+		case err := <-node.exited:
+			t.Fatalf("the node ended: %v", err)
+		default:
+		}
+		answer, _ := node.request(nextID())
+		return answer == "UP"
+	})
+}
--- a/cmd/onyxstream/upgrade_test.go
+++ b/cmd/onyxstream/upgrade_test.go
@@ -7,71 +7,56 @@
 	"path/filepath"
 	"strings"
 	"sync"
-	"syscall"
 	"testing"
 	"time"
 
-	"onyxstream/internal/wire"
+	"golang.org/x/sys/unix"
+
+	"onyxstream/internal/faultinject"
 )
 
-// listeningSocket is the clients' listening socket as the platform holds it.
-func listeningSocket(t testing.TB) (addr string, f *os.File) {
-	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	f, err = l.(*net.TCPListener).File()
-	if err != nil {
-		t.Fatal(err)
+// While one process of a node takes over from another, files can't be opened or renamed and sockets lack memory for moments,
+// at both. Nobody who comes is lost, and whoever stood is served on, or sent away between two lines.
+func TestUpgrade_SystemCallsFail_NoClientLost(t *testing.T) {
+	t.Parallel()
+	host := newFakeHost(t, "h1")
+	options, discovery := inheritedSocketOptions(t, host)
+	rules := []faultinject.Rule{{Call: faultinject.OpenAt, Share: 0.2, Errors: []unix.Errno{unix.EMFILE, unix.ENFILE, unix.EIO, unix.ENOMEM}},
+		{Call: faultinject.Rename, Share: 0.2, Errors: []unix.Errno{unix.ENOSPC, unix.EIO}},
+		{Call: faultinject.Read, Share: 0.05, Errors: []unix.Errno{unix.ENOMEM, unix.EINTR}, OnSockets: true},
+		{Call: faultinject.Write, Share: 0.05, Errors: []unix.Errno{unix.ENOBUFS, unix.EINTR}, OnSockets: true}}
+	calls := []faultinject.Call{faultinject.OpenAt, faultinject.Rename, faultinject.Read, faultinject.Write}
+	options.faults = &faultinject.Options{Calls: calls, Seed: 1}
+	node := startNode(t, options, discovery.addr)
+	var established []*testClient
+	for range 40 { // more than one offer
+		established = append(established, node.openRequest(t, ""))
+		established[len(established)-1].expectLine("UP ")
 	}
-	_ = l.Close()
-	t.Cleanup(func() { _ = f.Close() })
-	return l.Addr().String(), f
-}
-
-// inheritedSocketOptions is a node's configuration, with hosts that it knows, where the platform holds the clients' socket.
-func inheritedSocketOptions(t testing.TB, hosts ...*fakeHost) (options nodeOptions, discovery *fakeDiscovery) {
-	t.Helper()
-	var members []wire.Endpoint
-	for _, host := range hosts {
-		members = append(members, host.endpoint("SERVING"))
+	options.faults = &faultinject.Options{Calls: calls, Seed: 2}
+	successor := startSuccessor(t, options, discovery.addr)
+	node.faults.Fail(rules...)
+	successor.faults.Fail(rules...)
+	node.terminate(t)
+	answers, lost := successor.runLoad(4, 2*time.Second)
+	node.waitForCleanExit(t)
+	successor.faults.Fail()
+	for _, l := range lost {
+		t.Errorf("request r%d has no answer: heard %q, error %v", l.request, l.received, l.err)
 	}
-	options = nodeOptions{initialList: endpointListJSON(1, true, members...), managementAddr: freeAddr(t), socketLimit: 4096, env: []string{"TMPDIR=" + t.TempDir()}}
-	options.addr, options.listener = listeningSocket(t)
-	return options, newFakeDiscovery(t, options.initialList)
-}
-
-// sharedDir is the folder that the node's processes share.
-func (o nodeOptions) sharedDir() string { return strings.TrimPrefix(o.env[0], "TMPDIR=") }
-
-// startSuccessor starts the program beside the one that runs, with an operators' address of its own.
-func startSuccessor(t testing.TB, options nodeOptions, discoveryAddr string) *nodeProcess {
-	t.Helper()
-	options.managementAddr = freeAddr(t)
-	successor := startProcessWith(t, writeConfig(t, options.addr, discoveryAddr, options), options)
-	successor.addr, successor.managementAddr = options.addr, options.managementAddr
-	eventually(t, "the new process is ready", func() bool {
-		c, err := net.Dial("tcp", successor.managementAddr)
-		if err != nil {
-			return false
-		}
-		_ = c.Close()
-		return strings.HasPrefix(successor.managementCall(t, "ready"), "YES")
-	})
-	return successor
-}
-
-func (p *nodeProcess) waitForCleanExit(t testing.TB) {
-	t.Helper()
-	select {
-	case err := <-p.exited:
-		if err != nil {
-			t.Errorf("the process ended with %v", err)
+	served, migrated := 0, 0
+	for i, client := range established {
+		client.send("M 1\r\n")
+		switch line, err := client.reader.ReadString('\n'); {
+		case strings.HasPrefix(line, "M 1"):
+			served++
+		case strings.HasPrefix(line, "MOVE"):
+			migrated++
+		default:
+			t.Errorf("client %d, which stood: heard %q, error %v", i, line, err)
 		}
-	case <-time.After(waitLimit):
-		t.Fatal("the process does not end")
 	}
+	t.Logf("answers %v; of %d who stood %d are served on, %d were sent away", answers, len(established), served, migrated)
 }
 
 // While clients come without a pause, the program is started beside itself twice and the older process told to stop:
@@ -148,49 +133,6 @@
 	node.waitUntilUsed(t, hostA, before)
 }
 
-// While both processes are there, a word to either binds the other, and a drain too.
-func TestHostOverride_TwoProcesses_Shared(t *testing.T) {
-	t.Parallel()
-	hostA, hostB := newFakeHost(t, "ha"), newFakeHost(t, "hb")
-	options, discovery := inheritedSocketOptions(t, hostA, hostB)
-	node := startNode(t, options, discovery.addr)
-	successor := startSuccessor(t, options, discovery.addr)
-	disabled := func(node *nodeProcess, want int) {
-		t.Helper()
-		eventually(t, fmt.Sprint(want, " hosts are avoided"), func() bool { return node.stats(t)["targets_disabled"] == want })
-	}
-	node.mustSucceed(t, "disable-server ha")
-	disabled(successor, 1)
-	successor.mustSucceed(t, "disable-server hb")
-	disabled(node, 2)
-	node.openRequest(t, "").expectLine("BUSY") // whichever takes it
-	successor.mustSucceed(t, "enable-server ha")
-	disabled(node, 1)
-	node.mustSucceed(t, "enable-server hb")
-	disabled(successor, 0)
-	node.mustSucceed(t, "drain")
-	node.waitForPingAnswer(t, "BUSY\r\n")
-	successor.mustSucceed(t, "resume")
-	node.waitForPingAnswer(t, "PONG\r\n")
-}
-
-// waitForPingAnswer waits until all processes behind an address answer PING alike: any of them may take a call.
-func (p *nodeProcess) waitForPingAnswer(t *testing.T, want string) {
-	t.Helper()
-	eventually(t, "PING is answered "+want, func() bool {
-		for range 8 {
-			client := p.dial(t)
-			client.send("PING\r\n")
-			line, _ := client.reader.ReadString('\n')
-			_ = client.conn.Close()
-			if line != want {
-				return false
-			}
-		}
-		return true
-	})
-}
-
 // A new process that ends at its start changes nothing for the old one; told to stop before a new one is ready, the old
 // one goes on taking who comes until the front has noticed.
 func TestUpgrade_SuccessorFails_OldProcessServes(t *testing.T) {
@@ -211,68 +153,6 @@
 	node.waitForCleanExit(t)
 }
 
-// Where the folder can't be used the node starts and serves, says so, and words hold in the process that is told.
-func TestSharedState_DirectoryUnusable_NodeServes(t *testing.T) {
-	t.Parallel()
-	host := newFakeHost(t, "ha")
-	known := endpointListJSON(1, true, host.endpoint("SERVING"))
-	directory := t.TempDir()
-	for name, c := range map[string]struct{ dir, says string }{"unset": {"", "TMPDIR is not set"},
-		"gone": {directory + "/none", "TMPDIR can't be used"}} {
-		node := startNode(t, nodeOptions{initialList: known, managementAddr: freeAddr(t), env: []string{"TMPDIR=" + c.dir}}, newFakeDiscovery(t, known).addr)
-		node.waitForLog(t, c.says)
-		node.mustSucceed(t, "disable-server ha")
-		node.openRequest(t, "").expectLine("BUSY")
-		if t.Failed() {
-			t.Log(name)
-		}
-	}
-	node := startNode(t, nodeOptions{initialList: known, managementAddr: freeAddr(t), env: []string{"TMPDIR=" + directory}}, newFakeDiscovery(t, known).addr)
-	node.mustSucceed(t, "disable-server ha")
-	names, err := os.ReadDir(directory)
-	if err != nil {
-		t.Fatal(err)
-	}
-	for _, entry := range names {
-		if strings.HasSuffix(entry.Name(), ".words") {
-			if err := os.WriteFile(directory+"/"+entry.Name(), []byte("no document"), 0o600); err != nil {
-				t.Fatal(err)
-			}
-		}
-	}
-	node.waitForLog(t, "file is of an unknown format")
-	node.openRequest(t, "").expectLine("BUSY") // the word holds on
-	for _, entry := range names {              // nothing can be written there any more
-		if strings.HasSuffix(entry.Name(), ".words") {
-			_ = os.Remove(directory + "/" + entry.Name())
-			if err := os.MkdirAll(directory+"/"+entry.Name()+"/full", 0o700); err != nil {
-				t.Fatal(err)
-			}
-		}
-	}
-	node.mustSucceed(t, "enable-server ha")
-	node.waitForLog(t, "shared state unavailable")
-	eventually(t, "it is used again", func() bool {
-		client := node.openRequest(t, "")
-		line, _ := client.reader.ReadString('\n')
-		_ = client.conn.Close()
-		return strings.HasPrefix(line, "UP")
-	})
-	for _, entry := range names {
-		if strings.HasSuffix(entry.Name(), ".words") {
-			_ = os.RemoveAll(directory + "/" + entry.Name())
-			if err := os.WriteFile(directory+"/"+entry.Name(), []byte("no document"), 0o600); err != nil {
-				t.Fatal(err)
-			}
-		}
-	}
-	_ = node.cmd.Process.Signal(syscall.SIGKILL)
-	<-node.exited
-	successor := startNode(t, nodeOptions{initialList: known, managementAddr: freeAddr(t), env: []string{"TMPDIR=" + directory}}, newFakeDiscovery(t, known).addr)
-	successor.waitForLog(t, "file is of an unknown format")
-	successor.openRequest(t, "").expectLine("UP")
-}
-
 func TestInheritedSocket_BadDescriptor_ErrorNamesVariable(t *testing.T) {
 	t.Parallel()
 	udp, err := net.ListenPacket("udp", "127.0.0.1:0")
