--- a/cmd/onyxstream/agent_cluster_test.go
+++ b/cmd/onyxstream/agent_cluster_test.go
@@ -14,67 +14,96 @@
 	"onyxstream/internal/wire"
 )
 
-// agentCluster are three real nodes that an agent follows, each with a host of its own, so that the host's ledger tells what
-// its node sent.
+// agentCluster is an agent with three real nodes. Each node has one fake host, whose ledger records what the node sent.
 type agentCluster struct {
-	dir, agentSocket string
-	clock            *fakeserver.Clock
-	ledgers          []*fakeserver.Ledger
-	nodes            []*nodeProcess
-	agent            *exec.Cmd
-	agentLog         *syncBuffer
+	dir         string
+	agentSocket string
+	clock       *fakeserver.Clock
+	ledgers     []*fakeserver.Ledger
+	nodes       []*nodeProcess
+	agent       *exec.Cmd
+	agentLog    *syncBuffer
 }
 
+const clusterSize = 3
+
+// newAgentCluster starts the nodes and the agent, and waits until all nodes serve.
 func newAgentCluster(t *testing.T) *agentCluster {
 	t.Helper()
 	cluster := &agentCluster{dir: t.TempDir(), clock: fakeserver.NewClock(), agentLog: &syncBuffer{}}
 	cluster.agentSocket = filepath.Join(cluster.dir, "agent.sock")
 	inventory := ""
-	for i := range 3 {
-		ledger := fakeserver.NewLedger(cluster.clock)
-		host, err := fakeserver.NewHost(fakeserver.HostConfig{ID: fmt.Sprint("h", i+1), Zone: "a",
-			Spec: capacity.Spec{Cores: 8, Speed: 1, Load: 0.001, Setup: 0.001}}, cluster.clock, ledger)
-		if err != nil {
-			t.Fatal(err)
-		}
-		t.Cleanup(host.Close)
-		discovery := newFakeDiscovery(t, endpointListJSON(1, true, host.Member(wire.Serving)))
-		name := fmt.Sprint("n", i+1)
-		addr := freeAddr(t)
-		path := writeConfig(t, addr, discovery.addr, nodeOptions{mode: "proxy", initialList: endpointListJSON(1, true, host.Member(wire.Serving)), socketLimit: 2048})
-		text, err := os.ReadFile(path)
-		if err != nil {
-			t.Fatal(err)
-		}
-		if err := os.WriteFile(path, []byte(strings.Replace(string(text), `"name":"n0"`, `"name":"`+name+`"`, 1)), 0o600); err != nil {
-			t.Fatal(err)
-		}
-		ownConfig := writeFile(t, "own.toml", fmt.Sprintf("[control]\nsocket = %q\n", filepath.Join(cluster.dir, name)))
-		node := startProcess(t, path, 0, "--config", ownConfig)
-		node.addr = addr
-		cluster.nodes, cluster.ledgers = append(cluster.nodes, node), append(cluster.ledgers, ledger)
-		inventory += fmt.Sprintf("[[instance]]\nname = %q\naddr = %q\nzone = \"a\"\n", name, "unix:"+filepath.Join(cluster.dir, name))
+	for number := 1; number <= clusterSize; number++ {
+		inventory += cluster.startNode(t, number)
 	}
-	files := map[string]string{"inventory.toml": inventory, "agent.toml": fmt.Sprintf("inventory = %q\nstore = %q\nsocket = %q\nevery = \"100ms\"\n",
-		filepath.Join(cluster.dir, "inventory.toml"), filepath.Join(cluster.dir, "store"), cluster.agentSocket)}
-	for name, text := range files {
-		if err := os.WriteFile(filepath.Join(cluster.dir, name), []byte(text), 0o600); err != nil {
+	agentConfig := fmt.Sprintf("inventory = %q\nstore = %q\nsocket = %q\nevery = \"100ms\"\n",
+		cluster.path("inventory.toml"), cluster.path("store"), cluster.agentSocket)
+	for name, text := range map[string]string{"inventory.toml": inventory, "agent.toml": agentConfig} {
+		if err := os.WriteFile(cluster.path(name), []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
 	cluster.startAgent(t)
-	eventually(t, "all three serve", func() bool { status, _, _ := cluster.runCommand(t, "instances", "check"); return status == 0 })
+	eventually(t, "all nodes serve", func() bool {
+		status, _, _ := cluster.runCommand(t, "instances", "check")
+		return status == 0
+	})
 	return cluster
 }
 
+// path returns the path of a file of the cluster.
+func (f *agentCluster) path(name string) string { return filepath.Join(f.dir, name) }
+
+// startNode starts the node with this number and its host, and returns its entry of the agent's inventory.
+func (f *agentCluster) startNode(t *testing.T, number int) (inventoryEntry string) {
+	t.Helper()
+	ledger := fakeserver.NewLedger(f.clock)
+	host, err := fakeserver.NewHost(fakeserver.HostConfig{
+		ID:   fmt.Sprint("h", number),
+		Zone: "a",
+		Spec: capacity.Spec{Cores: 8, Speed: 1, Load: 0.001, Setup: 0.001},
+	}, f.clock, ledger)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(host.Close)
+	list := endpointListJSON(1, true, host.Member(wire.Serving))
+	discovery := newFakeDiscovery(t, list)
+	name := fmt.Sprint("n", number)
+	addr := freeAddr(t)
+	options := nodeOptions{mode: "proxy", initialList: list, socketLimit: 2048}
+	configPath := writeConfig(t, addr, discovery.addr, options)
+	setNodeName(t, configPath, name)
+	ownConfig := writeFile(t, "own.toml", fmt.Sprintf("[control]\nsocket = %q\n", f.path(name)))
+	node := startProcess(t, configPath, "--config", ownConfig)
+	node.addr = addr
+	f.nodes = append(f.nodes, node)
+	f.ledgers = append(f.ledgers, ledger)
+	return fmt.Sprintf("[[instance]]\nname = %q\naddr = %q\nzone = \"a\"\n", name, "unix:"+f.path(name))
+}
+
+// setNodeName replaces the name in a configuration that writeConfig wrote.
+func setNodeName(t *testing.T, configPath, name string) {
+	t.Helper()
+	text, err := os.ReadFile(configPath)
+	if err != nil {
+		t.Fatal(err)
+	}
+	renamed := strings.Replace(string(text), `"name":"n0"`, `"name":"`+name+`"`, 1)
+	if err := os.WriteFile(configPath, []byte(renamed), 0o600); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// startAgent starts the agent. It is killed when the test ends, and a data race in it fails the test.
 func (f *agentCluster) startAgent(t *testing.T) {
 	t.Helper()
-	f.agent = exec.Command(programPath, "agent", "--config", filepath.Join(f.dir, "agent.toml"))
-	f.agent.Stdout, f.agent.Stderr = f.agentLog, f.agentLog
-	if err := f.agent.Start(); err != nil {
+	agent := exec.Command(programPath, "agent", "--config", f.path("agent.toml"))
+	agent.Stdout, agent.Stderr = f.agentLog, f.agentLog
+	if err := agent.Start(); err != nil {
 		t.Fatal(err)
 	}
-	agent := f.agent
+	f.agent = agent
 	t.Cleanup(func() {
 		_ = agent.Process.Kill()
 		_ = agent.Wait()
@@ -87,12 +116,28 @@
 	})
 }
 
-func (f *agentCluster) runCommand(t *testing.T, args ...string) (status int, out, errs string) {
+// killAgent ends the agent as a crash would.
+func (f *agentCluster) killAgent() {
+	_ = f.agent.Process.Kill()
+	_ = f.agent.Wait()
+}
+
+// runCommand runs a command of the program against the agent.
+func (f *agentCluster) runCommand(t *testing.T, args ...string) (status int, stdout, stderr string) {
 	t.Helper()
 	return runProgram(t, append(args, "--agent", f.agentSocket)...)
 }
 
-// appliedAt is when a command of an operation took effect at a node, by its log, on the clock of the ledgers.
+// mustRun runs a command against the agent that must exit with status 0.
+func (f *agentCluster) mustRun(t *testing.T, args ...string) {
+	t.Helper()
+	status, stdout, stderr := f.runCommand(t, args...)
+	if status != 0 {
+		t.Fatalf("%v: exit status %d: %s%s", args, status, stdout, stderr)
+	}
+}
+
+// appliedAt returns when a node has applied commands of an operation, by its log, on the clock of the ledgers.
 func (f *agentCluster) appliedAt(t *testing.T, nodeIndex int, operation string) (times []time.Duration) {
 	t.Helper()
 	for line := range strings.Lines(f.nodes[nodeIndex].log.String()) {
@@ -108,23 +153,36 @@
 	return times
 }
 
-// lastOpened is when a host was last sent something new.
+// lastOpened returns when the host of a node last received a new request, and how many it has received.
 func (f *agentCluster) lastOpened(nodeIndex int) (last time.Duration, count int) {
 	records, _ := f.ledgers[nodeIndex].Records()
 	for _, record := range records {
 		if record.What == fakeserver.Opened {
-			last, count = record.At, count+1
+			last = record.At
+			count++
 		}
 	}
 	return last, count
 }
 
-// startLoad runs open load on all three until the returned function is called.
+// openedCounts returns how many new requests each node's host has received.
+func (f *agentCluster) openedCounts() (counts [clusterSize]int) {
+	for i := range counts {
+		_, counts[i] = f.lastOpened(i)
+	}
+	return counts
+}
+
+// startLoad runs the load generator on all nodes until stop is called, and fails the test if it printed anything.
 func (f *agentCluster) startLoad(t *testing.T) (stop func()) {
 	t.Helper()
-	path := writeFile(t, "s.toml", strings.NewReplacer(`for = "2s"`, `for = "1h"`, "rate = 30", "rate = 150", "retries = 3", "retries = 0",
-		`life = "400ms"`, `life = "3s"`).Replace(loadScenario))
-	args := []string{"load", "run", path}
+	scenario := strings.NewReplacer(
+		`for = "2s"`, `for = "1h"`,
+		"rate = 30", "rate = 150",
+		"retries = 3", "retries = 0",
+		`life = "400ms"`, `life = "3s"`,
+	).Replace(loadScenario)
+	args := []string{"load", "run", writeFile(t, "s.toml", scenario)}
 	for _, node := range f.nodes {
 		args = append(args, "--target", node.addr)
 	}
@@ -137,7 +195,7 @@
 		_ = cmd.Process.Kill()
 		_ = cmd.Wait()
 		if text := output.String(); text != "" {
-			t.Errorf("the generator ended by itself: %s", text)
+			t.Errorf("the load generator ended by itself: %s", text)
 		}
 	}
 }
--- a/cmd/onyxstream/agent_test.go
+++ b/cmd/onyxstream/agent_test.go
@@ -4,7 +4,6 @@
 	"encoding/json"
 	"fmt"
 	"os"
-	"path/filepath"
 	"slices"
 	"strconv"
 	"strings"
@@ -12,108 +11,123 @@
 	"time"
 )
 
-// admissionGrace is the settings' time from the word of a drain to the last new work; a log line's time is to the millisecond.
+// admissionGrace is how long a node may send new requests to its hosts after a drain begins, by the settings of the
+// tests, plus the resolution of a log line's time.
 const admissionGrace = 400*time.Millisecond + time.Millisecond
 
-// A drain across three nodes under open load: the last new work of each comes within its grace after its notice; the
-// same command again has no effect; resumed, all serve again.
+// A drain of three nodes under load: each node sends its last new request within the grace after it applied the
+// command. The same command again has no effect. Once resumed, all nodes serve again.
 //
-// ONYXSTREAM_DRAINS=50 repeats it and prints the spread.
+// ONYXSTREAM_DRAINS=50 repeats it and prints the spread of the last new requests.
 func TestAgentDrain_ThreeNodesUnderLoad_StopsNewWork(t *testing.T) {
 	t.Parallel()
 	cluster := newAgentCluster(t)
 	stopLoad := cluster.startLoad(t)
 	defer stopLoad()
 	runs, _ := strconv.Atoi(os.Getenv("ONYXSTREAM_DRAINS"))
-	var spread []time.Duration
+	var delays []time.Duration
 	for run := range max(runs, 1) {
-		before := make([]int, 3)
-		for i := range 3 {
-			_, before[i] = cluster.lastOpened(i)
-		}
-		eventually(t, "all hosts get new work", func() bool {
-			all := true
-			for i := range 3 {
-				_, n := cluster.lastOpened(i)
-				all = all && n > before[i]+20
-			}
-			return all
-		})
+		cluster.waitForNewRequests(t)
 		operation := fmt.Sprint("drain", run)
-		drain := []string{"instances", "drain", "--all", "--empty-zone", "--max-unavailable", "3", "--at-once", "3", "--within", "1s", "--wait", "--operation", operation}
-		if status, out, errs := cluster.runCommand(t, drain...); status != 0 {
-			t.Fatalf("exit %d: %s%s", status, out, errs)
-		}
-		counts := make([]int, 3)
-		for i := range 3 {
-			applied := cluster.appliedAt(t, i, operation)
-			if len(applied) != 1 {
-				t.Fatalf("n%d was told %d times", i+1, len(applied))
-			}
-			var last time.Duration
-			last, counts[i] = cluster.lastOpened(i)
-			if delay := last - applied[0]; delay > admissionGrace {
-				t.Errorf("n%d sent new work %v after its notice", i+1, delay)
-			} else {
-				spread = append(spread, delay)
-			}
-		}
-		// Again, while load goes on: no effect.
-		if status, out, errs := cluster.runCommand(t, drain...); status != 0 {
-			t.Fatalf("again: exit %d: %s%s", status, out, errs)
+		drain := []string{
+			"instances", "drain", "--all",
+			"--empty-zone",
+			"--max-unavailable", "3",
+			"--at-once", "3",
+			"--within", "1s",
+			"--wait",
+			"--operation", operation,
 		}
+		cluster.mustRun(t, drain...)
+		counts := cluster.openedCounts()
+		delays = append(delays, cluster.drainDelays(t, operation)...)
+		cluster.mustRun(t, drain...) // the same command again, under load
 		time.Sleep(300 * time.Millisecond)
-		for i := range 3 {
-			if _, n := cluster.lastOpened(i); n != counts[i] || len(cluster.appliedAt(t, i, operation)) != 1 {
+		for i := range clusterSize {
+			_, n := cluster.lastOpened(i)
+			if n != counts[i] || len(cluster.appliedAt(t, i, operation)) != 1 {
 				t.Errorf("n%d: the same command again had an effect", i+1)
 			}
 		}
 		if status, _, _ := cluster.runCommand(t, "instances", "check"); status != 7 {
-			t.Errorf("a check of drained instances exits with %d", status)
+			t.Errorf("a check of drained instances exits with status %d", status)
+		}
+		cluster.mustRun(t, "instances", "resume", "--all", "--at-once", "3", "--wait")
+	}
+	slices.Sort(delays)
+	t.Logf("last new request after a node's drain, %d drains: min %v, median %v, max %v",
+		len(delays), delays[0], delays[len(delays)/2], delays[len(delays)-1])
+}
+
+// waitForNewRequests waits until each node's host has received more than 20 further requests.
+func (f *agentCluster) waitForNewRequests(t *testing.T) {
+	t.Helper()
+	before := f.openedCounts()
+	eventually(t, "all hosts receive new requests", func() bool {
+		all := true
+		for i, n := range f.openedCounts() {
+			all = all && n > before[i]+20
+		}
+		return all
+	})
+}
+
+// drainDelays returns, for each node that kept to the grace, how long after it applied a drain it sent its last new
+// request. A node that did not, or that applied the command more than once, fails the test.
+func (f *agentCluster) drainDelays(t *testing.T, operation string) (delays []time.Duration) {
+	t.Helper()
+	for i := range clusterSize {
+		applied := f.appliedAt(t, i, operation)
+		if len(applied) != 1 {
+			t.Fatalf("n%d applied the command %d times", i+1, len(applied))
 		}
-		if status, out, errs := cluster.runCommand(t, "instances", "resume", "--all", "--at-once", "3", "--wait"); status != 0 {
-			t.Fatalf("resume: exit %d: %s%s", status, out, errs)
+		last, _ := f.lastOpened(i)
+		if delay := last - applied[0]; delay > admissionGrace {
+			t.Errorf("n%d sent a new request %v after its drain began", i+1, delay)
+		} else {
+			delays = append(delays, delay)
 		}
 	}
-	slices.Sort(spread)
-	t.Logf("last new work after the notice, %d drains of a node: least %v, median %v, most %v", len(spread), spread[0], spread[len(spread)/2], spread[len(spread)-1])
+	return delays
 }
 
-// The agent is killed halfway through a drain. Whoever was told stops new work and stays so; the others serve. When the
-// agent is back it goes on.
+// The agent is killed halfway through a drain. Nodes that have applied the command stay drained, the others serve. Once
+// the agent is back it completes the operation.
 func TestAgentDrain_AgentKilled_ResumesOperation(t *testing.T) {
 	t.Parallel()
 	cluster := newAgentCluster(t)
 	stopLoad := cluster.startLoad(t)
 	defer stopLoad()
-	for range 60 { // these stand until they are sent away, so the first drain takes its whole time
-		cluster.nodes[0].openRequest(t, "").expectLine("UP ")
-	}
-	if status, out, errs := cluster.runCommand(t, "instances", "drain", "--all", "--empty-zone", "--max-unavailable", "3", "--within", "4s", "--operation", "halfway"); status != 0 {
-		t.Fatalf("exit %d: %s%s", status, out, errs)
-	}
-	eventually(t, "the first is told", func() bool { return len(cluster.appliedAt(t, 0, "halfway")) == 1 })
-	_ = cluster.agent.Process.Kill()
-	_ = cluster.agent.Wait()
+	cluster.nodes[0].establish(t, 60, "UP ") // open until they are migrated, so that the first drain takes its whole time
+	cluster.mustRun(t, "instances", "drain", "--all",
+		"--empty-zone",
+		"--max-unavailable", "3",
+		"--within", "4s",
+		"--operation", "halfway")
+	eventually(t, "the first node applies the drain", func() bool { return len(cluster.appliedAt(t, 0, "halfway")) == 1 })
+	cluster.killAgent()
 	applied := cluster.appliedAt(t, 0, "halfway")[0]
-	eventually(t, "the grace has run", func() bool { return cluster.clock.Now() > applied+2*time.Second })
+	eventually(t, "the grace is over", func() bool { return cluster.clock.Now() > applied+2*time.Second })
 	if last, _ := cluster.lastOpened(0); last > applied+admissionGrace {
-		t.Errorf("without an agent n1 sent new work %v after its notice", last-applied)
+		t.Errorf("without an agent n1 sent a new request %v after its drain began", last-applied)
 	}
 	if n := len(cluster.appliedAt(t, 2, "halfway")); n != 0 {
-		t.Fatal("all were told before the agent was killed: nothing is shown")
+		t.Fatal("all nodes had applied the drain before the agent was killed: the test shows nothing")
 	}
 	_, before := cluster.lastOpened(2)
-	eventually(t, "the third goes on serving", func() bool { _, n := cluster.lastOpened(2); return n > before+10 })
+	eventually(t, "the third node goes on serving", func() bool {
+		_, n := cluster.lastOpened(2)
+		return n > before+10
+	})
 	cluster.startAgent(t)
-	eventually(t, "the agent goes on with it", func() bool {
+	eventually(t, "the agent completes the operation", func() bool {
 		status, out, _ := cluster.runCommand(t, "operations", "show", "halfway", "--json")
 		var operation struct{ State string }
 		return status == 0 && json.Unmarshal([]byte(out), &operation) == nil && operation.State == "done"
 	})
-	for i := range 3 {
+	for i := range clusterSize {
 		if n := len(cluster.appliedAt(t, i, "halfway")); n != 1 {
-			t.Errorf("n%d was told %d times", i+1, n)
+			t.Errorf("n%d applied the command %d times", i+1, n)
 		}
 	}
 }
@@ -121,20 +135,17 @@
 func TestAgentCommands_HostsAndOperations_ReportOutcome(t *testing.T) {
 	t.Parallel()
 	cluster := newAgentCluster(t)
-	// The only host of n2 drains by an operator's word, whatever the list says: n2 has nowhere to place anyone.
-	if status, out, errs := cluster.runCommand(t, "hosts", "drain", "h2", "--wait", "--operation", "word"); status != 0 {
-		t.Fatalf("exit %d: %s%s", status, out, errs)
-	}
-	client := cluster.nodes[1].openRequest(t, "")
-	eventually(t, "n2 places nobody on h2", func() bool {
-		return strings.HasPrefix(client.expectLine(""), "BUSY") || func() bool { client = cluster.nodes[1].openRequest(t, ""); return false }()
+	// An override drains the only host of n2, whatever the list says: n2 has no host left.
+	cluster.mustRun(t, "hosts", "drain", "h2", "--wait", "--operation", "word")
+	eventually(t, "n2 sends nothing to h2", func() bool {
+		return strings.HasPrefix(cluster.nodes[1].openRequest(t, "").expectLine(""), "BUSY")
 	})
 	cluster.nodes[0].openRequest(t, "").expectLine("UP ")
-	if status, _, errs := cluster.runCommand(t, "hosts", "resume", "h2", "--wait"); status != 0 {
-		t.Fatalf("exit %d: %s", status, errs)
-	}
-	eventually(t, "n2 places on h2 again", func() bool { return strings.HasPrefix(cluster.nodes[1].openRequest(t, "").expectLine(""), "UP") })
-	for _, c := range []struct {
+	cluster.mustRun(t, "hosts", "resume", "h2", "--wait")
+	eventually(t, "n2 sends requests to h2 again", func() bool {
+		return strings.HasPrefix(cluster.nodes[1].openRequest(t, "").expectLine(""), "UP")
+	})
+	for _, test := range []struct {
 		args   string
 		status int
 		want   string
@@ -151,28 +162,31 @@
 		{"instances drain n9", 2, `no instance has name "n9"`},
 		{"instances drain n1 --on-failure cry", 2, "on_failure"},
 	} {
-		status, out, errs := cluster.runCommand(t, strings.Fields(c.args)...)
-		if status != c.status || !strings.Contains(out+errs, c.want) {
-			t.Errorf("%s: exit %d, said %q and %q, want %d and %q", c.args, status, out, errs, c.status, c.want)
+		status, stdout, stderr := cluster.runCommand(t, strings.Fields(test.args)...)
+		if status != test.status || !strings.Contains(stdout+stderr, test.want) {
+			t.Errorf("%s: exit status %d, printed %q and %q, want %d and %q",
+				test.args, status, stdout, stderr, test.status, test.want)
 		}
 	}
-	if status, _, errs := runProgram(t, "instances", "list", "--agent", filepath.Join(cluster.dir, "nobody")); status != 1 || !strings.Contains(errs, "no agent answers") {
-		t.Errorf("without an agent: exit %d: %s", status, errs)
+	status, _, stderr := runProgram(t, "instances", "list", "--agent", cluster.path("nobody"))
+	if status != 1 || !strings.Contains(stderr, "no agent answers") {
+		t.Errorf("without an agent: exit status %d: %s", status, stderr)
 	}
 }
 
-// A node that drains takes nothing new, but a connection that is open already and comes mid-flow still reaches its host,
-// also once the grace has run.
+// A draining node accepts nothing new, but a mid-flow request, of a connection that was open before, still reaches its
+// host, also after the grace.
 func TestAgentDrain_MidFlowRequest_ReachesItsHost(t *testing.T) {
 	t.Parallel()
 	cluster := newAgentCluster(t)
-	if status, out, errs := cluster.runCommand(t, "instances", "drain", "n1", "--wait", "--operation", "mid"); status != 0 {
-		t.Fatalf("exit %d: %s%s", status, out, errs)
-	}
+	cluster.mustRun(t, "instances", "drain", "n1", "--wait", "--operation", "mid")
 	applied := cluster.appliedAt(t, 0, "mid")[0]
-	eventually(t, "the grace has run", func() bool { return cluster.clock.Now() > applied+2*admissionGrace })
+	eventually(t, "the grace is over", func() bool { return cluster.clock.Now() > applied+2*admissionGrace })
 	cluster.nodes[0].openRequest(t, "").expectLine("BUSY ")
 	_, before := cluster.lastOpened(0)
 	cluster.nodes[0].openRequest(t, ",mid=1")
-	eventually(t, "the host hears of it", func() bool { _, n := cluster.lastOpened(0); return n == before+1 })
+	eventually(t, "the host receives the request", func() bool {
+		_, n := cluster.lastOpened(0)
+		return n == before+1
+	})
 }
--- a/cmd/onyxstream/configuration_test.go
+++ b/cmd/onyxstream/configuration_test.go
@@ -3,18 +3,18 @@
 import (
 	"os"
 	"os/exec"
-	"path/filepath"
 	"strings"
 	"testing"
 )
 
 func TestConfiguration_Invalid_ErrorNamesField(t *testing.T) {
 	t.Parallel()
-	good, err := os.ReadFile(writeConfig(t, "127.0.0.1:1", "127.0.0.1:2", nodeOptions{mode: "pass", initialList: endpointListJSON(0, true)}))
+	options := nodeOptions{mode: "pass", initialList: endpointListJSON(0, true)}
+	valid, err := os.ReadFile(writeConfig(t, "127.0.0.1:1", "127.0.0.1:2", options))
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, c := range []struct{ from, to, want string }{
+	for _, test := range []struct{ from, to, want string }{
 		{`"sockets":256`, `"sockets":3`, `"limits.sockets"`},
 		{`"sockets":256`, `"sockets":"many"`, `"limits.sockets"`},
 		{`"cores":1.0`, `"cores":0`, `"limits.cores"`},
@@ -23,34 +23,39 @@
 		{`"listen":"127.0.0.1:1"`, `"listen":"nowhere"`, `"listen"`},
 		{`"discovery":"127.0.0.1:2"`, `"discovery":""`, `"discovery"`},
 		{`"members":[]`, `"members":[{"size":1}]`, `"known"`},
-		{`"memory_mb":256,"sockets":256},"known":` + endpointListJSON(0, true), `"memory_mb":8,"sockets":256},"known":` + endpointListJSON(0, true, endpointsAt(1100, "127.0.0.1:1")...),
-			`"known": members: 1100 hosts, 597 are the most in 8 MB`},
+		{
+			`"memory_mb":256,"sockets":256},"known":` + endpointListJSON(0, true),
+			`"memory_mb":8,"sockets":256},"known":` + endpointListJSON(0, true, endpointsAt(1100, "127.0.0.1:1")...),
+			`"known": members: 1100 hosts, 597 are the most in 8 MB`,
+		},
 		{`"coldShare":0.3`, `"coldShare":3`, `"settings.rules.coldShare"`},
 		{`"semantics":"safe"`, `"semantics":"odd"`, `"settings.lanes[0].semantics"`},
 		{`{"name"`, `{{"name"`, "configuration"},
 	} {
-		text := strings.Replace(string(good), c.from, c.to, 1)
-		if text == string(good) {
-			t.Fatalf("nothing to replace: %s", c.from)
+		text := strings.Replace(string(valid), test.from, test.to, 1)
+		if text == string(valid) {
+			t.Fatalf("nothing to replace: %s", test.from)
 		}
-		path := filepath.Join(t.TempDir(), "config.json")
-		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-			t.Fatal(err)
-		}
-		cmd := exec.Command(programPath, "node")
-		cmd.Env = append(os.Environ(), "PROXY_CONFIG="+path)
-		out, err := cmd.CombinedOutput()
-		if cmd.ProcessState.ExitCode() != 1 || !strings.Contains(string(out), c.want) || strings.Contains(string(out), "goroutine") {
-			t.Errorf("%s: exit %v, said %q, want %s", c.to, err, out, c.want)
+		status, out := runNodeWithConfig(writeFile(t, "config.json", text))
+		if status != 1 || !strings.Contains(out, test.want) || strings.Contains(out, "goroutine") {
+			t.Errorf("%s: exit status %d, printed %q, want %s", test.to, status, out, test.want)
 		}
 	}
-	cmd := exec.Command(programPath, "node")
-	cmd.Env = append(os.Environ(), "PROXY_CONFIG=")
-	if out, _ := cmd.CombinedOutput(); cmd.ProcessState.ExitCode() != 1 || !strings.Contains(string(out), "PROXY_CONFIG") {
-		t.Errorf("without a configuration: %q", out)
+	status, out := runNodeWithConfig("")
+	if status != 1 || !strings.Contains(out, "PROXY_CONFIG") {
+		t.Errorf("without a configuration: exit status %d, printed %q", status, out)
 	}
-	cmd = exec.Command(programPath)
-	if out, _ := cmd.CombinedOutput(); cmd.ProcessState.ExitCode() != 2 || !strings.Contains(string(out), "usage") {
-		t.Errorf("without a command: %q", out)
+	cmd := exec.Command(programPath)
+	usage, _ := cmd.CombinedOutput()
+	if cmd.ProcessState.ExitCode() != 2 || !strings.Contains(string(usage), "usage") {
+		t.Errorf("without a command: %q", usage)
 	}
 }
+
+// runNodeWithConfig runs a node that is expected to exit by itself, and returns its exit status and its output.
+func runNodeWithConfig(path string) (status int, output string) {
+	cmd := exec.Command(programPath, "node")
+	cmd.Env = append(os.Environ(), "PROXY_CONFIG="+path)
+	out, _ := cmd.CombinedOutput()
+	return cmd.ProcessState.ExitCode(), string(out)
+}
--- a/cmd/onyxstream/connection_surge_test.go
+++ b/cmd/onyxstream/connection_surge_test.go
@@ -3,96 +3,104 @@
 import (
 	"io"
 	"net"
-	"strings"
 	"testing"
+
+	"onyxstream/internal/wire"
 )
 
-// Clients that connect by hundreds and say nothing, and others that come again as soon as they are turned away, keep
-// no usual client out and take no descriptors that are not theirs.
+// idleClients are connections on which nothing is sent.
+type idleClients struct {
+	connections []net.Conn
+}
+
+// connect opens up to count connections; those that fail are left out.
+func (c *idleClients) connect(count int, addr string) {
+	for range count {
+		conn, err := net.Dial("tcp", addr)
+		if err == nil {
+			c.connections = append(c.connections, conn)
+		}
+	}
+}
+
+func (c *idleClients) close() {
+	for _, conn := range c.connections {
+		_ = conn.Close()
+	}
+}
+
+// reconnectUntil connects, sends a bad opening line and waits for its rejection, again and again until stop is closed.
+func reconnectUntil(stop <-chan bool, addr string) {
+	for {
+		select {
+		case <-stop:
+			return
+		default:
+		}
+		conn, err := net.Dial("tcp", addr)
+		if err == nil {
+			_, _ = io.WriteString(conn, "OPEN x y c=odd\r\n")
+			_, _ = io.Copy(io.Discard, conn)
+			_ = conn.Close()
+		}
+	}
+}
+
+// Hundreds of clients that connect and send nothing, and others that reconnect as soon as they are rejected, keep no
+// regular client from being served, and the node stays within its descriptor limit.
 func TestConnectionSurge_RegularClients_Served(t *testing.T) {
 	t.Parallel()
 	host := newFakeHost(t, "h1")
-	discovery := newFakeDiscovery(t, endpointListJSON(1, true, host.endpoint("SERVING")))
-	node := startNode(t, nodeOptions{initialList: endpointListJSON(1, true, host.endpoint("SERVING")), socketLimit: 128}, discovery.addr)
-	var connections []net.Conn
-	defer func() {
-		for _, c := range connections {
-			_ = c.Close()
-		}
-	}()
+	const socketLimit = 128
+	node, _ := startNodeWithHosts(t, nodeOptions{socketLimit: socketLimit}, host)
+	var idle idleClients
+	defer idle.close()
 	stop := make(chan bool)
 	defer close(stop)
 	for range 4 {
-		go func() {
-			for {
-				select {
-				case <-stop:
-					return
-				default:
-				}
-				if c, err := net.Dial("tcp", node.addr); err == nil {
-					_, _ = io.WriteString(c, "OPEN x y c=odd\r\n")
-					_, _ = io.Copy(io.Discard, c)
-					_ = c.Close()
-				}
-			}
-		}()
+		go reconnectUntil(stop, node.addr)
 	}
 	for range 15 {
-		for range 30 {
-			if c, err := net.Dial("tcp", node.addr); err == nil {
-				connections = append(connections, c)
-			}
-		}
+		idle.connect(30, node.addr)
 		client := node.openRequest(t, "")
 		client.expectLine("UP ")
-		if n := node.openDescriptors(t); n > 128 {
-			t.Errorf("%d descriptors held, 128 allowed", n)
+		if n := node.openDescriptors(t); n > socketLimit {
+			t.Errorf("%d descriptors are open, %d allowed", n, socketLimit)
 		}
 		_ = client.conn.Close()
 	}
 }
 
-// Clients that say nothing fill every descriptor they can get while discovery is down, at the system's own limit. Requests
-// are answered all the same, the configuration is read, and the list is followed as soon as discovery is back.
+// Idle clients take every descriptor they can get, up to the system's limit, while discovery is down. Requests are
+// served all the same, a reload takes effect, and the list is followed as soon as discovery is back.
 func TestConnectionSurge_DiscoveryDown_RequestsServed(t *testing.T) {
 	t.Parallel()
-	const sockets = 96
+	const socketLimit = 96
 	hostA, hostB := newFakeHost(t, "ha"), newFakeHost(t, "hb")
-	oldDiscovery := newFakeDiscovery(t, endpointListJSON(1, true, hostA.endpoint("SERVING")))
+	oldDiscovery := newFakeDiscovery(t, endpointListJSON(1, true, hostA.endpoint(wire.Serving)))
 	oldDiscovery.setUnavailable(true)
-	node := startNode(t, nodeOptions{initialList: endpointListJSON(1, true, hostA.endpoint("SERVING")), socketLimit: sockets, descriptorLimit: sockets}, oldDiscovery.addr)
-	var connections []net.Conn
-	defer func() {
-		for _, c := range connections {
-			_ = c.Close()
-		}
-	}()
-	connectIdleClients := func() {
-		for range 3 * sockets {
-			if c, err := net.Dial("tcp", node.addr); err == nil {
-				connections = append(connections, c)
-			}
-		}
-	}
-	connectIdleClients()
+	node := startNode(t, nodeOptions{
+		initialList:     endpointListJSON(1, true, hostA.endpoint(wire.Serving)),
+		socketLimit:     socketLimit,
+		descriptorLimit: socketLimit,
+	}, oldDiscovery.addr)
+	var idle idleClients
+	defer idle.close()
+	idle.connect(3*socketLimit, node.addr)
 	node.openRequest(t, "").expectLine("UP from-ha")
-	discovery := newFakeDiscovery(t, endpointListJSON(2, true, hostA.endpoint("DRAINING"), hostB.endpoint("SERVING")))
+	newList := endpointListJSON(2, true, hostA.endpoint(wire.Draining), hostB.endpoint(wire.Serving))
+	discovery := newFakeDiscovery(t, newList)
 	discovery.setUnavailable(true)
 	node.reload(t, oldDiscovery.addr, discovery.addr)
 	node.waitForLog(t, "configuration reloaded")
-	eventually(t, "the new discovery is asked", func() bool { return len(discovery.requestPaths()) > 0 })
-	connectIdleClients()
+	eventually(t, "the new discovery receives a request", func() bool { return len(discovery.requestPaths()) > 0 })
+	idle.connect(3*socketLimit, node.addr)
 	node.openRequest(t, "").expectLine("UP from-ha")
 	discovery.setUnavailable(false)
-	eventually(t, "its list is followed", func() bool {
-		client := node.openRequest(t, "")
-		defer client.conn.Close()
-		return strings.Contains(client.expectLine("UP "), "from-hb")
-	})
-	connectIdleClients()
+	node.waitUntilServedBy(t, hostB.id)
+	idle.connect(3*socketLimit, node.addr)
 	node.openRequest(t, "").expectLine("UP from-hb")
-	if n := node.openDescriptors(t); n > sockets {
-		t.Errorf("%d descriptors held, %d allowed", n, sockets)
+	if n := node.openDescriptors(t); n > socketLimit {
+		t.Errorf("%d descriptors are open, %d allowed", n, socketLimit)
 	}
 }
--- a/cmd/onyxstream/endpoint_memory_test.go
+++ b/cmd/onyxstream/endpoint_memory_test.go
@@ -13,10 +13,10 @@
 	"onyxstream/internal/wire"
 )
 
-// maxHosts is the largest list that a node is to take, whatever its memory limit.
+// maxHosts is the size of the largest endpoint list that a node must hold, whatever its memory limit.
 const maxHosts = 3200
 
-// buildWithoutRaceDetector builds the program without the race detector, whose memory would be what is measured.
+// buildWithoutRaceDetector builds the program without the race detector, whose own memory would be measured too.
 var buildWithoutRaceDetector = sync.OnceValues(func() (string, error) {
 	path := filepath.Join(filepath.Dir(programPath), "onyxstream-plain")
 	out, err := exec.Command("go", "build", "-o", path, ".").CombinedOutput()
@@ -26,7 +26,7 @@
 	return path, nil
 })
 
-// peakResidentKB is the most memory that a process has had resident so far.
+// peakResidentKB returns the highest resident memory of a process so far.
 func peakResidentKB(t testing.TB, pid int) int {
 	t.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
@@ -41,34 +41,36 @@
 	return kb
 }
 
-// peakMemoryWithHosts starts a node that knows a list of n hosts, has it follow a list that replaces one host of twenty in each
-// of several steps, and returns its peak memory.
-func peakMemoryWithHosts(t *testing.T, path string, n int) int {
+// peakMemoryWithHosts starts a node with a list of hostCount hosts, sends it events that replace one host of twenty
+// each, and returns its peak memory in KB.
+func peakMemoryWithHosts(t *testing.T, path string, hostCount int) int {
 	t.Helper()
 	host := newFakeHost(t, "ha")
-	all := endpointsAt(n, host.Addr())
-	discovery := newFakeDiscovery(t, endpointListJSON(1, true, all...))
-	node := startNode(t, nodeOptions{initialList: endpointListJSON(1, true, all...), memoryMB: 64, programPath: path}, discovery.addr)
+	all := endpointsAt(hostCount, host.Addr())
+	list := endpointListJSON(1, true, all...)
+	discovery := newFakeDiscovery(t, list)
+	node := startNode(t, nodeOptions{initialList: list, memoryMB: 64, programPath: path}, discovery.addr)
 	node.openRequest(t, "").expectLine("UP from-ha")
-	eventually(t, "the watch", func() bool { return discovery.Watching() == 1 })
+	eventually(t, "the watch is open", func() bool { return discovery.Watching() == 1 })
 	for step := range 4 {
 		var changed []wire.Endpoint
-		for i := step * n / 20; i < (step+1)*n/20; i++ {
+		for i := step * hostCount / 20; i < (step+1)*hostCount/20; i++ {
 			removed, added := all[i], all[i]
-			removed.Phase, added.ID = wire.Draining, "new"+removed.ID
+			removed.Phase = wire.Draining
+			added.ID = "new" + removed.ID
 			changed = append(changed, removed, added)
 		}
 		discovery.sendEvent(endpointListJSON(int64(2+step), false, changed...))
 		node.openRequest(t, "").expectLine("UP from-ha")
 	}
 	if strings.Contains(node.log.String(), "exceeds memory limit") {
-		t.Errorf("a list of %d hosts is too large", n)
+		t.Errorf("a list of %d hosts is too large", hostCount)
 	}
 	return peakResidentKB(t, node.cmd.Process.Pid)
 }
 
-// A node with the smallest memory limit takes the largest list, and its peak memory grows no more than the operators
-// allow: to one and a half times that at the usual size, 8 MB and 4 MB for each thousand hosts.
+// A node with the smallest memory limit holds the largest list. Its peak memory is at most one and a half times that
+// with a list of usual size, plus 8 MB, plus 4 MB per thousand hosts.
 func TestLargestList_FitsInSmallMemory(t *testing.T) {
 	path, err := buildWithoutRaceDetector()
 	if err != nil {
@@ -76,8 +78,9 @@
 	}
 	baseline := peakMemoryWithHosts(t, path, maxHosts/16)
 	for _, n := range []int{maxHosts / 2, maxHosts} {
-		peak, allowed := peakMemoryWithHosts(t, path, n), baseline*3/2+8<<10+n*(4<<10)/1000
-		t.Logf("%d hosts: %d KB at the most; %d hosts: %d KB, %d KB allowed", maxHosts/16, baseline, n, peak, allowed)
+		peak := peakMemoryWithHosts(t, path, n)
+		allowed := baseline*3/2 + 8<<10 + n*(4<<10)/1000
+		t.Logf("peak memory with %d hosts: %d KB; with %d hosts: %d KB, %d KB allowed", maxHosts/16, baseline, n, peak, allowed)
 		if peak > allowed {
 			t.Errorf("a list of %d hosts takes %d KB, %d KB are allowed", n, peak, allowed)
 		}
--- a/cmd/onyxstream/fake_discovery_test.go
+++ b/cmd/onyxstream/fake_discovery_test.go
@@ -8,35 +8,40 @@
 	"onyxstream/internal/wire"
 )
 
-// fakeDiscovery is a stand-in discovery that says what a test gives it, word for word.
+// fakeDiscovery is a discovery service that returns the text that a test sets, unchanged.
 type fakeDiscovery struct {
 	*fakeserver.Discovery
 	addr string
 }
 
-func newFakeDiscovery(t testing.TB, first string) *fakeDiscovery {
+// newFakeDiscovery starts a discovery service whose first answer is list. It is closed when the test ends.
+func newFakeDiscovery(t testing.TB, list string) *fakeDiscovery {
 	t.Helper()
-	d, err := fakeserver.NewDiscovery("", fakeClock, nil, 0)
+	discovery, err := fakeserver.NewDiscovery("", fakeClock, nil, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(d.Close)
-	d.Raw(first)
-	return &fakeDiscovery{d, d.Addr()}
+	t.Cleanup(discovery.Close)
+	discovery.Raw(list)
+	return &fakeDiscovery{discovery, discovery.Addr()}
 }
 
-func (r *fakeDiscovery) sendEvent(text string) { r.Tell(text) }
+// sendEvent sends text to each open watch.
+func (d *fakeDiscovery) sendEvent(text string) { d.Tell(text) }
 
-func (r *fakeDiscovery) setUnavailable(down bool) {
+// setUnavailable makes the service answer 503, or answer as usual again.
+func (d *fakeDiscovery) setUnavailable(unavailable bool) {
 	mode := fakeserver.Well
-	if down {
+	if unavailable {
 		mode = fakeserver.Busy
 	}
-	r.Answer(mode)
+	d.Answer(mode)
 }
 
-func (r *fakeDiscovery) requestPaths() []string { return r.Calls() }
+// requestPaths returns the paths, with their queries, of the requests received so far.
+func (d *fakeDiscovery) requestPaths() []string { return d.Calls() }
 
+// endpointListJSON returns an endpoint list, or with complete false a watch event, in the form of the wire.
 func endpointListJSON(revision int64, complete bool, endpoints ...wire.Endpoint) string {
 	if endpoints == nil {
 		endpoints = []wire.Endpoint{}
--- a/cmd/onyxstream/fake_host_test.go
+++ b/cmd/onyxstream/fake_host_test.go
@@ -10,8 +10,11 @@
 	"onyxstream/internal/wire"
 )
 
-// fakeHost is a stand-in host that answers by script: UP unless told otherwise. After an UP it echoes lines, and obeys
-// those that begin with DO.
+// fakeClock is the time base of all fake hosts and fake discovery services.
+var fakeClock = fakeserver.NewClock()
+
+// fakeHost is a host that answers each OPEN with a scripted reply, by default UP. After an UP it echoes each line, and
+// carries out lines that begin with DO.
 type fakeHost struct {
 	*fakeserver.Host
 	id       string
@@ -20,13 +23,13 @@
 	received []string
 }
 
-var fakeClock = fakeserver.NewClock()
-
+// newFakeHost starts a host in zone a. It is closed when the test ends.
 func newFakeHost(t testing.TB, id string) *fakeHost {
 	t.Helper()
 	host := &fakeHost{id: id, reply: "UP from-" + id + "\r\n"}
+	config := fakeserver.HostConfig{ID: id, Zone: "a", Spec: capacity.Spec{Cores: 1, Speed: 1}, Obeys: true}
 	var err error
-	host.Host, err = fakeserver.NewHost(fakeserver.HostConfig{ID: id, Zone: "a", Spec: capacity.Spec{Cores: 1, Speed: 1}, Obeys: true}, fakeClock, nil)
+	host.Host, err = fakeserver.NewHost(config, fakeClock, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -40,34 +43,51 @@
 	return host
 }
 
+// setReply sets the answer to each OPEN from now on. With "" the host never answers.
 func (h *fakeHost) setReply(reply string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.reply = reply
 }
 
+// openings returns the OPEN lines received so far.
 func (h *fakeHost) openings() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return append([]string(nil), h.received...)
 }
 
+// openConnections returns the number of connections that the host has open.
 func (h *fakeHost) openConnections() int { return h.State().Conns }
 
+// kill stops the host as a crash would.
 func (h *fakeHost) kill() { h.Die() }
 
-func (h *fakeHost) endpoint(phase string) wire.Endpoint {
-	var p wire.Phase
-	if err := p.UnmarshalText([]byte(phase)); err != nil {
-		panic(err)
+// endpoint returns the host's entry of an endpoint list.
+func (h *fakeHost) endpoint(phase wire.Phase) wire.Endpoint {
+	return wire.Endpoint{ID: h.id, Addr: h.Addr(), Zone: "a", Phase: phase, Size: 1}
+}
+
+// endpointsOf returns the entries of hosts that all serve.
+func endpointsOf(hosts ...*fakeHost) []wire.Endpoint {
+	var endpoints []wire.Endpoint
+	for _, host := range hosts {
+		endpoints = append(endpoints, host.endpoint(wire.Serving))
 	}
-	return wire.Endpoint{ID: h.id, Addr: h.Addr(), Zone: "a", Phase: p, Size: 1}
+	return endpoints
 }
 
-// endpointsAt are n hosts at one address.
-func endpointsAt(n int, addr string) (out []wire.Endpoint) {
-	for i := range n {
-		out = append(out, wire.Endpoint{ID: fmt.Sprint("s", i), Addr: addr, Zone: "a", Size: 1, Phase: wire.Serving})
+// endpointsAt returns count entries with different ids and the same address.
+func endpointsAt(count int, addr string) []wire.Endpoint {
+	var endpoints []wire.Endpoint
+	for i := range count {
+		endpoints = append(endpoints, wire.Endpoint{
+			ID:    fmt.Sprint("s", i),
+			Addr:  addr,
+			Zone:  "a",
+			Size:  1,
+			Phase: wire.Serving,
+		})
 	}
-	return out
+	return endpoints
 }
--- a/cmd/onyxstream/handoff_races_test.go
+++ b/cmd/onyxstream/handoff_races_test.go
@@ -11,7 +11,10 @@
 	"testing"
 )
 
-// offerPending reports whether connections are on offer in a folder.
+// These tests stop one of two processes of a node with a signal, or begin its shutdown, while connections pass from the
+// one to the other. The order of events is forced by stopping the process that must act second.
+
+// offerPending reports whether a directory holds an offer of connections.
 func offerPending(t testing.TB, dir string) bool {
 	t.Helper()
 	names, err := filepath.Glob(dir + "/*.offer")
@@ -21,84 +24,99 @@
 	return len(names) > 0
 }
 
-// stopDuringOffer brings n connections up, starts a second process and tells the first to stop. Both stand still: the first one's
-// first offer is valid, and not taken. One that was taken back before its process could be stopped is tried anew.
-func stopDuringOffer(t testing.TB, host *fakeHost, mode string, n int) (dir string, node, successor *nodeProcess, clients []*testClient) {
+// pendingHandoff is a node whose first process has offered connections that its successor has not accepted. Both
+// processes are stopped by SIGSTOP.
+type pendingHandoff struct {
+	dir       string // where the offer is
+	node      *nodeProcess
+	successor *nodeProcess
+	clients   []*testClient
+}
+
+// stopDuringOffer establishes connections, starts a successor, begins the first process's shutdown and stops both. An
+// offer that was withdrawn before its process could be stopped leads to another attempt with new processes.
+func stopDuringOffer(t testing.TB, host *fakeHost, mode string, connections int) pendingHandoff {
 	t.Helper()
-	for range 5 {
+	const maxAttempts = 5
+	for range maxAttempts {
 		options, discovery := inheritedSocketOptions(t, host)
 		options.mode = mode
-		node, clients = startNode(t, options, discovery.addr), nil
-		for range n {
-			clients = append(clients, node.openRequest(t, ""))
-			clients[len(clients)-1].expectLine("UP")
-		}
-		successor = startSuccessor(t, options, discovery.addr)
+		node := startNode(t, options, discovery.addr)
+		clients := node.establish(t, connections, "UP")
+		successor := startSuccessor(t, options, discovery.addr)
 		successor.sendSignal(t, syscall.SIGSTOP)
 		node.terminate(t)
-		eventually(t, "connections are on offer", func() bool { return offerPending(t, options.sharedDir()) })
-		if node.sendSignal(t, syscall.SIGSTOP); offerPending(t, options.sharedDir()) {
-			return options.sharedDir(), node, successor, clients
+		eventually(t, "connections are offered", func() bool { return offerPending(t, options.sharedDir()) })
+		node.sendSignal(t, syscall.SIGSTOP)
+		if offerPending(t, options.sharedDir()) {
+			return pendingHandoff{options.sharedDir(), node, successor, clients}
 		}
 		node.sendSignal(t, syscall.SIGCONT)
 		successor.sendSignal(t, syscall.SIGCONT)
 	}
 	t.Fatal("no process could be stopped within the time of its offer")
-	return "", nil, nil, nil
+	return pendingHandoff{}
 }
 
-// A process is told to stop as it has taken over a part of what another one has, which ends too: neither is there for the
-// other any more. They handed the same connections back and forth, until one ended with what it had just taken.
+// A successor begins its shutdown when it has accepted only a part of the connections of a process that shuts down too.
+// Neither may hand connections to the other any more: each connection is handed off at most once and then migrated.
 func TestHandoff_BothProcessesStop_NothingHandedBack(t *testing.T) {
 	t.Parallel()
 	host := newFakeHost(t, "ha")
-	dir, node, successor, clients := stopDuringOffer(t, host, "proxy", 20) // more than one offer
+	handoff := stopDuringOffer(t, host, "proxy", 20) // more than one offer
+	node, successor, clients := handoff.node, handoff.successor, handoff.clients
 	successor.sendSignal(t, syscall.SIGCONT)
-	eventually(t, "the offer is taken", func() bool { return !offerPending(t, dir) })
+	eventually(t, "the offer is accepted", func() bool { return !offerPending(t, handoff.dir) })
 	successor.terminate(t)
-	var moved atomic.Int32
+	var migrated atomic.Int32
 	var readers sync.WaitGroup
 	for _, client := range clients {
 		readers.Go(func() {
 			line, err := client.reader.ReadString('\n')
 			rest, end := io.ReadAll(client.reader)
-			if moved.Add(1); line != "MOVE\r\n" || err != nil || len(rest) > 0 || end != nil {
-				t.Errorf("heard %q, %v, then %q, %v; want MOVE and the end", line, err, rest, end)
+			migrated.Add(1)
+			if line != "MOVE\r\n" || err != nil || len(rest) > 0 || end != nil {
+				t.Errorf("received %q, %v, then %q, %v; want MOVE and the end", line, err, rest, end)
 			}
 		})
 	}
-	eventually(t, "the second offers what it has, or moves it", func() bool { return offerPending(t, dir) || moved.Load() > 0 })
+	eventually(t, "the successor offers or migrates its connections", func() bool {
+		return offerPending(t, handoff.dir) || migrated.Load() > 0
+	})
 	node.sendSignal(t, syscall.SIGCONT)
 	readers.Wait()
 	node.waitForCleanExit(t)
 	successor.waitForCleanExit(t)
-	eventually(t, "the host is left", func() bool { return host.openConnections() == 0 })
+	eventually(t, "the host's connections are closed", func() bool { return host.openConnections() == 0 })
 	if n := node.connectionsHandedOff(t) + successor.connectionsHandedOff(t); n > len(clients) {
-		t.Errorf("%d connections were handed over %d times", len(clients), n)
+		t.Errorf("%d connections were handed off %d times", len(clients), n)
 	}
 }
 
-// connectionsHandedOff counts the connections that a process has handed off, by its log.
+var handedOffField = regexp.MustCompile(`"handed_off": (\d+)`)
+
+// connectionsHandedOff returns the number of connections that a process has handed off, by its log.
 func (p *nodeProcess) connectionsHandedOff(t testing.TB) (sum int) {
 	t.Helper()
-	for _, m := range regexp.MustCompile(`"handed_off": (\d+)`).FindAllStringSubmatch(p.log.String(), -1) {
-		n, err := strconv.Atoi(m[1])
+	for _, match := range handedOffField.FindAllStringSubmatch(p.log.String(), -1) {
+		count, err := strconv.Atoi(match[1])
 		if err != nil {
 			t.Fatal(err)
 		}
-		sum += n
+		sum += count
 	}
 	return sum
 }
 
-// The process that offers connections stands still while they are taken, for longer than an offer is valid. Once it goes
-// on they are the other one's, and it touches none of them.
+// The process that offers connections is stopped while they are accepted, for longer than an offer is valid. When it
+// continues, the connections belong to the successor and it leaves them alone.
 func TestHandoff_OfferingProcessStopped_OfferAccepted(t *testing.T) {
 	t.Parallel()
 	host := newFakeHost(t, "ha")
-	_, node, successor, clients := stopDuringOffer(t, host, "pass", 5)
+	handoff := stopDuringOffer(t, host, "pass", 5)
+	node, successor, clients := handoff.node, handoff.successor, handoff.clients
 	successor.sendSignal(t, syscall.SIGCONT)
-	for _, client := range clients { // only the next process can pass it on
+	for _, client := range clients { // only the successor can relay it
 		client.send("M 1\r\n")
 		client.expectLine("M 1")
 	}
--- a/cmd/onyxstream/load_command_test.go
+++ b/cmd/onyxstream/load_command_test.go
@@ -18,6 +18,7 @@
 	"onyxstream/internal/loadtest"
 )
 
+// loadScenario is a scenario for load commands, without a fleet of its own.
 const loadScenario = `
 name = "t"
 seed = 5
@@ -35,10 +36,11 @@
 retries = 3
 wait = "50ms"
 [limits]
-lateness = "5s"  # a machine that runs other tests beside this one is no generator
+lateness = "5s"  # high, as other tests use the machine too
 linger = "5s"
 `
 
+// loadFleetConfig makes the load command start nodes and hosts of its own.
 const loadFleetConfig = `
 [fleet]
 nodes = 2
@@ -49,155 +51,204 @@
 setup = "2ms"
 `
 
-// The whole way: real nodes, stand-ins, a host that dies and comes back, results in every form.
+// A run with nodes and hosts of its own, one of which crashes and returns, writes its result in each form, and the
+// other commands read it.
 func TestLoadRun_OwnFleet_WritesAllResults(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
-	path := writeFile(t, "s.toml", loadScenario+loadFleetConfig+"[[fault]]\nat = \"500ms\"\nwhat = \"die\"\non = \"h2\"\nfor = \"700ms\"\n")
+	const hostCrash = "[[fault]]\nat = \"500ms\"\nwhat = \"die\"\non = \"h2\"\nfor = \"700ms\"\n"
+	path := writeFile(t, "s.toml", loadScenario+loadFleetConfig+hostCrash)
 	file := func(name string) string { return filepath.Join(dir, name) }
-	status, out, errs := runProgram(t, "load", "run", path, "-o", file("r.json"), "--page", file("r.html"), "--hdr", file("r.hgrm"),
-		"--ledger", file("ledger"), "--node-log", file("log"))
+	status, stdout, stderr := runProgram(t, "load", "run", path,
+		"-o", file("r.json"),
+		"--page", file("r.html"),
+		"--hdr", file("r.hgrm"),
+		"--ledger", file("ledger"),
+		"--node-log", file("log"))
 	if status != 0 {
-		t.Fatalf("exit %d: %s", status, errs)
+		t.Fatalf("exit status %d: %s", status, stderr)
 	}
-	if errs != "" || !strings.Contains(out, "chat") {
-		t.Errorf("printed %q and, where no terminal is, %q", out, errs)
+	if stderr != "" || !strings.Contains(stdout, "chat") {
+		t.Errorf("printed %q and, without a terminal, %q", stdout, stderr)
 	}
-	r, err := loadtest.ReadResult(file("r.json"))
+	result, err := loadtest.ReadResult(file("r.json"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	class := r.Classes[0]
-	if class.Asked < 30 || class.Outcomes["served"] < class.Asked/2 || r.Wrong != 0 || len(r.Marks) == 0 || r.Nodes.CPU <= 0 || r.Partial {
-		t.Errorf("result %+v, marks %v, usage %+v", class, r.Marks, r.Nodes)
+	class := result.Classes[0]
+	if class.Asked < 30 || class.Outcomes["served"] < class.Asked/2 {
+		t.Errorf("too few requests were served: %+v", class)
 	}
-	// What clients and hosts counted must fit: each UP that a client was given is one that a host gave.
-	ups, ledger := int64(0), readLedger(t, file("ledger"))
-	for _, x := range ledger {
-		if x.What == fakeserver.Up {
-			ups++
+	if result.Wrong != 0 || len(result.Marks) == 0 || result.Nodes.CPU <= 0 || result.Partial {
+		t.Errorf("result %+v, marks %v, usage %+v", class, result.Marks, result.Nodes)
+	}
+	expectLedgerMatches(t, file("ledger"), class.Tries["served"])
+	expectResultFiles(t, file)
+}
+
+// expectLedgerMatches wants the hosts' ledger to hold an UP for each UP that a client received, and no more.
+func expectLedgerMatches(t *testing.T, path string, served int64) {
+	t.Helper()
+	accepted := int64(0)
+	for _, record := range readLedger(t, path) {
+		if record.What == fakeserver.Up {
+			accepted++
 		}
 	}
-	if served := class.Tries["served"]; ups != served {
-		t.Errorf("hosts put up %d, clients were put up %d times", ups, served)
+	if accepted != served {
+		t.Errorf("hosts answered UP %d times, clients received it %d times", accepted, served)
 	}
+}
+
+// expectResultFiles wants each file of a run to hold what it should, and the plot and compare commands to read the
+// result.
+func expectResultFiles(t *testing.T, file func(name string) string) {
+	t.Helper()
 	for name, want := range map[string]string{"r.html": "<svg", "r.hgrm": "Percentile", "log": "started"} {
-		if text, err := os.ReadFile(file(name)); err != nil || !strings.Contains(string(text), want) {
+		text, err := os.ReadFile(file(name))
+		if err != nil || !strings.Contains(string(text), want) {
 			t.Errorf("%s lacks %q, error %v", name, want, err)
 		}
 	}
-	if status, _, errs := runProgram(t, "load", "plot", file("r.json"), "-o", file("again.html")); status != 0 {
-		t.Errorf("plot: exit %d: %s", status, errs)
+	status, _, stderr := runProgram(t, "load", "plot", file("r.json"), "-o", file("again.html"))
+	if status != 0 {
+		t.Errorf("plot: exit status %d: %s", status, stderr)
 	}
-	if status, out, errs := runProgram(t, "load", "compare", "--base", file("r.json"), "--new", file("r.json")); status != 0 ||
-		!strings.Contains(out, "noise unknown") {
-		t.Errorf("compare: exit %d: %s%s", status, out, errs)
+	status, stdout, stderr := runProgram(t, "load", "compare", "--base", file("r.json"), "--new", file("r.json"))
+	if status != 0 || !strings.Contains(stdout, "noise unknown") {
+		t.Errorf("compare: exit status %d: %s%s", status, stdout, stderr)
 	}
 }
 
-func readLedger(t *testing.T, path string) (out []fakeserver.Record) {
+// readLedger returns the records of a ledger file, which follow a header.
+func readLedger(t *testing.T, path string) (records []fakeserver.Record) {
 	t.Helper()
-	f, err := os.Open(path)
+	file, err := os.Open(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer f.Close()
-	dec := json.NewDecoder(f)
-	var head map[string]any
-	if err := dec.Decode(&head); err != nil {
+	defer file.Close()
+	decoder := json.NewDecoder(file)
+	var header map[string]any
+	if err := decoder.Decode(&header); err != nil {
 		t.Fatal(err)
 	}
 	for {
-		var r fakeserver.Record
-		if err := dec.Decode(&r); errors.Is(err, io.EOF) {
-			return out
-		} else if err != nil {
+		var record fakeserver.Record
+		err := decoder.Decode(&record)
+		if errors.Is(err, io.EOF) {
+			return records
+		}
+		if err != nil {
 			t.Fatal(err)
 		}
-		out = append(out, r)
+		records = append(records, record)
 	}
 }
 
-// An evening of rising load and waves, recorded, then replayed at three times its speed: the same order and a third of
-// the spacing.
-func TestLoadReplay_TripleSpeed_KeepsOrderAndSpacing(t *testing.T) {
-	t.Parallel()
-	dir := t.TempDir()
-	evening := strings.Replace(loadScenario, "rate = 30", "rate = 5\nto = 40\nshape = \"ramp\"\n[[phase]]\nfor = \"1s\"\nrate = 20\nburst = 40\n"+
-		"shape = \"burst\"\nwithin = \"100ms\"\nevery = \"500ms\"", 1)
-	path, first, second := writeFile(t, "s.toml", evening+loadFleetConfig), filepath.Join(dir, "a.csv.gz"), filepath.Join(dir, "b.csv")
-	if status, _, errs := runProgram(t, "load", "run", path, "--record", first); status != 0 {
-		t.Fatalf("exit %d: %s", status, errs)
-	}
-	result := filepath.Join(dir, "r.json")
-	if status, _, errs := runProgram(t, "load", "replay", first, "--speed", "3", "--scenario", path, "--record", second, "-o", result); status != 0 {
-		t.Fatalf("replay: exit %d: %s", status, errs)
-	}
-	readRequests := func(path string) (out []loadtest.Request) {
-		trace, err := loadtest.OpenTrace(path, 1)
+// readTrace returns the requests of a recorded trace.
+func readTrace(t *testing.T, path string) (requests []loadtest.Request) {
+	t.Helper()
+	trace, err := loadtest.OpenTrace(path, 1)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer trace.Close()
+	for {
+		request, err := trace.Next()
+		if errors.Is(err, io.EOF) {
+			return requests
+		}
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer trace.Close()
-		for {
-			r, err := trace.Next()
-			if errors.Is(err, io.EOF) {
-				return out
-			} else if err != nil {
-				t.Fatal(err)
-			}
-			out = append(out, r)
-		}
+		requests = append(requests, request)
+	}
+}
+
+// A run of rising load and bursts is recorded, then replayed at three times its speed: the requests have the same order
+// and a third of the spacing.
+func TestLoadReplay_TripleSpeed_KeepsOrderAndSpacing(t *testing.T) {
+	t.Parallel()
+	dir := t.TempDir()
+	const rampAndBursts = "rate = 5\nto = 40\nshape = \"ramp\"\n" +
+		"[[phase]]\nfor = \"1s\"\nrate = 20\nburst = 40\nshape = \"burst\"\nwithin = \"100ms\"\nevery = \"500ms\""
+	scenario := strings.Replace(loadScenario, "rate = 30", rampAndBursts, 1)
+	path := writeFile(t, "s.toml", scenario+loadFleetConfig)
+	first, second := filepath.Join(dir, "a.csv.gz"), filepath.Join(dir, "b.csv")
+	status, _, stderr := runProgram(t, "load", "run", path, "--record", first)
+	if status != 0 {
+		t.Fatalf("exit status %d: %s", status, stderr)
+	}
+	resultPath := filepath.Join(dir, "r.json")
+	status, _, stderr = runProgram(t, "load", "replay", first,
+		"--speed", "3",
+		"--scenario", path,
+		"--record", second,
+		"-o", resultPath)
+	if status != 0 {
+		t.Fatalf("replay: exit status %d: %s", status, stderr)
 	}
-	recorded, replayed := readRequests(first), readRequests(second)
+	recorded, replayed := readTrace(t, first), readTrace(t, second)
 	if len(recorded) < 100 || len(recorded) != len(replayed) {
 		t.Fatalf("%d recorded, %d replayed", len(recorded), len(replayed))
 	}
-	for i := range recorded {
-		if math.Abs(float64(recorded[i].At)/3-float64(replayed[i].At)) > 1000 || recorded[i].Key != replayed[i].Key || recorded[i].Life != replayed[i].Life {
-			t.Fatalf("row %d is replayed as %+v, was %+v", i, replayed[i], recorded[i])
+	for i, want := range recorded {
+		got := replayed[i]
+		timeError := math.Abs(float64(want.At)/3 - float64(got.At))
+		if timeError > 1000 || want.Key != got.Key || want.Life != got.Life {
+			t.Fatalf("row %d is replayed as %+v, was %+v", i, got, want)
 		}
 	}
-	if r, err := loadtest.ReadResult(result); err != nil || r.Speed != 3 || r.Classes[0].Asked != int64(len(recorded)) {
-		t.Errorf("result %+v, error %v", r, err)
+	result, err := loadtest.ReadResult(resultPath)
+	if err != nil || result.Speed != 3 || result.Classes[0].Asked != int64(len(recorded)) {
+		t.Errorf("result %+v, error %v", result, err)
 	}
 }
 
-// A signal ends the run at once, and what was written is whole and says that it is partial.
+// A signal ends the run at once. The result file is complete and marked as partial.
 func TestLoadRun_Signalled_WritesPartialResult(t *testing.T) {
 	t.Parallel()
-	for _, s := range []syscall.Signal{syscall.SIGINT, syscall.SIGTERM} {
-		result := filepath.Join(t.TempDir(), "r.json")
-		path := writeFile(t, "s.toml", strings.Replace(loadScenario, `for = "2s"`, `for = "1h"`, 1)+loadFleetConfig)
-		status, _, errs := runToExit(t, exec.Command(programPath, "load", "run", path, "-o", result), func(c *exec.Cmd) {
+	for _, signal := range []syscall.Signal{syscall.SIGINT, syscall.SIGTERM} {
+		resultPath := filepath.Join(t.TempDir(), "r.json")
+		scenario := strings.Replace(loadScenario, `for = "2s"`, `for = "1h"`, 1) + loadFleetConfig
+		cmd := exec.Command(programPath, "load", "run", writeFile(t, "s.toml", scenario), "-o", resultPath)
+		status, _, stderr := runToExit(t, cmd, func(started *exec.Cmd) {
 			time.Sleep(3 * time.Second)
-			_ = c.Process.Signal(s)
+			_ = started.Process.Signal(signal)
 		})
-		r, err := loadtest.ReadResult(result)
-		if status != 4 || err != nil || !r.Partial || len(r.Classes) == 0 || r.Classes[0].Asked == 0 {
-			t.Errorf("exit %d: %s; result %+v, error %v", status, errs, r, err)
+		result, err := loadtest.ReadResult(resultPath)
+		if status != 4 || err != nil || !result.Partial || len(result.Classes) == 0 || result.Classes[0].Asked == 0 {
+			t.Errorf("exit status %d: %s; result %+v, error %v", status, stderr, result, err)
 		}
 	}
 }
 
-// A generator whose descriptors are used up says that it is the one that fell short, with its own exit status.
+// A load generator without free descriptors reports that it could not send, with an exit status of its own.
 func TestLoadRun_DescriptorsExhausted_ExitsWithStatus3(t *testing.T) {
 	t.Parallel()
 	host := newFakeHost(t, "h1")
-	path := writeFile(t, "s.toml", strings.NewReplacer(`life = "400ms"`, "life = \"1h\"\nspread = \"fixed\"", "message = \"50ms\"", "",
-		`linger = "5s"`, `linger = "10ms"`, "retries = 3", "retries = 0").Replace(loadScenario))
-	status, _, errs := runToExit(t, exec.Command("sh", "-c", fmt.Sprintf("ulimit -n 40; exec %s load run %s --target %s", programPath, path, host.Addr())),
-		func(*exec.Cmd) {})
-	if status != 3 || !strings.Contains(errs, "could not be sent by the generator") || !strings.Contains(errs, "too many open files") {
-		t.Errorf("exit %d: %s", status, errs)
+	scenario := strings.NewReplacer(
+		`life = "400ms"`, "life = \"1h\"\nspread = \"fixed\"",
+		"message = \"50ms\"", "",
+		`linger = "5s"`, `linger = "10ms"`,
+		"retries = 3", "retries = 0",
+	).Replace(loadScenario)
+	path := writeFile(t, "s.toml", scenario)
+	script := fmt.Sprintf("ulimit -n 40; exec %s load run %s --target %s", programPath, path, host.Addr())
+	status, _, stderr := runToExit(t, exec.Command("sh", "-c", script), func(*exec.Cmd) {})
+	blamesGenerator := strings.Contains(stderr, "could not be sent by the generator")
+	if status != 3 || !blamesGenerator || !strings.Contains(stderr, "too many open files") {
+		t.Errorf("exit status %d: %s", status, stderr)
 	}
 }
 
 func TestLoadCommand_BadArguments_ExitsWithStatus2(t *testing.T) {
 	t.Parallel()
-	bad, good := writeFile(t, "bad.toml", loadScenario+"[fleet]\nhosts = 1\nnods = 2\n"), writeFile(t, "good.toml", loadScenario)
+	bad := writeFile(t, "bad.toml", loadScenario+"[fleet]\nhosts = 1\nnods = 2\n")
+	good := writeFile(t, "good.toml", loadScenario)
 	trace := writeFile(t, "t.csv", "id,at_ms,class,tenant,life_ms\n1,0,chat,acme,soon\n")
-	for _, c := range []struct {
+	for _, test := range []struct {
 		args []string
 		want string
 	}{
@@ -213,11 +264,13 @@
 		{[]string{"load"}, "a command is missing"},
 		{[]string{"lode"}, "unknown command"},
 	} {
-		if status, _, errs := runProgram(t, c.args...); status != 2 || !strings.Contains(errs, c.want) {
-			t.Errorf("%v: exit %d, said %q, want %q", c.args, status, errs, c.want)
+		status, _, stderr := runProgram(t, test.args...)
+		if status != 2 || !strings.Contains(stderr, test.want) {
+			t.Errorf("%v: exit status %d, printed %q, want %q", test.args, status, stderr, test.want)
 		}
 	}
-	if status, out, _ := runProgram(t, "completion", "bash"); status != 0 || !strings.Contains(out, "onyxstream") {
-		t.Errorf("completion: exit %d", status)
+	status, stdout, _ := runProgram(t, "completion", "bash")
+	if status != 0 || !strings.Contains(stdout, "onyxstream") {
+		t.Errorf("completion: exit status %d", status)
 	}
 }
--- a/cmd/onyxstream/load_faults_test.go
+++ b/cmd/onyxstream/load_faults_test.go
@@ -9,56 +9,79 @@
 	"onyxstream/internal/loadtest"
 )
 
-// Every fault there is, on one fleet, with connections that stood before: all play, and every request still has its one
-// outcome.
+// scheduledFault is a fault of a scenario: what happens to a target, and when.
+type scheduledFault struct {
+	atMS   int
+	target string
+	what   string
+	fields string // further lines of the fault's table
+}
+
+// everyFault holds each kind of fault that a scenario can have.
+var everyFault = []scheduledFault{
+	{100, "h1", "slow", "by = 5.0\nfor = \"300ms\""},
+	{200, "store", "slow", "by = 8.0\nfor = \"500ms\""},
+	{300, "h1", "steal", "by = 0.5\nfor = \"300ms\""},
+	{400, "discovery", "lag", "over = \"300ms\"\nfor = \"2s\""},
+	{500, "h2", "drain", "over = \"200ms\"\nfor = \"1s\""},
+	{600, "h4", "add", ""},
+	{700, "discovery", "freeze", "for = \"300ms\""},
+	{1100, "h3", "hang", "for = \"400ms\""},
+	{1200, "link-h1", "delay", "over = \"20ms\"\nfor = \"500ms\""},
+	{1300, "link-h2", "limit", "by = 20000.0\nfor = \"500ms\""},
+	{1700, "n1", "stall", "for = \"500ms\""},
+	{2300, "link-h1", "stall", "for = \"200ms\""},
+	{2600, "link-h1", "silence", "for = \"300ms\""},
+	{2700, "link-h2", "deaf", "for = \"300ms\""},
+	{2800, "link-h3", "reset", ""},
+	{3000, "n2", "kill", "for = \"500ms\""},
+	{3100, "discovery", "busy", "for = \"200ms\""},
+	{3400, "discovery", "reset", "for = \"200ms\""},
+	{3700, "discovery", "mute", "for = \"200ms\""},
+	{4000, "discovery", "restart", ""},
+	{4100, "n1", "stop", "for = \"200ms\""},
+	{4200, "h4", "die", "for = \"300ms\""},
+}
+
+// everyFaultScenario returns a scenario with every fault on a fleet of its own, with connections that are established
+// before the first fault.
+func everyFaultScenario() string {
+	scenario := strings.NewReplacer(
+		`for = "2s"`, `for = "5s"`,
+		"retries = 3", "retries = 5\nmid_flow = true",
+	).Replace(loadScenario)
+	scenario += "[standing]\ncount = 20\n"
+	const fleetFields = "mode = \"pass\"\nlinks = true\npark = \"2s\"\nfront_notice = \"200ms\"\n[fleet.host]"
+	scenario += strings.Replace(loadFleetConfig, "[fleet.host]", fleetFields, 1)
+	for _, fault := range everyFault {
+		scenario += fmt.Sprintf("[[fault]]\nat = \"%dms\"\non = %q\nwhat = %q\n%s\n",
+			fault.atMS, fault.target, fault.what, fault.fields)
+	}
+	return scenario
+}
+
+// With every fault on one fleet, each fault takes place and each request has exactly one outcome.
 func TestLoadRun_EveryFault_OneOutcomePerRequest(t *testing.T) {
 	t.Parallel()
-	text := strings.NewReplacer(`for = "2s"`, `for = "5s"`, "retries = 3", "retries = 5\nmid_flow = true").Replace(loadScenario) +
-		"[standing]\ncount = 20\n" + strings.Replace(loadFleetConfig, "[fleet.host]", "mode = \"pass\"\nlinks = true\npark = \"2s\"\nfront_notice = \"200ms\"\n[fleet.host]", 1)
-	faultCount := 0
-	addFault := func(at int, on, what, more string) {
-		faultCount++
-		text += fmt.Sprintf("[[fault]]\nat = \"%dms\"\non = %q\nwhat = %q\n%s\n", at, on, what, more)
-	}
-	addFault(100, "h1", "slow", "by = 5.0\nfor = \"300ms\"")
-	addFault(200, "store", "slow", "by = 8.0\nfor = \"500ms\"")
-	addFault(300, "h1", "steal", "by = 0.5\nfor = \"300ms\"")
-	addFault(400, "discovery", "lag", "over = \"300ms\"\nfor = \"2s\"")
-	addFault(500, "h2", "drain", "over = \"200ms\"\nfor = \"1s\"")
-	addFault(600, "h4", "add", "")
-	addFault(700, "discovery", "freeze", "for = \"300ms\"")
-	addFault(1100, "h3", "hang", "for = \"400ms\"")
-	addFault(1200, "link-h1", "delay", "over = \"20ms\"\nfor = \"500ms\"")
-	addFault(1300, "link-h2", "limit", "by = 20000.0\nfor = \"500ms\"")
-	addFault(1700, "n1", "stall", "for = \"500ms\"")
-	addFault(2300, "link-h1", "stall", "for = \"200ms\"")
-	addFault(2600, "link-h1", "silence", "for = \"300ms\"")
-	addFault(2700, "link-h2", "deaf", "for = \"300ms\"")
-	addFault(2800, "link-h3", "reset", "")
-	addFault(3000, "n2", "kill", "for = \"500ms\"")
-	addFault(3100, "discovery", "busy", "for = \"200ms\"")
-	addFault(3400, "discovery", "reset", "for = \"200ms\"")
-	addFault(3700, "discovery", "mute", "for = \"200ms\"")
-	addFault(4000, "discovery", "restart", "")
-	addFault(4100, "n1", "stop", "for = \"200ms\"")
-	addFault(4200, "h4", "die", "for = \"300ms\"")
-	result := filepath.Join(t.TempDir(), "r.json")
-	status, _, errs := runProgram(t, "load", "run", writeFile(t, "s.toml", text), "-o", result)
+	resultPath := filepath.Join(t.TempDir(), "r.json")
+	status, _, stderr := runProgram(t, "load", "run", writeFile(t, "s.toml", everyFaultScenario()), "-o", resultPath)
 	if status != 0 {
-		t.Fatalf("exit %d: %s", status, errs)
+		t.Fatalf("exit status %d: %s", status, stderr)
 	}
-	r, err := loadtest.ReadResult(result)
+	result, err := loadtest.ReadResult(resultPath)
 	if err != nil {
 		t.Fatal(err)
 	}
-	class, total := r.Classes[0], int64(0)
+	class, total := result.Classes[0], int64(0)
 	for _, n := range class.Outcomes {
 		total += n
 	}
-	if total != class.Asked || class.Asked < 120 || class.Outcomes["served"] < class.Asked/2 || class.Outcomes["cut"]+class.Outcomes["unsent"] > 0 || r.Wrong != 0 {
-		t.Errorf("asked %d, outcomes %v, %d wrong receipts", class.Asked, class.Outcomes, r.Wrong)
+	oneOutcomeEach := total == class.Asked && class.Outcomes["cut"]+class.Outcomes["unsent"] == 0
+	enoughServed := class.Asked >= 120 && class.Outcomes["served"] >= class.Asked/2
+	if !oneOutcomeEach || !enoughServed || result.Wrong != 0 {
+		t.Errorf("%d requests, outcomes %v, %d wrong receipts", class.Asked, class.Outcomes, result.Wrong)
 	}
-	if len(r.Marks) < faultCount {
-		t.Errorf("%d marks of %d faults: %v", len(r.Marks), faultCount, r.Marks)
+	if len(result.Marks) < len(everyFault) {
+		t.Errorf("%d marks of %d faults: %v", len(result.Marks), len(everyFault), result.Marks)
 	}
 }
--- a/cmd/onyxstream/log_test.go
+++ b/cmd/onyxstream/log_test.go
@@ -7,7 +7,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// logPipe is a pipe for a node's log that holds a few lines; nobody reads it.
+// logPipe returns a pipe for a node's log with a buffer of one page. Nobody reads it.
 func logPipe(t *testing.T) (read, write *os.File) {
 	t.Helper()
 	read, write, err := os.Pipe()
@@ -21,34 +21,30 @@
 	return read, write
 }
 
-// serveAndShutDown has clients come to a node, then tells it to end, and wants each answered and the end in time.
+// serveAndShutDown wants each of several requests to be served, and the node to exit when it is terminated.
 func (p *nodeProcess) serveAndShutDown(t *testing.T, clients int) {
 	t.Helper()
-	for range clients {
-		p.openRequest(t, "").expectLine("UP ")
-	}
+	p.establish(t, clients, "UP ")
 	p.terminate(t)
 	p.waitForCleanExit(t)
 }
 
-// A log that nobody reads must not hold up the node: a write to a full pipe blocked whoever had a line to write, the loop
-// that decides for all clients among them.
+// A log that nobody reads must not block the node: a write to a full pipe would block every goroutine that logs, the
+// event loop among them.
 func TestLog_ReaderBlocked_RequestsAreAnswered(t *testing.T) {
 	t.Parallel()
 	host := newFakeHost(t, "h1")
-	discovery := newFakeDiscovery(t, endpointListJSON(1, true, host.endpoint("SERVING")))
 	_, write := logPipe(t)
-	node := startNode(t, nodeOptions{initialList: endpointListJSON(1, true, host.endpoint("SERVING")), stderr: write, env: []string{"PROXY_DEBUG=1"}}, discovery.addr)
+	node, _ := startNodeWithHosts(t, nodeOptions{stderr: write, env: []string{"PROXY_DEBUG=1"}}, host)
 	node.serveAndShutDown(t, 60)
 }
 
-// A log whose reader is gone must not end the node: the first line behind that raised SIGPIPE, and all clients were lost.
+// A log whose reader is gone must not end the node: a write to it raises SIGPIPE.
 func TestLog_ReaderGone_NodeKeepsServing(t *testing.T) {
 	t.Parallel()
 	host := newFakeHost(t, "h1")
-	discovery := newFakeDiscovery(t, endpointListJSON(1, true, host.endpoint("SERVING")))
 	read, write := logPipe(t)
-	node := startNode(t, nodeOptions{initialList: endpointListJSON(1, true, host.endpoint("SERVING")), stderr: write, env: []string{"PROXY_DEBUG=1"}}, discovery.addr)
+	node, _ := startNodeWithHosts(t, nodeOptions{stderr: write, env: []string{"PROXY_DEBUG=1"}}, host)
 	_, _ = read.Close(), write.Close()
 	node.serveAndShutDown(t, 10)
 }
--- a/cmd/onyxstream/main_test.go
+++ b/cmd/onyxstream/main_test.go
@@ -17,9 +17,10 @@
 	"onyxstream/internal/faultinject"
 )
 
-// The tests here build the program, start it, and speak to it over sockets, with a few hosts and a
-// discovery of their own on loopback.
+// The tests of this package build the program, start it and use it over sockets on loopback, with fake hosts and a fake
+// discovery service.
 
+// programPath is the path of the program that TestMain builds.
 var programPath string
 
 func TestMain(m *testing.M) {
@@ -30,7 +31,8 @@
 	}
 	programPath = filepath.Join(dir, "onyxstream")
 	build := []string{"build", "-race", "-o", programPath, "."}
-	if flag.Parse(); flag.Lookup("test.bench").Value.String() != "" { // the detector would be what is measured
+	flag.Parse()
+	if flag.Lookup("test.bench").Value.String() != "" { // benchmarks would measure the race detector
 		build = []string{"build", "-o", programPath, "."}
 	}
 	if out, err := exec.Command("go", build...).CombinedOutput(); err != nil {
@@ -42,14 +44,26 @@
 	os.Exit(code)
 }
 
-// waitLimit is how long the tests wait for what must come; none of them measures time.
+// waitLimit is how long a test waits for something that must happen. No test measures time with it.
 const waitLimit = 20 * time.Second
 
+// eventually waits until the condition holds.
+func eventually(t testing.TB, what string, condition func() bool) {
+	t.Helper()
+	for start := time.Now(); !condition(); time.Sleep(10 * time.Millisecond) {
+		if time.Since(start) > waitLimit {
+			t.Fatalf("never: %s", what)
+		}
+	}
+}
+
+// syncBuffer is a buffer that a process writes to while a test reads it.
 type syncBuffer struct {
 	mu     sync.Mutex
 	buffer bytes.Buffer
 }
 
+// Write implements io.Writer.
 func (s *syncBuffer) Write(p []byte) (int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -62,24 +76,12 @@
 	return s.buffer.String()
 }
 
-// freeAddr is an address that nothing listens on, on a loopback address of its own: the port that one test
-// has found free must not go to another meanwhile.
-func freeAddr(t testing.TB) string {
-	t.Helper()
-	l, err := net.Listen("tcp", fmt.Sprintf("127.77.%d.%d:0", os.Getpid()%250, 1+nextID()%250))
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer l.Close()
-	return l.Addr().String()
-}
-
 var idCounter struct {
 	sync.Mutex
 	n int
 }
 
-// nextID is a fresh number.
+// nextID returns a number that no other call has returned.
 func nextID() int {
 	idCounter.Lock()
 	defer idCounter.Unlock()
@@ -87,16 +89,19 @@
 	return idCounter.n
 }
 
-// eventually waits for what must become true.
-func eventually(t testing.TB, what string, f func() bool) {
+// freeAddr returns an address that nothing listens on. Each call takes another loopback address, so that no other test
+// can be given the same port meanwhile.
+func freeAddr(t testing.TB) string {
 	t.Helper()
-	for begin := time.Now(); !f(); time.Sleep(10 * time.Millisecond) {
-		if time.Since(begin) > waitLimit {
-			t.Fatalf("never: %s", what)
-		}
+	listener, err := net.Listen("tcp", fmt.Sprintf("127.77.%d.%d:0", os.Getpid()%250, 1+nextID()%250))
+	if err != nil {
+		t.Fatal(err)
 	}
+	defer listener.Close()
+	return listener.Addr().String()
 }
 
+// writeFile writes a file into a temporary directory and returns its path.
 func writeFile(t *testing.T, name, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), name)
@@ -106,16 +111,18 @@
 	return path
 }
 
-// runProgram runs the program to its end and returns its exit status and what it said.
-func runProgram(t *testing.T, args ...string) (status int, out, errs string) {
+// runProgram runs the program to its end and returns its exit status and its output.
+func runProgram(t *testing.T, args ...string) (status int, stdout, stderr string) {
 	t.Helper()
 	return runToExit(t, exec.Command(programPath, args...), func(*exec.Cmd) {})
 }
 
-func runToExit(t *testing.T, cmd *exec.Cmd, started func(*exec.Cmd)) (status int, out, errs string) {
+// runToExit starts a command, calls started, waits for the command's end and returns its exit status and its output. A
+// data race in the program fails the test.
+func runToExit(t *testing.T, cmd *exec.Cmd, started func(*exec.Cmd)) (status int, stdout, stderr string) {
 	t.Helper()
-	var stdout, stderr bytes.Buffer
-	cmd.Stdout, cmd.Stderr = &stdout, &stderr
+	var out, errOut bytes.Buffer
+	cmd.Stdout, cmd.Stderr = &out, &errOut
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
@@ -125,8 +132,8 @@
 	if err != nil && !errors.As(err, &exitError) {
 		t.Fatal(err)
 	}
-	if strings.Contains(stderr.String(), "DATA RACE") {
-		t.Errorf("a data race: %s", stderr.String())
+	if strings.Contains(errOut.String(), "DATA RACE") {
+		t.Errorf("a data race: %s", errOut.String())
 	}
-	return cmd.ProcessState.ExitCode(), stdout.String(), stderr.String()
+	return cmd.ProcessState.ExitCode(), out.String(), errOut.String()
 }
--- a/cmd/onyxstream/management_test.go
+++ b/cmd/onyxstream/management_test.go
@@ -7,165 +7,170 @@
 	"strings"
 	"testing"
 	"time"
+
+	"onyxstream/internal/wire"
 )
 
-// managementCall makes an operator's call and returns the whole answer.
-func (p *nodeProcess) managementCall(t testing.TB, text string) string {
+// managementCall sends a command to the management listener and returns the whole answer.
+func (p *nodeProcess) managementCall(t testing.TB, command string) string {
 	t.Helper()
-	c, err := net.Dial("tcp", p.managementAddr)
+	conn, err := net.Dial("tcp", p.managementAddr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
-	_ = c.SetDeadline(time.Now().Add(waitLimit))
-	_, _ = io.WriteString(c, text+"\r\n")
-	all, err := io.ReadAll(c)
+	defer conn.Close()
+	_ = conn.SetDeadline(time.Now().Add(waitLimit))
+	_, _ = io.WriteString(conn, command+"\r\n")
+	answer, err := io.ReadAll(conn)
 	if err != nil {
-		t.Fatalf("%s: %q, %v", text, all, err)
+		t.Fatalf("%s: %q, %v", command, answer, err)
 	}
-	return string(all)
+	return string(answer)
 }
 
-// mustSucceed makes a call that must be carried out.
-func (p *nodeProcess) mustSucceed(t testing.TB, text string) {
+// mustSucceed sends a management command that must succeed.
+func (p *nodeProcess) mustSucceed(t testing.TB, command string) {
 	t.Helper()
-	if got := p.managementCall(t, text); !strings.HasPrefix(got, "YES") {
-		t.Fatalf("%s: %q", text, got)
+	if got := p.managementCall(t, command); !strings.HasPrefix(got, "YES") {
+		t.Fatalf("%s: %q", command, got)
 	}
 }
 
-// mustFail makes a call that must not be.
-func (p *nodeProcess) mustFail(t testing.TB, text string) {
+// mustFail sends a management command that must be refused.
+func (p *nodeProcess) mustFail(t testing.TB, command string) {
 	t.Helper()
-	if got := p.managementCall(t, text); !strings.HasPrefix(got, "NO ") {
-		t.Fatalf("%s: %q", text, got)
+	if got := p.managementCall(t, command); !strings.HasPrefix(got, "NO ") {
+		t.Fatalf("%s: %q", command, got)
 	}
 }
 
-// stats asks for the figures.
+// stats returns the node's statistics by name, without the prefix "svc.".
 func (p *nodeProcess) stats(t testing.TB) map[string]int {
 	t.Helper()
-	out := map[string]int{}
+	stats := map[string]int{}
 	lines := strings.Split(strings.TrimSuffix(p.managementCall(t, "show-stat"), "\r\n"), "\r\n")
 	if lines[0] != "YES" || lines[len(lines)-1] != "END" {
-		t.Fatalf("the figures are %q", lines)
+		t.Fatalf("the statistics are %q", lines)
 	}
 	for _, line := range lines[1 : len(lines)-1] {
 		name, value, _ := strings.Cut(line, "=")
 		n, err := strconv.Atoi(value)
 		if err != nil {
-			t.Fatalf("a figure is %q", line)
+			t.Fatalf("a statistic is %q", line)
 		}
-		out[strings.TrimPrefix(name, "svc.")] = n
+		stats[strings.TrimPrefix(name, "svc.")] = n
 	}
-	return out
+	return stats
 }
 
-// A host that is taken out gets nothing new from the yes on, whatever the list says, and is used again when called back.
+// A disabled host receives no new request from the answer on, whatever the endpoint list says, and is used again once
+// it is enabled.
 func TestHostOverride_Disabled_IgnoresListUntilEnabled(t *testing.T) {
 	t.Parallel()
 	hostA, hostB := newFakeHost(t, "ha"), newFakeHost(t, "hb")
-	discovery := newFakeDiscovery(t, endpointListJSON(1, true, hostA.endpoint("SERVING"), hostB.endpoint("SERVING")))
-	node := startNode(t, nodeOptions{initialList: endpointListJSON(1, true, hostA.endpoint("SERVING"), hostB.endpoint("SERVING")), managementAddr: freeAddr(t)}, discovery.addr)
+	node, discovery := startNodeWithHosts(t, nodeOptions{managementAddr: freeAddr(t)}, hostA, hostB)
 	node.mustSucceed(t, "ready")
 	node.mustFail(t, "disable-server nobody")
 	node.mustFail(t, "enable-server nobody")
 	node.mustSucceed(t, "disable-server ha")
 	node.mustSucceed(t, "disable-server ha")
 	before := len(hostA.openings())
-	restarted := hostA.endpoint("SERVING")
-	restarted.StartedAtMS = time.Now().UnixMilli() // it was restarted
-	for _, event := range []string{endpointListJSON(2, false, restarted), endpointListJSON(3, true, restarted, hostB.endpoint("SERVING")),
-		endpointListJSON(4, false, hostA.endpoint("DELETED")), endpointListJSON(5, false, restarted)} {
+	restarted := hostA.endpoint(wire.Serving)
+	restarted.StartedAtMS = time.Now().UnixMilli()
+	for _, event := range []string{
+		endpointListJSON(2, false, restarted),
+		endpointListJSON(3, true, restarted, hostB.endpoint(wire.Serving)),
+		endpointListJSON(4, false, hostA.endpoint(wire.Removed)),
+		endpointListJSON(5, false, restarted),
+	} {
 		discovery.sendEvent(event)
-		for range 8 {
-			client := node.openRequest(t, "")
-			client.expectLine("UP from-hb")
-		}
+		node.establish(t, 8, "UP from-hb")
 	}
 	if got := len(hostA.openings()) - before; got > 0 {
-		t.Errorf("the host that is out was sent %d lines", got)
+		t.Errorf("the disabled host received %d opening lines", got)
 	}
-	eventually(t, "the figures show it", func() bool {
+	eventually(t, "the statistics show the disabled host", func() bool {
 		stats := node.stats(t)
 		return stats["targets"] == 2 && stats["targets_disabled"] == 1
 	})
 	node.mustSucceed(t, "enable-server ha")
 	if stats := node.stats(t); stats["targets_disabled"] != 0 {
-		t.Errorf("called back: %v", stats)
+		t.Errorf("statistics after enabling the host: %v", stats)
 	}
 	node.waitUntilUsed(t, hostA, before)
 }
 
-// The figures are what clients and hosts have seen, over every way in which a client's set-up can end.
+// answerCounter opens requests and counts their answers by the first word, "nothing" where there is none.
+type answerCounter struct {
+	node *nodeProcess
+	seen map[string]int
+}
+
+func (c *answerCounter) open(t *testing.T, count int) {
+	t.Helper()
+	for range count {
+		line, _ := c.node.openRequest(t, "").reader.ReadString('\n')
+		c.seen[strings.Fields(line + "nothing")[0]]++
+	}
+}
+
+// The statistics match what clients and hosts have seen, over every way in which a set-up can end.
 func TestStats_MixedOutcomes_MatchPeers(t *testing.T) {
 	t.Parallel()
 	hostA, hostB := newFakeHost(t, "ha"), newFakeHost(t, "hb")
-	known := endpointListJSON(1, true, hostA.endpoint("SERVING"), hostB.endpoint("SERVING"))
-	node := startNode(t, nodeOptions{initialList: known, managementAddr: freeAddr(t), socketLimit: 128}, newFakeDiscovery(t, known).addr)
-	seen := map[string]int{}
-	openAndCount := func(extraFields string) *testClient {
-		client := node.openRequest(t, extraFields)
-		line, _ := client.reader.ReadString('\n')
-		seen[strings.Fields(line + "nothing")[0]]++
-		return client
-	}
-	for range 9 {
-		openAndCount("")
-	}
-	hostA.setReply("BUSY\r\n") // the other takes them
-	for range 6 {
-		openAndCount("")
-	}
+	node, _ := startNodeWithHosts(t, nodeOptions{managementAddr: freeAddr(t), socketLimit: 128}, hostA, hostB)
+	answers := &answerCounter{node: node, seen: map[string]int{}}
+	answers.open(t, 9)
+	hostA.setReply("BUSY\r\n") // the other host serves them
+	answers.open(t, 6)
 	hostA.setReply("ERR\r\n")
 	hostB.setReply("ERR\r\n")
-	for range 3 {
-		openAndCount("")
-	}
+	answers.open(t, 3)
 	hostA.setReply("UP r\r\n")
 	hostB.setReply("UP r\r\n")
-	time.Sleep(2 * time.Second) // both are left alone for a while
-	for range 40 {              // more than there are descriptors for
-		openAndCount("")
-	}
+	time.Sleep(2 * time.Second) // both are avoided for a while
+	answers.open(t, 40)         // more than there are descriptors for
 	invalid := node.dial(t)
 	invalid.send("OPEN x y c=nonsense,t=acme,d=2000\r\n")
 	invalid.expectLine("ERR")
-	stats := node.stats(t)
-	if stats["replies.chat.success"] != seen["UP"] || stats["replies.chat.overload"] != seen["BUSY"] || stats["replies.chat.error"] != seen["ERR"] {
-		t.Errorf("clients saw %v, the figures say %v", seen, stats)
+	seen, stats := answers.seen, node.stats(t)
+	repliesMatch := stats["replies.chat.success"] == seen["UP"] &&
+		stats["replies.chat.overload"] == seen["BUSY"] &&
+		stats["replies.chat.error"] == seen["ERR"]
+	if !repliesMatch {
+		t.Errorf("clients received %v, the statistics are %v", seen, stats)
 	}
 	if seen["UP"] < 20 || seen["BUSY"] == 0 {
-		t.Errorf("the run is too tame: %v", seen)
+		t.Errorf("too few kinds of answers for a comparison: %v", seen)
 	}
 	if openings := len(hostA.openings()) + len(hostB.openings()); stats["dispatches"] != openings {
-		t.Errorf("hosts had %d lines, the figures say %d", openings, stats["dispatches"])
+		t.Errorf("hosts received %d opening lines, the statistics count %d", openings, stats["dispatches"])
 	}
 	if stats["concurrent"] != seen["UP"] {
-		t.Errorf("%d stand, the figures say %d", seen["UP"], stats["concurrent"])
+		t.Errorf("%d connections are established, the statistics count %d", seen["UP"], stats["concurrent"])
 	}
 }
 
+// Connections that send nothing or half a command do not block the listener, and a reload does not change its address.
 func TestManagement_SilentConnections_StillAnswers(t *testing.T) {
 	t.Parallel()
 	host := newFakeHost(t, "ha")
-	known := endpointListJSON(1, true, host.endpoint("SERVING"))
-	node := startNode(t, nodeOptions{initialList: known, managementAddr: freeAddr(t)}, newFakeDiscovery(t, known).addr)
+	node, _ := startNodeWithHosts(t, nodeOptions{managementAddr: freeAddr(t)}, host)
 	for i := range 64 {
-		c, err := net.Dial("tcp", node.managementAddr)
+		conn, err := net.Dial("tcp", node.managementAddr)
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer c.Close()
-		_, _ = io.WriteString(c, []string{"", "sho", "disable-server h"}[i%3])
+		defer conn.Close()
+		_, _ = io.WriteString(conn, []string{"", "sho", "disable-server h"}[i%3])
 	}
 	node.stats(t)
 	node.reload(t, node.managementAddr, freeAddr(t))
 	node.waitForLog(t, "ignored until the next start")
 	if !strings.Contains(node.log.String(), `"field": "management"`) {
-		t.Error("the field is not named")
+		t.Error("the log does not name the field")
 	}
 	node.mustSucceed(t, "ready")
 	node.mustSucceed(t, "disable-server ha")
-	node.openRequest(t, "").expectLine("BUSY") // all are out
+	node.openRequest(t, "").expectLine("BUSY") // the only host is disabled
 }
--- a/cmd/onyxstream/node_options_test.go
+++ b/cmd/onyxstream/node_options_test.go
@@ -10,27 +10,25 @@
 	"testing"
 
 	"onyxstream/internal/faultinject"
-	"onyxstream/internal/wire"
 )
 
-// nodeOptions are what the tests vary of the configuration.
+// nodeOptions are the parts of a node's configuration and environment that tests vary. Zero values stand for the
+// defaults of writeConfig and startProcessWith.
 type nodeOptions struct {
 	mode               string // "pass" or "proxy"
-	socketLimit        int
-	addr               string // with inherit
-	latencyObjectiveMS int    // of a set-up, in ms
-	answerSlackMS      int    // in ms, how long after a deadline an answer is in time
-	descriptorLimit    int    // the system's limit on descriptors, 0 for none of the test's own
-	initialList        string
-	managementAddr     string // the operators' address
+	socketLimit        int    // the configured limit on sockets
+	addr               string // the address of listener
+	latencyObjectiveMS int    // for a connection set-up
+	answerSlackMS      int    // how long after a deadline an answer still counts as in time
+	descriptorLimit    int    // ulimit -n of the process, 0 for the system's
+	initialList        string // the endpoint list that the configuration holds
+	managementAddr     string
 	env                []string
-	programPath        string // "" for the one under the race detector
-	// memoryMB is the node's memory limit, 0 for 256 MB.
-	memoryMB int
-	listener *os.File // the clients' listening socket, as descriptor 3
-	stderr   *os.File // where its log goes, nil for the test's own
-	// faults is what the node's system calls can be made to meet, nil for a process as usual.
-	faults *faultinject.Options
+	programPath        string   // "" for the build with the race detector
+	memoryMB           int      // the configured memory limit, 0 for 256
+	listener           *os.File // the clients' listening socket, inherited as descriptor 3
+	stderr             *os.File // where the node's log goes, nil for nodeProcess.log
+	faults             *faultinject.Options
 }
 
 const settingsTemplate = `{"index":0,"groupSize":1,"zone":0,"zones":["a"],"registryMode":"ask",
@@ -40,20 +38,28 @@
 	"rules":{"answerSlack":%d,"askWithin":2000,"coldShare":0.3,"fallMultiple":4,"overloadFor":1000,
 	"stopSendingWithin":400,"warmWithin":1000}}`
 
+const (
+	defaultSocketLimit        = 256
+	defaultLatencyObjectiveMS = 2000 // a host that is slow on a busy machine is not left for another
+	defaultAnswerSlackMS      = 16
+	defaultMemoryMB           = 256
+)
+
+// writeConfig writes a node's configuration into a temporary directory and returns its path.
 func writeConfig(t testing.TB, addr, discoveryAddr string, options nodeOptions) string {
 	t.Helper()
-	if options.socketLimit == 0 {
-		options.socketLimit = 256
-	}
-	if options.latencyObjectiveMS == 0 {
-		options.latencyObjectiveMS = 2000 // a host that is slow on a busy machine is not left for another
-	}
-	if options.answerSlackMS == 0 {
-		options.answerSlackMS = 16
-	}
+	settings := fmt.Sprintf(settingsTemplate,
+		cmp.Or(options.latencyObjectiveMS, defaultLatencyObjectiveMS),
+		options.mode,
+		cmp.Or(options.answerSlackMS, defaultAnswerSlackMS))
 	text := fmt.Sprintf(`{"name":"n0","listen":%q,"discovery":%q,"seed":"8c1f30d27a5be964",`+
 		`"limits":{"cores":1.0,"memory_mb":%d,"sockets":%d},"known":%s,"settings":%s}`,
-		addr, discoveryAddr, cmp.Or(options.memoryMB, 256), options.socketLimit, options.initialList, fmt.Sprintf(settingsTemplate, options.latencyObjectiveMS, options.mode, options.answerSlackMS))
+		addr,
+		discoveryAddr,
+		cmp.Or(options.memoryMB, defaultMemoryMB),
+		cmp.Or(options.socketLimit, defaultSocketLimit),
+		options.initialList,
+		settings)
 	if options.managementAddr != "" {
 		text = strings.Replace(text, `{`, fmt.Sprintf(`{"management":%q,`, options.managementAddr), 1)
 	}
@@ -64,33 +70,35 @@
 	return path
 }
 
-// listeningSocket is the clients' listening socket as the platform holds it.
-func listeningSocket(t testing.TB) (addr string, f *os.File) {
+// listeningSocket opens a listening socket for clients, as the platform passes one to a node.
+func listeningSocket(t testing.TB) (addr string, file *os.File) {
 	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	f, err = l.(*net.TCPListener).File()
+	file, err = listener.(*net.TCPListener).File()
 	if err != nil {
 		t.Fatal(err)
 	}
-	_ = l.Close()
-	t.Cleanup(func() { _ = f.Close() })
-	return l.Addr().String(), f
+	_ = listener.Close()
+	t.Cleanup(func() { _ = file.Close() })
+	return listener.Addr().String(), file
 }
 
-// inheritedSocketOptions is a node's configuration, with hosts that it knows, where the platform holds the clients' socket.
-func inheritedSocketOptions(t testing.TB, hosts ...*fakeHost) (options nodeOptions, discovery *fakeDiscovery) {
+// inheritedSocketOptions returns the options of a node that inherits its listening socket, shares a directory with its
+// successor and has hosts in its list, and the discovery service of that list.
+func inheritedSocketOptions(t testing.TB, hosts ...*fakeHost) (nodeOptions, *fakeDiscovery) {
 	t.Helper()
-	var members []wire.Endpoint
-	for _, host := range hosts {
-		members = append(members, host.endpoint("SERVING"))
+	options := nodeOptions{
+		initialList:    endpointListJSON(1, true, endpointsOf(hosts...)...),
+		managementAddr: freeAddr(t),
+		socketLimit:    4096,
+		env:            []string{"TMPDIR=" + t.TempDir()},
 	}
-	options = nodeOptions{initialList: endpointListJSON(1, true, members...), managementAddr: freeAddr(t), socketLimit: 4096, env: []string{"TMPDIR=" + t.TempDir()}}
 	options.addr, options.listener = listeningSocket(t)
 	return options, newFakeDiscovery(t, options.initialList)
 }
 
-// sharedDir is the folder that the node's processes share.
+// sharedDir returns the directory that the processes of a node share.
 func (o nodeOptions) sharedDir() string { return strings.TrimPrefix(o.env[0], "TMPDIR=") }
--- a/cmd/onyxstream/node_process_test.go
+++ b/cmd/onyxstream/node_process_test.go
@@ -17,102 +17,87 @@
 	"onyxstream/internal/faultinject"
 )
 
-// allThreadsStopped reports whether a signal has stopped every thread of the node: each does so on its own.
-func (p *nodeProcess) allThreadsStopped(t testing.TB) bool {
-	t.Helper()
-	tasks, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/stat", p.cmd.Process.Pid))
-	if err != nil || len(tasks) == 0 {
-		t.Fatalf("no threads are found: %v", err)
-	}
-	for _, task := range tasks {
-		text, err := os.ReadFile(task)
-		_, behind, _ := strings.Cut(string(text), ") ") // the state stands behind the name
-		if err != nil || !strings.HasPrefix(behind, "T") {
-			return false
-		}
-	}
-	return true
-}
-
-// nodeProcess is the program, started.
+// nodeProcess is a process of the program's node command.
 type nodeProcess struct {
-	addr           string
+	addr           string // for clients
 	managementAddr string
-	configPath     string // the path of its configuration
+	configPath     string
 	cmd            *exec.Cmd
 	log            *syncBuffer
-	exited         chan error
-	faults         *faultinject.Process // with options.faults
+	exited         chan error           // receives the result of Wait once
+	faults         *faultinject.Process // nil without nodeOptions.faults
 }
 
-// startProcess starts the program; files above 0 limits its descriptors below what its configuration says.
-func startProcess(t testing.TB, path string, files int, more ...string) *nodeProcess {
+// startProcess starts a node with the configuration at path.
+func startProcess(t testing.TB, path string, args ...string) *nodeProcess {
 	t.Helper()
-	return startProcessWith(t, path, nodeOptions{descriptorLimit: files}, more...)
+	return startProcessWith(t, path, nodeOptions{}, args...)
 }
 
-func startProcessWith(t testing.TB, path string, options nodeOptions, more ...string) *nodeProcess {
+// startProcessWith starts a node with the configuration at path; of the options those that are not part of the
+// configuration apply. The process is killed when the test ends, and a data race in it fails the test.
+func startProcessWith(t testing.TB, path string, options nodeOptions, args ...string) *nodeProcess {
 	t.Helper()
-	files := options.descriptorLimit
-	cmd := exec.Command(cmp.Or(options.programPath, programPath), append([]string{"node"}, more...)...)
-	if files > 0 {
-		cmd = exec.Command("sh", "-c", fmt.Sprintf("ulimit -n %d; exec %s node", files, programPath))
+	cmd := exec.Command(cmp.Or(options.programPath, programPath), append([]string{"node"}, args...)...)
+	if options.descriptorLimit > 0 {
+		script := fmt.Sprintf("ulimit -n %d; exec %s node", options.descriptorLimit, programPath)
+		cmd = exec.Command("sh", "-c", script)
 	}
 	node := &nodeProcess{configPath: path, cmd: cmd, log: &syncBuffer{}, exited: make(chan error, 1)}
-	node.cmd.Env = append(append(os.Environ(), "PROXY_CONFIG="+path), options.env...)
+	cmd.Env = append(append(os.Environ(), "PROXY_CONFIG="+path), options.env...)
 	if options.listener != nil {
-		node.cmd.ExtraFiles = []*os.File{options.listener}
-		node.cmd.Env = append(node.cmd.Env, "PROXY_ACCEPT_FD=3")
+		cmd.ExtraFiles = []*os.File{options.listener}
+		cmd.Env = append(cmd.Env, "PROXY_ACCEPT_FD=3")
 	}
-	node.cmd.Stdout, node.cmd.Stderr = node.log, node.log
+	cmd.Stdout, cmd.Stderr = node.log, node.log
 	if options.stderr != nil {
-		node.cmd.Stdout, node.cmd.Stderr = options.stderr, options.stderr
+		cmd.Stdout, cmd.Stderr = options.stderr, options.stderr
 	}
 	var err error
 	if options.faults != nil {
-		node.faults, err = faultinject.Start(node.cmd, *options.faults)
+		node.faults, err = faultinject.Start(cmd, *options.faults)
 	} else {
-		err = node.cmd.Start()
+		err = cmd.Start()
 	}
 	if err != nil {
 		t.Fatal(err)
 	}
-	go func() { node.exited <- node.cmd.Wait() }()
-	t.Cleanup(func() {
-		_ = node.cmd.Process.Kill()
-		if t.Failed() {
-			t.Logf("the node's log:\n%s", node.log)
-		}
-		if strings.Contains(node.log.String(), "DATA RACE") {
-			t.Errorf("a data race in the node:\n%s", node.log)
-		}
-	})
+	go func() { node.exited <- cmd.Wait() }()
+	t.Cleanup(func() { node.killAndCheckLog(t) })
 	return node
 }
 
-// startNode runs the program and waits until it answers PING.
-func startNode(t testing.TB, options nodeOptions, discoveryAddr string) *nodeProcess {
+// killAndCheckLog kills the process, shows its log if the test failed, and fails the test if the log shows a data race.
+func (p *nodeProcess) killAndCheckLog(t testing.TB) {
 	t.Helper()
-	if options.mode == "" {
-		options.mode = "pass"
+	_ = p.cmd.Process.Kill()
+	if t.Failed() {
+		t.Logf("the node's log:\n%s", p.log)
 	}
-	if options.initialList == "" {
-		options.initialList = endpointListJSON(0, true)
+	if strings.Contains(p.log.String(), "DATA RACE") {
+		t.Errorf("a data race in the node:\n%s", p.log)
 	}
+}
+
+// startNode starts a node and waits until it answers PING.
+func startNode(t testing.TB, options nodeOptions, discoveryAddr string) *nodeProcess {
+	t.Helper()
+	options.mode = cmp.Or(options.mode, "pass")
+	options.initialList = cmp.Or(options.initialList, endpointListJSON(0, true))
 	addr := freeAddr(t)
 	if options.listener != nil {
 		addr = options.addr
 	}
 	node := startProcessWith(t, writeConfig(t, addr, discoveryAddr, options), options)
 	node.addr, node.managementAddr = addr, options.managementAddr
-	for begin := time.Now(); time.Since(begin) < waitLimit; time.Sleep(20 * time.Millisecond) {
-		c, err := net.Dial("tcp", addr)
+	for start := time.Now(); time.Since(start) < waitLimit; time.Sleep(20 * time.Millisecond) {
+		conn, err := net.Dial("tcp", addr)
 		if err != nil {
 			continue
 		}
-		defer c.Close()
-		_, _ = io.WriteString(c, "PING\r\n")
-		if line, _ := bufio.NewReader(c).ReadString('\n'); line == "PONG\r\n" {
+		defer conn.Close()
+		_, _ = io.WriteString(conn, "PING\r\n")
+		if line, _ := bufio.NewReader(conn).ReadString('\n'); line == "PONG\r\n" {
 			return node
 		}
 	}
@@ -120,100 +105,105 @@
 	return nil
 }
 
-func (p *nodeProcess) terminate(t testing.TB) {
+// startNodeWithHosts starts a node and its discovery service, both with a list of hosts that serve.
+func startNodeWithHosts(t testing.TB, options nodeOptions, hosts ...*fakeHost) (*nodeProcess, *fakeDiscovery) {
 	t.Helper()
-	if err := p.cmd.Process.Signal(syscall.SIGTERM); err != nil {
-		t.Fatal(err)
-	}
+	options.initialList = endpointListJSON(1, true, endpointsOf(hosts...)...)
+	discovery := newFakeDiscovery(t, options.initialList)
+	return startNode(t, options, discovery.addr), discovery
 }
 
-// openDescriptors counts what the node's process holds.
-func (p *nodeProcess) openDescriptors(t testing.TB) int {
+// startSuccessor starts a second process beside a running one, with a management address of its own, and waits until it
+// reports that it is ready.
+func startSuccessor(t testing.TB, options nodeOptions, discoveryAddr string) *nodeProcess {
 	t.Helper()
-	names, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.cmd.Process.Pid))
-	if err != nil {
-		t.Skip("no /proc here")
-	}
-	return len(names)
+	options.managementAddr = freeAddr(t)
+	successor := startProcessWith(t, writeConfig(t, options.addr, discoveryAddr, options), options)
+	successor.addr, successor.managementAddr = options.addr, options.managementAddr
+	eventually(t, "the new process is ready", func() bool {
+		conn, err := net.Dial("tcp", successor.managementAddr)
+		if err != nil {
+			return false
+		}
+		_ = conn.Close()
+		return strings.HasPrefix(successor.managementCall(t, "ready"), "YES")
+	})
+	return successor
 }
 
-// Connections go from one process to the next while either of the two is stopped, or told to stop, in between: the orders
-// are brought about by holding the process that is to come second.
-
 // sendSignal sends a signal to the process.
-func (p *nodeProcess) sendSignal(t testing.TB, s os.Signal) {
+func (p *nodeProcess) sendSignal(t testing.TB, signal os.Signal) {
 	t.Helper()
-	if err := p.cmd.Process.Signal(s); err != nil {
+	if err := p.cmd.Process.Signal(signal); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// reload replaces the program's configuration by a changed one and tells it.
-func (p *nodeProcess) reload(t *testing.T, change ...string) {
+// terminate sends SIGTERM, which begins a graceful shutdown.
+func (p *nodeProcess) terminate(t testing.TB) {
+	t.Helper()
+	p.sendSignal(t, syscall.SIGTERM)
+}
+
+// reload replaces strings in the configuration file, given as pairs of old and new, and sends SIGHUP.
+func (p *nodeProcess) reload(t *testing.T, replacements ...string) {
 	t.Helper()
 	text, err := os.ReadFile(p.configPath)
 	if err != nil {
 		t.Fatal(err)
 	}
-	changed := strings.NewReplacer(change...).Replace(string(text))
+	changed := strings.NewReplacer(replacements...).Replace(string(text))
 	if err := os.WriteFile(p.configPath+".new", []byte(changed), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if err := os.Rename(p.configPath+".new", p.configPath); err != nil {
 		t.Fatal(err)
 	}
-	if err := p.cmd.Process.Signal(syscall.SIGHUP); err != nil {
-		t.Fatal(err)
-	}
+	p.sendSignal(t, syscall.SIGHUP)
 }
 
+// waitForLog waits until the log contains text.
 func (p *nodeProcess) waitForLog(t testing.TB, text string) {
 	t.Helper()
-	eventually(t, "the log says "+text, func() bool { return strings.Contains(p.log.String(), text) })
-}
-
-// startSuccessor starts the program beside the one that runs, with an operators' address of its own.
-func startSuccessor(t testing.TB, options nodeOptions, discoveryAddr string) *nodeProcess {
-	t.Helper()
-	options.managementAddr = freeAddr(t)
-	successor := startProcessWith(t, writeConfig(t, options.addr, discoveryAddr, options), options)
-	successor.addr, successor.managementAddr = options.addr, options.managementAddr
-	eventually(t, "the new process is ready", func() bool {
-		c, err := net.Dial("tcp", successor.managementAddr)
-		if err != nil {
-			return false
-		}
-		_ = c.Close()
-		return strings.HasPrefix(successor.managementCall(t, "ready"), "YES")
-	})
-	return successor
+	eventually(t, "the log contains "+text, func() bool { return strings.Contains(p.log.String(), text) })
 }
 
+// waitForCleanExit waits until the process has exited, with status 0.
 func (p *nodeProcess) waitForCleanExit(t testing.TB) {
 	t.Helper()
 	select {
 	case err := <-p.exited:
 		if err != nil {
-			t.Errorf("the process ended with %v", err)
+			t.Errorf("the process exited with %v", err)
 		}
 	case <-time.After(waitLimit):
-		t.Fatal("the process does not end")
+		t.Fatal("the process does not exit")
 	}
 }
 
-// waitForPingAnswer waits until all processes behind an address answer PING alike: any of them may take a call.
-func (p *nodeProcess) waitForPingAnswer(t *testing.T, want string) {
+// allThreadsStopped reports whether a signal has stopped every thread of the node. Each thread stops on its own.
+func (p *nodeProcess) allThreadsStopped(t testing.TB) bool {
 	t.Helper()
-	eventually(t, "PING is answered "+want, func() bool {
-		for range 8 {
-			client := p.dial(t)
-			client.send("PING\r\n")
-			line, _ := client.reader.ReadString('\n')
-			_ = client.conn.Close()
-			if line != want {
-				return false
-			}
+	tasks, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/stat", p.cmd.Process.Pid))
+	if err != nil || len(tasks) == 0 {
+		t.Fatalf("no threads are found: %v", err)
+	}
+	for _, task := range tasks {
+		text, err := os.ReadFile(task)
+		_, state, _ := strings.Cut(string(text), ") ") // the state follows the name
+		if err != nil || !strings.HasPrefix(state, "T") {
+			return false
 		}
-		return true
-	})
+	}
+	return true
+}
+
+// openDescriptors counts the descriptors that the process has open.
+func (p *nodeProcess) openDescriptors(t testing.TB) int {
+	t.Helper()
+	names, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.cmd.Process.Pid))
+	if err != nil {
+		t.Skip("no /proc here")
+	}
+	return len(names)
 }
--- a/cmd/onyxstream/reload_test.go
+++ b/cmd/onyxstream/reload_test.go
@@ -9,70 +9,77 @@
 	"golang.org/x/sys/unix"
 
 	"onyxstream/internal/faultinject"
+	"onyxstream/internal/wire"
 )
 
-// On SIGHUP the node follows the discovery that the file names: with its whole list, whatever version the old one
-// was at, and without a word to the connections that stand.
+// On SIGHUP the node follows the discovery service that the file names: with its complete list, whatever revision the
+// old one had reached, and without a change to established connections.
 func TestReload_DiscoveryChanged_NewListFollowed(t *testing.T) {
 	t.Parallel()
 	hostA, hostB := newFakeHost(t, "ha"), newFakeHost(t, "hb")
-	oldDiscovery := newFakeDiscovery(t, endpointListJSON(41, true, hostA.endpoint("SERVING")))
-	node := startNode(t, nodeOptions{initialList: endpointListJSON(41, true, hostA.endpoint("SERVING"))}, oldDiscovery.addr)
+	oldList := endpointListJSON(41, true, hostA.endpoint(wire.Serving))
+	oldDiscovery := newFakeDiscovery(t, oldList)
+	node := startNode(t, nodeOptions{initialList: oldList}, oldDiscovery.addr)
 	established := node.openRequest(t, "")
 	established.expectLine("UP from-ha")
-	eventually(t, "the first watch", func() bool { return len(oldDiscovery.requestPaths()) == 1 })
-	discovery := newFakeDiscovery(t, endpointListJSON(3, true, hostB.endpoint("SERVING")))
+	eventually(t, "the first watch request", func() bool { return len(oldDiscovery.requestPaths()) == 1 })
+	discovery := newFakeDiscovery(t, endpointListJSON(3, true, hostB.endpoint(wire.Serving)))
 	node.reload(t, oldDiscovery.addr, discovery.addr)
 	node.waitForLog(t, "configuration reloaded")
-	eventually(t, "the new list alone holds", func() bool {
+	eventually(t, "the new list has replaced the old one", func() bool {
 		return strings.Contains(node.openRequest(t, "").expectLine("UP "), "from-hb")
 	})
-	eventually(t, "the old watch is left", func() bool { return oldDiscovery.Watching() == 0 })
+	eventually(t, "the old watch is closed", func() bool { return oldDiscovery.Watching() == 0 })
 	oldDiscovery.setUnavailable(true)
 	for range 10 {
 		node.openRequest(t, "").expectLine("UP from-hb")
 	}
-	eventually(t, "the new watch", func() bool { return len(discovery.requestPaths()) >= 2 })
-	if calls := discovery.requestPaths(); calls[0] != "/catalog/members" || calls[1] != "/catalog/members?watch=1&after=3" {
-		t.Errorf("asked %q", calls)
+	eventually(t, "the new watch request", func() bool { return len(discovery.requestPaths()) >= 2 })
+	paths := discovery.requestPaths()
+	if paths[0] != "/catalog/members" || paths[1] != "/catalog/members?watch=1&after=3" {
+		t.Errorf("requested %q", paths)
 	}
 	if n := len(oldDiscovery.requestPaths()); n != 1 {
-		t.Errorf("the old discovery was asked %d times", n)
+		t.Errorf("the old discovery received %d requests", n)
 	}
-	discovery.sendEvent(endpointListJSON(4, false, hostA.endpoint("SERVING"), hostB.endpoint("DRAINING")))
-	eventually(t, "changes are followed", func() bool { return strings.Contains(node.openRequest(t, "").expectLine("UP "), "from-ha") })
+	discovery.sendEvent(endpointListJSON(4, false, hostA.endpoint(wire.Serving), hostB.endpoint(wire.Draining)))
+	eventually(t, "changes are followed", func() bool {
+		return strings.Contains(node.openRequest(t, "").expectLine("UP "), "from-ha")
+	})
 	established.send("M still here\r\n")
 	established.expectLine("M still here")
 }
 
-// A discovery that does not answer yet takes nothing from what is known, and is asked until it does.
-func TestReload_NewDiscoveryDown_OldListKept(t *testing.T) {
+// While the new discovery service is unavailable the old list stays in use, and the request is repeated.
+func TestReload_NewDiscoveryDown_OldListRetained(t *testing.T) {
 	t.Parallel()
 	hostA, hostB := newFakeHost(t, "ha"), newFakeHost(t, "hb")
-	oldDiscovery := newFakeDiscovery(t, endpointListJSON(41, true, hostA.endpoint("SERVING")))
-	node := startNode(t, nodeOptions{initialList: endpointListJSON(41, true, hostA.endpoint("SERVING"))}, oldDiscovery.addr)
-	eventually(t, "the first watch", func() bool { return len(oldDiscovery.requestPaths()) == 1 })
-	discovery := newFakeDiscovery(t, endpointListJSON(3, true, hostB.endpoint("SERVING")))
+	oldList := endpointListJSON(41, true, hostA.endpoint(wire.Serving))
+	oldDiscovery := newFakeDiscovery(t, oldList)
+	node := startNode(t, nodeOptions{initialList: oldList}, oldDiscovery.addr)
+	eventually(t, "the first watch request", func() bool { return len(oldDiscovery.requestPaths()) == 1 })
+	discovery := newFakeDiscovery(t, endpointListJSON(3, true, hostB.endpoint(wire.Serving)))
 	discovery.setUnavailable(true)
 	node.reload(t, oldDiscovery.addr, discovery.addr)
-	eventually(t, "the new discovery is asked again", func() bool { return len(discovery.requestPaths()) >= 2 })
+	eventually(t, "the new discovery receives a second request", func() bool { return len(discovery.requestPaths()) >= 2 })
 	node.openRequest(t, "").expectLine("UP from-ha")
 	discovery.setUnavailable(false)
-	eventually(t, "its list holds", func() bool { return strings.Contains(node.openRequest(t, "").expectLine("UP "), "from-hb") })
-	for _, call := range discovery.requestPaths() {
-		if strings.Contains(call, "after=41") {
-			t.Errorf("a version of the old discovery was named to the new one: %q", call)
+	eventually(t, "its list is in use", func() bool {
+		return strings.Contains(node.openRequest(t, "").expectLine("UP "), "from-hb")
+	})
+	for _, path := range discovery.requestPaths() {
+		if strings.Contains(path, "after=41") {
+			t.Errorf("the new discovery received a revision of the old one: %q", path)
 		}
 	}
 }
 
-// What can't be read changes nothing, and what can't change is named.
-func TestReload_InvalidOrFixedFields_Kept(t *testing.T) {
+// A file that is not valid changes nothing. A field that cannot change while the node runs is named in the log.
+func TestReload_InvalidOrFixedFields_Ignored(t *testing.T) {
 	t.Parallel()
 	host := newFakeHost(t, "h1")
-	discovery := newFakeDiscovery(t, endpointListJSON(1, true, host.endpoint("SERVING")))
-	node := startNode(t, nodeOptions{initialList: endpointListJSON(1, true, host.endpoint("SERVING"))}, discovery.addr)
-	eventually(t, "the first watch", func() bool { return len(discovery.requestPaths()) == 1 })
+	node, discovery := startNodeWithHosts(t, nodeOptions{}, host)
+	eventually(t, "the first watch request", func() bool { return len(discovery.requestPaths()) == 1 })
 	established := node.openRequest(t, "")
 	established.expectLine("UP ")
 	node.reload(t, `"sockets":256`, `"sockets":"many"`)
@@ -83,7 +90,8 @@
 	node.waitForLog(t, `field \"discovery\": \"\" is no address`)
 	node.reload(t, `"listen"`, `"discovery":"`+discovery.addr+`","listen"`, "}", "")
 	node.waitForLog(t, "can't be read")
-	text, _ := os.ReadFile(writeConfig(t, "127.0.0.1:1", discovery.addr, nodeOptions{mode: "pass", initialList: endpointListJSON(0, true), socketLimit: 512}))
+	options := nodeOptions{mode: "pass", initialList: endpointListJSON(0, true), socketLimit: 512}
+	text, _ := os.ReadFile(writeConfig(t, "127.0.0.1:1", discovery.addr, options))
 	if err := os.WriteFile(node.configPath, text, 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -91,84 +99,77 @@
 	node.waitForLog(t, `"field": "listen"`)
 	node.waitForLog(t, `"field": "limits.sockets"`)
 	if strings.Contains(node.log.String(), `"field": "settings"`) {
-		t.Error("settings that are the same are named as left")
+		t.Error("settings that are the same are named as ignored")
 	}
 	established.send("M\r\n")
 	established.expectLine("M")
 	node.openRequest(t, "").expectLine("UP ")
 	if n := len(discovery.requestPaths()); n != 1 {
-		t.Errorf("discovery was asked %d times, though its address is the same", n)
+		t.Errorf("discovery received %d requests, though its address is the same", n)
 	}
 }
 
 func TestReload_RepeatedAndDuringShutdown_StopsCleanly(t *testing.T) {
 	t.Parallel()
 	host := newFakeHost(t, "h1")
-	discovery := newFakeDiscovery(t, endpointListJSON(1, true, host.endpoint("SERVING")))
-	node := startNode(t, nodeOptions{initialList: endpointListJSON(1, true, host.endpoint("SERVING")), mode: "proxy"}, discovery.addr)
+	node, discovery := startNodeWithHosts(t, nodeOptions{mode: "proxy"}, host)
 	established := node.openRequest(t, "")
 	established.expectLine("UP ")
 	previousAddr := discovery.addr
 	for range 6 {
-		next := newFakeDiscovery(t, endpointListJSON(1, true, host.endpoint("SERVING")))
+		next := newFakeDiscovery(t, endpointListJSON(1, true, host.endpoint(wire.Serving)))
 		node.reload(t, previousAddr, next.addr)
 		previousAddr = next.addr
 	}
-	last := newFakeDiscovery(t, endpointListJSON(1, true, host.endpoint("SERVING")))
+	last := newFakeDiscovery(t, endpointListJSON(1, true, host.endpoint(wire.Serving)))
 	node.reload(t, previousAddr, last.addr)
-	eventually(t, "the last one named is watched", func() bool { return len(last.requestPaths()) >= 2 })
+	eventually(t, "the last discovery is watched", func() bool { return len(last.requestPaths()) >= 2 })
 	node.openRequest(t, "").expectLine("UP ")
 	node.terminate(t)
 	node.waitForLog(t, "shutting down gracefully")
-	drain := newFakeDiscovery(t, endpointListJSON(1, true, host.endpoint("SERVING")))
-	node.reload(t, last.addr, drain.addr)
+	afterShutdown := newFakeDiscovery(t, endpointListJSON(1, true, host.endpoint(wire.Serving)))
+	node.reload(t, last.addr, afterShutdown.addr)
 	established.expectLine("MOVE\r\n")
 	established.expectClose(false)
 	if err := <-node.exited; err != nil {
-		t.Errorf("the node ended with %v", err)
+		t.Errorf("the node exited with %v", err)
 	}
 }
 
-// The watch at the old discovery goes on while the new one refuses, and brings news behind that refusal; then it ends too.
-// The new one is asked on: that news passed for a watch at it, and nothing that came to the list was heard of any more.
+// The watch at the old discovery goes on while the new one fails, and brings events after that failure; then it ends.
+// The new one is still polled: events of the old watch do not count as a watch at the new one.
 func TestReload_OldWatchEventAfterNewFails_NewStillPolled(t *testing.T) {
 	t.Parallel()
 	hostA, hostB, hostC := newFakeHost(t, "ha"), newFakeHost(t, "hb"), newFakeHost(t, "hc")
-	oldDiscovery := newFakeDiscovery(t, endpointListJSON(41, true, hostA.endpoint("SERVING")))
-	node := startNode(t, nodeOptions{initialList: endpointListJSON(41, true, hostA.endpoint("SERVING"))}, oldDiscovery.addr)
-	eventually(t, "the first watch", func() bool { return oldDiscovery.Watching() == 1 })
-	discovery := newFakeDiscovery(t, endpointListJSON(3, true, hostC.endpoint("SERVING")))
+	oldList := endpointListJSON(41, true, hostA.endpoint(wire.Serving))
+	oldDiscovery := newFakeDiscovery(t, oldList)
+	node := startNode(t, nodeOptions{initialList: oldList}, oldDiscovery.addr)
+	eventually(t, "the first watch request", func() bool { return oldDiscovery.Watching() == 1 })
+	discovery := newFakeDiscovery(t, endpointListJSON(3, true, hostC.endpoint(wire.Serving)))
 	discovery.setUnavailable(true)
 	node.reload(t, oldDiscovery.addr, discovery.addr)
-	waitUntilUsed := func(host *fakeHost) { // each client leaves again: they would fill the node
-		t.Helper()
-		eventually(t, host.id+" is used", func() bool {
-			client := node.openRequest(t, "")
-			defer client.conn.Close()
-			return strings.Contains(client.expectLine("UP "), "from-"+host.id)
-		})
-	}
-	eventually(t, "the new discovery is asked", func() bool { return len(discovery.requestPaths()) > 0 })
+	eventually(t, "the new discovery receives a request", func() bool { return len(discovery.requestPaths()) > 0 })
 	node.waitForLog(t, "discovery answered 503")
-	for i := int64(0); i < 4; i += 2 { // one of them comes while no call to the new one is out
-		oldDiscovery.sendEvent(endpointListJSON(42+i, false, hostB.endpoint("SERVING"), hostA.endpoint("DRAINING")))
-		waitUntilUsed(hostB)
-		oldDiscovery.sendEvent(endpointListJSON(43+i, false, hostA.endpoint("SERVING"), hostB.endpoint("DRAINING")))
-		waitUntilUsed(hostA)
+	for i := int64(0); i < 4; i += 2 { // one of them arrives while no request to the new one is open
+		oldDiscovery.sendEvent(endpointListJSON(42+i, false, hostB.endpoint(wire.Serving), hostA.endpoint(wire.Draining)))
+		node.waitUntilServedBy(t, hostB.id)
+		oldDiscovery.sendEvent(endpointListJSON(43+i, false, hostA.endpoint(wire.Serving), hostB.endpoint(wire.Draining)))
+		node.waitUntilServedBy(t, hostA.id)
 	}
 	oldDiscovery.setUnavailable(true)
-	eventually(t, "the old watch has ended", func() bool { return oldDiscovery.Watching() == 0 })
+	eventually(t, "the old watch is closed", func() bool { return oldDiscovery.Watching() == 0 })
 	discovery.setUnavailable(false)
-	waitUntilUsed(hostC)
+	node.waitUntilServedBy(t, hostC.id)
 }
 
-// A signal to read the configuration again is not forgotten where the file can't be read just then.
+// A reload is repeated until the file can be read.
 func TestReload_FileUnreadableBriefly_Retried(t *testing.T) {
 	t.Parallel()
 	hostA, hostB := newFakeHost(t, "ha"), newFakeHost(t, "hb")
-	oldDiscovery, discovery := newFakeDiscovery(t, endpointListJSON(1, true, hostA.endpoint("SERVING"))), newFakeDiscovery(t, endpointListJSON(1, true, hostB.endpoint("SERVING")))
-	node := startNode(t, nodeOptions{initialList: endpointListJSON(1, true, hostA.endpoint("SERVING")), faults: &faultinject.Options{Calls: []faultinject.Call{faultinject.OpenAt}}}, oldDiscovery.addr)
-	eventually(t, "the first watch", func() bool { return len(oldDiscovery.requestPaths()) == 1 })
+	faults := &faultinject.Options{Calls: []faultinject.Call{faultinject.OpenAt}}
+	node, oldDiscovery := startNodeWithHosts(t, nodeOptions{faults: faults}, hostA)
+	discovery := newFakeDiscovery(t, endpointListJSON(1, true, hostB.endpoint(wire.Serving)))
+	eventually(t, "the first watch request", func() bool { return len(oldDiscovery.requestPaths()) == 1 })
 	node.faults.Fail(faultinject.Rule{Call: faultinject.OpenAt, Share: 1, Errors: []unix.Errno{unix.ENFILE}})
 	node.reload(t, oldDiscovery.addr, discovery.addr)
 	node.waitForLog(t, "configuration reload failed")
@@ -176,13 +177,13 @@
 	node.waitUntilServedBy(t, "hb")
 }
 
-// A file that is still being written as the signal comes is read again once it is whole.
+// A file that is still being written when the signal arrives is read again once it is complete.
 func TestReload_FileHalfWritten_ReadOnceComplete(t *testing.T) {
 	t.Parallel()
 	hostA, hostB := newFakeHost(t, "ha"), newFakeHost(t, "hb")
-	oldDiscovery, discovery := newFakeDiscovery(t, endpointListJSON(1, true, hostA.endpoint("SERVING"))), newFakeDiscovery(t, endpointListJSON(1, true, hostB.endpoint("SERVING")))
-	node := startNode(t, nodeOptions{initialList: endpointListJSON(1, true, hostA.endpoint("SERVING"))}, oldDiscovery.addr)
-	eventually(t, "the first watch", func() bool { return len(oldDiscovery.requestPaths()) == 1 })
+	node, oldDiscovery := startNodeWithHosts(t, nodeOptions{}, hostA)
+	discovery := newFakeDiscovery(t, endpointListJSON(1, true, hostB.endpoint(wire.Serving)))
+	eventually(t, "the first watch request", func() bool { return len(oldDiscovery.requestPaths()) == 1 })
 	text, err := os.ReadFile(node.configPath)
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/onyxstream/resource_limits_test.go
+++ b/cmd/onyxstream/resource_limits_test.go
@@ -6,39 +6,44 @@
 	"time"
 )
 
+// serves opens a request that stays open if it is served, and reports whether it is.
+func (p *nodeProcess) serves(t testing.TB) bool {
+	t.Helper()
+	return strings.HasPrefix(p.openRequest(t, "").expectLine(""), "UP ")
+}
+
 func TestSocketLimit_Reached_RejectsThenRecovers(t *testing.T) {
 	t.Parallel()
 	host := newFakeHost(t, "h1")
-	discovery := newFakeDiscovery(t, endpointListJSON(1, true, host.endpoint("SERVING")))
-	node := startNode(t, nodeOptions{initialList: endpointListJSON(1, true, host.endpoint("SERVING")), socketLimit: 64}, discovery.addr)
+	const attempts, socketLimit = 40, 64
+	node, _ := startNodeWithHosts(t, nodeOptions{socketLimit: socketLimit}, host)
 	var clients []*testClient
-	for range 40 {
+	for range attempts {
 		client := node.openRequest(t, "")
-		if line := client.expectLine(""); strings.HasPrefix(line, "BUSY ") {
+		if strings.HasPrefix(client.expectLine(""), "BUSY ") {
 			break
 		}
 		clients = append(clients, client)
 	}
-	if len(clients) == 0 || len(clients) == 40 {
-		t.Fatalf("%d of 40 were served within 64 descriptors", len(clients))
+	if len(clients) == 0 || len(clients) == attempts {
+		t.Fatalf("%d of %d were served within %d descriptors", len(clients), attempts, socketLimit)
 	}
-	if n := node.openDescriptors(t); n > 64 {
-		t.Errorf("%d descriptors held, 64 allowed", n)
+	if n := node.openDescriptors(t); n > socketLimit {
+		t.Errorf("%d descriptors are open, %d allowed", n, socketLimit)
 	}
 	for _, client := range clients {
 		client.send("M\r\n")
 		client.expectLine("M")
 		_ = client.conn.Close()
 	}
-	eventually(t, "there is room again", func() bool { return strings.HasPrefix(node.openRequest(t, "").expectLine(""), "UP ") })
+	eventually(t, "there is capacity again", func() bool { return node.serves(t) })
 }
 
-// At the system's own limit an accept fails. That must pause the listener, not end it.
+// At the system's limit on descriptors accept fails. That must pause the listener, not close it.
 func TestListener_AcceptFails_KeepsAccepting(t *testing.T) {
 	t.Parallel()
 	host := newFakeHost(t, "h1")
-	discovery := newFakeDiscovery(t, endpointListJSON(1, true, host.endpoint("SERVING")))
-	node := startNode(t, nodeOptions{initialList: endpointListJSON(1, true, host.endpoint("SERVING")), socketLimit: 256, descriptorLimit: 32}, discovery.addr)
+	node, _ := startNodeWithHosts(t, nodeOptions{socketLimit: 256, descriptorLimit: 32}, host)
 	var clients []*testClient
 	for range 60 {
 		clients = append(clients, node.openRequest(t, ""))
@@ -47,40 +52,46 @@
 	for _, client := range clients {
 		_ = client.conn.Close()
 	}
-	eventually(t, "clients are served again", func() bool { return strings.HasPrefix(node.openRequest(t, "").expectLine(""), "UP ") })
+	eventually(t, "clients are served again", func() bool { return node.serves(t) })
 }
 
 func TestDescriptors_ConnectionsEnd_AllReleased(t *testing.T) {
 	t.Parallel()
 	hostA, hostB := newFakeHost(t, "ha"), newFakeHost(t, "hb")
 	hostB.setReply("ERR\r\n")
-	all := endpointListJSON(1, true, hostA.endpoint("SERVING"), hostB.endpoint("SERVING"))
-	discovery := newFakeDiscovery(t, all)
-	node := startNode(t, nodeOptions{initialList: all}, discovery.addr)
-	eventually(t, "the watch is on", func() bool { return len(discovery.requestPaths()) == 1 })
-	eventually(t, "one is served, and stays", func() bool { return strings.HasPrefix(node.openRequest(t, "").expectLine(""), "UP ") })
-	time.Sleep(time.Second) // what the start left open is closed
+	node, discovery := startNodeWithHosts(t, nodeOptions{}, hostA, hostB)
+	eventually(t, "the watch is open", func() bool { return len(discovery.requestPaths()) == 1 })
+	eventually(t, "one request is served and stays open", func() bool { return node.serves(t) })
+	time.Sleep(time.Second) // descriptors that only the startup needs are closed
 	before := node.openDescriptors(t)
 	for i := range 60 {
-		client := node.openRequest(t, "")
-		if i%5 == 0 { // leaves before the answer
-			_ = client.conn.Close()
-			continue
-		}
-		if strings.HasPrefix(client.expectLine(""), "UP ") {
-			switch i % 5 {
-			case 1:
-				_ = client.conn.SetLinger(0)
-			case 2:
-				client.send("DO bye\r\n")
-				client.expectLine("BYE")
-			case 3:
-				client.send("DO reset\r\n")
-				client.expectClose(true)
-			}
-		}
+		openAndDisconnect(t, node, i%5)
+	}
+	eventually(t, "all descriptors are released", func() bool { return node.openDescriptors(t) <= before })
+	eventually(t, "the hosts have one connection left", func() bool {
+		return hostA.openConnections()+hostB.openConnections() == 1
+	})
+}
+
+// openAndDisconnect opens a request and ends it in one of five ways.
+func openAndDisconnect(t *testing.T, node *nodeProcess, way int) {
+	t.Helper()
+	client := node.openRequest(t, "")
+	if way == 0 { // disconnects before the answer
 		_ = client.conn.Close()
+		return
+	}
+	if strings.HasPrefix(client.expectLine(""), "UP ") {
+		switch way {
+		case 1:
+			_ = client.conn.SetLinger(0)
+		case 2:
+			client.send("DO bye\r\n")
+			client.expectLine("BYE")
+		case 3:
+			client.send("DO reset\r\n")
+			client.expectClose(true)
+		}
 	}
-	eventually(t, "all descriptors are given back", func() bool { return node.openDescriptors(t) <= before })
-	eventually(t, "the hosts are left", func() bool { return hostA.openConnections()+hostB.openConnections() == 1 })
+	_ = client.conn.Close()
 }
--- a/cmd/onyxstream/shared_state_test.go
+++ b/cmd/onyxstream/shared_state_test.go
@@ -8,90 +8,125 @@
 	"testing"
 )
 
-// While both processes are there, a word to either binds the other, and a drain too.
+// While two processes of a node run, an override of a host's state that one is given applies to both, and a drain too.
 func TestHostOverride_TwoProcesses_Shared(t *testing.T) {
 	t.Parallel()
 	hostA, hostB := newFakeHost(t, "ha"), newFakeHost(t, "hb")
 	options, discovery := inheritedSocketOptions(t, hostA, hostB)
 	node := startNode(t, options, discovery.addr)
 	successor := startSuccessor(t, options, discovery.addr)
-	disabled := func(node *nodeProcess, want int) {
+	waitForDisabledHosts := func(node *nodeProcess, want int) {
 		t.Helper()
-		eventually(t, fmt.Sprint(want, " hosts are avoided"), func() bool { return node.stats(t)["targets_disabled"] == want })
+		eventually(t, fmt.Sprint(want, " hosts are disabled"), func() bool {
+			return node.stats(t)["targets_disabled"] == want
+		})
 	}
 	node.mustSucceed(t, "disable-server ha")
-	disabled(successor, 1)
+	waitForDisabledHosts(successor, 1)
 	successor.mustSucceed(t, "disable-server hb")
-	disabled(node, 2)
-	node.openRequest(t, "").expectLine("BUSY") // whichever takes it
+	waitForDisabledHosts(node, 2)
+	node.openRequest(t, "").expectLine("BUSY") // whichever process accepts it
 	successor.mustSucceed(t, "enable-server ha")
-	disabled(node, 1)
+	waitForDisabledHosts(node, 1)
 	node.mustSucceed(t, "enable-server hb")
-	disabled(successor, 0)
+	waitForDisabledHosts(successor, 0)
 	node.mustSucceed(t, "drain")
 	node.waitForPingAnswer(t, "BUSY\r\n")
 	successor.mustSucceed(t, "resume")
 	node.waitForPingAnswer(t, "PONG\r\n")
 }
 
-// Where the folder can't be used the node starts and serves, says so, and words hold in the process that is told.
+// startNodeSharing starts a node whose shared directory is dir, and its discovery service, with one host.
+func startNodeSharing(t *testing.T, dir string, host *fakeHost) *nodeProcess {
+	t.Helper()
+	node, _ := startNodeWithHosts(t, nodeOptions{managementAddr: freeAddr(t), env: []string{"TMPDIR=" + dir}}, host)
+	return node
+}
+
+// A node without a usable shared directory starts, serves and logs the reason. Overrides hold in the process that is
+// given them.
 func TestSharedState_DirectoryUnusable_NodeServes(t *testing.T) {
 	t.Parallel()
 	host := newFakeHost(t, "ha")
-	known := endpointListJSON(1, true, host.endpoint("SERVING"))
-	directory := t.TempDir()
-	for name, c := range map[string]struct{ dir, says string }{"unset": {"", "TMPDIR is not set"},
-		"gone": {directory + "/none", "TMPDIR can't be used"}} {
-		node := startNode(t, nodeOptions{initialList: known, managementAddr: freeAddr(t), env: []string{"TMPDIR=" + c.dir}}, newFakeDiscovery(t, known).addr)
-		node.waitForLog(t, c.says)
+	for name, test := range map[string]struct{ dir, wantInLog string }{
+		"unset":   {"", "TMPDIR is not set"},
+		"missing": {t.TempDir() + "/none", "TMPDIR can't be used"},
+	} {
+		node := startNodeSharing(t, test.dir, host)
+		node.waitForLog(t, test.wantInLog)
 		node.mustSucceed(t, "disable-server ha")
 		node.openRequest(t, "").expectLine("BUSY")
 		if t.Failed() {
 			t.Log(name)
 		}
 	}
-	node := startNode(t, nodeOptions{initialList: known, managementAddr: freeAddr(t), env: []string{"TMPDIR=" + directory}}, newFakeDiscovery(t, known).addr)
-	node.mustSucceed(t, "disable-server ha")
-	names, err := os.ReadDir(directory)
+}
+
+// overrideFiles returns the paths of the files in dir that hold overrides.
+func overrideFiles(t *testing.T, dir string) []string {
+	t.Helper()
+	entries, err := os.ReadDir(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, entry := range names {
+	var paths []string
+	for _, entry := range entries {
 		if strings.HasSuffix(entry.Name(), ".words") {
-			if err := os.WriteFile(directory+"/"+entry.Name(), []byte("no document"), 0o600); err != nil {
-				t.Fatal(err)
-			}
+			paths = append(paths, dir+"/"+entry.Name())
 		}
 	}
-	node.waitForLog(t, "file is of an unknown format")
-	node.openRequest(t, "").expectLine("BUSY") // the word holds on
-	for _, entry := range names {              // nothing can be written there any more
-		if strings.HasSuffix(entry.Name(), ".words") {
-			_ = os.Remove(directory + "/" + entry.Name())
-			if err := os.MkdirAll(directory+"/"+entry.Name()+"/full", 0o700); err != nil {
-				t.Fatal(err)
-			}
+	return paths
+}
+
+// damage overwrites files with text that is no document.
+func damage(t *testing.T, paths []string) {
+	t.Helper()
+	for _, path := range paths {
+		if err := os.WriteFile(path, []byte("no document"), 0o600); err != nil {
+			t.Fatal(err)
 		}
 	}
+}
+
+// replaceByDirectories replaces files by directories that are not empty, so that they can be neither read nor written.
+func replaceByDirectories(t *testing.T, paths []string) {
+	t.Helper()
+	for _, path := range paths {
+		_ = os.Remove(path)
+		if err := os.MkdirAll(path+"/full", 0o700); err != nil {
+			t.Fatal(err)
+		}
+	}
+}
+
+// A node whose file of overrides is damaged, or cannot be written, keeps the overrides that it was given, and starts
+// with none where the file is damaged.
+func TestSharedState_FileDamaged_NodeServes(t *testing.T) {
+	t.Parallel()
+	host := newFakeHost(t, "ha")
+	dir := t.TempDir()
+	node := startNodeSharing(t, dir, host)
+	node.mustSucceed(t, "disable-server ha")
+	files := overrideFiles(t, dir)
+	damage(t, files)
+	node.waitForLog(t, "file is of an unknown format")
+	node.openRequest(t, "").expectLine("BUSY") // the override still holds
+	replaceByDirectories(t, files)
 	node.mustSucceed(t, "enable-server ha")
 	node.waitForLog(t, "shared state unavailable")
-	eventually(t, "it is used again", func() bool {
+	eventually(t, "the host is used again", func() bool {
 		client := node.openRequest(t, "")
 		line, _ := client.reader.ReadString('\n')
 		_ = client.conn.Close()
 		return strings.HasPrefix(line, "UP")
 	})
-	for _, entry := range names {
-		if strings.HasSuffix(entry.Name(), ".words") {
-			_ = os.RemoveAll(directory + "/" + entry.Name())
-			if err := os.WriteFile(directory+"/"+entry.Name(), []byte("no document"), 0o600); err != nil {
-				t.Fatal(err)
-			}
-		}
+	for _, path := range files {
+		_ = os.RemoveAll(path)
 	}
+	damage(t, files)
 	_ = node.cmd.Process.Signal(syscall.SIGKILL)
 	<-node.exited
-	successor := startNode(t, nodeOptions{initialList: known, managementAddr: freeAddr(t), env: []string{"TMPDIR=" + directory}}, newFakeDiscovery(t, known).addr)
+	successor := startNodeSharing(t, dir, host)
 	successor.waitForLog(t, "file is of an unknown format")
 	successor.openRequest(t, "").expectLine("UP")
 }
--- a/cmd/onyxstream/shutdown_test.go
+++ b/cmd/onyxstream/shutdown_test.go
@@ -9,29 +9,29 @@
 func TestShutdown_PassMode_ServesUntilExit(t *testing.T) {
 	t.Parallel()
 	host := newFakeHost(t, "h1")
-	discovery := newFakeDiscovery(t, endpointListJSON(1, true, host.endpoint("SERVING")))
-	node := startNode(t, nodeOptions{initialList: endpointListJSON(1, true, host.endpoint("SERVING"))}, discovery.addr)
+	node, _ := startNodeWithHosts(t, nodeOptions{}, host)
 	established := node.openRequest(t, "")
 	established.expectLine("UP ")
 	node.terminate(t)
-	late := node.openRequest(t, "") // the front has not noticed yet
+	late := node.openRequest(t, "") // the front end has not noticed yet
 	late.expectLine("UP ")
-	// What is open goes on until the time is up: other nodes take it over only from a process that has ended.
+	// Open connections are served until the time is up: other nodes take them over only from a process that has exited.
 	for range 10 {
 		time.Sleep(200 * time.Millisecond)
 		established.send("M\r\n")
 		established.expectLine("M")
 	}
 	if err := <-node.exited; err != nil {
-		t.Errorf("the node ended with %v", err)
+		t.Errorf("the node exited with %v", err)
 	}
-	if line, err := established.reader.ReadString('\n'); line != "" || err == nil {
-		t.Errorf("heard %q from a node that has ended", line)
+	line, err := established.reader.ReadString('\n')
+	if line != "" || err == nil {
+		t.Errorf("received %q from a node that has exited", line)
 	}
 }
 
-// A client that came in the last moment in which the front still sends may wait for longer than the node lasts. Where
-// its host hangs it has its answer before the node ends, and not the end of its connection.
+// A client that connects in the last moment in which the front end still sends clients may have a deadline after the
+// node's exit. Where its host hangs it gets an answer before the node exits, instead of a closed connection.
 func TestShutdown_HostHangs_WaitingClientsAnswered(t *testing.T) {
 	t.Parallel()
 	for _, mode := range []string{"pass", "proxy"} {
@@ -39,20 +39,19 @@
 			t.Parallel()
 			host := newFakeHost(t, "h1")
 			host.setReply("")
-			discovery := newFakeDiscovery(t, endpointListJSON(1, true, host.endpoint("SERVING")))
-			node := startNode(t, nodeOptions{initialList: endpointListJSON(1, true, host.endpoint("SERVING")), mode: mode, latencyObjectiveMS: 9000}, discovery.addr)
+			node, _ := startNodeWithHosts(t, nodeOptions{mode: mode, latencyObjectiveMS: 9000}, host)
 			var waiting []*testClient
 			for _, when := range []string{"before", "after"} {
 				client := node.dial(t)
 				client.send("OPEN " + when + " key c=chat,t=acme,d=9000\r\n")
 				waiting = append(waiting, client)
-				eventually(t, "the host has it", func() bool { return len(host.openings()) == len(waiting) })
+				eventually(t, "the host has received the request", func() bool { return len(host.openings()) == len(waiting) })
 				if when == "before" {
 					node.terminate(t)
 					node.waitForLog(t, "shutting down gracefully")
 				}
 			}
-			partial := node.dial(t) // whose line comes in pieces around the stop
+			partial := node.dial(t) // its line arrives in two parts
 			partial.send("OPEN half key c=ch")
 			time.Sleep(1200 * time.Millisecond)
 			partial.send("at,t=acme,d=9000\r\n")
@@ -61,37 +60,30 @@
 				client.expectClose(false)
 			}
 			if err := <-node.exited; err != nil {
-				t.Errorf("the node ended with %v", err)
+				t.Errorf("the node exited with %v", err)
 			}
 		})
 	}
 }
 
-// Where nothing is open there is nothing to wait for.
 func TestShutdown_NothingOpen_ExitsAtOnce(t *testing.T) {
 	t.Parallel()
 	discovery := newFakeDiscovery(t, endpointListJSON(1, true))
 	node := startNode(t, nodeOptions{}, discovery.addr)
 	node.terminate(t)
 	if err := <-node.exited; err != nil {
-		t.Errorf("the node ended with %v", err)
+		t.Errorf("the node exited with %v", err)
 	}
 	if !strings.Contains(node.log.String(), "stopped") {
-		t.Error("it did not stop in order")
+		t.Error("the node did not shut down gracefully")
 	}
 }
 
 func TestShutdown_ProxyMode_MigratesConnections(t *testing.T) {
 	t.Parallel()
 	host := newFakeHost(t, "h1")
-	discovery := newFakeDiscovery(t, endpointListJSON(1, true, host.endpoint("SERVING")))
-	node := startNode(t, nodeOptions{initialList: endpointListJSON(1, true, host.endpoint("SERVING")), mode: "proxy"}, discovery.addr)
-	var clients []*testClient
-	for range 10 {
-		client := node.openRequest(t, "")
-		client.expectLine("UP ")
-		clients = append(clients, client)
-	}
+	node, _ := startNodeWithHosts(t, nodeOptions{mode: "proxy"}, host)
+	clients := node.establish(t, 10, "UP ")
 	node.terminate(t)
 	late := node.openRequest(t, "")
 	late.expectLine("UP ")
@@ -100,6 +92,6 @@
 		client.expectClose(false)
 	}
 	if err := <-node.exited; err != nil {
-		t.Errorf("the node ended with %v", err)
+		t.Errorf("the node exited with %v", err)
 	}
 }
--- a/cmd/onyxstream/test_client_test.go
+++ b/cmd/onyxstream/test_client_test.go
@@ -11,32 +11,46 @@
 	"time"
 )
 
-// testClient is a connection to the node.
+// testClient is a client's connection to a node.
 type testClient struct {
 	t      testing.TB
 	conn   *net.TCPConn
 	reader *bufio.Reader
 }
 
+// dial connects to the node. The connection is closed when the test ends.
 func (p *nodeProcess) dial(t testing.TB) *testClient {
 	t.Helper()
-	c, err := net.Dial("tcp", p.addr)
+	conn, err := net.Dial("tcp", p.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = c.Close() })
-	_ = c.SetDeadline(time.Now().Add(waitLimit))
-	return &testClient{t, c.(*net.TCPConn), bufio.NewReader(c)}
+	t.Cleanup(func() { _ = conn.Close() })
+	_ = conn.SetDeadline(time.Now().Add(waitLimit))
+	return &testClient{t, conn.(*net.TCPConn), bufio.NewReader(conn)}
 }
 
-// openRequest sends an OPEN with a fresh id and key, and more behind the usual.
-func (p *nodeProcess) openRequest(t testing.TB, more string) *testClient {
+// openRequest connects and sends an OPEN with a fresh id and key; extraFields follow the usual ones.
+func (p *nodeProcess) openRequest(t testing.TB, extraFields string) *testClient {
 	t.Helper()
 	n, client := nextID(), p.dial(t)
-	client.send(fmt.Sprintf("OPEN id%d key%d c=chat,t=acme,d=2500%s\r\n", n, n, more))
+	client.send(fmt.Sprintf("OPEN id%d key%d c=chat,t=acme,d=2500%s\r\n", n, n, extraFields))
 	return client
 }
 
+// establish opens count requests, one after the other, and wants each answer to begin with answer.
+func (p *nodeProcess) establish(t testing.TB, count int, answer string) []*testClient {
+	t.Helper()
+	var clients []*testClient
+	for range count {
+		client := p.openRequest(t, "")
+		client.expectLine(answer)
+		clients = append(clients, client)
+	}
+	return clients
+}
+
+// send writes text to the node.
 func (c *testClient) send(text string) {
 	c.t.Helper()
 	if _, err := io.WriteString(c.conn, text); err != nil {
@@ -44,29 +58,29 @@
 	}
 }
 
-// expectLine reads a line and wants it to begin with text.
-func (c *testClient) expectLine(text string) string {
+// expectLine reads a line, wants it to begin with prefix and returns it.
+func (c *testClient) expectLine(prefix string) string {
 	c.t.Helper()
 	line, err := c.reader.ReadString('\n')
-	if err != nil || !strings.HasPrefix(line, text) {
-		c.t.Fatalf("heard %q, error %v; want %q", line, err, text)
+	if err != nil || !strings.HasPrefix(line, prefix) {
+		c.t.Fatalf("received %q, error %v; want %q", line, err, prefix)
 	}
 	return line
 }
 
-// expectClose wants the end of the connection: by FIN, or by a reset.
+// expectClose wants the node to close the connection without a further byte, by FIN or by a reset.
 func (c *testClient) expectClose(byReset bool) {
 	c.t.Helper()
 	rest, err := io.ReadAll(c.reader)
 	if len(rest) > 0 || byReset != (err != nil) {
-		c.t.Errorf("ended with %q, error %v; want a reset: %v", rest, err, byReset)
+		c.t.Errorf("closed after %q, error %v; want a reset: %v", rest, err, byReset)
 	}
 }
 
-// waitUntilUsed waits until a host has had more lines than before.
+// waitUntilUsed opens requests until a host has received more openings than before.
 func (p *nodeProcess) waitUntilUsed(t testing.TB, host *fakeHost, before int) {
 	t.Helper()
-	eventually(t, "it is used again", func() bool {
+	eventually(t, "the host is used again", func() bool {
 		client := p.openRequest(t, "")
 		client.expectLine("UP")
 		_ = client.conn.Close()
@@ -74,62 +88,92 @@
 	})
 }
 
-// missingAnswer is a request that got none, or not one of the protocol's.
+// waitUntilServedBy opens requests until the host with this id serves one. Each client disconnects at once, so that
+// they do not fill the node.
+func (p *nodeProcess) waitUntilServedBy(t testing.TB, hostID string) {
+	t.Helper()
+	eventually(t, "requests go to "+hostID, func() bool {
+		client := p.openRequest(t, "")
+		defer client.conn.Close()
+		return strings.Contains(client.expectLine("UP "), "from-"+hostID)
+	})
+}
+
+// waitForPingAnswer waits until eight PINGs in a row get the wanted answer: with two processes behind an address either
+// may accept a connection.
+func (p *nodeProcess) waitForPingAnswer(t testing.TB, want string) {
+	t.Helper()
+	eventually(t, "PING is answered "+want, func() bool {
+		for range 8 {
+			client := p.dial(t)
+			client.send("PING\r\n")
+			line, _ := client.reader.ReadString('\n')
+			_ = client.conn.Close()
+			if line != want {
+				return false
+			}
+		}
+		return true
+	})
+}
+
+// missingAnswer is a request without an answer, or with one that the protocol does not know.
 type missingAnswer struct {
 	request  int
 	received string
 	err      error
 }
 
-// request sends one request and tells its final answer, or that it got none. A connection that the node's machine did not
-// accept is no request.
-func (p *nodeProcess) request(n int) (answer string, lost *missingAnswer) {
-	c, err := net.DialTimeout("tcp", p.addr, waitLimit)
+// request sends one request and returns the first word of its answer, or that it got none. A connection that the system
+// did not accept counts as neither.
+func (p *nodeProcess) request(id int) (answer string, missing *missingAnswer) {
+	conn, err := net.DialTimeout("tcp", p.addr, waitLimit)
 	if err != nil {
 		return "", nil
 	}
-	defer c.Close()
-	_ = c.SetDeadline(time.Now().Add(waitLimit))
-	if _, err := io.WriteString(c, fmt.Sprintf("OPEN r%d k%d c=chat,t=acme,d=2500\r\n", n, n)); err != nil {
-		return "", &missingAnswer{n, "", err}
+	defer conn.Close()
+	_ = conn.SetDeadline(time.Now().Add(waitLimit))
+	_, err = io.WriteString(conn, fmt.Sprintf("OPEN r%d k%d c=chat,t=acme,d=2500\r\n", id, id))
+	if err != nil {
+		return "", &missingAnswer{id, "", err}
 	}
-	line, err := bufio.NewReader(c).ReadString('\n')
+	line, err := bufio.NewReader(conn).ReadString('\n')
 	word, _, _ := strings.Cut(strings.TrimSpace(line), " ")
 	if err != nil || word != "UP" && word != "BUSY" && word != "ERR" {
-		return "", &missingAnswer{n, line, err}
+		return "", &missingAnswer{id, line, err}
 	}
 	return word, nil
 }
 
-// runLoad sends requests from several clients at once for a time, and tells how many got which answer, and which got none.
-func (p *nodeProcess) runLoad(clients int, length time.Duration) (answers map[string]int, lost []missingAnswer) {
+// runLoad sends requests from several clients at once for the duration, and returns how many got which answer and those
+// that got none.
+func (p *nodeProcess) runLoad(clients int, duration time.Duration) (answers map[string]int, missing []missingAnswer) {
 	answers = map[string]int{}
 	var mu sync.Mutex
-	var all sync.WaitGroup
-	until := time.Now().Add(length)
+	var running sync.WaitGroup
+	end := time.Now().Add(duration)
 	for range clients {
-		all.Go(func() {
-			for time.Now().Before(until) {
+		running.Go(func() {
+			for time.Now().Before(end) {
 				answer, none := p.request(nextID())
 				mu.Lock()
-				if answers[answer]++; none != nil {
-					lost = append(lost, *none)
+				answers[answer]++
+				if none != nil {
+					missing = append(missing, *none)
 				}
 				mu.Unlock()
 				time.Sleep(5 * time.Millisecond)
 			}
 		})
 	}
-	all.Wait()
-	return answers, lost
+	running.Wait()
+	return answers, missing
 }
 
-// waitUntilServedBy waits until a host gets what comes.
-func (p *nodeProcess) waitUntilServedBy(t *testing.T, host string) {
+// expectNoneMissing fails the test for each request without an answer.
+func expectNoneMissing(t testing.TB, missing []missingAnswer) {
 	t.Helper()
-	eventually(t, "requests go to "+host, func() bool {
-		client := p.openRequest(t, "")
-		defer client.conn.Close()
-		return strings.Contains(client.expectLine("UP "), "from-"+host)
-	})
+	for _, m := range missing {
+		t.Errorf("request r%d has no answer: received %q, error %v", m.request, m.received, m.err)
+	}
 }
