--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -31,14 +31,14 @@
 		{"socket", c.Socket},
 	} {
 		if required.value == "" {
-			return tomlfile.Wrong(required.name, "it is missing")
+			return tomlfile.NewFieldError(required.name, "it is missing")
 		}
 	}
 	if c.PollInterval == 0 {
 		c.PollInterval = tomlfile.Duration(defaultPollInterval)
 	}
-	if c.PollInterval.D() < minPollInterval || c.PollInterval.D() > maxPollInterval {
-		return tomlfile.Wrong("every", "%s is not between 10ms and 1m", c.PollInterval.D())
+	if c.PollInterval.AsDuration() < minPollInterval || c.PollInterval.AsDuration() > maxPollInterval {
+		return tomlfile.NewFieldError("every", "%s is not between 10ms and 1m", c.PollInterval.AsDuration())
 	}
 	return nil
 }
--- a/internal/agent/follow.go
+++ b/internal/agent/follow.go
@@ -74,7 +74,7 @@
 	if instance.client != nil {
 		defer instance.client.Close()
 	}
-	interval := a.cfg.PollInterval.D()
+	interval := a.cfg.PollInterval.AsDuration()
 	delay := time.Duration(rand.Float64() * float64(interval) / 4)
 	failures := 0
 	for {
--- a/internal/agent/inventory.go
+++ b/internal/agent/inventory.go
@@ -27,7 +27,7 @@
 // Check returns an error that names the first invalid field.
 func (v *Inventory) Check() error {
 	if len(v.Instances) > maxInstances {
-		return tomlfile.Wrong("instance", "there are %d, at most %d can be", len(v.Instances), maxInstances)
+		return tomlfile.NewFieldError("instance", "there are %d, at most %d can be", len(v.Instances), maxInstances)
 	}
 	var field *fleet.FieldError
 	if err := fleet.CheckInventory(v.Instances); errors.As(err, &field) {
--- a/internal/cli/config_migrate.go
+++ b/internal/cli/config_migrate.go
@@ -100,7 +100,7 @@
 func (m *migration) locate(err error, shapeText []byte) error {
 	var shapeError *tomlfile.FieldError
 	if errors.As(err, &shapeError) {
-		return tomlfile.Place(m.shapePath, shapeText, err)
+		return tomlfile.AddLocation(m.shapePath, shapeText, err)
 	}
 	var oldError *migrate.Error
 	if errors.As(err, &oldError) {
--- a/internal/loadtest/client.go
+++ b/internal/loadtest/client.go
@@ -67,7 +67,7 @@
 // request tries until there is a final answer.
 func (e *engine) request(r *Request, path, mark string) *answer {
 	rng := requestRand(e.s.Seed^0x7472696573, r.N)
-	wait := e.s.Clients.Wait.D()
+	wait := e.s.Clients.Wait.AsDuration()
 	for try := 0; ; try++ {
 		m := mark
 		if try > 0 && e.s.Clients.Marks {
@@ -328,7 +328,7 @@
 
 // comeBackWait is how soon a client comes again.
 func (e *engine) comeBackWait(r *Request) time.Duration {
-	from, to := e.s.Clients.Comeback[0].D(), e.s.Clients.Comeback[1].D()
+	from, to := e.s.Clients.Comeback[0].AsDuration(), e.s.Clients.Comeback[1].AsDuration()
 	return from + time.Duration(requestRand(e.s.Seed^0x6261636b, r.N).Float64()*float64(to-from))
 }
 
--- a/internal/loadtest/engine.go
+++ b/internal/loadtest/engine.go
@@ -78,7 +78,7 @@
 	e.dials, e.cancelDials = context.WithCancel(context.Background())
 	defer e.cancelDials()
 	for _, c := range e.s.Classes {
-		e.classes[c.Name] = c.Deadline.D()
+		e.classes[c.Name] = c.Deadline.AsDuration()
 	}
 	if n := e.s.Limits.Sources; n > 1 {
 		for i := range n {
@@ -101,7 +101,7 @@
 	beside.Go(func() { e.wakes(helpers) })
 	for i, w := range e.s.Waves {
 		beside.Go(func() {
-			if e.sleep(helpers, w.At.D()) {
+			if e.sleep(helpers, w.At.AsDuration()) {
 				e.drop(i)
 			}
 		})
@@ -241,7 +241,7 @@
 
 // settle waits until all requests have their answers, and watches those who stand for as long as the scenario says.
 func (e *engine) settle(ctx context.Context) {
-	end := time.Now().Add(e.s.Limits.Linger.D())
+	end := time.Now().Add(e.s.Limits.Linger.AsDuration())
 	for ctx.Err() == nil {
 		e.stats.mu.Lock()
 		owed := e.fired.Load() - e.stats.ended
--- a/internal/loadtest/result.go
+++ b/internal/loadtest/result.go
@@ -150,7 +150,7 @@
 		}
 		r.Line = append(r.Line, p)
 	}
-	limit := e.s.Limits.Lateness.D()
+	limit := e.s.Limits.Lateness.AsDuration()
 	switch why := e.own.Load(); {
 	case unsent > 0 && why != nil:
 		r.Behind = fmt.Sprintf("%d requests could not be sent by the generator: %v", unsent, *why)
--- a/internal/loadtest/scenario.go
+++ b/internal/loadtest/scenario.go
@@ -126,7 +126,7 @@
 // Length is how long requests are sent.
 func (s *Scenario) Length() (d time.Duration) {
 	for _, p := range s.Phases {
-		d += p.For.D()
+		d += p.For.AsDuration()
 	}
 	return d
 }
@@ -140,7 +140,7 @@
 	}
 	if s.Fleet == nil {
 		if len(s.Faults) > 0 {
-			return tomlfile.Wrong("fault[0].what", "a scenario without a fleet has nothing to break")
+			return tomlfile.NewFieldError("fault[0].what", "a scenario without a fleet has nothing to break")
 		}
 		return nil
 	}
@@ -152,7 +152,7 @@
 
 func (s *Scenario) classNames() (out []testcluster.ClassSpec) {
 	for _, c := range s.Classes {
-		out = append(out, testcluster.ClassSpec{Name: c.Name, Deadline: c.Deadline.D()})
+		out = append(out, testcluster.ClassSpec{Name: c.Name, Deadline: c.Deadline.AsDuration()})
 	}
 	return out
 }
@@ -173,12 +173,12 @@
 			return v, nil
 		}
 	}
-	return v, tomlfile.Wrong(path, "%q is none of %q", v, known)
+	return v, tomlfile.NewFieldError(path, "%q is none of %q", v, known)
 }
 
 func within(path string, v, from, to float64) error {
 	if !(v >= from && v <= to) {
-		return tomlfile.Wrong(path, "%g is not between %g and %g", v, from, to)
+		return tomlfile.NewFieldError(path, "%g is not between %g and %g", v, from, to)
 	}
 	return nil
 }
@@ -210,7 +210,7 @@
 
 func (s *Scenario) checkPhases() error {
 	if len(s.Phases) == 0 {
-		return tomlfile.Wrong("phase", "there is none")
+		return tomlfile.NewFieldError("phase", "there is none")
 	}
 	for i := range s.Phases {
 		p, at := &s.Phases[i], path("phase", i)
@@ -219,7 +219,7 @@
 			return err
 		}
 		p.Shape = shape
-		err = first(within(at+"for", p.For.D().Seconds(), 0.001, mostLength.Seconds()),
+		err = first(within(at+"for", p.For.AsDuration().Seconds(), 0.001, mostLength.Seconds()),
 			within(at+"rate", p.Rate, 0, mostRate), within(at+"to", p.To, 0, mostRate),
 			within(at+"burst", p.Burst, 0, mostRate), within(at+"duty", p.Duty, 0, 1))
 		if err != nil {
@@ -229,10 +229,10 @@
 		case "step":
 			err = within(at+"steps", float64(p.Steps), 1, 1000)
 		case "burst":
-			err = first(within(at+"within", p.Within.D().Seconds(), 0.001, p.For.D().Seconds()),
-				within(at+"every", p.Every.D().Seconds(), max(p.Within.D().Seconds(), p.For.D().Seconds()/1000), mostLength.Seconds()))
+			err = first(within(at+"within", p.Within.AsDuration().Seconds(), 0.001, p.For.AsDuration().Seconds()),
+				within(at+"every", p.Every.AsDuration().Seconds(), max(p.Within.AsDuration().Seconds(), p.For.AsDuration().Seconds()/1000), mostLength.Seconds()))
 		case "onoff":
-			err = first(within(at+"every", p.Every.D().Seconds(), max(0.001, p.For.D().Seconds()/1000), mostLength.Seconds()),
+			err = first(within(at+"every", p.Every.AsDuration().Seconds(), max(0.001, p.For.AsDuration().Seconds()/1000), mostLength.Seconds()),
 				within(at+"duty", p.Duty, 0.001, 1))
 		}
 		if err != nil {
@@ -246,7 +246,7 @@
 
 func (s *Scenario) checkClasses() error {
 	if len(s.Classes) == 0 {
-		return tomlfile.Wrong("class", "there is none")
+		return tomlfile.NewFieldError("class", "there is none")
 	}
 	seen := map[string]bool{}
 	for i := range s.Classes {
@@ -262,9 +262,9 @@
 			return err
 		}
 		c.Spread = spread
-		if err := first(within(at+"share", c.Share, 0, 1e9), within(at+"deadline", c.Deadline.D().Seconds(), 0.001, 600),
-			within(at+"life", c.Life.D().Seconds(), 0.001, mostLength.Seconds()),
-			within(at+"message", c.Message.D().Seconds(), 0, mostLength.Seconds()), within(at+"load", c.Load, 0, 1000)); err != nil {
+		if err := first(within(at+"share", c.Share, 0, 1e9), within(at+"deadline", c.Deadline.AsDuration().Seconds(), 0.001, 600),
+			within(at+"life", c.Life.AsDuration().Seconds(), 0.001, mostLength.Seconds()),
+			within(at+"message", c.Message.AsDuration().Seconds(), 0, mostLength.Seconds()), within(at+"load", c.Load, 0, 1000)); err != nil {
 			return err
 		}
 	}
@@ -284,7 +284,7 @@
 		}
 	}
 	if len(s.Tenants) == 0 {
-		return tomlfile.Wrong("tenant", "there is none")
+		return tomlfile.NewFieldError("tenant", "there is none")
 	}
 	for _, d := range []struct {
 		name string
@@ -294,7 +294,7 @@
 			return err
 		}
 		if d.Zipf != 0 && !(d.Zipf > 1 && d.Zipf <= 20) {
-			return tomlfile.Wrong(d.name+".zipf", "%g is not above 1 and up to 20", d.Zipf)
+			return tomlfile.NewFieldError(d.name+".zipf", "%g is not above 1 and up to 20", d.Zipf)
 		}
 	}
 	return sums(s)
@@ -307,7 +307,7 @@
 		total += c.Share
 	}
 	if total <= 0 {
-		return tomlfile.Wrong("class[0].share", "all shares are 0")
+		return tomlfile.NewFieldError("class[0].share", "all shares are 0")
 	}
 	for name, list := range map[string][]Share{"tenant": s.Tenants, "zone": s.Zones} {
 		total := 0.0
@@ -315,7 +315,7 @@
 			total += t.Share
 		}
 		if len(list) > 0 && total <= 0 {
-			return tomlfile.Wrong(name+"[0].share", "all shares are 0")
+			return tomlfile.NewFieldError(name+"[0].share", "all shares are 0")
 		}
 	}
 	return nil
@@ -324,18 +324,18 @@
 // plainName checks a name that goes into a list of names and values on the wire.
 func plainName(at, v string, seen map[string]bool) error {
 	if v == "" || len(v) > 64 {
-		return tomlfile.Wrong(at, "a name has 1 to 64 bytes")
+		return tomlfile.NewFieldError(at, "a name has 1 to 64 bytes")
 	}
 	for _, b := range []byte(v) {
 		if b <= ' ' || b >= 0x7f || b == ',' || b == '=' {
-			return tomlfile.Wrong(at, "%q has a character that a name can't have", v)
+			return tomlfile.NewFieldError(at, "%q has a character that a name can't have", v)
 		}
 	}
 	if seen[v] {
-		return tomlfile.Wrong(at, "%q is given twice", v)
+		return tomlfile.NewFieldError(at, "%q is given twice", v)
 	}
 	if len(seen) >= mostNames {
-		return tomlfile.Wrong(at, "there are over %d", mostNames)
+		return tomlfile.NewFieldError(at, "there are over %d", mostNames)
 	}
 	seen[v] = true
 	return nil
@@ -353,20 +353,20 @@
 	if len(c.Comeback) == 0 {
 		c.Comeback = []tomlfile.Duration{tomlfile.Duration(50 * time.Millisecond), tomlfile.Duration(time.Second)}
 	}
-	if len(c.Comeback) != 2 || c.Comeback[0] < 0 || c.Comeback[1] < c.Comeback[0] || c.Comeback[1].D() > time.Hour {
-		return tomlfile.Wrong("clients.come_back", "it is two times, the first no longer than the second")
+	if len(c.Comeback) != 2 || c.Comeback[0] < 0 || c.Comeback[1] < c.Comeback[0] || c.Comeback[1].AsDuration() > time.Hour {
+		return tomlfile.NewFieldError("clients.come_back", "it is two times, the first no longer than the second")
 	}
 	if c.Returns == 0 {
 		c.Returns = defaultReturns
 	}
 	for i, w := range s.Waves {
 		at := path("wave", i)
-		if err := first(within(at+"at", w.At.D().Seconds(), 0, mostLength.Seconds()), within(at+"share", w.Share, 0, 1),
-			within(at+"within", w.Within.D().Seconds(), 0, 3600)); err != nil {
+		if err := first(within(at+"at", w.At.AsDuration().Seconds(), 0, mostLength.Seconds()), within(at+"share", w.Share, 0, 1),
+			within(at+"within", w.Within.AsDuration().Seconds(), 0, 3600)); err != nil {
 			return err
 		}
 	}
-	return first(within("clients.retries", float64(c.Retries), 0, 100), within("clients.wait", c.Wait.D().Seconds(), 0, 600),
+	return first(within("clients.retries", float64(c.Retries), 0, 100), within("clients.wait", c.Wait.AsDuration().Seconds(), 0, 600),
 		within("clients.returns", float64(c.Returns), 0, 1000), within("standing.count", float64(s.Standing.Count), 0, 1e6))
 }
 
@@ -382,11 +382,11 @@
 		l.Sources = 1
 	}
 	if s.Standing.Count > 0 && s.Fleet == nil {
-		return tomlfile.Wrong("standing.count", "only a fleet of the scenario's own can have held connections before")
+		return tomlfile.NewFieldError("standing.count", "only a fleet of the scenario's own can have held connections before")
 	}
 	if s.Requests.Direct > 0 && s.Fleet == nil {
-		return tomlfile.Wrong("requests.direct", "only a fleet of the scenario's own has hosts that are known here")
+		return tomlfile.NewFieldError("requests.direct", "only a fleet of the scenario's own has hosts that are known here")
 	}
-	return first(within("limits.lateness", l.Lateness.D().Seconds(), 1e-6, 60), within("limits.open", float64(l.Open), 1, 1e6),
-		within("limits.sources", float64(l.Sources), 1, mostSources), within("limits.linger", l.Linger.D().Seconds(), 0, 3600))
+	return first(within("limits.lateness", l.Lateness.AsDuration().Seconds(), 1e-6, 60), within("limits.open", float64(l.Open), 1, 1e6),
+		within("limits.sources", float64(l.Sources), 1, mostSources), within("limits.linger", l.Linger.AsDuration().Seconds(), 0, 3600))
 }
--- a/internal/loadtest/schedule.go
+++ b/internal/loadtest/schedule.go
@@ -83,7 +83,7 @@
 
 // segments cuts a phase into stretches of one slope.
 func (p *Phase) segments() (out []segment) {
-	length := p.For.D()
+	length := p.For.AsDuration()
 	switch p.Shape {
 	case "ramp":
 		return []segment{{length, p.Rate, p.To}}
@@ -97,16 +97,16 @@
 		}
 		return out
 	case "burst", "onoff":
-		on, high, low := p.Within.D(), p.Rate, p.Rate
+		on, high, low := p.Within.AsDuration(), p.Rate, p.Rate
 		if p.Shape == "onoff" {
-			on, low = time.Duration(p.Duty*float64(p.Every.D())), p.To
+			on, low = time.Duration(p.Duty*float64(p.Every.AsDuration())), p.To
 		} else {
 			high += p.Burst / on.Seconds()
 		}
-		for at := time.Duration(0); at < length; at += p.Every.D() {
+		for at := time.Duration(0); at < length; at += p.Every.AsDuration() {
 			first := min(on, length-at)
 			out = append(out, segment{first, high, high})
-			if rest := min(p.Every.D(), length-at) - first; rest > 0 {
+			if rest := min(p.Every.AsDuration(), length-at) - first; rest > 0 {
 				out = append(out, segment{rest, low, low})
 			}
 		}
@@ -150,7 +150,7 @@
 func (c *Schedule) draw(n int64) Request {
 	rng := requestRand(c.s.Seed, n)
 	k := &c.s.Classes[c.classes.pick(rng.Float64())]
-	r := Request{N: n, Class: k.Name, Message: k.Message.D(), Load: k.Load,
+	r := Request{N: n, Class: k.Name, Message: k.Message.AsDuration(), Load: k.Load,
 		Tenant: c.s.Tenants[c.tenants.pick(rng.Float64())].Name}
 	if len(c.zones) > 0 {
 		r.Zone = c.s.Zones[c.zones.pick(rng.Float64())].Name
--- a/internal/migrate/migrate.go
+++ b/internal/migrate/migrate.go
@@ -142,5 +142,5 @@
 
 // shapeError reports that the shape does not fit the configuration.
 func shapeError(path, format string, args ...any) error {
-	return tomlfile.Wrong(path, format, args...)
+	return tomlfile.NewFieldError(path, format, args...)
 }
--- a/internal/migrate/shape.go
+++ b/internal/migrate/shape.go
@@ -66,10 +66,10 @@
 // Check returns a *tomlfile.FieldError for the first field that is invalid.
 func (s *Shape) Check() error {
 	if s.ListMode != "push" && s.ListMode != "ask" {
-		return tomlfile.Wrong("list", "%q is neither \"push\" nor \"ask\"", s.ListMode)
+		return tomlfile.NewFieldError("list", "%q is neither \"push\" nor \"ask\"", s.ListMode)
 	}
 	if s.NodeCount < 0 {
-		return tomlfile.Wrong("nodes", "%d is out of range", s.NodeCount)
+		return tomlfile.NewFieldError("nodes", "%d is out of range", s.NodeCount)
 	}
 	for _, check := range []func() error{s.checkLocations, s.checkClasses, s.checkTenants} {
 		if err := check(); err != nil {
@@ -81,24 +81,24 @@
 
 func (s *Shape) checkLocations() error {
 	if len(s.Locations) == 0 {
-		return tomlfile.Wrong("location", "none is named")
+		return tomlfile.NewFieldError("location", "none is named")
 	}
 	names, mapped := map[string]bool{}, map[string]bool{}
 	for _, old := range s.RemovedLocations {
 		if mapped[old] {
-			return tomlfile.Wrong("gone", "%q stands there twice", old)
+			return tomlfile.NewFieldError("gone", "%q stands there twice", old)
 		}
 		mapped[old] = true
 	}
 	for i, location := range s.Locations {
 		path := fmt.Sprintf("location[%d].", i)
 		if location.Name == "" || names[location.Name] {
-			return tomlfile.Wrong(path+"name", "%q is empty or taken", location.Name)
+			return tomlfile.NewFieldError(path+"name", "%q is empty or taken", location.Name)
 		}
 		names[location.Name] = true
 		for _, old := range location.From {
 			if mapped[old] {
-				return tomlfile.Wrong(path+"from", "%q is mapped twice", old)
+				return tomlfile.NewFieldError(path+"from", "%q is mapped twice", old)
 			}
 			mapped[old] = true
 		}
@@ -112,11 +112,11 @@
 		timesValid := class.SetupObjectiveMS > 0 && class.DeadlineMS >= class.SetupObjectiveMS && class.MessageObjectiveMS >= 0
 		switch {
 		case class.Name == "":
-			return tomlfile.Wrong(path+"name", "missing")
+			return tomlfile.NewFieldError(path+"name", "missing")
 		case !timesValid || !(class.PriorityWeight > 0):
-			return tomlfile.Wrong(path+"deadline_ms", "times and worth must be over 0, and the deadline no sooner than the set-up")
+			return tomlfile.NewFieldError(path+"deadline_ms", "times and worth must be over 0, and the deadline no sooner than the set-up")
 		case class.Effect != "safe" && class.Effect != "keyed" && class.Effect != "unsafe":
-			return tomlfile.Wrong(path+"repeat", "%q is none of \"safe\", \"keyed\", \"unsafe\"", class.Effect)
+			return tomlfile.NewFieldError(path+"repeat", "%q is none of \"safe\", \"keyed\", \"unsafe\"", class.Effect)
 		}
 	}
 	return nil
@@ -125,7 +125,7 @@
 func (s *Shape) checkTenants() error {
 	for i, tenant := range s.Tenants {
 		if tenant.Name == "" || !(tenant.ConnectionQuota >= 0) {
-			return tomlfile.Wrong(fmt.Sprintf("tenant[%d].name", i), "a name and at least 0 connections are needed")
+			return tomlfile.NewFieldError(fmt.Sprintf("tenant[%d].name", i), "a name and at least 0 connections are needed")
 		}
 	}
 	return nil
--- a/internal/nodeconfig/options.go
+++ b/internal/nodeconfig/options.go
@@ -64,10 +64,10 @@
 		return nil
 	}
 	if _, err := net.ResolveTCPAddr("tcp", c.Listen); err != nil {
-		return tomlfile.Wrong("control.listen", "%q is no address and port", c.Listen)
+		return tomlfile.NewFieldError("control.listen", "%q is no address and port", c.Listen)
 	}
 	if c.Keys == nil {
-		return tomlfile.Wrong("control.listen", "[control.keys] is required with it")
+		return tomlfile.NewFieldError("control.listen", "[control.keys] is required with it")
 	}
 	for _, field := range []struct{ name, value string }{
 		{"cert", c.Keys.Cert},
@@ -75,7 +75,7 @@
 		{"authority", c.Keys.Authority},
 	} {
 		if field.value == "" {
-			return tomlfile.Wrong("control.keys."+field.name, "missing")
+			return tomlfile.NewFieldError("control.keys."+field.name, "missing")
 		}
 	}
 	return nil
@@ -86,7 +86,7 @@
 		return nil
 	}
 	if len(c.Peers) > maxPeers {
-		return tomlfile.Wrong("coldstart.peer", "%d peers exceed the limit of %d", len(c.Peers), maxPeers)
+		return tomlfile.NewFieldError("coldstart.peer", "%d peers exceed the limit of %d", len(c.Peers), maxPeers)
 	}
 	for i, peer := range c.Peers {
 		path := fmt.Sprintf("coldstart.peer[%d]", i)
@@ -95,7 +95,7 @@
 		}
 	}
 	if c.Folder != "" && !filepath.IsAbs(c.Folder) {
-		return tomlfile.Wrong("coldstart.folder", "%q is not an absolute path", c.Folder)
+		return tomlfile.NewFieldError("coldstart.folder", "%q is not an absolute path", c.Folder)
 	}
 	return nil
 }
@@ -105,10 +105,10 @@
 		return nil
 	}
 	if !isTCPAddress(peer.Addr) {
-		return tomlfile.Wrong(path+".addr", "%q is neither unix:PATH nor host and port", peer.Addr)
+		return tomlfile.NewFieldError(path+".addr", "%q is neither unix:PATH nor host and port", peer.Addr)
 	}
 	if c.Keys == nil || peer.Name == "" {
-		return tomlfile.Wrong(path+".name",
+		return tomlfile.NewFieldError(path+".name",
 			"a peer by host and port needs the name in its certificate, and [coldstart.keys]")
 	}
 	return nil
--- a/internal/scaletest/fit.go
+++ b/internal/scaletest/fit.go
@@ -47,7 +47,7 @@
 		{"service, with changes, messages/s", 0, func(s Sample) float64 { return s.Changes.MessagesPerS * float64(s.Nodes) }},
 		{"nodes, with changes, cores", target.CorePart * n, func(s Sample) float64 { return s.Changes.Cores * float64(s.Nodes) }},
 		{"nodes, memory, MB", target.MemoryMB * n, func(s Sample) float64 { return s.MemoryMB * float64(s.Nodes) }},
-		{"last node has a change, s", target.InForceMax.D().Seconds(), func(s Sample) float64 { return s.Changes.Latency.Last.Seconds() }},
+		{"last node has a change, s", target.InForceMax.AsDuration().Seconds(), func(s Sample) float64 { return s.Changes.Latency.Last.Seconds() }},
 	} {
 		var sizes, values []float64
 		for _, s := range samples {
--- a/internal/scaletest/run.go
+++ b/internal/scaletest/run.go
@@ -169,7 +169,7 @@
 		return sample, &ShortError{kind, n, fmt.Sprintf("processor: %d follow the list after %v", r.Discovery.Watching(), startWithin)}
 	}
 	sample.Started = time.Since(begin)
-	sample.Rest = m.phase(func() { wait(ctx, s.Rest.D()) })
+	sample.Rest = m.phase(func() { wait(ctx, s.Rest.AsDuration()) })
 	sample.Changes = m.phase(func() { m.changes(ctx, s.Changes) })
 	sample.Restart = m.phase(func() {
 		if err = p.restart(int(float64(n) * s.Restart)); err == nil {
--- a/internal/scaletest/spec.go
+++ b/internal/scaletest/spec.go
@@ -54,29 +54,29 @@
 func (s *Spec) Check() error {
 	switch {
 	case len(s.Hollow) < minSizes:
-		return tomlfile.Wrong("hollow", "%d sizes, a slope needs %d at least", len(s.Hollow), minSizes)
+		return tomlfile.NewFieldError("hollow", "%d sizes, a slope needs %d at least", len(s.Hollow), minSizes)
 	case !ascending(s.Hollow, maxNodes):
-		return tomlfile.Wrong("hollow", "sizes are to grow, from 1 to %d", maxNodes)
+		return tomlfile.NewFieldError("hollow", "sizes are to grow, from 1 to %d", maxNodes)
 	case !ascending(s.Real, maxReal):
-		return tomlfile.Wrong("real", "sizes are to grow, from 1 to %d", maxReal)
+		return tomlfile.NewFieldError("real", "sizes are to grow, from 1 to %d", maxReal)
 	case s.Hosts < 2 || s.Hosts > maxHosts:
-		return tomlfile.Wrong("hosts", "%d is not from 2 to %d", s.Hosts, maxHosts)
-	case s.Rest.D() < time.Second:
-		return tomlfile.Wrong("rest", "%v is under 1s: processor time is counted in hundredths of a second", s.Rest.D())
+		return tomlfile.NewFieldError("hosts", "%d is not from 2 to %d", s.Hosts, maxHosts)
+	case s.Rest.AsDuration() < time.Second:
+		return tomlfile.NewFieldError("rest", "%v is under 1s: processor time is counted in hundredths of a second", s.Rest.AsDuration())
 	case s.Changes < 1 || s.Changes > maxChanges:
-		return tomlfile.Wrong("changes", "%d is not from 1 to %d", s.Changes, maxChanges)
+		return tomlfile.NewFieldError("changes", "%d is not from 1 to %d", s.Changes, maxChanges)
 	case !(s.PerDay > 0):
-		return tomlfile.Wrong("per_day", "%g is not above 0", s.PerDay)
+		return tomlfile.NewFieldError("per_day", "%g is not above 0", s.PerDay)
 	case !(s.Factor >= 1):
-		return tomlfile.Wrong("factor", "%g is under 1", s.Factor)
+		return tomlfile.NewFieldError("factor", "%g is under 1", s.Factor)
 	case s.interval() < time.Millisecond:
-		return tomlfile.Wrong("factor", "changes would come each %v, 1ms is the least", s.interval())
+		return tomlfile.NewFieldError("factor", "changes would come each %v, 1ms is the least", s.interval())
 	case !(s.Restart >= 0 && s.Restart <= 1):
-		return tomlfile.Wrong("restart", "%g is not from 0 to 1", s.Restart)
+		return tomlfile.NewFieldError("restart", "%g is not from 0 to 1", s.Restart)
 	case s.MemoryMB < 1:
-		return tomlfile.Wrong("memory_mb", "%d MB for the measured processes is under 1", s.MemoryMB)
+		return tomlfile.NewFieldError("memory_mb", "%d MB for the measured processes is under 1", s.MemoryMB)
 	case s.Target.Nodes < 1:
-		return tomlfile.Wrong("target.nodes", "%d is under 1", s.Target.Nodes)
+		return tomlfile.NewFieldError("target.nodes", "%d is under 1", s.Target.Nodes)
 	}
 	return nil
 }
--- a/internal/soaktest/run.go
+++ b/internal/soaktest/run.go
@@ -103,13 +103,13 @@
 func (p Plan) facts(begin, end time.Duration) Facts {
 	f := Facts{Unsafe: map[string]bool{"order": true}, Cut: p.Mode == "proxy", Delayed: map[string]bool{}, Crowded: map[string][]Span{}}
 	for _, x := range p.Faults {
-		span := Span{begin + x.At.D(), begin + x.At.D() + x.For.D()}
+		span := Span{begin + x.At.AsDuration(), begin + x.At.AsDuration() + x.For.AsDuration()}
 		if x.For == 0 {
 			span.To = end
 		}
 		switch {
 		case x.On == "discovery":
-			span.To += x.Over.D()
+			span.To += x.Over.AsDuration()
 			f.Unreachable = append(f.Unreachable, span)
 		case strings.HasPrefix(x.On, "link-n"), strings.HasPrefix(x.On, "n"):
 			f.Unreachable = append(f.Unreachable, Span{span.From, span.To + time.Second}) // a node that was away starts anew
@@ -232,7 +232,7 @@
 // ending reports whether a node has been told to end at a time, long enough ago for the front to have noticed.
 func (p Plan) ending(node string, at time.Duration) bool {
 	for _, x := range p.Faults {
-		if x.On == node && x.What == "stop" && at > x.At.D()+dealtFor && at < x.At.D()+restartTime/2 {
+		if x.On == node && x.What == "stop" && at > x.At.AsDuration()+dealtFor && at < x.At.AsDuration()+restartTime/2 {
 			return true
 		}
 	}
--- a/internal/soaktest/soak_test.go
+++ b/internal/soaktest/soak_test.go
@@ -89,7 +89,7 @@
 	}
 	var told strings.Builder
 	for _, x := range plan.Faults {
-		fmt.Fprintf(&told, "%v for %v: %s on %s by %g over %v\n", x.At.D(), x.For.D(), x.What, x.On, x.By, x.Over.D())
+		fmt.Fprintf(&told, "%v for %v: %s on %s by %g over %v\n", x.At.AsDuration(), x.For.AsDuration(), x.What, x.On, x.By, x.Over.AsDuration())
 	}
 	fmt.Fprintf(&told, "reloads %+v\ncrowds %+v\ncalls %+v\n", plan.Reloads, plan.Crowds, plan.Calls)
 	for name, text := range map[string]string{"log": string(report.Log), "ledger": ledger.String(), "plan": told.String()} {
@@ -127,7 +127,7 @@
 func overlapping(p Plan) (n int) {
 	var at []time.Duration
 	for _, x := range p.Faults {
-		at = append(at, x.At.D())
+		at = append(at, x.At.AsDuration())
 	}
 	for i, a := range at {
 		for _, b := range at[:i] {
--- a/internal/testcluster/faults.go
+++ b/internal/testcluster/faults.go
@@ -38,7 +38,7 @@
 	begin := time.Now()
 	r.wg.Go(func() {
 		for _, x := range line {
-			if !ctxtime.Sleep(ctx, time.Until(begin.Add(x.At.D()))) {
+			if !ctxtime.Sleep(ctx, time.Until(begin.Add(x.At.AsDuration()))) {
 				return
 			}
 			end, err := r.Begin(x)
@@ -47,7 +47,7 @@
 			}
 			if x.For > 0 {
 				r.wg.Go(func() {
-					if ctxtime.Sleep(ctx, time.Until(begin.Add(x.At.D()+x.For.D()))) {
+					if ctxtime.Sleep(ctx, time.Until(begin.Add(x.At.AsDuration()+x.For.AsDuration()))) {
 						if err := end(); err != nil {
 							r.fail(err)
 						}
@@ -156,7 +156,7 @@
 		return func() error { h.Steal(0); return nil }, nil
 	case "drain":
 		r.Discovery.Set(r.member(h, wire.Draining))
-		over := x.Over.D()
+		over := x.Over.AsDuration()
 		if over == 0 {
 			over = -1
 		}
@@ -171,12 +171,12 @@
 		}, nil
 	}
 	h.Die()
-	r.after(r.fleet.Notice.D(), func() { r.Discovery.Set(r.member(h, wire.Removed)) })
+	r.after(r.fleet.Notice.AsDuration(), func() { r.Discovery.Set(r.member(h, wire.Removed)) })
 	return func() error {
 		if err := h.Return(); err != nil {
 			return err
 		}
-		r.after(r.fleet.Notice.D(), func() { r.Discovery.Set(r.member(h, wire.Serving)) })
+		r.after(r.fleet.Notice.AsDuration(), func() { r.Discovery.Set(r.member(h, wire.Serving)) })
 		return nil
 	}, nil
 }
@@ -222,7 +222,7 @@
 	d := r.Discovery
 	switch x.What {
 	case "lag":
-		d.Lag(x.Over.D())
+		d.Lag(x.Over.AsDuration())
 		return func() error { d.Lag(0); return nil }
 	case "freeze":
 		d.Freeze(true)
@@ -278,7 +278,7 @@
 	case "stall":
 		begin, end = func(k *fakeserver.Link) { k.Stall(true) }, func(k *fakeserver.Link) { k.Stall(false) }
 	case "delay":
-		begin, end = func(k *fakeserver.Link) { k.Delay(x.Over.D()) }, func(k *fakeserver.Link) { k.Delay(0) }
+		begin, end = func(k *fakeserver.Link) { k.Delay(x.Over.AsDuration()) }, func(k *fakeserver.Link) { k.Delay(0) }
 	case "limit":
 		begin, end = func(k *fakeserver.Link) { k.Limit(int64(x.By)) }, func(k *fakeserver.Link) { k.Limit(0) }
 	case "refuse":
--- a/internal/testcluster/fleet.go
+++ b/internal/testcluster/fleet.go
@@ -125,7 +125,7 @@
 		f.Mode = "proxy"
 	}
 	if f.Mode != "pass" && f.Mode != "proxy" {
-		return tomlfile.Wrong("fleet.mode", `%q is neither "pass" nor "proxy"`, f.Mode)
+		return tomlfile.NewFieldError("fleet.mode", `%q is neither "pass" nor "proxy"`, f.Mode)
 	}
 	for _, d := range []struct {
 		v   *float64
@@ -148,7 +148,7 @@
 		f.List.AskWithin = tomlfile.Duration(10 * time.Second)
 	}
 	if f.ColdStart != nil && (f.ColdStart.Peers < 0 || f.ColdStart.Peers > mostPeers || f.ColdStart.Peers >= max(f.Nodes, 1)) {
-		return tomlfile.Wrong("fleet.coldstart.peers", "%d is not between 0 and %d, and under the nodes", f.ColdStart.Peers, mostPeers)
+		return tomlfile.NewFieldError("fleet.coldstart.peers", "%d is not between 0 and %d, and under the nodes", f.ColdStart.Peers, mostPeers)
 	}
 	for _, b := range []struct {
 		name        string
@@ -156,26 +156,26 @@
 	}{
 		{"nodes", float64(f.Nodes), 0, mostNodes}, {"hosts", float64(f.Hosts), 1, mostHosts},
 		{"zones", float64(len(f.Zones)), 1, 100}, {"cores", f.Cores, 0.05, 64}, {"memory_mb", float64(f.MemoryMB), 16, 1 << 20},
-		{"sockets", float64(f.Sockets), 64, 1 << 20}, {"notice", f.Notice.D().Seconds(), 0, 600},
-		{"front_notice", f.FrontNotice.D().Seconds(), 0, 600}, {"park", f.Park.D().Seconds(), 0, 600},
+		{"sockets", float64(f.Sockets), 64, 1 << 20}, {"notice", f.Notice.AsDuration().Seconds(), 0, 600},
+		{"front_notice", f.FrontNotice.AsDuration().Seconds(), 0, 600}, {"park", f.Park.AsDuration().Seconds(), 0, 600},
 		{"quota", f.Quota, 0, 1e9},
-		{"host.uneven", f.Host.Uneven, 0, 0.99}, {"store.latency", f.Store.Latency.D().Seconds(), 0, 600},
+		{"host.uneven", f.Host.Uneven, 0, 0.99}, {"store.latency", f.Store.Latency.AsDuration().Seconds(), 0, 600},
 		{"store.rate", f.Store.Rate, 0, 1e9}, {"agents", float64(f.Agents), 0, mostAgents},
-		{"list.cost", f.List.Cost.D().Seconds(), 0, 60}, {"list.wait", f.List.Wait.D().Seconds(), 0, 600},
-		{"list.queue", float64(f.List.Queue), 0, 1e6}, {"list.down", f.List.Down.D().Seconds(), 0, 600},
-		{"list.ask_within", f.List.AskWithin.D().Seconds(), 0.1, 600},
+		{"list.cost", f.List.Cost.AsDuration().Seconds(), 0, 60}, {"list.wait", f.List.Wait.AsDuration().Seconds(), 0, 600},
+		{"list.queue", float64(f.List.Queue), 0, 1e6}, {"list.down", f.List.Down.AsDuration().Seconds(), 0, 600},
+		{"list.ask_within", f.List.AskWithin.AsDuration().Seconds(), 0.1, 600},
 	} {
 		if !(b.v >= b.from && b.v <= b.to) {
-			return tomlfile.Wrong("fleet."+b.name, "%g is not between %g and %g", b.v, b.from, b.to)
+			return tomlfile.NewFieldError("fleet."+b.name, "%g is not between %g and %g", b.v, b.from, b.to)
 		}
 	}
 	for i, z := range f.Zones {
 		if z == "" || strings.ContainsAny(z, " ,=\"\\") {
-			return tomlfile.Wrong("fleet.zones", "%q is no name (number %d)", z, i+1)
+			return tomlfile.NewFieldError("fleet.zones", "%q is no name (number %d)", z, i+1)
 		}
 	}
 	if field, err := f.spec(0).Check(); err != nil {
-		return tomlfile.Wrong("fleet.host."+field, "%w", err)
+		return tomlfile.NewFieldError("fleet.host."+field, "%w", err)
 	}
 	return nil
 }
@@ -188,8 +188,8 @@
 		speed *= 1 - h.Uneven + 2*h.Uneven*float64(i%f.Hosts)/float64(f.Hosts-1)
 	}
 	return capacity.Spec{Cores: h.Cores, Speed: speed, Load: h.Load, Drift: h.Drift, Group: h.Group,
-		Setup: h.Setup.D().Seconds(), Lines: h.Lines.D().Seconds(), Most: h.Most, Queue: h.Queue,
-		Cold: h.Cold, Warm: h.Warm.D(), Fall: h.Fall, FallIn: h.FallIn.D()}
+		Setup: h.Setup.AsDuration().Seconds(), Lines: h.Lines.AsDuration().Seconds(), Most: h.Most, Queue: h.Queue,
+		Cold: h.Cold, Warm: h.Warm.AsDuration(), Fall: h.Fall, FallIn: h.FallIn.AsDuration()}
 }
 
 // target is one thing that a fault is on.
@@ -252,7 +252,7 @@
 		at := fmt.Sprintf("fault[%d].", i)
 		all, err := f.targets(x.On)
 		if err != nil {
-			return tomlfile.Wrong(at+"on", "%w", err)
+			return tomlfile.NewFieldError(at+"on", "%w", err)
 		}
 		for _, t := range all {
 			if err := f.checkFault(at, x, t, &hosts); err != nil {
@@ -273,26 +273,26 @@
 	}
 	switch {
 	case !ok:
-		return tomlfile.Wrong(at+"what", "%q can't happen to a %s", x.What, t.kind)
+		return tomlfile.NewFieldError(at+"what", "%q can't happen to a %s", x.What, t.kind)
 	case x.At < 0:
-		return tomlfile.Wrong(at+"at", "%s is negative", x.At.D())
+		return tomlfile.NewFieldError(at+"at", "%s is negative", x.At.AsDuration())
 	case x.For < 0:
-		return tomlfile.Wrong(at+"for", "%s is negative", x.For.D())
+		return tomlfile.NewFieldError(at+"for", "%s is negative", x.For.AsDuration())
 	case k.by && x.By <= 0:
-		return tomlfile.Wrong(at+"by", "%s needs a figure above 0", x.What)
+		return tomlfile.NewFieldError(at+"by", "%s needs a figure above 0", x.What)
 	case x.Over < 0:
-		return tomlfile.Wrong(at+"over", "%s is negative", x.Over.D())
+		return tomlfile.NewFieldError(at+"over", "%s is negative", x.Over.AsDuration())
 	case t.kind == "link" && off[t.of] != "":
-		return tomlfile.Wrong(at+"on", "%s is off, so there is no link", off[t.of])
+		return tomlfile.NewFieldError(at+"on", "%s is off, so there is no link", off[t.of])
 	case x.What == "stall" && (t.kind == "node" || t.kind == "agent") && x.For == 0:
-		return tomlfile.Wrong(at+"for", "a process that stalls for ever is killed, not stalled")
+		return tomlfile.NewFieldError(at+"for", "a process that stalls for ever is killed, not stalled")
 	case t.kind == "host" && x.What == "add":
 		if t.index != *hosts {
-			return tomlfile.Wrong(at+"on", "the next host to add is h%d", *hosts+1)
+			return tomlfile.NewFieldError(at+"on", "the next host to add is h%d", *hosts+1)
 		}
 		*hosts++
 	case t.kind == "host" && t.index >= *hosts:
-		return tomlfile.Wrong(at+"on", "there is no h%d by then", t.index+1)
+		return tomlfile.NewFieldError(at+"on", "there is no h%d by then", t.index+1)
 	}
 	return nil
 }
--- a/internal/testcluster/make.go
+++ b/internal/testcluster/make.go
@@ -50,9 +50,9 @@
 		"domain": domain,
 		"limits": map[string]any{"cancel": true, "connectTimeout": 250, "maxAttempts": 5, "maxRetryAfter": 2000,
 			"probes": f.Probes, "retryAfter": true},
-		"rules": map[string]any{"answerSlack": 16, "askWithin": float64(f.List.AskWithin.D().Milliseconds()), "coldShare": cold, "fallMultiple": max(f.Host.Fall, 1),
-			"overloadFor": float64(f.Host.FallIn.D().Milliseconds()), "stopSendingWithin": 400,
-			"warmWithin": float64(f.Host.Warm.D().Milliseconds())},
+		"rules": map[string]any{"answerSlack": 16, "askWithin": float64(f.List.AskWithin.AsDuration().Milliseconds()), "coldShare": cold, "fallMultiple": max(f.Host.Fall, 1),
+			"overloadFor": float64(f.Host.FallIn.AsDuration().Milliseconds()), "stopSendingWithin": 400,
+			"warmWithin": float64(f.Host.Warm.AsDuration().Milliseconds())},
 	}
 }
 
--- a/internal/testcluster/rig.go
+++ b/internal/testcluster/rig.go
@@ -81,7 +81,7 @@
 func Prepare(f Fleet, opt Options) (r *Rig, err error) {
 	clock := fakeserver.NewClock()
 	r = &Rig{Clock: clock, Ledger: fakeserver.NewLedger(clock), fleet: f, opt: opt, number: int(rigs.Add(1)),
-		store: fakeserver.NewStore(capacity.Store{Latency: f.Store.Latency.D(), Rate: f.Store.Rate})}
+		store: fakeserver.NewStore(capacity.Store{Latency: f.Store.Latency.AsDuration(), Rate: f.Store.Rate})}
 	defer func() {
 		if err != nil {
 			r.Close()
@@ -98,7 +98,7 @@
 	if r.Discovery, err = fakeserver.NewDiscovery("", clock, r.Ledger, 1, members...); err != nil {
 		return nil, err
 	}
-	r.Discovery.Bears(fakeserver.Load{Cost: f.List.Cost.D(), Wait: f.List.Wait.D(), Queue: f.List.Queue, After: f.List.After})
+	r.Discovery.Bears(fakeserver.Load{Cost: f.List.Cost.AsDuration(), Wait: f.List.Wait.AsDuration(), Queue: f.List.Queue, After: f.List.After})
 	if r.dir, err = os.MkdirTemp("", "onyxstream-rig"); err != nil {
 		return nil, err
 	}
@@ -155,7 +155,7 @@
 	all := append(append([]*process(nil), r.nodes...), r.agents...)
 	errs := make([]error, len(all))
 	r.launched = r.Clock.Now()
-	if down := r.fleet.List.Down.D(); down > 0 {
+	if down := r.fleet.List.Down.AsDuration(); down > 0 {
 		r.Discovery.Answer(fakeserver.Resets)
 		r.after(down, func() { r.Discovery.Answer(fakeserver.Well) })
 	}
@@ -167,7 +167,7 @@
 	for _, p := range r.nodes {
 		front = append(front, fakeserver.Node{Name: p.name, Addr: p.addr, Zone: p.zone})
 	}
-	r.Front = fakeserver.NewFront(r.Ledger, r.fleet.FrontNotice.D(), front...)
+	r.Front = fakeserver.NewFront(r.Ledger, r.fleet.FrontNotice.AsDuration(), front...)
 	return errors.Join(errs...)
 }
 
@@ -198,7 +198,7 @@
 	i := len(r.hosts)
 	h, err := fakeserver.NewHost(fakeserver.HostConfig{ID: fmt.Sprint("h", i+1), Zone: r.fleet.Zones[i%len(r.fleet.Zones)],
 		Spec: r.fleet.spec(i), Store: r.store, Seed: r.opt.Seed + uint64(i), Cold: cold, Loads: r.fleet.Loads,
-		Park: r.fleet.Park.D()}, r.Clock, r.Ledger)
+		Park: r.fleet.Park.AsDuration()}, r.Clock, r.Ledger)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -45,34 +45,34 @@
 
 func (e *FieldError) Error() string { return e.Path + ": " + e.Err.Error() }
 
-// Wrong makes a FieldError.
-func Wrong(path, format string, args ...any) error {
+// NewFieldError makes a FieldError.
+func NewFieldError(path, format string, args ...any) error {
 	return &FieldError{path, fmt.Errorf(format, args...)}
 }
 
 // Checker is a value that can say what is wrong with it.
 type Checker interface{ Check() error }
 
-// mostBytes bounds a file: one that is larger is no configuration.
-const mostBytes = 4 << 20
+// maxFileBytes bounds a file: one that is larger is no configuration.
+const maxFileBytes = 4 << 20
 
 // Read reads and decodes a file; into must be a pointer, and is checked if it is a Checker. Errors are *Error.
 func Read(path string, into any) (text []byte, err error) {
 	info, err := os.Stat(path)
 	if err != nil {
-		return nil, &Error{File: path, Err: reason(err)}
+		return nil, &Error{File: path, Err: withoutPath(err)}
 	}
-	if info.IsDir() || info.Size() > mostBytes {
-		return nil, &Error{File: path, Err: fmt.Errorf("no file of at most %d bytes", mostBytes)}
+	if info.IsDir() || info.Size() > maxFileBytes {
+		return nil, &Error{File: path, Err: fmt.Errorf("no file of at most %d bytes", maxFileBytes)}
 	}
 	if text, err = os.ReadFile(path); err != nil {
-		return nil, &Error{File: path, Err: reason(err)}
+		return nil, &Error{File: path, Err: withoutPath(err)}
 	}
 	return text, Decode(path, text, into)
 }
 
-// reason drops the path that an error of the system repeats.
-func reason(err error) error {
+// withoutPath drops the path that an error of the system repeats.
+func withoutPath(err error) error {
 	var p *os.PathError
 	if errors.As(err, &p) {
 		return p.Err
@@ -99,19 +99,19 @@
 		return &Error{File: name, Err: err}
 	}
 	if c, ok := into.(Checker); ok {
-		return Place(name, text, c.Check())
+		return AddLocation(name, text, c.Check())
 	}
 	return nil
 }
 
-// Place adds file and line to a FieldError; other errors are the whole file's.
-func Place(name string, text []byte, err error) error {
+// AddLocation adds file and line to a FieldError; other errors are the whole file's.
+func AddLocation(name string, text []byte, err error) error {
 	var field *FieldError
 	switch {
 	case err == nil:
 		return nil
 	case errors.As(err, &field):
-		return &Error{name, Line(text, field.Path), field.Path, field.Err}
+		return &Error{name, findLine(text, field.Path), field.Path, field.Err}
 	}
 	return &Error{File: name, Err: err}
 }
@@ -122,8 +122,8 @@
 	indexed = regexp.MustCompile(`\[(\d+)\]`)
 )
 
-// Line finds the line of a field by its path, or that of its table where the field is not written; 0 where neither is.
-func Line(text []byte, path string) int {
+// findLine finds the line of a field by its path, or that of its table where the field is not written; 0 where neither is.
+func findLine(text []byte, path string) int {
 	table, key := "", path
 	if i := strings.LastIndexByte(path, '.'); i >= 0 {
 		table, key = path[:i], path[i+1:]
@@ -165,5 +165,5 @@
 // MarshalText writes a time.
 func (d Duration) MarshalText() ([]byte, error) { return []byte(time.Duration(d).String()), nil }
 
-// D is the time as Go's.
-func (d Duration) D() time.Duration { return time.Duration(d) }
+// AsDuration is the time as Go's.
+func (d Duration) AsDuration() time.Duration { return time.Duration(d) }
