--- /dev/null
+++ b/tools/testgate/results.go
@@ -0,0 +1,202 @@
+package main
+
+import (
+	"bufio"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"slices"
+	"strings"
+)
+
+// testEvent is a line of "go test -json".
+type testEvent struct {
+	Action  string
+	Package string
+	Test    string
+	Output  string
+}
+
+// The actions of a testEvent that matter here.
+const (
+	actionBuildOutput = "build-output"
+	actionOutput      = "output"
+	actionRun         = "run"
+	actionPass        = "pass"
+	actionFail        = "fail"
+	actionSkip        = "skip"
+)
+
+// testResults collects what a run of the tests reports. The zero value of testID.Test stands for the package itself.
+type testResults struct {
+	packages map[string]string // the last action of each package: pass, fail or skip
+	tests    map[testID]string // the last action of each test: pass, fail, skip, or run for one that did not end
+	panicked map[testID]bool
+	passed   int                 // tests and subtests
+	failed   int                 // tests and subtests
+	output   map[testID][]string // of tests and packages that have not ended
+}
+
+func newTestResults() *testResults {
+	return &testResults{
+		packages: map[string]string{},
+		tests:    map[testID]string{},
+		panicked: map[testID]bool{},
+		output:   map[testID][]string{},
+	}
+}
+
+// topLevelTest returns the name of the top-level test that a test or subtest belongs to.
+func topLevelTest(test string) string {
+	name, _, _ := strings.Cut(test, "/")
+	return name
+}
+
+// readEvents records the output of "go test -json" to its end, and writes the packages' result lines and the output of
+// failed tests to out.
+func (r *testResults) readEvents(in io.Reader, out io.Writer) error {
+	lines := bufio.NewReader(in)
+	for {
+		line, err := lines.ReadBytes('\n')
+		if len(line) > 0 {
+			r.readLine(line, out)
+		}
+		if errors.Is(err, io.EOF) {
+			return nil
+		}
+		if err != nil {
+			return err
+		}
+	}
+}
+
+// readLine records one line. A line that is no JSON, as of a failed build, is copied to out.
+func (r *testResults) readLine(line []byte, out io.Writer) {
+	var event testEvent
+	if json.Unmarshal(line, &event) != nil {
+		_, _ = out.Write(line)
+		return
+	}
+	r.record(event, out)
+}
+
+func (r *testResults) record(event testEvent, out io.Writer) {
+	id := testID{event.Package, topLevelTest(event.Test)}
+	switch event.Action {
+	case actionBuildOutput:
+		fmt.Fprint(out, event.Output)
+	case actionOutput:
+		if strings.HasPrefix(event.Output, "panic: ") {
+			r.panicked[id] = true
+		}
+		r.output[id] = append(r.output[id], event.Output)
+	case actionRun:
+		if event.Test == id.Test {
+			r.tests[id] = event.Action
+		}
+	case actionPass, actionFail, actionSkip:
+		r.recordEnd(event, id, out)
+	}
+}
+
+// recordEnd records the end of a package, a test or a subtest.
+func (r *testResults) recordEnd(event testEvent, id testID, out io.Writer) {
+	if event.Test == "" {
+		r.packages[event.Package] = event.Action
+		r.printOutput(id, out)
+		return
+	}
+	switch event.Action {
+	case actionPass:
+		r.passed++
+	case actionFail:
+		r.failed++
+	}
+	if event.Test != id.Test {
+		return
+	}
+	r.tests[id] = event.Action
+	if event.Action == actionFail {
+		r.printOutput(id, out)
+	}
+	delete(r.output, id)
+}
+
+// printOutput writes and forgets the output of a test or a package. Of a package that did not fail only the last line
+// is written.
+func (r *testResults) printOutput(id testID, out io.Writer) {
+	lines := r.output[id]
+	isPackage := id.Test == ""
+	if isPackage && r.packages[id.Package] != actionFail && len(lines) > 0 {
+		lines = lines[len(lines)-1:]
+	}
+	for _, line := range lines {
+		fmt.Fprint(out, line)
+	}
+	delete(r.output, id)
+}
+
+// problems lists, in order, why the run does not pass: tests that failed and are not listed, listed tests that did not
+// fail, and packages that failed otherwise. A listed test of a package that was not run is ignored.
+func (r *testResults) problems(known []knownFailure) []string {
+	listed := map[testID]bool{}
+	for _, failure := range known {
+		listed[failure.testID] = true
+	}
+	problems := r.listedTestProblems(known)
+	problems = append(problems, r.testProblems(listed)...)
+	problems = append(problems, r.packageProblems(listed)...)
+	slices.Sort(problems)
+	return problems
+}
+
+func (r *testResults) listedTestProblems(known []knownFailure) (problems []string) {
+	for _, failure := range known {
+		if _, ran := r.packages[failure.Package]; !ran {
+			continue
+		}
+		if action := r.tests[failure.testID]; action != actionFail {
+			problems = append(problems, fmt.Sprintf(
+				"%s is listed as known to fail, but did not fail (%q): take it off the list", failure.testID, action))
+		}
+	}
+	return problems
+}
+
+func (r *testResults) testProblems(listed map[testID]bool) (problems []string) {
+	for id, action := range r.tests {
+		switch {
+		case r.panicked[id]:
+			problems = append(problems, fmt.Sprintf("%s panicked: the tests behind it did not run", id))
+		case action == actionRun:
+			problems = append(problems, fmt.Sprintf("%s did not end", id))
+		case action == actionFail && !listed[id]:
+			problems = append(problems, fmt.Sprintf("%s failed", id))
+		}
+	}
+	return problems
+}
+
+// packageProblems lists packages that failed although no listed test of theirs did, and those that panicked outside of
+// a test.
+func (r *testResults) packageProblems(listed map[testID]bool) (problems []string) {
+	hasListedFailure := map[string]bool{}
+	for id, action := range r.tests {
+		if action == actionFail && listed[id] {
+			hasListedFailure[id.Package] = true
+		}
+	}
+	for name, action := range r.packages {
+		if action == actionFail && !hasListedFailure[name] {
+			problems = append(problems, fmt.Sprintf("package %s failed", name))
+		}
+		if r.panicked[testID{name, ""}] {
+			problems = append(problems, fmt.Sprintf("package %s panicked", name))
+		}
+	}
+	if len(r.packages) == 0 {
+		problems = append(problems, "no package was tested")
+	}
+	return problems
+}
