--- a/cmd/onyxstream/agent_cluster_test.go
+++ b/cmd/onyxstream/agent_cluster_test.go
@@ -52,17 +52,17 @@
 }
 
 // path returns the path of a file of the cluster.
-func (f *agentCluster) path(name string) string { return filepath.Join(f.dir, name) }
+func (c *agentCluster) path(name string) string { return filepath.Join(c.dir, name) }
 
 // startNode starts the node with this number and its host, and returns its entry of the agent's inventory.
-func (f *agentCluster) startNode(t *testing.T, number int) (inventoryEntry string) {
+func (c *agentCluster) startNode(t *testing.T, number int) (inventoryEntry string) {
 	t.Helper()
-	ledger := fakeserver.NewLedger(f.clock)
+	ledger := fakeserver.NewLedger(c.clock)
 	host, err := fakeserver.NewHost(fakeserver.HostConfig{
 		ID:   fmt.Sprint("h", number),
 		Zone: "a",
 		Spec: capacity.Spec{Cores: 8, Speed: 1, Load: 0.001, Setup: 0.001},
-	}, f.clock, ledger)
+	}, c.clock, ledger)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -74,12 +74,12 @@
 	options := nodeOptions{mode: "proxy", initialList: list, socketLimit: 2048}
 	configPath := writeConfig(t, addr, discovery.addr, options)
 	setNodeName(t, configPath, name)
-	ownConfig := writeFile(t, "own.toml", fmt.Sprintf("[control]\nsocket = %q\n", f.path(name)))
+	ownConfig := writeFile(t, "own.toml", fmt.Sprintf("[control]\nsocket = %q\n", c.path(name)))
 	node := startProcess(t, configPath, "--config", ownConfig)
 	node.addr = addr
-	f.nodes = append(f.nodes, node)
-	f.ledgers = append(f.ledgers, ledger)
-	return fmt.Sprintf("[[instance]]\nname = %q\naddr = %q\nzone = \"a\"\n", name, "unix:"+f.path(name))
+	c.nodes = append(c.nodes, node)
+	c.ledgers = append(c.ledgers, ledger)
+	return fmt.Sprintf("[[instance]]\nname = %q\naddr = %q\nzone = \"a\"\n", name, "unix:"+c.path(name))
 }
 
 // setNodeName replaces the name in a configuration that writeConfig wrote.
@@ -96,51 +96,51 @@
 }
 
 // startAgent starts the agent. It is killed when the test ends, and a data race in it fails the test.
-func (f *agentCluster) startAgent(t *testing.T) {
+func (c *agentCluster) startAgent(t *testing.T) {
 	t.Helper()
-	agent := exec.Command(programPath, "agent", "--config", f.path("agent.toml"))
-	agent.Stdout, agent.Stderr = f.agentLog, f.agentLog
+	agent := exec.Command(programPath, "agent", "--config", c.path("agent.toml"))
+	agent.Stdout, agent.Stderr = c.agentLog, c.agentLog
 	if err := agent.Start(); err != nil {
 		t.Fatal(err)
 	}
-	f.agent = agent
+	c.agent = agent
 	t.Cleanup(func() {
 		_ = agent.Process.Kill()
 		_ = agent.Wait()
 		if t.Failed() {
-			t.Logf("the agent's log:\n%s", f.agentLog)
+			t.Logf("the agent's log:\n%s", c.agentLog)
 		}
-		if strings.Contains(f.agentLog.String(), "DATA RACE") {
-			t.Errorf("a data race in the agent:\n%s", f.agentLog)
+		if strings.Contains(c.agentLog.String(), "DATA RACE") {
+			t.Errorf("a data race in the agent:\n%s", c.agentLog)
 		}
 	})
 }
 
 // killAgent ends the agent as a crash would.
-func (f *agentCluster) killAgent() {
-	_ = f.agent.Process.Kill()
-	_ = f.agent.Wait()
+func (c *agentCluster) killAgent() {
+	_ = c.agent.Process.Kill()
+	_ = c.agent.Wait()
 }
 
 // runCommand runs a command of the program against the agent.
-func (f *agentCluster) runCommand(t *testing.T, args ...string) (status int, stdout, stderr string) {
+func (c *agentCluster) runCommand(t *testing.T, args ...string) (status int, stdout, stderr string) {
 	t.Helper()
-	return runProgram(t, append(args, "--agent", f.agentSocket)...)
+	return runProgram(t, append(args, "--agent", c.agentSocket)...)
 }
 
 // mustRun runs a command against the agent that must exit with status 0.
-func (f *agentCluster) mustRun(t *testing.T, args ...string) {
+func (c *agentCluster) mustRun(t *testing.T, args ...string) {
 	t.Helper()
-	status, stdout, stderr := f.runCommand(t, args...)
+	status, stdout, stderr := c.runCommand(t, args...)
 	if status != 0 {
 		t.Fatalf("%v: exit status %d: %s%s", args, status, stdout, stderr)
 	}
 }
 
 // appliedAt returns when a node has applied commands of an operation, by its log, on the clock of the ledgers.
-func (f *agentCluster) appliedAt(t *testing.T, nodeIndex int, operation string) (times []time.Duration) {
+func (c *agentCluster) appliedAt(t *testing.T, nodeIndex int, operation string) (times []time.Duration) {
 	t.Helper()
-	for line := range strings.Lines(f.nodes[nodeIndex].log.String()) {
+	for line := range strings.Lines(c.nodes[nodeIndex].log.String()) {
 		if !strings.Contains(line, "command applied") || !strings.Contains(line, operation) {
 			continue
 		}
@@ -148,14 +148,14 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		times = append(times, at.Sub(f.clock.Started()))
+		times = append(times, at.Sub(c.clock.Started()))
 	}
 	return times
 }
 
 // lastOpened returns when the host of a node last received a new request, and how many it has received.
-func (f *agentCluster) lastOpened(nodeIndex int) (last time.Duration, count int) {
-	records, _ := f.ledgers[nodeIndex].Records()
+func (c *agentCluster) lastOpened(nodeIndex int) (last time.Duration, count int) {
+	records, _ := c.ledgers[nodeIndex].Records()
 	for _, record := range records {
 		if record.What == fakeserver.Opened {
 			last = record.At
@@ -166,15 +166,15 @@
 }
 
 // openedCounts returns how many new requests each node's host has received.
-func (f *agentCluster) openedCounts() (counts [clusterSize]int) {
+func (c *agentCluster) openedCounts() (counts [clusterSize]int) {
 	for i := range counts {
-		_, counts[i] = f.lastOpened(i)
+		_, counts[i] = c.lastOpened(i)
 	}
 	return counts
 }
 
 // startLoad runs the load generator on all nodes until stop is called, and fails the test if it printed anything.
-func (f *agentCluster) startLoad(t *testing.T) (stop func()) {
+func (c *agentCluster) startLoad(t *testing.T) (stop func()) {
 	t.Helper()
 	scenario := strings.NewReplacer(
 		`for = "2s"`, `for = "1h"`,
@@ -183,7 +183,7 @@
 		`life = "400ms"`, `life = "3s"`,
 	).Replace(loadScenario)
 	args := []string{"load", "run", writeFile(t, "s.toml", scenario)}
-	for _, node := range f.nodes {
+	for _, node := range c.nodes {
 		args = append(args, "--target", node.addr)
 	}
 	cmd, output := exec.Command(programPath, args...), &syncBuffer{}
--- a/cmd/onyxstream/agent_test.go
+++ b/cmd/onyxstream/agent_test.go
@@ -60,12 +60,12 @@
 }
 
 // waitForNewRequests waits until each node's host has received more than 20 further requests.
-func (f *agentCluster) waitForNewRequests(t *testing.T) {
+func (c *agentCluster) waitForNewRequests(t *testing.T) {
 	t.Helper()
-	before := f.openedCounts()
+	before := c.openedCounts()
 	eventually(t, "all hosts receive new requests", func() bool {
 		all := true
-		for i, n := range f.openedCounts() {
+		for i, n := range c.openedCounts() {
 			all = all && n > before[i]+20
 		}
 		return all
@@ -74,14 +74,14 @@
 
 // drainDelays returns, for each node that kept to the grace, how long after it applied a drain it sent its last new
 // request. A node that did not, or that applied the command more than once, fails the test.
-func (f *agentCluster) drainDelays(t *testing.T, operation string) (delays []time.Duration) {
+func (c *agentCluster) drainDelays(t *testing.T, operation string) (delays []time.Duration) {
 	t.Helper()
 	for i := range clusterSize {
-		applied := f.appliedAt(t, i, operation)
+		applied := c.appliedAt(t, i, operation)
 		if len(applied) != 1 {
 			t.Fatalf("n%d applied the command %d times", i+1, len(applied))
 		}
-		last, _ := f.lastOpened(i)
+		last, _ := c.lastOpened(i)
 		if delay := last - applied[0]; delay > admissionGrace {
 			t.Errorf("n%d sent a new request %v after its drain began", i+1, delay)
 		} else {
--- a/cmd/onyxstream/main.go
+++ b/cmd/onyxstream/main.go
@@ -1,5 +1,5 @@
-// Command onyxstream is one node of the balancer on real sockets, and the tools around it. The platform tells a node
-// what it needs through PROXY_CONFIG; see the README.
+// Command onyxstream runs a node of the load balancer, the agent that operates several nodes, and tools such as the load
+// generator. A node reads its configuration from the file that PROXY_CONFIG names; see the README.
 package main
 
 import (
--- a/cmd/onyxstream/startup_test.go
+++ b/cmd/onyxstream/startup_test.go
@@ -1,8 +1,10 @@
 package main
 
 import (
+	"net"
 	"os"
 	"path/filepath"
+	"strings"
 	"syscall"
 	"testing"
 	"time"
@@ -81,3 +83,44 @@
 		return answer == "UP"
 	})
 }
+
+func TestInheritedSocket_BadDescriptor_ErrorNamesVariable(t *testing.T) {
+	t.Parallel()
+	udp, err := net.ListenPacket("udp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer udp.Close()
+	packetSocket, err := udp.(*net.UDPConn).File()
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer packetSocket.Close()
+	_, otherListener := listeningSocket(t)
+	for _, test := range []struct {
+		value     string
+		file      *os.File
+		wantInLog string
+	}{
+		{"three", nil, "is no descriptor"},
+		{"-1", nil, "is no descriptor"},
+		{"1", nil, "is no descriptor"},
+		{"9", nil, "no listening socket"},
+		{"3", packetSocket, "no listening"},
+		{"3", otherListener, "listens at"},
+	} {
+		configOptions := nodeOptions{initialList: endpointListJSON(0, true), listener: test.file}
+		path := writeConfig(t, freeAddr(t), freeAddr(t), configOptions)
+		node := startProcessWith(t, path, nodeOptions{
+			listener: test.file,
+			env:      []string{"PROXY_ACCEPT_FD=" + test.value},
+		})
+		if err := <-node.exited; err == nil {
+			t.Errorf("%s: the node starts", test.value)
+		}
+		text := node.log.String()
+		if !strings.Contains(text, "PROXY_ACCEPT_FD") || !strings.Contains(text, test.wantInLog) {
+			t.Errorf("%s: the log is %q", test.value, text)
+		}
+	}
+}
--- a/cmd/onyxstream/upgrade_test.go
+++ b/cmd/onyxstream/upgrade_test.go
@@ -2,11 +2,9 @@
 
 import (
 	"fmt"
-	"net"
 	"os"
 	"path/filepath"
 	"strings"
-	"sync"
 	"testing"
 	"time"
 
@@ -88,61 +86,6 @@
 	return served, migrated
 }
 
-// connectionLoad opens a request every 3 ms, each on a connection of its own, until it is stopped.
-type connectionLoad struct {
-	addr string
-	stop chan struct{}
-	done chan struct{}
-
-	mu    sync.Mutex
-	total int
-	lost  []string // what each request that was not served by hb received
-}
-
-func startConnectionLoad(addr string) *connectionLoad {
-	load := &connectionLoad{addr: addr, stop: make(chan struct{}), done: make(chan struct{})}
-	go load.run()
-	return load
-}
-
-func (l *connectionLoad) run() {
-	defer close(l.done)
-	var requests sync.WaitGroup
-	defer requests.Wait()
-	for i := 0; ; i++ {
-		select {
-		case <-l.stop:
-			return
-		case <-time.After(3 * time.Millisecond):
-		}
-		requests.Go(func() { l.openRequest(i) })
-	}
-}
-
-func (l *connectionLoad) openRequest(id int) {
-	conn, err := net.Dial("tcp", l.addr)
-	line := make([]byte, 64)
-	n := 0
-	if err == nil {
-		defer conn.Close()
-		_ = conn.SetDeadline(time.Now().Add(waitLimit))
-		_, _ = fmt.Fprintf(conn, "OPEN u%d k%d c=chat,t=acme,d=2500\r\n", id, id)
-		n, err = conn.Read(line)
-	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.total++
-	if err != nil || !strings.HasPrefix(string(line[:n]), "UP from-hb") {
-		l.lost = append(l.lost, fmt.Sprintf("%d: %q, %v", id, line[:n], err))
-	}
-}
-
-// stopAndWait ends the load and waits for the requests that are open.
-func (l *connectionLoad) stopAndWait() {
-	close(l.stop)
-	<-l.done
-}
-
 // While clients connect all the time, the node is upgraded twice. No request is lost, an override of a host's state
 // holds in each process, and its removal too.
 func TestUpgrade_UnderLoad_NoClientLost(t *testing.T) {
@@ -198,47 +141,6 @@
 	node.waitForCleanExit(t)
 }
 
-func TestInheritedSocket_BadDescriptor_ErrorNamesVariable(t *testing.T) {
-	t.Parallel()
-	udp, err := net.ListenPacket("udp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer udp.Close()
-	packetSocket, err := udp.(*net.UDPConn).File()
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer packetSocket.Close()
-	_, otherListener := listeningSocket(t)
-	for _, test := range []struct {
-		value     string
-		file      *os.File
-		wantInLog string
-	}{
-		{"three", nil, "is no descriptor"},
-		{"-1", nil, "is no descriptor"},
-		{"1", nil, "is no descriptor"},
-		{"9", nil, "no listening socket"},
-		{"3", packetSocket, "no listening"},
-		{"3", otherListener, "listens at"},
-	} {
-		configOptions := nodeOptions{initialList: endpointListJSON(0, true), listener: test.file}
-		path := writeConfig(t, freeAddr(t), freeAddr(t), configOptions)
-		node := startProcessWith(t, path, nodeOptions{
-			listener: test.file,
-			env:      []string{"PROXY_ACCEPT_FD=" + test.value},
-		})
-		if err := <-node.exited; err == nil {
-			t.Errorf("%s: the node starts", test.value)
-		}
-		text := node.log.String()
-		if !strings.Contains(text, "PROXY_ACCEPT_FD") || !strings.Contains(text, test.wantInLog) {
-			t.Errorf("%s: the log is %q", test.value, text)
-		}
-	}
-}
-
 // blockOffers keeps the process with this presence file from writing an offer.
 func blockOffers(t testing.TB, presenceFile string) {
 	t.Helper()
