--- a/cmd/onyxstream/handoff_races_test.go
+++ b/cmd/onyxstream/handoff_races_test.go
@@ -60,7 +60,7 @@
 
 // A successor begins its shutdown when it has accepted only a part of the connections of a process that shuts down too.
 // Neither may hand connections to the other any more: each connection is handed off at most once and then migrated.
-func TestHandoff_BothProcessesStop_NothingHandedBack(t *testing.T) {
+func TestHandoff_BothProcessesStop_EachHandedOffOnce(t *testing.T) {
 	t.Parallel()
 	host := newFakeHost(t, "ha")
 	handoff := stopDuringOffer(t, host, "proxy", 20) // more than one offer
--- a/cmd/onyxstream/shared_state_test.go
+++ b/cmd/onyxstream/shared_state_test.go
@@ -9,7 +9,7 @@
 )
 
 // While two processes of a node run, an override of a host's state that one is given applies to both, and a drain too.
-func TestHostOverride_TwoProcesses_Shared(t *testing.T) {
+func TestHostOverride_TwoProcesses_AppliesToBoth(t *testing.T) {
 	t.Parallel()
 	hostA, hostB := newFakeHost(t, "ha"), newFakeHost(t, "hb")
 	options, discovery := inheritedSocketOptions(t, hostA, hostB)
--- a/internal/tomlfile/decode_test.go
+++ b/internal/tomlfile/decode_test.go
@@ -11,7 +11,7 @@
 
 var (
 	errNegative  = errors.New("must not be negative")
-	errWholeFile = errors.New("nothing to do")
+	errNoJobs = errors.New("no job")
 )
 
 // jobFile is a target whose check fails for a negative share, and for a file without a job.
@@ -25,7 +25,7 @@
 
 func (f *jobFile) Check() error {
 	if len(f.Jobs) == 0 {
-		return errWholeFile
+		return errNoJobs
 	}
 	for _, job := range f.Jobs {
 		if job.Share < 0 {
@@ -78,7 +78,7 @@
 			name:     "failed check of the whole file",
 			text:     "name = \"n\"\n",
 			want:     Error{File: "jobs.toml"},
-			wantText: "jobs.toml: nothing to do",
+			wantText: "jobs.toml: no job",
 		},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -97,7 +97,7 @@
 	}
 }
 
-func TestAddLocation_WrappedErrors_ReasonIsKept(t *testing.T) {
+func TestAddLocation_WrappedErrors_ReasonIsWrapped(t *testing.T) {
 	text := []byte("a = 1\n")
 	if err := AddLocation("f.toml", text, nil); err != nil {
 		t.Errorf("nil became %v", err)
@@ -105,7 +105,7 @@
 	if err := AddLocation("f.toml", text, NewFieldError("a", "%w", errNegative)); !errors.Is(err, errNegative) {
 		t.Errorf("%v does not wrap its reason", err)
 	}
-	if err := AddLocation("f.toml", text, errWholeFile); !errors.Is(err, errWholeFile) {
+	if err := AddLocation("f.toml", text, errNoJobs); !errors.Is(err, errNoJobs) {
 		t.Errorf("%v does not wrap its reason", err)
 	}
 }
