--- a/cmd/onyxstream/endpoint_memory_test.go
+++ b/cmd/onyxstream/endpoint_memory_test.go
@@ -71,7 +71,7 @@
 
 // A node with the smallest memory limit holds the largest list. Its peak memory is at most one and a half times that
 // with a list of usual size, plus 8 MB, plus 4 MB per thousand hosts.
-func TestLargestList_FitsInSmallMemory(t *testing.T) {
+func TestEndpointList_LargestSize_FitsInSmallMemory(t *testing.T) {
 	path, err := buildWithoutRaceDetector()
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/onyxstream/request_test.go
+++ b/cmd/onyxstream/request_test.go
@@ -97,7 +97,7 @@
 	eventually(t, "the host's connection is closed", func() bool { return host.openConnections() == 0 })
 }
 
-func TestConcurrentClients_EachGetsOneAnswer(t *testing.T) {
+func TestRequest_ManyClients_EachGetsOneAnswer(t *testing.T) {
 	t.Parallel()
 	hostA, hostB := newFakeHost(t, "ha"), newFakeHost(t, "hb")
 	node, _ := startNodeWithHosts(t, nodeOptions{socketLimit: 1024}, hostA, hostB)
--- a/internal/tomlfile/decode_test.go
+++ b/internal/tomlfile/decode_test.go
@@ -10,8 +10,8 @@
 )
 
 var (
-	errNegative  = errors.New("must not be negative")
-	errNoJobs = errors.New("no job")
+	errNegative = errors.New("must not be negative")
+	errNoJobs   = errors.New("no job")
 )
 
 // jobFile is a target whose check fails for a negative share, and for a file without a job.
