--- /dev/null
+++ b/cmd/onyxstream/discovery_test.go
@@ -0,0 +1,103 @@
+package main
+
+import (
+	"strings"
+	"testing"
+	"time"
+
+	"onyxstream/internal/fakeserver"
+	"onyxstream/internal/wire"
+)
+
+func TestDrainingHost_NewRequests_GoElsewhere(t *testing.T) {
+	t.Parallel()
+	hostA, hostB := newFakeHost(t, "ha"), newFakeHost(t, "hb")
+	node, discovery := startNodeWithHosts(t, nodeOptions{}, hostA, hostB)
+	var established *testClient
+	eventually(t, "a connection on ha", func() bool {
+		established = node.openRequest(t, "")
+		return strings.Contains(established.expectLine("UP "), "from-ha")
+	})
+	eventually(t, "the node opens its watch", func() bool { return len(discovery.requestPaths()) > 0 })
+	discovery.sendEvent(endpointListJSON(2, false, hostA.endpoint(wire.Draining)))
+	// After the grace none may arrive. How soon the watch event takes effect is not checked.
+	eventually(t, "a run of connections with none on ha", func() bool {
+		before := len(hostA.openings())
+		for range 8 {
+			node.openRequest(t, "").expectLine("UP ")
+		}
+		time.Sleep(500 * time.Millisecond)
+		return len(hostA.openings()) == before
+	})
+	before := len(hostA.openings())
+	for range 20 {
+		node.openRequest(t, "").expectLine("UP from-hb")
+	}
+	if len(hostA.openings()) != before {
+		t.Error("the draining host received a new request")
+	}
+	established.send("M still here\r\n")
+	established.expectLine("M still here")
+}
+
+func TestWatch_Lost_ResumedWhileServing(t *testing.T) {
+	t.Parallel()
+	hostA, hostB := newFakeHost(t, "ha"), newFakeHost(t, "hb")
+	discovery := newFakeDiscovery(t, endpointListJSON(5, true, hostA.endpoint(wire.Serving)))
+	node := startNode(t, nodeOptions{initialList: endpointListJSON(4, true, hostA.endpoint(wire.Serving))}, discovery.addr)
+	eventually(t, "the first watch request", func() bool { return len(discovery.requestPaths()) == 1 })
+	if path := discovery.requestPaths()[0]; path != "/catalog/members?watch=1&after=4" {
+		t.Errorf("requested %q", path)
+	}
+	discovery.setUnavailable(true)
+	eventually(t, "requests that fail", func() bool { return len(discovery.requestPaths()) >= 3 })
+	node.openRequest(t, "").expectLine("UP from-ha")
+	discovery.SetRawBody(endpointListJSON(6, true, hostA.endpoint(wire.Serving), hostB.endpoint(wire.Serving)))
+	discovery.setUnavailable(false)
+	eventually(t, "the new host is used", func() bool {
+		return strings.Contains(node.openRequest(t, "").expectLine("UP "), "from-hb")
+	})
+	discovery.sendEvent(`{"revision":`)
+	requestCount := len(discovery.requestPaths())
+	eventually(t, "a watch with an invalid event is replaced", func() bool {
+		return len(discovery.requestPaths()) > requestCount
+	})
+	node.openRequest(t, "").expectLine("UP ")
+}
+
+// A watch whose connection is open but that sends nothing, not even a heartbeat, counts as lost.
+func TestWatch_Silent_Resumed(t *testing.T) {
+	t.Parallel()
+	host := newFakeHost(t, "h1")
+	node, discovery := startNodeWithHosts(t, nodeOptions{}, host)
+	eventually(t, "the first watch request", func() bool { return len(discovery.requestPaths()) == 1 })
+	discovery.SetMode(fakeserver.ModeSilent)
+	eventually(t, "the node requests again", func() bool { return len(discovery.requestPaths()) > 1 })
+	node.openRequest(t, "").expectLine("UP ")
+}
+
+// A large fleet is served, and an event that replaces half of it is applied.
+func TestEndpointList_ThousandHosts_Followed(t *testing.T) {
+	t.Parallel()
+	hostA, hostB := newFakeHost(t, "ha"), newFakeHost(t, "hb")
+	all := endpointsAt(1024, hostA.Addr())
+	discovery := newFakeDiscovery(t, endpointListJSON(1, true, all...))
+	node := startNode(t, nodeOptions{initialList: endpointListJSON(1, true, all...)}, discovery.addr)
+	node.openRequest(t, "").expectLine("UP from-ha")
+	eventually(t, "the watch is open", func() bool { return discovery.OpenCalls() == 1 })
+	for i := range all[:512] {
+		all[i].Phase = wire.Draining
+	}
+	for _, endpoint := range endpointsAt(512, hostB.Addr()) {
+		endpoint.ID = "new" + endpoint.ID
+		all = append(all, endpoint)
+	}
+	discovery.sendEvent(endpointListJSON(2, false, all...))
+	eventually(t, "the new half serves", func() bool {
+		line, _ := node.openRequest(t, "").reader.ReadString('\n')
+		return strings.HasPrefix(line, "UP from-hb")
+	})
+	if strings.Contains(node.log.String(), "exceeds memory limit") {
+		t.Error("the list is too large")
+	}
+}
--- a/cmd/onyxstream/log_test.go
+++ b/cmd/onyxstream/log_test.go
@@ -7,7 +7,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// logPipe is a pipe for a node's log that holds a few lines; nobody reads it.
+// logPipe returns a pipe for a node's log with a buffer of one page. Nobody reads it.
 func logPipe(t *testing.T) (read, write *os.File) {
 	t.Helper()
 	read, write, err := os.Pipe()
@@ -21,34 +21,30 @@
 	return read, write
 }
 
-// servedAndEnds has clients come to a node, then tells it to end, and wants each answered and the end in time.
-func (p *running) servedAndEnds(t *testing.T, clients int) {
+// serveAndShutDown wants each of several requests to be served, and the node to exit when it is terminated.
+func (p *nodeProcess) serveAndShutDown(t *testing.T, clients int) {
 	t.Helper()
-	for range clients {
-		p.open(t, "").hears("UP ")
-	}
-	p.signal(t)
-	p.ended(t)
+	p.establish(t, clients, "UP ")
+	p.terminate(t)
+	p.waitForCleanExit(t)
 }
 
-// A log that nobody reads must not hold up the node: a write to a full pipe blocked whoever had a line to write, the loop
-// that decides for all clients among them.
-func TestLog_ReaderStands_RequestsAreAnswered(t *testing.T) {
+// A log that nobody reads must not block the node: a write to a full pipe would block every goroutine that logs, the
+// event loop among them.
+func TestLog_ReaderBlocked_RequestsAreAnswered(t *testing.T) {
 	t.Parallel()
-	h := newHost(t, "h1")
-	reg := newRegistry(t, list(1, true, h.member("SERVING")))
+	host := newFakeHost(t, "h1")
 	_, write := logPipe(t)
-	p := start(t, options{known: list(1, true, h.member("SERVING")), stderr: write, env: []string{"PROXY_DEBUG=1"}}, reg.addr)
-	p.servedAndEnds(t, 60)
+	node, _ := startNodeWithHosts(t, nodeOptions{stderr: write, env: []string{"PROXY_DEBUG=1"}}, host)
+	node.serveAndShutDown(t, 60)
 }
 
-// A log whose reader is gone must not end the node: the first line behind that raised SIGPIPE, and all clients were lost.
-func TestLog_ReaderGone_NodeGoesOn(t *testing.T) {
+// A log whose reader is gone must not end the node: a write to it raises SIGPIPE.
+func TestLog_ReaderGone_NodeKeepsServing(t *testing.T) {
 	t.Parallel()
-	h := newHost(t, "h1")
-	reg := newRegistry(t, list(1, true, h.member("SERVING")))
+	host := newFakeHost(t, "h1")
 	read, write := logPipe(t)
-	p := start(t, options{known: list(1, true, h.member("SERVING")), stderr: write, env: []string{"PROXY_DEBUG=1"}}, reg.addr)
+	node, _ := startNodeWithHosts(t, nodeOptions{stderr: write, env: []string{"PROXY_DEBUG=1"}}, host)
 	_, _ = read.Close(), write.Close()
-	p.servedAndEnds(t, 10)
+	node.serveAndShutDown(t, 10)
 }
--- /dev/null
+++ b/cmd/onyxstream/node_options_test.go
@@ -0,0 +1,104 @@
+package main
+
+import (
+	"cmp"
+	"fmt"
+	"net"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"onyxstream/internal/faultinject"
+)
+
+// nodeOptions are the parts of a node's configuration and environment that tests vary. Zero values stand for the
+// defaults of writeConfig and startProcessWith.
+type nodeOptions struct {
+	mode               string // "pass" or "proxy"
+	socketLimit        int    // the configured limit on sockets
+	addr               string // the address of listener
+	latencyObjectiveMS int    // for a connection set-up
+	answerSlackMS      int    // how long after a deadline an answer still counts as in time
+	descriptorLimit    int    // ulimit -n of the process, 0 for the system's
+	initialList        string // the endpoint list that the configuration holds
+	managementAddr     string
+	env                []string
+	programPath        string   // "" for the build with the race detector
+	memoryMB           int      // the configured memory limit, 0 for 256
+	listener           *os.File // the clients' listening socket, inherited as descriptor 3
+	stderr             *os.File // where the node's log goes, nil for nodeProcess.log
+	faults             *faultinject.Options
+}
+
+const settingsTemplate = `{"index":0,"groupSize":1,"zone":0,"zones":["a"],"registryMode":"ask",
+	"lanes":[{"name":"chat","aim":%d,"deadline":3000,"semantics":"safe","group":"all","worth":1,"window":5000}],
+	"customers":[{"name":"acme"}],"domain":{"mode":"%s","groups":false,"messageAim":[60000]},
+	"limits":{"cancel":true,"connectTimeout":1000,"maxAttempts":4,"maxRetryAfter":2000,"probes":false,"retryAfter":true},
+	"rules":{"answerSlack":%d,"askWithin":2000,"coldShare":0.3,"fallMultiple":4,"overloadFor":1000,
+	"stopSendingWithin":400,"warmWithin":1000}}`
+
+const (
+	defaultSocketLimit        = 256
+	defaultLatencyObjectiveMS = 2000 // a host that is slow on a busy machine is not left for another
+	defaultAnswerSlackMS      = 16
+	defaultMemoryMB           = 256
+)
+
+// writeConfig writes a node's configuration into a temporary directory and returns its path.
+func writeConfig(t testing.TB, addr, discoveryAddr string, options nodeOptions) string {
+	t.Helper()
+	settings := fmt.Sprintf(settingsTemplate,
+		cmp.Or(options.latencyObjectiveMS, defaultLatencyObjectiveMS),
+		options.mode,
+		cmp.Or(options.answerSlackMS, defaultAnswerSlackMS))
+	text := fmt.Sprintf(`{"name":"n0","listen":%q,"discovery":%q,"seed":"8c1f30d27a5be964",`+
+		`"limits":{"cores":1.0,"memory_mb":%d,"sockets":%d},"known":%s,"settings":%s}`,
+		addr,
+		discoveryAddr,
+		cmp.Or(options.memoryMB, defaultMemoryMB),
+		cmp.Or(options.socketLimit, defaultSocketLimit),
+		options.initialList,
+		settings)
+	if options.managementAddr != "" {
+		text = strings.Replace(text, `{`, fmt.Sprintf(`{"management":%q,`, options.managementAddr), 1)
+	}
+	path := filepath.Join(t.TempDir(), "config.json")
+	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	return path
+}
+
+// listeningSocket opens a listening socket for clients, as the platform passes one to a node.
+func listeningSocket(t testing.TB) (addr string, file *os.File) {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	file, err = listener.(*net.TCPListener).File()
+	if err != nil {
+		t.Fatal(err)
+	}
+	_ = listener.Close()
+	t.Cleanup(func() { _ = file.Close() })
+	return listener.Addr().String(), file
+}
+
+// inheritedSocketOptions returns the options of a node that inherits its listening socket, shares a directory with its
+// successor and has hosts in its list, and the discovery service of that list.
+func inheritedSocketOptions(t testing.TB, hosts ...*fakeHost) (nodeOptions, *fakeDiscovery) {
+	t.Helper()
+	options := nodeOptions{
+		initialList:    endpointListJSON(1, true, endpointsOf(hosts...)...),
+		managementAddr: freeAddr(t),
+		socketLimit:    4096,
+		env:            []string{"TMPDIR=" + t.TempDir()},
+	}
+	options.addr, options.listener = listeningSocket(t)
+	return options, newFakeDiscovery(t, options.initialList)
+}
+
+// sharedDir returns the directory that the processes of a node share.
+func (o nodeOptions) sharedDir() string { return strings.TrimPrefix(o.env[0], "TMPDIR=") }
--- /dev/null
+++ b/cmd/onyxstream/node_process_test.go
@@ -0,0 +1,209 @@
+package main
+
+import (
+	"bufio"
+	"cmp"
+	"fmt"
+	"io"
+	"net"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+
+	"onyxstream/internal/faultinject"
+)
+
+// nodeProcess is a process of the program's node command.
+type nodeProcess struct {
+	addr           string // for clients
+	managementAddr string
+	configPath     string
+	cmd            *exec.Cmd
+	log            *syncBuffer
+	exited         chan error           // receives the result of Wait once
+	faults         *faultinject.Process // nil without nodeOptions.faults
+}
+
+// startProcess starts a node with the configuration at path.
+func startProcess(t testing.TB, path string, args ...string) *nodeProcess {
+	t.Helper()
+	return startProcessWith(t, path, nodeOptions{}, args...)
+}
+
+// startProcessWith starts a node with the configuration at path; of the options those that are not part of the
+// configuration apply. The process is killed when the test ends, and a data race in it fails the test.
+func startProcessWith(t testing.TB, path string, options nodeOptions, args ...string) *nodeProcess {
+	t.Helper()
+	cmd := exec.Command(cmp.Or(options.programPath, programPath), append([]string{"node"}, args...)...)
+	if options.descriptorLimit > 0 {
+		script := fmt.Sprintf("ulimit -n %d; exec %s node", options.descriptorLimit, programPath)
+		cmd = exec.Command("sh", "-c", script)
+	}
+	node := &nodeProcess{configPath: path, cmd: cmd, log: &syncBuffer{}, exited: make(chan error, 1)}
+	cmd.Env = append(append(os.Environ(), "PROXY_CONFIG="+path), options.env...)
+	if options.listener != nil {
+		cmd.ExtraFiles = []*os.File{options.listener}
+		cmd.Env = append(cmd.Env, "PROXY_ACCEPT_FD=3")
+	}
+	cmd.Stdout, cmd.Stderr = node.log, node.log
+	if options.stderr != nil {
+		cmd.Stdout, cmd.Stderr = options.stderr, options.stderr
+	}
+	var err error
+	if options.faults != nil {
+		node.faults, err = faultinject.Start(cmd, *options.faults)
+	} else {
+		err = cmd.Start()
+	}
+	if err != nil {
+		t.Fatal(err)
+	}
+	go func() { node.exited <- cmd.Wait() }()
+	t.Cleanup(func() { node.killAndCheckLog(t) })
+	return node
+}
+
+// killAndCheckLog kills the process, shows its log if the test failed, and fails the test if the log shows a data race.
+func (p *nodeProcess) killAndCheckLog(t testing.TB) {
+	t.Helper()
+	_ = p.cmd.Process.Kill()
+	if t.Failed() {
+		t.Logf("the node's log:\n%s", p.log)
+	}
+	if strings.Contains(p.log.String(), "DATA RACE") {
+		t.Errorf("a data race in the node:\n%s", p.log)
+	}
+}
+
+// startNode starts a node and waits until it answers PING.
+func startNode(t testing.TB, options nodeOptions, discoveryAddr string) *nodeProcess {
+	t.Helper()
+	options.mode = cmp.Or(options.mode, "pass")
+	options.initialList = cmp.Or(options.initialList, endpointListJSON(0, true))
+	addr := freeAddr(t)
+	if options.listener != nil {
+		addr = options.addr
+	}
+	node := startProcessWith(t, writeConfig(t, addr, discoveryAddr, options), options)
+	node.addr, node.managementAddr = addr, options.managementAddr
+	for start := time.Now(); time.Since(start) < waitLimit; time.Sleep(20 * time.Millisecond) {
+		conn, err := net.Dial("tcp", addr)
+		if err != nil {
+			continue
+		}
+		defer conn.Close()
+		_, _ = io.WriteString(conn, "PING\r\n")
+		if line, _ := bufio.NewReader(conn).ReadString('\n'); line == "PONG\r\n" {
+			return node
+		}
+	}
+	t.Fatalf("the node does not answer PING; its log:\n%s", node.log)
+	return nil
+}
+
+// startNodeWithHosts starts a node and its discovery service, both with a list of hosts that serve.
+func startNodeWithHosts(t testing.TB, options nodeOptions, hosts ...*fakeHost) (*nodeProcess, *fakeDiscovery) {
+	t.Helper()
+	options.initialList = endpointListJSON(1, true, endpointsOf(hosts...)...)
+	discovery := newFakeDiscovery(t, options.initialList)
+	return startNode(t, options, discovery.addr), discovery
+}
+
+// startSuccessor starts a second process beside a running one, with a management address of its own, and waits until it
+// reports that it is ready.
+func startSuccessor(t testing.TB, options nodeOptions, discoveryAddr string) *nodeProcess {
+	t.Helper()
+	options.managementAddr = freeAddr(t)
+	successor := startProcessWith(t, writeConfig(t, options.addr, discoveryAddr, options), options)
+	successor.addr, successor.managementAddr = options.addr, options.managementAddr
+	eventually(t, "the new process is ready", func() bool {
+		conn, err := net.Dial("tcp", successor.managementAddr)
+		if err != nil {
+			return false
+		}
+		_ = conn.Close()
+		return strings.HasPrefix(successor.managementCall(t, "ready"), "YES")
+	})
+	return successor
+}
+
+// sendSignal sends a signal to the process.
+func (p *nodeProcess) sendSignal(t testing.TB, signal os.Signal) {
+	t.Helper()
+	if err := p.cmd.Process.Signal(signal); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// terminate sends SIGTERM, which begins a graceful shutdown.
+func (p *nodeProcess) terminate(t testing.TB) {
+	t.Helper()
+	p.sendSignal(t, syscall.SIGTERM)
+}
+
+// reload replaces strings in the configuration file, given as pairs of old and new, and sends SIGHUP.
+func (p *nodeProcess) reload(t *testing.T, replacements ...string) {
+	t.Helper()
+	text, err := os.ReadFile(p.configPath)
+	if err != nil {
+		t.Fatal(err)
+	}
+	changed := strings.NewReplacer(replacements...).Replace(string(text))
+	if err := os.WriteFile(p.configPath+".new", []byte(changed), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	if err := os.Rename(p.configPath+".new", p.configPath); err != nil {
+		t.Fatal(err)
+	}
+	p.sendSignal(t, syscall.SIGHUP)
+}
+
+// waitForLog waits until the log contains text.
+func (p *nodeProcess) waitForLog(t testing.TB, text string) {
+	t.Helper()
+	eventually(t, "the log contains "+text, func() bool { return strings.Contains(p.log.String(), text) })
+}
+
+// waitForCleanExit waits until the process has exited, with status 0.
+func (p *nodeProcess) waitForCleanExit(t testing.TB) {
+	t.Helper()
+	select {
+	case err := <-p.exited:
+		if err != nil {
+			t.Errorf("the process exited with %v", err)
+		}
+	case <-time.After(waitLimit):
+		t.Fatal("the process does not exit")
+	}
+}
+
+// allThreadsStopped reports whether a signal has stopped every thread of the node. Each thread stops on its own.
+func (p *nodeProcess) allThreadsStopped(t testing.TB) bool {
+	t.Helper()
+	tasks, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/stat", p.cmd.Process.Pid))
+	if err != nil || len(tasks) == 0 {
+		t.Fatalf("no threads are found: %v", err)
+	}
+	for _, task := range tasks {
+		text, err := os.ReadFile(task)
+		_, state, _ := strings.Cut(string(text), ") ") // the state follows the name
+		if err != nil || !strings.HasPrefix(state, "T") {
+			return false
+		}
+	}
+	return true
+}
+
+// openDescriptors counts the descriptors that the process has open.
+func (p *nodeProcess) openDescriptors(t testing.TB) int {
+	t.Helper()
+	names, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.cmd.Process.Pid))
+	if err != nil {
+		t.Skip("no /proc here")
+	}
+	return len(names)
+}
--- a/cmd/onyxstream/reload_test.go
+++ b/cmd/onyxstream/reload_test.go
@@ -5,179 +5,198 @@
 	"strings"
 	"syscall"
 	"testing"
-)
 
-// hup replaces the program's configuration by a changed one and tells it.
-func (p *running) hup(t *testing.T, change ...string) {
-	t.Helper()
-	text, err := os.ReadFile(p.config)
-	if err != nil {
-		t.Fatal(err)
-	}
-	changed := strings.NewReplacer(change...).Replace(string(text))
-	if err := os.WriteFile(p.config+".new", []byte(changed), 0o600); err != nil {
-		t.Fatal(err)
-	}
-	if err := os.Rename(p.config+".new", p.config); err != nil {
-		t.Fatal(err)
-	}
-	if err := p.cmd.Process.Signal(syscall.SIGHUP); err != nil {
-		t.Fatal(err)
-	}
-}
+	"golang.org/x/sys/unix"
 
-func (p *running) logs(t testing.TB, text string) {
-	t.Helper()
-	eventually(t, "the log says "+text, func() bool { return strings.Contains(p.log.String(), text) })
-}
+	"onyxstream/internal/faultinject"
+	"onyxstream/internal/wire"
+)
 
-// On SIGHUP the node follows the discovery that the file names: with its whole list, whatever version the old one
-// was at, and without a word to the connections that stand.
-func TestReloadFollowsAnotherDiscovery(t *testing.T) {
+// On SIGHUP the node follows the discovery service that the file names: with its complete list, whatever revision the
+// old one had reached, and without a change to established connections.
+func TestReload_DiscoveryChanged_NewListFollowed(t *testing.T) {
 	t.Parallel()
-	a, b := newHost(t, "ha"), newHost(t, "hb")
-	old := newRegistry(t, list(41, true, a.member("SERVING")))
-	p := start(t, options{known: list(41, true, a.member("SERVING"))}, old.addr)
-	on := p.open(t, "")
-	on.hears("UP from-ha")
-	eventually(t, "the first watch", func() bool { return len(old.called()) == 1 })
-	reg := newRegistry(t, list(3, true, b.member("SERVING")))
-	p.hup(t, old.addr, reg.addr)
-	p.logs(t, "configuration reloaded")
-	eventually(t, "the new list alone holds", func() bool {
-		return strings.Contains(p.open(t, "").hears("UP "), "from-hb")
+	hostA, hostB := newFakeHost(t, "ha"), newFakeHost(t, "hb")
+	oldList := endpointListJSON(41, true, hostA.endpoint(wire.Serving))
+	oldDiscovery := newFakeDiscovery(t, oldList)
+	node := startNode(t, nodeOptions{initialList: oldList}, oldDiscovery.addr)
+	established := node.openRequest(t, "")
+	established.expectLine("UP from-ha")
+	eventually(t, "the first watch request", func() bool { return len(oldDiscovery.requestPaths()) == 1 })
+	discovery := newFakeDiscovery(t, endpointListJSON(3, true, hostB.endpoint(wire.Serving)))
+	node.reload(t, oldDiscovery.addr, discovery.addr)
+	node.waitForLog(t, "configuration reloaded")
+	eventually(t, "the new list has replaced the old one", func() bool {
+		return strings.Contains(node.openRequest(t, "").expectLine("UP "), "from-hb")
 	})
-	eventually(t, "the old watch is left", func() bool { return old.OpenCalls() == 0 })
-	old.turn(true)
+	eventually(t, "the old watch is closed", func() bool { return oldDiscovery.OpenCalls() == 0 })
+	oldDiscovery.setUnavailable(true)
 	for range 10 {
-		p.open(t, "").hears("UP from-hb")
+		node.openRequest(t, "").expectLine("UP from-hb")
 	}
-	eventually(t, "the new watch", func() bool { return len(reg.called()) >= 2 })
-	if calls := reg.called(); calls[0] != "/catalog/members" || calls[1] != "/catalog/members?watch=1&after=3" {
-		t.Errorf("asked %q", calls)
+	eventually(t, "the new watch request", func() bool { return len(discovery.requestPaths()) >= 2 })
+	paths := discovery.requestPaths()
+	if paths[0] != "/catalog/members" || paths[1] != "/catalog/members?watch=1&after=3" {
+		t.Errorf("requested %q", paths)
 	}
-	if n := len(old.called()); n != 1 {
-		t.Errorf("the old discovery was asked %d times", n)
+	if n := len(oldDiscovery.requestPaths()); n != 1 {
+		t.Errorf("the old discovery received %d requests", n)
 	}
-	reg.tell(list(4, false, a.member("SERVING"), b.member("DRAINING")))
-	eventually(t, "changes are followed", func() bool { return strings.Contains(p.open(t, "").hears("UP "), "from-ha") })
-	on.say("M still here\r\n")
-	on.hears("M still here")
+	discovery.sendEvent(endpointListJSON(4, false, hostA.endpoint(wire.Serving), hostB.endpoint(wire.Draining)))
+	eventually(t, "changes are followed", func() bool {
+		return strings.Contains(node.openRequest(t, "").expectLine("UP "), "from-ha")
+	})
+	established.send("M still here\r\n")
+	established.expectLine("M still here")
 }
 
-// A discovery that does not answer yet takes nothing from what is known, and is asked until it does.
-func TestReloadToADiscoveryThatIsDown(t *testing.T) {
+// While the new discovery service is unavailable the old list stays in use, and the request is repeated.
+func TestReload_NewDiscoveryDown_OldListRetained(t *testing.T) {
 	t.Parallel()
-	a, b := newHost(t, "ha"), newHost(t, "hb")
-	old := newRegistry(t, list(41, true, a.member("SERVING")))
-	p := start(t, options{known: list(41, true, a.member("SERVING"))}, old.addr)
-	eventually(t, "the first watch", func() bool { return len(old.called()) == 1 })
-	reg := newRegistry(t, list(3, true, b.member("SERVING")))
-	reg.turn(true)
-	p.hup(t, old.addr, reg.addr)
-	eventually(t, "the new discovery is asked again", func() bool { return len(reg.called()) >= 2 })
-	p.open(t, "").hears("UP from-ha")
-	reg.turn(false)
-	eventually(t, "its list holds", func() bool { return strings.Contains(p.open(t, "").hears("UP "), "from-hb") })
-	for _, call := range reg.called() {
-		if strings.Contains(call, "after=41") {
-			t.Errorf("a version of the old discovery was named to the new one: %q", call)
+	hostA, hostB := newFakeHost(t, "ha"), newFakeHost(t, "hb")
+	oldList := endpointListJSON(41, true, hostA.endpoint(wire.Serving))
+	oldDiscovery := newFakeDiscovery(t, oldList)
+	node := startNode(t, nodeOptions{initialList: oldList}, oldDiscovery.addr)
+	eventually(t, "the first watch request", func() bool { return len(oldDiscovery.requestPaths()) == 1 })
+	discovery := newFakeDiscovery(t, endpointListJSON(3, true, hostB.endpoint(wire.Serving)))
+	discovery.setUnavailable(true)
+	node.reload(t, oldDiscovery.addr, discovery.addr)
+	eventually(t, "the new discovery receives a second request", func() bool { return len(discovery.requestPaths()) >= 2 })
+	node.openRequest(t, "").expectLine("UP from-ha")
+	discovery.setUnavailable(false)
+	eventually(t, "its list is in use", func() bool {
+		return strings.Contains(node.openRequest(t, "").expectLine("UP "), "from-hb")
+	})
+	for _, path := range discovery.requestPaths() {
+		if strings.Contains(path, "after=41") {
+			t.Errorf("the new discovery received a revision of the old one: %q", path)
 		}
 	}
 }
 
-// What can't be read changes nothing, and what can't change is named.
-func TestReloadKeepsWhatItCanNotTake(t *testing.T) {
+// A file that is not valid changes nothing. A field that cannot change while the node runs is named in the log.
+func TestReload_InvalidOrFixedFields_Ignored(t *testing.T) {
 	t.Parallel()
-	h := newHost(t, "h1")
-	reg := newRegistry(t, list(1, true, h.member("SERVING")))
-	p := start(t, options{known: list(1, true, h.member("SERVING"))}, reg.addr)
-	eventually(t, "the first watch", func() bool { return len(reg.called()) == 1 })
-	on := p.open(t, "")
-	on.hears("UP ")
-	p.hup(t, `"sockets":256`, `"sockets":"many"`)
-	p.logs(t, `field \"limits.sockets\"`)
-	p.hup(t, `"sockets":"many"`, `"sockets":256`, reg.addr, "nowhere")
-	p.logs(t, `field \"discovery\"`)
-	p.hup(t, `"discovery":"nowhere",`, "")
-	p.logs(t, `field \"discovery\": \"\" is no address`)
-	p.hup(t, `"listen"`, `"discovery":"`+reg.addr+`","listen"`, "}", "")
-	p.logs(t, "can't be read")
-	text, _ := os.ReadFile(config(t, "127.0.0.1:1", reg.addr, options{mode: "pass", known: list(0, true), sockets: 512}))
-	if err := os.WriteFile(p.config, text, 0o600); err != nil {
+	host := newFakeHost(t, "h1")
+	node, discovery := startNodeWithHosts(t, nodeOptions{}, host)
+	eventually(t, "the first watch request", func() bool { return len(discovery.requestPaths()) == 1 })
+	established := node.openRequest(t, "")
+	established.expectLine("UP ")
+	node.reload(t, `"sockets":256`, `"sockets":"many"`)
+	node.waitForLog(t, `field \"limits.sockets\"`)
+	node.reload(t, `"sockets":"many"`, `"sockets":256`, discovery.addr, "nowhere")
+	node.waitForLog(t, `field \"discovery\"`)
+	node.reload(t, `"discovery":"nowhere",`, "")
+	node.waitForLog(t, `field \"discovery\": \"\" is no address`)
+	node.reload(t, `"listen"`, `"discovery":"`+discovery.addr+`","listen"`, "}", "")
+	node.waitForLog(t, "can't be read")
+	options := nodeOptions{mode: "pass", initialList: endpointListJSON(0, true), socketLimit: 512}
+	text, _ := os.ReadFile(writeConfig(t, "127.0.0.1:1", discovery.addr, options))
+	if err := os.WriteFile(node.configPath, text, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	p.hup(t)
-	p.logs(t, `"field": "listen"`)
-	p.logs(t, `"field": "limits.sockets"`)
-	if strings.Contains(p.log.String(), `"field": "settings"`) {
-		t.Error("settings that are the same are named as left")
+	node.reload(t)
+	node.waitForLog(t, `"field": "listen"`)
+	node.waitForLog(t, `"field": "limits.sockets"`)
+	if strings.Contains(node.log.String(), `"field": "settings"`) {
+		t.Error("settings that are the same are named as ignored")
 	}
-	on.say("M\r\n")
-	on.hears("M")
-	p.open(t, "").hears("UP ")
-	if n := len(reg.called()); n != 1 {
-		t.Errorf("discovery was asked %d times, though its address is the same", n)
+	established.send("M\r\n")
+	established.expectLine("M")
+	node.openRequest(t, "").expectLine("UP ")
+	if n := len(discovery.requestPaths()); n != 1 {
+		t.Errorf("discovery received %d requests, though its address is the same", n)
 	}
 }
 
-func TestManyReloadsAndOneWhileItStops(t *testing.T) {
+func TestReload_RepeatedAndDuringShutdown_StopsCleanly(t *testing.T) {
 	t.Parallel()
-	h := newHost(t, "h1")
-	reg := newRegistry(t, list(1, true, h.member("SERVING")))
-	p := start(t, options{known: list(1, true, h.member("SERVING")), mode: "proxy"}, reg.addr)
-	on := p.open(t, "")
-	on.hears("UP ")
-	was := reg.addr
+	host := newFakeHost(t, "h1")
+	node, discovery := startNodeWithHosts(t, nodeOptions{mode: "proxy"}, host)
+	established := node.openRequest(t, "")
+	established.expectLine("UP ")
+	previousAddr := discovery.addr
 	for range 6 {
-		next := newRegistry(t, list(1, true, h.member("SERVING")))
-		p.hup(t, was, next.addr)
-		was = next.addr
+		next := newFakeDiscovery(t, endpointListJSON(1, true, host.endpoint(wire.Serving)))
+		node.reload(t, previousAddr, next.addr)
+		previousAddr = next.addr
+	}
+	last := newFakeDiscovery(t, endpointListJSON(1, true, host.endpoint(wire.Serving)))
+	node.reload(t, previousAddr, last.addr)
+	eventually(t, "the last discovery is watched", func() bool { return len(last.requestPaths()) >= 2 })
+	node.openRequest(t, "").expectLine("UP ")
+	node.terminate(t)
+	node.waitForLog(t, "shutting down gracefully")
+	afterShutdown := newFakeDiscovery(t, endpointListJSON(1, true, host.endpoint(wire.Serving)))
+	node.reload(t, last.addr, afterShutdown.addr)
+	established.expectLine("MOVE\r\n")
+	established.expectClose(false)
+	if err := <-node.exited; err != nil {
+		t.Errorf("the node exited with %v", err)
 	}
-	last := newRegistry(t, list(1, true, h.member("SERVING")))
-	p.hup(t, was, last.addr)
-	eventually(t, "the last one named is watched", func() bool { return len(last.called()) >= 2 })
-	p.open(t, "").hears("UP ")
-	p.signal(t)
-	p.logs(t, "shutting down gracefully")
-	drain := newRegistry(t, list(1, true, h.member("SERVING")))
-	p.hup(t, last.addr, drain.addr)
-	on.hears("MOVE\r\n")
-	on.ends(false)
-	if err := <-p.done; err != nil {
-		t.Errorf("the node ended with %v", err)
+}
+
+// The watch at the old discovery goes on while the new one fails, and brings events after that failure; then it ends.
+// The new one is still polled: events of the old watch do not count as a watch at the new one.
+func TestReload_OldWatchEventAfterNewFails_NewStillPolled(t *testing.T) {
+	t.Parallel()
+	hostA, hostB, hostC := newFakeHost(t, "ha"), newFakeHost(t, "hb"), newFakeHost(t, "hc")
+	oldList := endpointListJSON(41, true, hostA.endpoint(wire.Serving))
+	oldDiscovery := newFakeDiscovery(t, oldList)
+	node := startNode(t, nodeOptions{initialList: oldList}, oldDiscovery.addr)
+	eventually(t, "the first watch request", func() bool { return oldDiscovery.OpenCalls() == 1 })
+	discovery := newFakeDiscovery(t, endpointListJSON(3, true, hostC.endpoint(wire.Serving)))
+	discovery.setUnavailable(true)
+	node.reload(t, oldDiscovery.addr, discovery.addr)
+	eventually(t, "the new discovery receives a request", func() bool { return len(discovery.requestPaths()) > 0 })
+	node.waitForLog(t, "discovery answered 503")
+	for i := int64(0); i < 4; i += 2 { // one of them arrives while no request to the new one is open
+		oldDiscovery.sendEvent(endpointListJSON(42+i, false, hostB.endpoint(wire.Serving), hostA.endpoint(wire.Draining)))
+		node.waitUntilServedBy(t, hostB.id)
+		oldDiscovery.sendEvent(endpointListJSON(43+i, false, hostA.endpoint(wire.Serving), hostB.endpoint(wire.Draining)))
+		node.waitUntilServedBy(t, hostA.id)
 	}
+	oldDiscovery.setUnavailable(true)
+	eventually(t, "the old watch is closed", func() bool { return oldDiscovery.OpenCalls() == 0 })
+	discovery.setUnavailable(false)
+	node.waitUntilServedBy(t, hostC.id)
 }
 
-// The watch at the old discovery goes on while the new one refuses, and brings news behind that refusal; then it ends too.
-// The new one is asked on: that news passed for a watch at it, and nothing that came to the list was heard of any more.
-func TestNewsOfTheOldWatchBehindARefusalOfTheNewOne(t *testing.T) {
+// A reload is repeated until the file can be read.
+func TestReload_FileUnreadableBriefly_Retried(t *testing.T) {
 	t.Parallel()
-	a, b, c := newHost(t, "ha"), newHost(t, "hb"), newHost(t, "hc")
-	old := newRegistry(t, list(41, true, a.member("SERVING")))
-	p := start(t, options{known: list(41, true, a.member("SERVING"))}, old.addr)
-	eventually(t, "the first watch", func() bool { return old.OpenCalls() == 1 })
-	reg := newRegistry(t, list(3, true, c.member("SERVING")))
-	reg.turn(true)
-	p.hup(t, old.addr, reg.addr)
-	uses := func(on *host) { // each client leaves again: they would fill the node
-		t.Helper()
-		eventually(t, on.id+" is used", func() bool {
-			k := p.open(t, "")
-			defer k.c.Close()
-			return strings.Contains(k.hears("UP "), "from-"+on.id)
-		})
+	hostA, hostB := newFakeHost(t, "ha"), newFakeHost(t, "hb")
+	faults := &faultinject.Options{Calls: []faultinject.Call{faultinject.OpenAt}}
+	node, oldDiscovery := startNodeWithHosts(t, nodeOptions{faults: faults}, hostA)
+	discovery := newFakeDiscovery(t, endpointListJSON(1, true, hostB.endpoint(wire.Serving)))
+	eventually(t, "the first watch request", func() bool { return len(oldDiscovery.requestPaths()) == 1 })
+	node.faults.Fail(faultinject.Rule{Call: faultinject.OpenAt, Probability: 1, Errors: []unix.Errno{unix.ENFILE}})
+	node.reload(t, oldDiscovery.addr, discovery.addr)
+	node.waitForLog(t, "configuration reload failed")
+	node.faults.Fail()
+	node.waitUntilServedBy(t, "hb")
+}
+
+// A file that is still being written when the signal arrives is read again once it is complete.
+func TestReload_FileHalfWritten_ReadOnceComplete(t *testing.T) {
+	t.Parallel()
+	hostA, hostB := newFakeHost(t, "ha"), newFakeHost(t, "hb")
+	node, oldDiscovery := startNodeWithHosts(t, nodeOptions{}, hostA)
+	discovery := newFakeDiscovery(t, endpointListJSON(1, true, hostB.endpoint(wire.Serving)))
+	eventually(t, "the first watch request", func() bool { return len(oldDiscovery.requestPaths()) == 1 })
+	text, err := os.ReadFile(node.configPath)
+	if err != nil {
+		t.Fatal(err)
 	}
-	eventually(t, "the new discovery is asked", func() bool { return len(reg.called()) > 0 })
-	p.logs(t, "discovery answered 503")
-	for i := int64(0); i < 4; i += 2 { // one of them comes while no call to the new one is out
-		old.tell(list(42+i, false, b.member("SERVING"), a.member("DRAINING")))
-		uses(b)
-		old.tell(list(43+i, false, a.member("SERVING"), b.member("DRAINING")))
-		uses(a)
+	complete := strings.ReplaceAll(string(text), oldDiscovery.addr, discovery.addr)
+	overwrite := func(text string) {
+		if err := os.WriteFile(node.configPath, []byte(text), 0o600); err != nil {
+			t.Fatal(err)
+		}
 	}
-	old.turn(true)
-	eventually(t, "the old watch has ended", func() bool { return old.OpenCalls() == 0 })
-	reg.turn(false)
-	uses(c)
+	overwrite(complete[:len(complete)/2])
+	node.sendSignal(t, syscall.SIGHUP)
+	node.waitForLog(t, "configuration reload failed")
+	overwrite(complete)
+	node.waitUntilServedBy(t, "hb")
 }
--- /dev/null
+++ b/cmd/onyxstream/shutdown_test.go
@@ -0,0 +1,97 @@
+package main
+
+import (
+	"strings"
+	"testing"
+	"time"
+)
+
+func TestShutdown_PassMode_ServesUntilExit(t *testing.T) {
+	t.Parallel()
+	host := newFakeHost(t, "h1")
+	node, _ := startNodeWithHosts(t, nodeOptions{}, host)
+	established := node.openRequest(t, "")
+	established.expectLine("UP ")
+	node.terminate(t)
+	late := node.openRequest(t, "") // the front end has not noticed yet
+	late.expectLine("UP ")
+	// Open connections are served until the time is up: other nodes take them over only from a process that has exited.
+	for range 10 {
+		time.Sleep(200 * time.Millisecond)
+		established.send("M\r\n")
+		established.expectLine("M")
+	}
+	if err := <-node.exited; err != nil {
+		t.Errorf("the node exited with %v", err)
+	}
+	line, err := established.reader.ReadString('\n')
+	if line != "" || err == nil {
+		t.Errorf("received %q from a node that has exited", line)
+	}
+}
+
+// A client that connects in the last moment in which the front end still sends clients may have a deadline after the
+// node's exit. Where its host hangs it gets an answer before the node exits, instead of a closed connection.
+func TestShutdown_HostHangs_WaitingClientsAnswered(t *testing.T) {
+	t.Parallel()
+	for _, mode := range []string{"pass", "proxy"} {
+		t.Run(mode, func(t *testing.T) {
+			t.Parallel()
+			host := newFakeHost(t, "h1")
+			host.setReply("")
+			node, _ := startNodeWithHosts(t, nodeOptions{mode: mode, latencyObjectiveMS: 9000}, host)
+			var waiting []*testClient
+			for _, when := range []string{"before", "after"} {
+				client := node.dial(t)
+				client.send("OPEN " + when + " key c=chat,t=acme,d=9000\r\n")
+				waiting = append(waiting, client)
+				eventually(t, "the host has received the request", func() bool { return len(host.openings()) == len(waiting) })
+				if when == "before" {
+					node.terminate(t)
+					node.waitForLog(t, "shutting down gracefully")
+				}
+			}
+			partial := node.dial(t) // its line arrives in two parts
+			partial.send("OPEN half key c=ch")
+			time.Sleep(1200 * time.Millisecond)
+			partial.send("at,t=acme,d=9000\r\n")
+			for _, client := range append(waiting, partial) {
+				client.expectLine("BUSY ")
+				client.expectClose(false)
+			}
+			if err := <-node.exited; err != nil {
+				t.Errorf("the node exited with %v", err)
+			}
+		})
+	}
+}
+
+func TestShutdown_NothingOpen_ExitsAtOnce(t *testing.T) {
+	t.Parallel()
+	discovery := newFakeDiscovery(t, endpointListJSON(1, true))
+	node := startNode(t, nodeOptions{}, discovery.addr)
+	node.terminate(t)
+	if err := <-node.exited; err != nil {
+		t.Errorf("the node exited with %v", err)
+	}
+	if !strings.Contains(node.log.String(), "stopped") {
+		t.Error("the node did not shut down gracefully")
+	}
+}
+
+func TestShutdown_ProxyMode_MigratesConnections(t *testing.T) {
+	t.Parallel()
+	host := newFakeHost(t, "h1")
+	node, _ := startNodeWithHosts(t, nodeOptions{mode: "proxy"}, host)
+	clients := node.establish(t, 10, "UP ")
+	node.terminate(t)
+	late := node.openRequest(t, "")
+	late.expectLine("UP ")
+	for _, client := range append(clients, late) {
+		client.expectLine("MOVE\r\n")
+		client.expectClose(false)
+	}
+	if err := <-node.exited; err != nil {
+		t.Errorf("the node exited with %v", err)
+	}
+}
