--- a/cmd/onyxstream/reload_test.go
+++ b/cmd/onyxstream/reload_test.go
@@ -143,8 +143,9 @@
 	hostA, hostB, hostC := newFakeHost(t, "ha"), newFakeHost(t, "hb"), newFakeHost(t, "hc")
 	oldList := endpointListJSON(41, true, hostA.endpoint(wire.Serving))
 	oldDiscovery := newFakeDiscovery(t, oldList)
-	node := startNode(t, nodeOptions{initialList: oldList}, oldDiscovery.addr)
+	node := startNode(t, nodeOptions{initialList: oldList, env: []string{"PROXY_DEBUG=1"}}, oldDiscovery.addr)
 	eventually(t, "the first watch request", func() bool { return oldDiscovery.OpenCalls() == 1 })
+	node.waitForLog(t, "endpoint list received") // a watch without a list would be closed by the reload
 	discovery := newFakeDiscovery(t, endpointListJSON(3, true, hostC.endpoint(wire.Serving)))
 	discovery.setUnavailable(true)
 	node.reload(t, oldDiscovery.addr, discovery.addr)
