--- a/balancer/load.go
+++ b/balancer/load.go
@@ -95,39 +95,37 @@
 // updateTotals sums up the fleet.
 func (b *Balancer) updateTotals() {
 	ejected, known, limited := 0.0, 0.0, 0.0
-	b.fleet.load = 0
-	b.fleet.usableCapacity = 0
-	b.fleet.weight = 0
-	b.fleet.zoneWeight = 0
+	totals := fleetTotals{maxProbes: maxGroupProbes}
 	for _, srv := range b.table.holders {
 		if srv.state == draining {
 			continue
 		}
-		b.fleet.weight += srv.weight
+		totals.weight += srv.weight
 		if srv.zone == b.settings.Zone {
-			b.fleet.zoneWeight += srv.weight
+			totals.zoneWeight += srv.weight
 		}
-		if b.isLimited(srv) {
+		switch {
+		case b.isLimited(srv):
 			limited += srv.weight
-		}
-		if b.isLimited(srv) || srv.connections > 0 {
+			known += srv.weight
+		case srv.connections > 0:
 			known += srv.weight
 		}
 		if b.isEjected(srv) {
 			ejected += srv.weight
 		} else {
-			b.fleet.load += b.loadOf(srv)
-			b.fleet.usableCapacity += b.capacityOf(srv)
+			totals.load += b.loadOf(srv)
+			totals.usableCapacity += b.capacityOf(srv)
 		}
 	}
-	b.fleet.maxWeight = max(b.fleet.maxWeight, b.fleet.weight)
-	b.fleet.ignoreEjections = ejected > maxEjectedFraction*b.fleet.weight
-	b.fleet.overloaded = limited > overloadedFraction*known
-	b.fleet.maxProbes = maxGroupProbes
+	totals.maxWeight = max(b.fleet.maxWeight, totals.weight)
+	totals.ignoreEjections = ejected > maxEjectedFraction*totals.weight
+	totals.overloaded = limited > overloadedFraction*known
 	if b.lowSample() { // it knows few servers, and late
-		b.fleet.overloaded = limited > lowSampleOverloadedFraction*known
-		b.fleet.maxProbes = lowSampleGroupProbes
+		totals.overloaded = limited > lowSampleOverloadedFraction*known
+		totals.maxProbes = lowSampleGroupProbes
 	}
+	b.fleet = totals
 }
 
 // loadOf is the load of this node on a server, with the cost of the groups there.
