--- a/internal/cli/keys.go
+++ b/internal/cli/keys.go
@@ -9,7 +9,7 @@
 	"onyxstream/internal/pki"
 )
 
-// defaultValidity is how long certificates are valid unless told otherwise.
+// defaultValidity is how long certificates are valid by default.
 const defaultValidity = 90 * 24 * time.Hour
 
 func keysCommand() *cobra.Command {
--- a/internal/node/latency.go
+++ b/internal/node/latency.go
@@ -23,7 +23,7 @@
 	backlog         time.Duration      // estimated work that is queued at the host
 }
 
-// resetBaseline forgets what was measured before the host's last start.
+// resetBaseline discards the baseline of the time before the host's last start.
 func (l *hostLatency) resetBaseline() {
 	l.bestPing = 0
 	l.unconfirmedPing = 0
