--- a/internal/lifecycle/control.go
+++ b/internal/lifecycle/control.go
@@ -154,10 +154,10 @@
 
 // abandonedRequests lists the counts by reason, sorted: a status that has not changed must be equal to the last one.
 func abandonedRequests(view node.View) (abandoned []control.AbandonedRequests) {
-	for _, reason := range slices.Sorted(maps.Keys(view.GivenUp)) {
+	for _, reason := range slices.Sorted(maps.Keys(view.Abandoned)) {
 		abandoned = append(abandoned, control.AbandonedRequests{
 			Reason:   string(reason),
-			Requests: view.GivenUp[reason],
+			Requests: view.Abandoned[reason],
 		})
 	}
 	return abandoned
--- a/internal/lifecycle/peerpoll.go
+++ b/internal/lifecycle/peerpoll.go
@@ -104,7 +104,7 @@
 
 // requestList makes one call to a peer; it returns false where the node gained nothing by it.
 func (p *peerPoller) requestList(ctx context.Context, client *control.Client, address string) bool {
-	service := p.node.ListService()
+	service := p.node.DiscoveryName()
 	revision, age, unreachable := p.cachedList(service)
 	ctx, cancel := context.WithTimeout(ctx, peerCallTimeout)
 	defer cancel()
--- a/internal/node/coldstart.go
+++ b/internal/node/coldstart.go
@@ -42,9 +42,9 @@
 	n.logPhaseChange()
 }
 
-// ListService returns the name of the list service. The cold start must be enabled. It may be called from any
+// DiscoveryName returns the name of the list service. The cold start must be enabled. It may be called from any
 // goroutine.
-func (n *Node) ListService() string { return *n.service.Load() }
+func (n *Node) DiscoveryName() string { return *n.service.Load() }
 
 // Heartbeat reports that discovery has confirmed an idle watch. It may be called from any goroutine.
 func (n *Node) Heartbeat(sequence uint64) {
--- a/internal/node/coldstart_cache.go
+++ b/internal/node/coldstart_cache.go
@@ -35,7 +35,7 @@
 	}
 	previous := n.cachedList.Load()
 	cached := &CachedList{
-		Service:      n.ListService(),
+		Service:      n.DiscoveryName(),
 		Source:       state.Source,
 		Confirmed:    time.Now().Add(-state.Age),
 		Replaced:     make(chan struct{}),
--- a/internal/node/view.go
+++ b/internal/node/view.go
@@ -18,9 +18,9 @@
 
 // View describes the node's state.
 type View struct {
-	Revision int64                   // of the endpoint list
-	Hosts    []HostView              // by id
-	GivenUp  map[balancer.Reason]int // requests that were rejected or failed, by reason
+	Revision  int64                   // of the endpoint list
+	Hosts     []HostView              // by id
+	Abandoned map[balancer.Reason]int // requests that were rejected or failed, by reason
 }
 
 // View returns the node's state; empty once the loop has ended. It may be called from any goroutine.
@@ -31,7 +31,7 @@
 }
 
 func (n *Node) buildView() View {
-	view := View{Revision: n.revision, GivenUp: maps.Clone(n.givenUpCounts)}
+	view := View{Revision: n.revision, Abandoned: maps.Clone(n.givenUpCounts)}
 	connections := map[balancer.ServerID]int{}
 	for _, r := range n.requests {
 		if r.isEstablished() {
