--- a/internal/node/attempts.go
+++ b/internal/node/attempts.go
@@ -7,8 +7,8 @@
 	"onyxstream/internal/invariant"
 )
 
-// startAttempt starts an attempt. One that can't be started ends at once, as the balancer expects exactly one outcome
-// of each.
+// startAttempt starts an attempt. An attempt that cannot be started ends at once with the outcome NotSent, because the
+// balancer expects exactly one outcome for each.
 func (n *Node) startAttempt(action balancer.Send) {
 	r := n.requests[action.ID]
 	if r == nil || r.answered {
@@ -35,7 +35,7 @@
 	r.conn.Send(Attempt{Number: attempt, Host: host.id, Addr: host.addr, Timeout: action.Timeout})
 }
 
-// endUnsent queues the outcome NotSent for an attempt; final tells that its request has been answered.
+// endUnsent queues the outcome NotSent for an attempt; final is set if its request is concluded.
 func (n *Node) endUnsent(action balancer.Send, attempt int, final bool) {
 	n.pendingEvents = append(n.pendingEvents, balancer.AttemptEnded{
 		ID:      action.ID,
@@ -66,7 +66,7 @@
 	if r.established {
 		n.established.Add(-1)
 	}
-	n.decide(balancer.AttemptEnded{
+	n.notifyBalancer(balancer.AttemptEnded{
 		ID:      e.id,
 		Attempt: e.attempt,
 		Server:  r.host.id,
--- a/internal/node/coldstart.go
+++ b/internal/node/coldstart.go
@@ -10,30 +10,31 @@
 	"onyxstream/internal/coldstart"
 )
 
-// The cold start is enabled by the node's configuration. Package coldstart decides when the list service is called and
-// which peers' lists are used; this file and coldstart_*.go carry that out. While it is off scheduler is nil, and the
-// balancer's wishes for the list are carried out at once.
+// The node's configuration enables the cold start. Package coldstart decides when the node sends list requests and
+// which peer lists it uses; this file and coldstart_*.go carry out these decisions. If the cold start is disabled,
+// scheduler is nil and the node sends a list request whenever the balancer's action WatchList demands it.
 
 // coldStartState is the state of the cold start.
 type coldStartState struct {
-	scheduler   *coldstart.Scheduler
-	service     atomic.Pointer[string] // the name by which all nodes know the list service
-	loggedPhase coldstart.Phase
-	// needsSnapshot is set while a drain is kept that a peer's list has lifted: changes since that list's revision
-	// would not show the drain.
+	scheduler     *coldstart.Scheduler
+	discoveryName atomic.Pointer[string] // name of discovery, the same at all nodes
+	loggedPhase   coldstart.Phase
+	// needsSnapshot is set while a host is kept draining although the adopted peer list says that it serves: the
+	// changes since that list's revision would not show whether the drain is over.
 	needsSnapshot bool
-	// assumedStartAt is when all hosts count as started, by the node's clock, while no service or peer has confirmed
-	// the cached list: after a power failure all of them may have been. 0 once the list is confirmed.
+	// assumedStartAt is the assumed start time of all hosts, by the node's clock, while neither discovery nor a peer
+	// has confirmed the cached list: all hosts may have restarted after a power failure. It is 0 once the list is
+	// confirmed.
 	assumedStartAt time.Duration
-	unreachable    map[string]time.Time // hosts that could not be connected to while the list is unconfirmed
+	unreachable    map[string]time.Time // when each unreachable host was found; empty once the list is confirmed
 	cachedList     atomic.Pointer[CachedList]
-	listAvailable  chan struct{} // closed with the first cached list
+	listAvailable  chan struct{} // closed when the first list is published
 }
 
-// EnableColdStart enables the cold start. service is the name of the list service. It must be called before Run.
-func (n *Node) EnableColdStart(scheduler *coldstart.Scheduler, service string) {
+// EnableColdStart enables the cold start. It must be called before Run.
+func (n *Node) EnableColdStart(scheduler *coldstart.Scheduler, discoveryName string) {
 	n.scheduler = scheduler
-	n.service.Store(&service)
+	n.discoveryName.Store(&discoveryName)
 	if n.scheduler.State(n.now()).Phase == coldstart.StaleList {
 		n.assumedStartAt = n.clockTime(n.startedAt)
 		n.applyList(n.snapshot(), balancer.ListCached, false)
@@ -42,22 +43,22 @@
 	n.logPhaseChange()
 }
 
-// DiscoveryName returns the name of the list service. The cold start must be enabled. It may be called from any
-// goroutine.
-func (n *Node) DiscoveryName() string { return *n.service.Load() }
+// DiscoveryName returns the name of discovery. The cold start must be enabled. It may be called from any goroutine.
+func (n *Node) DiscoveryName() string { return *n.discoveryName.Load() }
 
-// Heartbeat reports that discovery has confirmed an idle watch. It may be called from any goroutine.
+// Heartbeat reports that discovery has confirmed an idle watch, given by the sequence number of its list request. It
+// may be called from any goroutine.
 func (n *Node) Heartbeat(sequence uint64) {
 	if n.scheduler != nil {
 		n.post(heartbeatReceived{sequence: sequence})
 	}
 }
 
-// PeerContacted reports that a peer has answered without a list. It may be called from any goroutine.
+// PeerContacted reports that a peer has responded but has no list. It may be called from any goroutine.
 func (n *Node) PeerContacted() { n.post(peerContacted{}) }
 
-// ColdStartState returns the state of the cold start; ok is false if it is off or the loop has ended. It may be called
-// from any goroutine.
+// ColdStartState returns the state of the cold start; ok is false if the cold start is disabled or the loop has ended.
+// It may be called from any goroutine.
 func (n *Node) ColdStartState() (state coldstart.State, ok bool) {
 	if n.scheduler == nil {
 		return state, false
@@ -66,17 +67,19 @@
 	return query(n, coldStartStateRequested{reply: reply}, reply)
 }
 
-// nextCallIn returns the time until the next planned call to the list service, idleWait if there is none. Calls are not
-// left to the tick: the ticks of nodes that were started together coincide, and would undo the spread of the calls.
-func (n *Node) nextCallIn() time.Duration {
+// timeToListRequest returns the time until the next planned list request, or idleWait if the cold start is disabled.
+// List requests don't wait for the next tick: nodes that were started together tick at the same time, which would undo
+// the spread of their list requests.
+func (n *Node) timeToListRequest() time.Duration {
 	if n.scheduler == nil {
 		return idleWait
 	}
 	return n.scheduler.NextCallIn(n.now())
 }
 
-// callIfDue calls the list service if a call is due, and publishes the list if an unreachable host is to be retried.
-func (n *Node) callIfDue() {
+// requestListIfDue sends a list request if one is due. It also publishes the cached list again if the ejection of an
+// unreachable host has ended.
+func (n *Node) requestListIfDue() {
 	if n.scheduler.CallDue(n.now()) {
 		n.watch()
 	}
@@ -108,7 +111,7 @@
 	n.logPhaseChange()
 }
 
-// recordListReceived records that the list service has sent a list.
+// recordListReceived records that discovery has sent a list.
 func (n *Node) recordListReceived() {
 	if n.scheduler == nil {
 		return
@@ -120,7 +123,7 @@
 	n.logPhaseChange()
 }
 
-// confirmList ends the assumption that all hosts have just started.
+// confirmList ends the assumption that all hosts have just started, and forgets the unreachable hosts.
 func (n *Node) confirmList() {
 	if n.assumedStartAt > 0 {
 		n.assumedStartAt = 0
@@ -129,7 +132,7 @@
 	}
 }
 
-// logPhaseChange logs the cold start's state when its phase has changed.
+// logPhaseChange logs the state of the cold start if its phase has changed.
 func (n *Node) logPhaseChange() {
 	state := n.scheduler.State(n.now())
 	if state.Phase == n.loggedPhase {
--- a/internal/node/coldstart_cache.go
+++ b/internal/node/coldstart_cache.go
@@ -9,25 +9,27 @@
 	"onyxstream/internal/wire"
 )
 
-// CachedList is the endpoint list that the node holds, for gossip and for the list file. It must not be changed.
+// CachedList is the endpoint list that the node holds. It is sent to peers and written to the list file. It must not be
+// modified.
 type CachedList struct {
-	Service      string
+	Service      string // name of the discovery that the list is from
 	Source       coldstart.Source
-	List         wire.EndpointList // a snapshot as the service sent it, without the operators' overrides
-	Confirmed    time.Time         // when the service last sent or confirmed it
-	Replaced     chan struct{}     // closed once a newer CachedList is published
-	AssumedStart bool              // not confirmed since the node's start
-	Unreachable  []UnreachableHost // hosts that this node or a peer could not connect to lately
+	List         wire.EndpointList // a snapshot as discovery sent it, without operators' overrides
+	Confirmed    time.Time         // when discovery last sent or confirmed the list
+	Replaced     chan struct{}     // closed when a newer CachedList is published
+	AssumedStart bool              // the list has not been confirmed since the node's start
+	Unreachable  []UnreachableHost // hosts that this node or a peer recently failed to connect to
 }
 
-// CachedList returns the list that the node holds; nil if there is none or the cold start is off. It may be called from
-// any goroutine.
+// CachedList returns the list that the node holds; nil if there is none or the cold start is disabled. It may be called
+// from any goroutine.
 func (n *Node) CachedList() *CachedList { return n.cachedList.Load() }
 
-// ListAvailable returns a channel that is closed once there is a list. It may be called from any goroutine.
+// ListAvailable returns a channel that is closed when the first list is published. It may be called from any goroutine.
 func (n *Node) ListAvailable() <-chan struct{} { return n.listAvailable }
 
-// publishList publishes the cached list: a new one, or the same with its new state if list is nil.
+// publishList publishes list as the cached list. If list is nil, it publishes the previous list again with its present
+// state, or a snapshot of the held list if none was published.
 func (n *Node) publishList(list *wire.EndpointList) {
 	state := n.scheduler.State(n.now())
 	if state.Phase == coldstart.NoList {
@@ -58,7 +60,7 @@
 	}
 }
 
-// listedEndpoints returns the entries of the list, by id.
+// listedEndpoints returns the endpoints of the list, sorted by id.
 func (n *Node) listedEndpoints() (endpoints []wire.Endpoint) {
 	for _, host := range n.hosts {
 		if !host.unlisted {
@@ -69,7 +71,7 @@
 	return endpoints
 }
 
-// snapshot returns the list as the node holds it.
+// snapshot returns a snapshot of the list that the node holds.
 func (n *Node) snapshot() *wire.EndpointList {
 	return &wire.EndpointList{Revision: n.revision, Complete: true, Endpoints: n.listedEndpoints()}
 }
--- a/internal/node/coldstart_peers.go
+++ b/internal/node/coldstart_peers.go
@@ -11,25 +11,25 @@
 	"onyxstream/internal/wire"
 )
 
-// PeerList is a list that a peer has passed on, or its statement that it holds the same one as this node.
+// PeerList is a peer's response: its endpoint list, or a confirmation that it holds the same list as this node.
 type PeerList struct {
 	Offer       coldstart.Offer
-	List        *wire.EndpointList // nil for the statement alone
+	List        *wire.EndpointList // nil if the peer holds the same list
 	Unreachable []UnreachableHost
 	Peer        string
 	At          time.Time // when Offer.Age was determined
 }
 
-// ReceivePeerList passes on a peer's list and reports whether it was used. A caller must not ask a peer again without a
-// pause whose list was not used. It may be called from any goroutine.
+// ReceivePeerList passes a peer list to the event loop and reports whether it was used. If it was not, the caller must
+// pause before its next request to the same peer. ReceivePeerList may be called from any goroutine.
 func (n *Node) ReceivePeerList(list PeerList) bool {
 	reply := make(chan bool, 1)
 	used, _ := query(n, peerListReceived{list: list, reply: reply}, reply)
 	return used
 }
 
-// handlePeerList considers a peer's list and its unreachable hosts. The reply is sent even on a panic, as the caller
-// waits for it.
+// handlePeerList handles a peer list and the peer's unreachable hosts. The reply is sent even after a panic, because
+// the caller waits for it.
 func (n *Node) handlePeerList(e peerListReceived) {
 	n.scheduler.PeerContacted(n.now())
 	used := false
@@ -39,8 +39,8 @@
 	n.logPhaseChange()
 }
 
-// considerPeerList adopts a peer's list, takes it as a confirmation of the held one, or ignores it. It reports
-// whether the list was used.
+// considerPeerList adopts a peer list, accepts it as a confirmation of the held list, or ignores it. It reports whether
+// the peer list was used.
 func (n *Node) considerPeerList(peerList PeerList) bool {
 	now := n.now()
 	offer := n.completeOffer(peerList)
@@ -59,8 +59,8 @@
 	return true
 }
 
-// completeOffer adds to an offer its present age and its number of hosts. A peer that states to hold the same list
-// has as many hosts as this node, unless the service has changed since.
+// completeOffer returns a peer's offer with its present age and its number of hosts. A peer that holds the same list
+// has as many hosts as this node, unless this node has switched to another discovery or revision since its request.
 func (n *Node) completeOffer(peerList PeerList) coldstart.Offer {
 	offer := peerList.Offer
 	offer.Age += time.Since(peerList.At)
@@ -75,8 +75,9 @@
 	return offer
 }
 
-// adoptPeerList replaces the held list. Published is the list as the peer sent it: drains that are kept are this node's
-// own decision, and the service is asked whether they are over.
+// adoptPeerList replaces the held list with a peer list, but keeps drains that the peer list would lift. Such a drain
+// is this node's own decision, so the published list is as the peer sent it, and the node requests a snapshot from
+// discovery to learn whether the drain is over.
 func (n *Node) adoptPeerList(peerList PeerList, offer coldstart.Offer, now time.Duration) {
 	published := *peerList.List
 	drainsKept := n.keepDrainingHosts(peerList.List)
@@ -92,8 +93,8 @@
 	n.publishList(&published)
 }
 
-// keepDrainingHosts marks hosts of a peer's list as draining that drain at this node, and returns how many. Only the
-// list service or a later start of the host ends a drain.
+// keepDrainingHosts marks each host of a peer list as draining if it serves according to the peer but drains at this
+// node, and returns how many it has marked. Only discovery or a later start of the host ends a drain.
 func (n *Node) keepDrainingHosts(list *wire.EndpointList) (kept int) {
 	list.Endpoints = slices.Clone(list.Endpoints)
 	for i, endpoint := range list.Endpoints {
--- a/internal/node/coldstart_spread_test.go
+++ b/internal/node/coldstart_spread_test.go
@@ -17,14 +17,14 @@
 	"onyxstream/internal/wire"
 )
 
-// callTimes is a Transport that records when discovery is first called.
-type callTimes struct {
+// firstRequestTimes is a Transport that records when discovery is first called.
+type firstRequestTimes struct {
 	mu    *sync.Mutex
 	at    *[]time.Duration
 	begun time.Time
 }
 
-func (c callTimes) Watch(call ListRequest) {
+func (c firstRequestTimes) Watch(call ListRequest) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if call.Sequence == 1 {
@@ -32,7 +32,7 @@
 	}
 }
 
-func (callTimes) Ping(balancer.ServerID, string) bool { return true }
+func (firstRequestTimes) Ping(balancer.ServerID, string) bool { return true }
 
 // Nodes that start in the same instant call the list service spread over an interval, and not in bursts at their ticks.
 func TestColdStart_NodesStartTogether_CallsSpread(t *testing.T) {
@@ -42,7 +42,7 @@
 		var firstCalls []time.Duration
 		var ended sync.WaitGroup
 		ctx, cancel := context.WithCancel(t.Context())
-		transport := callTimes{&mu, &firstCalls, time.Now()}
+		transport := firstRequestTimes{&mu, &firstCalls, time.Now()}
 		for i := range nodes {
 			set := settings.Settings{Settings: balancer.Settings{
 				PollList:     true,
--- a/internal/node/coldstart_test.go
+++ b/internal/node/coldstart_test.go
@@ -15,9 +15,9 @@
 )
 
 // watchRecorder is a Transport that passes on list requests.
-type watchRecorder struct{ calls chan ListRequest }
+type watchRecorder struct{ requests chan ListRequest }
 
-func (r *watchRecorder) Watch(c ListRequest)                 { r.calls <- c }
+func (r *watchRecorder) Watch(c ListRequest)                 { r.requests <- c }
 func (r *watchRecorder) Ping(balancer.ServerID, string) bool { return true }
 
 // startNode returns a node whose loop runs until the test ends.
@@ -46,7 +46,7 @@
 	n, transport := startNode(t, true)
 	var call ListRequest
 	select {
-	case call = <-transport.calls:
+	case call = <-transport.requests:
 	case <-time.After(10 * time.Second):
 		t.Fatal("the service is never called")
 	}
@@ -68,7 +68,7 @@
 // service whether it is over.
 func TestPeerList_LiftsDrain_DrainKeptButNotGossiped(t *testing.T) {
 	n, transport := startNode(t, true)
-	c := <-transport.calls
+	c := <-transport.requests
 	h1 := wire.Endpoint{ID: "h1", Addr: "127.0.0.1:1", Size: 1, Phase: wire.Draining}
 	n.ListReceived(c.Sequence, snapshotOf(5, h1))
 	n.WatchFailed(c.Sequence, 0)
@@ -84,7 +84,7 @@
 		t.Errorf("published is %+v", m)
 	}
 	select {
-	case c := <-transport.calls:
+	case c := <-transport.requests:
 		if c.AfterRevision != NoRevision {
 			t.Errorf("the service is asked for changes after %d, which don't show the drain", c.AfterRevision)
 		}
@@ -98,7 +98,7 @@
 	n, transport := startNode(t, false)
 	n.Heartbeat(1)
 	select {
-	case <-transport.calls: // the balancer's first wish for the list
+	case <-transport.requests: // the balancer's first wish for the list
 	case <-time.After(10 * time.Second):
 		t.Fatal("the service is never called")
 	}
--- a/internal/node/coldstart_unreachable.go
+++ b/internal/node/coldstart_unreachable.go
@@ -9,8 +9,9 @@
 	"onyxstream/internal/wire"
 )
 
-// While the list is unconfirmed, nodes exchange which hosts they could not connect to, so that each need not try all of
-// them itself. A list that the service confirms says better which hosts exist.
+// While the list is unconfirmed, nodes tell each other which hosts they could not connect to, so that a node need not
+// try each of them itself. Once the list is confirmed, it is the better source, and the unreachable hosts are
+// forgotten.
 
 // UnreachableHost is a host of an unconfirmed list that a node could not connect to.
 type UnreachableHost struct {
@@ -19,19 +20,21 @@
 }
 
 const (
-	// maxUnreachable bounds the unreachable hosts that are kept and passed on.
+	// maxUnreachable is the largest number of unreachable hosts that are kept and sent to peers.
 	maxUnreachable = 4096
-	// unreachableObjectives is for how many setup latency objectives an unreachable host gets nothing new: twice as
-	// many as the balancer ejects one for by itself.
-	unreachableObjectives = 8
-	// unreachableSpread is the number of objectives over which nodes spread their retries, by their index in
-	// unreachableSlots, so that few nodes retry first and inform the others.
-	unreachableSpread = 4
-	unreachableSlots  = 16
+	// ejectionObjectives is the duration, in setup latency objectives, for which an unreachable host is ejected: twice
+	// the duration for which the balancer ejects a host by itself.
+	ejectionObjectives = 8
+	// retrySpreadObjectives is the interval, in setup latency objectives, over which nodes spread their next attempts
+	// to an unreachable host. A node's index selects one of retrySlots points of this interval, so that a few nodes try
+	// the host first and inform the others.
+	retrySpreadObjectives = 4
+	retrySlots            = 16
 )
 
-// unreachableDuration returns for how long an unreachable host gets nothing new.
-func (n *Node) unreachableDuration() time.Duration {
+// ejectionDuration returns how long this node ejects an unreachable host, based on the shortest setup latency
+// objective.
+func (n *Node) ejectionDuration() time.Duration {
 	objective := time.Duration(0)
 	for _, class := range n.settings.Classes {
 		isShorter := objective == 0 || class.SetupLatencyObjective < objective
@@ -39,20 +42,21 @@
 			objective = class.SetupLatencyObjective
 		}
 	}
-	slot := time.Duration(n.settings.NodeIndex % unreachableSlots)
-	return unreachableObjectives*objective + unreachableSpread*objective*slot/unreachableSlots
+	slot := time.Duration(n.settings.NodeIndex % retrySlots)
+	return ejectionObjectives*objective + retrySpreadObjectives*objective*slot/retrySlots
 }
 
-// recordDialFailure records that this node could not connect to a host.
+// recordDialFailure records that this node could not connect to a host, if the list is unconfirmed.
 func (n *Node) recordDialFailure(host *hostRecord) {
 	if n.assumedStartAt > 0 {
 		n.mergeUnreachable([]UnreachableHost{{ID: string(host.id), FoundAt: time.Now()}})
 	}
 }
 
-// mergeUnreachable adds hosts that this node or a peer could not connect to, ejects them, and publishes them.
+// mergeUnreachable adds hosts that this node or a peer could not connect to, ejects them, and publishes them with the
+// cached list.
 func (n *Node) mergeUnreachable(found []UnreachableHost) {
-	duration := n.unreachableDuration()
+	duration := n.ejectionDuration()
 	changes := wire.EndpointList{Revision: n.revision}
 	for _, unreachable := range found {
 		host := n.hosts[balancer.ServerID(unreachable.ID)]
@@ -74,18 +78,18 @@
 	}
 }
 
-// unreachableFor returns for how long a host still gets nothing new, 0 if it is not known as unreachable.
-func (n *Node) unreachableFor(id balancer.ServerID) time.Duration {
+// remainingEjection returns how long a host remains ejected as unreachable; 0 if it is not.
+func (n *Node) remainingEjection(id balancer.ServerID) time.Duration {
 	foundAt, known := n.unreachable[string(id)]
 	if !known {
 		return 0
 	}
-	return max(n.unreachableDuration()-time.Since(foundAt), 0)
+	return max(n.ejectionDuration()-time.Since(foundAt), 0)
 }
 
-// unreachableHosts returns the unreachable hosts, by id, and forgets those whose time is over.
+// unreachableHosts returns the unreachable hosts, sorted by id, and forgets those whose ejection has ended.
 func (n *Node) unreachableHosts() (hosts []UnreachableHost) {
-	duration := n.unreachableDuration()
+	duration := n.ejectionDuration()
 	for id, foundAt := range n.unreachable {
 		if time.Since(foundAt) >= duration {
 			delete(n.unreachable, id)
--- a/internal/node/discovery.go
+++ b/internal/node/discovery.go
@@ -6,22 +6,25 @@
 	"onyxstream/balancer"
 )
 
-// Delays before a broken watch is started again, where discovery pushes changes and need not be polled.
+// Delays before the node restarts a broken watch. They apply where discovery pushes changes. Where the node polls
+// discovery instead, the balancer decides when to repeat the list request.
 const (
 	minRewatchDelay  = 300 * time.Millisecond
-	rewatchDelayStep = 50 * time.Millisecond // between nodes, by their index
-	rewatchSlots     = 8
+	rewatchDelayStep = 50 * time.Millisecond // difference between nodes with consecutive indexes
+	rewatchSlots     = 8                     // number of different delays
 )
 
-// MaxRewatchDelay is the longest time between the end of a watch and the next one, where discovery need not be polled.
+// MaxRewatchDelay is the longest time between the end of a watch and the next list request, without polling.
 const MaxRewatchDelay = minRewatchDelay + (rewatchSlots-1)*rewatchDelayStep + tickInterval
 
-// rewatchDelay returns a node's delay, to which up to one tick is added. Nodes that lose a watch together retry apart.
+// rewatchDelay returns the delay before a node restarts a broken watch; waiting for the next tick adds up to
+// tickInterval. The delay depends on the node's index, so that nodes that lose their watches together do not all retry
+// together.
 func rewatchDelay(nodeIndex int) time.Duration {
 	return minRewatchDelay + time.Duration(nodeIndex%rewatchSlots)*rewatchDelayStep
 }
 
-// watch requests the changes of the list since the held revision, or a snapshot.
+// watch sends a list request for the changes since the held revision, or for a snapshot.
 func (n *Node) watch() {
 	n.watching = true
 	n.watchSequence++
@@ -36,19 +39,20 @@
 	})
 }
 
-// requestList carries out the balancer's wish for the list. During a cold start the scheduler decides when.
+// requestList handles the balancer's action WatchList. If the cold start is enabled, its scheduler decides when to send
+// the list request.
 func (n *Node) requestList() {
 	if n.scheduler != nil {
-		n.callIfDue()
+		n.requestListIfDue()
 		return
 	}
 	n.watch()
 }
 
-// checkWatch makes a list request that has fallen due.
+// checkWatch sends a list request if one is due.
 func (n *Node) checkWatch(now time.Time) {
 	if n.scheduler != nil {
-		n.callIfDue()
+		n.requestListIfDue()
 		return
 	}
 	if !n.settings.PollList && !n.watching && now.After(n.nextWatchAt) {
@@ -56,35 +60,35 @@
 	}
 }
 
-// handleList applies a watch event. The revision of a superseded request means nothing to the discovery that is asked
-// now, but what it says of the hosts holds.
+// handleList applies a watch event. If its list request is superseded, the hosts are still updated, but the revision is
+// ignored: the discovery at the present address may not know it.
 func (n *Node) handleList(e listReceived) {
 	kind := balancer.ListDelta
 	if e.list.Complete {
 		kind = balancer.ListSnapshot
 	}
 	n.applyList(e.list, kind, e.sequence != n.watchSequence)
-	if e.sequence == n.watchSequence { // compared again: applying the list may request another one
+	if e.sequence == n.watchSequence { // compared again, because applyList may have sent another list request
 		n.revision = e.list.Revision
 		n.recordListReceived()
 	}
 }
 
-// handleDiscoveryAddr follows discovery to another address. The balancer is not notified: the hosts stay as they are
-// until the new list is there.
+// handleDiscoveryAddr switches to discovery at another address. The balancer is not notified: it keeps the present
+// hosts until the list from the new address arrives.
 func (n *Node) handleDiscoveryAddr(e discoveryAddrChanged) {
 	n.discoveryAddr = e.addr
 	n.revision = NoRevision
 	if n.scheduler != nil {
-		n.service.Store(&e.addr)
+		n.discoveryName.Store(&e.addr)
 		n.scheduler.SetService(e.addr)
-		n.callIfDue()
+		n.requestListIfDue()
 		return
 	}
 	n.watch()
 }
 
-// handleWatchFailed plans the next list request. The failure of a superseded request is ignored.
+// handleWatchFailed schedules the next list request. The failure of a superseded request is ignored.
 func (n *Node) handleWatchFailed(e watchFailed) {
 	if e.sequence != n.watchSequence {
 		return
@@ -94,7 +98,7 @@
 		return
 	}
 	if n.settings.PollList {
-		n.decide(balancer.ListEvent{Kind: balancer.ListFailed, Revision: n.revision})
+		n.notifyBalancer(balancer.ListEvent{Kind: balancer.ListFailed, Revision: n.revision})
 		return
 	}
 	n.watching = false
--- a/internal/node/discovery_test.go
+++ b/internal/node/discovery_test.go
@@ -44,7 +44,7 @@
 	transport := &fakeTransport{}
 	n := New(set, wire.EndpointList{Revision: 7}, "d:1", transport, zap.NewNop())
 	time.Sleep(time.Millisecond)
-	n.decide(balancer.Timer{Token: "sweep"})
+	n.notifyBalancer(balancer.Timer{Token: "sweep"})
 	if len(transport.watches) != 1 || transport.watches[0] != (ListRequest{1, "d:1", 7}) {
 		t.Fatalf("watches %v, want one from revision 7", transport.watches)
 	}
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -7,35 +7,36 @@
 	"onyxstream/balancer"
 )
 
-// drainState is the state of the node's own drain. The balancer decides which clients are rejected and migrated; the
-// loop ensures that nothing is written after the drain grace.
+// drainState is the state of the node's own drain. The balancer decides which clients are rejected and migrated. The
+// event loop ensures that no opening line is written after the drain grace.
 type drainState struct {
 	draining        atomic.Bool
-	admissionCutoff time.Time // zero if the node does not drain
+	admissionCutoff time.Time // zero if the node is not draining
 }
 
 // DrainPlan describes a drain of the node.
 type DrainPlan struct {
-	Deadline        time.Time     // established connections are migrated by then
-	AdmissionCutoff time.Time     // requests are admitted until then, as the front may not have noticed the drain
-	RetryAfter      time.Duration // advice to rejected clients
-	KeepConnections bool          // established connections stay, if packets pass through other nodes
+	Deadline        time.Time     // when all established connections have been migrated
+	AdmissionCutoff time.Time     // requests are admitted until then, as the front may not have noticed the drain yet
+	RetryAfter      time.Duration // Retry-After for rejected requests
+	KeepConnections bool          // don't migrate established connections; only applies in pass-through mode
 }
 
-// Drain starts draining the node. It returns once the loop has handled it, or ErrLoopBusy or ErrStopped. It may be
-// called from any goroutine.
+// Drain starts draining the node. It returns nil after the event loop has started the drain, or otherwise ErrLoopBusy
+// or ErrStopped. It may be called from any goroutine.
 func (n *Node) Drain(plan DrainPlan) error {
 	reply := make(chan error, 1)
 	return n.postAndWait(drainRequested{plan: plan, reply: reply}, reply)
 }
 
-// CancelDrain ends a drain at any point of it. Its errors are those of Drain.
+// CancelDrain ends a drain, however far it has progressed. It returns the same errors as Drain and may be called from
+// any goroutine.
 func (n *Node) CancelDrain() error {
 	reply := make(chan error, 1)
 	return n.postAndWait(drainCancelled{reply: reply}, reply)
 }
 
-// IsDraining reports whether the node drains. It may be called from any goroutine.
+// IsDraining reports whether the node is draining. It may be called from any goroutine.
 func (n *Node) IsDraining() bool { return n.draining.Load() }
 
 func (n *Node) startDrain(plan DrainPlan) error {
@@ -44,7 +45,7 @@
 	}
 	n.draining.Store(true)
 	n.admissionCutoff = plan.AdmissionCutoff
-	n.decide(balancer.Drain{
+	n.notifyBalancer(balancer.Drain{
 		Active:          true,
 		Deadline:        n.clockTime(plan.Deadline),
 		AdmissionCutoff: n.clockTime(plan.AdmissionCutoff),
@@ -60,11 +61,12 @@
 	}
 	n.draining.Store(false)
 	n.admissionCutoff = time.Time{}
-	n.decide(balancer.Drain{})
+	n.notifyBalancer(balancer.Drain{})
 	return nil
 }
 
-// drainGraceExpired reports whether the node drains and its grace is over: nothing new may be written any more.
+// drainGraceExpired reports whether the node is draining and its drain grace is over, so that no opening line of a new
+// connection may be written.
 func (n *Node) drainGraceExpired() bool {
 	return !n.admissionCutoff.IsZero() && time.Since(n.admissionCutoff) >= n.settings.DrainGrace-graceMargin
 }
--- a/internal/node/events.go
+++ b/internal/node/events.go
@@ -9,7 +9,7 @@
 	"onyxstream/internal/wire"
 )
 
-// event is a message to the event loop. The loop handles events one at a time, in the order in which they were posted.
+// event is a message to the event loop. The loop handles events one at a time, in the order they were posted.
 type event interface{ event() }
 
 // requestEvent is an event that concerns one request.
@@ -18,8 +18,8 @@
 	source() requestRef
 }
 
-// requestRef names a request and the connection that reports on it. The client chooses the id, so an event of another
-// connection than the request's own is ignored.
+// requestRef identifies a request and the connection that posts the event. Two clients may choose the same request id,
+// so an event is ignored if its connection is not the request's own.
 type requestRef struct {
 	id   balancer.RequestID
 	conn ClientConn
@@ -29,7 +29,7 @@
 
 func (ref requestRef) source() requestRef { return ref }
 
-// concerns reports whether r is the request of the connection. A nil connection stands for the request's own.
+// concerns reports whether the event's connection is that of request r. A nil connection matches any request.
 func (ref requestRef) concerns(r *request) bool {
 	return r != nil && (ref.conn == nil || ref.conn == r.conn)
 }
@@ -76,7 +76,7 @@
 	}
 	clientDisconnected struct {
 		requestRef
-		attemptsTaken int // attempts that the connection has received
+		attemptsTaken int // number of attempts that the connection has received
 	}
 )
 
@@ -88,7 +88,7 @@
 	}
 	watchFailed struct {
 		sequence   uint64
-		retryAfter time.Duration // as discovery asked for; 0 if it did not
+		retryAfter time.Duration // delay that discovery asked for; 0 if none
 	}
 	discoveryAddrChanged struct{ addr string }
 	pingCompleted        struct {
@@ -146,7 +146,7 @@
 func (peerContacted) event()           {}
 func (coldStartStateRequested) event() {}
 
-// loadReports reuses load reports: each established connection sends one every second, so they must not allocate.
+// loadReports is a pool of load reports. Each established connection sends one every second, so they must not allocate.
 var loadReports = sync.Pool{New: func() any { return new(loadReported) }}
 
 func newLoadReport(ref requestRef, load float64) *loadReported {
@@ -156,13 +156,14 @@
 	return report
 }
 
-// release returns a report that has been handled to the pool.
+// release returns a handled report to the pool.
 func (report *loadReported) release() {
 	*report = loadReported{}
 	loadReports.Put(report)
 }
 
-// post hands an event to the loop. It blocks while the queue is full. Once the loop has ended, events are dropped.
+// post adds an event to the loop's queue. It blocks while the queue is full. After the loop has ended, it drops the
+// event.
 func (n *Node) post(e event) {
 	select {
 	case n.events <- e:
@@ -170,7 +171,7 @@
 	}
 }
 
-// query posts an event and waits for the reply; ok is false once the loop has ended.
+// query posts an event and waits for the reply; ok is false if the loop has ended.
 func query[T any](n *Node, e event, reply <-chan T) (result T, ok bool) {
 	n.post(e)
 	select {
@@ -181,7 +182,8 @@
 	}
 }
 
-// postAndWait posts an event and waits until the loop has handled it, for at most commandTimeout.
+// postAndWait posts an event and waits for the loop's reply. It returns ErrLoopBusy if that takes longer than
+// commandTimeout, and ErrStopped if the loop has ended.
 func (n *Node) postAndWait(e event, reply <-chan error) error {
 	timeout := time.NewTimer(commandTimeout)
 	defer timeout.Stop()
--- a/internal/node/hosts.go
+++ b/internal/node/hosts.go
@@ -7,7 +7,7 @@
 	"onyxstream/internal/wire"
 )
 
-// removedHostTTL is how long the address of a removed host is kept for attempts that are being started.
+// removedHostTTL is how long a removed host is kept, because attempts that are being started still need its address.
 const removedHostTTL = time.Minute
 
 var stateOfPhase = map[wire.Phase]balancer.ServerState{
@@ -16,24 +16,24 @@
 	wire.Removed:  balancer.Removed,
 }
 
-// hostRecord is what the event loop knows of a host.
+// hostRecord is the state of a host in the event loop.
 type hostRecord struct {
 	id          balancer.ServerID
 	addr        string
-	startedAtMS int64         // last start as listed, Unix time
-	startedAt   time.Duration // the same by the node's clock as of when it was listed; 0 for long ago
+	startedAtMS int64         // last start as listed, Unix time in ms
+	startedAt   time.Duration // startedAtMS by the node's clock, converted when it was listed; 0 for long ago
 	state       balancer.ServerState
-	notifiedAt  time.Time // when the node was notified that the host drains or is removed
+	notifiedAt  time.Time // when the node was first notified that the host drains or is removed
 	endpoint    wire.Endpoint
-	unlisted    bool // the list does not have the host any more
-	// slowStartSends are the times at which something was sent to the host within the last CollapseWindow, while it
-	// warms up; in order.
+	unlisted    bool // the endpoint list no longer contains the host
+	// slowStartSends are the times of the sends to the host within the last CollapseWindow, in order. They are recorded
+	// only while the host is warming up.
 	slowStartSends []time.Time
 
 	hostLatency
 }
 
-// setState sets a host's state. The drain grace counts from the first notification.
+// setState sets a host's state. The drain grace starts when the host leaves the state Live.
 func (host *hostRecord) setState(state balancer.ServerState, now time.Time) {
 	if host.state == balancer.Live && state != balancer.Live {
 		host.notifiedAt = now
@@ -41,8 +41,8 @@
 	host.state = state
 }
 
-// applyList updates the hosts from a list and passes it to the balancer. superseded tells that a later list request was
-// made than the one that brought it.
+// applyList updates the hosts from a list and passes the list to the balancer. superseded is set if the list belongs to
+// an earlier list request than the last one.
 func (n *Node) applyList(list *wire.EndpointList, kind balancer.ListKind, superseded bool) {
 	now := time.Now()
 	n.observeClock(now)
@@ -61,11 +61,11 @@
 	}
 	isComplete := kind == balancer.ListSnapshot || kind == balancer.ListCached
 	n.removeHosts(isComplete, listed, now)
-	n.decide(listEvent)
+	n.notifyBalancer(listEvent)
 	n.countHosts()
 }
 
-// updateHost updates or adds the host of a list entry.
+// updateHost updates the host of an endpoint, or adds it if it is new.
 func (n *Node) updateHost(endpoint wire.Endpoint, now time.Time) *hostRecord {
 	id := balancer.ServerID(endpoint.ID)
 	host := n.hosts[id]
@@ -76,7 +76,7 @@
 	host.addr = endpoint.Addr
 	if host.startedAtMS != endpoint.StartedAtMS {
 		host.startedAtMS = endpoint.StartedAtMS
-		host.startedAt = n.wallClock.started(endpoint.StartedAtMS, n.clockTime(now))
+		host.startedAt = n.wallClock.startTime(endpoint.StartedAtMS, n.clockTime(now))
 		host.resetBaseline()
 	}
 	host.endpoint = endpoint
@@ -85,7 +85,7 @@
 	return host
 }
 
-// toServer converts a host to the balancer's terms.
+// toServer converts a host to the balancer's type.
 func (n *Node) toServer(host *hostRecord) balancer.Server {
 	server := balancer.Server{
 		ID:           host.id,
@@ -95,7 +95,7 @@
 		Weight:       host.endpoint.Size,
 		StartedAt:    max(host.startedAt, n.reenabledAt[host.id], n.assumedStartAt),
 		AssumedStart: n.assumedStartAt > 0,
-		EjectFor:     n.unreachableFor(host.id),
+		EjectFor:     n.remainingEjection(host.id),
 	}
 	if zone, ok := n.zoneIndex[host.endpoint.Zone]; ok {
 		server.Zone = zone
@@ -103,7 +103,8 @@
 	return server
 }
 
-// removeHosts marks hosts that a complete list lacks as removed, and forgets those that were removed long ago.
+// removeHosts marks hosts that are missing from a complete list as removed, and forgets hosts that were removed more
+// than removedHostTTL ago.
 func (n *Node) removeHosts(isComplete bool, listed map[balancer.ServerID]bool, now time.Time) {
 	for id, host := range n.hosts {
 		if isComplete && !listed[id] {
@@ -116,7 +117,7 @@
 	}
 }
 
-// countHosts counts the hosts of the list, and those that the node avoids now.
+// countHosts counts the listed hosts, and how many of them the node avoids now.
 func (n *Node) countHosts() {
 	listed, avoided := int64(0), int64(0)
 	for id, host := range n.hosts {
--- a/internal/node/latency.go
+++ b/internal/node/latency.go
@@ -8,22 +8,23 @@
 )
 
 // Once a second the node measures the message latency of each host that has connections. Where the settings allow it,
-// by a ping: a host answers lines on established connections at once, however long its queue is, so that messages
-// show less. Elsewhere by the median of the second's messages, as a single slow message may be due to this machine.
+// the node pings the host: a host replies to lines on established connections at once, however long its queue is, so
+// the latency of messages reveals less than a ping. Elsewhere the node takes the median latency of the messages within
+// the second, as this machine may be the cause of a single slow message.
 
-// hostLatency is what the node knows of a host's message latency.
+// hostLatency is the state of a host's latency measurement.
 type hostLatency struct {
-	latencySamples  []time.Duration    // of this second's messages
-	representative  balancer.RequestID // the connection that is named in reports; "" if there is none
-	pingSentAt      time.Time          // of the ping without an answer; zero if there is none
-	reportedSlow    bool               // the last report was above the threshold
-	skipPing        bool               // a healthy host is pinged every other second
-	bestPing        time.Duration      // shortest ping since the host's start, 0 if there is none
-	unconfirmedPing time.Duration      // a slow ping that another is to confirm, 0 if there is none
-	backlog         time.Duration      // estimated work that is queued at the host
+	latencySamples  []time.Duration    // latencies of messages within the present second
+	representative  balancer.RequestID // connection named in latency reports; "" if there is none
+	pingSentAt      time.Time          // when the pending ping was sent; zero if none is pending
+	reportedSlow    bool               // the last measured latency was above slowMessageThreshold
+	skipPing        bool               // the last ping was skipped: a healthy host is pinged every other second
+	bestPing        time.Duration      // ping baseline: shortest ping since the host's start; 0 if there is none
+	unconfirmedPing time.Duration      // slow ping that a second ping must confirm; 0 if there is none
+	backlog         time.Duration      // estimated work queued at the host
 }
 
-// resetBaseline discards the baseline of the time before the host's last start.
+// resetBaseline discards the measurements from before the host's last start.
 func (l *hostLatency) resetBaseline() {
 	l.bestPing = 0
 	l.unconfirmedPing = 0
@@ -31,16 +32,16 @@
 }
 
 const (
-	// healthyPingFraction is the part of the shortest message latency objective that a message is assumed to take at
-	// a host whose ping is at its best. A host is slow from a third above its best, and at half of the objective, where
-	// the balancer acts, from twice its best.
-	healthyPingFraction = 1.0 / 4
-	// pingJitterDivisor gives the difference between pings that is taken for jitter, as a part of the slow message
-	// threshold.
+	// healthyLatencyFraction is the assumed message latency of a host whose ping equals its best ping, as a fraction of
+	// the shortest message latency objective. It follows that a host counts as slow when its ping is a third above its
+	// best ping, and reaches half of the objective, where the balancer acts, when its ping is twice the best.
+	healthyLatencyFraction = 1.0 / 4
+	// pingJitterDivisor determines the largest difference between pings that counts as jitter: slowMessageThreshold
+	// divided by it.
 	pingJitterDivisor = 16
 	// slowPingInterval is the time between two pings of a slow host.
 	slowPingInterval = time.Second
-	// maxBacklog bounds the estimated backlog, so that it is soon forgotten once the host has caught up.
+	// maxBacklog limits the estimated backlog, so that the estimate drops quickly after the host has caught up.
 	maxBacklog = 4 * time.Second
 )
 
@@ -53,14 +54,14 @@
 // collectSamples adds the latency of a connection's messages to the samples of its host.
 func (n *Node) collectSamples(id balancer.RequestID, r *request, stats MessageStats) {
 	host := r.host
-	if host.representative == "" || id < host.representative { // independent of the order of the map
+	if host.representative == "" || id < host.representative { // the smallest id, so that map order doesn't matter
 		host.representative = id
 	}
-	if stats.Answered != r.countedMessages {
-		r.countedMessages = stats.Answered
+	if stats.Answered != r.sampledMessages {
+		r.sampledMessages = stats.Answered
 		host.latencySamples = append(host.latencySamples, stats.LastLatency)
 	}
-	if stats.OldestWait > n.slowMessageThreshold { // as good as a reply that took that long
+	if stats.OldestWait > n.slowMessageThreshold { // counts like a reply with this latency
 		host.latencySamples = append(host.latencySamples, stats.OldestWait)
 	}
 }
@@ -105,23 +106,23 @@
 	return n.settings.ReportsLatency && n.settings.MayProbe && n.slowMessageThreshold > 0
 }
 
-// sendPing pings a host. A ping that could not be sent is not waited for.
+// sendPing pings a host. The node does not wait for a ping that could not be sent.
 func (n *Node) sendPing(host *hostRecord, now time.Time) {
 	if n.transport.Ping(host.id, host.addr) {
 		host.pingSentAt = now
 	}
 }
 
-// pingNewHost pings a host at its first connection: later pings are compared with the best one, which must be measured
-// before the host is under load.
+// pingNewHost pings a host at its first connection. Later pings are compared with the host's best ping, which must be
+// measured before the host is under load.
 func (n *Node) pingNewHost(host *hostRecord) {
 	if n.pingsEnabled() && host.bestPing == 0 && host.pingSentAt.IsZero() {
 		n.sendPing(host, time.Now())
 	}
 }
 
-// handlePingResult evaluates a ping. The first slow ping of a healthy host is confirmed by another at once, as a single
-// one may be due to this machine.
+// handlePingResult evaluates a ping. The first slow ping of a healthy host is repeated at once and counts only if the
+// second one confirms it, as this machine may be the cause of a single slow ping.
 func (n *Node) handlePingResult(host *hostRecord, took time.Duration) {
 	host.pingSentAt = time.Time{}
 	if took < 0 {
@@ -145,8 +146,8 @@
 	n.reportLatency(host, latency+host.backlog)
 }
 
-// messageLatency estimates the latency of a message from a ping and the best one, and how many times slower than at its
-// best the host is. The network's round trip is part of both pings and cancels out.
+// messageLatency estimates a host's message latency and its slowdown relative to its best ping. The network's round
+// trip time is part of both pings and cancels out.
 func (n *Node) messageLatency(ping, best time.Duration) (latency time.Duration, slowdown float64) {
 	latency = ping - best
 	if latency <= n.slowMessageThreshold/pingJitterDivisor {
@@ -154,12 +155,12 @@
 	}
 	slowdown = float64(ping) / float64(best)
 	objective := slowMessageDivisor * n.slowMessageThreshold
-	estimate := time.Duration(slowdown * healthyPingFraction * float64(objective))
+	estimate := time.Duration(slowdown * healthyLatencyFraction * float64(objective))
 	return max(latency, estimate), slowdown
 }
 
-// updateBacklog estimates the work queued at a slow host, which a ping does not wait for. A host that was half used at
-// its best gets more work than it can do once it is more than twice as slow.
+// updateBacklog estimates the work queued at a slow host; a ping does not wait in this queue. The estimate assumes that
+// the host was at half of its capacity at its best ping, so that its backlog grows once it is more than twice as slow.
 func (n *Node) updateBacklog(host *hostRecord, latency time.Duration, slowdown float64) {
 	if latency <= n.slowMessageThreshold {
 		host.backlog = 0
@@ -169,11 +170,11 @@
 	host.backlog = min(max(host.backlog+growth, 0), maxBacklog)
 }
 
-// reportLatency notifies the balancer of the message latency of a slow host, and once when it has recovered.
+// reportLatency notifies the balancer of the message latency of a slow host, and once more when it has recovered.
 func (n *Node) reportLatency(host *hostRecord, latency time.Duration) {
 	wasSlow := host.reportedSlow
 	host.reportedSlow = latency > n.slowMessageThreshold
 	if (host.reportedSlow || wasSlow) && host.representative != "" {
-		n.decide(balancer.LatencyReport{ID: host.representative, Latency: latency})
+		n.notifyBalancer(balancer.LatencyReport{ID: host.representative, Latency: latency})
 	}
 }
--- a/internal/node/latency_test.go
+++ b/internal/node/latency_test.go
@@ -91,16 +91,16 @@
 	return &pingTest{node: n, transport: transport, conn: conn, host: n.requests["r"].host, now: time.Now()}
 }
 
-// second passes the ticks of a second.
-func (p *pingTest) second() {
+// advanceSecond passes the ticks of a advanceSecond.
+func (p *pingTest) advanceSecond() {
 	for range ticksPerMeasurement {
 		p.now = p.now.Add(tickInterval)
 		p.node.handleTick(p.now)
 	}
 }
 
-// completed passes the result of a ping.
-func (p *pingTest) completed(took time.Duration) {
+// completePing passes the result of a ping.
+func (p *pingTest) completePing(took time.Duration) {
 	p.node.handle(pingCompleted{host: p.host.id, took: took})
 }
 
@@ -111,21 +111,21 @@
 	if len(p.transport.pings) != 1 || p.transport.pings[0] != p.host.id {
 		t.Fatalf("pings %v with a first connection, want one to its host", p.transport.pings)
 	}
-	p.completed(80 * time.Millisecond)
+	p.completePing(80 * time.Millisecond)
 	p.transport.pings = nil
 	p.conn.stats = MessageStats{Answered: 1, LastLatency: time.Millisecond}
-	p.second()
-	if p.second(); len(p.transport.pings) != 1 || p.transport.pings[0] != p.host.id {
+	p.advanceSecond()
+	if p.advanceSecond(); len(p.transport.pings) != 1 || p.transport.pings[0] != p.host.id {
 		t.Fatalf("pings %v in two seconds, want one to the host with a connection", p.transport.pings)
 	}
 	// The round trip to a distant host is no message latency.
-	p.completed(70 * time.Millisecond)
-	p.second()
-	p.second()
-	if p.completed(75 * time.Millisecond); p.host.reportedSlow || p.host.unconfirmedPing > 0 {
+	p.completePing(70 * time.Millisecond)
+	p.advanceSecond()
+	p.advanceSecond()
+	if p.completePing(75 * time.Millisecond); p.host.reportedSlow || p.host.unconfirmedPing > 0 {
 		t.Error("the round trip counts as message latency")
 	}
-	p.completed(2 * time.Millisecond) // its best
+	p.completePing(2 * time.Millisecond) // its best
 	checkSlowPings(t, p)
 	checkRecovery(t, p)
 	restarted := wire.Endpoint{ID: string(p.host.id), StartedAtMS: 5, Size: 1}
@@ -149,15 +149,15 @@
 		{3 * time.Millisecond, 0, false},                     // recovered
 		{30 * time.Millisecond, 30 * time.Millisecond, true}, // slow by any measure
 	} {
-		p.second()
-		p.second()
+		p.advanceSecond()
+		p.advanceSecond()
 		before := len(p.transport.pings)
-		p.completed(c.first)
+		p.completePing(c.first)
 		if (len(p.transport.pings) > before) != (c.again > 0) {
 			t.Errorf("after %v: pinged again %v", c.first, len(p.transport.pings) > before)
 		}
 		if c.again > 0 {
-			p.completed(c.again)
+			p.completePing(c.again)
 		}
 		if p.host.reportedSlow != c.slow {
 			t.Errorf("after %v and %v: slow %v", c.first, c.again, p.host.reportedSlow)
@@ -170,18 +170,18 @@
 	t.Helper()
 	p.node.requests["r"].migrating = false // undo the balancer's migration
 	before := len(p.transport.pings)
-	if p.second(); len(p.transport.pings) != before+1 {
+	if p.advanceSecond(); len(p.transport.pings) != before+1 {
 		t.Errorf("%d pings a second after a slow one, want 1", len(p.transport.pings)-before)
 	}
-	p.completed(2 * time.Millisecond)
-	p.second()
-	p.second()
-	p.completed(-1)
-	if p.second(); p.host.reportedSlow {
+	p.completePing(2 * time.Millisecond)
+	p.advanceSecond()
+	p.advanceSecond()
+	p.completePing(-1)
+	if p.advanceSecond(); p.host.reportedSlow {
 		t.Error("a host that could not be pinged counts as slow")
 	}
 	for range 4 {
-		p.second()
+		p.advanceSecond()
 	}
 	if !p.host.reportedSlow {
 		t.Error("a ping without an answer is not reported")
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -9,10 +9,10 @@
 	"onyxstream/balancer"
 )
 
-// idleWait is how long the loop waits for an event while nothing is planned.
+// idleWait is how long the loop waits for an event when no timer is set.
 const idleWait = time.Hour
 
-// Run is the event loop. It returns when the context ends. It must be called once.
+// Run is the event loop. It returns nil when the context is cancelled. It must be called only once.
 func (n *Node) Run(ctx context.Context) error {
 	defer close(n.done)
 	timer := time.NewTimer(0)
@@ -23,7 +23,7 @@
 		n.watch()
 	}
 	for {
-		timer.Reset(min(n.timers.wait(n.now()), n.timeToShutdown(time.Now()), n.nextCallIn()))
+		timer.Reset(min(n.timers.wait(n.now()), n.timeToShutdown(time.Now()), n.timeToListRequest()))
 		select {
 		case <-ctx.Done():
 			return nil
@@ -37,22 +37,22 @@
 	}
 }
 
-// runDueTasks runs whatever has fallen due: the balancer's timers, the call to the list service, and the shutdown.
+// runDueTasks runs all tasks that are due: the balancer's timers, a list request of the cold start, and the shutdown.
 func (n *Node) runDueTasks() {
-	now := n.now() // read once: a timer that is set meanwhile waits for the next turn of the loop
+	now := n.now() // read once, so that a timer set by one of these tasks waits for the next iteration
 	for token, due := n.timers.next(now); due; token, due = n.timers.next(now) {
-		n.recoverPanics(func() { n.decide(balancer.Timer{Token: token}) })
+		n.recoverPanics(func() { n.notifyBalancer(balancer.Timer{Token: token}) })
 	}
-	if n.nextCallIn() == 0 {
-		n.recoverPanics(n.callIfDue)
+	if n.timeToListRequest() == 0 {
+		n.recoverPanics(n.requestListIfDue)
 	}
 	if n.timeToShutdown(time.Now()) == 0 {
 		n.recoverPanics(n.answerInFlight)
 	}
 }
 
-// recoverPanics keeps a panic in the handling of one event from ending the node, which would break every connection.
-// The request concerned is answered by its connection when its deadline has passed.
+// recoverPanics prevents a panic in the handling of one event from ending the process, which would break every
+// connection. The connection of the affected request gives it a final answer when its deadline has passed.
 func (n *Node) recoverPanics(f func()) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -63,7 +63,7 @@
 	f()
 }
 
-// handle dispatches one event. Reply channels are buffered, so that sending it never blocks.
+// handle dispatches one event. Reply channels are buffered, so sending a reply never blocks.
 func (n *Node) handle(e event) {
 	switch e := e.(type) {
 	case requestEvent:
@@ -99,8 +99,9 @@
 	}
 }
 
-// decide passes an event to the balancer and performs its actions, and those of the events that follow from them.
-func (n *Node) decide(e balancer.Event) {
+// notifyBalancer passes an event to the balancer and performs the resulting actions. Events that these actions queue
+// are handled in the same way before it returns.
+func (n *Node) notifyBalancer(e balancer.Event) {
 	n.pendingEvents = append(n.pendingEvents, e)
 	for i := 0; i < len(n.pendingEvents); i++ {
 		for _, action := range n.balancer.Handle(n.now(), n.pendingEvents[i]) {
--- a/internal/node/migrate.go
+++ b/internal/node/migrate.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// migrate asks the client of an established connection to reconnect, once.
+// migrate asks the client of an established connection to reconnect, unless it was already asked.
 func (n *Node) migrate(r *request) {
 	if r.isEstablished() && !r.migrating {
 		r.migrating = true
@@ -10,7 +10,7 @@
 	}
 }
 
-// migrateNextBatch migrates this tick's part of the clients, after MigrateAll.
+// migrateNextBatch migrates this tick's share of the clients after MigrateAll.
 func (n *Node) migrateNextBatch(now time.Time) {
 	if n.migrateAllBy.IsZero() {
 		return
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,7 +1,7 @@
 // Package node runs the event loop of a balancer node. One goroutine, Run, owns the balancer, the requests, the hosts
-// and the timers. Connections and discovery post events and receive commands through ClientConn and Transport, whose
-// methods never block, so that neither side can wait for the other in a cycle. All placement decisions are package
-// balancer's.
+// and the timers. Connections and discovery post events to the loop, and the loop calls them through ClientConn and
+// Transport. The methods of these two interfaces never block, so the two sides cannot deadlock. Package balancer makes
+// all placement decisions.
 package node
 
 import (
@@ -16,11 +16,11 @@
 	"onyxstream/internal/wire"
 )
 
-// eventQueueSize is how many events may wait for the loop.
+// eventQueueSize is the capacity of the event queue.
 const eventQueueSize = 1024
 
-// Node is the in-memory state of one balancer node. Fields belong to the loop's goroutine unless they are atomic,
-// channels, or set before Run.
+// Node is the in-memory state of one balancer node. Only the event loop's goroutine may use its fields, except for
+// atomics, channels, and fields that do not change after Run has started.
 type Node struct {
 	settings  settings.Settings
 	balancer  *balancer.Balancer
@@ -29,9 +29,9 @@
 	monitor   *invariant.Monitor
 	startedAt time.Time
 	events    chan event
-	done      chan struct{} // closed once Run has ended
+	done      chan struct{} // closed when Run returns
 
-	pendingEvents []balancer.Event // not handled by the balancer yet
+	pendingEvents []balancer.Event // not yet handled by the balancer
 	requests      map[balancer.RequestID]*request
 	hosts         map[balancer.ServerID]*hostRecord
 	classIndex    map[string]int
@@ -39,36 +39,36 @@
 	zoneIndex     map[string]int
 
 	discoveryAddr string
-	watchSequence uint64    // of the last list request
-	revision      int64     // of the list at discoveryAddr; NoRevision if that has not sent one
-	watching      bool      // without polling: a watch is active or being started
-	nextWatchAt   time.Time // without polling: when to watch again
+	watchSequence uint64    // sequence number of the last list request
+	revision      int64     // of the endpoint list at discoveryAddr; NoRevision until that address has sent a list
+	watching      bool      // a watch is active or being started; not used with polling
+	nextWatchAt   time.Time // when to start the next watch; not used with polling
 
-	wallClock            wallClock // relates the hosts' listed start times to the node's clock
-	memoryLimitMB        int       // 0 if the list is not bounded
+	wallClock            wallClock // converts the hosts' listed start times to the node's clock
+	memoryLimitMB        int       // memory available to the node; 0 for no limit on the hosts
 	slowMessageThreshold time.Duration
 	timers               timers
 	tickCount            int
-	migrateAllBy         time.Time // all clients are to be migrated by then; zero if they stay
+	migrateAllBy         time.Time // deadline for migrating all clients; zero without MigrateAll
 
 	drainState
 	overrideState
 	coldStartState
 	shutdownState
 
-	inFlight      atomic.Int64 // requests without a final answer
-	established   atomic.Int64 // established connections
-	listedHosts   atomic.Int64
-	avoidedHosts  atomic.Int64
-	givenUpCounts map[balancer.Reason]int // requests that were rejected or failed, by reason
+	inFlight        atomic.Int64 // requests without a final answer
+	established     atomic.Int64 // established connections
+	listedHosts     atomic.Int64
+	avoidedHosts    atomic.Int64
+	abandonedCounts map[balancer.Reason]int // rejected and failed requests, by reason
 }
 
-// slowMessageDivisor gives the latency from which messages are reported as slow: this fraction of the shortest message
-// latency objective. The simulator reports from there on, too.
+// slowMessageDivisor determines the latency above which messages are reported as slow: the shortest message latency
+// objective divided by it. The simulator uses the same threshold.
 const slowMessageDivisor = 3
 
-// New creates a node from its settings, the endpoint list as last known, and the address of discovery. The caller
-// starts it by Run.
+// New creates a node from its settings, the last known endpoint list, and the address of discovery. The caller starts
+// it with Run.
 func New(
 	set settings.Settings, known wire.EndpointList, discoveryAddr string, transport Transport, log *zap.Logger,
 ) *Node {
@@ -96,14 +96,14 @@
 			listAvailable: make(chan struct{}),
 			unreachable:   map[string]time.Time{},
 		},
-		givenUpCounts: map[balancer.Reason]int{},
+		abandonedCounts: map[balancer.Reason]int{},
 	}
 	n.applyList(&known, balancer.ListCached, false)
 	n.revision = known.Revision
 	return n
 }
 
-// slowMessageThreshold returns the message latency above which the balancer is notified, 0 for never.
+// slowMessageThreshold returns the message latency above which the balancer is notified; 0 turns notifications off.
 func slowMessageThreshold(classes []balancer.Class) time.Duration {
 	shortest := time.Duration(0)
 	for _, class := range classes {
@@ -123,8 +123,8 @@
 	return index
 }
 
-// now returns the node's clock: Unix time as of the start, advanced by the monotonic clock alone, so that a step of the
-// machine's wall clock moves no timer.
+// now returns the time by the node's clock: the Unix time at the node's start plus the monotonic time elapsed since
+// then. A step of the machine's wall clock therefore does not move any timer.
 func (n *Node) now() time.Duration { return n.clockTime(time.Now()) }
 
 // clockTime converts a time to the node's clock.
@@ -132,7 +132,8 @@
 	return time.Duration(n.startedAt.UnixNano()) + t.Sub(n.startedAt)
 }
 
-// observeClock detects steps of the machine's wall clock. Only the listed start times of hosts depend on it.
+// observeClock detects steps of the machine's wall clock. Only the conversion of the hosts' listed start times uses
+// the wall clock.
 func (n *Node) observeClock(now time.Time) {
 	stepped := n.wallClock.observe(time.Duration(now.UnixNano()), n.clockTime(now))
 	if stepped {
@@ -140,22 +141,23 @@
 	}
 }
 
-// HasClassAndTenant reports whether the settings have the class and the tenant of an opening line. It may be called
-// from any goroutine.
+// HasClassAndTenant reports whether the settings contain the class and the tenant of an opening line. Any tenant is
+// accepted if the settings contain none. It may be called from any goroutine.
 func (n *Node) HasClassAndTenant(opening *wire.Opening) bool {
 	_, hasClass := n.classIndex[opening.Class]
 	_, hasTenant := n.tenantIndex[opening.Tenant]
 	return hasClass && (hasTenant || len(n.tenantIndex) == 0)
 }
 
-// InFlightRequests returns how many requests wait for their final answer. It may be called from any goroutine.
+// InFlightRequests returns the number of requests without a final answer. It may be called from any goroutine.
 func (n *Node) InFlightRequests() int64 { return n.inFlight.Load() }
 
-// EstablishedConnections returns how many connections are established. It may be called from any goroutine.
+// EstablishedConnections returns the number of established connections. It may be called from any goroutine.
 func (n *Node) EstablishedConnections() int64 { return n.established.Load() }
 
-// HostCounts returns how many hosts the endpoint list has, and how many of them the node avoids: because they drain, by
-// an operator's override, or by the balancer's decision. It may be called from any goroutine.
+// HostCounts returns the number of hosts in the endpoint list, and how many of them the node avoids because they are
+// draining, because an operator overrides them, or because the balancer avoids them. It may be called from any
+// goroutine.
 func (n *Node) HostCounts() (listed, avoided int64) {
 	return n.listedHosts.Load(), n.avoidedHosts.Load()
 }
--- a/internal/node/notify.go
+++ b/internal/node/notify.go
@@ -7,7 +7,7 @@
 	"onyxstream/internal/wire"
 )
 
-// The methods of this file report events to the loop. They may be called from any goroutine.
+// The methods of this file post events to the event loop. They may be called from any goroutine.
 
 // RequestArrived reports a client's opening line; deadline is when the client stops waiting.
 func (n *Node) RequestArrived(opening *wire.Opening, deadline time.Time, conn ClientConn) {
@@ -18,8 +18,8 @@
 	})
 }
 
-// ConnectionInherited reports that a connection which was established before this process started is connected to its
-// host again. ResumeConnection must have been called before.
+// ConnectionInherited reports that a connection established before this process started is connected to its host
+// again. ResumeConnection must have been called for it.
 func (n *Node) ConnectionInherited(opening *wire.Opening, conn ClientConn) {
 	n.post(connectionInherited{
 		requestRef: requestRef{id: balancer.RequestID(opening.ID), conn: conn},
@@ -27,13 +27,13 @@
 	})
 }
 
-// AttemptConnected asks whether an attempt that has connected to its host may still be written. The answer comes by
-// ClientConn.Proceed.
+// AttemptConnected reports that an attempt has connected to its host. The loop then calls ClientConn.Proceed to allow
+// or deny the write of the opening line.
 func (n *Node) AttemptConnected(id balancer.RequestID, conn ClientConn, attempt int) {
 	n.post(attemptConnected{requestRef: requestRef{id: id, conn: conn}, attempt: attempt})
 }
 
-// AttemptWritten reports an opening line that was written to its end; at is just before its first byte.
+// AttemptWritten reports that an opening line was written completely; at is the time just before its first byte.
 func (n *Node) AttemptWritten(id balancer.RequestID, conn ClientConn, attempt int, at time.Time) {
 	n.post(attemptWritten{requestRef: requestRef{id: id, conn: conn}, attempt: attempt, at: at})
 }
@@ -55,26 +55,26 @@
 	})
 }
 
-// ReportLoad reports the load of an established connection, in work per second.
+// ReportLoad reports the load of an established connection, in units of work per second.
 func (n *Node) ReportLoad(id balancer.RequestID, conn ClientConn, load float64) {
 	n.post(newLoadReport(requestRef{id: id, conn: conn}, load))
 }
 
-// ClientDisconnected reports that the client needs no answer any more. attemptsTaken is how many attempts its
-// connection has received: a later one reaches nobody, and the loop ends it itself.
+// ClientDisconnected reports that the client has disconnected and needs no final answer. attemptsTaken is the number of
+// attempts that its connection has received. The connection never handles a later attempt, so the loop ends it.
 func (n *Node) ClientDisconnected(id balancer.RequestID, conn ClientConn, attemptsTaken int) {
 	n.post(clientDisconnected{requestRef: requestRef{id: id, conn: conn}, attemptsTaken: attemptsTaken})
 }
 
-// resumePoint tells where a connection of an earlier process is to be resumed.
+// resumePoint describes where to resume a connection of an earlier process.
 type resumePoint struct {
-	addr      string // "" if the host's address is not known yet
-	available bool   // the request id is not in use by another connection
+	addr      string // address of the host; "" if it is not known yet
+	available bool   // no other connection uses the request id
 }
 
 // ResumeConnection registers a connection that was established before this process started and returns the address of
-// its host, "" if that is not known yet. ok is false if the request id is in use or the loop has ended.
-// ConnectionInherited or ClientDisconnected must follow.
+// its host, "" if it is not known yet. ok is false if another connection uses the request id or the loop has ended.
+// The caller must then call ConnectionInherited or ClientDisconnected.
 func (n *Node) ResumeConnection(opening *wire.Opening, conn ClientConn) (addr string, ok bool) {
 	reply := make(chan resumePoint, 1)
 	point, _ := query(n, connectionResumed{
@@ -85,25 +85,25 @@
 	return point.addr, point.available
 }
 
-// ListReceived reports a watch event of the list request with the given sequence number.
+// ListReceived reports a watch event for the list request with the given sequence number.
 func (n *Node) ListReceived(sequence uint64, list *wire.EndpointList) {
 	n.post(listReceived{sequence: sequence, list: list})
 }
 
 // WatchFailed reports that a list request failed or that its watch broke. retryAfter is the delay that discovery asked
-// for, 0 if it did not.
+// for, 0 if none.
 func (n *Node) WatchFailed(sequence uint64, retryAfter time.Duration) {
 	n.post(watchFailed{sequence: sequence, retryAfter: retryAfter})
 }
 
-// SetDiscoveryAddr makes the node request the endpoint list at another address from now on.
+// SetDiscoveryAddr changes the address from which the node requests the endpoint list.
 func (n *Node) SetDiscoveryAddr(addr string) { n.post(discoveryAddrChanged{addr: addr}) }
 
-// PingCompleted reports the latency of a ping, or how long it has waited without an answer. A negative value means that
-// the host could not be pinged, which tells nothing of its latency.
+// PingCompleted reports the latency of a ping, or how long the ping has waited without a response. A negative value
+// means that the host could not be pinged, so its latency is unknown.
 func (n *Node) PingCompleted(id balancer.ServerID, took time.Duration) {
 	n.post(pingCompleted{host: id, took: took})
 }
 
-// MigrateAll asks all clients to reconnect, spread evenly over the time until the deadline.
+// MigrateAll asks all clients to reconnect, spread evenly until the deadline.
 func (n *Node) MigrateAll(deadline time.Time) { n.post(migrateAllRequested{deadline: deadline}) }
--- a/internal/node/overrides.go
+++ b/internal/node/overrides.go
@@ -12,13 +12,14 @@
 )
 
 const (
-	// maxOverrides bounds the hosts with an operator's override.
+	// maxOverrides is the largest number of hosts with an operator's override.
 	maxOverrides = 1024
-	// commandTimeout bounds the wait for the loop: the control listener answers a command within half a second.
+	// commandTimeout is how long a command waits for the event loop. The control listener must respond to a command
+	// within 500 ms.
 	commandTimeout = 400 * time.Millisecond
 )
 
-// Errors of the operators' commands. The control listener returns their texts.
+// Errors of operators' commands. The control listener sends their texts in its responses.
 var (
 	ErrLoopBusy      = errors.New("the node did not take it in in time, ask again")
 	ErrStopped       = errors.New("node is shutting down")
@@ -28,15 +29,16 @@
 
 // overrideState holds the operators' overrides of hosts.
 type overrideState struct {
-	overrides   map[balancer.ServerID]bool          // hosts that drain whatever the list says
-	reenabledAt map[balancer.ServerID]time.Duration // when overrides were lifted, by the node's clock
+	overrides   map[balancer.ServerID]bool          // hosts that drain regardless of the endpoint list
+	reenabledAt map[balancer.ServerID]time.Duration // when a host's override was lifted, by the node's clock
 }
 
-// SetHostOverride makes a host drain whatever the list says, or lifts that. An override of a host that is not listed
-// yet applies once it is; with mustExist that returns ErrUnknownHost. When an override is lifted the host counts as
-// restarted at reenabledAt, as the list may show the restart only later; zero if it was not restarted.
-// SetHostOverride returns once the loop has applied the override, or ErrLoopBusy, ErrStopped or ErrOverrideLimit. It
-// may be called from any goroutine.
+// SetHostOverride makes a host drain regardless of the endpoint list if drain is set, or lifts this override otherwise.
+// An override of an unlisted host takes effect when the host is listed; with mustExist it returns ErrUnknownHost
+// instead. When an override is lifted, the host counts as restarted at reenabledAt, because the endpoint list may show
+// the restart later; zero means that it was not restarted. SetHostOverride returns nil after the loop has applied the
+// override, or otherwise ErrLoopBusy, ErrStopped, ErrUnknownHost or ErrOverrideLimit. It may be called from any
+// goroutine.
 func (n *Node) SetHostOverride(id balancer.ServerID, drain, mustExist bool, reenabledAt time.Time) error {
 	reply := make(chan error, 1)
 	return n.postAndWait(hostOverrideReceived{
@@ -71,8 +73,8 @@
 	return nil
 }
 
-// liftOverride lifts an override. Without mustExist another process of the node may have set it, so that the time
-// counts even if it is not known here.
+// liftOverride lifts an override. Without mustExist, another process of the node may have set the override, so
+// reenabledAt is recorded even if this process doesn't know the override.
 func (n *Node) liftOverride(id balancer.ServerID, wasOverridden, mustExist bool, reenabledAt time.Time) {
 	delete(n.overrides, id)
 	if !reenabledAt.IsZero() && (wasOverridden || !mustExist) {
@@ -80,7 +82,7 @@
 	}
 }
 
-// recordReenabled records when a host's override was lifted, and forgets hosts that have warmed up since theirs was.
+// recordReenabled records when a host's override was lifted, and forgets the hosts that have warmed up since then.
 func (n *Node) recordReenabled(id balancer.ServerID, at time.Time) {
 	now := time.Now()
 	n.observeClock(now)
@@ -90,12 +92,12 @@
 		}
 	}
 	if len(n.reenabledAt) < maxOverrides {
-		startedAt := n.wallClock.started(at.UnixMilli(), n.clockTime(now))
+		startedAt := n.wallClock.startTime(at.UnixMilli(), n.clockTime(now))
 		n.reenabledAt[id] = max(n.reenabledAt[id], startedAt)
 	}
 }
 
-// effectiveState returns a host's state by the list and its override.
+// effectiveState returns a host's state after applying the override, if any, to its listed state.
 func (n *Node) effectiveState(id balancer.ServerID, listed balancer.ServerState) balancer.ServerState {
 	if listed == balancer.Live && n.overrides[id] {
 		return balancer.Draining
--- a/internal/node/pingbaselines.go
+++ b/internal/node/pingbaselines.go
@@ -8,23 +8,23 @@
 	"onyxstream/balancer"
 )
 
-// PingBaseline is the best ping of a host, as another process of the node needs it: a process that starts under load
-// can't measure it.
+// PingBaseline is the best ping of a host. A process passes it on to another process of the same node, which cannot
+// measure it when it starts under load.
 type PingBaseline struct {
 	Host        balancer.ServerID
-	StartedAtMS int64 // the host's last start as listed, Unix time
+	StartedAtMS int64 // the host's last start as listed, Unix time in ms
 	BestPing    time.Duration
 }
 
-// PingBaselines returns the best ping of each host, by host id; nil once the loop has ended. It may be called from any
-// goroutine.
+// PingBaselines returns the best ping of each measured host, sorted by host id; nil if the loop has ended. It may be
+// called from any goroutine.
 func (n *Node) PingBaselines() []PingBaseline {
 	reply := make(chan []PingBaseline, 1)
 	baselines, _ := query(n, pingBaselinesRequested{reply: reply}, reply)
 	return baselines
 }
 
-// MergePingBaselines adds what another process has measured. It may be called from any goroutine.
+// MergePingBaselines adds the baselines that another process has measured. It may be called from any goroutine.
 func (n *Node) MergePingBaselines(baselines []PingBaseline) {
 	n.post(pingBaselinesReceived{baselines: baselines})
 }
@@ -39,7 +39,7 @@
 	return baselines
 }
 
-// mergePingBaselines keeps the shorter ping of each host, if both are of the same start of it.
+// mergePingBaselines keeps the shorter ping of each host. Baselines from another start of the host are ignored.
 func (n *Node) mergePingBaselines(baselines []PingBaseline) {
 	for _, baseline := range baselines {
 		host := n.hosts[baseline.Host]
--- a/internal/node/requests.go
+++ b/internal/node/requests.go
@@ -9,7 +9,8 @@
 	"onyxstream/internal/wire"
 )
 
-// Indexes of what the settings don't have. An inherited connection's class is not known either.
+// Indexes of classes, tenants and zones that the settings don't contain. The class of an inherited connection is also
+// noClass.
 const (
 	noClass  = -1
 	noTenant = -1
@@ -19,26 +20,26 @@
 // request is a client's request, from its opening line to the end of its connection.
 type request struct {
 	conn          ClientConn
-	host          *hostRecord // of the last attempt
-	attempts      int         // attempts so far
+	host          *hostRecord // host of the last attempt
+	attempts      int         // number of attempts so far
 	attemptActive bool        // the last attempt has not ended
 	established   bool
-	answered      bool // the final answer has been given, or the client has left
+	answered      bool // the final answer has been given, or the client has disconnected
 	migrating     bool // the client has been asked to reconnect
-	midFlow       bool // its connection was established through another node: it is no new work
+	midFlow       bool // the connection was established through another node, so it is no new work
 
-	unresponsive    bool   // a message had waited for too long at the last tick
-	countedMessages uint64 // answered messages whose latency has been sampled
+	unresponsive    bool   // at the last tick a message had waited longer than unresponsiveAfter
+	sampledMessages uint64 // MessageStats.Answered when latency was last sampled
 
 	class             int
-	lastSentAt        time.Time // when the last attempt was started
-	mayHaveExecutedAt time.Time // start of the first attempt that may have been executed; zero if there is none
+	lastSentAt        time.Time // start of the last attempt
+	mayHaveExecutedAt time.Time // start of the first attempt that the host may have executed; zero if there is none
 }
 
 // isEstablished reports whether the request's connection is established and has not ended.
 func (r *request) isEstablished() bool { return r.established && r.attemptActive }
 
-// isLastAttempt reports whether attempt is the last one that was started.
+// isLastAttempt reports whether attempt is the number of the last attempt.
 func (r *request) isLastAttempt(attempt int) bool { return attempt == r.attempts-1 }
 
 // handleRequestEvent handles an event of a connection.
@@ -58,10 +59,10 @@
 	if report, ok := e.(*loadReported); ok {
 		report.release()
 	}
-	n.failIfHeldBack(ref.id, n.requests[ref.id])
+	n.failIfWaiting(ref.id, n.requests[ref.id])
 }
 
-// handleConnEvent handles an event of the connection of request r.
+// handleConnEvent handles an event from the connection of request r.
 func (n *Node) handleConnEvent(e requestEvent, r *request) {
 	switch e := e.(type) {
 	case connectionInherited:
@@ -82,7 +83,7 @@
 		}
 	case *loadReported:
 		if r.established {
-			n.decide(balancer.LoadReport{ID: e.id, Load: e.load})
+			n.notifyBalancer(balancer.LoadReport{ID: e.id, Load: e.load})
 		}
 	case clientDisconnected:
 		if !r.established {
@@ -105,10 +106,10 @@
 	}
 	n.requests[e.id] = &request{conn: e.conn, midFlow: e.opening.MidFlow, class: arrival.Class}
 	n.inFlight.Add(1)
-	n.decide(arrival)
+	n.notifyBalancer(arrival)
 }
 
-// toArrival converts an opening line to the balancer's event. Its class is noClass if the settings don't have it.
+// toArrival converts an opening line to the balancer's arrival event.
 func (n *Node) toArrival(opening *wire.Opening, timeLeft time.Duration) balancer.Arrival {
 	arrival := balancer.Arrival{
 		ID:        balancer.RequestID(opening.ID),
@@ -133,7 +134,7 @@
 	return arrival
 }
 
-// handleResume registers a connection of an earlier process and replies with its host's address.
+// handleResume registers a connection of an earlier process and replies with the address of its host.
 func (n *Node) handleResume(e connectionResumed, r *request) {
 	if r == nil {
 		r = &request{conn: e.conn, answered: true, class: noClass}
@@ -151,7 +152,7 @@
 	arrival := n.toArrival(e.opening, 0)
 	id := balancer.ServerID(e.opening.CurrentHost)
 	host := n.hosts[id]
-	if host == nil { // the list may lack a host that still has connections
+	if host == nil { // a host that is no longer listed may still have connections
 		host = &hostRecord{id: id, state: balancer.Removed}
 	}
 	r.host = host
@@ -159,7 +160,7 @@
 	r.attemptActive = true
 	r.established = true
 	n.established.Add(1)
-	n.decide(balancer.Inherited{Arrival: arrival, Server: id})
+	n.notifyBalancer(balancer.Inherited{Arrival: arrival, Server: id})
 }
 
 func (n *Node) handleEstablished(e connectionEstablished, r *request) {
@@ -167,15 +168,15 @@
 	n.established.Add(1)
 	n.markAnswered(r)
 	n.pingNewHost(r.host)
-	n.decide(balancer.Established{ID: e.id, Attempt: e.attempt, Server: r.host.id, Took: e.took})
-	if n.shutDown && !n.settings.PassThrough { // it was established just before it could be cancelled
+	n.notifyBalancer(balancer.Established{ID: e.id, Attempt: e.attempt, Server: r.host.id, Took: e.took})
+	if n.shutDown && !n.settings.PassThrough { // established just before the shutdown could cancel the attempt
 		n.migrate(r)
 	}
 }
 
 func (n *Node) handleDisconnected(e clientDisconnected, r *request) {
 	n.markAnswered(r)
-	n.decide(balancer.ClientDisconnected{ID: e.id})
+	n.notifyBalancer(balancer.ClientDisconnected{ID: e.id})
 	if r.attemptActive && r.attempts > e.attemptsTaken {
 		n.endAttempt(attemptEnded{
 			requestRef: requestRef{id: e.id},
@@ -186,36 +187,36 @@
 	n.releaseRequest(e.id, r)
 }
 
-// rejectRequest gives the final answer BUSY.
+// rejectRequest rejects a request with the final answer BUSY.
 func (n *Node) rejectRequest(action balancer.Reject) {
-	n.giveUp(action.ID, true, action.Reason, func(conn ClientConn) { conn.Reject(action.RetryAfter) })
+	n.abandonRequest(action.ID, true, action.Reason, func(conn ClientConn) { conn.Reject(action.RetryAfter) })
 }
 
-// failRequest gives the final answer ERR.
+// failRequest fails a request with the final answer ERR.
 func (n *Node) failRequest(action balancer.Fail) {
-	n.giveUp(action.ID, false, action.Reason, ClientConn.Fail)
+	n.abandonRequest(action.ID, false, action.Reason, ClientConn.Fail)
 }
 
-// giveUp answers a request that the balancer rejects or fails, unless it has been answered.
-func (n *Node) giveUp(id balancer.RequestID, rejected bool, reason balancer.Reason, answer func(ClientConn)) {
+// abandonRequest gives the final answer to a request that the balancer rejects or fails, unless it already has one.
+func (n *Node) abandonRequest(id balancer.RequestID, rejected bool, reason balancer.Reason, answer func(ClientConn)) {
 	r := n.requests[id]
 	if r == nil || r.answered {
 		return
 	}
 	n.markAnswered(r)
-	n.recordGivenUp(id, r, rejected, reason)
+	n.recordAbandoned(id, r, rejected, reason)
 	answer(r.conn)
 	n.releaseRequest(id, r)
 }
 
-// recordGivenUp counts a request that is rejected or failed, by reason.
-func (n *Node) recordGivenUp(id balancer.RequestID, r *request, rejected bool, reason balancer.Reason) {
-	n.givenUpCounts[reason]++
-	n.log.Debug("request given up", zap.String("request", string(id)), zap.Bool("rejected", rejected),
+// recordAbandoned counts a rejected or failed request by its reason.
+func (n *Node) recordAbandoned(id balancer.RequestID, r *request, rejected bool, reason balancer.Reason) {
+	n.abandonedCounts[reason]++
+	n.log.Debug("request abandoned", zap.String("request", string(id)), zap.Bool("rejected", rejected),
 		zap.String("reason", string(reason)), zap.Int("attempts", r.attempts))
 }
 
-// markAnswered records that a request needs no final answer any more.
+// markAnswered records that a request has its final answer or no longer needs one.
 func (n *Node) markAnswered(r *request) {
 	if !r.answered {
 		r.answered = true
@@ -223,7 +224,7 @@
 	}
 }
 
-// releaseRequest forgets a request that has been answered and has no active attempt.
+// releaseRequest forgets a request that needs no final answer and has no active attempt.
 func (n *Node) releaseRequest(id balancer.RequestID, r *request) {
 	if r.answered && !r.attemptActive && n.requests[id] == r {
 		delete(n.requests, id)
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -8,20 +8,20 @@
 	"onyxstream/balancer"
 )
 
-// A node that is stopped exits at a time that the platform sets, which may be before the deadlines of its clients. At
-// shutdownAt each request in flight gets its final answer from the balancer, which knows whether a retry is safe.
+// The platform sets the time at which a stopped node exits, which may be before the deadlines of its clients. At
+// shutdownAt the balancer gives each request in flight its final answer, because it knows whether a retry is safe.
 
 // shutdownState is the state of a graceful shutdown.
 type shutdownState struct {
-	shutdownAt time.Time // when all final answers are given; zero if the node is not stopped
-	shutDown   bool      // shutdownAt has passed: no attempt is started any more
+	shutdownAt time.Time // when the remaining final answers are given; zero if the node is not being stopped
+	shutDown   bool      // shutdownAt has passed, so no attempt is started
 }
 
-// BeginShutdown announces that the process exits soon after the deadline, by which each request in flight has its final
-// answer. It may be called from any goroutine.
+// BeginShutdown announces that the process will exit soon after the deadline. At the deadline, each request in flight
+// gets its final answer. It may be called from any goroutine.
 func (n *Node) BeginShutdown(deadline time.Time) { n.post(shutdownRequested{deadline: deadline}) }
 
-// timeLeft returns how long the node has for a request whose client stops waiting at the deadline.
+// timeLeft returns the time until a request's deadline or shutdownAt, whichever is earlier.
 func (n *Node) timeLeft(deadline time.Time) time.Duration {
 	if !n.shutdownAt.IsZero() && n.shutdownAt.Before(deadline) {
 		deadline = n.shutdownAt
@@ -29,7 +29,7 @@
 	return time.Until(deadline)
 }
 
-// timeToShutdown returns the time until shutdownAt, idleWait if there is none ahead.
+// timeToShutdown returns the time until shutdownAt, or idleWait if no shutdown is pending.
 func (n *Node) timeToShutdown(now time.Time) time.Duration {
 	if n.shutdownAt.IsZero() || n.shutDown {
 		return idleWait
@@ -37,13 +37,13 @@
 	return max(n.shutdownAt.Sub(now), 0)
 }
 
-// answerInFlight has each request in flight answered: the balancer rejects or fails what waits, and each attempt that
-// has had no response is cancelled. Established connections are not touched.
+// answerInFlight gives each request in flight its final answer: the balancer rejects or fails the requests that wait,
+// and each attempt without a response is cancelled. Established connections are not affected.
 func (n *Node) answerInFlight() {
 	n.shutDown = true
 	n.log.Info("graceful shutdown deadline reached, answering in-flight requests",
 		zap.Int64("in_flight", n.InFlightRequests()))
-	n.decide(balancer.Drain{
+	n.notifyBalancer(balancer.Drain{
 		Active:          true,
 		Deadline:        n.now(),
 		AdmissionCutoff: n.now(),
@@ -54,11 +54,12 @@
 		if r.attemptActive && !r.established && !r.answered {
 			r.conn.Cancel(r.attempts - 1)
 		}
-		n.failIfHeldBack(id, r)
+		n.failIfWaiting(id, r)
 	}
 }
 
-// shutdownRetryAfter is the advice to clients that are rejected at the shutdown: the shortest setup latency objective.
+// shutdownRetryAfter returns the Retry-After for requests that are rejected at the shutdown: the shortest setup latency
+// objective.
 func (n *Node) shutdownRetryAfter() time.Duration {
 	shortest := time.Duration(0)
 	for _, class := range n.settings.Classes {
@@ -69,14 +70,14 @@
 	return shortest
 }
 
-// failIfHeldBack fails a request that the balancer still holds back after the shutdown, such as a mid-flow one that
-// waits for its turn: no timer will release it.
-func (n *Node) failIfHeldBack(id balancer.RequestID, r *request) {
+// failIfWaiting fails a request that still waits in the balancer after the shutdown, such as a mid-flow request delayed
+// by pacing: no timer will start its attempt before the process exits.
+func (n *Node) failIfWaiting(id balancer.RequestID, r *request) {
 	if !n.shutDown || r == nil || r.answered || r.attemptActive || n.requests[id] != r {
 		return
 	}
 	n.markAnswered(r)
 	r.conn.Fail()
-	n.decide(balancer.ClientDisconnected{ID: id})
+	n.notifyBalancer(balancer.ClientDisconnected{ID: id})
 	n.releaseRequest(id, r)
 }
--- a/internal/node/slowstartcheck.go
+++ b/internal/node/slowstartcheck.go
@@ -8,10 +8,11 @@
 	"onyxstream/internal/invariant"
 )
 
-// maxSlowStartSends bounds the sends to one warming host that are remembered.
+// maxSlowStartSends is the largest number of sends that are recorded for a host that is warming up.
 const maxSlowStartSends = 4096
 
-// checkSlowStart checks what this node alone has sent to a warming host against what the settings allow all nodes.
+// checkSlowStart checks a send to a host that is warming up. It reports a rule violation if this node alone has sent
+// more than the settings allow all nodes together.
 func (n *Node) checkSlowStart(request string, host *hostRecord, at time.Time) {
 	age := n.clockTime(at) - host.startedAt
 	if host.startedAt <= 0 || age >= n.settings.SlowStartDuration || n.settings.CollapseWindow <= 0 {
@@ -19,7 +20,7 @@
 		return
 	}
 	budget := n.slowStartBudget(host, age)
-	if budget <= 0 { // the settings have no quotas, so that the host's capacity is not known
+	if budget <= 0 { // the settings have no quotas, so the host's capacity is unknown
 		return
 	}
 	host.slowStartSends = slices.DeleteFunc(host.slowStartSends, func(sentAt time.Time) bool {
@@ -34,9 +35,10 @@
 	}
 }
 
-// slowStartBudget returns how many requests a host of an age may get within CollapseWindow from all nodes. Its capacity
-// is estimated by its size among the listed hosts: its part of all tenants' quotas, filled over SlowStartDuration and
-// multiplied by CollapseMultiple; more from half of the duration on.
+// slowStartBudget returns how many requests all nodes together may send within CollapseWindow to a host that started
+// the given age ago. The host's capacity is estimated as its share, by size among the listed hosts, of all tenants'
+// connection quotas. The budget is CollapseMultiple times the rate that fills this capacity over SlowStartDuration, and
+// it grows once the host is more than half warmed up.
 func (n *Node) slowStartBudget(host *hostRecord, age time.Duration) float64 {
 	totalQuota := 0.0
 	for _, tenant := range n.settings.Tenants {
@@ -55,5 +57,5 @@
 		n.settings.CollapseWindow.Seconds() / n.settings.SlowStartDuration.Seconds()
 }
 
-// sizeOf returns a host's listed size, 1 if there is none.
+// sizeOf returns a host's listed size, or 1 if none is listed.
 func sizeOf(host *hostRecord) float64 { return cmp.Or(max(host.endpoint.Size, 0), 1) }
--- a/internal/node/tick.go
+++ b/internal/node/tick.go
@@ -11,16 +11,19 @@
 const (
 	// tickInterval is the time between two ticks of the loop.
 	tickInterval = 250 * time.Millisecond
-	// ticksPerMeasurement gives a latency measurement once a second, as often as the simulator reports slow messages.
+	// ticksPerMeasurement makes the node measure latency once a second. The simulator reports slow messages at the same
+	// rate.
 	ticksPerMeasurement = 4
-	// maxHostsCountedEachTick bounds the hosts that are counted at each tick. Larger fleets are counted once a second.
+	// maxHostsCountedEachTick is the largest number of hosts that are counted at every tick. Larger fleets are counted
+	// once a second.
 	maxHostsCountedEachTick = 512
-	// unresponsiveAfter is how long a message may wait for its reply, at two ticks in a row, before its client is
-	// migrated. Two ticks, as a node that was itself suspended sees all messages waiting at the first.
+	// unresponsiveAfter is how long a message may wait for its reply before the host counts as unresponsive. The client
+	// is migrated if this holds at two ticks in a row: after the node itself was suspended, all messages seem to have
+	// waited that long at the first tick.
 	unresponsiveAfter = 750 * time.Millisecond
 )
 
-// handleTick does the periodic work: it counts hosts, checks the watch, migrates clients, and measures latency.
+// handleTick does the periodic work: it counts hosts, restarts a broken watch, migrates clients, and measures latency.
 func (n *Node) handleTick(now time.Time) {
 	n.tickCount++
 	n.observeClock(now)
@@ -43,7 +46,7 @@
 	}
 }
 
-// checkConnection migrates the client of an unresponsive host, and collects latency samples if measure is set.
+// checkConnection migrates the client if its host is unresponsive, and collects latency samples if measure is set.
 func (n *Node) checkConnection(id balancer.RequestID, r *request, now time.Time, measure bool) {
 	stats := r.conn.MessageStats(now)
 	wasUnresponsive := r.unresponsive
--- a/internal/node/timers.go
+++ b/internal/node/timers.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// timers is the queue of the balancer's timers, the earliest first.
+// timers is the priority queue of the balancer's timers, earliest first.
 type timers struct{ heap timerHeap }
 
 type timer struct {
 	at    time.Duration
-	order uint64 // timers of the same time fall due in the order in which they were set
+	order uint64 // sequence number; timers with the same time fall due in the order they were set
 	token string
 }
 
@@ -34,13 +34,13 @@
 	return last
 }
 
-// add sets a timer; token is returned by next.
+// add sets a timer. When it is due, next returns its token.
 func (t *timers) add(at time.Duration, token string) {
 	t.heap.last++
 	heap.Push(&t.heap, timer{at: at, order: t.heap.last, token: token})
 }
 
-// wait returns the time until the next timer falls due, idleWait if there is none.
+// wait returns the time until the next timer is due, or idleWait if there is none.
 func (t *timers) wait(now time.Duration) time.Duration {
 	if t.heap.Len() == 0 {
 		return idleWait
@@ -48,7 +48,7 @@
 	return max(t.heap.all[0].at-now, 0)
 }
 
-// next removes and returns a timer that has fallen due; due is false if there is none.
+// next removes the earliest timer that is due and returns its token; due is false if there is none.
 func (t *timers) next(now time.Duration) (token string, due bool) {
 	if t.heap.Len() == 0 || t.heap.all[0].at > now {
 		return "", false
--- a/internal/node/view.go
+++ b/internal/node/view.go
@@ -12,18 +12,18 @@
 type HostView struct {
 	ID          balancer.ServerID
 	State       balancer.ServerState
-	Overridden  bool // an operator's override makes it drain
-	Connections int  // established through this node
+	Overridden  bool // the host drains because of an operator's override
+	Connections int  // connections established through this node
 }
 
 // View describes the node's state.
 type View struct {
 	Revision  int64                   // of the endpoint list
 	Hosts     []HostView              // by id
-	Abandoned map[balancer.Reason]int // requests that were rejected or failed, by reason
+	Abandoned map[balancer.Reason]int // rejected and failed requests, by reason
 }
 
-// View returns the node's state; empty once the loop has ended. It may be called from any goroutine.
+// View returns the node's state, or an empty View after the loop has ended. It may be called from any goroutine.
 func (n *Node) View() View {
 	reply := make(chan View, 1)
 	view, _ := query(n, viewRequested{reply: reply}, reply)
@@ -31,7 +31,7 @@
 }
 
 func (n *Node) buildView() View {
-	view := View{Revision: n.revision, Abandoned: maps.Clone(n.givenUpCounts)}
+	view := View{Revision: n.revision, Abandoned: maps.Clone(n.abandonedCounts)}
 	connections := map[balancer.ServerID]int{}
 	for _, r := range n.requests {
 		if r.isEstablished() {
--- a/internal/node/wallclock.go
+++ b/internal/node/wallclock.go
@@ -2,20 +2,22 @@
 
 import "time"
 
-// wallClock relates the machine's wall clock, by which the hosts' start times are listed, to the node's own clock,
-// which is not affected by steps of the other. It is pure: times are arguments, both as durations since 1970.
+// wallClock converts times by the machine's wall clock, such as the hosts' listed start times, to the node's clock,
+// which does not follow steps of the wall clock. It reads no clock itself: readings of both clocks are passed as
+// durations since 1970.
 type wallClock struct {
-	offsets []time.Duration // of the wall clock from the node's clock, the present one first
+	offsets []time.Duration // wall clock minus node's clock, the latest first
 }
 
 const (
-	// minClockStep is the change of the offset from which the wall clock counts as stepped. A smaller one is slewing.
+	// minClockStep is the smallest change of the offset that counts as a step of the wall clock. A smaller change is
+	// slewing.
 	minClockStep = 200 * time.Millisecond
-	// maxClockOffsets bounds the offsets that are remembered.
+	// maxClockOffsets is the largest number of recorded offsets.
 	maxClockOffsets = 4
 )
 
-// observe records a reading of both clocks, and reports whether the wall clock was stepped since the last one.
+// observe records readings of both clocks, and reports whether the wall clock has stepped since the last readings.
 func (c *wallClock) observe(wall, now time.Duration) (stepped bool) {
 	offset := wall - now
 	if len(c.offsets) == 0 {
@@ -31,10 +33,10 @@
 	return true
 }
 
-// started converts a host's listed start to the node's clock; 0 for long ago. It is not known whether the start was
-// read before or after a step of the wall clock: the latest possible one counts, so that no host passes for warmer
+// startTime converts a host's listed start to the node's clock; 0 for long ago. It is not known whether the start was
+// read before or after a step of the wall clock, so the latest possible start is used: no host is taken to be warmer
 // than it is. A start in the future counts as now.
-func (c *wallClock) started(startedAtMS int64, now time.Duration) time.Duration {
+func (c *wallClock) startTime(startedAtMS int64, now time.Duration) time.Duration {
 	if startedAtMS == 0 {
 		return 0
 	}
--- a/internal/node/wallclock_test.go
+++ b/internal/node/wallclock_test.go
@@ -18,14 +18,14 @@
 		now := begin + time.Minute
 		c.observe(now+step, now)
 		fresh := (now + step - age).Milliseconds()
-		if got := now - c.started(fresh, now); got != age {
+		if got := now - c.startTime(fresh, now); got != age {
 			t.Errorf("step %v: a start %v ago, by the clock as it is, passes for %v", step, age, got)
 		}
 		before := (now - age).Milliseconds()
-		if got := now - c.started(before, now); got < 0 || got > age {
+		if got := now - c.startTime(before, now); got < 0 || got > age {
 			t.Errorf("step %v: a start %v ago, by the clock before, passes for %v", step, age, got)
 		}
-		if c.started(0, now) != 0 {
+		if c.startTime(0, now) != 0 {
 			t.Errorf("step %v: long ago is not kept", step)
 		}
 	}
@@ -35,7 +35,7 @@
 func TestWallClock_StartAhead_IsNow(t *testing.T) {
 	var c wallClock
 	c.observe(time.Hour, time.Hour)
-	if got := c.started((2 * time.Hour).Milliseconds(), time.Hour); got != time.Hour {
+	if got := c.startTime((2 * time.Hour).Milliseconds(), time.Hour); got != time.Hour {
 		t.Errorf("a start an hour ahead passes for %v", got)
 	}
 }
--- a/internal/node/watch_test.go
+++ b/internal/node/watch_test.go
@@ -15,20 +15,20 @@
 // concurrentTransport records list requests; it may be used while the loop runs.
 type concurrentTransport struct {
 	fakeTransport
-	mu    sync.Mutex
-	calls []ListRequest
+	mu       sync.Mutex
+	requests []ListRequest
 }
 
 func (t *concurrentTransport) Watch(q ListRequest) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.calls = append(t.calls, q)
+	t.requests = append(t.requests, q)
 }
 
 func (t *concurrentTransport) last() (q ListRequest, n int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.calls[len(t.calls)-1], len(t.calls)
+	return t.requests[len(t.requests)-1], len(t.requests)
 }
 
 // The watch at the former discovery may bring an event after the request to the new one has failed. It must not count
--- a/internal/node/writecheck.go
+++ b/internal/node/writecheck.go
@@ -9,19 +9,22 @@
 	"onyxstream/internal/invariant"
 )
 
-// Every write of an opening line is checked twice: checkWrite decides between connect and the first byte whether it is
-// allowed, and handleWritten checks afterwards, by the rules' own limits, what was written.
+// Every write of an opening line is checked twice. After the attempt has connected and before its first byte is
+// written, checkWrite decides whether the write is allowed, with safety margins. After the write, handleWritten checks
+// it against the exact limits and reports rule violations.
 
 const (
-	// writeMargin is the time a connection may need on a busy core between the permission and its first byte.
+	// writeMargin allows for the time on a busy core between the permission to write and the first byte.
 	writeMargin = 20 * time.Millisecond
-	// graceMargin is what must be left of a drain grace: the whole process may be suspended in between as well.
+	// graceMargin is the part of a drain grace that must be left. It also allows for a suspension of the whole process
+	// between the permission and the first byte.
 	graceMargin = balancer.MaxSchedulingDelay + writeMargin
-	// retryMargin is what must be left of an idempotency window, which allows for suspension by itself.
+	// retryMargin is the part of an idempotency window that must be left. The window itself already allows for a
+	// suspension of the process.
 	retryMargin = writeMargin
 )
 
-// writeDenial is why an opening line may not be written; empty if it may.
+// writeDenial is the reason why an opening line must not be written; empty if the write is allowed.
 type writeDenial string
 
 const (
@@ -33,7 +36,7 @@
 	denyConcurrentAttempt writeDenial = "another attempt is active"
 )
 
-// checkWrite decides whether the opening line of an attempt that has connected may be written.
+// checkWrite decides whether the opening line of a connected attempt may be written.
 func (n *Node) checkWrite(r *request, attempt int) writeDenial {
 	switch {
 	case !r.attemptActive || r.established:
@@ -52,7 +55,7 @@
 	return ""
 }
 
-// handleConnected answers a connection that asks whether its opening line may be written.
+// handleConnected tells a connection whether its opening line may be written.
 func (n *Node) handleConnected(e attemptConnected, r *request) {
 	denial := n.checkWrite(r, e.attempt)
 	if denial != "" {
@@ -62,13 +65,14 @@
 	r.conn.Proceed(e.attempt, denial == "")
 }
 
-// hostAcceptsWrites reports whether a host may be written to: it is live, or its drain grace has not expired.
+// hostAcceptsWrites reports whether opening lines may be written to a host: it is live, or its drain grace has not
+// expired.
 func (n *Node) hostAcceptsWrites(host *hostRecord) bool {
 	return host.state == balancer.Live || time.Since(host.notifiedAt) < n.settings.DrainGrace-graceMargin
 }
 
-// retryAllowed reports whether an attempt may be written though an earlier one may have been executed. The balancer
-// checked that when it chose the attempt, but connecting may have taken longer than the window had left.
+// retryAllowed reports whether an attempt may be written although an earlier one may have been executed. The balancer
+// checked this when it chose the attempt, but the idempotency window may have ended while the attempt connected.
 func (n *Node) retryAllowed(r *request) bool {
 	if r.mayHaveExecutedAt.IsZero() || r.class < 0 {
 		return true
@@ -83,7 +87,7 @@
 	return false
 }
 
-// handleWritten checks an opening line that was written.
+// handleWritten checks a completed write of an opening line for rule violations.
 func (n *Node) handleWritten(e attemptWritten, r *request) {
 	if r.host == nil {
 		return
