--- a/internal/node/coldstart_spread_test.go
+++ b/internal/node/coldstart_spread_test.go
@@ -17,32 +17,33 @@
 	"onyxstream/internal/wire"
 )
 
-// firstRequestTimes is a Transport that records when discovery is first called.
+// firstRequestTimes is a Transport that records the time of each node's first list request.
 type firstRequestTimes struct {
-	mu    *sync.Mutex
-	at    *[]time.Duration
-	begun time.Time
+	mu        *sync.Mutex
+	at        *[]time.Duration
+	startedAt time.Time
 }
 
-func (c firstRequestTimes) Watch(call ListRequest) {
+func (c firstRequestTimes) Watch(request ListRequest) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if call.Sequence == 1 {
-		*c.at = append(*c.at, time.Since(c.begun))
+	if request.Sequence == 1 {
+		*c.at = append(*c.at, time.Since(c.startedAt))
 	}
 }
 
 func (firstRequestTimes) Ping(balancer.ServerID, string) bool { return true }
 
-// Nodes that start in the same instant call the list service spread over an interval, and not in bursts at their ticks.
-func TestColdStart_NodesStartTogether_CallsSpread(t *testing.T) {
+// Nodes that start at the same time would send their first list requests in bursts if these waited for the next tick.
+// They must be spread over an interval instead.
+func TestColdStart_NodesStartTogether_ListRequestsSpread(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const nodes = 40
 		var mu sync.Mutex
-		var firstCalls []time.Duration
+		var firstRequests []time.Duration
 		var ended sync.WaitGroup
 		ctx, cancel := context.WithCancel(t.Context())
-		transport := firstRequestTimes{&mu, &firstCalls, time.Now()}
+		transport := firstRequestTimes{&mu, &firstRequests, time.Now()}
 		for i := range nodes {
 			set := settings.Settings{Settings: balancer.Settings{
 				PollList:     true,
@@ -59,14 +60,14 @@
 		time.Sleep(3 * time.Second)
 		cancel()
 		ended.Wait()
-		if len(firstCalls) != nodes {
-			t.Fatalf("%d of %d nodes have called the service", len(firstCalls), nodes)
+		if len(firstRequests) != nodes {
+			t.Fatalf("%d of %d nodes have sent a list request", len(firstRequests), nodes)
 		}
-		slices.Sort(firstCalls)
+		slices.Sort(firstRequests)
 		const together, most = 5 * time.Millisecond, 6
-		for i := range firstCalls {
-			if i >= most && firstCalls[i]-firstCalls[i-most] < together {
-				t.Fatalf("over %d of %d nodes call within %v: %v", most, nodes, together, firstCalls)
+		for i := range firstRequests {
+			if i >= most && firstRequests[i]-firstRequests[i-most] < together {
+				t.Fatalf("more than %d of %d nodes send a list request within %v: %v", most, nodes, together, firstRequests)
 			}
 		}
 	})
--- a/internal/node/coldstart_test.go
+++ b/internal/node/coldstart_test.go
@@ -14,10 +14,10 @@
 	"onyxstream/internal/wire"
 )
 
-// watchRecorder is a Transport that passes on list requests.
+// watchRecorder is a Transport that sends the list requests to a channel.
 type watchRecorder struct{ requests chan ListRequest }
 
-func (r *watchRecorder) Watch(c ListRequest)                 { r.requests <- c }
+func (r *watchRecorder) Watch(request ListRequest)           { r.requests <- request }
 func (r *watchRecorder) Ping(balancer.ServerID, string) bool { return true }
 
 // startNode returns a node whose loop runs until the test ends.
@@ -40,15 +40,15 @@
 	return n, transport
 }
 
-// Peers may hold a newer revision than a list service that was restored from a backup. A node that the service keeps
-// current does not use it, and says so, as the caller would ask again without a pause.
-func TestPeerList_ServiceHasAnswered_Ignored(t *testing.T) {
+// After discovery was restored from a backup, peers may hold a newer revision than it does. A node that discovery keeps
+// current must ignore their lists, and must report that: otherwise the caller would request them again without a pause.
+func TestPeerList_DiscoveryHasResponded_Ignored(t *testing.T) {
 	n, transport := startNode(t, true)
-	var call ListRequest
+	var request ListRequest
 	select {
-	case call = <-transport.requests:
+	case request = <-transport.requests:
 	case <-time.After(10 * time.Second):
-		t.Fatal("the service is never called")
+		t.Fatal("no list request is sent to discovery")
 	}
 	host := wire.Endpoint{ID: "h1", Addr: "127.0.0.1:1", Size: 1}
 	offer := func(revision int64) bool {
@@ -56,40 +56,40 @@
 			List: snapshotOf(revision, host)})
 	}
 	if !offer(7) || n.CachedList().List.Revision != 7 {
-		t.Error("a peer's list is not used before the service answers")
+		t.Error("a peer list is not used before discovery responds")
 	}
-	n.ListReceived(call.Sequence, snapshotOf(5, host))
+	n.ListReceived(request.Sequence, snapshotOf(5, host))
 	if offer(8) || n.CachedList().List.Revision != 5 {
-		t.Errorf("a peer's list replaces the service's: %+v", n.CachedList().List)
+		t.Errorf("a peer list replaces the list of discovery: %+v", n.CachedList().List)
 	}
 }
 
-// A drain that is kept against a peer's list must not be passed on to other peers, as nothing would make them ask the
-// service whether it is over.
-func TestPeerList_LiftsDrain_DrainKeptButNotGossiped(t *testing.T) {
+// A node keeps a drain that a peer list would lift, and requests a snapshot from discovery to learn whether the drain
+// is over. It must not send the kept drain to other peers, because nothing would make them send such a request.
+func TestPeerList_LiftsDrain_DrainKeptButNotPublished(t *testing.T) {
 	n, transport := startNode(t, true)
-	c := <-transport.requests
+	request := <-transport.requests
 	h1 := wire.Endpoint{ID: "h1", Addr: "127.0.0.1:1", Size: 1, Phase: wire.Draining}
-	n.ListReceived(c.Sequence, snapshotOf(5, h1))
-	n.WatchFailed(c.Sequence, 0)
+	n.ListReceived(request.Sequence, snapshotOf(5, h1))
+	n.WatchFailed(request.Sequence, 0)
 	h1.Phase = wire.Serving
 	if !n.ReceivePeerList(PeerList{Offer: coldstart.Offer{Service: "s", Revision: 6}, At: time.Now(),
 		List: snapshotOf(6, h1)}) {
-		t.Fatal("the newer list is not used")
+		t.Fatal("the newer peer list is not used")
 	}
 	if v := n.View(); len(v.Hosts) != 1 || v.Hosts[0].State != balancer.Draining {
-		t.Errorf("the drain is not kept: %+v", v.Hosts)
+		t.Errorf("the host is no longer draining: %+v", v.Hosts)
 	}
-	if m := n.CachedList().List; m.Revision != 6 || m.Endpoints[0].Phase != wire.Serving {
-		t.Errorf("published is %+v", m)
+	if list := n.CachedList().List; list.Revision != 6 || list.Endpoints[0].Phase != wire.Serving {
+		t.Errorf("published list is %+v, want revision 6 with a serving host", list)
 	}
 	select {
-	case c := <-transport.requests:
-		if c.AfterRevision != NoRevision {
-			t.Errorf("the service is asked for changes after %d, which don't show the drain", c.AfterRevision)
+	case request := <-transport.requests:
+		if request.AfterRevision != NoRevision {
+			t.Errorf("list request for changes after revision %d, want a snapshot, which shows the drain", request.AfterRevision)
 		}
 	case <-time.After(10 * time.Second):
-		t.Error("the service is not called")
+		t.Error("no list request is sent to discovery")
 	}
 }
 
@@ -98,11 +98,11 @@
 	n, transport := startNode(t, false)
 	n.Heartbeat(1)
 	select {
-	case <-transport.requests: // the balancer's first wish for the list
+	case <-transport.requests: // from the balancer's first WatchList action
 	case <-time.After(10 * time.Second):
-		t.Fatal("the service is never called")
+		t.Fatal("no list request is sent to discovery")
 	}
 	if _, ok := n.ColdStartState(); ok || n.CachedList() != nil {
-		t.Error("a state is returned, or a list is published")
+		t.Error("a cold start state is returned or a list is published")
 	}
 }
--- a/internal/node/discovery_test.go
+++ b/internal/node/discovery_test.go
@@ -16,85 +16,87 @@
 	n, _, _ := newTestNode(t, endpoint("s1", wire.Serving), endpoint("s2", wire.Serving))
 	n.handle(listReceived{list: snapshotOf(8, endpoint("s2", wire.Serving))})
 	if n.hosts["s1"].state != balancer.Removed || n.hosts["s2"].state != balancer.Live || n.revision != 8 {
-		t.Errorf("s1 %v, s2 %v, revision %d", n.hosts["s1"].state, n.hosts["s2"].state, n.revision)
+		t.Errorf("s1 is %v, s2 is %v, revision %d; want removed, live, 8",
+			n.hosts["s1"].state, n.hosts["s2"].state, n.revision)
 	}
 	n.hosts["s1"].notifiedAt = time.Now().Add(-2 * removedHostTTL)
 	n.applyList(&wire.EndpointList{Revision: 9}, balancer.ListDelta, false)
 	if n.hosts["s1"] != nil {
-		t.Error("a host that was removed long ago is kept")
+		t.Error("a host is kept longer than removedHostTTL after its removal")
 	}
 }
 
-// No attempt can be started to a host without an address: the balancer must be notified of that.
+// An attempt to a host without an address cannot be started. The balancer must get its outcome, or the request would
+// never get a final answer.
 func TestAttempt_HostWithoutAddress_Rejected(t *testing.T) {
 	entry := endpoint("s1", wire.Serving)
 	entry.Addr = ""
 	n, _, _ := newTestNode(t, entry)
 	if conn := arrive(t, n, "r"); conn.recorded() != "reject true" || n.InFlightRequests() != 0 {
-		t.Errorf("%s; %d in flight", conn.recorded(), n.InFlightRequests())
+		t.Errorf("calls %q, %d in flight; want a rejection and none", conn.recorded(), n.InFlightRequests())
 	}
 	if conn := arrive(t, n, "q"); conn.recorded() != "reject true" || len(n.requests) != 0 {
-		t.Errorf("%s; %d kept", conn.recorded(), len(n.requests))
+		t.Errorf("calls %q, %d requests kept; want a rejection and none", conn.recorded(), len(n.requests))
 	}
 }
 
-func TestWatch_PollDue_AsksFromHeldRevision(t *testing.T) {
+func TestWatch_PollDue_RequestsFromHeldRevision(t *testing.T) {
 	set := testSettings()
-	set.PollInterval = time.Millisecond // the balancer polls within a twentieth of it
+	set.PollInterval = time.Millisecond // the first poll is due within a twentieth of it
 	transport := &fakeTransport{}
 	n := New(set, wire.EndpointList{Revision: 7}, "d:1", transport, zap.NewNop())
 	time.Sleep(time.Millisecond)
 	n.notifyBalancer(balancer.Timer{Token: "sweep"})
 	if len(transport.watches) != 1 || transport.watches[0] != (ListRequest{1, "d:1", 7}) {
-		t.Fatalf("watches %v, want one from revision 7", transport.watches)
+		t.Fatalf("list requests %v, want one from revision 7", transport.watches)
 	}
 	n.handle(listReceived{sequence: 1, list: changesOf(9, endpoint("s2", wire.Serving))})
 	if n.revision != 9 || n.hosts["s2"] == nil {
-		t.Errorf("revision %d", n.revision)
+		t.Errorf("revision %d, want 9 with the new host s2", n.revision)
 	}
 }
 
-// Another discovery is asked for a snapshot, as it does not know the old one's revisions. Until that is there the
-// balancer sees neither a failure nor an empty list.
-func TestDiscoveryAddr_Changed_AsksForSnapshot(t *testing.T) {
+// Discovery at a new address does not know the revisions of the old one, so the node requests a snapshot. Until the
+// snapshot arrives, the balancer must see neither a failure nor an empty list.
+func TestDiscoveryAddr_Changed_RequestsSnapshot(t *testing.T) {
 	n, transport, _ := newTestNode(t, endpoint("s1", wire.Serving), endpoint("s2", wire.Serving))
 	n.watch()
 	serves := func(when string) {
 		t.Helper()
 		if conn := arrive(t, n, when); !strings.HasPrefix(conn.recorded(), "send 0 ") {
-			t.Errorf("%s: %q", when, conn.recorded())
+			t.Errorf("%s: calls %q, want an attempt", when, conn.recorded())
 		}
 	}
 	n.handle(discoveryAddrChanged{addr: "d:2"})
 	n.handle(discoveryAddrChanged{addr: "d:3"})
 	if want := (ListRequest{3, "d:3", NoRevision}); len(transport.watches) != 3 || transport.watches[2] != want {
-		t.Fatalf("asked %v, want %v last", transport.watches, want)
+		t.Fatalf("list requests %v, want %v last", transport.watches, want)
 	}
 	n.handle(watchFailed{sequence: 1})
 	n.handle(watchFailed{sequence: 2})
 	serves("after-the-old-watch")
-	// What the old discovery says of hosts holds, its revision does not.
+	// A late watch event of the old discovery still updates the hosts, but not the revision.
 	n.handle(listReceived{sequence: 1, list: changesOf(900, endpoint("s1", wire.Draining))})
 	if n.revision != NoRevision || n.hosts["s1"].state != balancer.Draining {
-		t.Errorf("revision %d, s1 %v", n.revision, n.hosts["s1"].state)
+		t.Errorf("revision %d, s1 is %v; want NoRevision, draining", n.revision, n.hosts["s1"].state)
 	}
 	n.handle(watchFailed{sequence: 3})
 	n.watch()
 	if got := transport.watches[len(transport.watches)-1]; got != (ListRequest{4, "d:3", NoRevision}) {
-		t.Errorf("after a failure asked %v", got)
+		t.Errorf("list request after a failure is %v, want a snapshot", got)
 	}
 	n.handle(listReceived{sequence: 4, list: snapshotOf(2, endpoint("s1", wire.Serving))})
 	n.watch()
 	if got := transport.watches[len(transport.watches)-1]; got != (ListRequest{5, "d:3", 2}) {
-		t.Errorf("after the list asked %v", got)
+		t.Errorf("list request after the list is %v, want the changes after revision 2", got)
 	}
 	if n.hosts["s2"].state != balancer.Removed || n.hosts["s1"].state != balancer.Live {
-		t.Error("the snapshot is not applied")
+		t.Error("the snapshot was not applied")
 	}
 	serves("with-the-new-list")
 }
 
-// Without polling the node restarts a broken watch by itself.
+// Without polling, the node itself must restart a broken watch, after a delay.
 func TestWatch_FailsWithoutPolling_RetriedAfterDelay(t *testing.T) {
 	n, transport, _ := newTestNode(t)
 	n.settings.PollList = false
@@ -102,17 +104,18 @@
 	n.handle(watchFailed{sequence: 1})
 	n.handleTick(time.Now())
 	if len(transport.watches) != 1 {
-		t.Fatal("watched again at once")
+		t.Fatal("the watch was restarted without a delay")
 	}
 	n.handleTick(time.Now().Add(time.Second))
 	n.handleTick(time.Now().Add(2 * time.Second))
 	if len(transport.watches) != 2 {
-		t.Errorf("%d watches, want 2", len(transport.watches))
+		t.Errorf("%d list requests, want 2", len(transport.watches))
 	}
 }
 
-// A watch fails just before or after the address of discovery changes: the new one is asked for a snapshot, once.
-func TestDiscoveryAddr_ChangedAsWatchFails_AsksOnce(t *testing.T) {
+// A watch may fail just before or just after the address of discovery changes. In both cases the node must send one
+// list request to the new address, for a snapshot.
+func TestDiscoveryAddr_ChangedAsWatchFails_RequestsOnce(t *testing.T) {
 	watchFails, addrChanges := watchFailed{sequence: 1}, discoveryAddrChanged{addr: "new:1"}
 	for name, order := range map[string][]event{
 		"failure first": {watchFails, addrChanges},
@@ -128,14 +131,14 @@
 				}
 				last := transport.watches[len(transport.watches)-1]
 				if len(transport.watches) != 2 || last.Addr != "new:1" || last.AfterRevision != NoRevision {
-					t.Fatalf("calls %v", transport.watches)
+					t.Fatalf("list requests %v, want the second for a snapshot from new:1", transport.watches)
 				}
 				list := *snapshotOf(3, endpoint("s2", wire.Serving))
 				n.handle(listReceived{sequence: 2, list: &list})
 				n.handle(watchFails)
 				n.handleTick(time.Now().Add(time.Minute))
 				if len(transport.watches) != 2 || n.revision != 3 {
-					t.Errorf("calls %v, revision %d", transport.watches, n.revision)
+					t.Errorf("list requests %v, revision %d; want 2 requests, revision 3", transport.watches, n.revision)
 				}
 			})
 		}
--- a/internal/node/events_bench_test.go
+++ b/internal/node/events_bench_test.go
@@ -10,8 +10,9 @@
 	"onyxstream/internal/wire"
 )
 
-// BenchmarkLoadReport measures a load report of an established connection from the connection's goroutine through the
-// channel to the balancer. It must not allocate: open connections report every second.
+// BenchmarkLoadReport measures how a load report of an established connection gets from the connection's goroutine
+// through the event queue to the balancer. It must not allocate, because each established connection reports every
+// second.
 func BenchmarkLoadReport(b *testing.B) {
 	known := *snapshotOf(7, endpoint("s1", wire.Serving))
 	n := New(testSettings(), known, "d:1", &fakeTransport{}, zap.NewNop())
--- a/internal/node/fixtures_test.go
+++ b/internal/node/fixtures_test.go
@@ -15,7 +15,7 @@
 	"onyxstream/internal/wire"
 )
 
-// fakeConn is a ClientConn that records the calls of the loop.
+// fakeConn is a ClientConn that records the event loop's method calls.
 type fakeConn struct {
 	mu    sync.Mutex
 	calls []string
@@ -36,11 +36,13 @@
 	c.record(fmt.Sprintf("send %d %s", a.Number, a.Addr))
 }
 
-func (c *fakeConn) Proceed(n int, ok bool) { c.record(fmt.Sprintf("proceed %d %v", n, ok)) }
+func (c *fakeConn) Proceed(attempt int, ok bool) { c.record(fmt.Sprintf("proceed %d %v", attempt, ok)) }
 
-func (c *fakeConn) Cancel(n int) { c.record(fmt.Sprintf("cancel %d", n)) }
+func (c *fakeConn) Cancel(attempt int) { c.record(fmt.Sprintf("cancel %d", attempt)) }
 
-func (c *fakeConn) Reject(d time.Duration) { c.record(fmt.Sprintf("reject %v", d > 0)) }
+func (c *fakeConn) Reject(retryAfter time.Duration) {
+	c.record(fmt.Sprintf("reject %v", retryAfter > 0))
+}
 
 func (c *fakeConn) Fail() { c.record("fail") }
 
@@ -54,14 +56,14 @@
 	return strings.Join(c.calls, ", ")
 }
 
-// fakeTransport is a Transport that records the calls of the loop.
+// fakeTransport is a Transport that records the event loop's method calls.
 type fakeTransport struct {
 	watches   []ListRequest
 	pings     []balancer.ServerID
 	pingsFail bool
 }
 
-func (t *fakeTransport) Watch(c ListRequest) { t.watches = append(t.watches, c) }
+func (t *fakeTransport) Watch(request ListRequest) { t.watches = append(t.watches, request) }
 
 func (t *fakeTransport) Ping(id balancer.ServerID, _ string) bool {
 	if t.pingsFail {
@@ -100,7 +102,7 @@
 	}
 }
 
-// endpoint returns an entry of the endpoint list.
+// endpoint returns an endpoint in zone a.
 func endpoint(id string, phase wire.Phase) wire.Endpoint {
 	return wire.Endpoint{ID: id, Addr: id + ":1", Zone: "a", Size: 1, Phase: phase}
 }
@@ -110,12 +112,12 @@
 	return &wire.EndpointList{Revision: revision, Complete: true, Endpoints: endpoints}
 }
 
-// changesOf returns a list of changed endpoints.
+// changesOf returns a delta of the endpoint list.
 func changesOf(revision int64, endpoints ...wire.Endpoint) *wire.EndpointList {
 	return &wire.EndpointList{Revision: revision, Endpoints: endpoints}
 }
 
-// newTestNode returns a node whose loop does not run: the test passes events to handle.
+// newTestNode returns a node whose event loop does not run. Tests call handle with the events.
 func newTestNode(t *testing.T, known ...wire.Endpoint) (*Node, *fakeTransport, *observer.ObservedLogs) {
 	t.Helper()
 	core, logs := observer.New(zap.InfoLevel)
@@ -126,14 +128,14 @@
 // parseOpening parses an opening line.
 func parseOpening(t *testing.T, line string) *wire.Opening {
 	t.Helper()
-	_, o, err := wire.ParseOpening([]byte(line))
+	_, opening, err := wire.ParseOpening([]byte(line))
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &o
+	return &opening
 }
 
-// arrive passes a client's opening line to the node.
+// arrive passes the opening line of a new request to the node.
 func arrive(t *testing.T, n *Node, id string) *fakeConn {
 	t.Helper()
 	conn := &fakeConn{}
@@ -145,26 +147,26 @@
 	return conn
 }
 
-// endAttemptEvent returns the event of an attempt's outcome.
-func endAttemptEvent(id string, n int, o balancer.Outcome) event {
+// endAttemptEvent returns the event for the end of an attempt.
+func endAttemptEvent(id string, number int, result balancer.Outcome) event {
 	return attemptEnded{
 		requestRef: requestRef{id: balancer.RequestID(id)},
-		attempt:    n,
+		attempt:    number,
 		took:       time.Millisecond,
-		outcome:    o,
+		outcome:    result,
 	}
 }
 
-// establishedEvent returns the event of an established connection.
-func establishedEvent(id string, n int) event {
+// establishedEvent returns the event for the establishment of a connection.
+func establishedEvent(id string, number int) event {
 	return connectionEstablished{
 		requestRef: requestRef{id: balancer.RequestID(id)},
-		attempt:    n,
+		attempt:    number,
 		took:       time.Millisecond,
 	}
 }
 
-// establish passes an opening line to the node and establishes its connection.
+// establish passes the opening line of a new request to the node and establishes its connection.
 func establish(t *testing.T, n *Node, id string) *fakeConn {
 	t.Helper()
 	conn := arrive(t, n, id)
--- a/internal/node/latency_test.go
+++ b/internal/node/latency_test.go
@@ -10,7 +10,8 @@
 	"onyxstream/internal/wire"
 )
 
-// A host that is cut off sends nothing and closes nothing: its clients must be migrated before their messages time out.
+// A host that is cut off from the network neither sends data nor closes connections. Its clients must be migrated
+// before their messages time out.
 func TestUnresponsiveHost_TwoTicks_ClientMigratedOnce(t *testing.T) {
 	n, _, logs := newTestNode(t, endpoint("s1", wire.Serving))
 	n.slowMessageThreshold = 0 // no latency reports
@@ -19,14 +20,14 @@
 	healthy.stats = MessageStats{OldestWait: unresponsiveAfter - time.Millisecond}
 	n.handleTick(time.Now())
 	if strings.Contains(unresponsive.recorded(), "migrate") {
-		t.Error("migrated at the first tick, as every client would be of a node that was suspended")
+		t.Error("migrated at the first tick; after a suspension of the node, this would migrate every client")
 	}
 	unresponsive.stats = MessageStats{}
 	n.handleTick(time.Now())
 	unresponsive.stats = MessageStats{OldestWait: unresponsiveAfter + time.Millisecond}
 	n.handleTick(time.Now())
 	if strings.Contains(unresponsive.recorded(), "migrate") {
-		t.Error("migrated though the host had answered in between")
+		t.Error("migrated although the host replied between the ticks")
 	}
 	n.handleTick(time.Now())
 	n.handleTick(time.Now())
@@ -36,13 +37,13 @@
 	}
 }
 
-// The balancer is notified of the median message of a second while that is above a third of the shortest objective, and
-// once more when it is below. One slow message among many is not reported.
-func TestLatencyReport_SlowMedian_ReportedUntilWell(t *testing.T) {
+// The balancer is notified of the median message latency of each second while it is above a third of the shortest
+// objective, and once more when it is below. One slow message among many must not be reported.
+func TestLatencyReport_SlowMedian_ReportedUntilRecovered(t *testing.T) {
 	n, _, _ := newTestNode(t, endpoint("s1", wire.Serving))
 	conns := []*fakeConn{establish(t, n, "r0"), establish(t, n, "r1"), establish(t, n, "r2")}
 	host := n.hosts["s1"]
-	second := func(took ...time.Duration) {
+	measureSecond := func(took ...time.Duration) {
 		for i, conn := range conns {
 			if took[i] > 0 {
 				conn.stats.Answered++
@@ -62,24 +63,24 @@
 		{[]time.Duration{0, 0, 0}, true}, // no messages
 		{[]time.Duration{1e6, 2e6, 90e6}, false},
 	} {
-		if second(c.took...); host.reportedSlow != c.slow || len(host.latencySamples) != 0 {
+		if measureSecond(c.took...); host.reportedSlow != c.slow || len(host.latencySamples) != 0 {
 			t.Errorf("second %d: slow %v, want %v; %d samples kept", i, host.reportedSlow, c.slow, len(host.latencySamples))
 		}
 	}
 	for _, conn := range conns { // all three: the balancer may have migrated some of them
 		conn.stats.OldestWait = 40 * time.Millisecond
 	}
-	if second(0, 0, 0); !host.reportedSlow {
-		t.Error("messages without a reply are not reported")
+	if measureSecond(0, 0, 0); !host.reportedSlow {
+		t.Error("the wait of messages without a reply is not reported")
 	}
 }
 
-// pingTest is a node that measures its hosts by pings and has one established connection.
+// pingTest holds a node that measures its hosts by pings and has one established connection.
 type pingTest struct {
 	node      *Node
 	transport *fakeTransport
 	conn      *fakeConn
-	host      *hostRecord // of the connection
+	host      *hostRecord // host of the connection
 	now       time.Time
 }
 
@@ -91,7 +92,7 @@
 	return &pingTest{node: n, transport: transport, conn: conn, host: n.requests["r"].host, now: time.Now()}
 }
 
-// advanceSecond passes the ticks of a advanceSecond.
+// advanceSecond calls handleTick for each tick of one second.
 func (p *pingTest) advanceSecond() {
 	for range ticksPerMeasurement {
 		p.now = p.now.Add(tickInterval)
@@ -99,17 +100,17 @@
 	}
 }
 
-// completePing passes the result of a ping.
+// completePing passes the result of a ping to the node.
 func (p *pingTest) completePing(took time.Duration) {
 	p.node.handle(pingCompleted{host: p.host.id, took: took})
 }
 
-// A host answers lines at once however long its queue is. Where probes are allowed latency is measured by pings, and by
-// the wait for a ping without an answer.
+// A host replies to lines at once, however long its queue is. Where the settings allow it, latency must be measured by
+// pings instead, and by the waiting time of a ping without a response.
 func TestPing_SlowHost_ReportedWhenConfirmed(t *testing.T) {
 	p := newPingTest(t)
 	if len(p.transport.pings) != 1 || p.transport.pings[0] != p.host.id {
-		t.Fatalf("pings %v with a first connection, want one to its host", p.transport.pings)
+		t.Fatalf("pings %v at the first connection, want one to its host", p.transport.pings)
 	}
 	p.completePing(80 * time.Millisecond)
 	p.transport.pings = nil
@@ -118,24 +119,24 @@
 	if p.advanceSecond(); len(p.transport.pings) != 1 || p.transport.pings[0] != p.host.id {
 		t.Fatalf("pings %v in two seconds, want one to the host with a connection", p.transport.pings)
 	}
-	// The round trip to a distant host is no message latency.
+	// The network's round trip time to a distant host is not message latency.
 	p.completePing(70 * time.Millisecond)
 	p.advanceSecond()
 	p.advanceSecond()
 	if p.completePing(75 * time.Millisecond); p.host.reportedSlow || p.host.unconfirmedPing > 0 {
-		t.Error("the round trip counts as message latency")
+		t.Error("the round trip time counts as message latency")
 	}
-	p.completePing(2 * time.Millisecond) // its best
+	p.completePing(2 * time.Millisecond) // the host's best ping
 	checkSlowPings(t, p)
 	checkRecovery(t, p)
 	restarted := wire.Endpoint{ID: string(p.host.id), StartedAtMS: 5, Size: 1}
 	p.node.applyList(changesOf(0, restarted), balancer.ListDelta, false)
 	if p.host.bestPing != 0 {
-		t.Error("the best ping is kept over a restart of the host")
+		t.Error("the best ping is kept after a restart of the host")
 	}
 }
 
-// checkSlowPings checks which pings of a host, at its best 2 ms, are confirmed and reported as slow.
+// checkSlowPings checks which pings of a host with a best ping of 2 ms are repeated and which are reported as slow.
 func checkSlowPings(t *testing.T, p *pingTest) {
 	t.Helper()
 	for _, c := range []struct {
@@ -144,34 +145,35 @@
 	}{
 		{3 * time.Millisecond, 0, false},                     // jitter
 		{30 * time.Millisecond, 2 * time.Millisecond, false}, // not confirmed
-		{7 * time.Millisecond, 6 * time.Millisecond, true},   // three times slower than at its best
+		{7 * time.Millisecond, 6 * time.Millisecond, true},   // three times its best ping
 		{5 * time.Millisecond, 0, true},                      // still slow
 		{3 * time.Millisecond, 0, false},                     // recovered
-		{30 * time.Millisecond, 30 * time.Millisecond, true}, // slow by any measure
+		{30 * time.Millisecond, 30 * time.Millisecond, true}, // slow even without the best ping
 	} {
 		p.advanceSecond()
 		p.advanceSecond()
 		before := len(p.transport.pings)
 		p.completePing(c.first)
 		if (len(p.transport.pings) > before) != (c.again > 0) {
-			t.Errorf("after %v: pinged again %v", c.first, len(p.transport.pings) > before)
+			t.Errorf("after a ping of %v: pinged again %v", c.first, len(p.transport.pings) > before)
 		}
 		if c.again > 0 {
 			p.completePing(c.again)
 		}
 		if p.host.reportedSlow != c.slow {
-			t.Errorf("after %v and %v: slow %v", c.first, c.again, p.host.reportedSlow)
+			t.Errorf("after pings of %v and %v: slow %v", c.first, c.again, p.host.reportedSlow)
 		}
 	}
 }
 
-// checkRecovery checks that a slow host is pinged each second, and that it is slow again when a ping is not answered.
+// checkRecovery checks that a slow host is pinged each second, and that a host without a response to a ping counts as
+// slow.
 func checkRecovery(t *testing.T, p *pingTest) {
 	t.Helper()
 	p.node.requests["r"].migrating = false // undo the balancer's migration
 	before := len(p.transport.pings)
 	if p.advanceSecond(); len(p.transport.pings) != before+1 {
-		t.Errorf("%d pings a second after a slow one, want 1", len(p.transport.pings)-before)
+		t.Errorf("%d pings in the second after a slow one, want 1", len(p.transport.pings)-before)
 	}
 	p.completePing(2 * time.Millisecond)
 	p.advanceSecond()
@@ -184,11 +186,11 @@
 		p.advanceSecond()
 	}
 	if !p.host.reportedSlow {
-		t.Error("a ping without an answer is not reported")
+		t.Error("a ping without a response is not reported")
 	}
 }
 
-// A ping that could not be sent, as without a free descriptor, says nothing of the host.
+// A ping that could not be sent, for example for lack of a file descriptor, must not count as a slow host.
 func TestPing_NotSent_NoReport(t *testing.T) {
 	n, transport, _ := newTestNode(t, endpoint("s1", wire.Serving))
 	n.settings.ReportsLatency, n.settings.MayProbe = true, true
@@ -198,19 +200,19 @@
 		n.handleTick(time.Now())
 	}
 	if host := n.requests["r"].host; host.reportedSlow || strings.Contains(conn.recorded(), "migrate") {
-		t.Errorf("slow %v; %s", host.reportedSlow, conn.recorded())
+		t.Errorf("slow %v, calls %q; want no report and no migration", host.reportedSlow, conn.recorded())
 	}
 	transport.pingsFail = false
 	for range 2 * ticksPerMeasurement {
 		n.handleTick(time.Now())
 	}
 	if len(transport.pings) != 1 {
-		t.Errorf("%d pings once they can be sent, want 1", len(transport.pings))
+		t.Errorf("%d pings after they can be sent again, want 1", len(transport.pings))
 	}
 }
 
-// A host that was half used and slows to an eighth gets four times what it can do: four fifths of its clients must be
-// migrated at once.
+// A host at half of its capacity that slows to an eighth gets four times the load that it can handle. Four fifths of
+// its clients must be migrated at once.
 func TestPing_HostSlowsToAnEighth_ReportIncludesBacklog(t *testing.T) {
 	n, _, _ := newTestNode(t, endpoint("s1", wire.Serving))
 	n.settings.ReportsLatency, n.settings.MayProbe = true, true
@@ -233,8 +235,9 @@
 	}
 }
 
-// The allowance for jitter must not hide the overload of a fast host, whose pings are short even at twice their best.
-func TestPing_FastHostOverloaded_NotTakenForJitter(t *testing.T) {
+// The tolerance for jitter must not hide the overload of a fast host, whose pings are short even at twice its best
+// ping.
+func TestPing_FastHostOverloaded_NotIgnoredAsJitter(t *testing.T) {
 	n, _, _ := newTestNode(t, endpoint("s1", wire.Serving))
 	n.settings.ReportsLatency, n.settings.MayProbe = true, true
 	establish(t, n, "r")
@@ -245,12 +248,12 @@
 		slow   bool
 	}{{1000, false}, {2100, false}, {2500, false}, {2500, true}, {2100, false}} {
 		if n.handlePingResult(host, c.micros*time.Microsecond); host.reportedSlow != c.slow {
-			t.Errorf("after %v: slow %v", c.micros*time.Microsecond, host.reportedSlow)
+			t.Errorf("after a ping of %v: slow %v", c.micros*time.Microsecond, host.reportedSlow)
 		}
 	}
 }
 
-// The backlog of a host that stays at 2.5 times its best grows with each ping.
+// The estimated backlog of a host whose pings stay at 2.5 times its best ping must grow with each ping.
 func TestBacklog_HostRemainsSlow_GrowsEachPing(t *testing.T) {
 	n, _, _ := newTestNode(t, endpoint("s1", wire.Serving))
 	n.settings.ReportsLatency, n.settings.MayProbe = true, true
--- a/internal/node/loop_test.go
+++ b/internal/node/loop_test.go
@@ -11,19 +11,20 @@
 	"onyxstream/internal/wire"
 )
 
-// A panic in the handling of one event must not end the loop.
-func TestEvent_HandlerPanics_LoopGoesOn(t *testing.T) {
+// A panic in the handling of one event must not end the event loop.
+func TestEvent_HandlerPanics_LoopContinues(t *testing.T) {
 	n, _, logs := newTestNode(t, endpoint("s1", wire.Serving))
-	n.recoverPanics(func() { n.handle(listReceived{}) }) // without a list
+	n.recoverPanics(func() { n.handle(listReceived{}) }) // panics because its list is nil
 	if logs.FilterMessage("panic while handling event").Len() != 1 {
 		t.Error("the panic is not logged")
 	}
 	if conn := arrive(t, n, "r"); conn.recorded() != "send 0 s1:1" {
-		t.Errorf("after it: %s", conn.recorded())
+		t.Errorf("after the panic: calls %q, want an attempt", conn.recorded())
 	}
 }
 
-// Many connections post events while the loop runs; all requests end. Meant for the race detector.
+// Many connections post events while the loop runs. All their requests must end. The test is meant for the race
+// detector.
 func TestRun_ManyConcurrentConnections_AllEnd(t *testing.T) {
 	n, _, _ := newTestNode(t, endpoint("s1", wire.Serving), endpoint("s2", wire.Serving))
 	ctx, cancel := context.WithCancel(context.Background())
@@ -49,18 +50,18 @@
 		}()
 	}
 	clients.Wait()
-	// Earlier events have been handled once this one is answered.
+	// The reply to this event shows that all earlier events have been handled.
 	resumed := parseOpening(t, "OPEN resumed key c=chat,t=acme,at=s1")
 	if addr, ok := n.ResumeConnection(resumed, &fakeConn{}); addr != "s1:1" || !ok {
-		t.Errorf("resumed at %q, %v", addr, ok)
+		t.Errorf("resumed at %q, ok %v; want s1:1, true", addr, ok)
 	}
 	if n.InFlightRequests() != 0 || n.EstablishedConnections() != 0 {
-		t.Errorf("%d in flight, %d established", n.InFlightRequests(), n.EstablishedConnections())
+		t.Errorf("%d in flight, %d established; want none", n.InFlightRequests(), n.EstablishedConnections())
 	}
 	cancel()
 	<-ended
 	n.ClientDisconnected("1", &fakeConn{}, 0) // must not block
 	if _, ok := n.ResumeConnection(resumed, &fakeConn{}); ok {
-		t.Error("an ended loop answers")
+		t.Error("a connection is resumed after the loop has ended")
 	}
 }
--- a/internal/node/memorylimit_test.go
+++ b/internal/node/memorylimit_test.go
@@ -9,7 +9,7 @@
 	"onyxstream/internal/wire"
 )
 
-// endpoints returns n entries of one phase.
+// endpoints returns n endpoints in a phase.
 func endpoints(n int, phase wire.Phase) (out []wire.Endpoint) {
 	for i := range n {
 		out = append(out, endpoint(fmt.Sprintf("s%05d", i), phase))
@@ -17,14 +17,14 @@
 	return out
 }
 
-// A list of 3,200 hosts is applied within the platform's memory. The new hosts of one that is too large are ignored,
-// but what it says of known hosts applies.
+// A list of 3,200 hosts must fit into the platform's memory. The new hosts of a list that is too large must be ignored,
+// but its changes to known hosts must be applied.
 func TestList_TooLargeForMemory_NewHostsDropped(t *testing.T) {
 	n, _, logs := newTestNode(t)
 	n.SetMemoryLimit(64)
 	n.applyList(snapshotOf(1, endpoints(3200, wire.Serving)...), balancer.ListSnapshot, false)
 	if len(n.hosts) != 3200 || logs.Len() != 0 {
-		t.Fatalf("%d hosts are known; %v", len(n.hosts), logs.All())
+		t.Fatalf("%d hosts, want 3200 and no log message; logged %v", len(n.hosts), logs.All())
 	}
 	withoutSecond := endpoints(9000, wire.Serving)[2:]
 	large := append([]wire.Endpoint{endpoint("s00000", wire.Draining)}, withoutSecond...)
@@ -32,16 +32,16 @@
 	states := []balancer.ServerState{n.hosts["s00000"].state, n.hosts["s00001"].state, n.hosts["s00002"].state}
 	want := []balancer.ServerState{balancer.Draining, balancer.Removed, balancer.Live}
 	if len(n.hosts) != 3200 || !slices.Equal(states, want) {
-		t.Errorf("%d hosts; the first are %v, want %v", len(n.hosts), states, want)
+		t.Errorf("%d hosts, states of the first %v; want 3200 hosts, states %v", len(n.hosts), states, want)
 	}
 	lines := logs.FilterMessage("endpoint list exceeds memory limit, new hosts ignored").All()
 	if len(lines) != 1 || lines[0].ContextMap()["error"] != "members: 8999 hosts exceed the limit of 8192 for 64 MB" {
-		t.Errorf("logged %v", lines)
+		t.Errorf("logged %v, want one error with the limit", lines)
 	}
-	// The limit applies to changes as well.
+	// The limit also applies to a delta.
 	changes := slices.Concat(endpoints(2, wire.Draining), endpoints(9000, wire.Serving)[3200:])
 	n.applyList(changesOf(3, changes...), balancer.ListDelta, false)
 	if n.hosts["s03250"] != nil {
-		t.Error("a change exceeded the limit")
+		t.Error("a delta added a host beyond the limit")
 	}
 }
--- a/internal/node/migrate_test.go
+++ b/internal/node/migrate_test.go
@@ -15,11 +15,11 @@
 	for i := range 20 {
 		conns = append(conns, establish(t, n, fmt.Sprint("r", i)))
 	}
-	migrated := func() (k int) {
+	migrated := func() (count int) {
 		for _, conn := range conns {
-			k += strings.Count(conn.recorded(), "migrate")
+			count += strings.Count(conn.recorded(), "migrate")
 		}
-		return k
+		return count
 	}
 	now := time.Now()
 	n.handle(migrateAllRequested{deadline: now.Add(4 * tickInterval)})
@@ -30,6 +30,6 @@
 		}
 	}
 	if migrated() != 20 {
-		t.Errorf("%d of 20 migrated, want each once", migrated())
+		t.Errorf("%d migrations of 20 clients, want each once", migrated())
 	}
 }
--- a/internal/node/overrides_test.go
+++ b/internal/node/overrides_test.go
@@ -9,7 +9,8 @@
 	"onyxstream/internal/wire"
 )
 
-// An override before the first list, as in a hot restart, must not count as an answer of discovery.
+// An override before the first list, as after a hot restart, must not count as a response of discovery: the node would
+// not request the list.
 func TestHostOverride_BeforeFirstList_ListStillPolled(t *testing.T) {
 	n, transport, _ := newTestNode(t, endpoint("a", wire.Serving), endpoint("b", wire.Serving))
 	for _, drain := range []bool{true, false} {
@@ -28,7 +29,8 @@
 	}
 }
 
-// A host warms up after its override is lifted, though the list shows an old start; one without an override does not.
+// A host must warm up after its override is lifted, although the list still shows its old start. Lifting an override
+// that does not exist must not make a host warm up.
 func TestHostOverride_Lifted_HostWarmsUp(t *testing.T) {
 	n, _, _ := newTestNode(t, endpoint("a", wire.Serving), endpoint("b", wire.Serving))
 	at := time.Now()
@@ -40,30 +42,30 @@
 		if err := n.overrideHost("a", step.drain, true, at); err != nil {
 			t.Fatal(err)
 		}
-		if (n.reenabledAt["a"] - step.want).Abs() >= time.Millisecond { // kept to the millisecond
+		if (n.reenabledAt["a"] - step.want).Abs() >= time.Millisecond { // recorded in whole milliseconds
 			t.Errorf("drain %v: re-enabled at %d, want %d", step.drain, n.reenabledAt["a"], step.want)
 		}
 	}
 	if n.overrides["a"] || n.hosts["a"].state != balancer.Live {
-		t.Error("an override that was set twice is not lifted")
+		t.Error("an override that was set twice was not lifted")
 	}
 	if err := n.overrideHost("unknown", false, true, at); err != ErrUnknownHost {
-		t.Errorf("unknown host: %v", err)
+		t.Errorf("override of an unknown host: %v, want ErrUnknownHost", err)
 	}
 	if err := n.overrideHost("later", true, false, at); err != nil || !n.overrides["later"] {
-		t.Errorf("host that is listed later: %v", err)
+		t.Errorf("override of an unlisted host: error %v, want it recorded", err)
 	}
 	n.applyList(changesOf(8, endpoint("later", wire.Serving)), balancer.ListDelta, false)
 	if n.hosts["later"].state != balancer.Draining {
-		t.Error("host that is listed later is not drained")
+		t.Error("the override does not apply to a host that was listed later")
 	}
 	if n.countHosts(); n.listedHosts.Load() != 3 || n.avoidedHosts.Load() != 1 {
-		t.Errorf("%d hosts, %d avoided", n.listedHosts.Load(), n.avoidedHosts.Load())
+		t.Errorf("%d hosts, %d avoided; want 3, 1", n.listedHosts.Load(), n.avoidedHosts.Load())
 	}
 }
 
-// An override holds whatever the list says of the host, and an attempt that connects after the drain grace is not
-// written.
+// An override must hold regardless of what the list says about the host, and the opening line of an attempt that
+// connects after the drain grace must not be written.
 func TestHostOverride_ListChanges_HostNotUsed(t *testing.T) {
 	n, _, _ := newTestNode(t, endpoint("a", wire.Serving))
 	conn := arrive(t, n, "r")
@@ -76,7 +78,7 @@
 	n.hosts["a"].notifiedAt = time.Now().Add(-time.Second)
 	n.handle(attemptConnected{requestRef: requestRef{id: "r"}})
 	if got := conn.recorded(); !strings.HasSuffix(got, "proceed 0 false") {
-		t.Errorf("attempt that connects late: %q", got)
+		t.Errorf("attempt that connects after the drain grace: calls %q, want the write denied", got)
 	}
 	restarted := endpoint("a", wire.Serving)
 	restarted.Addr, restarted.StartedAtMS = "elsewhere:1", time.Now().UnixMilli()
@@ -94,11 +96,11 @@
 		list.Complete = c.kind == balancer.ListSnapshot
 		n.applyList(list, c.kind, false)
 		if n.hosts["a"].state == balancer.Live {
-			t.Errorf("with %+v the host is used", c.endpoint)
+			t.Errorf("the host is live with the endpoint %+v", c.endpoint)
 		}
 	}
 	second := arrive(t, n, "s")
 	if got := second.recorded(); got != "reject true" {
-		t.Errorf("with all hosts overridden: %q", got)
+		t.Errorf("with all hosts overridden: calls %q, want a rejection", got)
 	}
 }
--- a/internal/node/requests_test.go
+++ b/internal/node/requests_test.go
@@ -14,12 +14,12 @@
 	n, _, _ := newTestNode(t, endpoint("s1", wire.Serving))
 	conn := arrive(t, n, "r")
 	if conn.recorded() != "send 0 s1:1" || n.InFlightRequests() != 1 {
-		t.Fatalf("%s; %d in flight", conn.recorded(), n.InFlightRequests())
+		t.Fatalf("calls %q, %d in flight", conn.recorded(), n.InFlightRequests())
 	}
 	n.handle(attemptConnected{requestRef: requestRef{id: "r"}})
 	n.handle(establishedEvent("r", 0))
 	if conn.recorded() != "send 0 s1:1, proceed 0 true" || n.InFlightRequests() != 0 || n.EstablishedConnections() != 1 {
-		t.Fatalf("%s; %d in flight, %d established", conn.recorded(), n.InFlightRequests(), n.EstablishedConnections())
+		t.Fatalf("calls %q, %d in flight, %d established", conn.recorded(), n.InFlightRequests(), n.EstablishedConnections())
 	}
 	n.handle(&loadReported{requestRef: requestRef{id: "r"}, load: 5})
 	n.handle(endAttemptEvent("r", 0, balancer.Served))
@@ -33,15 +33,16 @@
 	conn := arrive(t, n, "r")
 	n.handle(endAttemptEvent("r", 0, balancer.ConnectFailed))
 	if len(conn.sent) != 2 || conn.sent[0].Addr == conn.sent[1].Addr {
-		t.Fatalf("sent to %v", conn.sent)
+		t.Fatalf("attempts %v, want two at different hosts", conn.sent)
 	}
 	n.handle(endAttemptEvent("r", 1, balancer.Rejected))
 	if !strings.HasSuffix(conn.recorded(), "reject true") || n.InFlightRequests() != 0 || len(n.requests) != 0 {
-		t.Errorf("%s; %d in flight, %d requests kept", conn.recorded(), n.InFlightRequests(), len(n.requests))
+		t.Errorf("calls %q, %d in flight, %d requests kept; want a rejection and none",
+			conn.recorded(), n.InFlightRequests(), len(n.requests))
 	}
 }
 
-// Events that arrive twice, late or for another attempt are ignored.
+// Events that are duplicates, late or for another attempt must be ignored.
 func TestRequest_LateOrDuplicateEvents_Ignored(t *testing.T) {
 	n, _, _ := newTestNode(t, endpoint("s1", wire.Serving), endpoint("s2", wire.Serving))
 	conn := arrive(t, n, "r")
@@ -53,15 +54,15 @@
 	n.handle(endAttemptEvent("other", 0, balancer.Rejected))
 	n.handle(&loadReported{requestRef: requestRef{id: "r"}, load: 1})
 	if conn.recorded() != calls {
-		t.Errorf("then also %s", conn.recorded())
+		t.Errorf("ignored events caused calls: %q in total", conn.recorded())
 	}
 	n.handle(attemptConnected{requestRef: requestRef{id: "r"}, attempt: 0})
 	if !strings.HasSuffix(conn.recorded(), "proceed 0 false") {
-		t.Errorf("an attempt that is over may be written: %s", conn.recorded())
+		t.Errorf("the opening line of an ended attempt may be written: calls %q", conn.recorded())
 	}
 	again := arrive(t, n, "r")
 	if again.recorded() != "fail" || n.InFlightRequests() != 1 {
-		t.Errorf("id in use: %s; %d in flight", again.recorded(), n.InFlightRequests())
+		t.Errorf("request id in use: calls %q, %d in flight; want a failure and 1", again.recorded(), n.InFlightRequests())
 	}
 }
 
@@ -70,13 +71,14 @@
 	conn := arrive(t, n, "r")
 	n.handle(clientDisconnected{requestRef: requestRef{id: "r"}, attemptsTaken: 1})
 	if !strings.HasSuffix(conn.recorded(), "cancel 0") || n.InFlightRequests() != 0 || len(n.requests) != 1 {
-		t.Fatalf("%s; %d in flight, %d requests kept", conn.recorded(), n.InFlightRequests(), len(n.requests))
+		t.Fatalf("calls %q, %d in flight, %d requests kept; want the attempt cancelled, 0, 1",
+			conn.recorded(), n.InFlightRequests(), len(n.requests))
 	}
 	n.handle(endAttemptEvent("r", 0, balancer.Cancelled))
 	if len(n.requests) != 0 || strings.Contains(conn.recorded(), "reject") {
-		t.Errorf("%s; %d requests kept", conn.recorded(), len(n.requests))
+		t.Errorf("calls %q, %d requests kept; want no rejection and none", conn.recorded(), len(n.requests))
 	}
-	// An attempt that the ended connection never received must be released by the loop.
+	// The connection has ended without receiving the attempt, so the event loop must end it.
 	arrive(t, n, "q")
 	n.handle(clientDisconnected{requestRef: requestRef{id: "q"}, attemptsTaken: 0})
 	if len(n.requests) != 0 || n.InFlightRequests() != 0 {
@@ -93,7 +95,7 @@
 		deadline:   time.Now().Add(time.Second),
 	})
 	if conn.recorded() != "fail" || len(n.requests) != 0 || logs.FilterMessageSnippet("class").Len() != 1 {
-		t.Errorf("%s; %d requests kept", conn.recorded(), len(n.requests))
+		t.Errorf("calls %q, %d requests kept; want a failure, none, and a log message", conn.recorded(), len(n.requests))
 	}
 }
 
@@ -114,7 +116,7 @@
 	}
 	n.settings.ConnectionGroups = false
 	if a := n.toArrival(parseOpening(t, "OPEN r key c=chat,g=client"), 0); a.Group != "" || a.Tenant != -1 {
-		t.Errorf("without groups: %+v", a)
+		t.Errorf("without connection groups and tenant: %+v", a)
 	}
 }
 
@@ -127,7 +129,7 @@
 		reply := make(chan resumePoint, 1)
 		n.handle(connectionResumed{requestRef: ref, opening: line, reply: reply})
 		if got := <-reply; !got.available || (got.addr != "") != (host == "s1") {
-			t.Errorf("%s is at %+v", host, got)
+			t.Errorf("connection to %s resumes at %+v", host, got)
 		}
 		n.handle(connectionInherited{requestRef: ref, opening: line})
 		if n.EstablishedConnections() != 1 || n.InFlightRequests() != 0 {
@@ -140,8 +142,8 @@
 	}
 }
 
-// The client chooses the request id. A second client with the id of an open request gets an error, and its events don't
-// affect the first one.
+// Clients choose request ids, so two of them may choose the same one. The second request with the id must fail, and the
+// events of its connection must not affect the first request.
 func TestRequest_DuplicateID_SecondFailsFirstUnaffected(t *testing.T) {
 	n, _, _ := newTestNode(t, endpoint("s1", wire.Serving))
 	first := arrive(t, n, "r")
@@ -149,13 +151,13 @@
 		t.Helper()
 		second := arrive(t, n, "r")
 		if second.recorded() != "fail" {
-			t.Errorf("the second got %q", second.recorded())
+			t.Errorf("second request: calls %q, want a failure", second.recorded())
 		}
 		line := parseOpening(t, "OPEN r key c=chat,at=s1")
 		reply := make(chan resumePoint, 1)
 		n.handle(connectionResumed{requestRef: requestRef{id: "r", conn: &fakeConn{}}, opening: line, reply: reply})
 		if got := <-reply; got.available {
-			t.Error("the id is available to a second connection")
+			t.Error("the request id is available to a second connection")
 		}
 		ref := requestRef{id: "r", conn: second}
 		for _, e := range []event{
@@ -171,7 +173,7 @@
 	}
 	sendDuplicate()
 	if n.InFlightRequests() != 1 || first.recorded() != "send 0 s1:1" {
-		t.Fatalf("%d in flight; the first got %q", n.InFlightRequests(), first.recorded())
+		t.Fatalf("%d in flight, first request: calls %q; want 1 and a single attempt", n.InFlightRequests(), first.recorded())
 	}
 	n.handle(connectionEstablished{requestRef: requestRef{id: "r", conn: first}, took: time.Millisecond})
 	sendDuplicate()
@@ -184,8 +186,8 @@
 	}
 }
 
-// A connection of an earlier process that never reconnects to its host is released.
-func TestResume_ConnectionNeverUp_IsReleased(t *testing.T) {
+// A connection of an earlier process that never reconnects to its host must be released.
+func TestResume_HostNeverReconnected_IsReleased(t *testing.T) {
 	n, _, _ := newTestNode(t, endpoint("s1", wire.Serving))
 	ref := requestRef{id: "r", conn: &fakeConn{}}
 	resume := connectionResumed{
@@ -194,7 +196,7 @@
 		reply:      make(chan resumePoint, 2),
 	}
 	n.handle(resume)
-	n.handle(resume) // a retry
+	n.handle(resume) // repeated by the same connection
 	n.handle(clientDisconnected{requestRef: ref})
 	if len(n.requests) != 0 || n.InFlightRequests() != 0 || n.EstablishedConnections() != 0 {
 		t.Errorf("%d requests kept, %d in flight, %d established",
@@ -212,7 +214,7 @@
 		"c=chat":         false,
 	} {
 		if got := n.HasClassAndTenant(parseOpening(t, "OPEN r key "+fields)); got != want {
-			t.Errorf("%s: known %v, want %v", fields, got, want)
+			t.Errorf("HasClassAndTenant with %s: %v, want %v", fields, got, want)
 		}
 	}
 }
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -9,8 +9,8 @@
 	"onyxstream/internal/wire"
 )
 
-// A client's deadline may lie after the shutdown: each request in flight gets one final answer at the shutdown, and no
-// attempt is started after it.
+// A client's deadline may be after the shutdown. Each request in flight must get exactly one final answer at the
+// shutdown, and no attempt may be started after it.
 func TestShutdown_RequestsInFlight_EachAnsweredOnce(t *testing.T) {
 	n, _, _ := newTestNode(t, endpoint("s1", wire.Serving), endpoint("s2", wire.Serving))
 	established := arrive(t, n, "up")
@@ -38,24 +38,26 @@
 	for name, conn := range map[string]*fakeConn{"waits": waiting, "dials": dialling, "mid": midFlow, "late": late} {
 		calls := conn.recorded()
 		if strings.Count(calls, "reject")+strings.Count(calls, "fail") != 1 || strings.Count(calls, "send") > 1 {
-			t.Errorf("%s: %s", name, calls)
+			t.Errorf("request %s: calls %q, want one final answer and at most one attempt", name, calls)
 		}
 	}
 	if !strings.Contains(dialling.recorded(), "proceed 0 false") || !strings.Contains(late.recorded(), "reject") {
-		t.Errorf("%s; %s", dialling.recorded(), late.recorded())
+		t.Errorf("dialling request: calls %q, want the write denied; late request: calls %q, want a rejection",
+			dialling.recorded(), late.recorded())
 	}
 	if n.InFlightRequests() != 0 || n.EstablishedConnections() != 1 || strings.Contains(established.recorded(), "cancel") {
-		t.Errorf("%d in flight, %d established; %s", n.InFlightRequests(), n.EstablishedConnections(), established.recorded())
+		t.Errorf("%d in flight, %d established; want 0, 1; established request: calls %q",
+			n.InFlightRequests(), n.EstablishedConnections(), established.recorded())
 	}
 }
 
-// A request that arrives during a graceful shutdown has time only until its deadline, so that another host is tried in
-// time.
+// The time left for a request that arrives during a graceful shutdown must end at the shutdown deadline, so that the
+// node can try another host in time.
 func TestArrival_NodeShuttingDown_TimeLeftIsBounded(t *testing.T) {
 	n, _, _ := newTestNode(t, endpoint("s1", wire.Serving))
 	n.handle(shutdownRequested{deadline: time.Now().Add(50 * time.Millisecond)})
 	conn := arrive(t, n, "r")
 	if len(conn.sent) != 1 || conn.sent[0].Timeout > 50*time.Millisecond {
-		t.Errorf("sent %+v", conn.sent)
+		t.Errorf("attempts %+v, want one with a timeout of at most 50 ms", conn.sent)
 	}
 }
--- a/internal/node/tick_bench_test.go
+++ b/internal/node/tick_bench_test.go
@@ -11,7 +11,7 @@
 	"onyxstream/internal/wire"
 )
 
-// BenchmarkIdleSecond measures a second without requests, by the number of hosts.
+// BenchmarkIdleSecond measures the work of one second without requests for different numbers of hosts.
 func BenchmarkIdleSecond(b *testing.B) {
 	for _, n := range []int{200, 1600, 3200} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/internal/node/timers_test.go
+++ b/internal/node/timers_test.go
@@ -13,13 +13,13 @@
 		ts.add(at, fmt.Sprint(i))
 	}
 	if ts.wait(0) != 1 {
-		t.Errorf("waits %v", ts.wait(0))
+		t.Errorf("wait %v, want 1ns", ts.wait(0))
 	}
 	var got []string
 	for token, due := ts.next(5); due; token, due = ts.next(5) {
 		got = append(got, token)
 	}
 	if !slices.Equal(got, []string{"3", "1", "0", "2"}) || ts.wait(0) != time.Hour {
-		t.Errorf("order %v", got)
+		t.Errorf("timers due in the order %v, want 3, 1, 0, 2 and then none", got)
 	}
 }
--- a/internal/node/wallclock_test.go
+++ b/internal/node/wallclock_test.go
@@ -8,8 +8,8 @@
 	"onyxstream/internal/wire"
 )
 
-// A host that has started after a step of the wall clock has its real age, and one that has started before it passes
-// for no older than it is.
+// After a step of the wall clock, a host that started after the step must have its real age, and a host that started
+// before the step must not appear older than it is.
 func TestWallClock_Stepped_StartAgesKept(t *testing.T) {
 	const begin, age = 1000 * time.Hour, 2 * time.Second
 	for _, step := range []time.Duration{0, time.Hour, -time.Hour, 3 * time.Second, -3 * time.Second} {
@@ -19,28 +19,28 @@
 		c.observe(now+step, now)
 		fresh := (now + step - age).Milliseconds()
 		if got := now - c.startTime(fresh, now); got != age {
-			t.Errorf("step %v: a start %v ago, by the clock as it is, passes for %v", step, age, got)
+			t.Errorf("step %v: host started %v ago, after the step, has the age %v", step, age, got)
 		}
 		before := (now - age).Milliseconds()
 		if got := now - c.startTime(before, now); got < 0 || got > age {
-			t.Errorf("step %v: a start %v ago, by the clock before, passes for %v", step, age, got)
+			t.Errorf("step %v: host started %v ago, before the step, has the age %v", step, age, got)
 		}
 		if c.startTime(0, now) != 0 {
-			t.Errorf("step %v: long ago is not kept", step)
+			t.Errorf("step %v: the start time 0, long ago, is not kept", step)
 		}
 	}
 }
 
-// A start in the future counts as now.
+// A listed start in the future must count as now.
 func TestWallClock_StartAhead_IsNow(t *testing.T) {
 	var c wallClock
 	c.observe(time.Hour, time.Hour)
 	if got := c.startTime((2 * time.Hour).Milliseconds(), time.Hour); got != time.Hour {
-		t.Errorf("a start an hour ahead passes for %v", got)
+		t.Errorf("start one hour ahead is converted to %v, want 1h", got)
 	}
 }
 
-// A process that is suspended for 0.15 s between the check and the write keeps the drain grace.
+// A process that is suspended for 0.15 s between the check and the write must not write after the drain grace.
 func TestHostAcceptsWrites_DelayBeforeWrite_GraceKept(t *testing.T) {
 	const delay = 150 * time.Millisecond
 	n, _, _ := newTestNode(t, endpoint("a", wire.Serving))
@@ -50,14 +50,14 @@
 		50 * time.Millisecond, 100 * time.Millisecond, 400 * time.Millisecond, 2 * time.Second,
 	} {
 		n.settings.DrainGrace = grace
-		host.notifiedAt = time.Now().Add(delay - grace) // a write after the delay comes just after the grace
+		host.notifiedAt = time.Now().Add(delay - grace) // a write after the delay would be just after the grace
 		if n.hostAcceptsWrites(host) {
-			t.Errorf("a grace of %v: a line may go %v before its end", grace, delay)
+			t.Errorf("drain grace %v: a write is allowed %v before its end", grace, delay)
 		}
 	}
 	n.settings.DrainGrace = 2 * time.Second
 	host.notifiedAt = time.Now()
 	if !n.hostAcceptsWrites(host) {
-		t.Error("nothing may go within a long grace")
+		t.Error("a write at the start of a long drain grace is denied")
 	}
 }
--- a/internal/node/watch_test.go
+++ b/internal/node/watch_test.go
@@ -12,27 +12,28 @@
 	"onyxstream/internal/wire"
 )
 
-// concurrentTransport records list requests; it may be used while the loop runs.
+// concurrentTransport is a Transport that records list requests. It may be used while the event loop runs.
 type concurrentTransport struct {
 	fakeTransport
 	mu       sync.Mutex
 	requests []ListRequest
 }
 
-func (t *concurrentTransport) Watch(q ListRequest) {
+func (t *concurrentTransport) Watch(request ListRequest) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.requests = append(t.requests, q)
+	t.requests = append(t.requests, request)
 }
 
-func (t *concurrentTransport) last() (q ListRequest, n int) {
+func (t *concurrentTransport) last() (request ListRequest, count int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.requests[len(t.requests)-1], len(t.requests)
 }
 
-// The watch at the former discovery may bring an event after the request to the new one has failed. It must not count
-// as the new one's watch, or nothing would be requested once it ends too.
+// An event of the superseded watch may arrive after the list request to the new address has failed. It must not count
+// as an event of the new watch, or the node would send no more list requests after the superseded watch has ended as
+// well.
 func TestWatchEvent_OfSupersededWatch_NewWatchStillRetried(t *testing.T) {
 	for _, polled := range []bool{true, false} {
 		for _, complete := range []bool{false, true} {
@@ -50,9 +51,9 @@
 				n.ListReceived(first.Sequence, changesOf(8, endpoint("s2", wire.Serving)))
 				n.SetDiscoveryAddr("new:1")
 				synctest.Wait()
-				second, calls := transport.last()
+				second, requests := transport.last()
 				if second.Addr != "new:1" {
-					t.Fatalf("requests %+v", second)
+					t.Fatalf("last list request %+v, want one to new:1", second)
 				}
 				n.WatchFailed(second.Sequence, 0)
 				late := changesOf(9, endpoint("s1", wire.Serving), endpoint("s2", wire.Serving))
@@ -61,9 +62,9 @@
 				n.WatchFailed(first.Sequence, 0)
 				time.Sleep(3 * time.Second) // balancer.MaxRepollDelay and MaxRewatchDelay are shorter
 				synctest.Wait()
-				if third, now := transport.last(); now <= calls || third.Addr != "new:1" || third.AfterRevision != NoRevision {
-					t.Errorf("polled %v, complete %v: after 3 s the last of %d requests is %+v, the failed one was the %dth",
-						polled, complete, now, third, calls)
+				if third, now := transport.last(); now <= requests || third.Addr != "new:1" || third.AfterRevision != NoRevision {
+					t.Errorf("polled %v, complete %v: after 3 s the last of %d list requests is %+v, want a snapshot after request %d",
+						polled, complete, now, third, requests)
 				}
 			})
 		}
--- a/internal/node/writecheck_test.go
+++ b/internal/node/writecheck_test.go
@@ -12,7 +12,7 @@
 	"onyxstream/internal/wire"
 )
 
-// checkWrite returns the reason for which a write is denied.
+// For each reason to deny a write, checkWrite must return that reason.
 func TestCheckWrite_EachDenial_IsReturned(t *testing.T) {
 	long := time.Now().Add(-time.Hour)
 	for _, c := range []struct {
@@ -42,12 +42,12 @@
 		r := n.requests["r"]
 		c.change(n, r)
 		if got := n.checkWrite(r, 0); got != c.want {
-			t.Errorf("%s: %q, want %q", c.name, got, c.want)
+			t.Errorf("%s: denial %q, want %q", c.name, got, c.want)
 		}
 	}
 }
 
-// A write that violates a rule is counted by that rule.
+// A write that violates a rule must be counted as a violation of that rule.
 func TestAttemptWritten_RuleViolated_IsCounted(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -71,13 +71,14 @@
 		n.handle(attemptWritten{requestRef: requestRef{id: "r", conn: conn}, at: time.Now()})
 		for _, rule := range invariant.Rules() {
 			if got := n.Monitor().Count(rule); got != c.want[rule] {
-				t.Errorf("%s: %q counted %d times, want %d", c.name, rule, got, c.want[rule])
+				t.Errorf("%s: rule %q violated %d times, want %d", c.name, rule, got, c.want[rule])
 			}
 		}
 	}
 }
 
-// Sends to a warming host beyond the budget of all nodes are counted per CollapseWindow. A warm host has no limit.
+// Sends to a host that is warming up must be counted as a rule violation if they exceed the budget of all nodes within
+// CollapseWindow. A host that has warmed up has no limit.
 func TestAttemptWritten_SlowStartExceeded_IsCounted(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -100,37 +101,39 @@
 			}, r)
 		}
 		if got := n.Monitor().Count(invariant.SlowStartExceeded) > 0; got != c.want {
-			t.Errorf("%s: %d lines with a budget of %.1f, found %v", c.name, lines, budget, got)
+			t.Errorf("%s: %d lines with a budget of %.1f: violation reported %v", c.name, lines, budget, got)
 		}
 	}
 }
 
-// An attempt counts as sent at its first byte: one that connects after the grace must not be written.
+// An attempt counts as sent when its first byte is written, so the opening line of an attempt that connects after the
+// drain grace must not be written.
 func TestAttempt_HostDrainGraceOver_NotWritten(t *testing.T) {
 	n, _, _ := newTestNode(t, endpoint("s1", wire.Serving))
 	conn := arrive(t, n, "r")
 	n.applyList(changesOf(8, endpoint("s1", wire.Draining)), balancer.ListDelta, false)
 	n.handle(attemptConnected{requestRef: requestRef{id: "r"}})
 	if !strings.HasSuffix(conn.recorded(), "proceed 0 true") {
-		t.Fatalf("within the grace: %s", conn.recorded())
+		t.Fatalf("within the drain grace: calls %q, want the write allowed", conn.recorded())
 	}
 	n.hosts["s1"].notifiedAt = time.Now().Add(-n.settings.DrainGrace)
 	n.handle(attemptConnected{requestRef: requestRef{id: "r"}})
 	if !strings.HasSuffix(conn.recorded(), "proceed 0 false") {
-		t.Fatalf("after the grace: %s", conn.recorded())
+		t.Fatalf("after the drain grace: calls %q, want the write denied", conn.recorded())
 	}
-	// A second notification, or the removal, does not start another grace.
+	// A second notification, such as the removal of the host, must not start another drain grace.
 	n.applyList(changesOf(9, endpoint("s1", wire.Removed)), balancer.ListDelta, false)
 	if n.hostAcceptsWrites(n.hosts["s1"]) {
-		t.Error("a second notification starts another grace")
+		t.Error("a second notification starts another drain grace")
 	}
 	n.applyList(changesOf(10, endpoint("s1", wire.Serving)), balancer.ListDelta, false)
 	if !n.hostAcceptsWrites(n.hosts["s1"]) {
-		t.Error("a host that serves again is not written to")
+		t.Error("a write to a host that serves again is denied")
 	}
 }
 
-// A retry that connects after the idempotency window must not be written, whenever it was chosen.
+// A retry that connects after the idempotency window must not be written, even if the balancer chose it within the
+// window.
 func TestRetry_IdempotencyWindowOver_NotWritten(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -156,14 +159,14 @@
 			conn := arrive(t, n, "r")
 			n.handle(endAttemptEvent("r", 0, c.first))
 			if len(conn.sent) != 2 {
-				t.Fatalf("sent to %v", conn.sent)
+				t.Fatalf("attempts %v, want two", conn.sent)
 			}
 			if c.past {
 				time.Sleep(window)
 			}
 			n.handle(attemptConnected{requestRef: requestRef{id: "r"}, attempt: 1})
 			if !strings.HasSuffix(conn.recorded(), c.want) {
-				t.Errorf("%s; want %s", conn.recorded(), c.want)
+				t.Errorf("calls %q, want the last to be %q", conn.recorded(), c.want)
 			}
 		})
 	}
