--- a/internal/node/coldstart_cache.go
+++ b/internal/node/coldstart_cache.go
@@ -12,7 +12,7 @@
 // CachedList is the endpoint list that the node holds. It is sent to peers and written to the list file. It must not be
 // modified.
 type CachedList struct {
-	Service      string // name of the discovery that the list is from
+	Service      string // name of the discovery service that sent the list
 	Source       coldstart.Source
 	List         wire.EndpointList // a snapshot as discovery sent it, without operators' overrides
 	Confirmed    time.Time         // when discovery last sent or confirmed the list
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -41,8 +41,8 @@
 	discoveryAddr string
 	watchSequence uint64    // sequence number of the last list request
 	revision      int64     // of the endpoint list at discoveryAddr; NoRevision until that address has sent a list
-	watching      bool      // a watch is active or being started; not used with polling
-	nextWatchAt   time.Time // when to start the next watch; not used with polling
+	watching      bool      // a watch is active or being started; only used without polling
+	nextWatchAt   time.Time // when to start the next watch; only used without polling
 
 	wallClock            wallClock // converts the hosts' listed start times to the node's clock
 	memoryLimitMB        int       // memory available to the node; 0 for no limit on the hosts
--- a/internal/node/overrides.go
+++ b/internal/node/overrides.go
@@ -82,7 +82,8 @@
 	}
 }
 
-// recordReenabled records when a host's override was lifted, and forgets the hosts that have warmed up since then.
+// recordReenabled records when a host's override was lifted, and discards the records of hosts that have warmed up
+// since their override was lifted.
 func (n *Node) recordReenabled(id balancer.ServerID, at time.Time) {
 	now := time.Now()
 	n.observeClock(now)
--- a/internal/node/requests.go
+++ b/internal/node/requests.go
@@ -109,7 +109,8 @@
 	n.notifyBalancer(arrival)
 }
 
-// toArrival converts an opening line to the balancer's arrival event.
+// toArrival converts an opening line to the balancer's arrival event. A class or tenant that the settings don't contain
+// becomes noClass or noTenant.
 func (n *Node) toArrival(opening *wire.Opening, timeLeft time.Duration) balancer.Arrival {
 	arrival := balancer.Arrival{
 		ID:        balancer.RequestID(opening.ID),
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -71,7 +71,7 @@
 }
 
 // failIfWaiting fails a request that still waits in the balancer after the shutdown, such as a mid-flow request delayed
-// by pacing: no timer will start its attempt before the process exits.
+// by pacing: no timer will release it.
 func (n *Node) failIfWaiting(id balancer.RequestID, r *request) {
 	if !n.shutDown || r == nil || r.answered || r.attemptActive || n.requests[id] != r {
 		return
