--- a/internal/coldstart/cachedlist.go
+++ b/internal/coldstart/cachedlist.go
@@ -39,10 +39,10 @@
 
 // Errors of Decode.
 var (
-	ErrFormat       = errors.New("cached list: unknown format or version")
-	ErrCorrupt      = errors.New("cached list: truncated or changed, checksum does not match")
-	ErrOtherService = errors.New("cached list: belongs to another list service")
-	ErrTooOld       = fmt.Errorf("cached list: older than %s", MaxAge)
+	ErrFormat         = errors.New("cached list: unknown format or version")
+	ErrCorrupt        = errors.New("cached list: truncated or changed, checksum does not match")
+	ErrOtherDiscovery = errors.New("cached list: belongs to another list service")
+	ErrTooOld         = fmt.Errorf("cached list: older than %s", MaxAge)
 )
 
 // Decode reads a document that must be of a service, and returns the list and the time since the service last confirmed
@@ -57,7 +57,7 @@
 		return list, 0, fmt.Errorf("%w: %w", ErrFormat, err)
 	}
 	if cached.Service != service {
-		return list, 0, fmt.Errorf("%w: %q, this node uses %q", ErrOtherService, cached.Service, service)
+		return list, 0, fmt.Errorf("%w: %q, this node uses %q", ErrOtherDiscovery, cached.Service, service)
 	}
 	if err := cached.List.Check(); err != nil {
 		return list, 0, err
--- a/internal/coldstart/coldstart.go
+++ b/internal/coldstart/coldstart.go
@@ -40,9 +40,9 @@
 	return s
 }
 
-// CallDue reports whether the service is to be called now. If so the call counts as in flight until CallFailed. It
+// ListRequestDue reports whether the service is to be called now. If so the call counts as in flight until ListRequestFailed. It
 // may be asked at any time.
-func (s *Scheduler) CallDue(now time.Duration) bool {
+func (s *Scheduler) ListRequestDue(now time.Duration) bool {
 	if s.callInFlight {
 		return false
 	}
@@ -84,8 +84,8 @@
 	s.plannedAt = from + s.jitter(interval)
 }
 
-// NextCallIn returns the time after which CallDue is to be asked again at the latest.
-func (s *Scheduler) NextCallIn(now time.Duration) time.Duration {
+// NextListRequestIn returns the time after which ListRequestDue is to be asked again at the latest.
+func (s *Scheduler) NextListRequestIn(now time.Duration) time.Duration {
 	if !s.callPlanned {
 		return noCall
 	}
@@ -118,9 +118,9 @@
 	return time.Duration(s.rng.Float64() * float64(interval))
 }
 
-// CallFailed records that a call failed, or that its watch broke. retryAfter is what the service asked for, 0 for
+// ListRequestFailed records that a call failed, or that its watch broke. retryAfter is what the service asked for, 0 for
 // nothing; it is honoured up to the longest backoff.
-func (s *Scheduler) CallFailed(now time.Duration, retryAfter time.Duration) {
+func (s *Scheduler) ListRequestFailed(now time.Duration, retryAfter time.Duration) {
 	longest := maxBackoffPolls * s.cfg.PollInterval
 	s.callInFlight = false
 	s.failedCalls++
@@ -138,7 +138,7 @@
 // ListReceived records that the service has sent a list or confirmed the held one.
 func (s *Scheduler) ListReceived(now time.Duration, revision int64, hosts int) {
 	s.hasList = s.hasList || hosts > 0
-	s.source = SourceService
+	s.source = SourceDiscovery
 	s.revision = revision
 	s.lastConfirmedAt = now
 	s.listReceived = true
@@ -190,18 +190,18 @@
 
 // State describes a cold start.
 type State struct {
-	Phase    Phase
-	Source   Source
-	Revision int64
-	Age      time.Duration // of the held list; 0 if there is none
-	Calls    int           // to the service so far
-	Failed   int           // of these, failed calls and broken watches
-	Next     time.Duration // time until the next call; 0 if none is planned
+	Phase        Phase
+	Source       Source
+	Revision     int64
+	Age          time.Duration // of the held list; 0 if there is none
+	ListRequests int           // to the service so far
+	Failed       int           // of these, failed calls and broken watches
+	Next         time.Duration // time until the next call; 0 if none is planned
 }
 
 // State returns the state of the cold start.
 func (s *Scheduler) State(now time.Duration) State {
-	state := State{Source: s.source, Revision: s.revision, Calls: s.calls, Failed: s.failedCalls}
+	state := State{Source: s.source, Revision: s.revision, ListRequests: s.calls, Failed: s.failedCalls}
 	if s.callPlanned {
 		state.Next = max(s.plannedAt-now, 0)
 	}
@@ -210,7 +210,7 @@
 	}
 	state.Age = s.listAge(now)
 	state.Phase = StaleList
-	confirmable := s.source == SourceService || s.source == SourcePeer
+	confirmable := s.source == SourceDiscovery || s.source == SourcePeer
 	if confirmable && state.Age <= s.cfg.PollInterval {
 		state.Phase = CurrentList
 	}
--- a/internal/coldstart/coldstart_test.go
+++ b/internal/coldstart/coldstart_test.go
@@ -62,7 +62,7 @@
 		now := time.Duration(0)
 		next := func() time.Duration {
 			for from := now; ; now += 10 * ms {
-				if s.CallDue(now) {
+				if s.ListRequestDue(now) {
 					return now - from
 				}
 				if now-from > 10*maxBackoffPolls*pollInterval {
@@ -71,7 +71,7 @@
 			}
 		}
 		next()
-		s.CallFailed(now, retryAfter)
+		s.ListRequestFailed(now, retryAfter)
 		if waited := next(); waited < min(retryAfter, maxBackoffPolls*pollInterval) || waited < 100*ms {
 			t.Errorf("Retry-After %v: called after %v", retryAfter, waited)
 		}
@@ -92,7 +92,7 @@
 			now += time.Duration(rapid.IntRange(1, 5000).Draw(t, "ms")) * ms
 			switch rapid.IntRange(0, 5).Draw(t, "event") {
 			case 0:
-				watching = watching || s.CallDue(now)
+				watching = watching || s.ListRequestDue(now)
 				if watching {
 					held = int64(rapid.IntRange(0, 9).Draw(t, "service revision")) // the service may go back
 					confirmedAt = now
@@ -100,7 +100,7 @@
 				}
 			case 1:
 				if watching {
-					s.CallFailed(now, 0)
+					s.ListRequestFailed(now, 0)
 					watching = false
 				}
 			default:
@@ -140,7 +140,7 @@
 	cfg := Config{NodeCount: 300, Index: 99, PollInterval: pollInterval, Peers: true}
 	s := New(cfg, rand.New(rand.NewPCG(9, 2)), 0, NoSource, Offer{})
 	now := time.Duration(0)
-	for ; !s.CallDue(now); now += 50 * ms {
+	for ; !s.ListRequestDue(now); now += 50 * ms {
 		if now > peerSilenceTimeout+pollInterval {
 			t.Fatal("it waits for peers that don't answer")
 		}
@@ -154,11 +154,11 @@
 	now := time.Duration(0)
 	for ; now < time.Minute; now += 100 * ms {
 		s.ConsiderPeerList(now, Offer{Service: "s", Revision: 1, Age: time.Second, Hosts: 2})
-		if s.CallDue(now) {
+		if s.ListRequestDue(now) {
 			t.Fatal("it calls though its peers confirm the list")
 		}
 	}
-	for ; !s.CallDue(now); now += 100 * ms {
+	for ; !s.ListRequestDue(now); now += 100 * ms {
 		if now > time.Minute+pollInterval {
 			t.Fatalf("the list is %v old and the service is not called", s.State(now).Age)
 		}
@@ -202,12 +202,12 @@
 		err     error
 		age     time.Duration
 	}{
-		{"other", confirmed, ErrOtherService, 0},
+		{"other", confirmed, ErrOtherDiscovery, 0},
 		{"s", confirmed.Add(MaxAge + time.Second), ErrTooOld, MaxAge + time.Second},
 		{"s", confirmed.Add(-time.Hour), nil, UnknownAge},
 	} {
 		_, age, err := Decode(document, c.service, c.now)
-		if !errors.Is(err, c.err) || c.err != ErrOtherService && age != c.age {
+		if !errors.Is(err, c.err) || c.err != ErrOtherDiscovery && age != c.age {
 			t.Errorf("of %q at %v: age %v, error %v", c.service, c.now, age, err)
 		}
 	}
--- a/internal/coldstart/config.go
+++ b/internal/coldstart/config.go
@@ -23,11 +23,11 @@
 
 // The sources.
 const (
-	NoSource      Source = ""
-	SourceFile    Source = "file"    // the list in the configuration
-	SourceFolder  Source = "folder"  // the list in the node's data folder
-	SourcePeer    Source = "peer"    // gossip of another node
-	SourceService Source = "service" // the list service
+	NoSource        Source = ""
+	SourceFile      Source = "file"    // the list in the configuration
+	SourceFolder    Source = "folder"  // the list in the node's data folder
+	SourcePeer      Source = "peer"    // gossip of another node
+	SourceDiscovery Source = "service" // the list service
 )
 
 // Config configures a Scheduler.
--- a/internal/coldstart/fleet_test.go
+++ b/internal/coldstart/fleet_test.go
@@ -67,7 +67,7 @@
 		f.deliverResponses(now)
 		for i, scheduler := range f.schedulers {
 			f.gossip(i, scheduler, now)
-			if scheduler.CallDue(now) {
+			if scheduler.ListRequestDue(now) {
 				f.responses = append(f.responses, service.call(i, now))
 			}
 		}
@@ -88,7 +88,7 @@
 				f.firstListAt = now
 			}
 		default:
-			f.schedulers[r.node].CallFailed(now, f.service.retryAfter)
+			f.schedulers[r.node].ListRequestFailed(now, f.service.retryAfter)
 		}
 	}
 	f.responses = pending
--- a/internal/lifecycle/control.go
+++ b/internal/lifecycle/control.go
@@ -129,7 +129,7 @@
 		State:           state.Phase.String(),
 		Source:          string(state.Source),
 		AgeSeconds:      state.Age.Seconds(),
-		Calls:           state.Calls,
+		Calls:           state.ListRequests,
 		Failed:          state.Failed,
 		NextCallSeconds: state.Next.Seconds(),
 	}
--- a/internal/lifecycle/listcache.go
+++ b/internal/lifecycle/listcache.go
@@ -68,7 +68,7 @@
 
 // update writes a list that came from the service or a peer, unless it is the one written last.
 func (c *listCache) update(list *node.CachedList, log *zap.Logger) {
-	fromOthers := list.Source == coldstart.SourceService || list.Source == coldstart.SourcePeer
+	fromOthers := list.Source == coldstart.SourceDiscovery || list.Source == coldstart.SourcePeer
 	changed := list.List.Revision != c.written || list.Confirmed.Sub(c.confirmed) > listCacheRefresh
 	if !fromOthers || !changed {
 		return
--- a/internal/node/coldstart.go
+++ b/internal/node/coldstart.go
@@ -72,12 +72,12 @@
 	if n.scheduler == nil {
 		return idleWait
 	}
-	return n.scheduler.NextCallIn(n.now())
+	return n.scheduler.NextListRequestIn(n.now())
 }
 
 // callIfDue calls the list service if a call is due, and publishes the list if an unreachable host is to be retried.
 func (n *Node) callIfDue() {
-	if n.scheduler.CallDue(n.now()) {
+	if n.scheduler.ListRequestDue(n.now()) {
 		n.watch()
 	}
 	cached := n.cachedList.Load()
@@ -137,6 +137,6 @@
 	}
 	n.loggedPhase = state.Phase
 	n.log.Info("cold start phase changed", zap.Stringer("phase", state.Phase), zap.String("source", string(state.Source)),
-		zap.Int64("revision", state.Revision), zap.Duration("age", state.Age), zap.Int("calls", state.Calls),
+		zap.Int64("revision", state.Revision), zap.Duration("age", state.Age), zap.Int("calls", state.ListRequests),
 		zap.Int("failed", state.Failed))
 }
--- a/internal/node/discovery.go
+++ b/internal/node/discovery.go
@@ -90,7 +90,7 @@
 		return
 	}
 	if n.scheduler != nil {
-		n.scheduler.CallFailed(n.now(), e.retryAfter)
+		n.scheduler.ListRequestFailed(n.now(), e.retryAfter)
 		return
 	}
 	if n.settings.PollList {
