--- a/internal/coldstart/cachedlist.go
+++ b/internal/coldstart/cachedlist.go
@@ -14,20 +14,21 @@
 // CachedList is an endpoint list as stored in a node's data folder.
 type CachedList struct {
 	Service   string            `json:"service"`
-	Confirmed int64             `json:"confirmed_ms"` // Unix time at which the service last sent or confirmed it
+	Confirmed int64             `json:"confirmed_ms"` // Unix time when discovery last sent or confirmed the list
 	List      wire.EndpointList `json:"list"`
 }
 
 const (
-	// formatVersion is the first word of a document. Documents of other versions are refused.
+	// formatVersion is the first word of a document. Decode rejects documents of other versions.
 	formatVersion = "onyxstream-list-1"
-	// maxDocumentBytes bounds a document: a list of some 50,000 hosts.
+	// maxDocumentBytes is the largest size of a document, enough for a list of about 50,000 hosts.
 	maxDocumentBytes = 16 << 20
 )
 
 var crcTable = crc32.MakeTable(crc32.Castagnoli)
 
-// Encode returns the document: a line with the format version, the length and the checksum of the body, and the body.
+// Encode returns the stored document: a header line with the format version and the length and checksum of the body,
+// followed by the body.
 func (c CachedList) Encode() ([]byte, error) {
 	body, err := json.Marshal(c)
 	if err != nil {
@@ -40,13 +41,14 @@
 // Errors of Decode.
 var (
 	ErrFormat         = errors.New("cached list: unknown format or version")
-	ErrCorrupt        = errors.New("cached list: truncated or changed, checksum does not match")
-	ErrOtherDiscovery = errors.New("cached list: belongs to another list service")
+	ErrCorrupt        = errors.New("cached list: truncated or corrupted, length or checksum mismatch")
+	ErrOtherDiscovery = errors.New("cached list: wrong discovery service")
 	ErrTooOld         = fmt.Errorf("cached list: older than %s", MaxAge)
 )
 
-// Decode reads a document that must be of a service, and returns the list and the time since the service last confirmed
-// it. The age is UnknownAge if that lies in the future, as after a step of the clock.
+// Decode reads a document that must have come from the given discovery service. It returns the list and the time since
+// discovery last confirmed it. If the confirmation lies in the future, because the clock was stepped, the age is
+// UnknownAge.
 func Decode(document []byte, service string, now time.Time) (list wire.EndpointList, age time.Duration, err error) {
 	body, err := checkedBody(document)
 	if err != nil {
@@ -57,7 +59,7 @@
 		return list, 0, fmt.Errorf("%w: %w", ErrFormat, err)
 	}
 	if cached.Service != service {
-		return list, 0, fmt.Errorf("%w: %q, this node uses %q", ErrOtherDiscovery, cached.Service, service)
+		return list, 0, fmt.Errorf("%w: got %q, want %q", ErrOtherDiscovery, cached.Service, service)
 	}
 	if err := cached.List.Check(); err != nil {
 		return list, 0, err
@@ -73,7 +75,7 @@
 	return cached.List, age, nil
 }
 
-// checkedBody returns a document's body after a check of its header.
+// checkedBody checks a document's header and checksum, and returns its body.
 func checkedBody(document []byte) ([]byte, error) {
 	header, body, found := bytes.Cut(document, []byte("\n"))
 	var version string
--- a/internal/coldstart/coldstart.go
+++ b/internal/coldstart/coldstart.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// Scheduler is the state of one node's cold start. It is not safe for concurrent use.
+// Scheduler schedules one node's list requests and decides which lists the node uses. It is not safe for concurrent
+// use.
 type Scheduler struct {
 	cfg Config
 	rng *rand.Rand
@@ -13,22 +14,22 @@
 	hasList         bool
 	source          Source
 	revision        int64
-	lastConfirmedAt time.Duration // when the service last sent or confirmed the held list
+	lastConfirmedAt time.Duration // when discovery last sent or confirmed the held list
 
-	callInFlight bool          // a call is being made, or its watch is active
-	listReceived bool          // and it has brought the list
-	callPlanned  bool          // plannedAt is set
-	plannedAt    time.Duration // of the next call
-	callRequired bool          // the service must be called, whatever peers send
-	backoff      time.Duration // between calls since they fail; 0 while they don't
-	notBefore    time.Duration // Retry-After of the service
+	requestInFlight bool          // a list request is in flight, or its watch is active
+	listReceived    bool          // the request in flight has delivered the list
+	requestPlanned  bool          // plannedAt is set
+	plannedAt       time.Duration // time of the next list request
+	requestRequired bool          // a list request must be sent, whatever peers send
+	backoff         time.Duration // between list requests while they fail; 0 while they succeed
+	notBefore       time.Duration // end of the Retry-After of discovery
 
-	lastPeerContactAt time.Duration // when a peer last answered
-	calls             int
-	failedCalls       int
+	lastPeerContactAt  time.Duration // when a peer last answered
+	listRequests       int
+	failedListRequests int
 }
 
-// New creates a Scheduler. held describes the list that is known already; with NoSource there is none.
+// New returns a Scheduler. held describes the list that the node already has; with NoSource the node has none.
 func New(cfg Config, rng *rand.Rand, now time.Duration, source Source, held Offer) *Scheduler {
 	s := &Scheduler{cfg: cfg, rng: rng, lastPeerContactAt: now}
 	if source != NoSource && held.Hosts > 0 {
@@ -40,66 +41,67 @@
 	return s
 }
 
-// ListRequestDue reports whether the service is to be called now. If so the call counts as in flight until ListRequestFailed. It
-// may be asked at any time.
+// ListRequestDue reports whether a list request is to be sent now. If so, the request counts as in flight until
+// ListRequestFailed. It may be called at any time.
 func (s *Scheduler) ListRequestDue(now time.Duration) bool {
-	if s.callInFlight {
+	if s.requestInFlight {
 		return false
 	}
 	peersKeepCurrent := s.source == SourcePeer && s.listAge(now) < s.maxPeerListAge()
-	if peersKeepCurrent && !s.callRequired {
-		s.callPlanned = false
+	if peersKeepCurrent && !s.requestRequired {
+		s.requestPlanned = false
 		return false
 	}
 	s.adjustPlan(now)
 	if now < s.plannedAt || now < s.notBefore {
 		return false
 	}
-	s.callPlanned = false
-	s.callInFlight = true
+	s.requestPlanned = false
+	s.requestInFlight = true
 	s.listReceived = false
-	s.calls++
+	s.listRequests++
 	return true
 }
 
-// adjustPlan plans a call if there is none, and moves the planned one where conditions have changed.
+// adjustPlan plans a list request if none is planned, and moves the planned one if conditions have changed.
 func (s *Scheduler) adjustPlan(now time.Duration) {
-	if !s.callPlanned {
+	if !s.requestPlanned {
 		s.plan(max(now, s.notBefore), s.spreadInterval(now))
 	}
-	// Once its peers fall silent the node calls for itself: the plan may be that of one of many.
+	// When its peers fall silent, the node can no longer rely on their list requests: the planned time may have been
+	// drawn from the longer interval of nodes with peers.
 	latest := max(now, s.notBefore) + s.spreadInterval(now)
 	if s.plannedAt > latest {
 		s.plannedAt = latest - s.jitter(s.spreadInterval(now)/2)
 	}
-	// Processes that were suspended together are resumed in the same instant.
+	// Processes that were suspended together resume at the same moment, and their list requests are spread again.
 	if now > s.plannedAt+suspensionThreshold {
 		s.plannedAt = now + s.jitter(s.spreadInterval(now))
 	}
 }
 
-// plan plans the next call at a random time of an interval.
+// plan plans the next list request at a random time within an interval.
 func (s *Scheduler) plan(from, interval time.Duration) {
-	s.callPlanned = true
+	s.requestPlanned = true
 	s.plannedAt = from + s.jitter(interval)
 }
 
-// NextListRequestIn returns the time after which ListRequestDue is to be asked again at the latest.
+// NextListRequestIn returns the longest time that may pass before ListRequestDue is called again.
 func (s *Scheduler) NextListRequestIn(now time.Duration) time.Duration {
-	if !s.callPlanned {
-		return noCall
+	if !s.requestPlanned {
+		return noListRequest
 	}
 	return max(s.plannedAt-now, 0)
 }
 
-// spreadInterval returns the interval over which the nodes spread their calls.
+// spreadInterval returns the interval over which the nodes spread their list requests.
 func (s *Scheduler) spreadInterval(now time.Duration) time.Duration {
 	if s.backoff > 0 {
 		return s.backoff
 	}
 	fleets := float64(s.cfg.NodeCount) / smallFleetSize
-	if s.cfg.Peers && s.calls == 0 && s.cfg.Index < firstCallers {
-		return s.cfg.PollInterval / firstCallerDivisor
+	if s.cfg.Peers && s.listRequests == 0 && s.cfg.Index < firstRequesters {
+		return s.cfg.PollInterval / firstRequesterDivisor
 	}
 	if s.cfg.Peers && now-s.lastPeerContactAt < peerSilenceTimeout {
 		longest := maxBackoffPolls * s.cfg.PollInterval
@@ -113,77 +115,78 @@
 	return max(interval, s.cfg.PollInterval/minSpreadDivisor)
 }
 
-// jitter draws a random part of an interval.
+// jitter returns a random duration between 0 and interval.
 func (s *Scheduler) jitter(interval time.Duration) time.Duration {
 	return time.Duration(s.rng.Float64() * float64(interval))
 }
 
-// ListRequestFailed records that a call failed, or that its watch broke. retryAfter is what the service asked for, 0 for
-// nothing; it is honoured up to the longest backoff.
+// ListRequestFailed records that a list request failed, or that its watch broke. retryAfter is the Retry-After of
+// discovery, or 0 if it sent none; it is honoured up to the longest backoff.
 func (s *Scheduler) ListRequestFailed(now time.Duration, retryAfter time.Duration) {
 	longest := maxBackoffPolls * s.cfg.PollInterval
-	s.callInFlight = false
-	s.failedCalls++
-	if s.listReceived { // the watch broke: the service was well until now
+	s.requestInFlight = false
+	s.failedListRequests++
+	if s.listReceived { // the watch broke: discovery worked until now, so there is no backoff
 		s.backoff = 0
 		s.listReceived = false
 	} else {
 		s.backoff = min(max(2*s.backoff, s.spreadInterval(now)), longest)
 	}
 	s.notBefore = now + min(max(retryAfter, 0), longest)
-	// At least half of the backoff passes, and nodes that failed together retry apart.
+	// The node waits for at least half of the backoff, and jitter spreads the retries of nodes that failed together.
 	s.plan(max(s.notBefore, now+s.backoff/2), s.spreadInterval(now))
 }
 
-// ListReceived records that the service has sent a list or confirmed the held one.
+// ListReceived records that discovery has sent a list or confirmed the held one.
 func (s *Scheduler) ListReceived(now time.Duration, revision int64, hosts int) {
 	s.hasList = s.hasList || hosts > 0
 	s.source = SourceDiscovery
 	s.revision = revision
 	s.lastConfirmedAt = now
 	s.listReceived = true
-	s.callRequired = false
+	s.requestRequired = false
 	s.backoff = 0
 	s.notBefore = 0
 }
 
-// Heartbeat records that the service has confirmed an idle watch, and reports whether that confirms the held list.
+// Heartbeat records a heartbeat of discovery on a watch, and reports whether it confirms the held list.
 func (s *Scheduler) Heartbeat(now time.Duration) bool {
-	watchActive := s.callInFlight && s.listReceived
+	watchActive := s.requestInFlight && s.listReceived
 	if watchActive {
 		s.lastConfirmedAt = now
 	}
 	return watchActive
 }
 
-// SetService switches to another list service, which knows no revision of the former one.
+// SetService switches to another discovery service, which does not know the revisions of the previous one.
 func (s *Scheduler) SetService(service string) {
 	s.cfg.Service = service
 	s.revision = -1
-	s.callInFlight = false
+	s.requestInFlight = false
 	s.listReceived = false
-	s.callPlanned = false
+	s.requestPlanned = false
 	s.backoff = 0
 	s.notBefore = 0
 	if s.source != NoSource {
-		s.source = SourceFile // the held list is of the former service: nothing confirms it
+		s.source = SourceFile // the held list came from the previous service, and no list of the new one confirms it
 	}
 }
 
-// MarkStale makes the node call the service itself, whatever its peers send, until the service has answered.
+// MarkStale makes the node send list requests of its own, whatever its peers send, until discovery has sent or
+// confirmed a list.
 func (s *Scheduler) MarkStale(now time.Duration) {
-	if !s.callInFlight && !s.callRequired {
+	if !s.requestInFlight && !s.requestRequired {
 		s.plan(max(now, s.notBefore), s.spreadInterval(now))
 	}
-	s.callRequired = true
+	s.requestRequired = true
 }
 
-// PeerContacted records that a peer has answered, whatever it sent.
+// PeerContacted records that a peer has answered, with a list or without one.
 func (s *Scheduler) PeerContacted(now time.Duration) {
 	s.lastPeerContactAt = max(s.lastPeerContactAt, now)
 }
 
-// maxPeerListAge returns the age from which a peer's list is refreshed by a call of this node.
+// maxPeerListAge returns the age at which the node refreshes a peer list with a list request of its own.
 func (s *Scheduler) maxPeerListAge() time.Duration { return s.cfg.PollInterval * 3 / 5 }
 
 func (s *Scheduler) listAge(now time.Duration) time.Duration { return max(now-s.lastConfirmedAt, 0) }
@@ -193,16 +196,16 @@
 	Phase        Phase
 	Source       Source
 	Revision     int64
-	Age          time.Duration // of the held list; 0 if there is none
-	ListRequests int           // to the service so far
-	Failed       int           // of these, failed calls and broken watches
-	Next         time.Duration // time until the next call; 0 if none is planned
+	Age          time.Duration // age of the held list; 0 if there is none
+	ListRequests int           // list requests sent so far
+	Failed       int           // number of these that failed or whose watch broke
+	Next         time.Duration // time until the next list request; 0 if none is planned
 }
 
 // State returns the state of the cold start.
 func (s *Scheduler) State(now time.Duration) State {
-	state := State{Source: s.source, Revision: s.revision, ListRequests: s.calls, Failed: s.failedCalls}
-	if s.callPlanned {
+	state := State{Source: s.source, Revision: s.revision, ListRequests: s.listRequests, Failed: s.failedListRequests}
+	if s.requestPlanned {
 		state.Next = max(s.plannedAt-now, 0)
 	}
 	if !s.hasList {
--- a/internal/coldstart/coldstart_test.go
+++ b/internal/coldstart/coldstart_test.go
@@ -12,51 +12,53 @@
 	"onyxstream/internal/wire"
 )
 
-// The properties are checked with the same draws each time; -rapid.seed overrides that.
+// Property tests draw the same values in every run, unless -rapid.seed is set.
 func init() { _ = flag.Set("rapid.seed", "1") }
 
-// Hundreds of simultaneous calls overload the service. With gossip the number of calls must not grow with the fleet.
-func TestCalls_FleetStarts_CallsBounded(t *testing.T) {
+// Hundreds of simultaneous list requests overload discovery. With peer lists, the number of list requests must not grow
+// with the number of nodes.
+func TestListRequests_FleetStarts_CountBounded(t *testing.T) {
 	for _, n := range []int{3, 50, 150, 300, 600} {
-		s := &fakeService{}
+		s := &fakeDiscovery{}
 		receivedAt := runFleet(n, true, s, 5*time.Second)
-		if len(s.calledAt) > 12 || s.rejected > 0 || lastReceived(receivedAt) > 2*time.Second {
-			t.Errorf("%d nodes with gossip: %d calls, %d rejected, all have the list after %v",
-				n, len(s.calledAt), s.rejected, lastReceived(receivedAt))
+		if len(s.requestedAt) > 12 || s.rejected > 0 || lastReceived(receivedAt) > 2*time.Second {
+			t.Errorf("%d nodes with peer lists: %d list requests, %d rejected, last node received the list after %v",
+				n, len(s.requestedAt), s.rejected, lastReceived(receivedAt))
 		}
-		s = &fakeService{}
+		s = &fakeDiscovery{}
 		receivedAt = runFleet(n, false, s, 15*time.Second)
-		if len(s.calledAt) > n*11/10 || lastReceived(receivedAt) > pollInterval {
-			t.Errorf("%d nodes without gossip: %d calls, %d rejected, all have the list after %v",
-				n, len(s.calledAt), s.rejected, lastReceived(receivedAt))
+		if len(s.requestedAt) > n*11/10 || lastReceived(receivedAt) > pollInterval {
+			t.Errorf("%d nodes without peer lists: %d list requests, %d rejected, last node received the list after %v",
+				n, len(s.requestedAt), s.rejected, lastReceived(receivedAt))
 		}
 	}
 }
 
-// Calls to a service that is down stay below a quarter of its capacity of 100 per second, and all nodes have the list
-// soon after it has recovered.
-func TestCalls_ServiceDown_BelowItsCapacity(t *testing.T) {
+// While discovery is down, list requests stay below a quarter of its capacity of 100 per second. Soon after it has
+// recovered, all nodes have the list.
+func TestListRequests_DiscoveryDown_BelowItsCapacity(t *testing.T) {
 	for _, down := range []time.Duration{5 * time.Second, 60 * time.Second} {
 		for _, n := range []int{50, 300, 600} {
-			s := &fakeService{downUntil: down}
+			s := &fakeDiscovery{downUntil: down}
 			receivedAt := runFleet(n, true, s, down+20*time.Second)
-			callsWhileDown := 0
-			for _, at := range s.calledAt {
+			requestsWhileDown := 0
+			for _, at := range s.requestedAt {
 				if at < down {
-					callsWhileDown++
+					requestsWhileDown++
 				}
 			}
-			rate := float64(callsWhileDown) / down.Seconds()
+			rate := float64(requestsWhileDown) / down.Seconds()
 			if rate > 25 || lastReceived(receivedAt) > down+4*time.Second {
-				t.Errorf("%d nodes, down for %v: %.1f calls per second, all have the list after %v",
+				t.Errorf("%d nodes, discovery down for %v: %.1f list requests per second, last node received the list after %v",
 					n, down, rate, lastReceived(receivedAt))
 			}
 		}
 	}
 }
 
-// Retry-After is honoured; neither a missing one nor one of an hour makes a node call at once or never.
-func TestCallFailed_AnyRetryAfter_RetriedInTime(t *testing.T) {
+// A node honours Retry-After. If it is missing the node does not retry at once, and if it is an hour or longer the node
+// still retries.
+func TestListRequestFailed_AnyRetryAfter_RetriedInTime(t *testing.T) {
 	for _, retryAfter := range []time.Duration{0, time.Second, time.Hour, -time.Hour, 1 << 62} {
 		s := New(Config{NodeCount: 300, PollInterval: pollInterval}, rand.New(rand.NewPCG(1, 2)), 0, NoSource, Offer{})
 		now := time.Duration(0)
@@ -66,20 +68,20 @@
 					return now - from
 				}
 				if now-from > 10*maxBackoffPolls*pollInterval {
-					t.Fatalf("after Retry-After %v it never calls again", retryAfter)
+					t.Fatalf("Retry-After %v: the list request is never retried", retryAfter)
 				}
 			}
 		}
 		next()
 		s.ListRequestFailed(now, retryAfter)
 		if waited := next(); waited < min(retryAfter, maxBackoffPolls*pollInterval) || waited < 100*ms {
-			t.Errorf("Retry-After %v: called after %v", retryAfter, waited)
+			t.Errorf("Retry-After %v: list request retried after %v", retryAfter, waited)
 		}
 	}
 }
 
-// For offers in any order, of any age and service: the held revision never decreases, its age is never understated, and
-// no offer replaces what the service keeps current.
+// Whatever the order, age and service of the offered lists: the held revision never decreases, its age is never
+// understated, and no offer replaces a list that a watch keeps current.
 func TestPeerList_AnyOffers_RevisionNeverDecreases(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := Config{NodeCount: 3, PollInterval: pollInterval, Peers: true, Service: "s"}
@@ -87,14 +89,14 @@
 		now := time.Duration(0)
 		held := int64(-1)
 		confirmedAt := time.Duration(-1)
-		watching := false // the service keeps the node current
+		watching := false // a watch keeps the held list current
 		for range rapid.IntRange(1, 40).Draw(t, "events") {
 			now += time.Duration(rapid.IntRange(1, 5000).Draw(t, "ms")) * ms
 			switch rapid.IntRange(0, 5).Draw(t, "event") {
 			case 0:
 				watching = watching || s.ListRequestDue(now)
 				if watching {
-					held = int64(rapid.IntRange(0, 9).Draw(t, "service revision")) // the service may go back
+					held = int64(rapid.IntRange(0, 9).Draw(t, "service revision")) // the revision of discovery may decrease
 					confirmedAt = now
 					s.ListReceived(now, held, 3)
 				}
@@ -116,9 +118,9 @@
 				switch {
 				case verdict == Adopt && (!usable || offer.Revision <= held),
 					verdict == Confirm && (!usable || offer.Revision != held || offeredAt <= confirmedAt):
-					t.Fatalf("%+v: verdict %d, held %d", offer, verdict, held)
+					t.Fatalf("offer %+v: verdict %d, held revision %d", offer, verdict, held)
 				case verdict == Ignore && reason == "":
-					t.Fatal("an offer is ignored without a reason")
+					t.Fatal("offer ignored without a reason")
 				case verdict == Adopt:
 					held = offer.Revision
 					confirmedAt = offeredAt
@@ -129,45 +131,46 @@
 			state := s.State(now)
 			wrongState := held >= 0 && (state.Revision != held || state.Age != now-confirmedAt)
 			if wrongState || state.Phase == CurrentList && state.Age > pollInterval {
-				t.Fatalf("held %d of %v, state %+v at %v", held, confirmedAt, state, now)
+				t.Fatalf("held revision %d, confirmed at %v: state %+v at %v", held, confirmedAt, state, now)
 			}
 		}
 	})
 }
 
-// A node whose peers have fallen silent calls the service as if it had none.
-func TestCallDue_PeersFallSilent_NodeCalls(t *testing.T) {
+// When its peers fall silent, a node sends a list request as soon as a node without peers would.
+func TestListRequestDue_PeersFallSilent_NodeRequests(t *testing.T) {
 	cfg := Config{NodeCount: 300, Index: 99, PollInterval: pollInterval, Peers: true}
 	s := New(cfg, rand.New(rand.NewPCG(9, 2)), 0, NoSource, Offer{})
 	now := time.Duration(0)
 	for ; !s.ListRequestDue(now); now += 50 * ms {
 		if now > peerSilenceTimeout+pollInterval {
-			t.Fatal("it waits for peers that don't answer")
+			t.Fatal("no list request although the peers are silent")
 		}
 	}
 }
 
-// A peer's list that no peer confirms any more is refreshed in time by a call; one that is confirmed is not.
-func TestCallDue_PeerListAges_NodeCalls(t *testing.T) {
+// A node refreshes a peer list with a list request of its own before the list is too old, unless a peer confirms it
+// again.
+func TestListRequestDue_PeerListAges_NodeRequests(t *testing.T) {
 	cfg := Config{NodeCount: 10, Index: 9, PollInterval: pollInterval, Peers: true, Service: "s"}
 	s := New(cfg, rand.New(rand.NewPCG(9, 2)), 0, NoSource, Offer{})
 	now := time.Duration(0)
 	for ; now < time.Minute; now += 100 * ms {
 		s.ConsiderPeerList(now, Offer{Service: "s", Revision: 1, Age: time.Second, Hosts: 2})
 		if s.ListRequestDue(now) {
-			t.Fatal("it calls though its peers confirm the list")
+			t.Fatal("list request sent although peers confirm the list")
 		}
 	}
 	for ; !s.ListRequestDue(now); now += 100 * ms {
 		if now > time.Minute+pollInterval {
-			t.Fatalf("the list is %v old and the service is not called", s.State(now).Age)
+			t.Fatalf("the list is %v old and no list request was sent", s.State(now).Age)
 		}
 	}
 }
 
-// A document that is truncated at any byte, changed in any byte, of another service, or too old is refused. The age of
-// one from the future is not understated.
-func TestDecode_DamagedOrForeign_Refused(t *testing.T) {
+// Decode rejects a document that is truncated at any byte, corrupted in any byte, from another discovery service, or
+// too old. The age of a list that was confirmed in the future is not understated.
+func TestDecode_DamagedOrForeign_Rejected(t *testing.T) {
 	confirmed := time.UnixMilli(1_700_000_000_000)
 	endpoints := []wire.Endpoint{
 		{ID: "h1", Addr: "127.0.0.1:1", Zone: "a", Size: 1},
@@ -184,16 +187,16 @@
 	list, age, err := Decode(document, "s", confirmed.Add(time.Minute))
 	if err != nil || age != time.Minute || list.Revision != 41 ||
 		len(list.Endpoints) != 2 || list.Endpoints[1] != endpoints[1] {
-		t.Fatalf("read %+v, %v, %v", list, age, err)
+		t.Fatalf("list %+v, age %v, error %v", list, age, err)
 	}
 	for i := range document {
 		if _, _, err := Decode(document[:i], "s", confirmed); err == nil {
-			t.Fatalf("truncated at byte %d it is read", i)
+			t.Fatalf("document truncated at byte %d was decoded", i)
 		}
 		changed := append([]byte(nil), document...)
 		changed[i] ^= 0x40
 		if _, _, err := Decode(changed, "s", confirmed); err == nil {
-			t.Fatalf("changed in byte %d it is read", i)
+			t.Fatalf("document corrupted in byte %d was decoded", i)
 		}
 	}
 	for _, c := range []struct {
@@ -208,11 +211,11 @@
 	} {
 		_, age, err := Decode(document, c.service, c.now)
 		if !errors.Is(err, c.err) || c.err != ErrOtherDiscovery && age != c.age {
-			t.Errorf("of %q at %v: age %v, error %v", c.service, c.now, age, err)
+			t.Errorf("service %q at %v: age %v, error %v", c.service, c.now, age, err)
 		}
 	}
 	laterVersion := append([]byte("onyxstream-list-2"), document[len(formatVersion):]...)
 	if _, _, err := Decode(laterVersion, "s", confirmed); !errors.Is(err, ErrFormat) {
-		t.Errorf("later version: %v", err)
+		t.Errorf("document of a later version: error %v", err)
 	}
 }
--- a/internal/coldstart/config.go
+++ b/internal/coldstart/config.go
@@ -1,21 +1,22 @@
-// Package coldstart decides how a node obtains the endpoint list when hundreds of nodes start at once: when it calls
-// the list service, which lists of its peers it uses, and how stale the list is that it holds. It is pure: events and
-// the time are arguments, on the node's monotonic clock. Packages node, control and lifecycle do the I/O.
+// Package coldstart decides how a node obtains the endpoint list when hundreds of nodes start at once: when it
+// sends a list request to discovery, which peer lists it uses, and how old the held list is. The package does no I/O
+// and reads no clock: callers pass events and the time of the node's monotonic clock as arguments. Packages node,
+// control and lifecycle do the I/O.
 package coldstart
 
 import "time"
 
-// Phase tells what a node holds.
+// Phase tells whether a node holds a list, and whether that list is current.
 type Phase uint8
 
 // The phases.
 const (
-	NoList      Phase = iota // no list: no request can be placed
-	StaleList                // a list that has not been confirmed within PollInterval
-	CurrentList              // a list that has been
+	NoList      Phase = iota // no list: client requests cannot be sent to a host
+	StaleList                // the held list was not confirmed within PollInterval
+	CurrentList              // the held list was confirmed within PollInterval
 )
 
-// String returns the phase as operators read it.
+// String returns the name of the phase in output for operators.
 func (p Phase) String() string { return [...]string{"none", "old", "current"}[p] }
 
 // Source tells where the held list came from.
@@ -24,45 +25,49 @@
 // The sources.
 const (
 	NoSource        Source = ""
-	SourceFile      Source = "file"    // the list in the configuration
-	SourceFolder    Source = "folder"  // the list in the node's data folder
-	SourcePeer      Source = "peer"    // gossip of another node
-	SourceDiscovery Source = "service" // the list service
+	SourceFile      Source = "file"    // list in the configuration
+	SourceFolder    Source = "folder"  // cached list in the node's data folder
+	SourcePeer      Source = "peer"    // list that a peer passed on
+	SourceDiscovery Source = "service" // list that discovery sent
 )
 
 // Config configures a Scheduler.
 type Config struct {
-	NodeCount    int           // nodes that start together, by the settings
-	Index        int           // of this node among them, from 0
-	PollInterval time.Duration // longest time between two calls, by the settings
+	NodeCount    int           // number of nodes that start together, from the settings
+	Index        int           // this node's index among them, from 0
+	PollInterval time.Duration // longest time between two list requests, from the settings
 	Peers        bool          // nodes pass lists on to each other
-	Service      string        // name of the list service
+	Service      string        // name of the discovery service
 }
 
 const (
-	// smallFleetSize is the number of nodes whose calls may be spread over the shortest interval.
+	// smallFleetSize is the number of nodes whose list requests may be spread over the shortest interval.
 	smallFleetSize = 25
-	// fullSpreadFleets is the multiple of smallFleetSize from which nodes with peers spread their calls over the
-	// longest interval.
+	// fullSpreadFleets is the multiple of smallFleetSize at which nodes with peers start to spread their list
+	// requests over the longest interval.
 	fullSpreadFleets = 8
-	// minSpreadDivisor gives the shortest interval over which calls are spread, as a part of PollInterval.
+	// minSpreadDivisor divides PollInterval to give the shortest interval over which list requests are spread.
 	minSpreadDivisor = 20
-	// firstCallerDivisor gives the interval over which the first callers spread their first calls.
-	firstCallerDivisor = 100
-	// maxBackoffPolls bounds the backoff, and the interval of nodes with peers, in PollIntervals. The service can
-	// answer each node once per PollInterval, so that such calls take at most a quarter of its capacity.
+	// firstRequesterDivisor divides PollInterval to give the interval over which the first requesters spread their
+	// first list requests.
+	firstRequesterDivisor = 100
+	// maxBackoffPolls bounds the backoff, and the interval over which nodes with peers spread their list requests,
+	// in units of PollInterval. Discovery can answer each node once per PollInterval, so that list requests at this
+	// interval take at most a quarter of its capacity.
 	maxBackoffPolls = 4
-	// firstCallers is how many nodes, by index, call at once on behalf of their peers.
-	firstCallers = 4
-	// peerSilenceTimeout is how long no peer may have answered before the node counts as alone.
+	// firstRequesters is the number of nodes, counted by index from 0, that send a list request at once on behalf of
+	// their peers.
+	firstRequesters = 4
+	// peerSilenceTimeout is the time without an answer from any peer after which a node stops relying on its peers.
 	peerSilenceTimeout = 6 * time.Second
-	// suspensionThreshold is how late a call may be before the process counts as one that was suspended.
+	// suspensionThreshold is the delay of a planned list request beyond which the process is taken to have been
+	// suspended.
 	suspensionThreshold = time.Second
-	// noCall is returned while no call is planned.
-	noCall = time.Hour
+	// noListRequest is the time until the next list request that is reported while none is planned.
+	noListRequest = time.Hour
 
-	// MaxAge is the age from which a list is not used.
+	// MaxAge is the age beyond which a list is not used.
 	MaxAge = 24 * time.Hour
-	// UnknownAge is assumed for a list of unknown age.
+	// UnknownAge is the age assumed for a list of unknown age.
 	UnknownAge = MaxAge / 2
 )
--- a/internal/coldstart/fleet_test.go
+++ b/internal/coldstart/fleet_test.go
@@ -9,56 +9,56 @@
 	ms           = time.Millisecond
 	pollInterval = 10 * time.Second
 
-	simulationStep = 10 * ms
-	callDuration   = 10 * ms     // of a call to the simulated service
-	callTimeout    = time.Second // calls that would wait for longer are rejected
-	gossipDelay    = 100 * ms    // until all peers have a list
+	simulationStep  = 10 * ms
+	requestDuration = 10 * ms     // time that discovery takes for a list request
+	requestTimeout  = time.Second // list requests that would wait for longer are rejected
+	gossipDelay     = 100 * ms    // until a list has reached all peers
 )
 
-// fakeService is a list service in virtual time that answers calls one after the other.
-type fakeService struct {
-	freeAt     time.Duration
-	downUntil  time.Duration // calls are reset until then
-	retryAfter time.Duration // sent with rejections
-	calledAt   []time.Duration
-	rejected   int
+// fakeDiscovery is a discovery service in virtual time that answers list requests one at a time.
+type fakeDiscovery struct {
+	freeAt      time.Duration
+	downUntil   time.Duration // list requests are reset until then
+	retryAfter  time.Duration // Retry-After of rejections
+	requestedAt []time.Duration
+	rejected    int
 }
 
-// response is the response to a node's call.
+// response is the response to a node's list request.
 type response struct {
 	node int
 	at   time.Duration
 	ok   bool
 }
 
-// call returns the response to a call.
-func (s *fakeService) call(node int, now time.Duration) response {
-	s.calledAt = append(s.calledAt, now)
+// respond returns the response to a node's list request.
+func (s *fakeDiscovery) respond(node int, now time.Duration) response {
+	s.requestedAt = append(s.requestedAt, now)
 	begin := max(s.freeAt, now)
 	if now < s.downUntil {
-		return response{node: node, at: now + callDuration}
+		return response{node: node, at: now + requestDuration}
 	}
-	if begin-now > callTimeout {
+	if begin-now > requestTimeout {
 		s.rejected++
-		return response{node: node, at: now + callTimeout}
+		return response{node: node, at: now + requestTimeout}
 	}
-	s.freeAt = begin + callDuration
+	s.freeAt = begin + requestDuration
 	return response{node: node, at: s.freeAt, ok: true}
 }
 
 // fleet simulates nodes that start together.
 type fleet struct {
 	schedulers  []*Scheduler
-	peers       bool // nodes pass lists on
-	service     *fakeService
+	peers       bool // nodes pass lists on to each other
+	discovery   *fakeDiscovery
 	responses   []response
 	firstListAt time.Duration   // when the first node received the list
 	receivedAt  []time.Duration // when each node received the list, 0 for never
 }
 
-// runFleet simulates a start of nodes until a time, and returns when each of them received the list.
-func runFleet(nodes int, peers bool, service *fakeService, until time.Duration) []time.Duration {
-	f := &fleet{peers: peers, service: service, receivedAt: make([]time.Duration, nodes)}
+// runFleet simulates nodes that start together until a given time, and returns when each node received the list.
+func runFleet(nodes int, peers bool, discovery *fakeDiscovery, until time.Duration) []time.Duration {
+	f := &fleet{peers: peers, discovery: discovery, receivedAt: make([]time.Duration, nodes)}
 	for i := range nodes {
 		cfg := Config{NodeCount: nodes, Index: i, PollInterval: pollInterval, Peers: peers, Service: "s"}
 		f.schedulers = append(f.schedulers, New(cfg, rand.New(rand.NewPCG(uint64(i), 7)), 0, NoSource, Offer{}))
@@ -68,7 +68,7 @@
 		for i, scheduler := range f.schedulers {
 			f.gossip(i, scheduler, now)
 			if scheduler.ListRequestDue(now) {
-				f.responses = append(f.responses, service.call(i, now))
+				f.responses = append(f.responses, discovery.respond(i, now))
 			}
 		}
 	}
@@ -88,13 +88,13 @@
 				f.firstListAt = now
 			}
 		default:
-			f.schedulers[r.node].ListRequestFailed(now, f.service.retryAfter)
+			f.schedulers[r.node].ListRequestFailed(now, f.discovery.retryAfter)
 		}
 	}
 	f.responses = pending
 }
 
-// gossip contacts a node's peers every other second, and offers it the list once a peer has it.
+// gossip lets a node contact its peers every 2 s, and offers it the list once a peer has it.
 func (f *fleet) gossip(node int, scheduler *Scheduler, now time.Duration) {
 	if !f.peers {
 		return
@@ -117,7 +117,7 @@
 	}
 }
 
-// lastReceived returns when the last node received the list, an hour if one never did.
+// lastReceived returns when the last node received the list, or an hour if any node never did.
 func lastReceived(receivedAt []time.Duration) (last time.Duration) {
 	for _, at := range receivedAt {
 		if at == 0 {
--- a/internal/coldstart/peerlist.go
+++ b/internal/coldstart/peerlist.go
@@ -5,28 +5,28 @@
 	"time"
 )
 
-// Offer describes a list that a peer passes on, without its hosts.
+// Offer describes a peer list by its properties, without its endpoints.
 type Offer struct {
-	Service  string        // that sent it first
-	Revision int64         // at that service
-	Age      time.Duration // since the service last sent or confirmed it
-	Hosts    int
+	Service  string        // name of the discovery service that the list came from
+	Revision int64         // revision at that service
+	Age      time.Duration // time since that service last sent or confirmed the list
+	Hosts    int           // number of hosts in the list
 }
 
-// Verdict tells what is to be done with an offer.
+// Verdict tells the node what to do with an offered list.
 type Verdict uint8
 
 // The verdicts.
 const (
-	Ignore  Verdict = iota // not usable
-	Confirm                // the same list as the held one, confirmed later
-	Adopt                  // newer than the held list
+	Ignore  Verdict = iota // don't use the offered list
+	Confirm                // keep the held list, whose revision was confirmed more recently
+	Adopt                  // replace the held list with the offered one
 )
 
-// ConsiderPeerList judges a peer's list. It never replaces a newer list, nor one that the service itself keeps current.
-// The reason is for the log, empty unless the verdict is Ignore.
+// ConsiderPeerList decides whether the node uses a peer list. A peer list never replaces a newer list, nor a list that
+// an active watch keeps current. The reason is for the log, and empty unless the verdict is Ignore.
 func (s *Scheduler) ConsiderPeerList(now time.Duration, offer Offer) (verdict Verdict, reason string) {
-	if reason = s.refusal(offer); reason != "" {
+	if reason = s.ignoreReason(offer); reason != "" {
 		return Ignore, reason
 	}
 	confirmedAt := now - max(offer.Age, 0)
@@ -45,8 +45,8 @@
 	return Adopt, ""
 }
 
-// refusal returns why an offer can't be used, empty if it can.
-func (s *Scheduler) refusal(offer Offer) string {
+// ignoreReason returns the reason why an offer can't be used, or "" if it can.
+func (s *Scheduler) ignoreReason(offer Offer) string {
 	switch {
 	case offer.Service != s.cfg.Service:
 		return fmt.Sprintf("list is of service %q, this node uses %q", offer.Service, s.cfg.Service)
@@ -54,7 +54,7 @@
 		return fmt.Sprintf("list is %s old", offer.Age.Round(time.Second))
 	case offer.Hosts == 0:
 		return "list has no hosts"
-	case s.callInFlight && s.listReceived:
+	case s.requestInFlight && s.listReceived:
 		return "list service keeps this node current"
 	case s.hasList && offer.Revision < s.revision:
 		return fmt.Sprintf("revision %d is behind %d", offer.Revision, s.revision)
--- a/internal/coldstart/stored_test.go
+++ b/internal/coldstart/stored_test.go
@@ -10,8 +10,9 @@
 	"onyxstream/internal/wire"
 )
 
-// The file in testdata was written by an earlier release: a node's data folder outlives the release.
-func TestStoredList_FromEarlierRelease_IsReadAndWrittenAlike(t *testing.T) {
+// A node's data folder outlives a release: this release must read the cached list of an earlier release, and write the
+// same bytes. An earlier release wrote the file in testdata.
+func TestStoredList_FromEarlierRelease_ReadAndRewrittenUnchanged(t *testing.T) {
 	text, err := os.ReadFile("testdata/hosts-v1.list")
 	if err != nil {
 		t.Fatal(err)
@@ -19,7 +20,7 @@
 	confirmed := time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC)
 	got, age, err := Decode(text, "lists", confirmed.Add(time.Minute))
 	if err != nil || age != time.Minute {
-		t.Fatalf("age %s, %v", age, err)
+		t.Fatalf("age %s, error %v", age, err)
 	}
 	want := wire.EndpointList{Revision: 42, Complete: true, Endpoints: []wire.Endpoint{
 		{ID: "host-a", Addr: "127.0.0.1:9001", Zone: "z1", Cell: 2, Phase: wire.Serving, Size: 1.5, StartedAtMS: 1764590000000},
@@ -29,6 +30,6 @@
 	}
 	again, err := CachedList{Service: "lists", Confirmed: confirmed.UnixMilli(), List: got}.Encode()
 	if diff := cmp.Diff(string(text), string(again)); diff != "" || err != nil {
-		t.Errorf("%v, an earlier release would not read it: %s", err, diff)
+		t.Errorf("error %v, encoded list differs from that of an earlier release: %s", err, diff)
 	}
 }
--- a/internal/discovery/stream.go
+++ b/internal/discovery/stream.go
@@ -10,21 +10,24 @@
 	"onyxstream/internal/wire"
 )
 
-// A change must reach the node within notifyWithin of the moment at which discovery had it and could be reached,
-// whatever failed before. A watch that falls silent is given up after heartbeatTimeout, a call in flight as discovery
-// recovers after callTimeout. The next call follows within balancer.MaxRepollDelay, or node.MaxRewatchDelay where
-// polling is off; the rest of notifyWithin is for its answer.
+// A change of the endpoint list must reach the node within notifyWithin after discovery has the change and is
+// reachable, whatever failed before. A silent watch times out after heartbeatTimeout. A list request in flight when
+// discovery recovers times out after requestTimeout. The next list request follows within balancer.MaxRepollDelay, or
+// within node.MaxRewatchDelay if polling is off. The rest of notifyWithin is left for its response.
+//
+// requestTimeout and snapshotTimeout start with the dial. requestTimeout ends with the first list, or with the first
+// event of a watch that follows a snapshot; snapshotTimeout ends with the complete snapshot.
 const (
 	notifyWithin     = 6 * time.Second
-	callTimeout      = 3 * time.Second         // from the start of the dial to the first answer
-	snapshotTimeout  = 1500 * time.Millisecond // the same of a snapshot, unless the last one timed out
-	heartbeatTimeout = 3 * time.Second         // heartbeats come every 2 s
+	requestTimeout   = 3 * time.Second
+	snapshotTimeout  = 1500 * time.Millisecond // requestTimeout if the last snapshot timed out
+	heartbeatTimeout = 3 * time.Second         // discovery sends heartbeats every 2 s
 )
 
-var errStreamEnded = errors.New("discovery ended the watch")
+var errStreamEnded = errors.New("discovery closed the watch")
 
-// dial connects to discovery. The dial and all that follows on the connection time out after timeout, and end with ctx.
-// closeConn closes the connection.
+// dial connects to discovery. The timeout covers the dial and all later I/O on the connection, which also fails when
+// ctx ends. closeConn closes the connection.
 func dial(ctx context.Context, addr string, timeout time.Duration) (c *net.TCPConn, closeConn func(), err error) {
 	deadline := time.Now().Add(timeout)
 	dialer := net.Dialer{Deadline: deadline, KeepAlive: -1}
@@ -42,13 +45,13 @@
 	return c, closeConn, nil
 }
 
-// fetchSnapshot fetches the complete list.
+// fetchSnapshot fetches the complete endpoint list.
 func (w *Watcher) fetchSnapshot(ctx context.Context, addr string) (list wire.EndpointList, err error) {
 	timeout := snapshotTimeout
-	if w.slowService.Load() {
-		timeout = callTimeout
+	if w.slowDiscovery.Load() {
+		timeout = requestTimeout
 	}
-	defer func() { w.slowService.Store(err != nil && netio.IsDeadlineExceeded(err)) }()
+	defer func() { w.slowDiscovery.Store(err != nil && netio.IsDeadlineExceeded(err)) }()
 	c, closeConn, err := dial(ctx, addr, timeout)
 	if err != nil {
 		return list, err
@@ -66,7 +69,7 @@
 	return list, err
 }
 
-// readResponse reads until the response has ended.
+// readResponse feeds stream with bytes from c until the response ends.
 func readResponse(c net.Conn, stream *wire.WatchStream) error {
 	buffer := wire.GetBuffer()
 	defer buffer.Release()
@@ -82,9 +85,9 @@
 	return nil
 }
 
-// watch follows the changes after a revision until the call ends or fails.
-func (w *Watcher) watch(ctx context.Context, current *call, after int64) error {
-	c, closeConn, err := dial(ctx, current.Addr, callTimeout)
+// watch follows the changes after a revision until the watch ends or fails.
+func (w *Watcher) watch(ctx context.Context, current *activeRequest, after int64) error {
+	c, closeConn, err := dial(ctx, current.Addr, requestTimeout)
 	if err != nil {
 		return err
 	}
@@ -111,7 +114,7 @@
 			return errStreamEnded
 		case readErr != nil:
 			return readErr
-		case received && current.delivered.Load(): // parts of an endless event are no sign of life
+		case received && current.delivered.Load(): // parts of an unfinished event don't extend the deadline
 			err = extendDeadline(ctx, c, heartbeatTimeout)
 		default:
 			err = ctx.Err()
@@ -122,15 +125,15 @@
 	}
 }
 
-// extendDeadline gives a watch more time and returns ctx's error. The context is checked last: if it ended just before,
-// its expired deadline has been overwritten here.
+// extendDeadline sets a new read deadline for a watch and returns the error of ctx. The end of ctx sets an expired
+// deadline, which this call may overwrite; for that reason the context is checked last.
 func extendDeadline(ctx context.Context, c net.Conn, timeout time.Duration) error {
 	_ = c.SetReadDeadline(time.Now().Add(timeout))
 	return ctx.Err()
 }
 
-// receive passes on the events that the stream has complete, and reports whether there were any.
-func (w *Watcher) receive(current *call, stream *wire.WatchStream) (received bool, err error) {
+// receive passes the complete events of the stream on to the node, and reports whether there were any.
+func (w *Watcher) receive(current *activeRequest, stream *wire.WatchStream) (received bool, err error) {
 	for event, ok := stream.Next(); ok; event, ok = stream.Next() {
 		received = true
 		if len(event) == 0 {
@@ -146,8 +149,8 @@
 	return received, nil
 }
 
-// readLate reads what a watch that timed out has received, and returns timeout if that is nothing: if this process was
-// suspended, the watch was not silent.
+// readLate reads the bytes that a watch had received when it timed out, and returns timeout if there are none. If this
+// process was suspended, the read may time out although discovery was not silent.
 func readLate(c *net.TCPConn, into []byte, timeout error) (int, error) {
 	n, err := netio.ReadAvailable(c, into)
 	if n == 0 && err == nil {
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -1,5 +1,5 @@
-// Package discovery follows the endpoint list of the discovery service: it fetches a full snapshot, watches the changes
-// behind it, and passes both on to a node, which decides when the next call is made.
+// Package discovery follows the endpoint list of the discovery service: it fetches a snapshot, watches the changes
+// after it, and passes both on to a node. The node decides when the next list request is sent.
 package discovery
 
 import (
@@ -13,15 +13,15 @@
 	"onyxstream/internal/wire"
 )
 
-// Watcher makes the calls that a node asks for and notifies it of what they bring.
+// Watcher sends the list requests that a node schedules, and notifies the node of lists, heartbeats and failures.
 type Watcher struct {
-	log         *zap.Logger
-	node        *node.Node
-	requests    chan node.ListRequest
-	slowService atomic.Bool // the last snapshot timed out: the next one waits for longer
+	log           *zap.Logger
+	node          *node.Node
+	requests      chan node.ListRequest
+	slowDiscovery atomic.Bool // the last snapshot timed out: the next one gets a longer timeout
 }
 
-// NewWatcher returns a watcher. Attach must follow before Run.
+// NewWatcher returns a watcher. Attach must be called before Run.
 func NewWatcher(log *zap.Logger) *Watcher {
 	return &Watcher{
 		log:      log,
@@ -29,11 +29,11 @@
 	}
 }
 
-// Attach sets the node that is notified.
+// Attach sets the node that the watcher notifies.
 func (w *Watcher) Attach(n *node.Node) { w.node = n }
 
-// Watch requests a call. It does not block, and may be called by any goroutine: a request that has not been taken up
-// yet is superseded.
+// Watch queues a list request, which replaces a queued one that Run has not started yet. It does not block, and may be
+// called from any goroutine.
 func (w *Watcher) Watch(request node.ListRequest) {
 	for {
 		select {
@@ -48,27 +48,27 @@
 	}
 }
 
-// call is a call in flight.
-type call struct {
+// activeRequest is a list request in flight, with the watch that follows it.
+type activeRequest struct {
 	node.ListRequest
 	cancel    context.CancelFunc
-	ended     chan struct{} // closed when its goroutine has ended
-	delivered atomic.Bool   // the node has had a list of it
-	previous  *call         // goes on until then, so that no watch event is missed between the two
+	ended     chan struct{}  // closed when the goroutine of the request has ended
+	delivered atomic.Bool    // the node has received a list from this request
+	previous  *activeRequest // stays active until delivered is set, so that no watch event is missed in between
 }
 
-// stop cancels a call and waits for its end, so that its events cannot arrive behind those of the next one.
-func (c *call) stop() {
+// stop cancels a request and waits for its end, so that its events cannot arrive after those of the next request.
+func (c *activeRequest) stop() {
 	if c != nil {
 		c.cancel()
 		<-c.ended
 	}
 }
 
-// Run makes the calls that are requested until ctx ends. A new call stops the previous one once it has delivered its
-// first list. The node is notified of the end of a call unless a newer call or ctx caused it.
+// Run sends the queued list requests until ctx ends. A new request stops the previous one when it has delivered its
+// first list. Run notifies the node when a request ends, unless a newer request or the end of ctx ended it.
 func (w *Watcher) Run(ctx context.Context) error {
-	var current *call
+	var current *activeRequest
 	for {
 		select {
 		case <-ctx.Done():
@@ -83,9 +83,9 @@
 	}
 }
 
-// supersede starts a call. The current one goes on beside it if it has delivered a list; otherwise it is stopped, and
-// the one before it goes on.
-func (w *Watcher) supersede(ctx context.Context, current *call, request node.ListRequest) *call {
+// supersede starts a request. If the current request has delivered a list, it continues in parallel; otherwise it is
+// stopped, and the request before it continues.
+func (w *Watcher) supersede(ctx context.Context, current *activeRequest, request node.ListRequest) *activeRequest {
 	previous := current
 	if current != nil && !current.delivered.Load() {
 		current.stop()
@@ -93,64 +93,64 @@
 			previous = current.previous
 		}
 	}
-	w.log.Debug("discovery call started", zap.Int64("after_revision", request.AfterRevision))
-	next := &call{
+	w.log.Debug("list request started", zap.Int64("after_revision", request.AfterRevision))
+	next := &activeRequest{
 		ListRequest: request,
 		ended:       make(chan struct{}),
 		previous:    previous,
 	}
-	callCtx, cancel := context.WithCancel(ctx)
+	requestCtx, cancel := context.WithCancel(ctx)
 	next.cancel = cancel
-	go w.run(callCtx, next)
+	go w.run(requestCtx, next)
 	return next
 }
 
-// run is the goroutine of a call.
-func (w *Watcher) run(ctx context.Context, c *call) {
-	defer close(c.ended)
-	err := w.follow(ctx, c)
+// run is the goroutine of a request.
+func (w *Watcher) run(ctx context.Context, request *activeRequest) {
+	defer close(request.ended)
+	err := w.follow(ctx, request)
 	if ctx.Err() != nil {
 		return
 	}
-	w.log.Info("endpoint list watch ended", zap.String("discovery", c.Addr), zap.Error(err))
+	w.log.Info("endpoint list watch ended", zap.String("discovery", request.Addr), zap.Error(err))
 	var rejected *wire.StatusError
 	if errors.As(err, &rejected) {
-		w.node.WatchFailed(c.Sequence, rejected.RetryAfter)
+		w.node.WatchFailed(request.Sequence, rejected.RetryAfter)
 		return
 	}
-	w.node.WatchFailed(c.Sequence, 0)
+	w.node.WatchFailed(request.Sequence, 0)
 }
 
-// follow fetches a snapshot if the node has none, and watches the changes behind it.
-func (w *Watcher) follow(ctx context.Context, c *call) (err error) {
+// follow fetches a snapshot if the node has no list, and watches the changes after that revision.
+func (w *Watcher) follow(ctx context.Context, request *activeRequest) (err error) {
 	defer func() {
 		if panicked := recover(); panicked != nil {
 			w.log.Error("endpoint list watch panicked", zap.Any("panic", panicked))
 			err = errors.New("endpoint list watch panicked")
 		}
 	}()
-	after := c.AfterRevision
+	after := request.AfterRevision
 	if after == node.NoRevision {
-		list, err := w.fetchSnapshot(ctx, c.Addr)
+		list, err := w.fetchSnapshot(ctx, request.Addr)
 		if err != nil {
 			return err
 		}
 		after = list.Revision
-		w.deliver(c, &list)
+		w.deliver(request, &list)
 	}
-	return w.watch(ctx, c, after)
+	return w.watch(ctx, request, after)
 }
 
-// deliver notifies the node of a list. The first one of a call stops the previous call.
-func (w *Watcher) deliver(c *call, list *wire.EndpointList) {
-	if !c.delivered.Load() {
-		c.previous.stop()
-		c.previous = nil
-		c.delivered.Store(true)
+// deliver notifies the node of a list. The first list of a request stops the previous request.
+func (w *Watcher) deliver(request *activeRequest, list *wire.EndpointList) {
+	if !request.delivered.Load() {
+		request.previous.stop()
+		request.previous = nil
+		request.delivered.Store(true)
 	}
 	w.log.Debug("endpoint list received",
 		zap.Int64("revision", list.Revision),
 		zap.Int("endpoints", len(list.Endpoints)),
 		zap.Bool("complete", list.Complete))
-	w.node.ListReceived(c.Sequence, list)
+	w.node.ListReceived(request.Sequence, list)
 }
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -21,12 +21,12 @@
 	"onyxstream/internal/wire"
 )
 
-// withoutPings is what a node needs beside its connections, without pings.
+// withoutPings is a node's transport that never pings a host.
 type withoutPings struct{ *Watcher }
 
 func (withoutPings) Ping(balancer.ServerID, string) bool { return false }
 
-// startNode starts a node without hosts that follows the discovery at addr, with settings as configure leaves them.
+// startNode starts a node without hosts that follows the discovery service at addr. configure adjusts its settings.
 func startNode(t *testing.T, addr string, configure func(*settings.Settings)) *node.Node {
 	t.Helper()
 	set := settings.Settings{
@@ -56,35 +56,35 @@
 	return n
 }
 
-// The longest delays between a change and the next call: a watch falls silent right behind a heartbeat; a call is
-// lost as discovery recovers. What is left of the bound is for the answer.
+// The longest delays between a change and the next list request: a watch falls silent just after a heartbeat, or a list
+// request is lost when discovery recovers. The rest of the bound is left for the response.
 func TestTimeouts_WorstCase_WithinNotificationBound(t *testing.T) {
 	const answer = 400 * time.Millisecond
 	for name, longest := range map[string]time.Duration{
 		"polled, a watch falls silent": heartbeatTimeout + balancer.MaxRepollDelay,
-		"polled, a call is lost":       callTimeout + balancer.MaxRepollDelay,
+		"polled, a call is lost":       requestTimeout + balancer.MaxRepollDelay,
 		"polled, a call is rejected":   2 * balancer.MaxRepollDelay,
 		"pushed, a watch falls silent": heartbeatTimeout + node.MaxRewatchDelay,
-		"pushed, a call is lost":       callTimeout + node.MaxRewatchDelay,
+		"pushed, a call is lost":       requestTimeout + node.MaxRewatchDelay,
 	} {
 		if longest+answer > notifyWithin {
-			t.Errorf("%s: %v until the next call, of %v", name, longest, notifyWithin)
+			t.Errorf("%s: %v until the next list request, bound %v", name, longest, notifyWithin)
 		}
 	}
-	// After SIGHUP where polling is off: 4 s.
+	// After SIGHUP with polling off, the bound is 4 s.
 	if longest := snapshotTimeout + node.MaxRewatchDelay; longest+answer > 4*time.Second {
-		t.Errorf("discovery reconfigured: %v until the second call", longest)
+		t.Errorf("discovery reconfigured: %v until the second list request", longest)
 	}
 }
 
-// chunk is one chunk of a response in chunked transfer coding.
+// chunk returns text as one chunk of a response in chunked transfer coding.
 func chunk(text string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(text), text) }
 
 const chunkedHeader = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
-// serveWatches starts a discovery whose n-th watch, from 0 on, is written by watch behind the header of its response.
-func serveWatches(t *testing.T, watch func(n int64, c *net.TCPConn)) (addr string, calls *atomic.Int64) {
-	calls = new(atomic.Int64)
+// serveWatches starts a fake discovery service. watch writes the body of the n-th response, counted from 0.
+func serveWatches(t *testing.T, watch func(n int64, c *net.TCPConn)) (addr string, requests *atomic.Int64) {
+	requests = new(atomic.Int64)
 	return netiotest.Serve(t, func(c *net.TCPConn) {
 		in := bufio.NewReader(c)
 		for {
@@ -93,11 +93,11 @@
 			}
 		}
 		_, _ = io.WriteString(c, chunkedHeader)
-		watch(calls.Add(1)-1, c)
-	}), calls
+		watch(requests.Add(1)-1, c)
+	}), requests
 }
 
-// serveList starts a discovery with one list, as a watch and, after a delay, as a snapshot.
+// serveList starts a fake discovery service that sends one list, after a delay, as a watch event or as a snapshot.
 func serveList(t *testing.T, list string, delay time.Duration) (addr string) {
 	return netiotest.Serve(t, func(c *net.TCPConn) {
 		in := bufio.NewReader(c)
@@ -118,9 +118,9 @@
 		`"members":[{"id":"b","host_port":"127.0.0.1:2","phase":"SERVING","size":1}]}` + "\n"
 )
 
-// A watch that sends an endless list is as silent as one that sends nothing.
+// A watch whose list never ends times out like a silent watch.
 func TestWatch_ListNeverEnds_Reopened(t *testing.T) {
-	addr, calls := serveWatches(t, func(n int64, c *net.TCPConn) {
+	addr, requests := serveWatches(t, func(n int64, c *net.TCPConn) {
 		_, _ = io.WriteString(c, chunk(emptyList))
 		if n > 0 {
 			_, _ = io.Copy(io.Discard, c)
@@ -132,16 +132,16 @@
 		}
 	})
 	startNode(t, addr, func(s *settings.Settings) { s.PollList = false })
-	netiotest.Eventually(t, "the watch is reopened", func() bool { return calls.Load() > 1 })
+	netiotest.Eventually(t, "the watch is reopened", func() bool { return requests.Load() > 1 })
 }
 
-// A list may stand on several lines, come in any pieces, and have anything between it and the next.
+// A list may span several lines, arrive in pieces of any size, and be separated from the next by any line end.
 func TestWatch_IndentedLists_Accepted(t *testing.T) {
 	first := "{\n  \"revision\": 1,\n  \"complete\": true,\n\n  \"members\": [\r\n" +
 		"    {\"id\": \"{a\\\"}\", \"host_port\": \"127.0.0.1:1\", \"phase\": \"SERVING\", \"size\": 1}\n  ]\n}\n"
 	second := "\r\n{\n \"revision\": 2,\n \"members\": [\n" +
 		"  {\"id\": \"b\", \"host_port\": \"127.0.0.1:2\", \"phase\": \"SERVING\", \"size\": 1}]}\n"
-	addr, calls := serveWatches(t, func(_ int64, c *net.TCPConn) {
+	addr, requests := serveWatches(t, func(_ int64, c *net.TCPConn) {
 		_ = c.SetNoDelay(true)
 		for _, b := range []byte(first + second) {
 			_, _ = io.WriteString(c, chunk(string(b)))
@@ -150,12 +150,12 @@
 	})
 	n := startNode(t, addr, func(s *settings.Settings) { s.PollList = false })
 	netiotest.Eventually(t, "both lists are accepted", func() bool { return len(n.View().Hosts) == 2 })
-	if n := calls.Load(); n != 1 {
-		t.Errorf("%d watches", n)
+	if n := requests.Load(); n != 1 {
+		t.Errorf("%d watches, want 1", n)
 	}
 }
 
-// What a watch has received as it times out is no silence: the process may have been suspended.
+// A watch that times out with received bytes is not silent: the process may have been suspended.
 func TestReadLate_BytesUnread_NoTimeout(t *testing.T) {
 	listener, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
@@ -170,7 +170,7 @@
 	_, _ = io.WriteString(peer, "2\r\n\r\n\r\n")
 	netiotest.Eventually(t, "the bytes are received", func() bool { return netiotest.UnreadBytes(t, c) > 0 })
 	if n, err := readLate(c, buffer, timeout); n != 7 || err != nil {
-		t.Errorf("%d bytes, error %v", n, err)
+		t.Errorf("bytes unread: %d bytes, error %v", n, err)
 	}
 	_ = peer.Close()
 	netiotest.Eventually(t, "the peer's close is received", func() bool {
@@ -179,19 +179,19 @@
 	})
 }
 
-// A call that is in flight as discovery is reconfigured is superseded: neither its failure nor its list counts as the
-// new call's.
+// A list request in flight when the discovery address changes is superseded: neither its failure nor its list is taken
+// for that of the new request.
 func TestWatch_Superseded_ListIgnored(t *testing.T) {
 	hold := make(chan struct{})
-	called := make(chan struct{}, 1)
+	requested := make(chan struct{}, 1)
 	oldAddr, _ := serveWatches(t, func(_ int64, c *net.TCPConn) {
-		called <- struct{}{}
-		<-hold // its list is in flight until the new one has been accepted
+		requested <- struct{}{}
+		<-hold // sends its list after the node has accepted the new one
 		_, _ = io.WriteString(c, chunk(`{"revision":9,"complete":true,"members":[]}`+"\n"))
 	})
 	newAddr := serveList(t, listOfB, 0)
 	n := startNode(t, oldAddr, func(s *settings.Settings) { s.PollList = false })
-	<-called
+	<-requested
 	n.SetDiscoveryAddr(newAddr)
 	hasNewList := func() bool {
 		hosts := n.View().Hosts
@@ -199,13 +199,13 @@
 	}
 	netiotest.Eventually(t, "the new list is accepted", hasNewList)
 	close(hold)
-	n.MergePingBaselines(nil) // an event behind whatever the old call has posted
+	n.MergePingBaselines(nil) // an event after any that the old request has posted
 	if !hasNewList() {
-		t.Errorf("the node holds %v", n.View().Hosts)
+		t.Errorf("the node's hosts are %v", n.View().Hosts)
 	}
 }
 
-// The first snapshot of a discovery that is slow times out; the next one waits for longer.
+// If discovery is slow, the first snapshot times out, and the next one gets a longer timeout.
 func TestSnapshot_SlowDiscovery_Received(t *testing.T) {
 	t.Parallel()
 	addr := serveList(t, listOfB, snapshotTimeout+500*time.Millisecond)
@@ -218,7 +218,7 @@
 		start := time.Now()
 		netiotest.Eventually(t, "the list is received", func() bool { return len(n.View().Hosts) == 1 })
 		if took := time.Since(start); took > notifyWithin {
-			t.Errorf("polled %v: received after %v", poll, took)
+			t.Errorf("polling %v: list received after %v", poll, took)
 		}
 	}
 }
@@ -231,10 +231,10 @@
 	_, c := netiotest.Connect(t, listener)
 	ctx, cancel := context.WithCancel(context.Background())
 	if err := extendDeadline(ctx, c, time.Minute); err != nil {
-		t.Errorf("while the context lasts: %v", err)
+		t.Errorf("before the context ended: error %v", err)
 	}
 	cancel()
 	if err := extendDeadline(ctx, c, time.Minute); err == nil {
-		t.Error("it reports no error")
+		t.Error("no error after the context ended")
 	}
 }
