--- a/internal/healthcheck/pinger.go
+++ b/internal/healthcheck/pinger.go
@@ -1,4 +1,4 @@
-// Package healthcheck measures how long hosts take to answer a ping, on connections of its own that it keeps open.
+// Package healthcheck pings hosts and measures the round-trip times, on separate connections that it keeps open.
 package healthcheck
 
 import (
@@ -16,51 +16,51 @@
 )
 
 const (
-	pingTimeout = 3 * time.Second  // for the dial and the answer; a connection that exceeds it is closed
-	idleTimeout = 10 * time.Second // a host that was not to be pinged for so long loses its connection
+	pingTimeout = 3 * time.Second  // for the dial and the answer; the connection is closed when it expires
+	idleTimeout = 10 * time.Second // after this time without a ping, the connection to the host is closed
 )
 
-// ReservedPings is how many hosts can always be pinged at the same time. Their descriptors are reserved; those of
-// further pings are taken from what clients leave.
+// ReservedPings is the number of hosts that can always be pinged at the same time. Their file descriptors are reserved;
+// pings of further hosts use descriptors that clients leave free.
 const ReservedPings = 16
 
-// FailedPing is the duration that is reported of a ping that failed before its timeout.
+// FailedPing is reported in place of a round-trip time when a ping failed before its timeout.
 const FailedPing time.Duration = -1
 
-// Budget is the descriptor budget that pings share with clients. Its lock also guards the set of pinged hosts, so
-// that a decision on the budget and its effect on that set are one step.
+// Budget is the file descriptor budget that pings share with clients. Its lock also guards the set of pinged hosts, so
+// that checking the budget and changing that set are atomic.
 type Budget interface {
 	sync.Locker
-	// Fits reports whether so many more descriptors are within the budget. The lock is held.
+	// Fits reports whether this number of additional descriptors is within the budget. The caller holds the lock.
 	Fits(descriptors int) bool
 }
 
 // Receiver is notified of the results of pings.
 type Receiver interface {
-	// PingCompleted reports a ping's round-trip time: at least the timeout if no answer came in time, FailedPing if
-	// the connection failed.
+	// PingCompleted receives a ping's round-trip time. It is at least the timeout if no answer came in time, and
+	// FailedPing if the connection failed.
 	PingCompleted(id balancer.ServerID, took time.Duration)
 }
 
-// Pinger pings hosts, each on a connection and a goroutine of its own.
+// Pinger pings hosts, with one connection and one goroutine per host.
 type Pinger struct {
 	budget   Budget
 	log      *zap.Logger
 	receiver Receiver
-	done     sync.WaitGroup // of the hosts' goroutines
+	done     sync.WaitGroup // counts the goroutines of the hosts
 
 	// Guarded by the budget's lock.
 	hosts  map[balancer.ServerID]*hostPinger
 	closed bool
 }
 
-// hostPinger pings one host. A connection is kept because a new one would cost the host work.
+// hostPinger pings one host. It keeps its connection open, because each new connection costs the host work.
 type hostPinger struct {
 	addr     string
-	requests chan struct{} // closed when the host is to be pinged no more
+	requests chan struct{} // closed when the host is no longer to be pinged
 }
 
-// NewPinger returns a pinger within a budget. Attach must follow before Ping.
+// NewPinger returns a pinger that stays within a budget. Attach must be called before Ping.
 func NewPinger(budget Budget, log *zap.Logger) *Pinger {
 	return &Pinger{
 		budget: budget,
@@ -69,11 +69,11 @@
 	}
 }
 
-// Attach sets who is notified of results.
+// Attach sets the receiver of the results.
 func (p *Pinger) Attach(receiver Receiver) { p.receiver = receiver }
 
-// Ping begins to ping a host, and reports false if it does not, for want of a descriptor or because the pinger is
-// closed. It does not block. While a ping of that host is in flight, its result stands for this one too.
+// Ping starts a ping of a host. It returns false if no descriptor is available or the pinger is closed. It does not
+// block. If a ping of the host is already waiting to be sent, the result of that one counts for this one too.
 func (p *Pinger) Ping(id balancer.ServerID, addr string) bool {
 	p.budget.Lock()
 	defer p.budget.Unlock()
@@ -98,7 +98,7 @@
 	return true
 }
 
-// start starts the goroutine of a host. The budget's lock is held.
+// start starts the goroutine of a host. The caller holds the budget's lock.
 func (p *Pinger) start(id balancer.ServerID, addr string) *hostPinger {
 	host := &hostPinger{
 		addr:     addr,
@@ -114,14 +114,15 @@
 	return host
 }
 
-// Count returns how many hosts are pinged. The budget's lock is held.
+// Count returns the number of pinged hosts. The caller holds the budget's lock.
 func (p *Pinger) Count() int { return len(p.hosts) }
 
-// Unreserved returns how many descriptors pings hold beyond those that are reserved. The budget's lock is held.
+// Unreserved returns the number of descriptors that pings hold beyond the reserved ones. The caller holds the budget's
+// lock.
 func (p *Pinger) Unreserved() int { return max(len(p.hosts)-ReservedPings, 0) }
 
-// ReleaseUntil stops pinging hosts until enough reports true or only reserved descriptors are held. The budget's lock
-// is held.
+// ReleaseUntil stops pinging hosts, one after the other, until enough returns true or pings hold reserved descriptors
+// only. The caller holds the budget's lock.
 func (p *Pinger) ReleaseUntil(enough func() bool) {
 	for id, host := range p.hosts {
 		if enough() || len(p.hosts) <= ReservedPings {
@@ -132,7 +133,7 @@
 	}
 }
 
-// Close stops pinging all hosts, for good. The budget's lock is held.
+// Close permanently stops pinging all hosts. The caller holds the budget's lock.
 func (p *Pinger) Close() {
 	p.closed = true
 	for id, host := range p.hosts {
@@ -141,12 +142,12 @@
 	}
 }
 
-// Wait waits until all goroutines have ended. The budget's lock is not held.
+// Wait waits until all goroutines have ended. The caller must not hold the budget's lock.
 func (p *Pinger) Wait() { p.done.Wait() }
 
-// connection is the connection to a pinged host, which may be closed and dialled again.
+// connection is the connection to a pinged host. It may be closed and dialled again.
 type connection struct {
-	conn net.Conn // nil while there is none
+	conn net.Conn // nil if there is no connection
 	in   wire.LineBuffer
 }
 
@@ -158,7 +159,7 @@
 	c.in.Release()
 }
 
-// run pings a host for each request until there are none for a while, or their channel is closed.
+// run pings a host once per request, until no request comes for idleTimeout or the channel of requests is closed.
 func (p *Pinger) run(id balancer.ServerID, host *hostPinger) {
 	var c connection
 	defer c.close()
@@ -197,8 +198,8 @@
 	p.receiver.PingCompleted(id, took)
 }
 
-// retire removes a host and reports whether it did. Unless force is set, one with a pending request stays:
-// without an answer the host would pass for one that does not respond.
+// retire removes a host from the set of pinged hosts, and reports whether it did. Unless force is set, it keeps a host
+// with a pending request: without a result for that request, the host would seem not to respond.
 func (p *Pinger) retire(id balancer.ServerID, host *hostPinger, force bool) bool {
 	p.budget.Lock()
 	defer p.budget.Unlock()
@@ -211,7 +212,7 @@
 	return true
 }
 
-// ping dials the host if there is no connection, sends a ping and waits for its answer.
+// ping dials the host if there is no connection, sends a ping and waits for the answer.
 func (c *connection) ping(addr string, deadline time.Time) error {
 	if c.conn == nil {
 		dialer := net.Dialer{Timeout: pingTimeout, KeepAlive: -1}
@@ -224,7 +225,8 @@
 	return c.exchange(deadline)
 }
 
-// exchange sends a ping and waits for one line, whatever it says: a host that rejects answers too.
+// exchange sends a ping and waits for one line. Any line counts as an answer, as a host that rejects requests answers
+// pings too.
 func (c *connection) exchange(deadline time.Time) error {
 	_ = c.conn.SetDeadline(deadline)
 	if _, err := io.WriteString(c.conn, wire.Ping); err != nil {
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -1,7 +1,7 @@
-// Package invariant checks at run time the rules that a node must keep: on each opening line that was written to a
-// host, and on the end of each client's connection. Packages node and proxy enforce the rules beforehand; the checks
-// look at what was done, by the rules' own limits, and share no code with the enforcement. A Monitor counts the
-// violations. The checks are pure: times are arguments.
+// Package invariant checks at run time that a node keeps its rules: for each opening line written to a host, and at the
+// end of each client's connection. Packages node and proxy enforce the rules beforehand. The checks verify the outcome
+// against limits of their own, and share no code with the enforcement. A Monitor counts the violations. The checks have
+// no side effects and read no clock: times are arguments.
 package invariant
 
 import (
@@ -15,16 +15,16 @@
 // Rule identifies a rule.
 type Rule uint8
 
-// The rules, by what violates them.
+// The rules, named after their violations.
 const (
-	SentToDrained       Rule = iota // a line was begun after its host's drain grace
-	UnsafeRetry                     // an attempt was written though an earlier one may have been executed
-	ConcurrentAttempt               // an attempt was written while another one of the request was active
-	SentAfterDisconnect             // a line was begun too long after its client had disconnected
+	SentToDrained       Rule = iota // an opening line was started after the drain grace of its host
+	UnsafeRetry                     // an attempt was sent although an earlier one may have been executed
+	ConcurrentAttempt               // an attempt was sent while another attempt of the request was active
+	SentAfterDisconnect             // an opening line was started too long after its client had disconnected
 	Unanswered                      // a connection ended without a final answer to its request
 	AnsweredTwice                   // a request got a second final answer
 	AnsweredLate                    // a final answer was given too long after the client's deadline
-	SlowStartExceeded               // this node alone sent a warming host more than all nodes together may
+	SlowStartExceeded               // this node alone sent a host that is warming up more than all nodes together may
 	ruleCount
 )
 
@@ -39,7 +39,7 @@
 	SlowStartExceeded:   "slow start exceeded",
 }
 
-// String returns the rule's name in log lines.
+// String returns the name of the rule in log lines.
 func (r Rule) String() string { return ruleNames[r] }
 
 // Rules returns all rules.
@@ -52,9 +52,9 @@
 }
 
 const (
-	// disconnectSlack is how long after its client has disconnected a line may still be begun.
+	// disconnectSlack is how long after the client has disconnected an opening line may still be started.
 	disconnectSlack = 100 * time.Millisecond
-	// answerSlack is how long after the client's deadline a final answer is not late.
+	// answerSlack is how long after the client's deadline a final answer does not yet count as late.
 	answerSlack = 500 * time.Millisecond
 )
 
@@ -63,7 +63,7 @@
 	Rule    Rule
 	Request string
 	Host    string
-	Excess  time.Duration // beyond the rule's limit, 0 if it has none
+	Excess  time.Duration // time beyond the limit of the rule; 0 if the rule has no time limit
 }
 
 // String describes the violation in one line.
@@ -71,13 +71,13 @@
 	return fmt.Sprintf("%s: request %s, host %s, by %v", v.Rule, v.Request, v.Host, v.Excess)
 }
 
-// Send is an opening line that was written to a host, with the state at its first byte.
+// Send describes an opening line written to a host, and the state when its first byte was written.
 type Send struct {
 	Request            string
 	Host               string
 	At                 time.Time
-	Draining           bool      // the host drains or is removed
-	NotifiedAt         time.Time // when the node was notified of that
+	Draining           bool      // the host is draining or removed
+	NotifiedAt         time.Time // when the node was notified that the host is draining or removed
 	Grace              time.Duration
 	Effect             balancer.Effect
 	Window             time.Duration // idempotency window
@@ -85,7 +85,7 @@
 	ConcurrentAttempts int           // other attempts of the request that were active
 }
 
-// CheckSend returns the violations of a written line.
+// CheckSend returns the rule violations of a written opening line.
 func CheckSend(s Send) (violations []Violation) {
 	add := func(rule Rule, excess time.Duration) {
 		violations = append(violations, Violation{Rule: rule, Request: s.Request, Host: s.Host, Excess: excess})
@@ -110,18 +110,19 @@
 	return violations
 }
 
-// CheckStart checks a line that was begun at a time; disconnectedAt is zero if its client has not disconnected.
+// CheckStart checks an opening line that was started at begunAt. disconnectedAt is zero if its client has not
+// disconnected.
 func CheckStart(request, host string, begunAt, disconnectedAt time.Time) (violation Violation, found bool) {
 	excess := begunAt.Sub(disconnectedAt) - disconnectSlack
 	violation = Violation{Rule: SentAfterDisconnect, Request: request, Host: host, Excess: excess}
 	return violation, !disconnectedAt.IsZero() && excess > 0
 }
 
-// smallSlowStartBudget is the budget below which a wider margin is allowed, as few requests vary more.
+// smallSlowStartBudget is the budget, in requests, below which the margin is wider, as small numbers vary more.
 const smallSlowStartBudget = 30
 
-// SlowStartLimit returns how many requests a warming host may get in the window in which it can collapse, for a
-// budget by the settings: the budget and a margin for random variation.
+// SlowStartLimit returns the number of requests that a host that is warming up may get in the window in which it can
+// collapse. It is the budget, which follows from the settings, and a margin for random variation.
 func SlowStartLimit(budget float64) float64 {
 	if budget < smallSlowStartBudget {
 		return budget + 3*math.Sqrt(budget) + 3
@@ -129,25 +130,26 @@
 	return budget + 2*math.Sqrt(budget) + 2
 }
 
-// CheckSlowStart checks what one node alone has sent to a warming host against what all nodes together may send. The
-// budget is an estimate, as the settings don't tell the host's capacity, and what the other nodes have sent is not
-// known: a host may be overloaded though each node passes.
+// CheckSlowStart compares the number of requests that this node alone has sent to a host that is warming up with the
+// number that all nodes together may send. The budget is an estimate, because the settings do not contain the capacity
+// of the host. The requests of the other nodes are unknown, so that a host may be overloaded although each node passes
+// the check.
 func CheckSlowStart(request, host string, sent int, budget float64) (violation Violation, found bool) {
 	violation = Violation{Rule: SlowStartExceeded, Request: request, Host: host}
 	return violation, float64(sent) > SlowStartLimit(budget)
 }
 
-// Completion describes a request whose connection has ended, or that has been answered.
+// Completion describes a request that has a final answer, or whose connection has ended.
 type Completion struct {
 	Request      string
 	Host         string
-	Answers      int       // final answers that were given
-	AnsweredAt   time.Time // of the first of them
-	Deadline     time.Time // of the client
-	Disconnected bool      // the client disconnected before it was answered
+	Answers      int       // number of final answers given
+	AnsweredAt   time.Time // time of the first final answer
+	Deadline     time.Time // deadline of the client
+	Disconnected bool      // the client disconnected before it got a final answer
 }
 
-// CheckCompletion returns the violations of a completed request.
+// CheckCompletion returns the rule violations of a completed request.
 func CheckCompletion(c Completion) (violations []Violation) {
 	add := func(rule Rule, excess time.Duration) {
 		violations = append(violations, Violation{Rule: rule, Request: c.Request, Host: c.Host, Excess: excess})
--- a/internal/invariant/invariant_test.go
+++ b/internal/invariant/invariant_test.go
@@ -16,7 +16,7 @@
 // after returns the time d after begin.
 func after(d time.Duration) time.Time { return begin.Add(d) }
 
-// rulesOf returns the rules of violations, in order.
+// rulesOf returns the rules of the violations, in order.
 func rulesOf(found []Violation) (out []Rule) {
 	for _, v := range found {
 		out = append(out, v.Rule)
@@ -71,7 +71,7 @@
 		},
 	} {
 		if got := rulesOf(CheckSend(c.send)); !slices.Equal(got, c.want) {
-			t.Errorf("%s: %v, want %v", c.name, got, c.want)
+			t.Errorf("%s: violations %v, want %v", c.name, got, c.want)
 		}
 	}
 }
@@ -120,11 +120,11 @@
 	m.Report()
 	m.Report(Violation{Rule: Unanswered, Request: "r"}, Violation{Rule: Unanswered}, Violation{Rule: ConcurrentAttempt})
 	if m.Count(Unanswered) != 2 || m.Count(ConcurrentAttempt) != 1 || m.Count(AnsweredLate) != 0 || m.Total() != 3 {
-		t.Errorf("counted %d, %d, %d of %d",
+		t.Errorf("counts %d, %d, %d, total %d",
 			m.Count(Unanswered), m.Count(ConcurrentAttempt), m.Count(AnsweredLate), m.Total())
 	}
 	if lines := logs.FilterMessage(LogMessage).All(); len(lines) != 3 || lines[0].ContextMap()["request"] != "r" {
-		t.Errorf("logged %v", lines)
+		t.Errorf("log lines %v", lines)
 	}
 	for _, r := range Rules() {
 		if r.String() == "" {
@@ -141,7 +141,7 @@
 	}{{1, 7, false}, {1, 8, true}, {25, 43, false}, {25, 44, true}, {100, 122, false}, {100, 123, true}} {
 		v, found := CheckSlowStart("r", "h", c.sent, c.budget)
 		if found != c.found || v.Rule != SlowStartExceeded {
-			t.Errorf("%d sent with a budget of %g: %v, found %v", c.sent, c.budget, v, found)
+			t.Errorf("%d requests sent with a budget of %g: %v, found %v", c.sent, c.budget, v, found)
 		}
 	}
 }
--- a/internal/invariant/monitor.go
+++ b/internal/invariant/monitor.go
@@ -6,16 +6,16 @@
 	"go.uber.org/zap"
 )
 
-// LogMessage is the message of the log line of each violation.
+// LogMessage is the message of the log line for each violation.
 const LogMessage = "rule violated"
 
-// Monitor counts violations and logs each. It may be used from any goroutine.
+// Monitor counts and logs violations. It is safe for concurrent use.
 type Monitor struct {
 	log    *zap.Logger
 	counts [ruleCount]atomic.Uint64
 }
 
-// NewMonitor creates a Monitor that logs to log.
+// NewMonitor returns a Monitor that logs to log.
 func NewMonitor(log *zap.Logger) *Monitor { return &Monitor{log: log} }
 
 // Report counts and logs violations.
--- a/internal/settings/convert.go
+++ b/internal/settings/convert.go
@@ -16,7 +16,8 @@
 	"cell": balancer.ScopeCell,
 }
 
-// convert returns the settings of a valid document. It still reports unknown effects and scopes, as a *FieldError.
+// convert returns the settings of a validated document. It reports unknown effects and scopes, which validate does not
+// check, as a *FieldError.
 func (d *document) convert(seed uint64) (Settings, error) {
 	s := Settings{
 		Settings:         d.balancerSettings(seed),
@@ -45,7 +46,7 @@
 	return s, nil
 }
 
-// balancerSettings converts all but classes and tenants.
+// balancerSettings converts the settings of the balancer, except for classes and tenants.
 func (d *document) balancerSettings(seed uint64) balancer.Settings {
 	s := balancer.Settings{
 		Seed:            seed,
--- a/internal/settings/document.go
+++ b/internal/settings/document.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// document is the part of the settings object that is used. Its keys stand in the tags alone.
+// document is the part of the settings object that a node uses. Only the tags hold the JSON keys.
 type document struct {
 	NodeIndex       int      `json:"index"`
 	NodeCount       int      `json:"groupSize"`
@@ -42,9 +42,9 @@
 type service struct {
 	ConnectionGroups         bool           `json:"groups"`
 	ReportsLatency           bool           `json:"tellsDelay"`
-	MessageLatencyObjectives []milliseconds `json:"messageAim"` // by class
+	MessageLatencyObjectives []milliseconds `json:"messageAim"` // by class index
 	Mode                     string         `json:"mode"`
-	TenantConnectionQuotas   []float64      `json:"tenantQuotaConnections"` // by tenant
+	TenantConnectionQuotas   []float64      `json:"tenantQuotaConnections"` // by tenant index
 }
 
 type limits struct {
@@ -67,10 +67,10 @@
 	SlowStartDuration milliseconds `json:"warmWithin"`
 }
 
-// milliseconds is a time on the wire, with fractions.
+// milliseconds is a duration in the settings object, possibly fractional.
 type milliseconds float64
 
-// duration converts a time, rounded to the microsecond.
+// duration returns m as a time.Duration, rounded to the microsecond.
 func (m milliseconds) duration() time.Duration {
 	return time.Duration(math.Round(float64(m)*1000)) * time.Microsecond
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads the settings object that operators give to every node, on the simulator's wire and in
-// configuration files alike, into the terms of package balancer.
+// Package settings parses the JSON settings object that operators give to every node, and converts it to the settings
+// of package balancer. The object is the same in the simulator's protocol and in configuration files.
 package settings
 
 import (
@@ -12,21 +12,21 @@
 	"onyxstream/balancer"
 )
 
-// Settings holds the settings of the balancer, and what the node itself needs beside them.
+// Settings holds the settings of the balancer and the further settings of the node.
 type Settings struct {
 	balancer.Settings
 
 	// The names of classes, tenants and zones, in the order of the balancer's indices.
 	ClassNames, TenantNames, ZoneNames []string
 
-	ConnectionGroups bool          // connections of a group share work on a server
-	ReportsLatency   bool          // nodes are to know what a message takes at a server
-	ConnectTimeout   time.Duration // of a connection to a server; 0 for no limit
-	AnswerSlack      time.Duration // a final answer is in time until so long after the deadline
+	ConnectionGroups bool          // connections of a group share work on a host
+	ReportsLatency   bool          // nodes are to know the latency of messages at a host
+	ConnectTimeout   time.Duration // for a connection to a host; 0 for no limit
+	AnswerSlack      time.Duration // how long after the deadline a final answer still counts as in time
 }
 
-// FieldError says which field is wrong and why. Field is a path of JSON keys, "" where the object as a whole is
-// wrong.
+// FieldError reports an invalid field and the reason. Field is a path of JSON keys, or "" if the object as a whole is
+// invalid.
 type FieldError struct {
 	Field string
 	Err   error
@@ -39,7 +39,7 @@
 	return "field " + strconv.Quote(e.Field) + ": " + e.Err.Error()
 }
 
-// Unwrap returns the reason.
+// Unwrap returns the reason without the field.
 func (e *FieldError) Unwrap() error { return e.Err }
 
 // fieldError returns a FieldError with a formatted reason.
@@ -47,7 +47,7 @@
 	return &FieldError{Field: field, Err: fmt.Errorf(format, args...)}
 }
 
-// Parse reads the settings object. Unknown keys are ignored; an error is a *FieldError.
+// Parse parses the settings object. It ignores unknown keys. Its errors are *FieldError values.
 func Parse(seed uint64, raw []byte) (Settings, error) {
 	doc, err := decode(raw)
 	if err != nil {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -54,30 +54,30 @@
 	}
 }
 
-// A cost of crossing zones and a pushed list are read, and change no other setting.
+// A pushed endpoint list and a cross-zone cost are parsed, and change no other setting.
 func TestParse_PushedListWithCosts_ReadsBoth(t *testing.T) {
 	old, err := Parse(7, []byte(completeDocument))
 	if err != nil || old.CrossZoneCost != 0 || old.Zones != 3 {
-		t.Fatalf("an older document: cost %g, %d zones, error %v", old.CrossZoneCost, old.Zones, err)
+		t.Fatalf("document without costs: cross-zone cost %g, %d zones, error %v", old.CrossZoneCost, old.Zones, err)
 	}
 	s, err := Parse(7, []byte(strings.Replace(completeDocument, `"registryMode":"ask"`, `"registryMode":"push","prices":{"crossZone":0.1}`, 1)))
 	if err != nil || s.PollList || s.CrossZoneCost != 0.1 {
-		t.Errorf("polls %v, cost %g, error %v", s.PollList, s.CrossZoneCost, err)
+		t.Errorf("polling %v, cross-zone cost %g, error %v", s.PollList, s.CrossZoneCost, err)
 	}
 	s.PollList, s.CrossZoneCost = true, 0
 	if diff := cmp.Diff(old, s); diff != "" {
-		t.Error("other settings changed with them:", diff)
+		t.Error("other settings changed too:", diff)
 	}
 }
 
 func TestParse_RetryAfterOff_IsZero(t *testing.T) {
 	s, err := Parse(1, []byte(strings.Replace(completeDocument, `"retryAfter":true`, `"retryAfter":false`, 1)))
 	if err != nil || s.MaxRetryAfter != 0 {
-		t.Errorf("longest Retry-After %v, error %v", s.MaxRetryAfter, err)
+		t.Errorf("MaxRetryAfter %v, error %v", s.MaxRetryAfter, err)
 	}
 }
 
-// Missing keys mean what the protocol page says: no limit, no Retry-After, no quota.
+// A missing key means that there is no limit, no Retry-After, no objective or no quota.
 func TestParse_MissingKeys_MeanNone(t *testing.T) {
 	for _, c := range []struct {
 		from, to string
@@ -99,7 +99,7 @@
 		text := strings.Replace(completeDocument, c.from, c.to, 1)
 		s, err := Parse(1, []byte(text))
 		if text == completeDocument || err != nil || !c.holds(s) {
-			t.Errorf("%s: error %v, %+v", c.from, err, s.Settings)
+			t.Errorf("%s changed: error %v, settings %+v", c.from, err, s.Settings)
 		}
 	}
 }
@@ -133,7 +133,7 @@
 		_, err := Parse(1, []byte(text))
 		var wrong *FieldError
 		if text == completeDocument || !errors.As(err, &wrong) || wrong.Field != c.field {
-			t.Errorf("%s: error %v, want one that names %q", c.to, err, c.field)
+			t.Errorf("%s: error %v, want an error that names field %q", c.to, err, c.field)
 		}
 	}
 	if _, err := Parse(1, []byte(`{}`)); err == nil || !strings.Contains(err.Error(), `"lanes"`) {
--- a/internal/settings/validate.go
+++ b/internal/settings/validate.go
@@ -10,10 +10,10 @@
 	modePassThrough = "pass"
 )
 
-// maxNumber bounds all numbers, so that no conversion overflows.
+// maxNumber is the upper limit of all numbers, so that no conversion overflows.
 const maxNumber = 1e12
 
-// namedNumber is a number and the path of its key.
+// namedNumber is a number with the path of its JSON key.
 type namedNumber struct {
 	field string
 	value float64
@@ -41,7 +41,7 @@
 	return nil
 }
 
-// validateMode accepts one of two words or none.
+// validateMode checks that a mode is empty or one of two values.
 func validateMode(field, mode, one, other string) error {
 	if mode != "" && mode != one && mode != other {
 		return fieldError(field, "unknown word %q", mode)
@@ -49,7 +49,7 @@
 	return nil
 }
 
-// numbers lists all numbers that must not be negative.
+// numbers returns all numbers that must be between 0 and maxNumber.
 func (d *document) numbers() []namedNumber {
 	numbers := []namedNumber{
 		{"groupSize", float64(d.NodeCount)},
@@ -85,5 +85,5 @@
 	return numbers
 }
 
-// classPath is the path of a class, to which a key is appended.
+// classPath returns the path of a class, to which the caller appends a key.
 func classPath(i int) string { return fmt.Sprintf("lanes[%d].", i) }
--- a/internal/wire/discovery.go
+++ b/internal/wire/discovery.go
@@ -8,32 +8,32 @@
 	"time"
 )
 
-// maxRetryAfter bounds what a Retry-After is taken for: larger numbers would overflow a time.
+// maxRetryAfter is the upper limit of a parsed Retry-After. Without it, large values would overflow a time.Duration.
 const maxRetryAfter = 24 * time.Hour
 
-// StatusError is a status of discovery other than 200.
+// StatusError reports a response of discovery with a status other than 200.
 type StatusError struct {
 	Code       int
-	RetryAfter time.Duration // 0 where there is none that can be used
+	RetryAfter time.Duration // 0 if there is no valid one
 }
 
 func (e *StatusError) Error() string { return "discovery answered " + strconv.Itoa(e.Code) }
 
-// WatchRequest returns the HTTP request for the changes after a revision.
+// WatchRequest returns the HTTP request that watches the changes after a revision.
 func WatchRequest(host string, after int64) []byte {
 	return fmt.Appendf(nil, "GET /catalog/members?watch=1&after=%d HTTP/1.1\r\n"+
 		"Host: %s\r\nAccept: application/json\r\n\r\n", after, host)
 }
 
-// ListRequest returns the HTTP request for the complete list.
+// ListRequest returns the HTTP request for the complete endpoint list.
 func ListRequest(host string) []byte {
 	return fmt.Appendf(nil, "GET /catalog/members HTTP/1.1\r\n"+
 		"Host: %s\r\nAccept: application/json\r\nConnection: close\r\n\r\n", host)
 }
 
-// parseRetryAfter reads the header of that name, in whole seconds, out of the header lines that came with the
-// status line. It does not wait for the rest of a header, as a silent peer would keep the connection. Dates are not
-// read: the clocks of the two sides may differ.
+// parseRetryAfter returns the Retry-After, in whole seconds, of the header lines that were received together with the
+// status line. It does not wait for further header lines, since a silent discovery service would then keep the
+// connection open. Dates are ignored, because the clocks of the two sides may differ.
 func parseRetryAfter(header []byte) time.Duration {
 	for line := range bytes.Lines(header) {
 		line = bytes.TrimRight(line, "\r\n")
--- a/internal/wire/endpoints.go
+++ b/internal/wire/endpoints.go
@@ -7,7 +7,7 @@
 	"math"
 )
 
-// Phase is the state of a host in discovery.
+// Phase is the state of a host in the endpoint list.
 type Phase uint8
 
 // The phases.
@@ -19,7 +19,7 @@
 
 var phaseNames = map[string]Phase{"SERVING": Serving, "DRAINING": Draining, "DELETED": Removed}
 
-// UnmarshalText reads a phase.
+// UnmarshalText parses the name of a phase.
 func (p *Phase) UnmarshalText(text []byte) error {
 	phase, known := phaseNames[string(text)]
 	if !known {
@@ -29,7 +29,7 @@
 	return nil
 }
 
-// MarshalText writes a phase as discovery does.
+// MarshalText returns the name that discovery uses for the phase.
 func (p Phase) MarshalText() ([]byte, error) {
 	for name, phase := range phaseNames {
 		if phase == p {
@@ -41,10 +41,10 @@
 
 const (
 	maxEndpointSize = 1e9
-	maxStartedAtMS  = math.MaxInt64 / 2_000_000 // its conversion to nanoseconds does not overflow
+	maxStartedAtMS  = math.MaxInt64 / 2_000_000 // a larger value could overflow when converted to nanoseconds
 )
 
-// Endpoint is one entry of the list.
+// Endpoint is a host's entry in the endpoint list.
 type Endpoint struct {
 	ID          string  `json:"id"`
 	Addr        string  `json:"host_port"`
@@ -52,31 +52,31 @@
 	Cell        int     `json:"cell"`
 	Phase       Phase   `json:"phase"`
 	Size        float64 `json:"size"`
-	StartedAtMS int64   `json:"up_since_ms"` // Unix time, 0 for long ago
+	StartedAtMS int64   `json:"up_since_ms"` // Unix time of the start of the host; 0 for a start long ago
 }
 
-// EndpointList is the list of hosts, or the part of it that changed.
+// EndpointList is a snapshot of the endpoint list if Complete is set, or else a delta with the changed endpoints.
 type EndpointList struct {
 	Revision  int64      `json:"revision"`
 	Complete  bool       `json:"complete"`
 	Endpoints []Endpoint `json:"members"`
 }
 
-// ParseEndpointList reads and checks one object from discovery.
+// ParseEndpointList parses and checks one JSON object sent by discovery.
 func ParseEndpointList(text []byte) (EndpointList, error) {
 	var list EndpointList
 	if err := json.Unmarshal(text, &list); err != nil {
-		return EndpointList{}, fmt.Errorf("the list can't be read: %w", err)
+		return EndpointList{}, fmt.Errorf("parse endpoint list: %w", err)
 	}
 	return list, list.Check()
 }
 
-// Check reports what is wrong with a list that was read from elsewhere.
+// Check reports the first invalid field of a list that another process sent or a file holds.
 func (l *EndpointList) Check() error {
 	for i, endpoint := range l.Endpoints {
 		switch {
 		case endpoint.ID == "":
-			return fmt.Errorf("members[%d]: %w", i, errors.New("no id"))
+			return fmt.Errorf("members[%d]: %w", i, errors.New("missing id"))
 		case !(endpoint.Size >= 0 && endpoint.Size < maxEndpointSize):
 			return fmt.Errorf("members[%d]: size %g is out of range", i, endpoint.Size)
 		case endpoint.StartedAtMS < 0 || endpoint.StartedAtMS > maxStartedAtMS:
--- a/internal/wire/endpoints_test.go
+++ b/internal/wire/endpoints_test.go
@@ -14,7 +14,7 @@
 	for _, text := range []string{"", "{", "[]", `{"members":{}}`, `{"members":[{}]}`, `{"members":[{"id":"a","phase":"ODD"}]}`,
 		`{"members":[{"id":"a","size":-1}]}`, `{"members":[{"id":"a","up_since_ms":-5}]}`, `{"revision":"x"}`} {
 		if _, err := ParseEndpointList([]byte(text)); err == nil {
-			t.Errorf("%q gives no error", text)
+			t.Errorf("%q: no error", text)
 		}
 	}
 }
@@ -25,7 +25,7 @@
 		c, err := ParseEndpointList(text)
 		for _, m := range c.Endpoints {
 			if err == nil && (m.ID == "" || m.Size < 0 || m.StartedAtMS < 0 || m.Phase > Removed) {
-				t.Errorf("%+v is accepted", m)
+				t.Errorf("invalid endpoint %+v accepted", m)
 			}
 		}
 	})
--- a/internal/wire/linebuffer.go
+++ b/internal/wire/linebuffer.go
@@ -1,6 +1,6 @@
-// Package wire holds the protocols: lines between clients, nodes and hosts, and the HTTP/1.1 of the discovery
-// service. Its parsers are fed bytes and return messages; none of them uses a socket. Their values are not safe for
-// concurrent use, the functions are.
+// Package wire implements the protocols: the line protocol between clients, nodes and hosts, and HTTP/1.1 to discovery.
+// Its parsers take bytes and return messages, and use no sockets. Values of its types are not safe for concurrent use;
+// its functions are.
 package wire
 
 import (
@@ -9,10 +9,10 @@
 	"sync"
 )
 
-// MaxLine is the longest line in bytes that the protocol allows, without its end.
+// MaxLine is the longest line that the protocol allows, in bytes without the line end.
 const MaxLine = 4 << 10
 
-// BufferSize is the size of a Buffer in bytes, enough for the longest line and what came with it.
+// BufferSize is the size of a Buffer in bytes, enough for the longest line and the bytes received with it.
 const BufferSize = 2 * MaxLine
 
 // Buffer is a pooled block of bytes.
@@ -20,23 +20,23 @@
 
 var pool = sync.Pool{New: func() any { return new(Buffer) }}
 
-// GetBuffer takes a buffer from the pool.
+// GetBuffer returns a buffer from the pool.
 func GetBuffer() *Buffer { return pool.Get().(*Buffer) }
 
-// Release returns the buffer to the pool. Nothing may refer to it any more.
+// Release returns the buffer to the pool. The caller must not use it afterwards.
 func (b *Buffer) Release() { pool.Put(b) }
 
-// ErrTooLong says that a line is longer than the protocol allows.
-var ErrTooLong = errors.New("the line is too long")
+// ErrTooLong is the error for a line that is longer than the protocol allows.
+var ErrTooLong = errors.New("line too long")
 
-// LineBuffer splits a stream of bytes into lines: bytes are read into Space, counted by Advance, and returned by
-// Next. The zero LineBuffer is ready; Release returns its buffer to the pool.
+// LineBuffer splits a stream of bytes into lines. The caller reads bytes into Space, reports their number to Advance,
+// and takes lines from Next. The zero LineBuffer is ready to use; Release returns its buffer to the pool.
 type LineBuffer struct {
 	buf           *Buffer
 	read, written int // buf[read:written] is unread
 }
 
-// Space returns where the next bytes go; it is never empty while Next finds no line and no error.
+// Space returns the free space for the next bytes. It is never empty if Next has returned neither a line nor an error.
 func (in *LineBuffer) Space() []byte {
 	if in.buf == nil {
 		in.buf = GetBuffer()
@@ -50,11 +50,11 @@
 	return in.buf[in.written:]
 }
 
-// Advance says how many bytes were written into Space.
+// Advance records that n bytes were written into Space.
 func (in *LineBuffer) Advance(n int) { in.written += n }
 
-// Next takes the next complete line without its end; ok is false while there is none. The line is valid until Space
-// is called. The only error is ErrTooLong.
+// Next removes and returns the next complete line, without its line end. ok is false if there is no complete line. The
+// line is valid until Space is called. The only error is ErrTooLong.
 func (in *LineBuffer) Next() (line []byte, ok bool, err error) {
 	unread := in.Buffered()
 	end := bytes.IndexByte(unread, '\n')
@@ -68,10 +68,10 @@
 	return bytes.TrimSuffix(unread[:end], []byte("\r")), true, nil
 }
 
-// Discard drops the first bytes of Buffered.
+// Discard drops the first n bytes of Buffered.
 func (in *LineBuffer) Discard(n int) { in.read += n }
 
-// Buffered returns the bytes that were written and not taken yet.
+// Buffered returns the bytes that were written but neither returned by Next nor discarded.
 func (in *LineBuffer) Buffered() []byte {
 	if in.buf == nil {
 		return nil
--- a/internal/wire/linebuffer_test.go
+++ b/internal/wire/linebuffer_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// feedLines feeds text to a LineBuffer in pieces of a size and returns the lines.
+// feedLines feeds text to a LineBuffer in pieces of size bytes and returns the lines.
 func feedLines(t *testing.T, text string, size int) (lines []string, err error) {
 	t.Helper()
 	var in LineBuffer
@@ -16,7 +16,7 @@
 	for len(text) > 0 {
 		space := in.Space()
 		if len(space) == 0 {
-			t.Fatal("no space and neither a line nor an error")
+			t.Fatal("no space, no line and no error")
 		}
 		n := copy(space, text[:min(size, len(text))])
 		in.Advance(n)
@@ -42,7 +42,7 @@
 	for _, size := range []int{1, 2, 3, 100, MaxLine, BufferSize} {
 		lines, err := feedLines(t, text, size)
 		if err != nil || fmt.Sprint(lines) != fmt.Sprint(want) {
-			t.Errorf("in pieces of %d: %d lines, error %v", size, len(lines), err)
+			t.Errorf("pieces of %d bytes: %d lines, error %v", size, len(lines), err)
 		}
 	}
 }
@@ -51,7 +51,7 @@
 	for _, text := range []string{strings.Repeat("x", MaxLine+1) + "\r\n", strings.Repeat("x", BufferSize)} {
 		for _, size := range []int{1, 1000, BufferSize} {
 			if lines, err := feedLines(t, text, size); !errors.Is(err, ErrTooLong) || len(lines) != 0 {
-				t.Errorf("%d bytes in pieces of %d: %d lines, error %v", len(text), size, len(lines), err)
+				t.Errorf("%d bytes in pieces of %d bytes: %d lines, error %v", len(text), size, len(lines), err)
 			}
 		}
 	}
--- a/internal/wire/opening.go
+++ b/internal/wire/opening.go
@@ -12,21 +12,21 @@
 )
 
 const (
-	maxTimeout = 10 * time.Minute // that a client may ask for, as a request is held in memory so long
-	maxName    = 256              // bytes of an id or a key
+	maxTimeout = 10 * time.Minute // longest timeout of a client; its request stays in memory until then
+	maxName    = 256              // longest id or key in bytes
 )
 
-// The opening lines of a client, and the field of its timeout.
+// The opening lines of a client, and the name of the timeout field.
 const (
 	healthCheckLine = "PING"
 	requestPrefix   = "OPEN "
 	timeoutField    = "d"
 )
 
-// OpeningKind is the kind of a client's first line.
+// OpeningKind is the kind of an opening line.
 type OpeningKind uint8
 
-// The kinds of a first line.
+// The kinds of an opening line.
 const (
 	OpeningHealthCheck OpeningKind = iota
 	OpeningRequest
@@ -34,34 +34,34 @@
 
 // Opening is a client's request for a connection.
 type Opening struct {
-	ID, Key                   string // of the connection and of the flow
+	ID, Key                   string // id of the connection and key of the flow
 	Class, Tenant, Group      string
-	Timeout                   time.Duration // from the line's last byte; 0 where the client gives none
-	Load                      float64       // expected load; 0 where the client gives none
+	Timeout                   time.Duration // counted from the last byte of the line; 0 if the line has none
+	Load                      float64       // expected load; 0 if the line has none
 	Retry, Reconnect, MidFlow bool
-	CurrentHost               string // the host of the connection before the node started, or ""
+	CurrentHost               string // host that already had the connection before the node started, or ""
 
-	line                     string // as it came, without its end
-	timeoutStart, timeoutEnd int    // of the timeout's value in line; both 0 where there is none
+	line                     string // the line as received, without its line end
+	timeoutStart, timeoutEnd int    // position of the timeout value in line; both 0 if there is none
 }
 
-// ParseOpening reads the first line of a client, which is not retained. What a host could not use is an error, as the
-// host that rejects it would count as an outlier.
+// ParseOpening parses the opening line of a client, without retaining the slice. A line that a host could not use is an
+// error here, because a host that rejected it would count as an outlier.
 func ParseOpening(line []byte) (OpeningKind, Opening, error) {
 	if !isPlainText(line) {
-		return 0, Opening{}, errors.New("bytes that are no text")
+		return 0, Opening{}, errors.New("invalid text: control characters or invalid UTF-8")
 	}
 	if string(line) == healthCheckLine {
 		return OpeningHealthCheck, Opening{}, nil
 	}
 	if !bytes.HasPrefix(line, []byte(requestPrefix)) {
-		return 0, Opening{}, errors.New("neither OPEN nor PING")
+		return 0, Opening{}, errors.New("unknown command: want OPEN or PING")
 	}
 	o, err := parseRequest(string(line))
 	return OpeningRequest, o, err
 }
 
-// isPlainText reports whether a line is text without control bytes.
+// isPlainText reports whether a line is valid UTF-8 without control characters.
 func isPlainText(line []byte) bool {
 	for _, b := range line {
 		if b < ' ' || b == 0x7f {
@@ -71,15 +71,15 @@
 	return utf8.Valid(line)
 }
 
-// parseRequest reads a line of the form "OPEN id key name=value,name=value".
+// parseRequest parses a line of the form "OPEN id key name=value,name=value".
 func parseRequest(line string) (Opening, error) {
 	o := Opening{line: line}
 	words := strings.SplitN(line, " ", 4)
 	if len(words) < 3 || words[1] == "" || words[2] == "" {
-		return o, errors.New("OPEN needs an id and a key")
+		return o, errors.New("OPEN: missing id or key")
 	}
 	if len(words[1]) > maxName || len(words[2]) > maxName {
-		return o, errors.New("an id or a key that is too long")
+		return o, errors.New("OPEN: id or key too long")
 	}
 	o.ID, o.Key = words[1], words[2]
 	if len(words) < 4 {
@@ -89,18 +89,18 @@
 	return o, err
 }
 
-// parseFields reads the fields at the end of the line. Unknown ones are ignored, as they are for the host.
+// parseFields parses the fields at the end of the line. It ignores unknown fields, which are meant for the host.
 func (o *Opening) parseFields(fields string) error {
 	start := len(o.line) - len(fields)
 	seen := map[string]bool{}
 	for field := range strings.SplitSeq(fields, ",") {
 		name, value, _ := strings.Cut(field, "=")
 		if seen[name] {
-			return fmt.Errorf("field %q is given twice", name)
+			return fmt.Errorf("duplicate field %q", name)
 		}
 		seen[name] = true
 		if err := o.setField(name, value); err != nil {
-			return fmt.Errorf("field %q: %q is no figure: %w", name, value, err)
+			return fmt.Errorf("field %q: invalid value %q: %w", name, value, err)
 		}
 		end := start + len(field)
 		if name == timeoutField {
@@ -136,7 +136,7 @@
 	return err
 }
 
-// parseTimeout reads milliseconds. They are rounded up, as 0 stands for no timeout.
+// parseTimeout parses a timeout in milliseconds. It rounds up to a microsecond, since 0 stands for no timeout.
 func parseTimeout(value string) (time.Duration, error) {
 	ms, err := parseDecimal(value)
 	if err != nil {
@@ -156,18 +156,19 @@
 	return load, err
 }
 
-// parseDecimal reads a plain decimal number: no sign, no exponent, no name of a number.
+// parseDecimal parses a plain decimal number, without a sign or an exponent. It rejects names such as NaN and Inf.
 func parseDecimal(value string) (float64, error) {
 	if value == "" || strings.Trim(value, ".0123456789") != "" || value[0] == '.' {
-		return 0, errors.New("no plain number")
+		return 0, errors.New("not a plain decimal number")
 	}
 	return strconv.ParseFloat(value, 64)
 }
 
-// Line returns the line as it came, without its end.
+// Line returns the line as received, without its line end.
 func (o *Opening) Line() string { return o.line }
 
-// Forward returns the line for a host, as the client sent it but for the timeout, which is the node's.
+// Forward returns the line for a host: the client's line, with the value of its timeout field, if any, replaced by
+// timeout.
 func (o *Opening) Forward(timeout time.Duration) []byte {
 	out := make([]byte, 0, len(o.line)+16)
 	if o.timeoutEnd == 0 {
--- a/internal/wire/opening_test.go
+++ b/internal/wire/opening_test.go
@@ -19,15 +19,15 @@
 	} {
 		kind, o, err := ParseOpening([]byte(c.line))
 		if err != nil || kind != OpeningRequest || o.ID != "9b1f" || o.Key != "7f3a" {
-			t.Errorf("%q: %+v, error %v", c.line, o, err)
+			t.Errorf("line %q: %+v, error %v", c.line, o, err)
 		}
 		o.ID, o.Key, o.line, o.timeoutStart, o.timeoutEnd = "", "", "", 0, 0
 		if o != c.want {
-			t.Errorf("%q read as %+v, want %+v", c.line, o, c.want)
+			t.Errorf("line %q parsed as %+v, want %+v", c.line, o, c.want)
 		}
 	}
 	if kind, _, err := ParseOpening([]byte("PING")); kind != OpeningHealthCheck || err != nil {
-		t.Errorf("PING read as %v, error %v", kind, err)
+		t.Errorf("PING parsed as %v, error %v", kind, err)
 	}
 }
 
@@ -39,12 +39,12 @@
 		"OPEN a b c=\x7f", "OPEN a b c=\xff", "OPEN a b h=0x1p4", "OPEN " + strings.Repeat("a", maxName+1) + " b",
 		"OPEN a " + strings.Repeat("b", maxName+1)} {
 		if _, _, err := ParseOpening([]byte(line)); err == nil {
-			t.Errorf("%q gives no error", line)
+			t.Errorf("line %q: no error", line)
 		}
 	}
 }
 
-// A host gets the client's line as it came, unknown fields included, but for the timeout.
+// A host gets the client's line unchanged, with unknown fields, except for the value of the timeout.
 func TestOpening_Forward_RewritesOnlyTimeout(t *testing.T) {
 	for _, c := range []struct{ line, want string }{
 		{"OPEN a b c=x,d=2000,g=1,new=7", "OPEN a b c=x,d=250,g=1,new=7"},
@@ -55,16 +55,16 @@
 	} {
 		_, o, err := ParseOpening([]byte(c.line))
 		if got := string(o.Forward(250 * time.Millisecond)); err != nil || got != c.want+"\r\n" {
-			t.Errorf("%q forwarded as %q, want %q, error %v", c.line, got, c.want, err)
+			t.Errorf("line %q forwarded as %q, want %q, error %v", c.line, got, c.want, err)
 		}
 	}
 	_, o, _ := ParseOpening([]byte("OPEN a b d=9"))
 	if got := string(o.Forward(-time.Second)); got != "OPEN a b d=1\r\n" {
-		t.Errorf("a timeout that has passed is forwarded as %q", got)
+		t.Errorf("line with an expired timeout forwarded as %q", got)
 	}
 }
 
-// FuzzOpening checks that a line that is accepted reaches the host as it came but for the timeout.
+// FuzzOpening checks that a valid line reaches the host unchanged, except for the value of the timeout.
 func FuzzOpening(f *testing.F) {
 	for _, line := range []string{"OPEN a b c=x,d=5", "OPEN a b d=1,d=2", "OPEN a b", "PING", "OPEN a b =,=,d=,h="} {
 		f.Add(line)
@@ -75,16 +75,16 @@
 			return
 		}
 		if o.Timeout < 0 || o.Timeout > maxTimeout {
-			t.Errorf("a timeout of %v", o.Timeout)
+			t.Errorf("timeout %v out of range", o.Timeout)
 		}
 		out := string(o.Forward(7 * time.Millisecond))
 		if want := line[:o.timeoutStart] + "7" + line[o.timeoutEnd:]; o.timeoutEnd > 0 && out != want+"\r\n" || o.timeoutEnd == 0 && out != line+"\r\n" {
-			t.Errorf("%q forwarded as %q", line, out)
+			t.Errorf("line %q forwarded as %q", line, out)
 		}
 	})
 }
 
-// A timeout below a microsecond is not rounded to 0, which stands for no timeout.
+// A timeout below one microsecond is not rounded down to 0, which stands for no timeout.
 func TestParseOpening_LeastTimeout_IsNotZero(t *testing.T) {
 	for _, d := range []string{"0.0001", "0.0004", "0.001", "1"} {
 		_, o, err := ParseOpening([]byte("OPEN id key c=chat,d=" + d))
--- a/internal/wire/relay.go
+++ b/internal/wire/relay.go
@@ -6,22 +6,22 @@
 	"strconv"
 )
 
-// RelayStats is what a relay saw in the lines that it returned.
+// RelayStats describes the complete lines that one call of CompleteLines returned.
 type RelayStats struct {
-	Responses int     // lines that answer something, so not the load reports
-	Load      float64 // the last load report; 0 where there was none
+	Responses int     // lines other than load reports
+	Load      float64 // load in the last load report; 0 if there was none
 }
 
-// Relay passes lines from a host to its client. It returns complete lines only, so that the node's own line can stand
-// between any two of them, and reads the load reports among them.
+// Relay relays lines from a host to its client. It returns only complete lines, so that the node can insert a line of
+// its own after any of them, and parses the load reports among them.
 type Relay struct {
 	LineBuffer
-	last    Response // of the last complete line
-	midLine bool     // what was returned last ends within a line
+	last    Response // meaning of the last complete line
+	midLine bool     // the bytes returned last end within a line
 }
 
-// CompleteLines takes the bytes up to the end of the last complete line; none while there is none. A line that
-// fills the whole buffer is returned in pieces, as waiting for its end would block the connection. The bytes are
+// CompleteLines removes and returns the bytes up to the end of the last complete line; there may be none. It returns a
+// line that fills the whole buffer in pieces, because waiting for its end would block the connection. The bytes are
 // valid until Space is called.
 func (r *Relay) CompleteLines() ([]byte, RelayStats) {
 	unread := r.Buffered()
@@ -35,7 +35,7 @@
 	return unread[:end], stats
 }
 
-// observe reads complete lines.
+// observe parses complete lines and returns their statistics.
 func (r *Relay) observe(lines []byte) RelayStats {
 	var stats RelayStats
 	for len(lines) > 0 {
@@ -54,16 +54,16 @@
 	return stats
 }
 
-// AtLineBoundary reports whether what was returned ends with a line.
+// AtLineBoundary reports whether the bytes returned last end with a complete line.
 func (r *Relay) AtLineBoundary() bool { return !r.midLine }
 
 // Ending reports whether the host has announced the end of the connection.
 func (r *Relay) Ending() bool { return r.last == ResponseClosed || r.last == ResponseMigrate }
 
-// Last returns the last complete line, which says why a connection ended.
+// Last returns the meaning of the last complete line, which tells why a connection ended.
 func (r *Relay) Last() Response { return r.last }
 
-// parseLoadReport reads a load report. It does not allocate: the conversion to a string does not escape.
+// parseLoadReport parses a load report. It does not allocate, as the string that it converts to does not escape.
 func parseLoadReport(line []byte) (float64, bool) {
 	const prefix = "LOAD "
 	if !bytes.HasPrefix(line, []byte(prefix)) {
--- a/internal/wire/relay_test.go
+++ b/internal/wire/relay_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// feedRelay feeds text in pieces and returns what CompleteLines returned, call by call.
+// feedRelay feeds text in pieces of size bytes and returns the result of each call of CompleteLines.
 func feedRelay(t *testing.T, r *Relay, text string, size int) (out []string, lines int, load float64) {
 	t.Helper()
 	for len(text) > 0 {
@@ -37,32 +37,32 @@
 		var r Relay
 		out, lines, load := feedRelay(t, &r, text, size)
 		if strings.Join(out, "") != text {
-			t.Errorf("in pieces of %d: returned as %q", size, out)
+			t.Errorf("pieces of %d bytes: returned as %q", size, out)
 		}
 		for _, chunk := range out {
 			if !strings.HasSuffix(chunk, "\n") {
-				t.Errorf("in pieces of %d: a chunk ends within a line: %q", size, chunk)
+				t.Errorf("pieces of %d bytes: a chunk ends within a line: %q", size, chunk)
 			}
 		}
 		if lines != 4 || load != 20 || r.Last() != ResponseClosed || !r.AtLineBoundary() {
-			t.Errorf("in pieces of %d: %d lines, load %g, last %v", size, lines, load, r.Last())
+			t.Errorf("pieces of %d bytes: %d lines, load %g, last %v", size, lines, load, r.Last())
 		}
 		r.Release()
 	}
 }
 
-// A line without an end does not block the connection, and the node's own line cannot stand within it.
+// A line that never ends does not block the connection, and the node does not insert a line of its own into it.
 func TestRelay_LineFillsBuffer_IsPassedOn(t *testing.T) {
 	var r Relay
 	defer r.Release()
 	text := strings.Repeat("x", BufferSize+10)
 	out, _, _ := feedRelay(t, &r, text, 1000)
 	if len(out) != 1 || len(out[0]) != BufferSize || r.AtLineBoundary() {
-		t.Fatalf("%d chunks, between lines %v", len(out), r.AtLineBoundary())
+		t.Fatalf("%d chunks, at line boundary %v", len(out), r.AtLineBoundary())
 	}
 	out, _, _ = feedRelay(t, &r, "\r\n", 2)
 	if len(out) != 1 || !r.AtLineBoundary() {
-		t.Errorf("after its end: %q, between lines %v", out, r.AtLineBoundary())
+		t.Errorf("after the line end: %q, at line boundary %v", out, r.AtLineBoundary())
 	}
 }
 
@@ -90,7 +90,7 @@
 		defer r.Release()
 		out, _, _ := feedRelay(t, &r, text, int(size)+1)
 		if got := strings.Join(out, "") + string(r.Buffered()); got != text {
-			t.Errorf("returned as %q", got)
+			t.Errorf("text returned as %q", got)
 		}
 	})
 }
--- a/internal/wire/response.go
+++ b/internal/wire/response.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// The lines that a node sends by itself: Ping to a host, the others to a client.
+// Lines that a node sends: Ping to a host, the others to a client.
 const (
 	Ping      = "PING\r\n"
 	Pong      = "PONG\r\n"
@@ -14,7 +14,7 @@
 	Migration = "MOVE\r\n"
 )
 
-// Rejection returns the line of a rejection, with a Retry-After where that is above 0.
+// Rejection returns the line that rejects a request, with a Retry-After in milliseconds if retryAfter is positive.
 func Rejection(retryAfter time.Duration) string {
 	if retryAfter <= 0 {
 		return "BUSY\r\n"
@@ -26,9 +26,9 @@
 // Response is the meaning of a line from a host.
 type Response uint8
 
-// The responses of a host.
+// The meanings of a line from a host.
 const (
-	ResponseUnknown Response = iota // not of the protocol
+	ResponseUnknown Response = iota // not a line of the protocol
 	ResponseEstablished
 	ResponseClosed
 	ResponseMigrate
@@ -36,12 +36,12 @@
 	ResponseRejected
 )
 
-// ParseResponse reads a line from a host.
+// ParseResponse parses a line from a host.
 func ParseResponse(line []byte) Response {
 	word, receipt, _ := bytes.Cut(line, []byte(" "))
 	switch string(word) {
 	case "UP":
-		if len(receipt) > 0 { // without a receipt it proves nothing
+		if len(receipt) > 0 { // without a receipt, nothing proves that the host established the connection
 			return ResponseEstablished
 		}
 	case "BYE":
--- a/internal/wire/watchstream.go
+++ b/internal/wire/watchstream.go
@@ -8,10 +8,10 @@
 	"strings"
 )
 
-// Bounds of one response from discovery, in bytes.
+// Limits of one response from discovery, in bytes.
 const (
 	maxHead = 16 << 10
-	maxBody = 8 << 20 // a list of some 50,000 hosts
+	maxBody = 8 << 20 // enough for a list of about 50,000 hosts
 )
 
 type httpState uint8
@@ -20,32 +20,32 @@
 	stateStatus httpState = iota
 	stateHeader
 	stateChunkSize
-	stateChunk    // the bytes of a chunk
-	stateChunkEnd // the line end after a chunk
+	stateChunk    // data of a chunk
+	stateChunkEnd // line end after the data of a chunk
 	stateTrailer  // after the last chunk
-	stateBody     // of a stated length, or until the connection ends
+	stateBody     // body that is not chunked: up to Content-Length, or until the connection ends
 	stateEnded
 )
 
-// statusOK is the only status that a list comes with.
+// statusOK is the only status of a response with a list.
 const statusOK = 200
 
-// untilClose stands for the length of a body that lasts until the connection ends.
+// untilClose is the remaining length of a body that lasts until the connection ends.
 const untilClose = -1
 
-// WatchStream parses one HTTP/1.1 response: fed bytes, it returns the JSON objects of the body.
+// WatchStream is an incremental parser of one HTTP/1.1 response, which returns the JSON objects of the body.
 type WatchStream struct {
 	state       httpState
-	partialLine []byte // of the framing
-	headLength  int    // bytes of the header or trailer so far
-	remaining   int64  // bytes of the chunk or body still to come, or untilClose
+	partialLine []byte // incomplete line of the framing: the status line, a header, a chunk size or a trailer
+	headLength  int    // length in bytes of the header or trailer so far
+	remaining   int64  // bytes of the chunk or body not yet received, or untilClose
 	chunked     bool
-	body        []byte // not taken yet
+	body        []byte // received bytes that Next or Body have not returned
 	scanner     objectScanner
 }
 
-// Feed takes the next bytes. After an error the stream is of no further use; a *StatusError is a status other than
-// 200.
+// Feed parses the next bytes of the response. After an error the stream must not be used any more. A response with a
+// status other than 200 gives a *StatusError.
 func (s *WatchStream) Feed(data []byte) error {
 	for len(data) > 0 && s.state != stateEnded {
 		n, err := s.feedPart(data)
@@ -62,7 +62,7 @@
 	return nil
 }
 
-// feedPart takes bytes of one part of the response and returns how many.
+// feedPart parses bytes of one part of the response and returns their number.
 func (s *WatchStream) feedPart(data []byte) (int, error) {
 	if s.state == stateChunk || s.state == stateBody {
 		return s.feedBody(data)
@@ -70,7 +70,7 @@
 	return s.feedFraming(data)
 }
 
-// feedBody takes bytes of a chunk or body and returns how many.
+// feedBody parses bytes of a chunk or body and returns their number.
 func (s *WatchStream) feedBody(data []byte) (int, error) {
 	n := len(data)
 	if s.remaining != untilClose {
@@ -78,7 +78,7 @@
 		s.remaining -= int64(n)
 	}
 	if len(s.body)+n > maxBody {
-		return 0, errors.New("discovery's answer has no end")
+		return 0, errors.New("discovery response: body too long")
 	}
 	s.body = append(s.body, data[:n]...)
 	switch {
@@ -91,7 +91,7 @@
 	return n, nil
 }
 
-// feedFraming takes bytes up to the end of a line and returns how many.
+// feedFraming parses bytes up to the end of a line of the framing and returns their number.
 func (s *WatchStream) feedFraming(data []byte) (int, error) {
 	n := bytes.IndexByte(data, '\n') + 1
 	complete := n > 0
@@ -100,7 +100,7 @@
 	}
 	s.partialLine = append(s.partialLine, data[:n]...)
 	if len(s.partialLine) > maxHead {
-		return n, errors.New("discovery's answer has a line with no end")
+		return n, errors.New("discovery response: line too long")
 	}
 	if !complete {
 		return n, nil
@@ -110,7 +110,7 @@
 	return n, s.parseLine(line)
 }
 
-// parseLine takes one line of the framing.
+// parseLine parses one line of the framing.
 func (s *WatchStream) parseLine(line string) error {
 	switch s.state {
 	case stateStatus:
@@ -121,13 +121,13 @@
 		return s.parseChunkSize(line)
 	case stateChunkEnd:
 		if line != "" {
-			return errors.New("discovery's answer has a chunk of another size than it said")
+			return errors.New("discovery response: chunk longer than its chunk size")
 		}
 		s.state = stateChunkSize
 	case stateTrailer:
 		s.headLength += len(line)
 		if s.headLength > maxHead {
-			return errors.New("discovery's answer has a trailer with no end")
+			return errors.New("discovery response: trailer too long")
 		}
 		if line == "" {
 			s.state = stateEnded
@@ -139,11 +139,11 @@
 func (s *WatchStream) parseStatus(line string) error {
 	words := strings.SplitN(line, " ", 3)
 	if len(words) < 2 || !strings.HasPrefix(words[0], "HTTP/1.") {
-		return errors.New("discovery's answer is no HTTP")
+		return errors.New("discovery response: not HTTP/1")
 	}
 	code, err := strconv.Atoi(words[1])
 	if err != nil {
-		return errors.New("discovery's answer has no status")
+		return errors.New("discovery response: invalid status code")
 	}
 	if code != statusOK {
 		return &StatusError{Code: code}
@@ -156,7 +156,7 @@
 func (s *WatchStream) parseHeader(line string) error {
 	s.headLength += len(line)
 	if s.headLength > maxHead {
-		return errors.New("discovery's answer has a head with no end")
+		return errors.New("discovery response: header too long")
 	}
 	if line == "" {
 		s.beginBody()
@@ -167,20 +167,20 @@
 	switch strings.ToLower(name) {
 	case "transfer-encoding":
 		if !strings.EqualFold(value, "chunked") {
-			return fmt.Errorf("discovery's answer has an unknown encoding %q", value)
+			return fmt.Errorf("discovery response: unsupported Transfer-Encoding %q", value)
 		}
 		s.chunked = true
 	case "content-length":
 		length, err := strconv.ParseInt(value, 10, 64)
 		if err != nil || length < 0 {
-			return fmt.Errorf("discovery's answer has no length: %q", value)
+			return fmt.Errorf("discovery response: invalid Content-Length %q", value)
 		}
 		s.remaining = length
 	}
 	return nil
 }
 
-// beginBody goes on behind the empty line that ends the header.
+// beginBody sets the state for the body, after the empty line that ends the header.
 func (s *WatchStream) beginBody() {
 	switch {
 	case s.chunked:
@@ -196,7 +196,7 @@
 	text, _, _ := strings.Cut(line, ";")
 	size, err := strconv.ParseInt(strings.TrimSpace(text), 16, 64)
 	if err != nil || size < 0 {
-		return fmt.Errorf("discovery's answer has a chunk with no size: %q", line)
+		return fmt.Errorf("discovery response: invalid chunk size %q", line)
 	}
 	s.remaining = size
 	if size > 0 {
@@ -208,8 +208,9 @@
 	return nil
 }
 
-// Next takes the next complete object of the body, on one line or several, or the next line that begins with none,
-// or what is left once the response has ended. An empty line is a heartbeat of discovery.
+// Next removes and returns the next complete JSON object of the body, which may span several lines, or the next line
+// outside of an object. After the end of the response it returns the rest of the body. An empty line is a heartbeat of
+// discovery.
 func (s *WatchStream) Next() (line []byte, ok bool) {
 	for {
 		end := s.scanner.findEnd(s.body)
@@ -224,7 +225,7 @@
 		s.scanner = objectScanner{ended: len(line) > 0 && s.body[end-1] != '\n'}
 		s.body = s.body[end:]
 		if len(s.body) == 0 {
-			s.body = nil // frees a long list while the watch goes on
+			s.body = nil // frees the memory of a long list while the watch continues
 		}
 		if !endOfObjectLine {
 			return line, true
@@ -232,8 +233,8 @@
 	}
 }
 
-// Closed notes that the connection has ended, which ends a body without a length. It reports whether the response is
-// complete.
+// Closed records that the connection has ended, which ends a body of unspecified length. It reports whether the
+// response is complete.
 func (s *WatchStream) Closed() bool {
 	if s.state == stateBody && s.remaining == untilClose {
 		s.state = stateEnded
@@ -241,7 +242,7 @@
 	return s.Ended()
 }
 
-// Body takes all of the body that has come and was not taken yet.
+// Body removes and returns the part of the body that was received and not yet returned.
 func (s *WatchStream) Body() []byte {
 	body := s.body
 	s.body = nil
@@ -252,16 +253,17 @@
 // Ended reports whether the response is complete.
 func (s *WatchStream) Ended() bool { return s.state == stateEnded }
 
-// objectScanner finds the end of a JSON object, which may be on several lines.
+// objectScanner finds the end of a JSON object, which may span several lines.
 type objectScanner struct {
-	position int // bytes scanned
-	depth    int // of open braces and brackets
+	position int // number of bytes scanned
+	depth    int // number of open braces and brackets
 	quoted   bool
 	escaped  bool
-	ended    bool // an object came last: the end of its line is no line of its own
+	ended    bool // the previous result was an object: the line end after it is not an empty line
 }
 
-// findEnd scans on to the end of an object, or of a line outside of one; 0 where neither has come.
+// findEnd continues the scan and returns the end of the next object, or of the next line outside of an object. It
+// returns 0 if body holds neither.
 func (o *objectScanner) findEnd(body []byte) int {
 	for ; o.position < len(body); o.position++ {
 		b := body[o.position]
--- a/internal/wire/watchstream_test.go
+++ b/internal/wire/watchstream_test.go
@@ -40,7 +40,7 @@
 		for _, size := range []int{1, 7, 10000} {
 			s, lines, err := feedStream(c.text, size)
 			if err != nil || fmt.Sprintf("%q", lines) != fmt.Sprintf("%q", c.want) || s.Ended() != c.ended {
-				t.Errorf("%s, in pieces of %d: %q, ended %v, error %v", c.name, size, lines, s.Ended(), err)
+				t.Errorf("%s, pieces of %d bytes: %q, ended %v, error %v", c.name, size, lines, s.Ended(), err)
 			}
 		}
 	}
@@ -62,17 +62,17 @@
 		{"a body with no end", chunked + fmt.Sprintf("%x\r\n", maxBody+1) + strings.Repeat("x", maxBody+1)},
 	} {
 		if _, _, err := feedStream(c.text, 64<<10); err == nil {
-			t.Errorf("%s gives no error", c.name)
+			t.Errorf("%s: no error", c.name)
 		}
 	}
 	var status *StatusError
 	if _, _, err := feedStream("HTTP/1.1 503 Service Unavailable\r\n", 100); !errors.As(err, &status) || status.Code != 503 {
-		t.Errorf("503 gives %v", err)
+		t.Errorf("status 503: error %v", err)
 	}
 }
 
-// A complete body may have line ends anywhere, and may end with its connection alone.
-func TestWatchStream_Closed_SaysIfComplete(t *testing.T) {
+// A complete body may contain line ends anywhere. Without a length, only the end of the connection ends it.
+func TestWatchStream_Closed_ReportsIfComplete(t *testing.T) {
 	for _, c := range []struct {
 		name, text      string
 		ended, complete bool
@@ -89,7 +89,7 @@
 			t.Errorf("%s: ended %v, complete %v, error %v", c.name, s.Ended(), s.Closed(), err)
 		}
 		if body := string(s.Body()); c.complete && body != "{\n}\n" {
-			t.Errorf("%s: %q", c.name, body)
+			t.Errorf("%s: body %q", c.name, body)
 		}
 	}
 }
@@ -101,13 +101,13 @@
 		_, atOnce, err := feedStream(text, len(text)+1)
 		_, parts, err2 := feedStream(text, int(size)+1)
 		if (err == nil) != (err2 == nil) || err == nil && fmt.Sprint(atOnce) != fmt.Sprint(parts) {
-			t.Errorf("at once %q %v, in pieces %q %v", atOnce, err, parts, err2)
+			t.Errorf("at once: %q, error %v; in pieces: %q, error %v", atOnce, err, parts, err2)
 		}
 	})
 }
 
-// However a response is cut into pieces, its objects come out complete, on one line or several, with the heartbeats
-// between them.
+// Whatever the size of the pieces of a response, its objects are returned complete, on one line or several, and so are
+// the heartbeats between them.
 func TestWatchStream_AnyPieces_GiveCompleteObjects(t *testing.T) {
 	const head = "HTTP/1.1 200 OK\r\n\r\n"
 	body := "{\"a\":\"}\\\"{\"}\r\n\r\n{\n \"b\": [1,\n\n  {\"c\":2}]\n}\n\n\nnonsense }\n{\"d\":[}"
@@ -130,7 +130,7 @@
 			got = append(got, string(line))
 		}
 		if !slices.Equal(got, want) {
-			t.Fatalf("in pieces of %d: %q, want %q", size, got, want)
+			t.Fatalf("pieces of %d bytes: %q, want %q", size, got, want)
 		}
 	}
 }
