--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -121,7 +121,7 @@
 	w.node.WatchFailed(request.Sequence, 0)
 }
 
-// follow fetches a snapshot if the node has no list, and watches the changes after that revision.
+// follow fetches a snapshot if the request asks for one, and watches the changes after its revision.
 func (w *Watcher) follow(ctx context.Context, request *activeRequest) (err error) {
 	defer func() {
 		if panicked := recover(); panicked != nil {
