--- a/internal/node/coldstart.go
+++ b/internal/node/coldstart.go
@@ -74,13 +74,13 @@
 	if n.scheduler == nil {
 		return idleWait
 	}
-	return n.scheduler.NextCallIn(n.now())
+	return n.scheduler.NextListRequestIn(n.now())
 }
 
 // requestListIfDue sends a list request if one is due. It also publishes the cached list again if the ejection of an
 // unreachable host has ended.
 func (n *Node) requestListIfDue() {
-	if n.scheduler.CallDue(n.now()) {
+	if n.scheduler.ListRequestDue(n.now()) {
 		n.watch()
 	}
 	cached := n.cachedList.Load()
@@ -140,6 +140,6 @@
 	}
 	n.loggedPhase = state.Phase
 	n.log.Info("cold start phase changed", zap.Stringer("phase", state.Phase), zap.String("source", string(state.Source)),
-		zap.Int64("revision", state.Revision), zap.Duration("age", state.Age), zap.Int("calls", state.Calls),
+		zap.Int64("revision", state.Revision), zap.Duration("age", state.Age), zap.Int("calls", state.ListRequests),
 		zap.Int("failed", state.Failed))
 }
