--- a/internal/netio/available.go
+++ b/internal/netio/available.go
@@ -18,15 +18,15 @@
 	if err != nil {
 		return 0, err
 	}
-	controlErr := raw.Control(func(fd uintptr) { n, err = ReadNow(fd, into) })
+	controlErr := raw.Control(func(fd uintptr) { n, err = ReadAvailableFD(fd, into) })
 	if controlErr != nil {
 		return 0, controlErr
 	}
 	return n, err
 }
 
-// ReadNow is ReadAvailable on a descriptor in non-blocking mode.
-func ReadNow(fd uintptr, into []byte) (n int, err error) {
+// ReadAvailableFD is ReadAvailable on a descriptor in non-blocking mode.
+func ReadAvailableFD(fd uintptr, into []byte) (n int, err error) {
 	for retries := 0; ; {
 		n, err = unix.Read(int(fd), into)
 		switch {
--- a/internal/proxy/metrics.go
+++ b/internal/proxy/metrics.go
@@ -7,8 +7,8 @@
 	"onyxstream/internal/wire"
 )
 
-// Replies counts the final answers to clients of one class.
-type Replies struct {
+// AnswerCounts counts the final answers to clients of one class.
+type AnswerCounts struct {
 	Class                    string
 	Success, Rejected, Error uint64
 }
@@ -32,12 +32,12 @@
 	return m
 }
 
-// Replies returns the final answers of each class, in the order of the settings.
-func (p *Proxy) Replies() []Replies {
-	all := make([]Replies, 0, len(p.metrics.classes))
+// FinalAnswers returns the final answers of each class, in the order of the settings.
+func (p *Proxy) FinalAnswers() []AnswerCounts {
+	all := make([]AnswerCounts, 0, len(p.metrics.classes))
 	for _, class := range p.metrics.classes {
 		counters := p.metrics.replies[class]
-		all = append(all, Replies{
+		all = append(all, AnswerCounts{
 			Class:    class,
 			Success:  counters.success.Load(),
 			Rejected: counters.rejected.Load(),
--- a/internal/proxy/opening.go
+++ b/internal/proxy/opening.go
@@ -163,7 +163,7 @@
 			n, err = 0, net.ErrClosed
 			return true
 		}
-		n, err = netio.ReadNow(fd, into)
+		n, err = netio.ReadAvailableFD(fd, into)
 		if n > 0 {
 			c.openingStarted.Store(true)
 		}
