--- a/internal/proxy/adopt.go
+++ b/internal/proxy/adopt.go
@@ -20,7 +20,7 @@
 func (p *Proxy) Adopt(handedOff EstablishedConn) error {
 	err := p.adopt(handedOff)
 	if err != nil {
-		closeWithMessage(handedOff.Client, wire.Migration)
+		closeWithLine(handedOff.Client, wire.Migration)
 		_ = handedOff.HostConn.Close()
 	}
 	return err
--- a/internal/proxy/budget.go
+++ b/internal/proxy/budget.go
@@ -181,5 +181,5 @@
 	}
 	p.log.Info("client evicted for a newer one", zap.Bool("rejected", message != ""), zap.Bool("answered", c.answered))
 	p.release(c)
-	closeWithMessage(c.client, message)
+	closeWithLine(c.client, message)
 }
--- a/internal/proxy/command.go
+++ b/internal/proxy/clientconn.go
@@ -10,32 +10,32 @@
 
 // The node's side of a connection, node.ClientConn. The node's event loop calls it, so nothing here may block.
 
-// maxQueuedCommands bounds the commands that a connection has not taken up. The node sends one at a time; a connection
+// maxQueuedDecisions bounds the commands that a connection has not taken up. The node sends one at a time; a connection
 // whose queue is full is broken.
-const maxQueuedCommands = 8
+const maxQueuedDecisions = 8
 
-// command is what the node asks of a connection that is not established yet: an attempt, or the final answer.
-type command struct {
-	attempt *node.Attempt
-	reply   string // if attempt is nil
+// decision is what the node asks of a connection that is not established yet: an attempt, or the final answer.
+type decision struct {
+	attempt     *node.Attempt
+	finalAnswer string // if attempt is nil
 }
 
-func (c *conn) enqueue(cmd command) {
+func (c *conn) enqueue(d decision) {
 	select {
-	case c.commands <- cmd:
+	case c.decisions <- d:
 	default:
 		c.abort()
 	}
 }
 
 // Send makes an attempt.
-func (c *conn) Send(a node.Attempt) { c.enqueue(command{attempt: &a}) }
+func (c *conn) Send(a node.Attempt) { c.enqueue(decision{attempt: &a}) }
 
 // Reject replies with a rejection, and with the advice to retry after a time.
-func (c *conn) Reject(after time.Duration) { c.enqueue(command{reply: wire.Rejection(after)}) }
+func (c *conn) Reject(after time.Duration) { c.enqueue(decision{finalAnswer: wire.Rejection(after)}) }
 
 // Fail replies with a failure.
-func (c *conn) Fail() { c.enqueue(command{reply: wire.Failure}) }
+func (c *conn) Fail() { c.enqueue(decision{finalAnswer: wire.Failure}) }
 
 // Proceed answers AttemptConnected: whether the attempt may write to its host.
 func (c *conn) Proceed(_ int, ok bool) {
--- a/internal/proxy/conn.go
+++ b/internal/proxy/conn.go
@@ -28,7 +28,7 @@
 	opening   wire.Opening
 	requestID balancer.RequestID
 
-	commands      chan command
+	decisions     chan decision
 	authorization chan bool     // the node's answer to AttemptConnected
 	disconnected  chan struct{} // closed when the client has disconnected before it was established
 	established   chan struct{} // closed when a host has established the connection
@@ -64,7 +64,7 @@
 // serve runs the connection from its opening line to its end.
 func (c *conn) serve() {
 	defer c.client.Close()
-	defer c.replyOnPanic()
+	defer c.answerOnPanic()
 	var in wire.LineBuffer
 	defer in.Release()
 	if !c.readOpening(&in) {
@@ -80,13 +80,13 @@
 	case admissionRejected:
 		c.countAnswer(rejected)
 		c.proxy.log.Info("client rejected: descriptor limit reached or shutting down")
-		c.reply(c.proxy.rejection())
+		c.answerAndClose(c.proxy.rejection())
 		return
 	}
 	if !c.checkClient(&in) {
 		c.countAnswer(errored)
 		if c.halfClosed.Load() { // it may still read
-			c.reply(wire.Failure)
+			c.answerAndClose(wire.Failure)
 		}
 		return
 	}
@@ -113,11 +113,11 @@
 	c.stopReading()
 }
 
-// replyOnPanic replies to a client whose goroutine panics outside serveRequest: its opening line may have been read.
-func (c *conn) replyOnPanic() {
+// answerOnPanic replies to a client whose goroutine panics outside serveRequest: its opening line may have been read.
+func (c *conn) answerOnPanic() {
 	if panicked := recover(); panicked != nil {
 		c.proxy.log.Error("connection panicked", zap.Any("panic", panicked), zap.Stack("stack"))
-		c.reply(wire.Failure)
+		c.answerAndClose(wire.Failure)
 	}
 }
 
--- a/internal/proxy/endpointlist_test.go
+++ b/internal/proxy/endpointlist_test.go
@@ -21,8 +21,8 @@
 // drainGrace is the drain grace of a pushTest's node.
 const drainGrace = 50 * time.Millisecond
 
-// pushTest is a node without polling, with two hosts that a simulated discovery lists.
-type pushTest struct {
+// watchTest is a node without polling, with two hosts that a simulated discovery lists.
+type watchTest struct {
 	node      *testNode
 	discovery *fakeserver.Discovery
 	endpoints [2]wire.Endpoint
@@ -30,9 +30,9 @@
 	opened    int             // connections so far
 }
 
-func newPushTest(t *testing.T) *pushTest {
+func newWatchTest(t *testing.T) *watchTest {
 	t.Helper()
-	p := &pushTest{}
+	p := &watchTest{}
 	for i := range p.endpoints {
 		addr := netiotest.Serve(t, func(c *net.TCPConn) {
 			if line, err := bufio.NewReader(c).ReadString('\n'); err == nil && line[0] == 'O' {
@@ -43,13 +43,13 @@
 		p.endpoints[i] = wire.Endpoint{ID: fmt.Sprint("h", i), Addr: addr, Size: 1}
 	}
 	clock := fakeserver.NewClock()
-	service, err := fakeserver.NewDiscovery("", clock, fakeserver.NewEventLog(clock), 7, p.endpoints[:]...)
+	discovery, err := fakeserver.NewDiscovery("", clock, fakeserver.NewEventLog(clock), 7, p.endpoints[:]...)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(service.Close)
-	p.discovery = service
-	p.node = startNodeWith(t, zap.NewNop(), true, service.Addr(), func(s *settings.Settings) {
+	t.Cleanup(discovery.Close)
+	p.discovery = discovery
+	p.node = startNodeWith(t, zap.NewNop(), true, discovery.Addr(), func(s *settings.Settings) {
 		s.PollList = false
 		s.DrainGrace = drainGrace
 	})
@@ -57,7 +57,7 @@
 }
 
 // openRound opens 16 connections and returns how many were forwarded to each host.
-func (p *pushTest) openRound(t *testing.T) (counts [2]int64) {
+func (p *watchTest) openRound(t *testing.T) (counts [2]int64) {
 	t.Helper()
 	before := [2]int64{p.forwarded[0].Load(), p.forwarded[1].Load()}
 	for range 16 {
@@ -69,15 +69,15 @@
 	return [2]int64{p.forwarded[0].Load() - before[0], p.forwarded[1].Load() - before[1]}
 }
 
-// expectOnly waits until the node knows of the drain, and the grace; nothing may be forwarded to the other host then.
-func (p *pushTest) expectOnly(t *testing.T, what string, live int) {
+// expectAllForwardedTo waits until the node knows of the drain, and the grace; nothing may be forwarded to the other host then.
+func (p *watchTest) expectAllForwardedTo(t *testing.T, what string, liveHost int) {
 	t.Helper()
 	netiotest.Eventually(t, what, func() bool {
 		hosts := p.node.node.View().Hosts
-		return len(hosts) == 2 && hosts[1-live].State == balancer.Draining && hosts[live].State == balancer.Live
+		return len(hosts) == 2 && hosts[1-liveHost].State == balancer.Draining && hosts[liveHost].State == balancer.Live
 	})
 	time.Sleep(drainGrace)
-	if counts := p.openRound(t); counts[1-live] != 0 || counts[live] != 16 {
+	if counts := p.openRound(t); counts[1-liveHost] != 0 || counts[liveHost] != 16 {
 		t.Errorf("%s: forwarded %v of 16", what, counts)
 	}
 }
@@ -85,14 +85,14 @@
 // With polling off the node watches the list, keeps it while discovery is silent, catches up on what it missed, and
 // stops forwarding to a draining host within the drain grace.
 func TestEndpointList_Pushed_DrainsWithinGrace(t *testing.T) {
-	p := newPushTest(t)
+	p := newWatchTest(t)
 	netiotest.Eventually(t, "the first list is received", func() bool {
 		counts := p.openRound(t)
 		return counts[0] > 0 && counts[1] > 0
 	})
 	p.endpoints[0].Phase = wire.Draining
 	p.discovery.Set(p.endpoints[0])
-	p.expectOnly(t, "the first host is draining", 1)
+	p.expectAllForwardedTo(t, "the first host is draining", 1)
 
 	p.discovery.SetMode(fakeserver.ModeSilent)
 	p.endpoints[0].Phase, p.endpoints[1].Phase = wire.Serving, wire.Draining
@@ -102,5 +102,5 @@
 		t.Errorf("while discovery is silent: forwarded %v of 16", counts)
 	}
 	p.discovery.SetMode(fakeserver.ModeNormal)
-	p.expectOnly(t, "the missed change is known", 0)
+	p.expectAllForwardedTo(t, "the missed change is known", 0)
 }
--- a/internal/proxy/invariants.go
+++ b/internal/proxy/invariants.go
@@ -25,8 +25,8 @@
 	}
 }
 
-// checkStart counts a dispatch to a host, and checks that its client had not disconnected.
-func (c *conn) checkStart(hostID string, began time.Time) {
+// recordDispatch counts a dispatch to a host, and checks that its client had not disconnected.
+func (c *conn) recordDispatch(hostID string, began time.Time) {
 	c.proxy.metrics.dispatches.Add(1)
 	c.mu.Lock()
 	disconnectedAt := c.disconnectedAt
--- a/internal/proxy/invariants_test.go
+++ b/internal/proxy/invariants_test.go
@@ -37,7 +37,7 @@
 		{"answered late", func(c *conn) { c.recordAnswer(now.Add(2 * time.Second)) }, violationOf(invariant.AnsweredLate)},
 		{"forwarded after the disconnect", func(c *conn) {
 			c.disconnect()
-			c.checkStart("h0", c.disconnectedAt.Add(time.Second))
+			c.recordDispatch("h0", c.disconnectedAt.Add(time.Second))
 		}, violationOf(invariant.SentAfterDisconnect)},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/proxy/metrics.go
+++ b/internal/proxy/metrics.go
@@ -13,21 +13,21 @@
 	Success, Rejected, Error uint64
 }
 
-// replyCounters counts Replies. Each client is counted once, by countReply.
-type replyCounters struct{ success, rejected, errored atomic.Uint64 }
+// answerCounters counts Replies. Each client is counted once, by countReply.
+type answerCounters struct{ success, rejected, errored atomic.Uint64 }
 
 // metrics are counted from the start of the process. Any goroutine may read them.
 type metrics struct {
 	classes     []string
-	replies     map[string]*replyCounters // by class; the map never changes
-	dispatches  atomic.Uint64             // attempts whose opening line was written completely
-	openClients atomic.Int64              // admitted clients
+	answers     map[string]*answerCounters // by class; the map never changes
+	dispatches  atomic.Uint64              // attempts whose opening line was written completely
+	openClients atomic.Int64               // admitted clients
 }
 
 func newMetrics(classes []string) *metrics {
-	m := &metrics{classes: classes, replies: make(map[string]*replyCounters, len(classes))}
+	m := &metrics{classes: classes, answers: make(map[string]*answerCounters, len(classes))}
 	for _, class := range classes {
-		m.replies[class] = &replyCounters{}
+		m.answers[class] = &answerCounters{}
 	}
 	return m
 }
@@ -36,7 +36,7 @@
 func (p *Proxy) FinalAnswers() []AnswerCounts {
 	all := make([]AnswerCounts, 0, len(p.metrics.classes))
 	for _, class := range p.metrics.classes {
-		counters := p.metrics.replies[class]
+		counters := p.metrics.answers[class]
 		all = append(all, AnswerCounts{
 			Class:    class,
 			Success:  counters.success.Load(),
@@ -65,7 +65,7 @@
 // countAnswer counts a client's first final answer.
 func (c *conn) countAnswer(result answerResult) {
 	c.recordAnswer(time.Now())
-	counters := c.proxy.metrics.replies[c.opening.Class]
+	counters := c.proxy.metrics.answers[c.opening.Class]
 	if counters == nil || c.answerCounted.Swap(true) {
 		return
 	}
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -120,7 +120,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed { // it may have sent its opening line already
-		closeWithMessage(client, p.rejection())
+		closeWithLine(client, p.rejection())
 		return true
 	}
 	if p.unadmitted.Len() >= p.maxUnadmitted() {
@@ -141,7 +141,7 @@
 		proxy:         p,
 		client:        client,
 		budgetSlot:    budgetSlot{lastActive: now},
-		commands:      make(chan command, maxQueuedCommands),
+		decisions:     make(chan decision, maxQueuedDecisions),
 		authorization: make(chan bool, 1),
 		disconnected:  make(chan struct{}),
 		established:   make(chan struct{}),
--- a/internal/proxy/quiesce.go
+++ b/internal/proxy/quiesce.go
@@ -154,18 +154,18 @@
 	close(q.decided)
 }
 
-// handOff is what a goroutine does after a read that timed out.
-type handOff uint8
+// readerAction is what a goroutine does after a read that timed out.
+type readerAction uint8
 
 const (
-	keepReading   handOff = iota // the connection was not handed off
-	stopClosing                  // it is closing
-	stopHandedOff                // another process has it
+	keepReading   readerAction = iota // the connection was not handed off
+	stopClosing                       // it is closing
+	stopHandedOff                     // another process has it
 )
 
 // awaitHandOff waits until the hand-off of a quiescing connection is decided. Each of its goroutines calls it after a
 // read of its side that timed out. stopped records in the quiescence that this goroutine has stopped.
-func (c *conn) awaitHandOff(side *net.TCPConn, stopped func(*quiescence)) handOff {
+func (c *conn) awaitHandOff(side *net.TCPConn, stopped func(*quiescence)) readerAction {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for {
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -41,26 +41,26 @@
 		case <-backstop.C:
 			c.proxy.log.Info("request deadline exceeded without a reply from the node", zap.String("request", c.opening.ID))
 			return
-		case cmd := <-c.commands:
-			c.execute(cmd, &state, deadline)
+		case d := <-c.decisions:
+			c.execute(d, &state, deadline)
 		}
 	}
 }
 
 // execute executes a command of the node.
-func (c *conn) execute(cmd command, state *requestState, deadline time.Time) {
-	if cmd.attempt == nil {
+func (c *conn) execute(d decision, state *requestState, deadline time.Time) {
+	if d.attempt == nil {
 		state.answer()
 		c.proxy.log.Debug("request answered by the node",
 			zap.String("request", c.opening.ID),
-			zap.String("reply", strings.TrimSpace(cmd.reply)),
+			zap.String("reply", strings.TrimSpace(d.finalAnswer)),
 			zap.Int("attempts", state.attempts),
 			zap.Duration("remaining", time.Until(deadline)))
-		c.countAnswerLine(cmd.reply)
-		c.reply(cmd.reply)
+		c.countAnswerLine(d.finalAnswer)
+		c.answerAndClose(d.finalAnswer)
 		return
 	}
-	target := *cmd.attempt
+	target := *d.attempt
 	state.attemptStarted(target.Number)
 	// The backstop does not fire while the attempt is in flight, so the attempt must end by its time.
 	target.Timeout = min(target.Timeout, time.Until(deadline)+c.proxy.cfg.AnswerSlack)
@@ -85,11 +85,11 @@
 	if unreportedAttempt {
 		c.proxy.node.AttemptEnded(c.requestID, c, state.attempts-1, 0, balancer.ConnectionReset)
 	}
-	c.replyUnanswered(state)
+	c.answerIfUnanswered(state)
 }
 
-// replyUnanswered replies to a client that the node has not answered, if it may read a reply.
-func (c *conn) replyUnanswered(state *requestState) {
+// answerIfUnanswered replies to a client that the node has not answered, if it may read a reply.
+func (c *conn) answerIfUnanswered(state *requestState) {
 	unanswered := state.phase != answered
 	violated := c.hasViolatedProtocol() && unanswered
 	if violated {
@@ -98,9 +98,9 @@
 	switch {
 	case state.isOpen() || violated:
 		c.countAnswerLine(state.fallback)
-		c.reply(state.fallback)
+		c.answerAndClose(state.fallback)
 	case c.halfClosed.Load() && unanswered: // it has closed its side and may still read
-		c.writeReply(wire.Failure)
+		c.writeAnswer(wire.Failure)
 	}
 }
 
@@ -209,7 +209,7 @@
 		connectTimeout: c.proxy.cfg.ConnectTimeout,
 		authorize:      func() error { return c.awaitAuthorization(ctx, target.Number, timeout.C) },
 		written: func(began time.Time) {
-			c.checkStart(string(target.Host), began)
+			c.recordDispatch(string(target.Host), began)
 			c.proxy.node.AttemptWritten(c.requestID, c, target.Number, began)
 		},
 	}, in)
--- a/internal/proxy/resume.go
+++ b/internal/proxy/resume.go
@@ -64,7 +64,7 @@
 	return attempt(ctx, target, &c.opening, attemptHooks{
 		connectTimeout: c.proxy.cfg.ConnectTimeout,
 		authorize:      func() error { return nil },
-		written:        func(began time.Time) { c.checkStart(c.opening.CurrentHost, began) },
+		written:        func(began time.Time) { c.recordDispatch(c.opening.CurrentHost, began) },
 	}, in)
 }
 
--- a/internal/proxy/shutdown.go
+++ b/internal/proxy/shutdown.go
@@ -22,7 +22,7 @@
 		time.Sleep(shutdownPollInterval)
 	}
 	for _, c := range p.unfinished(passThrough) {
-		closeWithMessage(c.client, "") // it has had its final answer and does not close
+		closeWithLine(c.client, "") // it has had its final answer and does not close
 	}
 	if !passThrough {
 		p.clients.Wait()
--- a/internal/proxy/teardown.go
+++ b/internal/proxy/teardown.go
@@ -26,14 +26,14 @@
 	closeWriteTimeout = 20 * time.Millisecond
 )
 
-// reply writes the client's final answer and closes the connection.
-func (c *conn) reply(line string) {
-	c.writeReply(line)
+// answerAndClose writes the client's final answer and closes the connection.
+func (c *conn) answerAndClose(line string) {
+	c.writeAnswer(line)
 	c.lingerClose()
 }
 
-// writeReply writes a final answer to the client.
-func (c *conn) writeReply(line string) {
+// writeAnswer writes a final answer to the client.
+func (c *conn) writeAnswer(line string) {
 	_ = c.client.SetWriteDeadline(time.Now().Add(lingerTimeout))
 	_, _ = netio.WriteAll(c.client, []byte(line))
 }
@@ -65,8 +65,8 @@
 	_ = c.client.SetReadDeadline(netio.Expired)
 }
 
-// closeWithMessage writes a final answer, "" for none, and closes the connection without waiting for the client.
-func closeWithMessage(client *net.TCPConn, line string) {
+// closeWithLine writes a final answer, "" for none, and closes the connection without waiting for the client.
+func closeWithLine(client *net.TCPConn, line string) {
 	_ = client.SetWriteDeadline(time.Now().Add(closeWriteTimeout))
 	if line != "" {
 		_, _ = netio.WriteAll(client, []byte(line))
--- a/internal/proxy/teardown_test.go
+++ b/internal/proxy/teardown_test.go
@@ -37,7 +37,7 @@
 	client, server := connect(t)
 	_, _ = io.WriteString(client, strings.Repeat("x", 20000))
 	netiotest.Eventually(t, "bytes lie unread", func() bool { return netiotest.UnreadBytes(t, server) > 0 })
-	closeWithMessage(server, "BUSY\r\n")
+	closeWithLine(server, "BUSY\r\n")
 	if state := tcpState(t, client); state != closeWait { // a reset would have closed it
 		t.Errorf("the client's side is in state %d", state)
 	}
