--- a/internal/lifecycle/management.go
+++ b/internal/lifecycle/management.go
@@ -47,7 +47,7 @@
 		Dispatches: m.proxy.Dispatches(),
 		Concurrent: m.proxy.OpenClients(),
 	}
-	for _, replies := range m.proxy.FinalAnswers() {
+	for _, replies := range m.proxy.Replies() {
 		stats.Replies = append(stats.Replies, management.Replies{
 			Class:    replies.Class,
 			Success:  replies.Success,
--- a/internal/proxy/adopt.go
+++ b/internal/proxy/adopt.go
@@ -11,17 +11,17 @@
 )
 
 var (
-	errNotEstablished = errors.New("not an established connection's opening line")
+	errNotEstablished = errors.New("invalid opening line or partial line of an established connection")
 	errShutDown       = errors.New("proxy is shut down")
 )
 
-// Adopt resumes a connection that another process of the node has handed off. One that cannot be resumed is migrated:
-// it is between two lines, and no other process has its client.
+// Adopt resumes a connection that another process of the node has handed off. If the connection cannot be resumed, its
+// client is told to migrate: the client is between two lines, and no other process holds its connection any more.
 func (p *Proxy) Adopt(handedOff EstablishedConn) error {
 	err := p.adopt(handedOff)
 	if err != nil {
 		closeWithLine(handedOff.Client, wire.Migration)
-		_ = handedOff.HostConn.Close()
+		_ = handedOff.Peer.Close()
 	}
 	return err
 }
@@ -36,8 +36,8 @@
 	c.opening = opening
 	c.requestID = balancer.RequestID(opening.ID)
 	c.hostID = handedOff.Host
-	c.host = handedOff.HostConn
-	c.answerCounted.Store(true) // by the process that established it
+	c.host = handedOff.Peer
+	c.answerCounted.Store(true) // the process that established the connection counted it
 	close(c.established)
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -49,10 +49,10 @@
 	return nil
 }
 
-// serveAdopted runs an adopted connection to its end.
+// serveAdopted handles an adopted connection to its end.
 func (c *conn) serveAdopted(handedOff EstablishedConn) {
 	start := time.Now()
-	inherited := false // the node waits for the end of the connection
+	inherited := false // the node knows of the connection and must be notified of its end
 	defer c.client.Close()
 	defer func() {
 		if panicked := recover(); panicked != nil {
@@ -78,6 +78,6 @@
 	host.Advance(copy(host.Space(), handedOff.Partial))
 	defer client.Release()
 	c.whileReadingClient(&client, func() {
-		c.relay(handedOff.HostConn, &host, nil, 0, start)
+		c.relay(handedOff.Peer, &host, nil, 0, start)
 	})
 }
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -14,15 +14,15 @@
 	"onyxstream/internal/wire"
 )
 
-// Stage is how far an attempt got before it ended.
+// Stage tells how far an attempt got before it ended.
 type Stage uint8
 
 // The stages of an attempt.
 const (
-	Dialing     Stage = iota // no connection yet
+	Dialing     Stage = iota // not connected to the host yet
 	Authorizing              // connected; the node has not confirmed that the opening line may still be written
-	Writing                  // the opening line is not written completely
-	Awaiting                 // it is; the host has not responded
+	Writing                  // the opening line is not completely written
+	Awaiting                 // the opening line is written; no complete response has been received
 	Answering                // the host has responded
 )
 
@@ -30,8 +30,8 @@
 	return [...]string{"dialing", "authorizing", "writing", "awaiting", "answering"}[s]
 }
 
-// AttemptError is why an attempt did not establish the connection. Its stage decides whether the host may have executed
-// the request.
+// AttemptError describes why an attempt did not establish the connection. Its stage determines whether the host may
+// have executed the request.
 type AttemptError struct {
 	Stage Stage
 	Err   error
@@ -39,23 +39,23 @@
 
 func (e *AttemptError) Error() string { return e.Stage.String() + ": " + e.Err.Error() }
 
-// Unwrap returns what ended the attempt.
+// Unwrap returns the error that ended the attempt.
 func (e *AttemptError) Unwrap() error { return e.Err }
 
 var (
 	errCancelled     = errors.New("attempt canceled")
-	errNotAuthorized = errors.New("host may get no further requests")
+	errNotAuthorized = errors.New("attempt not authorized by the node")
 	errRejected      = errors.New("host rejected the request")
 	errHostError     = errors.New("host responded with an error")
-	errMigrated      = errors.New("host migrates its clients")
+	errMigrated      = errors.New("host asked the client to migrate")
 )
 
-// Outcome returns what the attempt says of its host.
+// Outcome returns the outcome of the attempt that the node records for the host.
 func (e *AttemptError) Outcome() balancer.Outcome {
 	cancelled := errors.Is(e.Err, errCancelled)
 	switch {
 	case e.Stage == Authorizing, e.Stage < Awaiting && cancelled, e.Stage < Awaiting && isLocal(e.Err):
-		return balancer.NotSent // not the host's fault, and the host never had the complete line
+		return balancer.NotSent // the host is not at fault and never received the complete line
 	case cancelled:
 		return balancer.Cancelled
 	case e.Stage < Awaiting:
@@ -72,20 +72,25 @@
 	return balancer.ConnectionReset
 }
 
-// isLocal reports whether a dial or a write failed because this machine lacks something: that says nothing of the host.
+// isLocal reports whether a dial or a write failed because this machine ran out of a resource or of local addresses.
+// Such a failure says nothing about the host.
 func isLocal(err error) bool {
 	return syserr.LacksResources(err) || syserr.LacksAddress(err)
 }
 
-// attemptHooks are what an attempt asks and notifies.
+// attemptHooks connects an attempt to its caller.
 type attemptHooks struct {
-	connectTimeout time.Duration         // 0 for none
-	authorize      func() error          // whether the line may be written: a request counts from its first byte
-	written        func(began time.Time) // the line was written completely; its first byte went at began
+	connectTimeout time.Duration // 0 means no timeout
+	// authorize returns nil if the opening line may be written. The host may execute a request as soon as its first
+	// byte is written.
+	authorize func() error
+	// written is called when the opening line is completely written. began is when the write began.
+	written func(began time.Time)
 }
 
-// attempt makes one attempt: one dial, one opening line, one response. If the host establishes the connection, attempt
-// returns that connection and the host's line; in holds what came behind it. Otherwise the connection is closed.
+// attempt makes one attempt: it dials the host, writes the opening line and reads the response. If the host establishes
+// the connection, attempt returns it with the response line, and in holds what the host sent after that line. Otherwise
+// attempt closes the connection.
 func attempt(ctx context.Context, target node.Attempt, opening *wire.Opening, hooks attemptHooks, in *wire.LineBuffer) (
 	*net.TCPConn, []byte, *AttemptError,
 ) {
@@ -106,7 +111,8 @@
 	return host, line, nil
 }
 
-// attemptError returns the error of an attempt that ended at a stage. A cancelled one may fail with any error.
+// attemptError returns the error of an attempt that ended at a stage. A canceled attempt may have failed with any
+// error, so the context decides.
 func attemptError(ctx context.Context, stage Stage, err error) *AttemptError {
 	if errors.Is(ctx.Err(), context.Canceled) {
 		err = errCancelled
@@ -114,14 +120,14 @@
 	return &AttemptError{stage, err}
 }
 
-// sendOpening writes the opening line to the host and awaits the response. It returns the stage at which it failed.
+// sendOpening writes the opening line to the host and waits for the response. It returns the stage that it reached.
 func sendOpening(ctx context.Context, host *net.TCPConn, deadline time.Time, opening *wire.Opening, hooks attemptHooks,
 	in *wire.LineBuffer,
 ) (line []byte, stage Stage, err error) {
 	if err := hooks.authorize(); err != nil {
 		return nil, Authorizing, err
 	}
-	// The last check before the first byte: it may have been cancelled while it was authorized.
+	// The last check before the first byte: the attempt may have been canceled while the node authorized it.
 	if err := ctx.Err(); err != nil {
 		return nil, Authorizing, err
 	}
@@ -129,19 +135,19 @@
 	stop := context.AfterFunc(ctx, func() { _ = host.SetDeadline(netio.Expired) })
 	began := time.Now()
 	request := opening.Forward(deadline.Sub(began))
-	// Not retried: each attempt to write needs an authorization of its own.
+	// The write is not retried, because each write needs its own authorization.
 	if n, err := host.Write(request); n < len(request) {
 		return nil, Writing, err
 	}
 	hooks.written(began)
 	line, stage, err = awaitResponse(host, in)
-	if err == nil && !stop() { // it was cancelled or its deadline passed just now
+	if err == nil && !stop() { // canceled, or its deadline passed, just now
 		return nil, Awaiting, context.Cause(ctx)
 	}
 	return line, stage, err
 }
 
-// awaitResponse reads the host's response, and returns its line if the connection is established.
+// awaitResponse reads the host's response, and returns the response line if it establishes the connection.
 func awaitResponse(host *net.TCPConn, in *wire.LineBuffer) (line []byte, stage Stage, err error) {
 	for {
 		line, ok, err := in.Next()
@@ -166,7 +172,7 @@
 	}
 }
 
-// responseError returns why a response does not establish the connection, nil if it does.
+// responseError returns nil if a response establishes the connection, otherwise why it does not.
 func responseError(line []byte) error {
 	switch wire.ParseResponse(line) {
 	case wire.ResponseEstablished:
--- a/internal/proxy/budget.go
+++ b/internal/proxy/budget.go
@@ -7,76 +7,79 @@
 	"go.uber.org/zap"
 )
 
-// The descriptor budget. A client holds one descriptor until its opening line is complete, and again once it has had
-// its final answer; such a client is unadmitted and may be evicted for a newer one. In between it holds two, its own
-// and its host's. Reserved beside them are the descriptors of the process itself and enough to read clients and
-// reject them.
+// The descriptor budget. An unadmitted client holds one descriptor: its opening line is not complete, or it has had its
+// final answer. It may be evicted for a newer client. In between the client is admitted and holds two descriptors, its
+// own and its host's. The budget also reserves descriptors for the process itself, and enough of them to read further
+// clients and reject them.
 const (
-	descriptorsPerClient = 2  // of an admitted client
+	descriptorsPerClient = 2  // held by an admitted client
 	processDescriptors   = 40 // standard streams, poller, listener, one just accepted, watches, reserved pings
-	minUnadmitted        = 16 // unadmitted clients that are always possible
-	unadmittedDivisor    = 8  // unadmitted clients may hold one in so many of all descriptors
-	baseDescriptors      = 16 // that a process holds beside clients, hosts and pings
+	minUnadmitted        = 16 // number of unadmitted clients that always have a descriptor
+	unadmittedDivisor    = 8  // unadmitted clients may hold 1/unadmittedDivisor of all descriptors
+	baseDescriptors      = 16 // held by a process apart from those for clients, hosts and pings
 )
 
-// evictionGrace is how long an unadmitted client is safe from eviction after it connected, sent a health check or had
-// its final answer.
+// evictionGrace is how long an unadmitted client is not evicted after it connected, sent a health check or had its
+// final answer.
 const evictionGrace = 20 * time.Millisecond
 
-// budgetSlot is a connection's place in the descriptor budget. The proxy's mutex guards it.
+// budgetSlot is a client's entry in the descriptor budget. The proxy's mutex guards it.
 type budgetSlot struct {
-	unadmitted *list.Element // among those that hold one descriptor, nil for none
-	admitted   bool          // it holds two descriptors
-	lastActive time.Time     // when it connected, sent a health check, or had its final answer
-	answered   bool          // it has had its final answer
+	unadmitted *list.Element // entry in Proxy.unadmitted; nil if the client is not unadmitted
+	admitted   bool          // the client holds two descriptors
+	lastActive time.Time     // when the client connected, sent a health check or had its final answer
+	answered   bool          // the client has had its final answer
 }
 
-// admission is the answer to a client that has sent a complete opening line.
+// admission is the decision whether to admit a client that has sent a complete opening line.
 type admission uint8
 
 const (
 	admissionGranted  admission = iota
-	admissionRejected           // no descriptors, or shutting down
-	admissionEvicted            // it was evicted just before
+	admissionRejected           // no descriptors are left, or the proxy is shut down
+	admissionEvicted            // the client has just been evicted
 )
 
-// pingBudget is the descriptor budget as pings see it.
+// pingBudget gives pings access to the descriptor budget.
 type pingBudget struct{ proxy *Proxy }
 
 func (b pingBudget) Lock()                     { b.proxy.mu.Lock() }
 func (b pingBudget) Unlock()                   { b.proxy.mu.Unlock() }
 func (b pingBudget) Fits(descriptors int) bool { return b.proxy.fits(descriptors) }
 
-// SetDescriptorLimit sets how many descriptors this process may hold now, so that two processes of one node stay within
-// the limit together. Open connections stay; the limit binds new ones.
+// SetDescriptorLimit sets how many descriptors this process may hold from now on, so that two processes of one node
+// together stay within the limit. Open connections stay open; the limit applies to new ones.
 func (p *Proxy) SetDescriptorLimit(descriptors int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.cfg.MaxDescriptors = max(descriptors, 0) - p.cfg.ReservedDescriptors
 }
 
-// DescriptorsHeld returns how many descriptors this process holds.
+// DescriptorsHeld returns how many descriptors this process holds, baseDescriptors included.
 func (p *Proxy) DescriptorsHeld() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.admitted*descriptorsPerClient + p.unadmitted.Len() + p.pings.Count() + baseDescriptors
 }
 
-// fits reports whether so many more descriptors leave enough to read clients and reject them. mu is held.
+// fits reports whether the budget has room for more descriptors and still for those that it needs to read further
+// clients and reject them. The caller holds mu.
 func (p *Proxy) fits(descriptors int) bool {
 	held := p.admitted*descriptorsPerClient + processDescriptors + p.pings.Unreserved() + minUnadmitted
 	return held+descriptors <= p.cfg.MaxDescriptors
 }
 
-// maxUnadmitted returns how many clients may hold one descriptor. A few always may: beside another process of the node
-// this one may exceed its limit, and new clients must still be rejected with a reply. mu is held.
+// maxUnadmitted returns how many unadmitted clients are allowed. It is at least minUnadmitted: during a hot restart
+// this process may exceed its share of the node's limit, and new clients must still get their rejection. The caller
+// holds mu.
 func (p *Proxy) maxUnadmitted() int {
 	share := max(p.cfg.MaxDescriptors/unadmittedDivisor, minUnadmitted)
 	left := p.cfg.MaxDescriptors - processDescriptors - p.admitted*descriptorsPerClient
 	return max(min(share, left), minUnadmitted)
 }
 
-// admit counts a client with two descriptors, for which pings and unadmitted clients give way.
+// admit reserves two descriptors for a client whose opening line is complete. If necessary it releases those of pings
+// and evicts unadmitted clients.
 func (p *Proxy) admit(c *conn) admission {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -103,14 +106,14 @@
 	return admissionGranted
 }
 
-// charge counts a client with two descriptors. mu is held.
+// charge counts a client as admitted. The caller holds mu.
 func (p *Proxy) charge(c *conn) {
 	p.admitted++
 	p.metrics.openClients.Add(1)
 	c.admitted = true
 }
 
-// release takes a client out of the budget. mu is held.
+// release removes a client from the budget. The caller holds mu.
 func (p *Proxy) release(c *conn) {
 	if c.unadmitted != nil {
 		p.unadmitted.Remove(c.unadmitted)
@@ -123,13 +126,13 @@
 	}
 }
 
-// touch makes an unadmitted client the last one to be evicted. mu is held.
+// touch moves an unadmitted client to the end of the eviction order. The caller holds mu.
 func (p *Proxy) touch(c *conn) {
 	c.lastActive = time.Now()
 	p.unadmitted.MoveToBack(c.unadmitted)
 }
 
-// renew touches a client whose health check was answered, and reports false if it was evicted.
+// renew calls touch for a client whose health check was answered. It reports false if the client was evicted.
 func (p *Proxy) renew(c *conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -140,7 +143,7 @@
 	return true
 }
 
-// markAnswered makes a client that has had its final answer, and holds no host any more, an unadmitted one.
+// markAnswered makes a client unadmitted once it has had its final answer and has no host connection any more.
 func (p *Proxy) markAnswered(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -153,8 +156,9 @@
 	c.unadmitted = p.unadmitted.PushBack(c)
 }
 
-// evictable returns which client is evicted next: the first one that has had its final answer and a grace period to
-// read it, else the first one that was read and is past its grace period. It returns nil if none is. mu is held.
+// evictable returns the client to evict next, or nil if none may be evicted: the first client that has had its final
+// answer and evictionGrace to read it, or else the first one that was read and is past evictionGrace. The caller holds
+// mu.
 func (p *Proxy) evictable(now time.Time) *conn {
 	var first *conn
 	for element := p.unadmitted.Front(); element != nil; element = element.Next() {
@@ -172,8 +176,8 @@
 	return first
 }
 
-// evict closes an unadmitted client. One that has begun its opening line is sent a rejection: a close alone would
-// lose its request. mu is held; the write does not block, since nothing was written before.
+// evict closes an unadmitted client. A client that has begun its opening line is rejected, because a close without an
+// answer would lose its request. The caller holds mu; the write does not block, because the send buffer is empty.
 func (p *Proxy) evict(c *conn) {
 	message := ""
 	if !c.answered && c.stopReadingOpening() {
--- a/internal/proxy/clientconn.go
+++ b/internal/proxy/clientconn.go
@@ -8,16 +8,16 @@
 	"onyxstream/internal/wire"
 )
 
-// The node's side of a connection, node.ClientConn. The node's event loop calls it, so nothing here may block.
+// This file implements node.ClientConn. The node's event loop calls these methods, so none of them may block.
 
-// maxQueuedDecisions bounds the commands that a connection has not taken up. The node sends one at a time; a connection
-// whose queue is full is broken.
+// maxQueuedDecisions bounds the decisions that a connection has not executed yet. The node sends one at a time, so a
+// full queue means that the connection is broken.
 const maxQueuedDecisions = 8
 
-// decision is what the node asks of a connection that is not established yet: an attempt, or the final answer.
+// decision is what the node has decided for a connection that is not established yet: an attempt or the final answer.
 type decision struct {
-	attempt     *node.Attempt
-	finalAnswer string // if attempt is nil
+	attempt *node.Attempt
+	answer  string // used if attempt is nil
 }
 
 func (c *conn) enqueue(d decision) {
@@ -28,16 +28,16 @@
 	}
 }
 
-// Send makes an attempt.
+// Send starts an attempt.
 func (c *conn) Send(a node.Attempt) { c.enqueue(decision{attempt: &a}) }
 
-// Reject replies with a rejection, and with the advice to retry after a time.
-func (c *conn) Reject(after time.Duration) { c.enqueue(decision{finalAnswer: wire.Rejection(after)}) }
+// Reject sends the final answer "rejected", with a Retry-After.
+func (c *conn) Reject(after time.Duration) { c.enqueue(decision{answer: wire.Rejection(after)}) }
 
-// Fail replies with a failure.
-func (c *conn) Fail() { c.enqueue(decision{finalAnswer: wire.Failure}) }
+// Fail sends the final answer "failed".
+func (c *conn) Fail() { c.enqueue(decision{answer: wire.Failure}) }
 
-// Proceed answers AttemptConnected: whether the attempt may write to its host.
+// Proceed answers AttemptConnected: ok tells whether the attempt may write to its host.
 func (c *conn) Proceed(_ int, ok bool) {
 	select {
 	case c.authorization <- ok:
@@ -45,7 +45,7 @@
 	}
 }
 
-// Cancel cancels an attempt if it is still in flight.
+// Cancel cancels an attempt that is still in flight.
 func (c *conn) Cancel(attempt int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -54,7 +54,7 @@
 	}
 }
 
-// Migrate wakes the relay, which alone knows where a line ends, to send the client to another node.
+// Migrate wakes the relay to tell the client to migrate. Only the relay knows where a line ends.
 func (c *conn) Migrate() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -64,5 +64,5 @@
 	}
 }
 
-// MessageStats returns how fast the host responds to messages.
+// MessageStats returns statistics of the host's responses to messages.
 func (c *conn) MessageStats(now time.Time) node.MessageStats { return c.stats(now) }
--- a/internal/proxy/conn.go
+++ b/internal/proxy/conn.go
@@ -16,9 +16,9 @@
 	"onyxstream/internal/wire"
 )
 
-// conn is a client's connection. One goroutine, serve, reads the opening line, makes the attempts and then copies
-// from the host to the client; another, forwardClient, reads the client meanwhile. The node calls the methods of
-// node.ClientConn.
+// conn is a client's connection. It has two goroutines: serve reads the opening line, makes the attempts and then
+// copies from the host to the client; forwardClient reads the client from the end of the opening line on. conn
+// implements node.ClientConn, whose methods the node calls.
 type conn struct {
 	budgetSlot
 	messageLatency
@@ -30,38 +30,38 @@
 
 	decisions     chan decision
 	authorization chan bool     // the node's answer to AttemptConnected
-	disconnected  chan struct{} // closed when the client has disconnected before it was established
-	established   chan struct{} // closed when a host has established the connection
+	disconnected  chan struct{} // closed when the client disconnects before the connection is established
+	established   chan struct{} // closed when a host establishes the connection
 	finished      chan struct{} // closed when serve is done with the client
 
 	mu               sync.Mutex
-	cancelAttempt    context.CancelFunc // of the attempt in flight, nil for none
-	attemptNumber    int                // of the attempt in flight
-	host             *net.TCPConn       // set when established
-	aborted          bool               // both sides were reset by this node
-	shuttingDown     bool               // no attempt may be established any more
-	evicted          bool               // the opening line is read no more
-	readingStopped   bool               // nothing more is read of the client for its host
-	quiescing        *quiescence        // while it is quiesced for a hand-off, else nil
+	cancelAttempt    context.CancelFunc // cancels the attempt in flight; nil if there is none
+	attemptNumber    int                // number of the attempt in flight
+	host             *net.TCPConn       // nil until a host establishes the connection
+	aborted          bool               // this node has reset both sides
+	shuttingDown     bool               // no attempt may establish the connection any more
+	evicted          bool               // the opening line must not be read any further
+	readingStopped   bool               // the client must not be read any further for its host
+	quiescing        *quiescence        // set while the connection is quiesced for a hand-off, otherwise nil
 	failedHandOffs   int
-	violatedProtocol bool         // the client sent more than its opening line before it was established
+	violatedProtocol bool         // the client sent more than its opening line before the connection was established
 	answers          answerRecord // the final answers that the client was given
 	disconnectedAt   time.Time    // when disconnected was closed
 
-	openingRead    atomic.Bool // the client was read from: what it had sent by then is known
-	openingStarted atomic.Bool // a part of the opening line was received
+	openingRead    atomic.Bool // the client has been read once, so whatever it sent before that is known
+	openingStarted atomic.Bool // part of the opening line has been received
 	idle           atomic.Bool // a health check was answered, and nothing has been received since
-	answerCounted  atomic.Bool // the final answer is among the metrics
-	migrating      atomic.Bool // the node migrates the client
-	halfClosed     atomic.Bool // the client closed its side before it was established
-	clientClosed   atomic.Bool // the client closed its side after it was established
-	clientReset    atomic.Bool // the client's side broke after it was established
-
-	hostID string  // of the attempt in flight, or of the host that established the connection
-	load   float64 // of the host's last load report; the relay's goroutine owns it
+	answerCounted  atomic.Bool // the metrics include the final answer
+	migrating      atomic.Bool // the node is migrating the client
+	halfClosed     atomic.Bool // the client closed its side before the connection was established
+	clientClosed   atomic.Bool // the client closed its side after the connection was established
+	clientReset    atomic.Bool // the client's side broke after the connection was established
+
+	hostID string  // host of the attempt in flight, or the host that established the connection
+	load   float64 // load in the host's last load report; owned by the relay's goroutine
 }
 
-// serve runs the connection from its opening line to its end.
+// serve handles the connection from its opening line to its end.
 func (c *conn) serve() {
 	defer c.client.Close()
 	defer c.answerOnPanic()
@@ -80,20 +80,20 @@
 	case admissionRejected:
 		c.countAnswer(rejected)
 		c.proxy.log.Info("client rejected: descriptor limit reached or shutting down")
-		c.answerAndClose(c.proxy.rejection())
+		c.answer(c.proxy.rejection())
 		return
 	}
 	if !c.checkClient(&in) {
 		c.countAnswer(errored)
-		if c.halfClosed.Load() { // it may still read
-			c.answerAndClose(wire.Failure)
+		if c.halfClosed.Load() { // the client may still read
+			c.answer(wire.Failure)
 		}
 		return
 	}
 	c.whileReadingClient(&in, func() { c.serveRequest(deadline) })
 }
 
-// whileReadingClient runs f while another goroutine reads the client, and waits for that goroutine.
+// whileReadingClient runs f while another goroutine reads the client. It returns when both have ended.
 func (c *conn) whileReadingClient(in *wire.LineBuffer, f func()) {
 	var reader sync.WaitGroup
 	reader.Add(1)
@@ -107,21 +107,22 @@
 	f()
 }
 
-// releaseClient ends the reading of the client once serve is done with it.
+// releaseClient stops the goroutine that reads the client once serve is done with the client.
 func (c *conn) releaseClient() {
 	close(c.finished)
 	c.stopReading()
 }
 
-// answerOnPanic replies to a client whose goroutine panics outside serveRequest: its opening line may have been read.
+// answerOnPanic fails the request when serve panics outside serveRequest, because the opening line may have been read.
+// It must be deferred directly.
 func (c *conn) answerOnPanic() {
 	if panicked := recover(); panicked != nil {
 		c.proxy.log.Error("connection panicked", zap.Any("panic", panicked), zap.Stack("stack"))
-		c.answerAndClose(wire.Failure)
+		c.answer(wire.Failure)
 	}
 }
 
-// abort resets both sides, which ends serve and forwardClient.
+// abort resets both sides, which makes serve and forwardClient return.
 func (c *conn) abort() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -136,9 +137,10 @@
 	reset(c.client)
 }
 
-// shutDown begins to end the connection; the proxy's mutex is held. An established one is reset, or left open with
-// passThrough. Any other ends by its own goroutine, which alone knows what was read: serveRequest replies to an
-// admitted client, readOpening still reads what has been received of an opening line.
+// shutDown begins to end the connection. The caller holds the proxy's mutex. An established connection is reset, or
+// left open with passThrough. Any other connection is ended by its own goroutine, because only that goroutine knows
+// what was read: serveRequest answers an admitted client, and readOpening first reads what has been received of an
+// opening line.
 func (c *conn) shutDown(passThrough bool) {
 	established := c.isEstablished()
 	if established && passThrough {
@@ -172,7 +174,8 @@
 	return c.host != nil
 }
 
-// establish sets the host of the connection. It reports false if the client has disconnected or the proxy shuts down.
+// establish sets the host of the connection. It reports false if the client has disconnected, the connection was
+// aborted or the proxy is shutting down.
 func (c *conn) establish(host *net.TCPConn) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -182,32 +185,32 @@
 	_ = host.SetDeadline(time.Time{})
 	c.host = host
 	close(c.established)
-	if c.opening.MidFlow { // its reader must notice, and forward what was received early
+	if c.opening.MidFlow { // wake forwardClient, so that it forwards the messages that arrived early
 		_ = c.client.SetReadDeadline(netio.Expired)
 	}
 	return true
 }
 
-// messageLatency measures how long the client waits for a host's response to a message.
+// messageLatency measures how long a client waits for the host's response to a message.
 type messageLatency struct {
-	waitingSince     atomic.Int64  // the first message without a response, by monotonicNanos; 0 for none
+	waitingSince     atomic.Int64  // monotonicNanos of the oldest message without a response; 0 if there is none
 	lastLatency      atomic.Int64  // in nanoseconds
-	answeredMessages atomic.Uint64 // messages that had a response
-	maxLatency       time.Duration // the relay's goroutine owns it
+	answeredMessages atomic.Uint64 // number of messages that got a response
+	maxLatency       time.Duration // owned by the relay's goroutine
 }
 
 // processStart is the origin of monotonicNanos.
 var processStart = time.Now()
 
-// monotonicNanos returns a time in nanoseconds of the monotonic clock, never 0.
+// monotonicNanos returns the nanoseconds from processStart to t on the monotonic clock, plus 1 so that it is never 0.
 func monotonicNanos(t time.Time) int64 { return int64(t.Sub(processStart)) + 1 }
 
-// messageSent records that a message went to the host.
+// messageSent records that a message is being forwarded to the host.
 func (l *messageLatency) messageSent(now time.Time) {
 	l.waitingSince.CompareAndSwap(0, monotonicNanos(now))
 }
 
-// responseReceived records that a response came from the host.
+// responseReceived records that the host has responded.
 func (l *messageLatency) responseReceived() {
 	since := l.waitingSince.Swap(0)
 	if since == 0 {
@@ -219,7 +222,7 @@
 	l.answeredMessages.Add(1)
 }
 
-// stats returns what the node wants to know.
+// stats returns the message statistics that the node uses.
 func (l *messageLatency) stats(now time.Time) node.MessageStats {
 	stats := node.MessageStats{
 		Answered:    l.answeredMessages.Load(),
--- a/internal/proxy/disconnect.go
+++ b/internal/proxy/disconnect.go
@@ -14,33 +14,33 @@
 	"onyxstream/internal/wire"
 )
 
-// How a connection notices that its client disconnects. A client that has disconnected gets no further attempt:
-// beginAttempt checks for it under the mutex, and the attempt once more before its first byte.
+// This file reads the client, and detects that it disconnects. No attempt is made for a client that has disconnected:
+// beginAttempt checks this under the mutex, and the attempt checks it again before the first byte.
 
 const (
-	// disconnectPollInterval is how often a client that is not read is polled: no attempt may begin later than a tenth of
-	// a second after its client has disconnected.
+	// disconnectPollInterval is how often a client that is not being read is checked for a disconnect. No attempt may
+	// begin more than 100 ms after its client has disconnected.
 	disconnectPollInterval = 20 * time.Millisecond
-	// maxUnreadBytes bounds what a client that is not established may have sent beyond what is buffered. Its close could
-	// not be seen behind more than the system's own buffer holds.
+	// maxUnreadBytes bounds what a client may have sent, beyond the bytes in the line buffer, before the connection is
+	// established. If a client sent more than the kernel's receive buffer holds, its close could not be detected.
 	maxUnreadBytes = 32 << 10
 )
 
-// checkClient reads what the client has sent since its opening line, and reports false if it has disconnected, as it
-// may have while it waited in the listener's queue.
+// checkClient reads what the client has sent since its opening line. It reports false if the client has disconnected,
+// for example while it waited in the listener's accept queue.
 func (c *conn) checkClient(in *wire.LineBuffer) bool {
 	n, err := netio.ReadAvailable(c.client, in.Space())
 	in.Advance(n)
-	if err == nil || syserr.LacksMemory(err) { // the latter says nothing of the client
+	if err == nil || syserr.LacksMemory(err) { // lack of memory says nothing about the client
 		return true
 	}
 	c.clientEnded(err)
 	return false
 }
 
-// forwardClient reads the client: before the connection is established to notice that the client disconnects, then to
-// forward its messages. A mid-flow client may send messages early; they are held back, and the client is read on
-// while the buffer has space.
+// forwardClient reads the client: to detect a disconnect before the connection is established, and to forward messages
+// to the host after that. Messages that a mid-flow client sends early are held back, and reading goes on while the
+// buffer has space.
 func (c *conn) forwardClient(in *wire.LineBuffer) {
 	for {
 		var readOn bool
@@ -56,8 +56,8 @@
 	}
 }
 
-// flushToHost forwards what is buffered, and reports false if the host's side is broken: the relay notices it too, and
-// ends the client likewise.
+// flushToHost forwards the buffered bytes. It reports false if the host's side is broken; the relay detects this too
+// and ends the client's side accordingly.
 func (c *conn) flushToHost(in *wire.LineBuffer) bool {
 	if len(in.Buffered()) == 0 {
 		return true
@@ -70,8 +70,9 @@
 	return true
 }
 
-// holdBack keeps what a client sends before the connection is established. It reports false if the client is read no
-// more, and waits for the connection to be established if the buffer is full.
+// holdBack keeps in the buffer what a client sends before the connection is established. If the buffer is full, it
+// waits until the connection is established and forwards the buffer. It reports false if the client must not be read
+// further.
 func (c *conn) holdBack(in *wire.LineBuffer) bool {
 	if len(in.Buffered()) == 0 {
 		return true
@@ -85,7 +86,7 @@
 	return c.awaitEstablished() && c.flushToHost(in)
 }
 
-// readClient reads more of the client, and reports false if there is no more to read.
+// readClient reads more bytes from the client. It reports false if the client must not be read further.
 func (c *conn) readClient(in *wire.LineBuffer) bool {
 	n, err := netio.Read(c.client, in.Space())
 	in.Advance(n)
@@ -99,9 +100,9 @@
 	return false
 }
 
-// awaitEstablished waits until a connection is established whose client has filled the buffer. The client is not read
-// meanwhile, so the system is polled for its close; one that sends far more is a protocol violation. It reports false
-// if there is no more to read.
+// awaitEstablished waits until the connection is established, for a client that has filled the buffer. The client is
+// not read meanwhile, so awaitEstablished polls the socket for its close. More than maxUnreadBytes is a protocol
+// violation. It reports false if the client must not be read further.
 func (c *conn) awaitEstablished() bool {
 	poll := time.NewTicker(disconnectPollInterval)
 	defer poll.Stop()
@@ -122,8 +123,8 @@
 	}
 }
 
-// protocolViolation disconnects a client that does not wait for its answer. It reports false if the connection has
-// been established meanwhile.
+// protocolViolation disconnects a client that sends too much before the connection is established. It reports false if
+// the connection has been established meanwhile.
 func (c *conn) protocolViolation() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -135,7 +136,7 @@
 	return true
 }
 
-// clientEnded records that the client has closed its side or broken, as err says.
+// clientEnded records that reading the client failed with err: the client has closed its side, or the connection broke.
 func (c *conn) clientEnded(err error) {
 	if errors.Is(err, net.ErrClosed) { // closed by this node
 		return
@@ -155,8 +156,8 @@
 	_ = c.host.SetReadDeadline(time.Now().Add(lingerTimeout))
 }
 
-// disconnectUnestablished records that a client has ended its side before the connection is established. It reports
-// false if that has been established: what lies unread is then read first, and the end behind it.
+// disconnectUnestablished records that a client has ended its side before the connection was established. It reports
+// false if the connection is established: then the unread bytes are read and forwarded before the end is handled.
 func (c *conn) disconnectUnestablished(err error) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -168,7 +169,8 @@
 	return true
 }
 
-// disconnect closes disconnected, once, and cancels the attempt in flight. mu is held.
+// disconnect closes c.disconnected, unless it is closed already, and cancels the attempt in flight. The caller holds
+// mu.
 func (c *conn) disconnect() {
 	if c.isDisconnected() {
 		return
@@ -180,7 +182,7 @@
 	}
 }
 
-// isDisconnected reports whether the client has disconnected before the connection was established.
+// isDisconnected reports whether the client disconnected before the connection was established.
 func (c *conn) isDisconnected() bool {
 	select {
 	case <-c.disconnected:
@@ -190,8 +192,9 @@
 	}
 }
 
-// sendingEnded reports how the peer has ended its sending, behind whatever lies unread: io.EOF if it closed its side,
-// ECONNRESET if it broke, nil if it has not or the system does not say.
+// sendingEnded reports whether the remote side has stopped sending, even if unread bytes precede the end: it returns
+// io.EOF if the remote side was closed, ECONNRESET if the connection broke, and nil if neither happened or the state is
+// unknown.
 func sendingEnded(c *net.TCPConn) error {
 	raw, err := c.SyscallConn()
 	if err != nil {
@@ -214,7 +217,7 @@
 	return nil
 }
 
-// unreadBytes returns how many bytes lie unread, 0 if the system does not say.
+// unreadBytes returns how many received bytes are unread, or 0 if the number is unknown.
 func unreadBytes(c *net.TCPConn) (n int) {
 	raw, err := c.SyscallConn()
 	if err != nil {
--- a/internal/proxy/endpointlist_test.go
+++ b/internal/proxy/endpointlist_test.go
@@ -43,13 +43,13 @@
 		p.endpoints[i] = wire.Endpoint{ID: fmt.Sprint("h", i), Addr: addr, Size: 1}
 	}
 	clock := fakeserver.NewClock()
-	discovery, err := fakeserver.NewDiscovery("", clock, fakeserver.NewEventLog(clock), 7, p.endpoints[:]...)
+	fake, err := fakeserver.NewDiscovery("", clock, fakeserver.NewEventLog(clock), 7, p.endpoints[:]...)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(discovery.Close)
-	p.discovery = discovery
-	p.node = startNodeWith(t, zap.NewNop(), true, discovery.Addr(), func(s *settings.Settings) {
+	t.Cleanup(fake.Close)
+	p.discovery = fake
+	p.node = startNodeWith(t, zap.NewNop(), true, fake.Addr(), func(s *settings.Settings) {
 		s.PollList = false
 		s.DrainGrace = drainGrace
 	})
--- a/internal/proxy/invariants.go
+++ b/internal/proxy/invariants.go
@@ -6,16 +6,15 @@
 	"onyxstream/internal/invariant"
 )
 
-// The invariants of a client's connection are checked here, on what was done. Violations are reported to the node's
-// monitor.
+// This file checks the invariants of a client's connection against what was done for it, and reports violations to the
+// node's monitor.
 
-// answerRecord is the final answers that a client was given.
+// answerRecord records the final answers that a client was given.
 type answerRecord struct {
 	count   int
 	firstAt time.Time
 }
 
-// recordAnswer records a final answer.
 func (c *conn) recordAnswer(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -25,7 +24,8 @@
 	}
 }
 
-// recordDispatch counts a dispatch to a host, and checks that its client had not disconnected.
+// recordDispatch counts an opening line that was written to a host from began on, and checks that the client had not
+// disconnected before.
 func (c *conn) recordDispatch(hostID string, began time.Time) {
 	c.proxy.metrics.dispatches.Add(1)
 	c.mu.Lock()
@@ -37,8 +37,8 @@
 	}
 }
 
-// checkCompletion checks that a request had one final answer by its deadline. One that its client resumes at its
-// current host is exempt.
+// checkCompletion checks that a request got exactly one final answer by its deadline. A request that names its current
+// host, in order to resume its connection there, is exempt.
 func (c *conn) checkCompletion(deadline time.Time) {
 	if c.opening.CurrentHost != "" {
 		return
--- a/internal/proxy/metrics.go
+++ b/internal/proxy/metrics.go
@@ -7,20 +7,20 @@
 	"onyxstream/internal/wire"
 )
 
-// AnswerCounts counts the final answers to clients of one class.
-type AnswerCounts struct {
+// Replies counts the final answers to clients of one class.
+type Replies struct {
 	Class                    string
 	Success, Rejected, Error uint64
 }
 
-// answerCounters counts Replies. Each client is counted once, by countReply.
+// answerCounters are the counters behind Replies. countAnswer counts each client once.
 type answerCounters struct{ success, rejected, errored atomic.Uint64 }
 
-// metrics are counted from the start of the process. Any goroutine may read them.
+// metrics holds counters since the start of the process. It is safe for concurrent use.
 type metrics struct {
 	classes     []string
-	answers     map[string]*answerCounters // by class; the map never changes
-	dispatches  atomic.Uint64              // attempts whose opening line was written completely
+	answers     map[string]*answerCounters // by class; the map is never modified
+	dispatches  atomic.Uint64              // attempts whose opening line was completely written
 	openClients atomic.Int64               // admitted clients
 }
 
@@ -32,12 +32,12 @@
 	return m
 }
 
-// FinalAnswers returns the final answers of each class, in the order of the settings.
-func (p *Proxy) FinalAnswers() []AnswerCounts {
-	all := make([]AnswerCounts, 0, len(p.metrics.classes))
+// Replies returns the counts of final answers for each class, in the order of the settings.
+func (p *Proxy) Replies() []Replies {
+	all := make([]Replies, 0, len(p.metrics.classes))
 	for _, class := range p.metrics.classes {
 		counters := p.metrics.answers[class]
-		all = append(all, AnswerCounts{
+		all = append(all, Replies{
 			Class:    class,
 			Success:  counters.success.Load(),
 			Rejected: counters.rejected.Load(),
@@ -47,10 +47,10 @@
 	return all
 }
 
-// Dispatches returns how many opening lines were written to hosts.
+// Dispatches returns how many opening lines were completely written to hosts.
 func (p *Proxy) Dispatches() uint64 { return p.metrics.dispatches.Load() }
 
-// OpenClients returns how many clients are admitted.
+// OpenClients returns the number of admitted clients.
 func (p *Proxy) OpenClients() int64 { return p.metrics.openClients.Load() }
 
 // answerResult is the kind of a final answer.
@@ -62,7 +62,7 @@
 	errored
 )
 
-// countAnswer counts a client's first final answer.
+// countAnswer records a final answer, and counts it in the metrics if it is the client's first.
 func (c *conn) countAnswer(result answerResult) {
 	c.recordAnswer(time.Now())
 	counters := c.proxy.metrics.answers[c.opening.Class]
@@ -79,7 +79,7 @@
 	}
 }
 
-// countAnswerLine counts a final answer that is not a host's by its line.
+// countAnswerLine counts a final answer of this node by its line. It is not for the answers of hosts.
 func (c *conn) countAnswerLine(line string) {
 	if line == wire.Failure {
 		c.countAnswer(errored)
--- a/internal/proxy/opening.go
+++ b/internal/proxy/opening.go
@@ -94,7 +94,7 @@
 func (c *conn) rejectViolation(err error) {
 	c.proxy.log.Info(protocolViolationMessage, zap.Error(err))
 	c.countAnswer(errored)
-	c.answerAndClose(wire.Failure)
+	c.answer(wire.Failure)
 }
 
 // answerHealthCheck tells a front whether the node accepts clients, and waits for its next line.
@@ -133,7 +133,7 @@
 		r.openingStarted.Store(true) // ReadAvailable does not set it
 		return true
 	case expired && r.isShuttingDown() && len(r.in.Buffered()) > 0:
-		r.answerAndClose(r.proxy.rejection())
+		r.answer(r.proxy.rejection())
 	case expired:
 		r.lingerClose()
 	}
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -1,5 +1,6 @@
-// Package proxy accepts clients, connects each to a host that the node chooses, and relays between the two. The node
-// decides; this package owns the sockets, the descriptor budget and the goroutines of connections.
+// Package proxy accepts clients, connects each one to a host, and relays between the two. Package node decides which
+// host gets a request and how a request is answered; this package owns the sockets, the descriptor budget and the
+// goroutines of the connections.
 package proxy
 
 import (
@@ -22,36 +23,36 @@
 
 // Config is the configuration of a proxy.
 type Config struct {
-	MaxDescriptors      int           // that the process may hold
-	ConnectTimeout      time.Duration // of a dial to a host, 0 for none
-	AnswerSlack         time.Duration // after a client's deadline, before the proxy answers in place of the node
-	DefaultTimeout      time.Duration // of a client that names none
-	MaxRetryAfter       time.Duration // that clients follow; 0 if they follow none
-	Classes             []string      // that clients can name
-	ReservedDescriptors int           // of other parts of the process
+	MaxDescriptors      int           // limit on the descriptors of the process
+	ConnectTimeout      time.Duration // timeout of a dial to a host; 0 means no timeout
+	AnswerSlack         time.Duration // time from a request's deadline until the proxy answers in place of the node
+	DefaultTimeout      time.Duration // timeout of a request whose opening line names none
+	MaxRetryAfter       time.Duration // longest Retry-After that clients honor; 0 if they honor none
+	Classes             []string      // classes that an opening line may name
+	ReservedDescriptors int           // descriptors set aside for other parts of the process
 }
 
-// acceptBackoff is the pause after an accept that failed, as at the descriptor limit.
+// acceptBackoff is the pause after a failed accept, for example at the descriptor limit.
 const acceptBackoff = 20 * time.Millisecond
 
-// Proxy owns the connections of a node. Its methods may be called by any goroutine.
+// Proxy owns the connections of a node. Its methods are safe for concurrent use.
 type Proxy struct {
 	cfg     Config
 	log     *zap.Logger
 	node    *node.Node
 	metrics *metrics
-	pings   *healthcheck.Pinger // shares the descriptor budget and mu
+	pings   *healthcheck.Pinger // draws on the descriptor budget, under mu
 
 	mu         sync.Mutex
 	conns      map[*conn]struct{}
-	admitted   int           // clients that hold two descriptors
-	unadmitted *list.List    // of *conn: clients that hold one descriptor, by ascending lastActive
-	closed     bool          // it is shut down
-	shutdown   chan struct{} // closed with it: clients that wait get their final answer
+	admitted   int           // number of clients that hold two descriptors
+	unadmitted *list.List    // clients that hold one descriptor, as *conn in ascending order of lastActive
+	closed     bool          // set when the shutdown begins
+	shutdown   chan struct{} // closed when the shutdown begins: waiting clients then get their final answer
 	clients    sync.WaitGroup
 }
 
-// New returns a proxy. Attach must follow before Serve.
+// New returns a proxy. The caller must call Attach before Serve.
 func New(cfg Config, log *zap.Logger) *Proxy {
 	cfg.MaxDescriptors -= cfg.ReservedDescriptors
 	p := &Proxy{
@@ -66,21 +67,20 @@
 	return p
 }
 
-// Attach sets the node that decides.
+// Attach sets the node that decides on the proxy's requests.
 func (p *Proxy) Attach(n *node.Node) {
 	p.node = n
 	p.pings.Attach(n)
 }
 
-// Ping begins to ping a host, and reports false if it does not, for want of a descriptor or because the proxy is shut
-// down. It does not block.
+// Ping starts a ping of a host and does not block. It reports false if no descriptor is free or the proxy is shut down.
 func (p *Proxy) Ping(id balancer.ServerID, addr string) bool { return p.pings.Ping(id, addr) }
 
-// Listener is where clients come from.
+// Listener accepts clients.
 type Listener interface{ AcceptTCP() (*net.TCPConn, error) }
 
-// Listen opens a TCP listener without multipath TCP, which neither the front nor the hosts speak, and without
-// keep-alive.
+// Listen opens a TCP listener with keep-alive disabled, and with multipath TCP disabled because neither the front nor
+// the hosts support it.
 func Listen(ctx context.Context, addr string) (*net.TCPListener, error) {
 	var cfg net.ListenConfig
 	cfg.SetMultipathTCP(false)
@@ -92,8 +92,8 @@
 	return l.(*net.TCPListener), nil
 }
 
-// Serve accepts clients until the listener is closed or a deadline that was set on it passes. Other errors of an accept
-// are logged and retried.
+// Serve accepts clients until the listener is closed or its deadline passes. It logs any other accept error and
+// retries.
 func (p *Proxy) Serve(l Listener) error {
 	for {
 		client, err := l.AcceptTCP()
@@ -107,19 +107,19 @@
 		}
 		_ = client.SetNoDelay(true)
 		for !p.accept(client) {
-			// No client may be evicted yet: further ones wait in the listener's queue.
+			// No client may be evicted yet. Meanwhile new clients wait in the listener's accept queue.
 			time.Sleep(evictionGrace / 4)
 		}
 	}
 }
 
-// accept starts the goroutine of a client, and evicts another one if the descriptors of unadmitted clients are used up.
-// It reports false if none may be evicted yet.
+// accept starts the goroutine of a client. If the descriptors for unadmitted clients are used up, it first evicts one
+// of them, and reports false if none may be evicted yet.
 func (p *Proxy) accept(client *net.TCPConn) bool {
 	now := time.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.closed { // it may have sent its opening line already
+	if p.closed { // the client may have sent its opening line already
 		closeWithLine(client, p.rejection())
 		return true
 	}
@@ -149,14 +149,14 @@
 	}
 }
 
-// start runs a connection on a goroutine of its own, and forgets it as that ends. mu is held.
+// start runs a connection on its own goroutine, and removes the connection when run returns. The caller holds mu.
 func (p *Proxy) start(c *conn, run func()) {
 	p.conns[c] = struct{}{}
 	p.clients.Add(1)
 	go func() {
 		defer p.clients.Done()
 		defer p.forget(c)
-		defer logging.RecoverPanic(p.log, "connection panicked") // the client has had its answer by then
+		defer logging.RecoverPanic(p.log, "connection panicked") // run has answered the client by then
 		run()
 	}()
 }
@@ -168,15 +168,15 @@
 	p.release(c)
 }
 
-// defaultRetryAfter is the advice with a rejection that the node did not decide.
+// defaultRetryAfter is the Retry-After of a rejection that the proxy sends without a decision of the node.
 const defaultRetryAfter = time.Second
 
-// rejection is the reply to a client whose request was forwarded to no host and unknown to the node.
+// rejection returns the final answer for a request that no host received and that the node does not know.
 func (p *Proxy) rejection() string {
 	return wire.Rejection(min(defaultRetryAfter, p.cfg.MaxRetryAfter))
 }
 
-// PendingRequests returns how many clients were admitted and wait for their answer.
+// PendingRequests returns how many admitted clients wait for their final answer.
 func (p *Proxy) PendingRequests() (pending int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -188,8 +188,8 @@
 	return pending
 }
 
-// PendingOpenings returns how many clients have not sent a complete opening line, or have had their final answer and
-// not closed. A front that was answered a health check and has sent nothing since is not counted.
+// PendingOpenings returns how many clients have not sent a complete opening line, or have had their final answer but
+// not closed the connection. A front that has sent nothing since the response to its last health check is not counted.
 func (p *Proxy) PendingOpenings() (pending int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/proxy/quiesce.go
+++ b/internal/proxy/quiesce.go
@@ -14,11 +14,11 @@
 
 // EstablishedConn is a quiesced connection, as another process needs it to resume it.
 type EstablishedConn struct {
-	Line             string // the client's opening line
-	Host             string // the host's id
-	Client, HostConn *net.TCPConn
-	Partial          []byte  // the incomplete line that the host has sent
-	Load             float64 // of the host's last load report, 0 for none
+	Line         string // the client's opening line
+	Host         string // the host's id
+	Client, Peer *net.TCPConn
+	Partial      []byte  // the incomplete line that the host has sent
+	Load         float64 // of the host's last load report, 0 for none
 }
 
 const (
@@ -131,12 +131,12 @@
 
 func (q *quiescence) establishedConn() EstablishedConn {
 	return EstablishedConn{
-		Line:     q.conn.opening.Line(),
-		Host:     q.conn.hostID,
-		Client:   q.conn.client,
-		HostConn: q.host,
-		Partial:  q.partial,
-		Load:     q.load,
+		Line:    q.conn.opening.Line(),
+		Host:    q.conn.hostID,
+		Client:  q.conn.client,
+		Peer:    q.host,
+		Partial: q.partial,
+		Load:    q.load,
 	}
 }
 
--- a/internal/proxy/quiesce_test.go
+++ b/internal/proxy/quiesce_test.go
@@ -55,7 +55,7 @@
 			t.Errorf("handed off is %+v", handedOff)
 		}
 		handedOff.Client = duplicateSocket(t, handedOff.Client)
-		handedOff.HostConn = duplicateSocket(t, handedOff.HostConn)
+		handedOff.Peer = duplicateSocket(t, handedOff.Peer)
 		if err := next.proxy.Adopt(handedOff); err != nil {
 			t.Fatal(err)
 		}
@@ -75,9 +75,9 @@
 	expectLine(t, in, "half a line\r\n")
 	_, _ = io.WriteString(c, "M 1\r\n")
 	expectLine(t, in, "M 1\r\n")
-	if next.node.EstablishedConnections() != 1 || next.proxy.OpenClients() != 1 || next.proxy.FinalAnswers()[0].Success != 0 {
+	if next.node.EstablishedConnections() != 1 || next.proxy.OpenClients() != 1 || next.proxy.Replies()[0].Success != 0 {
 		t.Errorf("the new process has %d established, %d open, %+v",
-			next.node.EstablishedConnections(), next.proxy.OpenClients(), next.proxy.FinalAnswers())
+			next.node.EstablishedConnections(), next.proxy.OpenClients(), next.proxy.Replies())
 	}
 	next.node.MigrateAll(time.Now())
 	expectLine(t, in, "MOVE\r\n")
@@ -130,11 +130,11 @@
 	}
 	client, peer := pair()
 	for _, line := range []string{"", "PING", "OPEN"} {
-		if err := r.proxy.Adopt(EstablishedConn{Line: line, Client: client, HostConn: peer}); err == nil {
+		if err := r.proxy.Adopt(EstablishedConn{Line: line, Client: client, Peer: peer}); err == nil {
 			t.Errorf("%q is adopted", line)
 		}
 	}
-	if err := r.proxy.Adopt(EstablishedConn{Line: "OPEN a key c=chat", Host: "h0", Client: client, HostConn: peer}); err != nil {
+	if err := r.proxy.Adopt(EstablishedConn{Line: "OPEN a key c=chat", Host: "h0", Client: client, Peer: peer}); err != nil {
 		t.Error(err)
 	}
 	netiotest.Eventually(t, "the second connection ends", func() bool { return r.proxy.OpenClients() == 1 })
@@ -148,7 +148,7 @@
 	r.stop()
 	client, accepted := connect(t)
 	host, peer := connect(t)
-	err := r.proxy.Adopt(EstablishedConn{Line: openRequest, Host: "h0", Client: accepted, HostConn: peer})
+	err := r.proxy.Adopt(EstablishedConn{Line: openRequest, Host: "h0", Client: accepted, Peer: peer})
 	if err == nil {
 		t.Fatal("it was adopted after the shutdown")
 	}
--- a/internal/proxy/relay.go
+++ b/internal/proxy/relay.go
@@ -143,7 +143,7 @@
 	switch {
 	case migrating && !clientLeft && !r.clientBlocked && r.lines.AtLineBoundary() && !hostClosed:
 		r.stopReading()
-		r.answerAndClose(wire.Migration)
+		r.answer(wire.Migration)
 	case hostClosed:
 		_, _ = netio.WriteAll(r.client, r.lines.Buffered()) // a last line without its end
 		r.stopReading()
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -50,14 +50,14 @@
 // execute executes a command of the node.
 func (c *conn) execute(d decision, state *requestState, deadline time.Time) {
 	if d.attempt == nil {
-		state.answer()
+		state.answerStarted()
 		c.proxy.log.Debug("request answered by the node",
 			zap.String("request", c.opening.ID),
-			zap.String("reply", strings.TrimSpace(d.finalAnswer)),
+			zap.String("reply", strings.TrimSpace(d.answer)),
 			zap.Int("attempts", state.attempts),
 			zap.Duration("remaining", time.Until(deadline)))
-		c.countAnswerLine(d.finalAnswer)
-		c.answerAndClose(d.finalAnswer)
+		c.countAnswerLine(d.answer)
+		c.answer(d.answer)
 		return
 	}
 	target := *d.attempt
@@ -98,7 +98,7 @@
 	switch {
 	case state.isOpen() || violated:
 		c.countAnswerLine(state.fallback)
-		c.answerAndClose(state.fallback)
+		c.answer(state.fallback)
 	case c.halfClosed.Load() && unanswered: // it has closed its side and may still read
 		c.writeAnswer(wire.Failure)
 	}
--- a/internal/proxy/requeststate.go
+++ b/internal/proxy/requeststate.go
@@ -41,8 +41,8 @@
 	}
 }
 
-// answer records that the node's final answer is being written.
-func (s *requestState) answer() { s.phase = answered }
+// answerStarted records that the node's final answerStarted is being written.
+func (s *requestState) answerStarted() { s.phase = answered }
 
 // conclude records that the client needs no answer of this node.
 func (s *requestState) conclude() { s.phase = concluded }
--- a/internal/proxy/requeststate_test.go
+++ b/internal/proxy/requeststate_test.go
@@ -24,7 +24,7 @@
 			s.attemptStarted(0)
 			s.attemptReported(true)
 		}, concluded, false, 1},
-		{"answered", func(s *requestState) { s.answer() }, answered, false, 0},
+		{"answered", func(s *requestState) { s.answerStarted() }, answered, false, 0},
 		{"client disconnected", func(s *requestState) { s.conclude() }, concluded, false, 0},
 	} {
 		state := newRequestState()
--- a/internal/proxy/teardown.go
+++ b/internal/proxy/teardown.go
@@ -26,8 +26,8 @@
 	closeWriteTimeout = 20 * time.Millisecond
 )
 
-// answerAndClose writes the client's final answer and closes the connection.
-func (c *conn) answerAndClose(line string) {
+// answer writes the client's final answer and closes the connection.
+func (c *conn) answer(line string) {
 	c.writeAnswer(line)
 	c.lingerClose()
 }
