--- a/internal/ctxtime/sleep.go
+++ b/internal/ctxtime/sleep.go
@@ -1,4 +1,4 @@
-// Package ctxtime has waits that end with a context.
+// Package ctxtime provides waits that a context can end.
 package ctxtime
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Sleep waits for d, and reports false if ctx ended first.
+// Sleep waits for d. It reports false if ctx ended first.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/ctxtime/sleep_test.go
+++ b/internal/ctxtime/sleep_test.go
@@ -13,10 +13,10 @@
 		defer cancel()
 		start := time.Now()
 		if !Sleep(ctx, 2*time.Second) || time.Since(start) != 2*time.Second {
-			t.Errorf("it ended after %v", time.Since(start))
+			t.Errorf("Sleep: ended after %v, want true after 2s", time.Since(start))
 		}
 		if Sleep(ctx, 2*time.Second) || time.Since(start) != 3*time.Second {
-			t.Errorf("with its context it ended after %v", time.Since(start))
+			t.Errorf("Sleep with an ended context: ended after %v, want false after 3s", time.Since(start))
 		}
 	})
 }
--- a/internal/netio/available.go
+++ b/internal/netio/available.go
@@ -10,9 +10,9 @@
 	"onyxstream/internal/syserr"
 )
 
-// ReadAvailable reads what a connection has received already, whatever its deadlines are, and never blocks. It
-// returns 0 and no error if nothing has been received, and io.EOF if the peer has closed its side. Beside a blocking
-// read on the same connection either of the two gets the bytes.
+// ReadAvailable reads what a connection has already received. It ignores the connection's deadlines and never blocks.
+// It returns 0 and no error if nothing has been received, and io.EOF if the remote side is closed. If another goroutine
+// is blocked in a read on the same connection, either of the two gets the bytes.
 func ReadAvailable(c *net.TCPConn, into []byte) (n int, err error) {
 	raw, err := c.SyscallConn()
 	if err != nil {
@@ -25,7 +25,7 @@
 	return n, err
 }
 
-// ReadAvailableFD is ReadAvailable on a descriptor in non-blocking mode.
+// ReadAvailableFD is ReadAvailable for a descriptor, which must be in non-blocking mode.
 func ReadAvailableFD(fd uintptr, into []byte) (n int, err error) {
 	for retries := 0; ; {
 		n, err = unix.Read(int(fd), into)
--- a/internal/netio/netio.go
+++ b/internal/netio/netio.go
@@ -1,6 +1,5 @@
-// Package netio reads and writes TCP connections where the standard library leaves a decision to its caller: it
-// retries calls that fail for want of memory, reads what has been received without blocking, and classifies the
-// errors that end a connection.
+// Package netio adds to the standard library's reads and writes of TCP connections: it retries calls that fail because
+// the system lacks memory, reads received bytes without blocking, and classifies the errors that end a connection.
 package netio
 
 import (
@@ -12,17 +11,17 @@
 	"time"
 )
 
-// Expired is a deadline in the past: a connection on which it is set wakes a blocked read or write at once.
+// Expired is a deadline in the past. Setting it on a connection wakes blocked reads or writes at once.
 var Expired = time.Unix(1, 0)
 
-// IsDeadlineExceeded reports whether a deadline that this process set has passed. The system's ETIMEDOUT, a broken
-// connection, also implements Timeout and is not one.
+// IsDeadlineExceeded reports whether err says that a deadline which this process set has passed. ETIMEDOUT is not such
+// an error, although its Timeout method returns true: it means that the connection broke.
 func IsDeadlineExceeded(err error) bool {
 	return errors.Is(err, os.ErrDeadlineExceeded) || errors.Is(err, context.DeadlineExceeded)
 }
 
-// IsReset reports whether err says that the connection broke, by whatever error of the system. A peer that closed its
-// side, a close by this process and a passed deadline are none.
+// IsReset reports whether err is any system error that means that the connection broke. It is false if the remote side
+// was closed, if this process closed the connection, or if a deadline has passed.
 func IsReset(err error) bool {
 	return err != nil && !errors.Is(err, io.EOF) && !errors.Is(err, net.ErrClosed) && !IsDeadlineExceeded(err)
 }
--- a/internal/netio/netio_test.go
+++ b/internal/netio/netio_test.go
@@ -8,13 +8,14 @@
 	"testing"
 )
 
-// failedRead is a read that failed as the system reports it.
+// failedRead returns the error of a read that failed with errno.
 func failedRead(errno syscall.Errno) error {
 	return &net.OpError{Op: "read", Net: "tcp", Err: os.NewSyscallError("read", errno)}
 }
 
-// A broken connection shows by many errors of the system. ETIMEDOUT is one of them and no deadline of this process:
-// such a connection must not be read again. The close of the peer's side alone is no break.
+// Many system errors mean that a connection broke. ETIMEDOUT is one of them, and not a passed deadline of this process,
+// so such a connection must not be read again. A close of the remote side alone does not mean that the connection
+// broke.
 func TestConnectionError_EachKind_Classified(t *testing.T) {
 	deadline := &net.OpError{Op: "read", Net: "tcp", Err: os.ErrDeadlineExceeded}
 	for _, c := range []struct {
--- a/internal/netio/netiotest/netiotest.go
+++ b/internal/netio/netiotest/netiotest.go
@@ -1,4 +1,4 @@
-// Package netiotest has the peers and connections that tests of network code need.
+// Package netiotest provides servers and connections for tests of network code.
 package netiotest
 
 import (
@@ -10,13 +10,13 @@
 )
 
 const (
-	connTimeout   = 20 * time.Second // of a test's side of a connection
+	connTimeout   = 20 * time.Second // deadline of the client's side of a connection
 	eventualLimit = 20 * time.Second
 	pollInterval  = 5 * time.Millisecond
 )
 
-// Serve starts a server that gives each connection to serve, on a goroutine of its own, and closes it behind that. It
-// returns its address. The server accepts until the test ends.
+// Serve starts a server that accepts connections until the test ends, and returns its address. It calls serve for each
+// connection on a new goroutine, and closes the connection when serve returns.
 func Serve(t *testing.T, serve func(*net.TCPConn)) (addr string) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -39,7 +39,7 @@
 	return listener.Addr().String()
 }
 
-// RefusedAddr returns an address at which nothing listens.
+// RefusedAddr returns an address at which connections are refused, because nothing listens there.
 func RefusedAddr(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -50,8 +50,8 @@
 	return listener.Addr().String()
 }
 
-// Connect returns both sides of a connection that a listener accepted, and closes the listener. Both sides are closed
-// as the test ends.
+// Connect dials a listener, returns both sides of the connection and closes the listener. Both sides are closed when
+// the test ends.
 func Connect(t *testing.T, listener *net.TCPListener) (client, server *net.TCPConn) {
 	t.Helper()
 	defer listener.Close()
@@ -68,17 +68,18 @@
 	return client, server
 }
 
-// Eventually waits until a condition holds, and fails the test if it does not in time.
+// Eventually waits until a condition holds, and fails the test if it does not hold within eventualLimit. what describes
+// the condition.
 func Eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	for start := time.Now(); !condition(); time.Sleep(pollInterval) {
 		if time.Since(start) > eventualLimit {
-			t.Fatalf("never: %s", what)
+			t.Fatalf("condition not met in time: %s", what)
 		}
 	}
 }
 
-// UnreadBytes returns how many bytes a connection has received that were not read.
+// UnreadBytes returns how many received bytes of a connection are unread.
 func UnreadBytes(t *testing.T, c *net.TCPConn) (n int) {
 	t.Helper()
 	raw, err := c.SyscallConn()
--- a/internal/netio/retry.go
+++ b/internal/netio/retry.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	// lowMemoryBackoff is the pause before a call that failed for want of memory is retried.
+	// lowMemoryBackoff is the pause before the retry of a call that failed because the system lacked memory.
 	lowMemoryBackoff = time.Millisecond
 	// lowMemoryRetryWindow bounds how long such a call is retried.
 	lowMemoryRetryWindow = time.Second
@@ -16,8 +16,8 @@
 	maxImmediateRetries = 8
 )
 
-// RetryLowMemory calls call until it succeeds, fails for another reason than want of memory in the system, or has
-// failed so for a second. It returns the error of the last call. Such a failure says nothing of the connection.
+// RetryLowMemory retries call while it fails because the system lacks memory, for at most lowMemoryRetryWindow (1 s),
+// and returns the error of the last call. Lack of memory says nothing about the connection.
 func RetryLowMemory(call func() error) error {
 	var firstFailure time.Time
 	for {
@@ -35,8 +35,7 @@
 	}
 }
 
-// Read reads from a connection as its own Read does, and retries while the system lacks memory. Deadlines that are set
-// on the connection hold.
+// Read calls c.Read, and retries while the system lacks memory. Deadlines of the connection apply.
 func Read(c net.Conn, into []byte) (n int, err error) {
 	err = RetryLowMemory(func() error {
 		n, err = c.Read(into)
@@ -48,8 +47,8 @@
 	return n, err
 }
 
-// WriteAll writes all of data to a connection, and retries while the system lacks memory. It returns how many bytes
-// were written.
+// WriteAll writes all of data to a connection, and retries while the system lacks memory. It returns the number of
+// bytes written.
 func WriteAll(c net.Conn, data []byte) (n int, err error) {
 	err = RetryLowMemory(func() error {
 		written, err := c.Write(data[n:])
--- a/internal/proxy/opening.go
+++ b/internal/proxy/opening.go
@@ -13,32 +13,33 @@
 )
 
 const (
-	// openingTimeout is how long a client has for its opening line, from its start or its last health check. Bytes that
-	// trickle in do not extend it: they would hold the descriptor for ever.
+	// openingTimeout is how long a client has for its opening line, from the accept or its last health check. Received
+	// bytes do not extend it: otherwise a client that sends a byte now and then would hold its descriptor forever.
 	openingTimeout = 2 * time.Second
-	// maxRapidHealthChecks is how many health checks of one connection may arrive within evictionGrace of the one
-	// before, or together with further bytes.
+	// maxRapidHealthChecks is how many health checks of one connection may arrive within evictionGrace after the
+	// previous one, or together with further bytes.
 	maxRapidHealthChecks = 4
 )
 
 var (
 	errUnknownClass      = errors.New("class or tenant is not configured")
 	errRapidHealthChecks = errors.New("too many health checks in a row")
-	// errEarlyData is the violation of a client that does not wait for the answer to its opening line. Only a mid-flow
-	// client may send more.
+	// errEarlyData is the protocol violation of a client that sends data before the connection is established. Only a
+	// mid-flow client may do so.
 	errEarlyData = errors.New("data before the connection was established")
 )
 
-// openingReader reads a client's opening line, and answers the health checks before it.
+// openingReader reads a client's opening line, and responds to the health checks that precede it.
 type openingReader struct {
 	*conn
 	in           *wire.LineBuffer
-	timedOut     bool // what had been received by the timeout was read
+	timedOut     bool // the deadline has passed, and what had been received by then was read
 	healthChecks healthCheckRate
 }
 
-// readOpening reads the opening line into opening, and reports false if the connection has ended instead: by a
-// protocol violation, the timeout or the client. A front may keep its connection and repeat its health checks.
+// readOpening reads the opening line into c.opening. It reports false if the connection has ended instead: by a
+// protocol violation, by the timeout, by a shutdown or by the client. A front may keep its connection and repeat its
+// health checks.
 func (c *conn) readOpening(in *wire.LineBuffer) bool {
 	r := openingReader{conn: c, in: in}
 	r.setOpeningDeadline(r.lastActive.Add(openingTimeout))
@@ -72,7 +73,7 @@
 	return true
 }
 
-// parse parses a line into opening, and checks it.
+// parse parses a line into r.opening, and checks it.
 func (r *openingReader) parse(line []byte) (wire.OpeningKind, error) {
 	kind, opening, err := wire.ParseOpening(line)
 	r.opening = opening
@@ -90,14 +91,15 @@
 	return kind, nil
 }
 
-// rejectViolation replies to a client whose opening line breaks the protocol.
+// rejectViolation fails the request of a client whose opening line violates the protocol.
 func (c *conn) rejectViolation(err error) {
 	c.proxy.log.Info(protocolViolationMessage, zap.Error(err))
 	c.countAnswer(errored)
 	c.answer(wire.Failure)
 }
 
-// answerHealthCheck tells a front whether the node accepts clients, and waits for its next line.
+// answerHealthCheck tells a front whether the node accepts clients, and restarts the timeout for its next line. It
+// reports false if the connection has ended.
 func (r *openingReader) answerHealthCheck() bool {
 	reply := wire.Pong
 	if r.proxy.node.IsDraining() {
@@ -115,9 +117,10 @@
 	return true
 }
 
-// receive reads more of the opening line, and reports false if the connection has ended. On the timeout or a shutdown
-// what has been received by then is read once more: a close over a request that has just arrived would lose it
-// without a reply. With an incomplete line a shutdown rejects the client; everyone else is closed without a reply.
+// receive reads more of the opening line. It reports false if the connection has ended. On the timeout or a shutdown it
+// reads once more what has been received by then: a close would lose a request that has just arrived, without an
+// answer. On a shutdown it rejects a client whose line is incomplete. In all other cases it closes the connection
+// without an answer.
 func (r *openingReader) receive() bool {
 	r.openingRead.Store(true)
 	n, err := r.awaitBytes(r.in.Space())
@@ -140,7 +143,7 @@
 	return false
 }
 
-// awaitBytes waits for bytes of the opening line.
+// awaitBytes waits until bytes of the opening line arrive, and reads them.
 func (c *conn) awaitBytes(into []byte) (n int, err error) {
 	raw, err := c.client.SyscallConn()
 	if err != nil {
@@ -153,8 +156,8 @@
 	return n, err
 }
 
-// readUnlessEvicted waits for bytes. The read and the record that bytes were received are one step under mu: whoever
-// evicts the connection, see stopReadingOpening, either finds the bytes unread or knows of them.
+// readUnlessEvicted waits until bytes arrive, and reads them. It holds mu while it reads bytes and records that they
+// were received, so that stopReadingOpening, which an eviction calls, either finds the bytes unread or sees the record.
 func (c *conn) readUnlessEvicted(raw syscall.RawConn, into []byte) (n int, err error) {
 	waitErr := raw.Read(func(fd uintptr) bool {
 		c.mu.Lock()
@@ -175,7 +178,7 @@
 	return n, err
 }
 
-// stopReadingOpening ends the reading of the opening line, and reports whether any of it was received.
+// stopReadingOpening stops the reading of the opening line, and reports whether any part of the line was received.
 func (c *conn) stopReadingOpening() (started bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -186,7 +189,7 @@
 	return n > 0 || c.openingStarted.Load()
 }
 
-// setOpeningDeadline sets until when the opening line may arrive; a shutdown ends the wait at once.
+// setOpeningDeadline sets the deadline for the opening line. During a shutdown the deadline has passed already.
 func (c *conn) setOpeningDeadline(deadline time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -202,8 +205,8 @@
 	last  time.Time
 }
 
-// count counts a health check, and returns an error if there were too many rapid ones. moreBytes says that it came
-// together with further bytes.
+// count counts a health check, and returns an error if there were too many rapid ones. moreBytes tells whether further
+// bytes arrived together with the health check.
 func (r *healthCheckRate) count(now time.Time, moreBytes bool) error {
 	if moreBytes || now.Sub(r.last) < evictionGrace {
 		r.rapid++
--- a/internal/proxy/quiesce.go
+++ b/internal/proxy/quiesce.go
@@ -8,29 +8,30 @@
 	"onyxstream/internal/netio"
 )
 
-// The hand-off of established connections to the node's next process during a hot restart, on this process's side: a
-// connection is quiesced between two lines, and then either handed off or resumed. Package hotrestart passes the
-// sockets.
+// This file quiesces established connections so that a hot restart can hand them off to the node's next process: both
+// goroutines of the connection stop between two lines of the client, and then the connection is either handed off or
+// resumed here. Package hotrestart passes the sockets.
 
-// EstablishedConn is a quiesced connection, as another process needs it to resume it.
+// EstablishedConn is a quiesced connection, with all that another process needs to resume it.
 type EstablishedConn struct {
-	Line         string // the client's opening line
-	Host         string // the host's id
-	Client, Peer *net.TCPConn
-	Partial      []byte  // the incomplete line that the host has sent
-	Load         float64 // of the host's last load report, 0 for none
+	Line         string       // the client's opening line
+	Host         string       // the host's id
+	Client, Peer *net.TCPConn // the connections to the client and to the host
+	Partial      []byte       // the incomplete line that the host has sent
+	Load         float64      // load in the host's last load report; 0 if there was none
 }
 
 const (
-	// quiesceTimeout bounds the wait for connections to stop. One whose client or host does not read is not handed off.
+	// quiesceTimeout bounds the wait for connections to stop. A connection whose client or host does not read is not
+	// handed off.
 	quiesceTimeout = 50 * time.Millisecond
-	// maxFailedHandOffs bounds how often a connection that was not handed off is quiesced again: each time delays its
-	// messages.
+	// maxFailedHandOffs bounds how often a connection is quiesced without being handed off, because quiescing delays
+	// its messages.
 	maxFailedHandOffs = 8
 )
 
-// quiescence is the state of a connection that is being quiesced. Both its goroutines wait until the hand-off is
-// decided.
+// quiescence is the state of a connection that is being quiesced. Both goroutines of the connection wait until decided
+// is closed.
 type quiescence struct {
 	conn          *conn
 	host          *net.TCPConn
@@ -41,13 +42,13 @@
 
 	// The relay sets these before it closes hostStopped.
 	partial []byte
-	midLine bool // the client has had a part of a line
+	midLine bool // the client has received part of a line, or the connection is about to end
 	load    float64
 }
 
-// Quiesce quiesces up to n established connections. It returns those that stopped in time, and for each a function
-// that ends the wait: with true another process has the connection, with false it is resumed here. Each must be
-// called, as the clients wait.
+// Quiesce quiesces up to n established connections. It returns those that stopped in time, and for each of them a
+// function that ends its wait: true means that another process has the connection, false that it is resumed here. The
+// caller must call every function, because the clients wait.
 func (p *Proxy) Quiesce(n int) (conns []EstablishedConn, decide []func(handedOff bool)) {
 	pending := p.beginQuiesce(n)
 	timeout := time.NewTimer(quiesceTimeout)
@@ -65,7 +66,7 @@
 	return conns, decide
 }
 
-// beginQuiesce begins to quiesce up to n connections.
+// beginQuiesce begins to quiesce up to n established connections.
 func (p *Proxy) beginQuiesce(n int) (pending []*quiescence) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -80,8 +81,8 @@
 	return pending
 }
 
-// beginQuiesce begins to quiesce a connection. It returns nil if the connection is not established, is closing, or has
-// failed to be handed off too often.
+// beginQuiesce begins to quiesce a connection. It returns nil if the connection is not established, is quiesced
+// already, is closing, or has reached maxFailedHandOffs.
 func (c *conn) beginQuiesce() *quiescence {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -100,7 +101,7 @@
 	return c.quiescing
 }
 
-// isClosing reports whether the connection is on its way to its end. mu is held.
+// isClosing reports whether the connection is about to end. The caller holds mu.
 func (c *conn) isClosing() bool {
 	return c.aborted || c.readingStopped || c.migrating.Load() || c.clientClosed.Load() || c.clientReset.Load()
 }
@@ -140,13 +141,13 @@
 	}
 }
 
-// decide ends the wait of both goroutines: the connection was handed off, or is resumed here.
+// decide ends the wait of both goroutines. The connection was handed off, or is resumed here.
 func (q *quiescence) decide(handedOff bool) {
 	q.conn.mu.Lock()
 	q.handedOff = handedOff
 	q.conn.quiescing = nil
 	if handedOff {
-		q.conn.readingStopped = true // not to be quiesced again while it ends here
+		q.conn.readingStopped = true // prevents another quiesce while the connection ends here
 	} else {
 		q.conn.failedHandOffs++
 	}
@@ -154,17 +155,17 @@
 	close(q.decided)
 }
 
-// readerAction is what a goroutine does after a read that timed out.
+// readerAction tells a goroutine what to do after its read timed out.
 type readerAction uint8
 
 const (
 	keepReading   readerAction = iota // the connection was not handed off
-	stopClosing                       // it is closing
-	stopHandedOff                     // another process has it
+	stopClosing                       // the connection is closing
+	stopHandedOff                     // another process has the connection
 )
 
-// awaitHandOff waits until the hand-off of a quiescing connection is decided. Each of its goroutines calls it after a
-// read of its side that timed out. stopped records in the quiescence that this goroutine has stopped.
+// awaitHandOff waits until the hand-off of a quiescing connection is decided. Each goroutine of the connection calls it
+// after a read from its side timed out. stopped records in the quiescence that the goroutine has stopped.
 func (c *conn) awaitHandOff(side *net.TCPConn, stopped func(*quiescence)) readerAction {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -184,12 +185,12 @@
 		if q.handedOff {
 			return stopHandedOff
 		}
-		// It may be quiescing again already.
+		// The connection may be quiescing again already.
 	}
 }
 
-// releaseHandedOff ends this process's part of a connection that another one has. The sockets are closed here and stay
-// open there, so nothing may be written to them or set on them.
+// releaseHandedOff ends a connection in this process that another process has. The sockets are closed here but stay
+// open in the other process, so nothing may be written to them and no option of theirs may be set.
 func (c *conn) releaseHandedOff(host *net.TCPConn, attempt int, start time.Time) {
 	_ = host.Close()
 	c.proxy.node.AttemptEnded(c.requestID, c, attempt, time.Since(start), balancer.Cancelled)
--- a/internal/proxy/relay.go
+++ b/internal/proxy/relay.go
@@ -13,19 +13,19 @@
 	"onyxstream/internal/wire"
 )
 
-// relay copies from the host to the client, a complete line at a time where it can.
+// relay copies from the host to the client, in complete lines where possible.
 type relay struct {
 	*conn
 	host    *net.TCPConn
 	lines   wire.Relay
-	attempt int // that established the connection
+	attempt int // number of the attempt that established the connection
 	start   time.Time
-	// clientBlocked says that the last write to the client failed.
+	// clientBlocked tells that the last write to the client failed.
 	clientBlocked bool
 }
 
-// relay copies from the host to the client until one side ends, and then ends the other alike. buffered holds what the
-// host has sent already, behind establishedLine.
+// relay copies from the host to the client until one side ends, and then ends the other side in the same way. buffered
+// holds what the host has already sent after establishedLine.
 func (c *conn) relay(
 	host *net.TCPConn, buffered *wire.LineBuffer, establishedLine []byte, attempt int, start time.Time,
 ) {
@@ -62,8 +62,8 @@
 	r.close(err)
 }
 
-// writeLines writes the complete lines to the client, and records the responses and load reports among them. It reports
-// false if there are none.
+// writeLines writes the complete lines in the buffer to the client, and records the responses and load reports among
+// them. It reports false if there was nothing to write.
 func (r *relay) writeLines() (written bool, err error) {
 	chunk, stats := r.lines.CompleteLines()
 	if stats.Responses > 0 {
@@ -85,7 +85,7 @@
 	return err
 }
 
-// readHost reads more from the host.
+// readHost reads more bytes from the host.
 func (r *relay) readHost() error {
 	n, err := netio.Read(r.host, r.lines.Space())
 	r.lines.Advance(n)
@@ -95,7 +95,7 @@
 	return err
 }
 
-// recordStopped records that the relay has stopped for a hand-off, and where.
+// recordStopped records that the relay has stopped for a hand-off, and at which point of the host's lines.
 func (r *relay) recordStopped(q *quiescence) {
 	q.partial = append([]byte(nil), r.lines.Buffered()...)
 	q.midLine = !r.lines.AtLineBoundary() || r.lines.Ending()
@@ -103,9 +103,9 @@
 	close(q.hostStopped)
 }
 
-// close closes both sides after the relay has ended with an error, and notifies the node.
+// close closes both sides after the relay ended with err, and notifies the node.
 func (r *relay) close(err error) {
-	// As the relay ended: what changes from now on is too late.
+	// The state when the relay ended decides; later changes are ignored.
 	clientLeft := r.clientClosed.Load() || r.clientReset.Load()
 	migrating := r.migrating.Load()
 	outcome := r.outcome(clientLeft, migrating)
@@ -126,7 +126,7 @@
 	r.closeClient(err, clientLeft, migrating)
 }
 
-// outcome returns what the end of the connection says of its host.
+// outcome returns the outcome of the connection that the node records for the host.
 func (r *relay) outcome(clientLeft, migrating bool) balancer.Outcome {
 	switch {
 	case r.lines.Last() == wire.ResponseClosed:
@@ -137,7 +137,7 @@
 	return balancer.ConnectionReset
 }
 
-// closeClient closes the client's side in the way that the host's side ended.
+// closeClient closes the client's side in the way in which the host's side ended.
 func (r *relay) closeClient(err error, clientLeft, migrating bool) {
 	hostClosed := errors.Is(err, io.EOF)
 	switch {
@@ -145,7 +145,7 @@
 		r.stopReading()
 		r.answer(wire.Migration)
 	case hostClosed:
-		_, _ = netio.WriteAll(r.client, r.lines.Buffered()) // a last line without its end
+		_, _ = netio.WriteAll(r.client, r.lines.Buffered()) // a last line without its line end
 		r.stopReading()
 		r.lingerClose()
 	case clientLeft:
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -13,9 +13,9 @@
 	"onyxstream/internal/wire"
 )
 
-// serveRequest executes what the node decides for a request until the client has its answer or, if a host establishes
-// the connection, until that has ended. A request that the node does not answer in time gets a reply of the proxy's
-// own.
+// serveRequest executes the node's decisions for a request until the client has its final answer or, if a host
+// establishes the connection, until the connection has ended. If the node does not answer the request in time, the
+// proxy does.
 func (c *conn) serveRequest(deadline time.Time) {
 	state := newRequestState()
 	defer c.finishRequest(&state)
@@ -32,14 +32,14 @@
 			state.conclude()
 			c.proxy.node.ClientDisconnected(c.requestID, c, state.attempts)
 		case <-c.proxy.shutdown:
-			// The node has replied to all requests that it knew of before.
-			c.proxy.log.Info("shutting down, replying to in-flight request", zap.String("request", c.opening.ID))
-			if state.attempts == 0 { // it was forwarded nowhere, and will not be
+			// The node has already answered every request that it knew of.
+			c.proxy.log.Info("shutting down, answering in-flight request", zap.String("request", c.opening.ID))
+			if state.attempts == 0 { // the request was not forwarded, and will not be
 				state.fallback = c.proxy.rejection()
 			}
 			return
 		case <-backstop.C:
-			c.proxy.log.Info("request deadline exceeded without a reply from the node", zap.String("request", c.opening.ID))
+			c.proxy.log.Info("request deadline exceeded without an answer from the node", zap.String("request", c.opening.ID))
 			return
 		case d := <-c.decisions:
 			c.execute(d, &state, deadline)
@@ -47,7 +47,7 @@
 	}
 }
 
-// execute executes a command of the node.
+// execute executes a decision of the node.
 func (c *conn) execute(d decision, state *requestState, deadline time.Time) {
 	if d.attempt == nil {
 		state.answerStarted()
@@ -62,13 +62,13 @@
 	}
 	target := *d.attempt
 	state.attemptStarted(target.Number)
-	// The backstop does not fire while the attempt is in flight, so the attempt must end by its time.
+	// serveRequest does not see its backstop timer while the attempt is in flight, so the attempt must end by then.
 	target.Timeout = min(target.Timeout, time.Until(deadline)+c.proxy.cfg.AnswerSlack)
 	state.attemptReported(c.attemptHost(target))
 }
 
-// finishRequest ends a request in whatever state it is, a panic included: it notifies the node of what that still waits
-// for, and replies to a client without an answer. It must be deferred directly.
+// finishRequest ends a request in any state, also after a panic: it notifies the node of the events that the node still
+// waits for, and answers a client that has no final answer. It must be deferred directly.
 func (c *conn) finishRequest(state *requestState) {
 	panicked := recover()
 	unreportedAttempt := state.phase == attempting
@@ -88,7 +88,8 @@
 	c.answerIfUnanswered(state)
 }
 
-// answerIfUnanswered replies to a client that the node has not answered, if it may read a reply.
+// answerIfUnanswered sends a final answer to a client that has none, unless the client has disconnected. A client that
+// violated the protocol or closed only its own side may still read one.
 func (c *conn) answerIfUnanswered(state *requestState) {
 	unanswered := state.phase != answered
 	violated := c.hasViolatedProtocol() && unanswered
@@ -99,13 +100,13 @@
 	case state.isOpen() || violated:
 		c.countAnswerLine(state.fallback)
 		c.answer(state.fallback)
-	case c.halfClosed.Load() && unanswered: // it has closed its side and may still read
+	case c.halfClosed.Load() && unanswered: // the client may still read
 		c.writeAnswer(wire.Failure)
 	}
 }
 
-// resetEstablished resets both sides of an established connection, where a reply would stand among the host's lines. It
-// reports false if the connection is not established.
+// resetEstablished resets both sides of an established connection, because a final answer of this node would be mixed
+// with the host's lines. It reports false if the connection is not established.
 func (c *conn) resetEstablished() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -123,7 +124,7 @@
 	return c.violatedProtocol
 }
 
-// Log messages that more than one place needs, tests included.
+// Log messages that are used in more than one place, or in tests.
 const (
 	attemptFailedMessage     = "attempt failed"
 	connectionClosedMessage  = "connection closed"
@@ -131,8 +132,9 @@
 	protocolViolationMessage = "protocol violation in opening line"
 )
 
-// attemptHost makes one attempt and, if it establishes the connection, relays until that ends. It notifies the node,
-// and reports whether the client needs no further attempt: a host has answered it, or it has disconnected.
+// attemptHost makes one attempt and, if it establishes the connection, relays until the connection ends. It notifies
+// the node, and reports whether the client needs no further attempt because a host has established its connection or
+// the client has disconnected.
 func (c *conn) attemptHost(target node.Attempt) (isConcluded bool) {
 	start := time.Now()
 	var in wire.LineBuffer
@@ -156,7 +158,7 @@
 		zap.Duration("took", took),
 		zap.Error(failure))
 	isConcluded = c.isDisconnected()
-	if isConcluded { // first, so that the node makes no further attempt for a client that has disconnected
+	if isConcluded { // before AttemptEnded, so that the node makes no further attempt for this client
 		c.proxy.node.ClientDisconnected(c.requestID, c, target.Number+1)
 	}
 	c.proxy.node.AttemptEnded(c.requestID, c, target.Number, took, failure.Outcome())
@@ -175,8 +177,9 @@
 		zap.Int("attempt", target.Number))
 }
 
-// beginAttempt records that an attempt is in flight, which the node or the client's disconnect can cancel, until end is
-// called. It is cancelled already if the client has disconnected or the proxy shuts down.
+// beginAttempt records that an attempt is in flight until end is called. The node or a disconnect of the client can
+// cancel the attempt. ctx is already canceled if the client has disconnected, the connection was aborted or the proxy
+// is shutting down.
 func (c *conn) beginAttempt(number int, hostID string) (ctx context.Context, end func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	c.mu.Lock()
@@ -195,12 +198,12 @@
 	}
 }
 
-// tryHost makes one attempt, with the node's authorization between the dial and the first byte.
+// tryHost makes one attempt. The node authorizes it between the dial and the first byte.
 func (c *conn) tryHost(target node.Attempt, in *wire.LineBuffer) (*net.TCPConn, []byte, *AttemptError) {
 	ctx, end := c.beginAttempt(target.Number, string(target.Host))
 	defer end()
 	select {
-	case <-c.authorization: // of an attempt that did not wait for it
+	case <-c.authorization: // a late answer for an earlier attempt, which stopped waiting for it
 	default:
 	}
 	timeout := time.NewTimer(target.Timeout)
@@ -215,8 +218,8 @@
 	}, in)
 }
 
-// awaitAuthorization asks the node whether an attempt that has connected may write. A node that does not answer must
-// not hold the client beyond the attempt's timeout.
+// awaitAuthorization asks the node whether an attempt that has connected may write the opening line. It waits no longer
+// than the attempt's timeout, so that a node that does not answer cannot block the client.
 func (c *conn) awaitAuthorization(ctx context.Context, number int, timeout <-chan time.Time) error {
 	c.proxy.node.AttemptConnected(c.requestID, c, number)
 	select {
--- a/internal/proxy/resume.go
+++ b/internal/proxy/resume.go
@@ -16,8 +16,8 @@
 	resumeBackoff = 250 * time.Millisecond
 )
 
-// resume re-establishes a connection whose client names its current host: the opening line goes to that host alone. The
-// host may not be ready, or not in the endpoint list yet, so what never reached it is retried.
+// resume re-establishes a connection whose client names its current host: only that host gets the opening line. The
+// host may not be ready, or not in the endpoint list yet, so attempts that did not reach it are retried.
 func (c *conn) resume(state *requestState) {
 	deadline := time.Now().Add(resumeTimeout)
 	for time.Now().Before(deadline) {
@@ -37,8 +37,8 @@
 	}
 }
 
-// resumeAt makes one attempt to resume at a host and, if that establishes the connection, relays until it ends. It
-// reports whether to retry.
+// resumeAt makes one attempt to resume the connection at a host. If that establishes the connection, it relays until
+// the connection ends. It reports whether to retry.
 func (c *conn) resumeAt(addr string, state *requestState) (retry bool) {
 	var in wire.LineBuffer
 	start := time.Now()
@@ -50,10 +50,11 @@
 	in.Release()
 	c.proxy.log.Info("connection resume failed", zap.String("host", c.opening.CurrentHost), zap.Error(failure))
 	outcome := failure.Outcome()
-	return outcome == balancer.ConnectFailed || outcome == balancer.NotSent // awaitRetry notices a disconnected client
+	return outcome == balancer.ConnectFailed || outcome == balancer.NotSent // awaitRetry detects a disconnected client
 }
 
-// tryResume makes one attempt to resume at a host. The node's authorization is not needed: the request is the host's.
+// tryResume makes one attempt to resume the connection at a host. It needs no authorization from the node, because that
+// host already has the request.
 func (c *conn) tryResume(addr string, in *wire.LineBuffer) (*net.TCPConn, []byte, *AttemptError) {
 	ctx, end := c.beginAttempt(0, c.opening.CurrentHost)
 	defer end()
@@ -68,7 +69,7 @@
 	}, in)
 }
 
-// runResumed relays a connection that was resumed, unless its client has disconnected meanwhile.
+// runResumed relays a resumed connection until it ends, unless its client has disconnected meanwhile.
 func (c *conn) runResumed(host *net.TCPConn, in *wire.LineBuffer, line []byte, start time.Time, state *requestState) {
 	if !c.establish(host) {
 		_ = host.Close()
@@ -83,7 +84,7 @@
 	state.attemptReported(true)
 }
 
-// awaitRetry waits before a retry, and reports false if the client has disconnected.
+// awaitRetry waits for resumeBackoff, and reports false if the client has disconnected.
 func (c *conn) awaitRetry() bool {
 	select {
 	case <-c.disconnected:
--- a/internal/proxy/shutdown.go
+++ b/internal/proxy/shutdown.go
@@ -4,14 +4,16 @@
 	"time"
 )
 
-// shutdownGrace is how long Shutdown waits for clients that are not established to read their final answer and close.
+// shutdownGrace is how long Shutdown waits for clients without an established connection to read their final answer and
+// close.
 const shutdownGrace = 100 * time.Millisecond
 
 const shutdownPollInterval = time.Millisecond
 
-// Shutdown closes all connections and waits for them. No client may be accepted any more. Clients without an answer get
-// one first: a reset would leave them with none. With passThrough, established connections stay until the process ends:
-// where packets pass through, another node takes them up then, while a reset would make all clients reconnect at once.
+// Shutdown closes all connections and waits until they have ended. The caller must have stopped accepting clients. A
+// client without a final answer gets one first, which a reset would deny it. With passThrough, established connections
+// stay open until the process ends: in pass-through mode another node takes them over then, while a reset would make
+// all clients reconnect at once.
 func (p *Proxy) Shutdown(passThrough bool) {
 	p.mu.Lock()
 	p.beginShutdown(passThrough)
@@ -22,14 +24,14 @@
 		time.Sleep(shutdownPollInterval)
 	}
 	for _, c := range p.unfinished(passThrough) {
-		closeWithLine(c.client, "") // it has had its final answer and does not close
+		closeWithLine(c.client, "") // the client has had its final answer but does not close
 	}
 	if !passThrough {
 		p.clients.Wait()
 	}
 }
 
-// beginShutdown begins to close all connections and pings. mu is held.
+// beginShutdown begins to close all connections and pings. The caller holds mu.
 func (p *Proxy) beginShutdown(passThrough bool) {
 	if !p.closed {
 		close(p.shutdown)
@@ -41,7 +43,7 @@
 	p.pings.Close()
 }
 
-// unfinished lists the connections that have not ended, except those that Shutdown leaves open.
+// unfinished returns the connections that have not ended, except those that Shutdown leaves open.
 func (p *Proxy) unfinished(passThrough bool) (conns []*conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/proxy/tcpinfo.go
+++ b/internal/proxy/tcpinfo.go
@@ -7,9 +7,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// sinceReceived returns how long ago this machine received the last bytes of a connection, at most openingTimeout,
-// and 0 if the system does not say. A client's deadline counts from then: on a busy machine its opening line may lie
-// unread for long.
+// sinceReceived returns how long ago this machine received the last bytes of a connection, but at most openingTimeout,
+// or 0 if the time is unknown. A request's deadline counts from the receipt of its opening line, which may stay unread
+// for a long time on a busy machine.
 func sinceReceived(c *net.TCPConn) time.Duration {
 	raw, err := c.SyscallConn()
 	if err != nil {
--- a/internal/proxy/teardown.go
+++ b/internal/proxy/teardown.go
@@ -8,25 +8,25 @@
 	"onyxstream/internal/wire"
 )
 
-// The ways in which a client's connection is closed, and what each promises. A close over unread bytes sends a reset,
-// and with it the client may lose what was written before; so nothing here but reset closes before it has read what
-// has been received.
+// This file closes client connections. Closing a socket that has unread bytes sends a reset, and then the client may
+// lose data that was written before. So every function here except reset reads what has been received before it closes:
 //
-//   - reply: the line is written, then FIN. What the client still sends is read and dropped until it closes its side,
-//     up to lingerTimeout and maxLingerBytes.
-//   - lingerClose: the same without a line.
-//   - closeWithMessage: the line, FIN, what has been received is read, and the close at once, where no goroutine may
-//     wait for the client. What comes later meets a closed connection.
-//   - reset: no promise. It passes on a reset from the other side, or closes what was broken.
+//   - answer writes a line and sends FIN. Then it reads and drops what the client still sends until the client closes its
+//     side, up to lingerTimeout and maxLingerBytes.
+//   - lingerClose does the same without a line.
+//   - closeWithLine writes a line, sends FIN, reads what has been received and closes at once. It is for callers that
+//     must not wait for the client. Bytes that arrive later reach a closed socket.
+//   - reset gives no guarantee about data written before. It passes on a reset from the other side, or closes a broken
+//     connection.
 
 const (
 	lingerTimeout  = 500 * time.Millisecond
 	maxLingerBytes = 64 << 10
-	// closeWriteTimeout bounds the write of closeWithMessage.
+	// closeWriteTimeout bounds the write of closeWithLine.
 	closeWriteTimeout = 20 * time.Millisecond
 )
 
-// answer writes the client's final answer and closes the connection.
+// answer writes the client's final answer and waits for the client to close the connection.
 func (c *conn) answer(line string) {
 	c.writeAnswer(line)
 	c.lingerClose()
@@ -38,7 +38,7 @@
 	_, _ = netio.WriteAll(c.client, []byte(line))
 }
 
-// lingerClose closes the node's side and waits for the client to close its own.
+// lingerClose closes the node's side and waits, for at most lingerTimeout, until the client closes its own.
 func (c *conn) lingerClose() {
 	c.proxy.markAnswered(c)
 	_ = c.client.CloseWrite()
@@ -57,7 +57,7 @@
 	}
 }
 
-// stopReading ends forwardClient, so that only lingerClose reads the client's last bytes.
+// stopReading makes forwardClient return, so that only lingerClose reads the client's last bytes.
 func (c *conn) stopReading() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -65,7 +65,7 @@
 	_ = c.client.SetReadDeadline(netio.Expired)
 }
 
-// closeWithLine writes a final answer, "" for none, and closes the connection without waiting for the client.
+// closeWithLine writes a line, unless it is empty, and closes the connection without waiting for the client.
 func closeWithLine(client *net.TCPConn, line string) {
 	_ = client.SetWriteDeadline(time.Now().Add(closeWriteTimeout))
 	if line != "" {
@@ -84,7 +84,7 @@
 	_ = client.Close()
 }
 
-// reset closes a connection by a reset.
+// reset closes a connection with a TCP reset.
 func reset(c *net.TCPConn) {
 	_ = c.SetLinger(0)
 	_ = c.Close()
--- a/internal/syserr/syserr.go
+++ b/internal/syserr/syserr.go
@@ -1,4 +1,5 @@
-// Package syserr classifies errors of system calls that say something of this machine, and nothing of a peer or a file.
+// Package syserr classifies system call errors whose cause is this machine, and not the remote side of a connection or
+// the content of a file.
 package syserr
 
 import (
@@ -6,18 +7,20 @@
 	"syscall"
 )
 
-// LacksMemory reports whether the system had no memory or buffers for a call. A retry may succeed.
+// LacksMemory reports whether a call failed because the system lacked memory or buffers. A retry may succeed.
 func LacksMemory(err error) bool { return isAny(err, syscall.ENOBUFS, syscall.ENOMEM) }
 
-// LacksResources reports whether the system or this process had no descriptors, memory or buffers for a call.
+// LacksResources reports whether a call failed because the system or this process lacked descriptors, memory or
+// buffers.
 func LacksResources(err error) bool {
 	return LacksMemory(err) || isAny(err, syscall.EMFILE, syscall.ENFILE)
 }
 
-// LacksAddress reports whether the system had no local address or port for a connection.
+// LacksAddress reports whether a call failed because no local address or port was available for a connection.
 func LacksAddress(err error) bool { return isAny(err, syscall.EADDRNOTAVAIL, syscall.EADDRINUSE) }
 
-// ReadFailed reports whether the read of a file failed in a way that says nothing of its content. A retry may succeed.
+// ReadFailed reports whether a file could not be read for a reason that does not depend on its content. A retry may
+// succeed.
 func ReadFailed(err error) bool { return LacksResources(err) || isAny(err, syscall.EIO) }
 
 func isAny(err error, errnos ...syscall.Errno) bool {
--- a/internal/syserr/syserr_test.go
+++ b/internal/syserr/syserr_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// wrappings are the forms in which an error of the system reaches a caller.
+// wrappings returns the forms in which a system error reaches a caller.
 func wrappings(errno syscall.Errno) []error {
 	return []error{
 		errno,
@@ -34,11 +34,11 @@
 		for _, err := range wrappings(errno) {
 			got := classes{LacksMemory(err), LacksResources(err), LacksAddress(err), ReadFailed(err)}
 			if got != want {
-				t.Errorf("%v: %+v, want %+v", err, got, want)
+				t.Errorf("%v: classified as %+v, want %+v", err, got, want)
 			}
 		}
 	}
 	if LacksMemory(nil) || ReadFailed(nil) {
-		t.Error("nil is classified")
+		t.Error("nil error: classified as a failure, want none")
 	}
 }
