--- a/internal/proxy/attempt_test.go
+++ b/internal/proxy/attempt_test.go
@@ -33,7 +33,7 @@
 
 func allow() error { return nil }
 
-// attemptWith makes an attempt with openingLine and a connect timeout of a second.
+// attemptWith makes an attempt with openingLine and a connect timeout of 1 s.
 func attemptWith(ctx context.Context, t *testing.T, target node.Attempt, authorize func() error, in *wire.LineBuffer) (
 	*net.TCPConn, []byte, *AttemptError,
 ) {
@@ -78,10 +78,10 @@
 			conn, _, failed := attemptWith(context.Background(), t, target, allow, &in)
 			if failed == nil {
 				_ = conn.Close()
-				t.Fatal("no error")
+				t.Fatal("attempt succeeded, want an error")
 			}
 			if failed.Stage != c.stage || failed.Outcome() != c.want {
-				t.Errorf("%v: outcome %v, want %v while %v", failed, failed.Outcome(), c.want, c.stage)
+				t.Errorf("%v: got outcome %v, want %v at stage %v", failed, failed.Outcome(), c.want, c.stage)
 			}
 		})
 	}
@@ -104,19 +104,20 @@
 	}
 	defer conn.Close()
 	if string(established) != "UP r-1 more\r\n" {
-		t.Errorf("established line %q", established)
+		t.Errorf("established line %q, want the host's first line", established)
 	}
 	line := <-lines
 	if !strings.HasPrefix(line, "OPEN id key c=chat,d=4") && !strings.HasPrefix(line, "OPEN id key c=chat,d=5000,") ||
 		!strings.HasSuffix(line, ",new=1\r\n") {
-		t.Errorf("the host was sent %q", line)
+		t.Errorf("host received %q, want the opening line with the remaining time", line)
 	}
 	if rest := string(in.Buffered()); !strings.HasPrefix("M 1\r\nM", rest) {
-		t.Errorf("buffered %q", rest)
+		t.Errorf("buffered %q, want the start of the lines after the response", rest)
 	}
 }
 
-// The node authorizes between connect and write: otherwise not a byte may reach the host.
+// The node authorizes an attempt after the connect and before the write. Without the authorization not a single byte
+// may reach the host.
 func TestAttempt_NotAuthorized_WritesNothing(t *testing.T) {
 	bytesRead := make(chan int, 1)
 	addr := netiotest.Serve(t, func(c *net.TCPConn) {
@@ -128,10 +129,10 @@
 	_, _, failed := attemptWith(context.Background(), t, target, func() error { return errNotAuthorized }, &in)
 	if failed == nil || failed.Stage != Authorizing || failed.Outcome() != balancer.NotSent ||
 		!errors.Is(failed, errNotAuthorized) {
-		t.Errorf("failed with %v", failed)
+		t.Errorf("attempt error %v, want errNotAuthorized before the write", failed)
 	}
 	if n := <-bytesRead; n != 0 {
-		t.Errorf("the host read %d bytes", n)
+		t.Errorf("host read %d bytes, want 0", n)
 	}
 }
 
@@ -146,15 +147,15 @@
 	var in wire.LineBuffer
 	defer in.Release()
 	cancelAndAllow := func() error {
-		cancel() // the client disconnects between the authorization and the line
+		cancel() // the client disconnects between the authorization and the write
 		return nil
 	}
 	_, _, failed := attemptWith(ctx, t, node.Attempt{Addr: addr, Timeout: time.Minute}, cancelAndAllow, &in)
 	if failed == nil || !failed.Outcome().ProvesNotExecuted() {
-		t.Errorf("%v; want an outcome that proves that it was not executed", failed)
+		t.Errorf("attempt error %v, want an outcome that proves that the request was not executed", failed)
 	}
 	if got := <-hostRead; got != "" {
-		t.Errorf("the host read %q", got)
+		t.Errorf("host read %q, want nothing", got)
 	}
 }
 
@@ -171,9 +172,9 @@
 	defer in.Release()
 	_, _, failed := attemptWith(ctx, t, node.Attempt{Addr: addr, Timeout: time.Minute}, allow, &in)
 	if failed == nil || failed.Outcome() != balancer.Cancelled {
-		t.Errorf("failed with %v", failed)
+		t.Errorf("attempt error %v, want outcome Cancelled", failed)
 	}
-	<-closed // the host has read the close
+	<-closed // the host has seen the close
 }
 
 func TestAttempt_NoTimeLeft_NotExecuted(t *testing.T) {
@@ -182,11 +183,12 @@
 	target := node.Attempt{Addr: addr, Timeout: -time.Second}
 	_, _, failed := attemptWith(context.Background(), t, target, allow, &in)
 	if failed == nil || !failed.Outcome().ProvesNotExecuted() {
-		t.Errorf("failed with %v", failed)
+		t.Errorf("attempt error %v, want an outcome that proves that the request was not executed", failed)
 	}
 }
 
-// A dial that failed for want of local resources says nothing of the host, and nothing was sent.
+// A dial or write that failed because this machine lacks resources or addresses says nothing about the host, and the
+// request was not sent.
 func TestAttemptError_LocalFailure_BlamesNoHost(t *testing.T) {
 	for _, c := range []struct {
 		errno syscall.Errno
@@ -208,27 +210,27 @@
 			{Writing, &net.OpError{Op: "write", Net: "tcp", Err: os.NewSyscallError("write", c.errno)}},
 		} {
 			if got := failed.Outcome(); got != c.want {
-				t.Errorf("%v: outcome %v, want %v", failed, got, c.want)
+				t.Errorf("%v: got outcome %v, want %v", failed, got, c.want)
 			}
 		}
 	}
 }
 
-// An authorization that comes after its attempt has ended must not authorize the next one.
+// An authorization that arrives after its attempt has ended must not authorize the next attempt.
 func TestProceed_PreviousAttempt_Ignored(t *testing.T) {
 	host := startCountingHost(t, establishedLine)
 	r := startNode(t, zap.NewNop(), false, host.addr)
 	r.open(t, "OPEN a key c=chat,d=500000")
 	c := r.onlyConn(t)
 	netiotest.Eventually(t, "the request waits for the node", func() bool { return r.proxy.PendingRequests() == 1 })
-	c.Proceed(0, true) // late
+	c.Proceed(0, true) // arrives after its attempt
 	var in wire.LineBuffer
 	defer in.Release()
 	_, _, failed := c.tryHost(node.Attempt{Number: 1, Addr: host.addr, Timeout: 200 * time.Millisecond}, &in)
 	if failed == nil || failed.Stage != Authorizing {
-		t.Errorf("%v; want that it is not authorized", failed)
+		t.Errorf("attempt error %v, want one at stage authorizing", failed)
 	}
 	if n := host.lines.Load(); n != 0 {
-		t.Errorf("the host read %d lines", n)
+		t.Errorf("host read %d lines, want 0", n)
 	}
 }
--- a/internal/proxy/budget_test.go
+++ b/internal/proxy/budget_test.go
@@ -11,7 +11,8 @@
 	"onyxstream/internal/netio/netiotest"
 )
 
-// A client that is evicted while its opening line lies unread is rejected: a close alone would lose its request.
+// A client that is evicted while its opening line is unread gets a rejection, because a close alone would lose its
+// request.
 func TestEvict_RequestUnread_Rejected(t *testing.T) {
 	r := startNode(t, zap.NewNop(), false)
 	client, server := connect(t)
@@ -27,21 +28,22 @@
 	r.proxy.evict(c)
 	r.proxy.mu.Unlock()
 	if reply, err := io.ReadAll(client); err != nil || !strings.HasPrefix(string(reply), rejectionPrefix) {
-		t.Errorf("read %q, %v", reply, err)
+		t.Errorf("client read %q, error %v; want a rejection", reply, err)
 	}
 }
 
-// A process to which the other process of its node leaves no descriptors rejects clients, until it has some again.
+// During a hot restart the node's other process may use up all descriptors. Then this process rejects clients until it
+// gets descriptors again.
 func TestDescriptorLimit_Negative_Rejects(t *testing.T) {
 	r := startNode(t, zap.NewNop(), true, respondingHost(t, establishedLine))
 	r.proxy.SetDescriptorLimit(-100)
 	_, in := r.open(t, openRequest)
 	if line, err := in.ReadString('\n'); !strings.HasPrefix(line, rejectionPrefix) {
-		t.Fatalf("read %q, error %v", line, err)
+		t.Fatalf("without descriptors: read %q, error %v; want a rejection", line, err)
 	}
 	r.proxy.SetDescriptorLimit(256)
 	_, in = r.open(t, "OPEN b key c=chat,d=5000")
 	if line, err := in.ReadString('\n'); line != establishedLine {
-		t.Errorf("read %q, error %v", line, err)
+		t.Errorf("with descriptors: read %q, error %v; want an established connection", line, err)
 	}
 }
--- a/internal/proxy/disconnect_test.go
+++ b/internal/proxy/disconnect_test.go
@@ -15,8 +15,8 @@
 	"onyxstream/internal/wire"
 )
 
-// A client that sent its opening line and closed while it waited in the listener's queue is replied to at once,
-// without the node or a host. The node's event queue is full, so that a request passed to it would block.
+// A client that sent its opening line and closed its side while it waited in the listener's accept queue is answered at
+// once, without the node or a host. The node's event queue is full here, so a request passed to the node would block.
 func TestServe_ClientClosedInAcceptQueue_NotForwarded(t *testing.T) {
 	host := startCountingHost(t, establishedLine)
 	r := startNode(t, zap.NewNop(), false, host.addr)
@@ -29,7 +29,7 @@
 		r.node.PeerContacted()
 	}
 	var waiting []net.Conn
-	for i := range 8 { // complete and closed before the first one is accepted
+	for i := range 8 { // all lines are sent and all sides closed before the first accept
 		c, err := net.Dial("tcp", listener.Addr().String())
 		if err != nil {
 			t.Fatal(err)
@@ -43,7 +43,7 @@
 	go func() { _ = r.proxy.Serve(listener) }()
 	for _, c := range waiting {
 		if all, err := io.ReadAll(c); string(all) != wire.Failure || err != nil {
-			t.Errorf("read %q, error %v", all, err)
+			t.Errorf("client read %q, error %v; want a failure", all, err)
 		}
 	}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -51,11 +51,11 @@
 	go func() { _ = r.node.Run(ctx) }()
 	r.awaitNoClients(t)
 	if n := host.connections(t); n != 0 {
-		t.Errorf("the host was connected to %d times", n)
+		t.Errorf("host: got %d connections, want 0", n)
 	}
 }
 
-// A mid-flow client that has sent a message early disconnects like any other.
+// The disconnect of a mid-flow client is detected although it has sent a message before the connection is established.
 func TestMidFlowClient_EarlyMessage_DisconnectNoticed(t *testing.T) {
 	a, b := startCountingHost(t, ""), startCountingHost(t, "")
 	r := startNodeWith(t, zap.NewNop(), true, netiotest.RefusedAddr(t), withLongDeadline, a.addr, b.addr)
@@ -65,11 +65,11 @@
 	netiotest.Eventually(t, "the attempt is cancelled", func() bool { return a.closed.Load()+b.closed.Load() == 1 })
 	r.awaitNoClients(t)
 	if n := a.lines.Load() + b.lines.Load(); n != 1 {
-		t.Errorf("%d attempts", n)
+		t.Errorf("hosts read %d opening lines, want 1", n)
 	}
 }
 
-// The disconnect of a mid-flow client is noticed also if it has sent more than the node holds back.
+// The disconnect of a mid-flow client is detected also if the client has sent more than the node buffers.
 func TestMidFlowClient_BufferFull_DisconnectNoticed(t *testing.T) {
 	for _, end := range []string{"close", "reset"} {
 		t.Run(end, func(t *testing.T) {
@@ -89,14 +89,14 @@
 			netiotest.Eventually(t, "the attempt is cancelled", func() bool { return a.closed.Load()+b.closed.Load() == 1 })
 			r.awaitNoClients(t)
 			if n := a.lines.Load() + b.lines.Load(); n != 1 {
-				t.Errorf("%d attempts", n)
+				t.Errorf("hosts read %d opening lines, want 1", n)
 			}
 		})
 	}
 }
 
-// A client that closes its side as its connection is established has its early messages forwarded: the close stands
-// behind what lies unread.
+// The early messages of a mid-flow client that closes its side while the connection is being established are forwarded:
+// the unread messages precede the close.
 func TestMidFlowClient_ClosesAsEstablished_LinesForwarded(t *testing.T) {
 	r := startNode(t, zap.NewNop(), false)
 	client, server := connect(t)
@@ -108,12 +108,12 @@
 	_ = client.CloseWrite()
 	netiotest.Eventually(t, "its close is received", func() bool { return sendingEnded(server) != nil })
 	if !c.establish(host) {
-		t.Fatal("it is not established")
+		t.Fatal("connection not established")
 	}
 	if c.disconnectUnestablished(sendingEnded(server)) || c.isDisconnected() || c.clientClosed.Load() {
-		t.Error("its close counts before its lines are read")
+		t.Error("client counts as disconnected before its messages are read")
 	}
 	if !c.awaitEstablished() {
-		t.Error("its lines are not read")
+		t.Error("client's messages are not read")
 	}
 }
--- a/internal/proxy/endpointlist_test.go
+++ b/internal/proxy/endpointlist_test.go
@@ -18,16 +18,16 @@
 	"onyxstream/internal/wire"
 )
 
-// drainGrace is the drain grace of a pushTest's node.
+// drainGrace is the drain grace of a watchTest's node.
 const drainGrace = 50 * time.Millisecond
 
-// watchTest is a node without polling, with two hosts that a simulated discovery lists.
+// watchTest is a node that watches the endpoint list, and does not poll it, of a fake discovery with two hosts.
 type watchTest struct {
 	node      *testNode
 	discovery *fakeserver.Discovery
 	endpoints [2]wire.Endpoint
 	forwarded [2]atomic.Int64 // opening lines that each host has read
-	opened    int             // connections so far
+	opened    int             // connections opened so far
 }
 
 func newWatchTest(t *testing.T) *watchTest {
@@ -69,7 +69,9 @@
 	return [2]int64{p.forwarded[0].Load() - before[0], p.forwarded[1].Load() - before[1]}
 }
 
-// expectAllForwardedTo waits until the node knows of the drain, and the grace; nothing may be forwarded to the other host then.
+// expectAllForwardedTo waits until the node knows that the other host is draining, and for the drain grace. Then it
+// opens connections, and fails the test unless all of them are forwarded to liveHost. what describes the expected
+// state.
 func (p *watchTest) expectAllForwardedTo(t *testing.T, what string, liveHost int) {
 	t.Helper()
 	netiotest.Eventually(t, what, func() bool {
@@ -78,12 +80,12 @@
 	})
 	time.Sleep(drainGrace)
 	if counts := p.openRound(t); counts[1-liveHost] != 0 || counts[liveHost] != 16 {
-		t.Errorf("%s: forwarded %v of 16", what, counts)
+		t.Errorf("%s: forwarded %v of 16 requests to each host, want all to the live one", what, counts)
 	}
 }
 
-// With polling off the node watches the list, keeps it while discovery is silent, catches up on what it missed, and
-// stops forwarding to a draining host within the drain grace.
+// With polling off, the node watches the endpoint list. It keeps the list while discovery is silent, catches up on
+// changes that it missed, and stops forwarding to a draining host within the drain grace.
 func TestEndpointList_Pushed_DrainsWithinGrace(t *testing.T) {
 	p := newWatchTest(t)
 	netiotest.Eventually(t, "the first list is received", func() bool {
@@ -99,7 +101,7 @@
 	p.discovery.Set(p.endpoints[0])
 	p.discovery.Set(p.endpoints[1])
 	if counts := p.openRound(t); counts[1] != 16 {
-		t.Errorf("while discovery is silent: forwarded %v of 16", counts)
+		t.Errorf("while discovery is silent: forwarded %v of 16 requests to each host, want all to the second", counts)
 	}
 	p.discovery.SetMode(fakeserver.ModeNormal)
 	p.expectAllForwardedTo(t, "the missed change is known", 0)
--- a/internal/proxy/harness_test.go
+++ b/internal/proxy/harness_test.go
@@ -20,7 +20,7 @@
 	"onyxstream/internal/wire"
 )
 
-// testNode is a proxy and its node in this process.
+// testNode is a proxy with its node, run in the test's process.
 type testNode struct {
 	proxy *Proxy
 	node  *node.Node
@@ -28,13 +28,13 @@
 	stop  func()
 }
 
-// startNode starts a proxy; the node's event loop runs only if runNode is set.
+// startNode starts a proxy with its node. The node's event loop runs only if runNode is set.
 func startNode(t *testing.T, log *zap.Logger, runNode bool, hosts ...string) *testNode {
 	t.Helper()
 	return startNodeWith(t, log, runNode, netiotest.RefusedAddr(t), func(*settings.Settings) {}, hosts...)
 }
 
-// startNodeWith is startNode with a discovery, and with settings as configure leaves them.
+// startNodeWith is startNode with the address of a discovery, and with configure to change the settings.
 func startNodeWith(t *testing.T, log *zap.Logger, runNode bool, discoveryAddr string,
 	configure func(*settings.Settings), hosts ...string,
 ) *testNode {
@@ -95,7 +95,7 @@
 	return r
 }
 
-// open opens a connection, sends a line and returns a reader of the replies.
+// open opens a connection and sends a line. It returns the connection and a reader of what the client receives.
 func (r *testNode) open(t *testing.T, line string) (net.Conn, *bufio.Reader) {
 	t.Helper()
 	c, err := net.Dial("tcp", r.addr)
@@ -108,7 +108,7 @@
 	return c, bufio.NewReader(c)
 }
 
-// onlyConn returns the connection of a proxy's only client.
+// onlyConn waits until the proxy has accepted its only client, and returns the client's connection.
 func (r *testNode) onlyConn(t *testing.T) (c *conn) {
 	t.Helper()
 	netiotest.Eventually(t, "the client is accepted", func() bool {
@@ -121,7 +121,7 @@
 	return c
 }
 
-// awaitNoClients waits until all connections have ended.
+// awaitNoClients waits until all connections and requests have ended.
 func (r *testNode) awaitNoClients(t *testing.T) {
 	t.Helper()
 	netiotest.Eventually(t, "no client is left", func() bool {
@@ -129,7 +129,7 @@
 	})
 }
 
-// hasNoClients reports whether no client is established or admitted.
+// hasNoClients reports whether no client is admitted and no connection is established.
 func (r *testNode) hasNoClients() bool {
 	return r.node.EstablishedConnections() == 0 && r.proxy.OpenClients() == 0
 }
@@ -142,12 +142,12 @@
 	rejectionPrefix = "BUSY"
 )
 
-// withLongDeadline lets an attempt last for as long as the test.
+// withLongDeadline sets deadlines that are longer than any test.
 func withLongDeadline(s *settings.Settings) {
 	s.Classes[0].SetupLatencyObjective, s.Classes[0].Deadline = 9*time.Minute, 9*time.Minute
 }
 
-// connect returns both sides of a connection.
+// connect returns both sides of a new TCP connection.
 func connect(t *testing.T) (client, server *net.TCPConn) {
 	t.Helper()
 	l, err := Listen(context.Background(), "127.0.0.1:0")
@@ -157,7 +157,7 @@
 	return netiotest.Connect(t, l)
 }
 
-// expectLine reads a line and fails the test if it is not the one that is wanted.
+// expectLine reads a line and fails the test if the line is not want.
 func expectLine(t *testing.T, in *bufio.Reader, want string) {
 	t.Helper()
 	if line, err := in.ReadString('\n'); line != want {
--- a/internal/proxy/hosts_test.go
+++ b/internal/proxy/hosts_test.go
@@ -12,7 +12,7 @@
 	"onyxstream/internal/netio/netiotest"
 )
 
-// respondingHost starts a host that reads the opening line and writes text.
+// respondingHost starts a host that responds to an opening line with text. It returns the host's address.
 func respondingHost(t *testing.T, text string) string {
 	return netiotest.Serve(t, func(c *net.TCPConn) {
 		if _, err := bufio.NewReader(c).ReadString('\n'); err == nil {
@@ -22,8 +22,8 @@
 	})
 }
 
-// echoHost starts a host that establishes every connection and echoes each line. It writes what it receives on texts
-// at once.
+// echoHost starts a host that establishes every connection and echoes each line. It also writes each text that it
+// receives on texts to the client at once. It returns the host's address.
 func echoHost(t *testing.T, texts chan string) string {
 	return netiotest.Serve(t, func(c *net.TCPConn) {
 		in := bufio.NewReader(c)
@@ -52,10 +52,10 @@
 	lines, closed atomic.Int64
 
 	mu    sync.Mutex
-	peers []string // addresses, in the order of their connections
+	peers []string // remote addresses of the accepted connections, in order
 }
 
-// startCountingHost starts a host that answers an opening line with reply.
+// startCountingHost starts a host that responds to an opening line with reply.
 func startCountingHost(t *testing.T, reply string) *countingHost {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -89,8 +89,8 @@
 	return h
 }
 
-// connections returns how many connections were accepted. Hosts accept in order, so it connects and counts those
-// before.
+// connections returns how many connections the host has accepted. The host accepts in order, so connections opens one
+// more and counts those before it.
 func (h *countingHost) connections(t *testing.T) (before int) {
 	t.Helper()
 	c, err := net.Dial("tcp", h.addr)
--- a/internal/proxy/invariants_test.go
+++ b/internal/proxy/invariants_test.go
@@ -9,12 +9,12 @@
 	"onyxstream/internal/invariant"
 )
 
-// violationOf is one violation of a rule.
+// violationOf returns the expected counts after one violation of a rule.
 func violationOf(rule invariant.Rule) map[invariant.Rule]uint64 {
 	return map[invariant.Rule]uint64{rule: 1}
 }
 
-// Every violation at the end of a request is counted, and nothing else.
+// checkCompletion and recordDispatch count each violation of a rule, and nothing else.
 func TestCheckCompletion_ConnectionEnds_ViolationCounted(t *testing.T) {
 	now := time.Now()
 	for _, c := range []struct {
@@ -48,7 +48,7 @@
 			clientConn.checkCompletion(now.Add(time.Second))
 			for _, rule := range invariant.Rules() {
 				if got := r.node.Monitor().Count(rule); got != c.want[rule] {
-					t.Errorf("%q is counted %d times, want %d", rule, got, c.want[rule])
+					t.Errorf("rule %q: counted %d violations, want %d", rule, got, c.want[rule])
 				}
 			}
 		})
--- a/internal/proxy/opening_test.go
+++ b/internal/proxy/opening_test.go
@@ -12,8 +12,8 @@
 	"onyxstream/internal/wire"
 )
 
-// A request that comes as an idle connection times out is served: a close over it would lose it. The proxy's mutex is
-// held in the middle of the last health check until the timeout has passed and the request has arrived.
+// A request that arrives just as an idle connection times out is served, because a close would lose it. The test holds
+// the proxy's mutex in the middle of the last health check until the timeout has passed and the request has arrived.
 func TestReadOpening_RequestAtTimeout_Served(t *testing.T) {
 	r := startNode(t, zap.NewNop(), true, startCountingHost(t, establishedLine).addr)
 	c, err := net.Dial("tcp", r.addr)
@@ -27,7 +27,7 @@
 	in := bufio.NewReader(c)
 	_, _ = io.WriteString(c, healthCheck+"\r\n")
 	if line, err := in.ReadString('\n'); line != wire.Pong || err != nil {
-		t.Fatalf("read %q, error %v", line, err)
+		t.Fatalf("health check: read %q, error %v; want PONG", line, err)
 	}
 	_, _ = io.WriteString(c, openRequest+"\r\n")
 	for start := time.Now(); time.Since(start) < openingTimeout+evictionGrace; { // until the timeout has passed
@@ -35,6 +35,6 @@
 	}
 	r.proxy.mu.Unlock()
 	if line, err := in.ReadString('\n'); line != establishedLine || err != nil {
-		t.Errorf("read %q, error %v", line, err)
+		t.Errorf("request: read %q, error %v; want an established connection", line, err)
 	}
 }
--- a/internal/proxy/panic_test.go
+++ b/internal/proxy/panic_test.go
@@ -14,7 +14,7 @@
 	"onyxstream/internal/wire"
 )
 
-// panickingCore is a log core that panics on one message.
+// panickingCore is a zapcore.Core that panics when one message is logged.
 type panickingCore struct {
 	zapcore.Core
 	message string
@@ -29,20 +29,20 @@
 	return c
 }
 
-// A panic ends its own connection with a reply, and the node keeps nothing of the request.
+// A panic fails its own request only, and the node keeps no state of the request.
 func TestRequest_Panics_FailsAlone(t *testing.T) {
 	log := zap.New(panickingCore{zapcore.NewNopCore(), attemptFailedMessage})
 	r := startNode(t, log, true, respondingHost(t, "ERR\r\n"))
 	for i := range 3 {
 		_, in := r.open(t, fmt.Sprintf("OPEN a%d key c=chat,d=5000", i))
 		if all, err := io.ReadAll(in); string(all) != wire.Failure || err != nil {
-			t.Errorf("answered %q, error %v", all, err)
+			t.Errorf("client read %q, error %v; want a failure", all, err)
 		}
 	}
 	netiotest.Eventually(t, "no request is in flight", func() bool { return r.node.InFlightRequests() == 0 })
 }
 
-// Once the connection is established, a reply of the node would stand among the host's lines.
+// If the relay panics, the client is reset: a final answer of the node would be mixed with the host's lines.
 func TestRelay_Panics_ResetsClient(t *testing.T) {
 	log := zap.New(panickingCore{zapcore.NewNopCore(), connectionClosedMessage})
 	r := startNode(t, log, true, respondingHost(t, "UP r\r\nBYE\r\n"))
@@ -54,12 +54,13 @@
 	}
 	_ = c.(*net.TCPConn).CloseWrite()
 	if rest, err := io.ReadAll(in); len(rest) > 0 || err == nil {
-		t.Errorf("then %q, error %v", rest, err)
+		t.Errorf("after the panic: client read %q, error %v; want a reset", rest, err)
 	}
 	netiotest.Eventually(t, "no connection is established", func() bool { return r.node.EstablishedConnections() == 0 })
 }
 
-// A connection whose goroutine panics before its opening line is complete ends alone, and its descriptor is free again.
+// A goroutine that panics before its opening line is complete ends its own connection only, and releases the
+// descriptor.
 func TestStart_GoroutinePanics_EndsAlone(t *testing.T) {
 	r := startNode(t, zap.NewNop(), false)
 	_, server := connect(t)
@@ -72,17 +73,17 @@
 	r.proxy.mu.Lock()
 	defer r.proxy.mu.Unlock()
 	if len(r.proxy.conns) > 0 || r.proxy.unadmitted.Len() > 0 {
-		t.Errorf("%d connections and %d unadmitted clients are left", len(r.proxy.conns), r.proxy.unadmitted.Len())
+		t.Errorf("%d connections and %d unadmitted clients are left, want 0", len(r.proxy.conns), r.proxy.unadmitted.Len())
 	}
 }
 
-// A client whose opening line was read is replied to. This proxy has no node, so that looking up the request's class
-// panics.
+// A client whose opening line was read gets a final answer even if its goroutine panics. This proxy has no node, so the
+// lookup of the request's class panics.
 func TestServe_PanicsAfterOpening_Replied(t *testing.T) {
 	p := New(Config{MaxDescriptors: 256}, zap.NewNop())
 	client, server := connect(t)
 	if !p.accept(server) {
-		t.Fatal("the client is not accepted")
+		t.Fatal("client not accepted")
 	}
 	if _, err := io.WriteString(client, "OPEN id key c=chat,d=1000\r\n"); err != nil {
 		t.Fatal(err)
@@ -90,7 +91,7 @@
 	_ = client.SetDeadline(time.Now().Add(10 * time.Second))
 	answer := make([]byte, len(wire.Failure))
 	if n, err := io.ReadFull(client, answer); err != nil || string(answer) != wire.Failure {
-		t.Errorf("read %q, error %v", answer[:n], err)
+		t.Errorf("client read %q, error %v; want a failure", answer[:n], err)
 	}
 	_ = client.Close()
 	p.clients.Wait()
--- a/internal/proxy/quiesce_test.go
+++ b/internal/proxy/quiesce_test.go
@@ -13,7 +13,7 @@
 	"onyxstream/internal/wire"
 )
 
-// duplicateSocket duplicates a socket, as another process has it.
+// duplicateSocket duplicates a socket, as if it were passed to another process.
 func duplicateSocket(t *testing.T, c *net.TCPConn) *net.TCPConn {
 	t.Helper()
 	f, err := c.File()
@@ -28,8 +28,8 @@
 	return copied.(*net.TCPConn)
 }
 
-// A connection is handed off in the middle of a host's line: the client reads each line complete and once, and the old
-// process writes no more to it.
+// A connection is handed off in the middle of a host's line. The client must read every line complete and once, and the
+// old process must not write to the client any more.
 func TestQuiesce_HandedOffMidLine_ResumedElsewhere(t *testing.T) {
 	texts := make(chan string, 1)
 	defer close(texts)
@@ -52,7 +52,7 @@
 			return false
 		}
 		if handedOff.Host != "h0" || handedOff.Load != 3 || !strings.HasPrefix(handedOff.Line, "OPEN a key ") {
-			t.Errorf("handed off is %+v", handedOff)
+			t.Errorf("quiesced connection %+v, want host h0, load 3 and the opening line", handedOff)
 		}
 		handedOff.Client = duplicateSocket(t, handedOff.Client)
 		handedOff.Peer = duplicateSocket(t, handedOff.Peer)
@@ -62,9 +62,9 @@
 		old.proxy.mu.Lock()
 		defer old.proxy.mu.Unlock()
 		decide[0](true)
-		for c := range old.proxy.conns { // it has not ended yet
+		for c := range old.proxy.conns { // the connection has not ended yet
 			if c.beginQuiesce() != nil {
-				t.Error("a connection that was handed off is quiesced again")
+				t.Error("quiesced again after the hand-off")
 			}
 		}
 		return true
@@ -76,18 +76,19 @@
 	_, _ = io.WriteString(c, "M 1\r\n")
 	expectLine(t, in, "M 1\r\n")
 	if next.node.EstablishedConnections() != 1 || next.proxy.OpenClients() != 1 || next.proxy.Replies()[0].Success != 0 {
-		t.Errorf("the new process has %d established, %d open, %+v",
+		t.Errorf("new process: %d established, %d open, answers %+v; want 1, 1 and no success",
 			next.node.EstablishedConnections(), next.proxy.OpenClients(), next.proxy.Replies())
 	}
 	next.node.MigrateAll(time.Now())
 	expectLine(t, in, "MOVE\r\n")
 	if _, err := in.ReadString('\n'); err != io.EOF {
-		t.Errorf("then %v", err)
+		t.Errorf("after the migration: error %v, want EOF", err)
 	}
 	netiotest.Eventually(t, "no connection is left", next.hasNoClients)
 }
 
-// A connection that is not handed off is resumed where it was, and one that ends while it is quiesced ends as usual.
+// A connection that is not handed off is resumed in its process. A connection that ends while it is quiesced ends as
+// usual.
 func TestQuiesce_NotHandedOff_ResumedHere(t *testing.T) {
 	r := startNode(t, zap.NewNop(), true, echoHost(t, nil))
 	c, in := r.open(t, openRequest)
@@ -95,7 +96,7 @@
 	expectLine(t, in, "LOAD 3\r\n")
 	quiesced, decide := r.proxy.Quiesce(4)
 	if len(quiesced) != 1 {
-		t.Fatalf("%d quiesced", len(quiesced))
+		t.Fatalf("quiesced %d connections, want 1", len(quiesced))
 	}
 	_, _ = io.WriteString(c, "M 1\r\n") // while it is quiesced
 	decide[0](false)
@@ -105,7 +106,7 @@
 		decide[0](false)
 	}
 	if more, _ := r.proxy.Quiesce(4); len(more) > 0 {
-		t.Error("it is quiesced again without a limit")
+		t.Error("quiesced again after maxFailedHandOffs")
 	}
 	second, in := r.open(t, "OPEN b key c=chat,d=5000")
 	expectLine(t, in, establishedLine)
@@ -114,7 +115,7 @@
 	_ = second.(*net.TCPConn).CloseWrite()
 	decide[0](false)
 	if _, err := in.ReadString('\n'); err != io.EOF {
-		t.Errorf("a client that closed while quiesced: %v", err)
+		t.Errorf("client that closed while quiesced: error %v, want EOF", err)
 	}
 	netiotest.Eventually(t, "one connection is left", func() bool { return r.node.EstablishedConnections() == 1 })
 }
@@ -131,7 +132,7 @@
 	client, peer := pair()
 	for _, line := range []string{"", "PING", "OPEN"} {
 		if err := r.proxy.Adopt(EstablishedConn{Line: line, Client: client, Peer: peer}); err == nil {
-			t.Errorf("%q is adopted", line)
+			t.Errorf("Adopt with opening line %q succeeded, want an error", line)
 		}
 	}
 	if err := r.proxy.Adopt(EstablishedConn{Line: "OPEN a key c=chat", Host: "h0", Client: client, Peer: peer}); err != nil {
@@ -139,7 +140,7 @@
 	}
 	netiotest.Eventually(t, "the second connection ends", func() bool { return r.proxy.OpenClients() == 1 })
 	if r.node.EstablishedConnections() != 1 {
-		t.Errorf("%d are established", r.node.EstablishedConnections())
+		t.Errorf("%d established connections, want 1", r.node.EstablishedConnections())
 	}
 }
 
@@ -150,12 +151,12 @@
 	host, peer := connect(t)
 	err := r.proxy.Adopt(EstablishedConn{Line: openRequest, Host: "h0", Client: accepted, Peer: peer})
 	if err == nil {
-		t.Fatal("it was adopted after the shutdown")
+		t.Fatal("Adopt after the shutdown succeeded, want an error")
 	}
 	if all, err := io.ReadAll(client); string(all) != wire.Migration || err != nil {
-		t.Errorf("the client read %q, error %v", all, err)
+		t.Errorf("client read %q, error %v; want a migration", all, err)
 	}
 	if all, err := io.ReadAll(host); len(all) > 0 || err != nil {
-		t.Errorf("the host read %q, error %v", all, err)
+		t.Errorf("host read %q, error %v; want a close without data", all, err)
 	}
 }
--- a/internal/proxy/request_test.go
+++ b/internal/proxy/request_test.go
@@ -14,16 +14,16 @@
 	"onyxstream/internal/wire"
 )
 
-// A request that the node never answers gets a reply from the proxy.
+// A request that the node never answers gets a final answer from the proxy.
 func TestRequest_NodeSilent_FailsAtDeadline(t *testing.T) {
 	r := startNode(t, zap.NewNop(), false)
 	_, in := r.open(t, "OPEN a key c=chat,d=50")
 	if all, err := io.ReadAll(in); string(all) != wire.Failure || err != nil {
-		t.Errorf("answered %q, error %v", all, err)
+		t.Errorf("client read %q, error %v; want a failure", all, err)
 	}
 }
 
-// A client that disconnects while its attempt is in flight cancels it, and no other host is tried.
+// If a client disconnects while an attempt is in flight, the attempt is canceled and no other host is tried.
 func TestClient_Disconnects_AttemptCancelled(t *testing.T) {
 	var mu sync.Mutex
 	lines, closed := 0, 0
@@ -54,11 +54,11 @@
 	netiotest.Eventually(t, "the attempt is cancelled", count(&closed, 1))
 	netiotest.Eventually(t, "no request is in flight", func() bool { return r.node.InFlightRequests() == 0 })
 	if r.stop(); !count(&lines, 1)() {
-		t.Error("another host was tried")
+		t.Error("another host was tried after the disconnect")
 	}
 }
 
-// A client that disconnects while the node is asked for its current host gets no dial.
+// If a client disconnects while the node looks up its current host, the host is not dialed.
 func TestResume_ClientDisconnected_NoRetry(t *testing.T) {
 	host := startCountingHost(t, establishedLine)
 	r := startNode(t, zap.NewNop(), false, host.addr)
@@ -67,15 +67,15 @@
 	_ = c.Close()
 	netiotest.Eventually(t, "the disconnect is noticed", pending.isDisconnected)
 	if ctx, end := pending.beginAttempt(0, "h0"); ctx.Err() == nil {
-		t.Error("an attempt may begin for a client that has disconnected")
+		t.Error("attempt not canceled after the client has disconnected")
 	} else {
 		end()
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go func() { _ = r.node.Run(ctx) }() // now the node answers
+	go func() { _ = r.node.Run(ctx) }() // from now on the node answers
 	r.awaitNoClients(t)
 	if n := host.connections(t); n != 0 {
-		t.Errorf("the host was connected to %d times", n)
+		t.Errorf("host: got %d connections, want 0", n)
 	}
 }
--- a/internal/proxy/shutdown_test.go
+++ b/internal/proxy/shutdown_test.go
@@ -16,7 +16,7 @@
 	"onyxstream/internal/wire"
 )
 
-// shutDownMidRead begins a shutdown while what a client has sent was read and not parsed.
+// shutDownMidRead begins a shutdown while text, if any, has been read from the client but not parsed.
 func shutDownMidRead(t *testing.T, r *testNode, c net.Conn, text string) {
 	t.Helper()
 	clientConn := r.onlyConn(t)
@@ -32,8 +32,8 @@
 	r.proxy.beginShutdown(false)
 }
 
-// A request or a part of one that comes on an idle connection as the shutdown begins is rejected; who has sent
-// nothing is closed by FIN. No client is reset.
+// A request, complete or not, that arrives on an idle connection while the shutdown begins is rejected. A connection on
+// which nothing arrives is closed with FIN. No client is reset.
 func TestShutdown_OpeningPartlyRead_Replied(t *testing.T) {
 	for _, c := range []struct{ name, text, want string }{
 		{"a complete line on an idle connection", openRequest + "\r\n", rejectionPrefix},
@@ -46,41 +46,41 @@
 			r := startNode(t, zap.NewNop(), true, host.addr)
 			client, in := r.open(t, healthCheck)
 			if line, err := in.ReadString('\n'); line != wire.Pong || err != nil {
-				t.Fatalf("read %q, error %v", line, err)
+				t.Fatalf("health check: read %q, error %v; want PONG", line, err)
 			}
 			shutDownMidRead(t, r, client, c.text)
 			all, err := io.ReadAll(in)
 			if err != nil || !strings.HasPrefix(string(all), c.want) || (c.want == "") != (len(all) == 0) {
-				t.Errorf("read %q, error %v; want %q", all, err, c.want)
+				t.Errorf("client read %q, error %v; want %q", all, err, c.want)
 			}
 			_ = client.Close()
 			r.stop()
 			if n := host.connections(t); n != 0 {
-				t.Errorf("the host was connected to %d times", n)
+				t.Errorf("host: got %d connections, want 0", n)
 			}
 		})
 	}
 }
 
-// What lies unread as the shutdown begins is read before the close.
+// Bytes that are unread when the shutdown begins are read before the close.
 func TestShutdown_OpeningUnread_ReadBeforeClose(t *testing.T) {
 	r := startNode(t, zap.NewNop(), true)
 	client, in := r.open(t, healthCheck)
 	if line, err := in.ReadString('\n'); line != wire.Pong || err != nil {
-		t.Fatalf("read %q, error %v", line, err)
+		t.Fatalf("health check: read %q, error %v; want PONG", line, err)
 	}
 	r.onlyConn(t)
 	r.proxy.mu.Lock()
-	r.proxy.beginShutdown(false) // wakes the reader, which finds what is written now, or nothing
+	r.proxy.beginShutdown(false) // wakes the reader, which reads the line below, or nothing if it is faster
 	_, _ = io.WriteString(client, openRequest+"\r\n")
 	r.proxy.mu.Unlock()
 	all, err := io.ReadAll(in)
 	if err != nil || len(all) > 0 && !strings.HasPrefix(string(all), rejectionPrefix) {
-		t.Errorf("read %q, error %v", all, err)
+		t.Errorf("client read %q, error %v; want a rejection or nothing", all, err)
 	}
 }
 
-// A request that the node does not know of was forwarded nowhere: it is rejected, not failed.
+// A request that the node does not know was not forwarded to any host, so it is rejected and not failed.
 func TestShutdown_RequestNotForwarded_Rejected(t *testing.T) {
 	r := startNode(t, zap.NewNop(), false)
 	_, in := r.open(t, "OPEN a key c=chat,d=500000")
@@ -89,7 +89,7 @@
 	r.proxy.beginShutdown(false)
 	r.proxy.mu.Unlock()
 	if all, err := io.ReadAll(in); !strings.HasPrefix(string(all), rejectionPrefix) || err != nil {
-		t.Errorf("read %q, error %v", all, err)
+		t.Errorf("client read %q, error %v; want a rejection", all, err)
 	}
 }
 
@@ -99,14 +99,14 @@
 	client, server := connect(t)
 	_, _ = io.WriteString(client, openRequest+"\r\n")
 	if !r.proxy.accept(server) {
-		t.Fatal("it is not accepted")
+		t.Fatal("client not accepted")
 	}
 	if all, err := io.ReadAll(client); !strings.HasPrefix(string(all), rejectionPrefix) || err != nil {
-		t.Errorf("read %q, error %v", all, err)
+		t.Errorf("client read %q, error %v; want a rejection", all, err)
 	}
 }
 
-// With pass-through, established connections stay open and other clients are replied to.
+// In pass-through mode established connections stay open, and all other clients get their final answer.
 func TestShutdown_PassThrough_EstablishedStays(t *testing.T) {
 	forwarded := make(chan struct{})
 	r := startNode(t, zap.NewNop(), true, netiotest.Serve(t, func(c *net.TCPConn) {
@@ -127,18 +127,18 @@
 	}))
 	established, in := r.open(t, "OPEN up key c=chat,d=5000")
 	if line, err := in.ReadString('\n'); line != establishedLine {
-		t.Fatalf("read %q, error %v", line, err)
+		t.Fatalf("client read %q, error %v; want an established connection", line, err)
 	}
 	_, pending := r.open(t, "OPEN wait key c=chat,d=5000")
 	netiotest.Eventually(t, "the second request is in flight", func() bool { return r.node.InFlightRequests() == 1 })
-	<-forwarded // until then it may be rejected: it was forwarded nowhere
+	<-forwarded // before that, the request would be rejected and not failed
 	r.proxy.Shutdown(true)
 	if all, err := io.ReadAll(pending); string(all) != wire.Failure || err != nil {
-		t.Errorf("the pending client read %q, error %v", all, err)
+		t.Errorf("pending client read %q, error %v; want a failure", all, err)
 	}
 	_, _ = io.WriteString(established, "M\r\n")
 	if line, err := in.ReadString('\n'); line != "M\r\n" {
-		t.Errorf("read %q, error %v", line, err)
+		t.Errorf("established client read %q, error %v; want its echoed message", line, err)
 	}
 }
 
--- a/internal/proxy/teardown.go
+++ b/internal/proxy/teardown.go
@@ -11,8 +11,8 @@
 // This file closes client connections. Closing a socket that has unread bytes sends a reset, and then the client may
 // lose data that was written before. So every function here except reset reads what has been received before it closes:
 //
-//   - answer writes a line and sends FIN. Then it reads and drops what the client still sends until the client closes its
-//     side, up to lingerTimeout and maxLingerBytes.
+//   - answer writes a line and sends FIN. Then it reads and drops what the client still sends until the client closes
+//     its side, up to lingerTimeout and maxLingerBytes.
 //   - lingerClose does the same without a line.
 //   - closeWithLine writes a line, sends FIN, reads what has been received and closes at once. It is for callers that
 //     must not wait for the client. Bytes that arrive later reach a closed socket.
--- a/internal/proxy/teardown_test.go
+++ b/internal/proxy/teardown_test.go
@@ -15,7 +15,7 @@
 	"onyxstream/internal/wire"
 )
 
-// closeWait is TCP_CLOSE_WAIT: the peer has closed its side by FIN.
+// closeWait is the kernel's TCP_CLOSE_WAIT: the remote side has sent FIN.
 const closeWait = 8
 
 func tcpState(t *testing.T, c *net.TCPConn) uint8 {
@@ -32,22 +32,23 @@
 	return info.State
 }
 
-// A close over unread bytes would send a reset, which may overtake the message.
-func TestCloseWithMessage_UnreadBytes_NoReset(t *testing.T) {
+// Closing a socket with unread bytes would send a reset, and the client could lose the line that was written before.
+func TestCloseWithLine_UnreadBytes_NoReset(t *testing.T) {
 	client, server := connect(t)
 	_, _ = io.WriteString(client, strings.Repeat("x", 20000))
 	netiotest.Eventually(t, "bytes lie unread", func() bool { return netiotest.UnreadBytes(t, server) > 0 })
 	closeWithLine(server, "BUSY\r\n")
-	if state := tcpState(t, client); state != closeWait { // a reset would have closed it
-		t.Errorf("the client's side is in state %d", state)
+	if state := tcpState(t, client); state != closeWait { // a reset would have closed the client's side
+		t.Errorf("client's side: TCP state %d, want CLOSE_WAIT", state)
 	}
 	if all, err := io.ReadAll(client); string(all) != "BUSY\r\n" || err != nil {
-		t.Errorf("read %q, error %v", all, err)
+		t.Errorf("client read %q, error %v; want the line", all, err)
 	}
 }
 
-// An established connection is migrated and reset by its host, in either order: the client sees the first event
-// alone, and the host's side is closed. Each event is held back until the other has happened.
+// An established connection is migrated by the node and reset by its host, in either order. The client must see only
+// the first event, and the host's side must be closed. The test holds the second event back until the first has
+// happened.
 func TestMigrate_HostResets_FirstEventWins(t *testing.T) {
 	for _, migratedFirst := range []bool{true, false} {
 		t.Run(fmt.Sprintf("migrated first %v", migratedFirst), func(t *testing.T) {
@@ -61,7 +62,7 @@
 			r := startNode(t, zap.NewNop(), true, addr)
 			_, in := r.open(t, openRequest)
 			if line, err := in.ReadString('\n'); line != establishedLine || err != nil {
-				t.Fatalf("read %q, error %v", line, err)
+				t.Fatalf("client read %q, error %v; want an established connection", line, err)
 			}
 			clientConn := r.onlyConn(t)
 			netiotest.Eventually(t, "the connection is established", func() bool { return r.node.EstablishedConnections() == 1 })
@@ -69,7 +70,7 @@
 				clientConn.Migrate()
 				close(hostResets)
 			} else {
-				clientConn.mu.Lock() // Migrate waits for the mutex, while the connection ends
+				clientConn.mu.Lock() // Migrate waits for the mutex while the connection ends
 				done := make(chan struct{})
 				go func() {
 					clientConn.Migrate()
@@ -82,14 +83,14 @@
 			}
 			all, err := io.ReadAll(in)
 			if migratedFirst && (string(all) != wire.Migration || err != nil) || !migratedFirst && (len(all) > 0 || err == nil) {
-				t.Errorf("read %q, error %v", all, err)
+				t.Errorf("client read %q, error %v; want the first event only", all, err)
 			}
 			r.awaitNoClients(t)
 		})
 	}
 }
 
-// Small writes that a socket holds back would be lost with a reset that follows.
+// TCP_NODELAY must be set on every socket: a reset would discard small writes that the kernel still delays.
 func TestSockets_EachSide_NoDelaySet(t *testing.T) {
 	client, accepted := connect(t)
 	f, err := accepted.File()
@@ -97,7 +98,7 @@
 		t.Fatal(err)
 	}
 	defer f.Close()
-	adopted, err := net.FileConn(f) // as a process adopts it
+	adopted, err := net.FileConn(f) // as in a process that adopts the connection
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -110,7 +111,7 @@
 		noDelay := 0
 		_ = raw.Control(func(fd uintptr) { noDelay, err = unix.GetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_NODELAY) })
 		if err != nil || noDelay == 0 {
-			t.Errorf("%s: %d, error %v", name, noDelay, err)
+			t.Errorf("%s socket: TCP_NODELAY %d, error %v; want 1", name, noDelay, err)
 		}
 	}
 }
