--- a/internal/proxy/conn.go
+++ b/internal/proxy/conn.go
@@ -138,9 +138,9 @@
 }
 
 // shutDown begins to end the connection. The caller holds the proxy's mutex. An established connection is reset, or
-// left open with passThrough. Any other connection is ended by its own goroutine, because only that goroutine knows
-// what was read: serveRequest answers an admitted client, and readOpening first reads what has been received of an
-// opening line.
+// left open with passThrough. A connection that is being resumed at its current host is reset too. Any other connection
+// is ended by its own goroutine, because only that goroutine knows what was read: serveRequest answers an admitted
+// client, and readOpening first reads what has been received of an opening line.
 func (c *conn) shutDown(passThrough bool) {
 	established := c.isEstablished()
 	if established && passThrough {
--- a/internal/proxy/disconnect.go
+++ b/internal/proxy/disconnect.go
@@ -77,7 +77,7 @@
 	if len(in.Buffered()) == 0 {
 		return true
 	}
-	if !c.opening.MidFlow && c.protocolViolation() {
+	if !c.opening.MidFlow && c.disconnectOnViolation() {
 		return false
 	}
 	if len(in.Space()) > 0 {
@@ -116,16 +116,16 @@
 			if err := sendingEnded(c.client); err != nil && c.disconnectUnestablished(err) {
 				return false
 			}
-			if unreadBytes(c.client) > maxUnreadBytes && c.protocolViolation() {
+			if unreadBytes(c.client) > maxUnreadBytes && c.disconnectOnViolation() {
 				return false
 			}
 		}
 	}
 }
 
-// protocolViolation disconnects a client that sends too much before the connection is established. It reports false if
-// the connection has been established meanwhile.
-func (c *conn) protocolViolation() bool {
+// disconnectOnViolation disconnects a client that sends too much before the connection is established. It reports false
+// if the connection has been established meanwhile.
+func (c *conn) disconnectOnViolation() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.host != nil {
--- a/internal/proxy/opening.go
+++ b/internal/proxy/opening.go
@@ -119,7 +119,7 @@
 
 // receive reads more of the opening line. It reports false if the connection has ended. On the timeout or a shutdown it
 // reads once more what has been received by then: a close would lose a request that has just arrived, without an
-// answer. On a shutdown it rejects a client whose line is incomplete. In all other cases it closes the connection
+// answer. On a shutdown it rejects a client whose line is incomplete. In all other cases the connection is closed
 // without an answer.
 func (r *openingReader) receive() bool {
 	r.openingRead.Store(true)
@@ -133,7 +133,7 @@
 	switch {
 	case n > 0:
 		r.idle.Store(false)
-		r.openingStarted.Store(true) // ReadAvailable does not set it
+		r.openingStarted.Store(true) // ReadAvailable does not set openingStarted
 		return true
 	case expired && r.isShuttingDown() && len(r.in.Buffered()) > 0:
 		r.answer(r.proxy.rejection())
@@ -189,7 +189,8 @@
 	return n > 0 || c.openingStarted.Load()
 }
 
-// setOpeningDeadline sets the deadline for the opening line. During a shutdown the deadline has passed already.
+// setOpeningDeadline sets the deadline for the opening line. During a shutdown it sets one that has passed already, so
+// that the wait ends at once.
 func (c *conn) setOpeningDeadline(deadline time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -23,8 +23,8 @@
 		c.resume(&state)
 		return
 	}
-	backstop := time.NewTimer(max(time.Until(deadline), 0) + c.proxy.cfg.AnswerSlack)
-	defer backstop.Stop()
+	fallbackTimer := time.NewTimer(max(time.Until(deadline), 0) + c.proxy.cfg.AnswerSlack)
+	defer fallbackTimer.Stop()
 	c.proxy.node.RequestArrived(&c.opening, deadline, c)
 	for state.isOpen() {
 		select {
@@ -38,7 +38,7 @@
 				state.fallback = c.proxy.rejection()
 			}
 			return
-		case <-backstop.C:
+		case <-fallbackTimer.C:
 			c.proxy.log.Info("request deadline exceeded without an answer from the node", zap.String("request", c.opening.ID))
 			return
 		case d := <-c.decisions:
@@ -62,7 +62,7 @@
 	}
 	target := *d.attempt
 	state.attemptStarted(target.Number)
-	// serveRequest does not see its backstop timer while the attempt is in flight, so the attempt must end by then.
+	// serveRequest does not watch fallbackTimer while the attempt is in flight, so the attempt must end by then.
 	target.Timeout = min(target.Timeout, time.Until(deadline)+c.proxy.cfg.AnswerSlack)
 	state.attemptReported(c.attemptHost(target))
 }
