--- a/internal/netio/available.go
+++ b/internal/netio/available.go
@@ -10,23 +10,23 @@
 	"onyxstream/internal/syserr"
 )
 
-// ReadAvailable reads what a connection has received already, whatever its deadlines are, and never blocks. It
-// returns 0 and no error if nothing has been received, and io.EOF if the peer has closed its side. Beside a blocking
-// read on the same connection either of the two gets the bytes.
+// ReadAvailable reads what a connection has already received. It ignores the connection's deadlines and never blocks.
+// It returns 0 and no error if nothing has been received, and io.EOF if the remote side is closed. If another goroutine
+// is blocked in a read on the same connection, either of the two gets the bytes.
 func ReadAvailable(c *net.TCPConn, into []byte) (n int, err error) {
 	raw, err := c.SyscallConn()
 	if err != nil {
 		return 0, err
 	}
-	controlErr := raw.Control(func(fd uintptr) { n, err = ReadNow(fd, into) })
+	controlErr := raw.Control(func(fd uintptr) { n, err = ReadAvailableFD(fd, into) })
 	if controlErr != nil {
 		return 0, controlErr
 	}
 	return n, err
 }
 
-// ReadNow is ReadAvailable on a descriptor in non-blocking mode.
-func ReadNow(fd uintptr, into []byte) (n int, err error) {
+// ReadAvailableFD is ReadAvailable for a descriptor, which must be in non-blocking mode.
+func ReadAvailableFD(fd uintptr, into []byte) (n int, err error) {
 	for retries := 0; ; {
 		n, err = unix.Read(int(fd), into)
 		switch {
--- a/internal/proxy/metrics.go
+++ b/internal/proxy/metrics.go
@@ -13,30 +13,30 @@
 	Success, Rejected, Error uint64
 }
 
-// replyCounters counts Replies. Each client is counted once, by countReply.
-type replyCounters struct{ success, rejected, errored atomic.Uint64 }
+// answerCounters are the counters behind Replies. countAnswer counts each client once.
+type answerCounters struct{ success, rejected, errored atomic.Uint64 }
 
-// metrics are counted from the start of the process. Any goroutine may read them.
+// metrics holds counters since the start of the process. It is safe for concurrent use.
 type metrics struct {
 	classes     []string
-	replies     map[string]*replyCounters // by class; the map never changes
-	dispatches  atomic.Uint64             // attempts whose opening line was written completely
-	openClients atomic.Int64              // admitted clients
+	answers     map[string]*answerCounters // by class; the map is never modified
+	dispatches  atomic.Uint64              // attempts whose opening line was completely written
+	openClients atomic.Int64               // admitted clients
 }
 
 func newMetrics(classes []string) *metrics {
-	m := &metrics{classes: classes, replies: make(map[string]*replyCounters, len(classes))}
+	m := &metrics{classes: classes, answers: make(map[string]*answerCounters, len(classes))}
 	for _, class := range classes {
-		m.replies[class] = &replyCounters{}
+		m.answers[class] = &answerCounters{}
 	}
 	return m
 }
 
-// Replies returns the final answers of each class, in the order of the settings.
+// Replies returns the counts of final answers for each class, in the order of the settings.
 func (p *Proxy) Replies() []Replies {
 	all := make([]Replies, 0, len(p.metrics.classes))
 	for _, class := range p.metrics.classes {
-		counters := p.metrics.replies[class]
+		counters := p.metrics.answers[class]
 		all = append(all, Replies{
 			Class:    class,
 			Success:  counters.success.Load(),
@@ -47,10 +47,10 @@
 	return all
 }
 
-// Dispatches returns how many opening lines were written to hosts.
+// Dispatches returns how many opening lines were completely written to hosts.
 func (p *Proxy) Dispatches() uint64 { return p.metrics.dispatches.Load() }
 
-// OpenClients returns how many clients are admitted.
+// OpenClients returns the number of admitted clients.
 func (p *Proxy) OpenClients() int64 { return p.metrics.openClients.Load() }
 
 // answerResult is the kind of a final answer.
@@ -62,10 +62,10 @@
 	errored
 )
 
-// countAnswer counts a client's first final answer.
+// countAnswer records a final answer, and counts it in the metrics if it is the client's first.
 func (c *conn) countAnswer(result answerResult) {
 	c.recordAnswer(time.Now())
-	counters := c.proxy.metrics.replies[c.opening.Class]
+	counters := c.proxy.metrics.answers[c.opening.Class]
 	if counters == nil || c.answerCounted.Swap(true) {
 		return
 	}
@@ -79,7 +79,7 @@
 	}
 }
 
-// countAnswerLine counts a final answer that is not a host's by its line.
+// countAnswerLine counts a final answer of this node by its line. It is not for the answers of hosts.
 func (c *conn) countAnswerLine(line string) {
 	if line == wire.Failure {
 		c.countAnswer(errored)
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -13,9 +13,9 @@
 	"onyxstream/internal/wire"
 )
 
-// serveRequest executes what the node decides for a request until the client has its answer or, if a host establishes
-// the connection, until that has ended. A request that the node does not answer in time gets a reply of the proxy's
-// own.
+// serveRequest executes the node's decisions for a request until the client has its final answer or, if a host
+// establishes the connection, until the connection has ended. If the node does not answer the request in time, the
+// proxy does.
 func (c *conn) serveRequest(deadline time.Time) {
 	state := newRequestState()
 	defer c.finishRequest(&state)
@@ -23,8 +23,8 @@
 		c.resume(&state)
 		return
 	}
-	backstop := time.NewTimer(max(time.Until(deadline), 0) + c.proxy.cfg.AnswerSlack)
-	defer backstop.Stop()
+	fallbackTimer := time.NewTimer(max(time.Until(deadline), 0) + c.proxy.cfg.AnswerSlack)
+	defer fallbackTimer.Stop()
 	c.proxy.node.RequestArrived(&c.opening, deadline, c)
 	for state.isOpen() {
 		select {
@@ -32,43 +32,43 @@
 			state.conclude()
 			c.proxy.node.ClientDisconnected(c.requestID, c, state.attempts)
 		case <-c.proxy.shutdown:
-			// The node has replied to all requests that it knew of before.
-			c.proxy.log.Info("shutting down, replying to in-flight request", zap.String("request", c.opening.ID))
-			if state.attempts == 0 { // it was forwarded nowhere, and will not be
+			// The node has already answered every request that it knew of.
+			c.proxy.log.Info("shutting down, answering in-flight request", zap.String("request", c.opening.ID))
+			if state.attempts == 0 { // the request was not forwarded, and will not be
 				state.fallback = c.proxy.rejection()
 			}
 			return
-		case <-backstop.C:
-			c.proxy.log.Info("request deadline exceeded without a reply from the node", zap.String("request", c.opening.ID))
+		case <-fallbackTimer.C:
+			c.proxy.log.Info("request deadline exceeded without an answer from the node", zap.String("request", c.opening.ID))
 			return
-		case cmd := <-c.commands:
-			c.execute(cmd, &state, deadline)
+		case d := <-c.decisions:
+			c.execute(d, &state, deadline)
 		}
 	}
 }
 
-// execute executes a command of the node.
-func (c *conn) execute(cmd command, state *requestState, deadline time.Time) {
-	if cmd.attempt == nil {
-		state.answer()
+// execute executes a decision of the node.
+func (c *conn) execute(d decision, state *requestState, deadline time.Time) {
+	if d.attempt == nil {
+		state.answerStarted()
 		c.proxy.log.Debug("request answered by the node",
 			zap.String("request", c.opening.ID),
-			zap.String("reply", strings.TrimSpace(cmd.reply)),
+			zap.String("reply", strings.TrimSpace(d.answer)),
 			zap.Int("attempts", state.attempts),
 			zap.Duration("remaining", time.Until(deadline)))
-		c.countAnswerLine(cmd.reply)
-		c.reply(cmd.reply)
+		c.countAnswerLine(d.answer)
+		c.answer(d.answer)
 		return
 	}
-	target := *cmd.attempt
+	target := *d.attempt
 	state.attemptStarted(target.Number)
-	// The backstop does not fire while the attempt is in flight, so the attempt must end by its time.
+	// serveRequest does not watch fallbackTimer while the attempt is in flight, so the attempt must end by then.
 	target.Timeout = min(target.Timeout, time.Until(deadline)+c.proxy.cfg.AnswerSlack)
 	state.attemptReported(c.attemptHost(target))
 }
 
-// finishRequest ends a request in whatever state it is, a panic included: it notifies the node of what that still waits
-// for, and replies to a client without an answer. It must be deferred directly.
+// finishRequest ends a request in any state, also after a panic: it notifies the node of the events that the node still
+// waits for, and answers a client that has no final answer. It must be deferred directly.
 func (c *conn) finishRequest(state *requestState) {
 	panicked := recover()
 	unreportedAttempt := state.phase == attempting
@@ -85,11 +85,12 @@
 	if unreportedAttempt {
 		c.proxy.node.AttemptEnded(c.requestID, c, state.attempts-1, 0, balancer.ConnectionReset)
 	}
-	c.replyUnanswered(state)
+	c.answerIfUnanswered(state)
 }
 
-// replyUnanswered replies to a client that the node has not answered, if it may read a reply.
-func (c *conn) replyUnanswered(state *requestState) {
+// answerIfUnanswered sends a final answer to a client that has none, unless the client has disconnected. A client that
+// violated the protocol or closed only its own side may still read one.
+func (c *conn) answerIfUnanswered(state *requestState) {
 	unanswered := state.phase != answered
 	violated := c.hasViolatedProtocol() && unanswered
 	if violated {
@@ -98,14 +99,14 @@
 	switch {
 	case state.isOpen() || violated:
 		c.countAnswerLine(state.fallback)
-		c.reply(state.fallback)
-	case c.halfClosed.Load() && unanswered: // it has closed its side and may still read
-		c.writeReply(wire.Failure)
+		c.answer(state.fallback)
+	case c.halfClosed.Load() && unanswered: // the client may still read
+		c.writeAnswer(wire.Failure)
 	}
 }
 
-// resetEstablished resets both sides of an established connection, where a reply would stand among the host's lines. It
-// reports false if the connection is not established.
+// resetEstablished resets both sides of an established connection, because a final answer of this node would be mixed
+// with the host's lines. It reports false if the connection is not established.
 func (c *conn) resetEstablished() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -123,7 +124,7 @@
 	return c.violatedProtocol
 }
 
-// Log messages that more than one place needs, tests included.
+// Log messages that are used in more than one place, or in tests.
 const (
 	attemptFailedMessage     = "attempt failed"
 	connectionClosedMessage  = "connection closed"
@@ -131,8 +132,9 @@
 	protocolViolationMessage = "protocol violation in opening line"
 )
 
-// attemptHost makes one attempt and, if it establishes the connection, relays until that ends. It notifies the node,
-// and reports whether the client needs no further attempt: a host has answered it, or it has disconnected.
+// attemptHost makes one attempt and, if it establishes the connection, relays until the connection ends. It notifies
+// the node, and reports whether the client needs no further attempt because a host has established its connection or
+// the client has disconnected.
 func (c *conn) attemptHost(target node.Attempt) (isConcluded bool) {
 	start := time.Now()
 	var in wire.LineBuffer
@@ -156,7 +158,7 @@
 		zap.Duration("took", took),
 		zap.Error(failure))
 	isConcluded = c.isDisconnected()
-	if isConcluded { // first, so that the node makes no further attempt for a client that has disconnected
+	if isConcluded { // before AttemptEnded, so that the node makes no further attempt for this client
 		c.proxy.node.ClientDisconnected(c.requestID, c, target.Number+1)
 	}
 	c.proxy.node.AttemptEnded(c.requestID, c, target.Number, took, failure.Outcome())
@@ -175,8 +177,9 @@
 		zap.Int("attempt", target.Number))
 }
 
-// beginAttempt records that an attempt is in flight, which the node or the client's disconnect can cancel, until end is
-// called. It is cancelled already if the client has disconnected or the proxy shuts down.
+// beginAttempt records that an attempt is in flight until end is called. The node or a disconnect of the client can
+// cancel the attempt. ctx is already canceled if the client has disconnected, the connection was aborted or the proxy
+// is shutting down.
 func (c *conn) beginAttempt(number int, hostID string) (ctx context.Context, end func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	c.mu.Lock()
@@ -195,12 +198,12 @@
 	}
 }
 
-// tryHost makes one attempt, with the node's authorization between the dial and the first byte.
+// tryHost makes one attempt. The node authorizes it between the dial and the first byte.
 func (c *conn) tryHost(target node.Attempt, in *wire.LineBuffer) (*net.TCPConn, []byte, *AttemptError) {
 	ctx, end := c.beginAttempt(target.Number, string(target.Host))
 	defer end()
 	select {
-	case <-c.authorization: // of an attempt that did not wait for it
+	case <-c.authorization: // a late answer for an earlier attempt, which stopped waiting for it
 	default:
 	}
 	timeout := time.NewTimer(target.Timeout)
@@ -209,14 +212,14 @@
 		connectTimeout: c.proxy.cfg.ConnectTimeout,
 		authorize:      func() error { return c.awaitAuthorization(ctx, target.Number, timeout.C) },
 		written: func(began time.Time) {
-			c.checkStart(string(target.Host), began)
+			c.recordDispatch(string(target.Host), began)
 			c.proxy.node.AttemptWritten(c.requestID, c, target.Number, began)
 		},
 	}, in)
 }
 
-// awaitAuthorization asks the node whether an attempt that has connected may write. A node that does not answer must
-// not hold the client beyond the attempt's timeout.
+// awaitAuthorization asks the node whether an attempt that has connected may write the opening line. It waits no longer
+// than the attempt's timeout, so that a node that does not answer cannot block the client.
 func (c *conn) awaitAuthorization(ctx context.Context, number int, timeout <-chan time.Time) error {
 	c.proxy.node.AttemptConnected(c.requestID, c, number)
 	select {
