--- a/internal/hotrestart/accept.go
+++ b/internal/hotrestart/accept.go
@@ -18,7 +18,7 @@
 // AcceptedConn is a connection that was accepted from another process, with this process's copies of its sockets.
 type AcceptedConn struct {
 	OfferedConn
-	ClientConn, PeerConn *net.TCPConn
+	ClientConn, HostConn *net.TCPConn
 }
 
 // InvalidOfferError is returned for an offer's file that is damaged, or that no process of this node can have written.
@@ -121,23 +121,23 @@
 }
 
 func copyConnection(process int, offered OfferedConn) (AcceptedConn, error) {
-	client, err := copySocket(process, offered.Client)
+	client, err := copySocket(process, offered.ClientSocket)
 	if err != nil {
 		return AcceptedConn{}, err
 	}
-	peer, err := copySocket(process, offered.Peer)
+	peer, err := copySocket(process, offered.HostSocket)
 	if err != nil {
 		_ = client.Close()
 		return AcceptedConn{}, err
 	}
-	return AcceptedConn{OfferedConn: offered, ClientConn: client, PeerConn: peer}, nil
+	return AcceptedConn{OfferedConn: offered, ClientConn: client, HostConn: peer}, nil
 }
 
 // closeAll closes this process's copies; the connections stay with the process that offered them.
 func closeAll(connections []AcceptedConn) {
 	for _, connection := range connections {
 		_ = connection.ClientConn.Close()
-		_ = connection.PeerConn.Close()
+		_ = connection.HostConn.Close()
 	}
 }
 
@@ -148,7 +148,7 @@
 	if err != nil {
 		return -1, fmt.Errorf("process %d: %w", offered.PID, err)
 	}
-	if err := checkMark(process, offered.Mark, e.store.MarkPath(offered.PID)); err != nil {
+	if err := checkMark(process, offered.Mark, e.store.LivenessPath(offered.PID)); err != nil {
 		_ = unix.Close(process)
 		return -1, fmt.Errorf("process %d: %w", offered.PID, err)
 	}
--- a/internal/hotrestart/offer.go
+++ b/internal/hotrestart/offer.go
@@ -47,8 +47,8 @@
 type OfferedConn struct {
 	Line    string  `json:"line"` // the client's opening line
 	Host    string  `json:"host"`
-	Client  Socket  `json:"client"`
-	Peer    Socket  `json:"peer"`
+	ClientSocket  Socket  `json:"client"`
+	HostSocket    Socket  `json:"peer"`
 	Partial []byte  `json:"partial,omitempty"` // the beginning of a line from the host
 	Load    float64 `json:"load,omitempty"`    // as last reported by the host, 0 for none
 }
@@ -96,7 +96,7 @@
 		Node:          e.store.Node(),
 		PID:           os.Getpid(),
 		Number:        e.offerCount,
-		Mark:          e.store.MarkDescriptor(),
+		Mark:          e.store.LivenessDescriptor(),
 		Connections:   connections,
 		PingBaselines: baselines[:min(len(baselines), maxPingBaselines)],
 	})
--- a/internal/multiprocess/handoff.go
+++ b/internal/multiprocess/handoff.go
@@ -82,8 +82,8 @@
 		offered = append(offered, hotrestart.OfferedConn{
 			Line:    connection.Line,
 			Host:    connection.Host,
-			Client:  client,
-			Peer:    peer,
+			ClientSocket:  client,
+			HostSocket:    peer,
 			Partial: connection.Partial,
 			Load:    connection.Load,
 		})
@@ -137,7 +137,7 @@
 			Line:    connection.Line,
 			Host:    connection.Host,
 			Client:  connection.ClientConn,
-			Peer:    connection.PeerConn,
+			Peer:    connection.HostConn,
 			Partial: connection.Partial,
 			Load:    connection.Load,
 		})
--- a/internal/sharedstate/processes.go
+++ b/internal/sharedstate/processes.go
@@ -36,12 +36,12 @@
 	return err
 }
 
-// MarkDescriptor returns the descriptor of this process's mark. It proves to others that the process is one of the
+// LivenessDescriptor returns the descriptor of this process's mark. It proves to others that the process is one of the
 // node.
-func (s *Store) MarkDescriptor() int { return int(s.mark.Fd()) }
+func (s *Store) LivenessDescriptor() int { return int(s.mark.Fd()) }
 
-// MarkPath returns the path of a process's mark.
-func (s *Store) MarkPath(pid int) string { return s.ProcessFile(pid, markSuffix) }
+// LivenessPath returns the path of a process's mark.
+func (s *Store) LivenessPath(pid int) string { return s.ProcessFile(pid, markSuffix) }
 
 // OtherProcesses returns the status of each other live process of the node. It removes the files of those that died.
 func (s *Store) OtherProcesses() ([]ProcessStatus, error) {
