--- a/cmd/onyxstream/startup_test.go
+++ b/cmd/onyxstream/startup_test.go
@@ -102,11 +102,11 @@
 		file      *os.File
 		wantInLog string
 	}{
-		{"three", nil, "is no descriptor"},
-		{"-1", nil, "is no descriptor"},
-		{"1", nil, "is no descriptor"},
-		{"9", nil, "no listening socket"},
-		{"3", packetSocket, "no listening"},
+		{"three", nil, "invalid descriptor"},
+		{"-1", nil, "invalid descriptor"},
+		{"1", nil, "invalid descriptor"},
+		{"9", nil, "is not a listening socket"},
+		{"3", packetSocket, "is not a listening"},
 		{"3", otherListener, "listens at"},
 	} {
 		configOptions := nodeOptions{initialList: endpointListJSON(0, true), listener: test.file}
--- a/internal/lifecycle/coldstart.go
+++ b/internal/lifecycle/coldstart.go
@@ -19,21 +19,21 @@
 )
 
 const (
-	// defaultPollInterval is used where the settings have no poll interval.
+	// defaultPollInterval is used when the settings have no poll interval.
 	defaultPollInterval = 10 * time.Second
-	// peerPollers is how many peers are polled at one time: one of them may hang.
+	// peerPollers is how many peers are polled concurrently, so that one hanging peer does not block polling.
 	peerPollers = 2
 )
 
-// coldStart has what a node with cold start is built from.
+// coldStart holds the parts from which a node with cold start is built.
 type coldStart struct {
-	service   string            // name of the list service
-	known     wire.EndpointList // the newest list of the configuration and the cache
+	service   string            // name of the discovery service
+	known     wire.EndpointList // the newer of the configured and the cached endpoint list
 	scheduler *coldstart.Scheduler
 }
 
-// newColdStart chooses the newer of the endpoint lists of the configuration and of the cache, and makes the scheduler of
-// calls to the list service.
+// newColdStart chooses the newer of the configured and the cached endpoint list, and creates the scheduler of the list
+// requests to discovery.
 func newColdStart(options *nodeconfig.ColdStart, cfg nodeconfig.Config, log *zap.Logger) coldStart {
 	service := cmp.Or(options.Service, cfg.Discovery)
 	known := cfg.KnownEndpoints
@@ -46,7 +46,7 @@
 		case err == nil && (cached.Revision > known.Revision || len(known.Endpoints) == 0):
 			known, source, age = cached, coldstart.SourceFolder, cachedAge
 		case err == nil:
-			log.Info("cached endpoint list ignored: not newer than the configuration's",
+			log.Info("cached endpoint list ignored: not newer than the configured list",
 				zap.Int64("cached_revision", cached.Revision), zap.Int64("configured_revision", known.Revision))
 		case !errors.Is(err, fs.ErrNotExist):
 			log.Warn("cached endpoint list rejected", zap.String("folder", options.Folder), zap.Error(err))
@@ -73,11 +73,11 @@
 		Service:      service,
 	}
 	rng := rand.New(rand.NewPCG(settings.Seed, uint64(settings.NodeIndex)+1))
-	// The node's clock begins as Unix time; the loop starts with New, a moment later.
+	// The event loop's clock starts at the Unix time of node.New, which is called right after this.
 	return coldstart.New(config, rng, time.Duration(time.Now().UnixNano()), source, known)
 }
 
-// startColdStartTasks starts the tasks of a cold start in a group: the list cache and the peer pollers.
+// startColdStartTasks starts the background tasks of a cold start: the list cache and the peer pollers.
 func startColdStartTasks(
 	ctx context.Context, group *errgroup.Group, options *nodeconfig.ColdStart,
 	self *node.Node, settings balancer.Settings, log *zap.Logger,
--- a/internal/lifecycle/control.go
+++ b/internal/lifecycle/control.go
@@ -20,7 +20,7 @@
 	"onyxstream/internal/pki"
 )
 
-// controlDescriptors returns how many descriptors the control listeners and their connections take at most.
+// controlDescriptors returns the maximum number of descriptors that the control listeners and their connections use.
 func controlDescriptors(cfg nodeconfig.Control, maxConnections int) (total int) {
 	for _, address := range []string{cfg.Socket, cfg.Listen} {
 		if address != "" {
@@ -30,7 +30,7 @@
 	return total
 }
 
-// openControlListeners opens the control listeners that are configured; after an error none is open.
+// openControlListeners opens the configured control listeners. If it returns an error, no listener stays open.
 func openControlListeners(
 	cfg nodeconfig.Control, maxConnections int, log *zap.Logger,
 ) (listeners []control.Listener, err error) {
@@ -63,12 +63,12 @@
 	return listeners, nil
 }
 
-// openKeys opens certificate files that are read again when they are renewed.
+// openKeys opens certificate files. The key store reloads them when they are renewed.
 func openKeys(files pki.Files, log *zap.Logger) (*pki.KeyStore, error) {
 	return pki.Open(files, func(err error) { log.Error("certificate reload failed", zap.Error(err)) })
 }
 
-// controlRole maps the role in a certificate to that on the control listener.
+// controlRole maps the role in a certificate to a role on the control listener.
 func controlRole(certificateRole string) control.Role {
 	switch certificateRole {
 	case pki.RoleOperator:
@@ -79,7 +79,7 @@
 	return control.NoRole
 }
 
-// controlInstance is the node as the control server calls it. Its methods may be called from any goroutine.
+// controlInstance implements control.Instance for the node. Its methods may be called from any goroutine.
 type controlInstance struct {
 	name      string
 	node      *node.Node
@@ -87,10 +87,10 @@
 	stop      context.Context // done once the process is signalled to stop
 }
 
-// The server finds out at run time whether an instance provides lists.
+// The control server checks for control.ListProvider at run time, so the compiler has to check it here.
 var _ control.ListProvider = (*controlInstance)(nil)
 
-// newIncarnation returns an identifier that is unique to this start of the node.
+// newIncarnation returns a random identifier for this start of the process.
 func newIncarnation() string { return strconv.FormatUint(rand.Uint64(), 36) }
 
 // Status returns the node's state and counters.
@@ -119,7 +119,7 @@
 	return status
 }
 
-// listStatus returns how the endpoint list was obtained; nil without cold start.
+// listStatus returns how the node obtained its endpoint list, or nil if cold start is off.
 func (c *controlInstance) listStatus() *control.ListStatus {
 	state, ok := c.node.ColdStartState()
 	if !ok {
@@ -152,7 +152,8 @@
 	return statuses
 }
 
-// abandonedRequests lists the counts by reason, sorted: a status that has not changed must be equal to the last one.
+// abandonedRequests returns the number of abandoned requests for each reason. It is sorted by reason, so that an
+// unchanged status compares equal to the last one.
 func abandonedRequests(view node.View) (abandoned []control.AbandonedRequests) {
 	for _, reason := range slices.Sorted(maps.Keys(view.GivenUp)) {
 		abandoned = append(abandoned, control.AbandonedRequests{
@@ -163,7 +164,7 @@
 	return abandoned
 }
 
-// CachedList returns the endpoint list for other nodes; nil for none.
+// CachedList returns the endpoint list that this node offers to its peers, or nil if it has none.
 func (c *controlInstance) CachedList() *control.CachedList {
 	cached := c.node.CachedList()
 	if cached == nil {
@@ -182,10 +183,10 @@
 	return list
 }
 
-// ListAvailable returns a channel that is closed once the node has an endpoint list.
+// ListAvailable returns a channel that is closed as soon as the node has an endpoint list.
 func (c *controlInstance) ListAvailable() <-chan struct{} { return c.node.ListAvailable() }
 
-// Apply executes a command. It panics for a kind that the control server does not know either.
+// Apply executes a command. It panics if the command's kind is none of those that the control server accepts.
 func (c *controlInstance) Apply(command control.Command) error {
 	now := time.Now()
 	switch command.Kind {
--- a/internal/lifecycle/listcache.go
+++ b/internal/lifecycle/listcache.go
@@ -17,24 +17,25 @@
 
 const (
 	listCacheFile = "hosts.list"
-	// listCacheInterval is the shortest time between two writes.
+	// listCacheInterval is the minimum time between two writes.
 	listCacheInterval = time.Second
-	// listCacheRefresh is how much later a list must have been confirmed to be written again unchanged.
+	// listCacheRefresh limits how often an unchanged list is rewritten: only if discovery confirmed it again more than
+	// this long after the confirmation in the file.
 	listCacheRefresh = time.Minute
 )
 
-// listCache keeps a node's endpoint list in a persistent folder.
+// listCache stores a node's endpoint list in a persistent folder, for the next start.
 type listCache struct {
-	folder string // "" for no cache; run does nothing then
+	folder string // "" disables the cache: run returns at once
 
-	written     int64     // revision of the list that was written last, -1 for none
-	confirmed   time.Time // of that list
-	writeFailed bool      // the last write did
+	writtenRevision    int64     // revision of the last list written, -1 for none
+	writtenConfirmedAt time.Time // when discovery last confirmed that list
+	writeFailed        bool      // whether the last write failed
 }
 
-func newListCache(folder string) *listCache { return &listCache{folder: folder, written: -1} }
+func newListCache(folder string) *listCache { return &listCache{folder: folder, writtenRevision: -1} }
 
-// read returns the cached list of a list service, and how long ago the service confirmed it.
+// read returns the cached list of a discovery service, and how long ago the service confirmed it.
 func (c *listCache) read(service string) (list wire.EndpointList, age time.Duration, err error) {
 	text, err := os.ReadFile(filepath.Join(c.folder, listCacheFile))
 	if err != nil {
@@ -43,7 +44,7 @@
 	return coldstart.Decode(text, service, time.Now())
 }
 
-// run writes the node's list whenever it was replaced, or confirmed long after it was written, until the context ends.
+// run calls update each time the node publishes its list, at most once per listCacheInterval, until the context ends.
 func (c *listCache) run(ctx context.Context, self *node.Node, log *zap.Logger) {
 	if c.folder == "" {
 		return
@@ -66,18 +67,19 @@
 	}
 }
 
-// update writes a list that came from the service or a peer, unless it is the one written last.
+// update writes a list if it came from discovery or a peer, and if it has another revision than the last list written
+// or was confirmed more than listCacheRefresh later.
 func (c *listCache) update(list *node.CachedList, log *zap.Logger) {
 	fromOthers := list.Source == coldstart.SourceService || list.Source == coldstart.SourcePeer
-	changed := list.List.Revision != c.written || list.Confirmed.Sub(c.confirmed) > listCacheRefresh
+	changed := list.List.Revision != c.writtenRevision || list.Confirmed.Sub(c.writtenConfirmedAt) > listCacheRefresh
 	if !fromOthers || !changed {
 		return
 	}
 	err := c.write(list)
 	if err == nil {
-		c.written = list.List.Revision
-		c.confirmed = list.Confirmed
-	} else if !c.writeFailed { // once, not with each retry
+		c.writtenRevision = list.List.Revision
+		c.writtenConfirmedAt = list.Confirmed
+	} else if !c.writeFailed { // logs once, not for each retry
 		log.Warn("endpoint list cache write failed", zap.String("folder", c.folder), zap.Error(err))
 	}
 	c.writeFailed = err != nil
--- a/internal/lifecycle/listener.go
+++ b/internal/lifecycle/listener.go
@@ -12,30 +12,31 @@
 	"onyxstream/internal/proxy"
 )
 
-// listenerVariable names the descriptor of the clients' listening socket, where the platform holds it open over the
-// node's processes: they accept from one queue, and no client in it is lost at a hot restart.
+// listenerVariable names the environment variable with the descriptor of an inherited client listener. The platform
+// sets it if it keeps the listening socket open across the processes of the node. All of them then accept from the
+// same queue, and a hot restart loses no client in it.
 const listenerVariable = "PROXY_ACCEPT_FD"
 
-// firstInheritedDescriptor is the lowest behind standard input, output and error.
+// firstInheritedDescriptor is the lowest descriptor after standard input, output and error.
 const firstInheritedDescriptor = 3
 
 const (
-	// acceptTimeout bounds the wait for an accept that blocks.
+	// acceptTimeout limits the wait for an accept that blocks.
 	acceptTimeout = 100 * time.Millisecond
-	// queueDrainTime is for how long the clients in the queue are accepted before the listener is closed.
+	// queueDrainTime is how long queued clients are still accepted before the listener is closed.
 	queueDrainTime = 20 * time.Millisecond
-	// nonblockInterval is how often an inherited listener is made non-blocking.
+	// nonblockInterval is how often an inherited listener is set to non-blocking mode.
 	nonblockInterval = 100 * time.Millisecond
 )
 
-// clientListener is the clients' listener. An inherited one is shared with other processes.
+// clientListener accepts clients. If it is inherited, it shares its socket with other processes.
 type clientListener struct {
 	*net.TCPListener
 	inherited  bool
 	serveEnded chan struct{} // closed when serve returns
 }
 
-// openClientListener listens at an address, or uses the listener that was inherited from the platform.
+// openClientListener opens a listener at an address, or uses the one inherited from the platform.
 func openClientListener(ctx context.Context, address string) (*clientListener, error) {
 	descriptor := os.Getenv(listenerVariable)
 	if descriptor == "" {
@@ -57,22 +58,23 @@
 	}
 }
 
-// inheritListener returns the listener of a descriptor, which must listen at the address.
+// inheritListener returns a listener for an inherited descriptor. It returns an error unless the descriptor is a TCP
+// socket that listens at the address.
 func inheritListener(descriptor, address string) (*net.TCPListener, error) {
 	fd, err := strconv.ParseUint(descriptor, 10, 31)
 	if err != nil || fd < firstInheritedDescriptor {
-		return nil, fmt.Errorf("%q is no descriptor from %d on", descriptor, firstInheritedDescriptor)
+		return nil, fmt.Errorf("invalid descriptor %q: want a number of at least %d", descriptor, firstInheritedDescriptor)
 	}
 	file := os.NewFile(uintptr(fd), listenerVariable)
 	listener, err := net.FileListener(file) // duplicates the descriptor
 	if err != nil {
-		return nil, fmt.Errorf("descriptor %d is no listening socket: %w", fd, err)
+		return nil, fmt.Errorf("descriptor %d is not a listening socket: %w", fd, err)
 	}
 	_ = file.Close()
 	tcp, ok := listener.(*net.TCPListener)
 	if !ok {
 		_ = listener.Close()
-		return nil, fmt.Errorf("descriptor %d is no listening TCP socket", fd)
+		return nil, fmt.Errorf("descriptor %d is not a listening TCP socket", fd)
 	}
 	expected, err := net.ResolveTCPAddr("tcp", address)
 	actual := tcp.Addr().(*net.TCPAddr)
@@ -83,9 +85,9 @@
 	return tcp, nil
 }
 
-// setNonblocking keeps accepts on an inherited listener from blocking a thread. All processes that hold the socket
-// share the flag, and one may clear it by starting another program. A blocked accept would hold up Close and take a
-// client that the successor should have.
+// setNonblocking sets an inherited listener to non-blocking mode, so that an accept can't block a thread. All processes
+// that hold the socket share the flag, and a process may clear it when it starts another program. A blocked accept
+// would delay Close and take a client that the successor should get.
 func (l *clientListener) setNonblocking() {
 	if !l.inherited {
 		return
@@ -102,7 +104,8 @@
 	return l.TCPListener.AcceptTCP()
 }
 
-// serve passes clients to the proxy until the listener is closed.
+// serve passes clients to the proxy until the listener is closed. If it is inherited, serve also returns at most
+// acceptTimeout after the context ends.
 func (l *clientListener) serve(ctx context.Context, p *proxy.Proxy) error {
 	defer close(l.serveEnded)
 	if !l.inherited {
@@ -119,13 +122,13 @@
 		case <-ticker.C:
 			l.setNonblocking()
 		case <-ctx.Done():
-			return resultWithin(result, acceptTimeout)
+			return awaitResult(result, acceptTimeout)
 		}
 	}
 }
 
-// resultWithin returns the result that comes within the timeout, or nil.
-func resultWithin(result <-chan error, timeout time.Duration) error {
+// awaitResult waits for a result. It returns nil after the timeout.
+func awaitResult(result <-chan error, timeout time.Duration) error {
 	select {
 	case err := <-result:
 		return err
@@ -134,9 +137,9 @@
 	}
 }
 
-// drainQueue accepts the clients in the queue, whose connections the system would reset, and closes the listener:
-// later clients are refused. It returns false for an inherited listener, which it leaves open: other processes accept
-// from it.
+// drainQueue accepts the clients that are still in the queue, because the system would reset their connections, and
+// then closes the listener: later clients get a refused connection. It leaves an inherited listener open and returns
+// false, because other processes accept from its queue.
 func (l *clientListener) drainQueue() bool {
 	if l.inherited {
 		return false
@@ -147,7 +150,7 @@
 	return true
 }
 
-// awaitServeEnd waits until no client is accepted any more, for acceptTimeout at most.
+// awaitServeEnd waits for serve to return, after which no client is accepted any more. It waits at most acceptTimeout.
 func (l *clientListener) awaitServeEnd() {
 	select {
 	case <-l.serveEnded:
@@ -155,7 +158,7 @@
 	}
 }
 
-// Close closes the listener; it waits for acceptTimeout at most. It may be called several times.
+// Close closes the listener. It returns after at most acceptTimeout, and may be called several times.
 func (l *clientListener) Close() {
 	l.setNonblocking()
 	closed := make(chan struct{})
--- a/internal/lifecycle/listener_test.go
+++ b/internal/lifecycle/listener_test.go
@@ -12,8 +12,8 @@
 	"onyxstream/internal/proxy"
 )
 
-// Once the queue is drained the system refuses connections: one in a queue that nobody accepts from would be reset
-// with its request.
+// After drainQueue, the system must refuse new connections. A connection left in a queue that no process accepts from
+// would be reset together with its request.
 func TestClientListener_QueueDrained_RefusesConnections(t *testing.T) {
 	l, err := openClientListener(t.Context(), "127.0.0.1:0")
 	if err != nil {
@@ -23,13 +23,13 @@
 	d := proxy.New(proxy.Config{MaxDescriptors: 256}, zap.NewNop())
 	go func() { _ = l.serve(t.Context(), d) }()
 	if !l.drainQueue() {
-		t.Fatal("another process accepts from it")
+		t.Fatal("drainQueue left a listener open that is not inherited")
 	}
 	c, err := net.DialTimeout("tcp", l.Addr().String(), 5*time.Second)
 	if err == nil {
 		_ = c.Close()
 	}
 	if !errors.Is(err, syscall.ECONNREFUSED) {
-		t.Errorf("a later connection: %v", err)
+		t.Errorf("connecting after drainQueue: got error %v, want ECONNREFUSED", err)
 	}
 }
--- a/internal/lifecycle/logger.go
+++ b/internal/lifecycle/logger.go
@@ -10,18 +10,18 @@
 	"onyxstream/internal/logging"
 )
 
-// debugVariable turns on debug lines, and turns off the sampling of all lines.
+// debugVariable names the environment variable that turns on debug lines, and turns off the sampling of log lines.
 const debugVariable = "PROXY_DEBUG"
 
-// Of one message, the log has the first few lines in an interval and then one in many: errors come in thousands, and
-// must not make the log a bottleneck.
+// Log sampling: of the lines with the same message, the log keeps the first logSampleFirst in each interval and then
+// one in logSampleOneIn. Errors can come in thousands and must not make the log a bottleneck.
 const (
 	logSampleInterval = time.Second
 	logSampleFirst    = 5
 	logSampleOneIn    = 1000
 )
 
-// newLogger returns a logger to standard error that never blocks.
+// newLogger returns a logger that writes to standard error without blocking the caller.
 func newLogger(node string) *zap.Logger {
 	output := logging.New(os.Stderr)
 	if os.Getenv(debugVariable) != "" {
--- a/internal/lifecycle/management.go
+++ b/internal/lifecycle/management.go
@@ -13,18 +13,18 @@
 )
 
 const (
-	// managementAdmitFor is how long a drained node admits new clients: by then the load balancer in front of the
-	// nodes has surely noticed the drain.
+	// managementAdmitFor is how long a node still admits new clients after a drain command: time enough for the load
+	// balancer in front of the nodes to notice the drain.
 	managementAdmitFor = time.Second
-	// managementDrainTimeout is when a drained node has migrated its connections.
+	// managementDrainTimeout is how long after the command a draining node has migrated its connections.
 	managementDrainTimeout = 3 * time.Second
 )
 
-// errShuttingDown is part of the management protocol: callers read its text.
+// errShuttingDown has a fixed text: the reply to a management call contains it.
 var errShuttingDown = errors.New("this process stops")
 
-// managementOperations executes the calls of the management listener, for all processes of the node. Its methods may be
-// called from any goroutine.
+// managementOperations executes management calls. An override or a drain applies to all processes of the node. The
+// methods may be called from any goroutine.
 type managementOperations struct {
 	node        *node.Node
 	proxy       *proxy.Proxy
@@ -32,8 +32,8 @@
 	stop        context.Context // done once the process is signalled to stop
 }
 
-// Ready returns nil where this process can serve, also while the node drains: the load balancer in front of the nodes
-// learns of a drain by other means.
+// Ready returns nil if this process can serve clients. A draining node is ready, too: the load balancer in front of the
+// nodes learns of a drain by other means.
 func (m *managementOperations) Ready() error {
 	if m.stop.Err() != nil {
 		return errShuttingDown
@@ -41,7 +41,7 @@
 	return nil
 }
 
-// Stats returns the node's counters. It does not wait for the event loop.
+// Stats returns the node's counters, without waiting for the event loop.
 func (m *managementOperations) Stats() management.Stats {
 	stats := management.Stats{
 		Dispatches: m.proxy.Dispatches(),
@@ -59,17 +59,17 @@
 	return stats
 }
 
-// DrainHost drains a host.
+// DrainHost sets a host override that drains the host.
 func (m *managementOperations) DrainHost(id string) error {
 	return m.coordinator.SetHostOverride(id, true)
 }
 
-// ResumeHost ends the drain of a host.
+// ResumeHost sets a host override that ends the drain of the host.
 func (m *managementOperations) ResumeHost(id string) error {
 	return m.coordinator.SetHostOverride(id, false)
 }
 
-// Drain drains the node. Established connections are migrated, except in pass-through mode.
+// Drain drains the node. Established connections are migrated, except in pass-through mode, where they stay.
 func (m *managementOperations) Drain() error {
 	return m.coordinator.SetDrain(control.Command{
 		Kind:            control.Drain,
--- a/internal/lifecycle/management_test.go
+++ b/internal/lifecycle/management_test.go
@@ -21,7 +21,7 @@
 	"onyxstream/internal/wire"
 )
 
-// blockedNode returns a node whose event loop does not run, with a shared folder.
+// blockedNode returns a node with a shared folder, whose event loop does not run.
 func blockedNode(t *testing.T, folder string) (*managementOperations, *node.Node) {
 	t.Helper()
 	log := zap.NewNop()
@@ -42,12 +42,12 @@
 	return operations, n
 }
 
-// readOverrides reads the overrides of node "n1" in a shared folder, as another process does.
+// readOverrides reads the overrides of node "n1" from a shared folder, as another process would.
 func readOverrides(t *testing.T, folder string) []sharedstate.HostOverride {
 	t.Helper()
 	files, err := filepath.Glob(filepath.Join(folder, "*.words"))
 	if err != nil || len(files) > 1 {
-		t.Fatalf("%v, %v", files, err)
+		t.Fatalf("shared state files: got %v, error %v, want at most one", files, err)
 	}
 	if len(files) == 0 {
 		return nil
@@ -63,7 +63,8 @@
 	return state.Overrides
 }
 
-// While the event loop is blocked, counters are returned and overrides are rejected, here and for other processes.
+// While the event loop is blocked, the node must still return its counters. It must reject a host override and not
+// write it to the shared state either, where other processes would apply it.
 func TestManagement_LoopBlocked_RejectsOverrides(t *testing.T) {
 	folder := t.TempDir()
 	operations, n := blockedNode(t, folder)
@@ -71,24 +72,24 @@
 		t.Error(err)
 	}
 	if stats := operations.Stats(); stats.Targets != 1 || len(stats.Replies) != 1 {
-		t.Errorf("the counters are %+v", stats)
+		t.Errorf("stats with a blocked event loop: got %+v, want 1 target and 1 class", stats)
 	}
 	if err := operations.DrainHost("h1"); !errors.Is(err, node.ErrLoopBusy) {
-		t.Errorf("an override: %v", err)
+		t.Errorf("override with a blocked event loop: got error %v, want ErrLoopBusy", err)
 	}
 	if overrides := readOverrides(t, folder); len(overrides) > 0 {
-		t.Errorf("other processes read %+v", overrides)
+		t.Errorf("shared overrides after a rejected override: got %+v, want none", overrides)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	go func() { _ = n.Run(ctx) }()
 	if err := operations.DrainHost("h1"); err != nil {
-		t.Errorf("asked again: %v", err)
+		t.Errorf("override with a running event loop: %v", err)
 	}
 	if err := operations.ResumeHost("h2"); !errors.Is(err, node.ErrUnknownHost) {
-		t.Errorf("an unknown host: %v", err)
+		t.Errorf("override of an unknown host: got error %v, want ErrUnknownHost", err)
 	}
 	if overrides := readOverrides(t, folder); len(overrides) != 1 || !overrides[0].Draining {
-		t.Errorf("other processes read %+v", overrides)
+		t.Errorf("shared overrides: got %+v, want one draining host", overrides)
 	}
 }
--- a/internal/lifecycle/peerpoll.go
+++ b/internal/lifecycle/peerpoll.go
@@ -20,19 +20,19 @@
 )
 
 const (
-	// peerLongPoll is how long a peer that has nothing newer may hold a call; peerCallTimeout is when the call is
-	// given up.
-	peerLongPoll    = 2 * time.Second
-	peerCallTimeout = 4 * time.Second
+	// peerLongPoll is how long a peer without a newer list may delay its response; peerRequestTimeout is when the
+	// request fails.
+	peerLongPoll       = 2 * time.Second
+	peerRequestTimeout = 4 * time.Second
 
-	// The backoff after a call that failed or brought nothing; it doubles, with jitter.
+	// The backoff, with jitter, after a request that failed or brought no newer list. It doubles each time.
 	minPeerBackoff = 50 * time.Millisecond
 	maxPeerBackoff = 2 * time.Second
-	// maxPeerBackoffUnconfirmed bounds it while the node has no list that the service or a peer confirmed.
+	// maxPeerBackoffUnconfirmed limits the backoff while neither discovery nor a peer has confirmed the node's list.
 	maxPeerBackoffUnconfirmed = maxPeerBackoff / 4
 )
 
-// peerPoller polls peers for their endpoint list, one at a time.
+// peerPoller polls peers for a newer endpoint list, one peer at a time.
 type peerPoller struct {
 	options *nodeconfig.ColdStart
 	node    *node.Node
@@ -40,8 +40,8 @@
 	log     *zap.Logger
 }
 
-// run polls until the context ends. A peer that has a newer list is polled again; after one that has none, or fails,
-// the next peer is drawn at random.
+// run polls until the context ends. It polls a peer again as long as the peer returns newer lists. When the peer has
+// none or fails, run picks the next peer at random after a backoff.
 func (p *peerPoller) run(ctx context.Context) error {
 	keys, err := p.openKeys(ctx)
 	if ctx.Err() != nil {
@@ -69,7 +69,8 @@
 	return nil
 }
 
-// openKeys opens the client certificate; nil where none is configured. It retries while the system lacks resources.
+// openKeys opens the client certificate. It returns nil if none is configured, and retries while the system lacks
+// resources.
 func (p *peerPoller) openKeys(ctx context.Context) (*pki.KeyStore, error) {
 	if p.options.Keys == nil {
 		return nil, nil
@@ -85,7 +86,7 @@
 	return maxPeerBackoff
 }
 
-// pollPeer polls a peer for as long as that brings newer lists; succeeded tells whether one call did.
+// pollPeer polls a peer as long as each request brings a newer list. succeeded reports whether any request did.
 func (p *peerPoller) pollPeer(ctx context.Context, peer nodeconfig.Peer, keys *pki.KeyStore) (succeeded bool, err error) {
 	var tlsConfig *tls.Config
 	if keys != nil {
@@ -96,27 +97,28 @@
 		return false, err
 	}
 	defer client.Close()
-	for ctx.Err() == nil && p.requestList(ctx, client, peer.Addr) {
+	for ctx.Err() == nil && p.fetchList(ctx, client, peer.Addr) {
 		succeeded = true
 	}
 	return succeeded, nil
 }
 
-// requestList makes one call to a peer; it returns false where the node gained nothing by it.
-func (p *peerPoller) requestList(ctx context.Context, client *control.Client, address string) bool {
+// fetchList requests the endpoint list of a peer and passes it to the node. It returns false if the request failed or
+// the node did not use the list.
+func (p *peerPoller) fetchList(ctx context.Context, client *control.Client, address string) bool {
 	service := p.node.ListService()
 	revision, age, unreachable := p.cachedList(service)
-	ctx, cancel := context.WithTimeout(ctx, peerCallTimeout)
+	ctx, cancel := context.WithTimeout(ctx, peerRequestTimeout)
 	defer cancel()
 	list, receivedAt, err := client.List(ctx, service, revision, age, peerLongPoll, unreachable)
 	var remote *control.RemoteError
 	switch {
 	case err == nil:
 	case errors.As(err, &remote) && remote.Code == http.StatusNotFound:
-		p.node.PeerContacted() // it runs, but has no list
+		p.node.PeerContacted() // the peer is up, but has no list
 		return false
 	default:
-		p.log.Debug("peer endpoint list request failed", zap.String("peer", address), zap.Error(err))
+		p.log.Debug("fetching endpoint list from peer failed", zap.String("peer", address), zap.Error(err))
 		return false
 	}
 	received := node.PeerList{
@@ -132,8 +134,9 @@
 	return p.node.ReceivePeerList(received)
 }
 
-// cachedList returns what a peer needs to know of the list that the node has from a service: its revision, -1 for
-// none, its age, and the hosts found unreachable, nil where the node does not look for them.
+// cachedList describes this node's list of a discovery service for a request to a peer: the list's revision, -1 if the
+// node has none; its age; and the hosts that the node found unreachable, nil if the list was confirmed since the node
+// started.
 func (p *peerPoller) cachedList(service string) (revision int64, age time.Duration, unreachable *[]string) {
 	cached := p.node.CachedList()
 	if cached == nil || cached.Service != service {
--- a/internal/lifecycle/peerpoll_test.go
+++ b/internal/lifecycle/peerpoll_test.go
@@ -15,7 +15,8 @@
 	"onyxstream/internal/pki"
 )
 
-// Polling peers does not end where the keys can't be read for a moment.
+// A peer poller must keep running when the certificate files can't be opened for a moment, because the process has no
+// free descriptor.
 func TestPeerPoller_KeysUnreadableForAMoment_GoesOn(t *testing.T) {
 	_, n := blockedNode(t, t.TempDir())
 	cfg := coldstart.Config{NodeCount: 2, PollInterval: time.Second, Service: "s"}
@@ -42,16 +43,16 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	done := make(chan error, 1)
-	limit := func() {
+	runWithoutDescriptors := func() {
 		go func() { done <- poller.run(ctx) }()
 		time.Sleep(150 * time.Millisecond)
 	}
-	if err := faultinject.WithDescriptors(0, limit); err != nil {
+	if err := faultinject.WithDescriptors(0, runWithoutDescriptors); err != nil {
 		t.Fatal(err)
 	}
 	select {
 	case err := <-done:
-		t.Errorf("it ended: %v", err)
+		t.Errorf("the poller ended: %v", err)
 		return
 	case <-time.After(100 * time.Millisecond):
 	}
--- a/internal/lifecycle/reload.go
+++ b/internal/lifecycle/reload.go
@@ -12,24 +12,25 @@
 )
 
 const (
-	// reloadRetryInterval is how long after a failed reload the file is read again: it may be half written, or the
-	// system may lack descriptors.
+	// reloadRetryInterval is the wait before a failed reload is retried: the file may be half written, or the system
+	// may lack descriptors.
 	reloadRetryInterval = 100 * time.Millisecond
-	// reloadRetryTimeout bounds the retries after a signal: a new discovery must be followed 4 s after it.
+	// reloadRetryTimeout limits the retries after a signal. The node must use a new discovery address within 4 s of the
+	// signal.
 	reloadRetryTimeout = 3 * time.Second
 )
 
-// reloader reads the configuration again on a signal, also while the node drains. Connections are not affected.
+// reloader reloads the configuration on a signal, also while the node is draining. Connections are not affected.
 type reloader struct {
 	cfg  nodeconfig.Config
 	node *node.Node
 	log  *zap.Logger
 
 	retryUntil  time.Time
-	loggedError string // the last one since the signal
+	loggedError string // the last error logged since the signal
 }
 
-// run reloads at each signal until the context ends. Signals that arrive during a reload are one further reload.
+// run reloads on each signal until the context ends. Signals that arrive during a reload cause one further reload.
 func (r *reloader) run(ctx context.Context, signals <-chan os.Signal) {
 	retry := time.NewTimer(0)
 	retry.Stop()
@@ -69,7 +70,7 @@
 	return true
 }
 
-// logError logs an error unless it was the last one since the signal.
+// logError logs an error, unless it repeats the last error logged since the signal.
 func (r *reloader) logError(err error) {
 	if err.Error() == r.loggedError {
 		return
--- a/internal/lifecycle/retry.go
+++ b/internal/lifecycle/retry.go
@@ -12,12 +12,12 @@
 
 const (
 	exhaustedRetryInterval = 50 * time.Millisecond
-	// exhaustedRetryTimeout is when a start fails that lacked resources until then.
+	// exhaustedRetryTimeout is how long a start may wait for resources before it fails.
 	exhaustedRetryTimeout = 8 * time.Second
 )
 
-// retryWhileExhausted repeats a call while it fails for want of descriptors, memory or buffers. It returns the last
-// result of the call, also where the context ends.
+// retryWhileExhausted repeats a call while it fails because the system lacks descriptors, memory or buffers. It returns
+// the result of the last call, also if the context ends.
 func retryWhileExhausted[T any](ctx context.Context, log *zap.Logger, call func() (T, error)) (T, error) {
 	logged := false
 	for startedAt := time.Now(); ; {
--- a/internal/lifecycle/run.go
+++ b/internal/lifecycle/run.go
@@ -27,13 +27,14 @@
 	"onyxstream/internal/wire"
 )
 
-// managementSpareDescriptors are for the management listener, and for a connection that was just accepted.
+// managementSpareDescriptors is one descriptor for the management listener, and one for a connection that was accepted
+// but is not counted as a caller yet.
 const managementSpareDescriptors = 2
 
-// sharedFolderVariable names the folder that the processes of a node share.
+// sharedFolderVariable names the environment variable with the folder that the processes of a node share.
 const sharedFolderVariable = "TMPDIR"
 
-// process is one run of the node's program.
+// process is one process of the node. During a hot restart a node has two.
 type process struct {
 	cfg     nodeconfig.Config
 	options nodeconfig.Options
@@ -46,27 +47,27 @@
 	coordinator *multiprocess.Coordinator
 
 	maxControlConnections int
-	clients               *clientListener
+	listener              *clientListener
 	controlListeners      []control.Listener
-	management            net.Listener // nil where none is configured
+	management            net.Listener // nil if none is configured
 }
 
-// transport gives the event loop the sockets that are not clients' connections.
+// transport implements node.Transport: the watcher talks to discovery, and the proxy pings hosts.
 type transport struct {
 	*discovery.Watcher
 	*proxy.Proxy
 }
 
-// Run runs the node until a signal to stop; it returns nil after a graceful shutdown. The zero value of options turns
-// nothing on.
+// Run runs the node until a stop signal, and returns nil after a graceful shutdown. The zero value of options enables
+// no optional part.
 func Run(options nodeconfig.Options) error {
-	// Before all else: without a handler, SIGHUP ends the process.
+	// This comes first, because SIGHUP ends a process that has no handler for it.
 	reload := make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
-	// A process that is signalled to stop while it starts shuts down gracefully once it has started.
+	// If a stop signal arrives during startup, the process finishes starting and then shuts down gracefully.
 	stop, cancelStop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer cancelStop()
-	// Without this, a write to a log whose reader is gone ends the process.
+	// Without this, a write to a log pipe whose reader has exited ends the process.
 	signal.Ignore(syscall.SIGPIPE)
 	cfg, err := nodeconfig.Load()
 	if err != nil {
@@ -90,7 +91,7 @@
 	return p.serve(ctx, cancel, reload)
 }
 
-// newProcess builds the event loop and the proxy; nothing runs yet.
+// newProcess creates the event loop and the proxy without starting them.
 func newProcess(
 	stop context.Context, cfg nodeconfig.Config, options nodeconfig.Options, log *zap.Logger,
 ) *process {
@@ -116,13 +117,13 @@
 	return p
 }
 
-// newNode builds the event loop over the endpoints known.
+// newNode creates the event loop with the endpoint list known at the start.
 func (p *process) newNode(known wire.EndpointList) {
 	p.node = node.New(p.cfg.Settings, known, p.cfg.Discovery, transport{p.discovery, p.proxy}, p.log)
 	p.node.SetMemoryLimit(p.cfg.MemoryMB)
 }
 
-// newProxy builds the proxy; reservedDescriptors are those that the control listeners may take.
+// newProxy creates the proxy. reservedDescriptors is how many descriptors the control listeners may use.
 func newProxy(cfg nodeconfig.Config, reservedDescriptors int, log *zap.Logger) *proxy.Proxy {
 	if cfg.Management != "" {
 		reservedDescriptors += management.MaxCallers + managementSpareDescriptors
@@ -152,22 +153,23 @@
 	return multiprocess.NewCoordinator(cfg, p.node, p.proxy, p.log)
 }
 
-// sharedFolder returns the folder that the node's processes share: "" unless operators can call the node or the
-// platform may start it twice.
+// sharedFolder returns the folder that the node's processes share. It returns "" if there is nothing to share, because
+// the node has neither a management listener nor an inherited client listener. The platform passes on a listener if it
+// may start a second process for a hot restart.
 func sharedFolder(cfg nodeconfig.Config, log *zap.Logger) string {
 	if cfg.Management == "" && os.Getenv(listenerVariable) == "" {
 		return ""
 	}
 	folder := os.Getenv(sharedFolderVariable)
 	if folder == "" {
-		log.Warn("TMPDIR is not set: overrides hold in this process only")
+		log.Warn("TMPDIR is not set: overrides apply to this process only")
 	}
 	return folder
 }
 
-// openListeners opens all listeners. It retries while the system lacks resources; a signal to stop ends that.
+// openListeners opens all listeners. It retries while the system lacks resources, until a stop signal.
 func (p *process) openListeners(ctx context.Context) (err error) {
-	p.clients, err = retryWhileExhausted(p.stop, p.log, func() (*clientListener, error) {
+	p.listener, err = retryWhileExhausted(p.stop, p.log, func() (*clientListener, error) {
 		return openClientListener(ctx, p.cfg.Listen)
 	})
 	if err != nil {
@@ -177,7 +179,7 @@
 		return openControlListeners(p.options.Control, p.maxControlConnections, p.log)
 	})
 	if err != nil {
-		p.clients.Close()
+		p.listener.Close()
 		return fmt.Errorf("control: %w", err)
 	}
 	if p.cfg.Management == "" {
@@ -187,19 +189,19 @@
 		return proxy.Listen(ctx, p.cfg.Management)
 	})
 	if err != nil {
-		p.clients.Close()
+		p.listener.Close()
 		return fmt.Errorf("management: %w", err)
 	}
 	return nil
 }
 
-// serve starts all tasks and waits for their end: after a signal to stop and the graceful shutdown, or after the
-// first error. The tasks end with the context, which cancel ends.
+// serve starts all tasks and waits until they return: after a stop signal and the graceful shutdown, or after the first
+// error. The tasks return when the context ends; cancel ends it after the graceful shutdown.
 func (p *process) serve(ctx context.Context, cancel context.CancelFunc, reload <-chan os.Signal) error {
 	group, ctx := errgroup.WithContext(ctx)
 	p.startEventLoop(ctx, group)
 	controlServer := p.newControlServer()
-	p.coordinator.Start(controlServer) // overrides of earlier processes hold from the first client on
+	p.coordinator.Start(controlServer) // applies the overrides of earlier processes before the first client
 	p.startClientTasks(ctx, group)
 	p.startServers(ctx, group, controlServer)
 	group.Go(func() error {
@@ -220,10 +222,10 @@
 	group.Go(func() error { return p.discovery.Run(ctx) })
 }
 
-// startClientTasks starts the sources of client connections, the listener and the node's other processes, and the tasks
-// of a cold start.
+// startClientTasks starts the tasks that bring client connections, from the listener and from the node's other
+// processes, and the tasks of a cold start.
 func (p *process) startClientTasks(ctx context.Context, group *errgroup.Group) {
-	group.Go(func() error { return p.clients.serve(ctx, p.proxy) })
+	group.Go(func() error { return p.listener.serve(ctx, p.proxy) })
 	group.Go(func() error {
 		p.coordinator.Run(ctx)
 		return nil
@@ -247,7 +249,7 @@
 	return control.NewServer(instance, newIncarnation(), p.maxControlConnections, p.log)
 }
 
-// startServers starts the servers of the control and management listeners that are configured.
+// startServers starts a server for each configured control and management listener.
 func (p *process) startServers(ctx context.Context, group *errgroup.Group, controlServer *control.Server) {
 	if len(p.controlListeners) > 0 {
 		group.Go(func() error { return controlServer.Serve(ctx, p.controlListeners...) })
@@ -264,15 +266,15 @@
 	}
 }
 
-// awaitStop waits for a signal to stop and shuts down gracefully, or for the end of the context. Then it shuts
-// the proxy down.
+// awaitStop waits for a stop signal and shuts down gracefully, or waits for the end of the context. Either way it then
+// shuts down the proxy.
 func (p *process) awaitStop(ctx context.Context) {
 	select {
 	case <-p.stop.Done():
 		p.shutDownGracefully()
 	case <-ctx.Done():
 	}
-	p.clients.Close()
-	p.clients.awaitServeEnd() // a client that is accepted at this moment is known to the proxy by then
+	p.listener.Close()
+	p.listener.awaitServeEnd() // then the proxy knows even a client that was accepted just now
 	p.proxy.Shutdown(p.cfg.Settings.PassThrough)
 }
--- a/internal/lifecycle/run_test.go
+++ b/internal/lifecycle/run_test.go
@@ -8,7 +8,7 @@
 	"onyxstream/internal/nodeconfig"
 )
 
-// A folder is shared only where operators can call the node or the platform may start it twice, and TMPDIR names it.
+// A node shares the folder in TMPDIR only if it has a management listener or an inherited client listener.
 func TestSharedFolder_Environment_FolderOrNone(t *testing.T) {
 	const folder = "/folder"
 	for _, c := range []struct {
@@ -28,7 +28,7 @@
 			t.Setenv(sharedFolderVariable, c.tmpdir)
 			got := sharedFolder(nodeconfig.Config{Management: c.management}, zap.NewNop())
 			if got != c.want {
-				t.Errorf("the folder is %q, want %q", got, c.want)
+				t.Errorf("shared folder: got %q, want %q", got, c.want)
 			}
 		})
 	}
--- a/internal/lifecycle/shutdown_test.go
+++ b/internal/lifecycle/shutdown_test.go
@@ -9,7 +9,7 @@
 	"onyxstream/internal/proxy"
 )
 
-// The drain of a shutdown ends as soon as a successor is ready, also where that is late.
+// The drain of a shutdown must end as soon as a successor is ready, also if it becomes ready only after several checks.
 func TestDrain_SuccessorReadyLate_EndsForHandOff(t *testing.T) {
 	_, n := blockedNode(t, t.TempDir())
 	calls := 0
@@ -22,10 +22,10 @@
 	}
 	shutdown.successorReady = func() bool { calls++; return calls == 5 }
 	if !shutdown.drain() || calls != 5 {
-		t.Errorf("asked for a successor %d times", calls)
+		t.Errorf("drain did not end at the 5th check for a successor: %d checks", calls)
 	}
 	shutdown.successorReady = func() bool { return false }
 	if shutdown.drain() {
-		t.Error("handed off to nobody")
+		t.Error("drain reported a successor, but there is none")
 	}
 }
