--- a/internal/multiprocess/coordinator.go
+++ b/internal/multiprocess/coordinator.go
@@ -1,7 +1,7 @@
-// Package multiprocess keeps the processes of one node in agreement during a hot restart: overrides that operators
-// set in one hold in all, they divide the node's limits between them, and connections pass from one to its successor.
-// All of it goes through a shared folder. Without one, or while it can't be used, an override holds in the process
-// where it was set.
+// Package multiprocess coordinates the processes of one node during a hot restart. An override that an operator sets in
+// one process applies to all of them, the processes divide the node's limits between them, and a process hands off its
+// connections to its successor. The processes communicate through a shared folder. Without a folder, or while it can't
+// be used, an override applies only to the process where it was set.
 package multiprocess
 
 import (
@@ -21,19 +21,20 @@
 	"onyxstream/internal/sharedstate"
 )
 
-// syncInterval is how often a process reads the shared state: an override is in force in all processes within a second.
+// syncInterval is how often a process reads the shared state. An override must be in force in all processes within a
+// second.
 const syncInterval = 100 * time.Millisecond
 
-// Config is what a Coordinator needs of the node's configuration.
+// Config is the part of the node's configuration that a Coordinator needs.
 type Config struct {
-	Node     string // its name
-	Folder   string // shared by the node's processes; "" where nothing is shared
-	Sockets  int    // descriptors that all processes of the node may hold
-	MemoryMB int    // of all processes of the node
+	Node     string // the node's name
+	Folder   string // shared by the node's processes; "" if nothing is shared
+	Sockets  int    // descriptor limit of all processes of the node together
+	MemoryMB int    // memory limit of all processes of the node together
 }
 
-// Coordinator keeps the processes of one node in agreement during a hot restart. Its methods may be called from any
-// goroutine, but Run, HandOff and AcceptConnections from one each.
+// Coordinator coordinates this process with the node's other processes. Its methods may be called from any goroutine,
+// but Run, HandOff and AcceptConnections must each be called from only one goroutine.
 type Coordinator struct {
 	cfg           Config
 	node          *node.Node
@@ -41,21 +42,21 @@
 	log           *zap.Logger
 	controlServer *control.Server
 
-	exchange   atomic.Pointer[hotrestart.Exchange] // set before store
+	exchange   atomic.Pointer[hotrestart.Exchange] // set before store, so it is not nil if store is not
 	store      atomic.Pointer[sharedstate.Store]   // nil while the folder can't be used
-	openFailed bool                                // owned by the goroutine that calls openStore
+	openFailed bool                                // used only by openStore
 
-	soleProcess  atomic.Bool // no other process ran at the last look
-	shuttingDown atomic.Bool // this process accepts no connections of others any more
+	soleProcess  atomic.Bool // no other process ran at the last check
+	shuttingDown atomic.Bool // this process no longer accepts connections from other processes
 
-	mu            sync.Mutex // makes one step of setting an override and of applying those of others
-	appliedSerial uint64     // of the last change of the shared state that is in force here
-	stateLoaded   bool       // the shared state was read once
-	storeFailed   bool       // the last use of the folder did
+	mu            sync.Mutex // serializes setting an override here with applying overrides of other processes
+	appliedSerial uint64     // serial of the last change of the shared state that was applied here
+	stateLoaded   bool       // the shared state was read at least once
+	storeFailed   bool       // the last use of the folder failed
 	pending       pendingWrites
 }
 
-// NewCoordinator opens the shared folder. A folder that can't be opened is logged, and tried again by Run.
+// NewCoordinator opens the shared folder. If that fails, it logs the error, and Run retries.
 func NewCoordinator(cfg Config, self *node.Node, proxy *proxy.Proxy, log *zap.Logger) *Coordinator {
 	c := &Coordinator{cfg: cfg, node: self, proxy: proxy, log: log}
 	c.soleProcess.Store(true)
@@ -63,7 +64,7 @@
 	return c
 }
 
-// openStore opens the shared folder unless it is open. It is called again until that succeeds.
+// openStore opens the shared folder unless it is open already. It is called until it succeeds.
 func (c *Coordinator) openStore() {
 	if c.cfg.Folder == "" || c.store.Load() != nil {
 		return
@@ -74,13 +75,13 @@
 		c.store.Store(store)
 		return
 	}
-	if !c.openFailed { // once, not with each retry
-		c.log.Error("TMPDIR can't be used: overrides hold in this process only until it can", zap.Error(err))
+	if !c.openFailed { // logs once, not for each retry
+		c.log.Error("TMPDIR can't be used, retrying: overrides apply to this process only", zap.Error(err))
 	}
 	c.openFailed = true
 }
 
-// Start applies the overrides that earlier processes of the node left. It must be called before the other methods.
+// Start applies the overrides that earlier processes of the node stored. It must be called before the other methods.
 func (c *Coordinator) Start(controlServer *control.Server) {
 	c.controlServer = controlServer
 	if c.store.Load() != nil {
@@ -89,8 +90,8 @@
 	}
 }
 
-// BeginShutdown publishes that this process accepts no connections any more: of two processes that both shut down,
-// neither may hand its connections to the other.
+// BeginShutdown publishes that this process no longer accepts connections. If two processes shut down at the same time,
+// neither may hand off its connections to the other.
 func (c *Coordinator) BeginShutdown() {
 	c.shuttingDown.Store(true)
 	if c.store.Load() != nil {
@@ -98,14 +99,14 @@
 	}
 }
 
-// Close removes this process's mark from the shared folder. The other methods must not be called after it.
+// Close removes this process's liveness file from the shared folder. The other methods must not be called after it.
 func (c *Coordinator) Close() {
 	if store := c.store.Load(); store != nil {
 		store.Close()
 	}
 }
 
-// Run applies what other processes share, and divides the limits with them, until the context ends.
+// Run applies the overrides of other processes and divides the node's limits with them, until the context ends.
 func (c *Coordinator) Run(ctx context.Context) {
 	if c.cfg.Folder == "" {
 		return
@@ -127,7 +128,7 @@
 	}
 }
 
-// SuccessorReady reports whether another process of the node accepts connections.
+// SuccessorReady reports whether another process of the node accepts connections from this one.
 func (c *Coordinator) SuccessorReady() bool {
 	store := c.store.Load()
 	if store == nil {
@@ -143,7 +144,7 @@
 	return false
 }
 
-// publishStatus publishes this process's status and leaves the others their part of the node's limits.
+// publishStatus publishes this process's status, and lowers its limits by the share of the other processes.
 func (c *Coordinator) publishStatus() {
 	store := c.store.Load()
 	c.recordStoreResult(store.Publish(sharedstate.ProcessStatus{
@@ -157,7 +158,7 @@
 	}
 }
 
-// divideLimits lowers this process's limits while others run, and restores them after.
+// divideLimits lowers this process's limits while other processes run, and restores them afterwards.
 func (c *Coordinator) divideLimits(others []sharedstate.ProcessStatus) {
 	sockets, memoryMB := c.cfg.Sockets, c.cfg.MemoryMB
 	for _, other := range others {
@@ -171,20 +172,21 @@
 	c.proxy.SetDescriptorLimit(sockets)
 	debug.SetMemoryLimit(nodeconfig.HeapLimit(memoryMB))
 	if c.soleProcess.Swap(soleProcess) != soleProcess {
-		c.log.Info("processes of this node changed", zap.Int("others", len(others)))
+		c.log.Info("number of processes of this node changed", zap.Int("others", len(others)))
 	}
 }
 
-// recordStoreResult logs an error of the shared folder, once until the folder can be used again.
+// recordStoreResult logs an error of the shared folder. It does not log further errors until the folder works again.
 func (c *Coordinator) recordStoreResult(err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.recordStoreResultLocked(err)
 }
 
+// recordStoreResultLocked is recordStoreResult for callers that hold mu.
 func (c *Coordinator) recordStoreResultLocked(err error) {
 	if err != nil && !c.storeFailed {
-		c.log.Error("shared state unavailable: overrides hold in the process where they were set", zap.Error(err))
+		c.log.Error("shared state unavailable: overrides apply only to the process where they are set", zap.Error(err))
 	}
 	c.storeFailed = err != nil
 }
--- a/internal/multiprocess/coordinator_test.go
+++ b/internal/multiprocess/coordinator_test.go
@@ -16,13 +16,13 @@
 	"onyxstream/internal/wire"
 )
 
-// transport gives the event loop its sockets.
+// transport implements node.Transport.
 type transport struct {
 	*discovery.Watcher
 	*proxy.Proxy
 }
 
-// nodeInstance is a node as the control server calls it, for overrides of hosts.
+// nodeInstance implements control.Instance for host overrides only.
 type nodeInstance struct{ node *node.Node }
 
 func (i nodeInstance) Status() control.Status { return control.Status{} }
@@ -33,7 +33,7 @@
 	return i.node.SetHostOverride(host, drain, command.HostMustExist, cmp.Or(command.GivenAt, time.Now()))
 }
 
-// newTestCoordinator returns the coordinator of a node with host "h1", whose event loop does not run yet.
+// newTestCoordinator returns the coordinator of a node with host "h1". The node's event loop does not run yet.
 func newTestCoordinator(t *testing.T, folder string) (*Coordinator, *node.Node) {
 	t.Helper()
 	log := zap.NewNop()
--- a/internal/multiprocess/handoff.go
+++ b/internal/multiprocess/handoff.go
@@ -13,24 +13,24 @@
 )
 
 const (
-	// acceptInterval is how often a process looks for offered connections while another process runs: their clients
-	// wait.
+	// acceptInterval is how often a process checks for offered connections while another process runs. The clients of
+	// offered connections get no messages until the offer is accepted.
 	acceptInterval = 5 * time.Millisecond
-	// maxFailedOffers is after how many offers a process gives up of which none was accepted: the system may not let
-	// one process reach into another.
+	// maxFailedOffers is the number of failed offers after which a process stops the hand-off if no connection was
+	// accepted so far. The system may not allow one process to copy the sockets of another.
 	maxFailedOffers = 2
-	// handOffRetryInterval is the wait for connections that are being established, and after a failed offer.
+	// handOffRetryInterval is the wait after a failed offer, and while no connection is established yet.
 	handOffRetryInterval = 20 * time.Millisecond
 )
 
-// HandOff offers the established connections to the successor until none is left or the deadline has passed.
+// HandOff offers the established connections to the successor, until none is left or the deadline has passed.
 func (c *Coordinator) HandOff(deadline time.Time) {
 	handedOff, failedOffers := 0, 0
 	baselines := c.pingBaselines()
 	for time.Now().Before(deadline) && c.hasConnections() && c.SuccessorReady() {
 		connections, release := c.proxy.Quiesce(hotrestart.MaxOffered)
 		if len(connections) == 0 {
-			time.Sleep(handOffRetryInterval) // for those that are being established
+			time.Sleep(handOffRetryInterval) // requests in flight may still become established
 			continue
 		}
 		accepted, err := c.exchange.Load().Offer(offeredConns(connections), baselines)
@@ -73,8 +73,8 @@
 	return baselines
 }
 
-// offeredConns describes connections of this process. One that is closed meanwhile has no descriptor, and no process
-// accepts it.
+// offeredConns describes connections of this process for an offer. A connection that has been closed in the meantime
+// has no valid descriptor, so no process accepts it.
 func offeredConns(connections []proxy.EstablishedConn) (offered []hotrestart.OfferedConn) {
 	for _, connection := range connections {
 		client, _ := hotrestart.SocketOf(connection.Client)
@@ -82,8 +82,8 @@
 		offered = append(offered, hotrestart.OfferedConn{
 			Line:    connection.Line,
 			Host:    connection.Host,
-			ClientSocket:  client,
-			HostSocket:    peer,
+			Client:  client,
+			Peer:    peer,
 			Partial: connection.Partial,
 			Load:    connection.Load,
 		})
@@ -91,7 +91,8 @@
 	return offered
 }
 
-// AcceptConnections accepts the connections that other processes offer, until this one shuts down or the context ends.
+// AcceptConnections accepts the connections that other processes offer, until this process shuts down or the context
+// ends.
 func (c *Coordinator) AcceptConnections(ctx context.Context) {
 	if c.cfg.Folder == "" {
 		return
@@ -137,7 +138,7 @@
 			Line:    connection.Line,
 			Host:    connection.Host,
 			Client:  connection.ClientConn,
-			Peer:    connection.HostConn,
+			Peer:    connection.PeerConn,
 			Partial: connection.Partial,
 			Load:    connection.Load,
 		})
--- a/internal/multiprocess/overrides.go
+++ b/internal/multiprocess/overrides.go
@@ -9,8 +9,8 @@
 	"onyxstream/internal/sharedstate"
 )
 
-// SetHostOverride drains or resumes a host, here and in the node's other processes. Its errors are those of the control
-// server and of node.SetHostOverride; after one the other processes do not get the override.
+// SetHostOverride drains or resumes a host in all processes of the node. It returns the errors of the control server
+// and of node.SetHostOverride. After an error the override is not shared with the other processes.
 func (c *Coordinator) SetHostOverride(host string, drain bool) error {
 	now := time.Now()
 	command := control.Command{
@@ -22,13 +22,13 @@
 	if drain {
 		command.Kind = control.HostDrain
 	}
-	return c.notify(command, host, func(state *sharedstate.State) error {
+	return c.executeAndPublish(command, host, func(state *sharedstate.State) error {
 		return state.SetOverride(host, drain, now)
 	})
 }
 
-// SetDrain drains or resumes the node itself, here and in its other processes; command is a Drain or Resume. After an
-// error the other processes do not get it.
+// SetDrain drains or resumes the node itself in all of its processes. The command must be a Drain or a Resume. After an
+// error the command is not shared with the other processes.
 func (c *Coordinator) SetDrain(command control.Command) error {
 	drain := sharedstate.Drain{}
 	if command.Kind == control.Drain {
@@ -36,16 +36,19 @@
 		drain.RetryAfter = command.RetryAfter
 		drain.KeepConnections = command.KeepConnections
 	}
-	return c.notify(command, nodeTarget, func(state *sharedstate.State) error {
+	return c.executeAndPublish(command, nodeTarget, func(state *sharedstate.State) error {
 		state.SetDrain(drain)
 		return nil
 	})
 }
 
-// notify executes a command on a target and writes it to the shared state, as one step that has the same order in all
-// processes: earlier changes of others are applied first. A command that fails here is not written. One that can't be
-// written holds here, and is written once it can be.
-func (c *Coordinator) notify(command control.Command, target string, change func(*sharedstate.State) error) error {
+// executeAndPublish executes a command on a target and writes the change to the shared state, in one step. It first
+// applies earlier changes of other processes, so that all processes see the changes in the same order. A command that
+// fails in this process is not written. If only the write fails, the command stays in force in this process, and the
+// write is retried later.
+func (c *Coordinator) executeAndPublish(
+	command control.Command, target string, change func(*sharedstate.State) error,
+) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	write := pendingWrite{target: target, change: change}
@@ -84,7 +87,7 @@
 	return nil
 }
 
-// executeWithoutStore executes a command while the shared folder can't be used; mu is held.
+// executeWithoutStore executes a command while the shared folder can't be used. The caller holds mu.
 func (c *Coordinator) executeWithoutStore(command control.Command, write pendingWrite) error {
 	if err := c.controlServer.ApplyManual(command); err != nil {
 		return err
@@ -98,7 +101,7 @@
 	return nil
 }
 
-// syncOverrides applies what has changed in the shared state.
+// syncOverrides applies new changes of the shared state.
 func (c *Coordinator) syncOverrides() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -107,12 +110,12 @@
 	if err != nil {
 		c.recordStoreResultLocked(err)
 	}
-	if changed || c.appliedSerial < state.Serial { // the latter after a change that could not be applied
+	if changed || c.appliedSerial < state.Serial { // the second condition retries a change that could not be applied
 		c.apply(state)
 	}
 }
 
-// apply brings the changes into force that are not applied yet; mu is held.
+// apply applies the changes of the state that have not been applied to this process yet. The caller holds mu.
 func (c *Coordinator) apply(state sharedstate.State) {
 	c.pending.resolveAgainst(&state)
 	appliedBefore := c.appliedSerial
@@ -120,7 +123,7 @@
 	c.stateLoaded = true
 	execute := func(command control.Command) {
 		if err := c.controlServer.ApplyManual(command); err != nil {
-			c.appliedSerial = appliedBefore // the next sync tries again
+			c.appliedSerial = appliedBefore // retried at the next sync
 			c.log.Error("override of another process could not be applied",
 				zap.String("kind", string(command.Kind)), zap.String("host", command.Host), zap.Error(err))
 		}
--- a/internal/multiprocess/overrides_test.go
+++ b/internal/multiprocess/overrides_test.go
@@ -10,14 +10,14 @@
 	"onyxstream/internal/sharedstate"
 )
 
-// blockWrites makes the writes of the shared state fail, as on a full disk, until unblock is called.
+// blockWrites makes writes of the shared state fail, as on a full disk, until unblock is called.
 func blockWrites(t *testing.T, folder string) (unblock func()) {
 	t.Helper()
 	locks, err := filepath.Glob(filepath.Join(folder, "*.lock"))
 	if err != nil || len(locks) != 1 {
-		t.Fatalf("%v, %v", locks, err)
+		t.Fatalf("lock files: got %v, error %v, want one", locks, err)
 	}
-	at := locks[0][:len(locks[0])-len(".lock")] + ".words.new" // where the state is written before the rename
+	at := locks[0][:len(locks[0])-len(".lock")] + ".words.new" // the state is written here, then renamed
 	if err := os.MkdirAll(filepath.Join(at, "full"), 0o700); err != nil {
 		t.Fatal(err)
 	}
@@ -28,7 +28,7 @@
 	}
 }
 
-// startTestCoordinator returns the coordinator of a node whose event loop runs until the test ends.
+// startTestCoordinator returns the coordinator of a node with host "h1" whose event loop runs until the test ends.
 func startTestCoordinator(t *testing.T, folder string) (*Coordinator, *node.Node) {
 	t.Helper()
 	coordinator, n := newTestCoordinator(t, folder)
@@ -46,12 +46,12 @@
 	t.Helper()
 	for begin := time.Now(); !f(); time.Sleep(5 * time.Millisecond) {
 		if time.Since(begin) > 10*time.Second {
-			t.Fatalf("never: %s", what)
+			t.Fatalf("timeout waiting: %s", what)
 		}
 	}
 }
 
-// An override that was set while the folder could not be written is written as soon as it can be.
+// An override that is set while the folder can't be written must be written as soon as the folder can be.
 func TestOverride_FolderFails_IsWrittenLater(t *testing.T) {
 	folder := t.TempDir()
 	coordinator, _ := startTestCoordinator(t, folder)
@@ -68,12 +68,13 @@
 	})
 }
 
-// A folder that can't be used at the start is used once it can be, and overrides set before are written then.
+// A folder that is missing at the start must be used as soon as it exists. Overrides that were set before must be
+// written then.
 func TestOverride_FolderMissingAtStart_IsWrittenLater(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "later")
 	coordinator, _ := startTestCoordinator(t, dir)
 	if coordinator.store.Load() != nil {
-		t.Fatal("a folder that is not there is used")
+		t.Fatal("the store is open, but its folder does not exist")
 	}
 	if err := coordinator.SetHostOverride("h1", true); err != nil {
 		t.Fatal(err)
@@ -91,8 +92,8 @@
 	})
 }
 
-// After a write that failed, the overrides of other processes are applied: the serial that the failed change would
-// have had is that of another one.
+// After a failed write, the override of another process must still be applied. The failed change never reached the
+// shared state, so the other process's change has the serial that it would have had.
 func TestOverride_FolderFails_OthersAreApplied(t *testing.T) {
 	folder := t.TempDir()
 	coordinator, n := startTestCoordinator(t, folder)
@@ -114,20 +115,20 @@
 		t.Fatal(err)
 	}
 	coordinator.syncOverrides()
-	eventually(t, "the other's override is in force", func() bool {
+	eventually(t, "the override of the other process is in force", func() bool {
 		_, avoided := n.HostCounts()
 		return avoided == 1
 	})
 }
 
-// An override that was set while the folder could not be used supersedes an older one that an earlier process wrote
-// there.
+// An override that was set while the folder could not be used must supersede an older one that an earlier process wrote
+// to the folder, but not a later one.
 func TestOverride_FolderMissingAtStart_SupersedesOlder(t *testing.T) {
 	for _, c := range []struct {
 		name         string
-		setAt        time.Duration // of the other override, from this one
+		setAt        time.Duration // when the other override was set, relative to this one
 		avoided      int64
-		wantDraining bool // by the shared state in the end
+		wantDraining bool // in the shared state at the end
 	}{{"older", -time.Minute, 1, true}, {"later", time.Minute, 0, false}} {
 		t.Run(c.name, func(t *testing.T) {
 			dir := filepath.Join(t.TempDir(), "later")
--- a/internal/multiprocess/pending.go
+++ b/internal/multiprocess/pending.go
@@ -9,24 +9,26 @@
 	"onyxstream/internal/sharedstate"
 )
 
-// nodeTarget is the target of a change of the node itself; that of a host's is its name.
+// nodeTarget is the target of a change to the node itself. The target of a change to a host is the host's id.
 const nodeTarget = ""
 
-// pendingWrite is a change that holds in this process and could not be written to the shared state yet, as while the
-// folder is full.
+// pendingWrite is a change that is in force in this process, but could not be written to the shared state yet, for
+// example because the disk is full.
 type pendingWrite struct {
 	target string
 	change func(*sharedstate.State) error
 
-	// afterSerial is that of the last change known when this one was made: a later one of the target supersedes it.
+	// afterSerial is the serial of the last change of the shared state that was applied before this one. A change of
+	// the same target with a higher serial supersedes this one.
 	afterSerial uint64
-	// beforeFirstLoad is true where the state had not been read then; resolveAgainst sets afterSerial and clears it.
+	// beforeFirstLoad reports that this change was made before the shared state was first read, so that afterSerial is
+	// unknown. resolveAgainst sets afterSerial and clears beforeFirstLoad.
 	beforeFirstLoad bool
-	givenAt         time.Time // set with beforeFirstLoad
+	givenAt         time.Time // when this change was made; set whenever beforeFirstLoad is
 }
 
-// pendingWrites has at most one write for each target, the last. The control server bounds the targets: it rejects a
-// command on one too many before the change is made.
+// pendingWrites has at most one write for each target: the last one. The number of targets is limited, because the
+// control server rejects a command on one target too many before the change is made.
 type pendingWrites []pendingWrite
 
 func (p *pendingWrites) add(write pendingWrite) {
@@ -38,8 +40,8 @@
 	*p = slices.DeleteFunc(*p, func(w pendingWrite) bool { return w.target == target })
 }
 
-// writeTo makes the changes in the state, but for targets that another process changed later. A change that the state
-// rejects holds in this process only.
+// writeTo makes the changes in the state, except those of targets that another process changed later. A change that the
+// state rejects stays in force in this process only.
 func (p pendingWrites) writeTo(state *sharedstate.State) {
 	for _, write := range p {
 		if lastSerial(state, write.target) <= write.afterSerial {
@@ -48,8 +50,9 @@
 	}
 }
 
-// resolveAgainst orders the writes that were made before the state was first read: each goes after the state's change
-// of its target if that is older. The state has no time of a drain; a drain set in this process goes after it.
+// resolveAgainst orders the writes that were made before the state was first read. A write supersedes the state's
+// change of the same target if that change is older. The state does not record when a drain was set, so a drain that
+// was set in this process supersedes the state's.
 func (p pendingWrites) resolveAgainst(state *sharedstate.State) {
 	for i, write := range p {
 		if !write.beforeFirstLoad {
@@ -63,12 +66,12 @@
 	}
 }
 
-// supersede reports whether a pending write of a target goes after the state's change with a serial.
+// supersede reports whether a pending write supersedes the state's change of a target with this serial.
 func (p pendingWrites) supersede(target string, serial uint64) bool {
 	return slices.ContainsFunc(p, func(w pendingWrite) bool { return w.target == target && w.afterSerial >= serial })
 }
 
-// lastSerial returns the serial of the state's last change of a target, 0 for none.
+// lastSerial returns the serial of the state's last change of a target, or 0 if there is none.
 func lastSerial(state *sharedstate.State, target string) uint64 {
 	if target == nodeTarget {
 		return state.Drain.Serial
@@ -77,7 +80,7 @@
 	return override.Serial
 }
 
-// flushPendingWrites writes what could not be written before.
+// flushPendingWrites writes the pending changes to the shared state.
 func (c *Coordinator) flushPendingWrites() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
