--- a/internal/hotrestart/accept.go
+++ b/internal/hotrestart/accept.go
@@ -15,16 +15,16 @@
 	"onyxstream/internal/sealedfile"
 )
 
-// AcceptedConn is a connection that was accepted from another process, with this process's copies of its sockets.
+// AcceptedConn is a connection accepted from another process, with this process's copies of its two sockets.
 type AcceptedConn struct {
 	OfferedConn
-	ClientConn, HostConn *net.TCPConn
+	ClientConn, PeerConn *net.TCPConn // to the client, and to the host
 }
 
-// InvalidOfferError is returned for an offer's file that is damaged, or that no process of this node can have written.
+// InvalidOfferError is returned for an offer file that is damaged, or that no process of this node can have written.
 type InvalidOfferError struct {
 	Path string
-	Err  error // nil where the file could be read, but its content does not fit
+	Err  error // why the file could not be read or decoded; nil if its content is not a valid offer for this node
 }
 
 func (e *InvalidOfferError) Error() string {
@@ -34,11 +34,12 @@
 	return e.Path + ": invalid offer: " + e.Err.Error()
 }
 
-// Unwrap returns why the file could not be read.
+// Unwrap returns why the file could not be read or decoded.
 func (e *InvalidOfferError) Unwrap() error { return e.Err }
 
-// Accept accepts the connections that other processes of the node offer now. An error is why one of them could not be
-// accepted, the last if there are several; that connection stays with its process.
+// Accept accepts the connections that other processes of the node offer now. The error says why a connection or an
+// offer could not be accepted, and is the last one if there are several. Connections that are not accepted stay with
+// their process.
 func (e *Exchange) Accept() (connections []AcceptedConn, baselines []PingBaseline, err error) {
 	paths, err := e.store.ProcessFiles(offerSuffix)
 	ownPrefix := filepath.Base(e.store.ProcessFile(os.Getpid(), "-"))
@@ -64,13 +65,13 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	process, err := e.openProcess(offered)
+	pidfd, err := e.openProcess(offered)
 	if err != nil {
 		return nil, nil, err
 	}
-	defer unix.Close(process)
-	connections, indices, copyErr := copyConnections(process, offered.Connections)
-	// Before the offer's file is renamed: the offering process reads it as soon as that is gone.
+	defer unix.Close(pidfd)
+	connections, indices, copyErr := copyConnections(pidfd, offered.Connections)
+	// Write this list before renaming the offer file: the offering process reads the list as soon as the file is gone.
 	if err := sealedfile.Write(path+acceptedSuffix, []byte(indices)); err != nil {
 		closeAll(connections)
 		return nil, nil, err
@@ -78,13 +79,13 @@
 	if err := os.Rename(path, path+claimedSuffix); err != nil {
 		_ = os.Remove(path + acceptedSuffix)
 		closeAll(connections)
-		return nil, nil, nil // withdrawn meanwhile
+		return nil, nil, nil // withdrawn in the meantime
 	}
 	_ = os.Remove(path + claimedSuffix)
 	return connections, offered.PingBaselines, copyErr
 }
 
-// readOffer reads an offer of another process of this node; anything else is an InvalidOfferError.
+// readOffer reads an offer of another process of this node. It returns an *InvalidOfferError for any other file.
 func (e *Exchange) readOffer(path string) (offered offer, err error) {
 	text, err := sealedfile.Read(path)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -105,11 +106,12 @@
 	return offered, nil
 }
 
-// copyConnections copies the sockets of offered connections. It returns the copies and the list of their indices, as
-// it is written for the offering process; an error is why one could not be copied, the last if there are several.
-func copyConnections(process int, offered []OfferedConn) (connections []AcceptedConn, indices string, err error) {
+// copyConnections copies the sockets of the offered connections. It returns the copies, and the list of their indices
+// in the format that the offering process reads. The error says why a connection could not be copied, and is the last
+// one if there are several.
+func copyConnections(pidfd int, offered []OfferedConn) (connections []AcceptedConn, indices string, err error) {
 	for i, connection := range offered {
-		accepted, copyErr := copyConnection(process, connection)
+		accepted, copyErr := copyConnection(pidfd, connection)
 		if copyErr != nil {
 			err = copyErr
 			continue
@@ -120,55 +122,55 @@
 	return connections, indices, err
 }
 
-func copyConnection(process int, offered OfferedConn) (AcceptedConn, error) {
-	client, err := copySocket(process, offered.ClientSocket)
+func copyConnection(pidfd int, offered OfferedConn) (AcceptedConn, error) {
+	client, err := copySocket(pidfd, offered.Client)
 	if err != nil {
 		return AcceptedConn{}, err
 	}
-	peer, err := copySocket(process, offered.HostSocket)
+	peer, err := copySocket(pidfd, offered.Peer)
 	if err != nil {
 		_ = client.Close()
 		return AcceptedConn{}, err
 	}
-	return AcceptedConn{OfferedConn: offered, ClientConn: client, HostConn: peer}, nil
+	return AcceptedConn{OfferedConn: offered, ClientConn: client, PeerConn: peer}, nil
 }
 
-// closeAll closes this process's copies; the connections stay with the process that offered them.
+// closeAll closes this process's copies of the sockets. The connections stay with the process that offered them.
 func closeAll(connections []AcceptedConn) {
 	for _, connection := range connections {
 		_ = connection.ClientConn.Close()
-		_ = connection.HostConn.Close()
+		_ = connection.PeerConn.Close()
 	}
 }
 
-// openProcess opens the process that wrote an offer, as a pidfd. It checks that the process holds the mark of its id:
-// the id alone may be that of a later process.
-func (e *Exchange) openProcess(offered offer) (process int, err error) {
-	process, err = pidfd(offered.PID)
+// openProcess opens a pidfd of the process that wrote an offer. It checks that the process holds the liveness file of
+// its id, because the system may have given the id to another process since.
+func (e *Exchange) openProcess(offered offer) (pidfd int, err error) {
+	pidfd, err = openPidfd(offered.PID)
 	if err != nil {
 		return -1, fmt.Errorf("process %d: %w", offered.PID, err)
 	}
-	if err := checkMark(process, offered.Mark, e.store.LivenessPath(offered.PID)); err != nil {
-		_ = unix.Close(process)
+	if err := checkLivenessDescriptor(pidfd, offered.LivenessFD, e.store.LivenessPath(offered.PID)); err != nil {
+		_ = unix.Close(pidfd)
 		return -1, fmt.Errorf("process %d: %w", offered.PID, err)
 	}
-	return process, nil
+	return pidfd, nil
 }
 
-// checkMark checks that a descriptor of a process is that of the file at a path.
-func checkMark(process, descriptor int, path string) error {
-	mark, err := unix.PidfdGetfd(process, descriptor, 0)
+// checkLivenessDescriptor checks that a descriptor of another process refers to the file at a path.
+func checkLivenessDescriptor(pidfd, descriptor int, path string) error {
+	copied, err := unix.PidfdGetfd(pidfd, descriptor, 0)
 	if err != nil {
 		return err
 	}
 	var held, expected unix.Stat_t
-	err = errors.Join(unix.Fstat(mark, &held), unix.Stat(path, &expected))
-	_ = unix.Close(mark)
+	err = errors.Join(unix.Fstat(copied, &held), unix.Stat(path, &expected))
+	_ = unix.Close(copied)
 	if err != nil {
 		return err
 	}
 	if held.Dev != expected.Dev || held.Ino != expected.Ino {
-		return errors.New("not the process that wrote the offer")
+		return errors.New("liveness file not held: not the process that wrote the offer")
 	}
 	return nil
 }
--- a/internal/hotrestart/offer.go
+++ b/internal/hotrestart/offer.go
@@ -1,11 +1,11 @@
-// Package hotrestart passes established connections from one process of a node to its successor, without a break for
-// the clients.
+// Package hotrestart hands off established connections from one process of a node to its successor, without
+// interrupting the clients.
 //
 // The old process writes an offer: a file with the descriptors of quiesced connections. The successor copies the
-// sockets out of the old process (pidfd_getfd: both run as one user, and where the system allows it that needs no
-// privilege) and accepts the offer by renaming its file. The rename succeeds in one process only, which decides
-// races: an offer that the old process withdrew first is void, and connections that were not accepted stay with the
-// old process.
+// sockets from the old process with pidfd_getfd. That needs no privilege if both processes run as the same user and the
+// system allows it. The successor accepts the offer by renaming its file, and the old process withdraws it by renaming
+// it, too. Only one of the renames succeeds, so an offer that was withdrawn first can't be accepted. Connections that
+// are not accepted stay with the old process.
 package hotrestart
 
 import (
@@ -22,73 +22,73 @@
 )
 
 const (
-	// offerFormat heads an offer's file; its last character is the version.
+	// offerFormat begins an offer file; its last character is the version.
 	offerFormat = "onyxstream-offer-1"
 
-	// The names of an offer's files, in the order of its life.
+	// The suffixes of an offer's files, in the order in which they are created.
 	offerSuffix     = ".offer"
-	acceptedSuffix  = ".taken" // which of its connections the successor accepted
-	claimedSuffix   = ".gone"  // the offer, accepted
-	withdrawnSuffix = ".back"  // the offer, withdrawn
+	acceptedSuffix  = ".taken" // the indices of the connections that the successor accepted
+	claimedSuffix   = ".gone"  // the offer file after the successor accepted it
+	withdrawnSuffix = ".back"  // the offer file after the old process withdrew it
 
-	// offerTimeout is how long an offer is valid; what arrives on its connections is held back meanwhile.
+	// offerTimeout is how long an offer is valid. In that time, data that arrives on its connections is held back.
 	offerTimeout      = 300 * time.Millisecond
 	offerPollInterval = 2 * time.Millisecond
 
-	// MaxOffered bounds the connections in an offer: both processes hold its descriptors at one time.
+	// MaxOffered limits the connections in an offer, because both processes hold their descriptors at the same time.
 	MaxOffered       = 16
 	maxPingBaselines = 1024
 )
 
-// ErrNotAccepted is returned by Offer where no process accepted the offer in time.
+// ErrNotAccepted is returned by Offer if no process accepted the offer in time.
 var ErrNotAccepted = errors.New("no process accepted the offered connections")
 
-// OfferedConn is a connection in an offer.
+// OfferedConn is an established connection in an offer. Client is its socket to the client, and Peer that to the host.
 type OfferedConn struct {
 	Line    string  `json:"line"` // the client's opening line
 	Host    string  `json:"host"`
-	ClientSocket  Socket  `json:"client"`
-	HostSocket    Socket  `json:"peer"`
-	Partial []byte  `json:"partial,omitempty"` // the beginning of a line from the host
-	Load    float64 `json:"load,omitempty"`    // as last reported by the host, 0 for none
+	Client  Socket  `json:"client"`
+	Peer    Socket  `json:"peer"`
+	Partial []byte  `json:"partial,omitempty"` // an incomplete line that the host has sent
+	Load    float64 `json:"load,omitempty"`    // the host's last load report, 0 for none
 }
 
-// PingBaseline is the shortest ping of a host. A successor can't measure it anew while the host is under load.
+// PingBaseline is the shortest ping of a host. A successor can't measure it again while the host is under load.
 type PingBaseline struct {
 	Host        string        `json:"host"`
-	StartedAtMS int64         `json:"since"` // the host's start, as listed, Unix time in milliseconds
+	StartedAtMS int64         `json:"since"` // the host's start according to the endpoint list, Unix time in milliseconds
 	BestPing    time.Duration `json:"best_ns"`
 }
 
-// offer is the content of an offer's file. Mark is a descriptor of the offering process: it proves that the process
-// of that id is the one that wrote the offer.
+// offer is the content of an offer file. LivenessFD is the offering process's descriptor of its liveness file. It
+// proves that the process with this PID is the one that wrote the offer.
 type offer struct {
 	Node          string         `json:"node"`
 	PID           int            `json:"pid"`
-	Number        uint64         `json:"n"` // among the offers of the process
-	Mark          int            `json:"mark"`
+	Number        uint64         `json:"n"` // counts the offers of the process
+	LivenessFD    int            `json:"mark"`
 	Connections   []OfferedConn  `json:"connections"`
 	PingBaselines []PingBaseline `json:"facts"`
 }
 
-// Exchange passes connections between this process and the other processes of its node. Offer must be called by one
-// goroutine at a time, and Accept by one at a time.
+// Exchange passes connections between this process and the other processes of its node. Only one goroutine at a time
+// may call Offer, and only one at a time may call Accept.
 type Exchange struct {
 	store      *sharedstate.Store
-	offerCount uint64 // made so far
+	offerCount uint64 // number of offers made so far
 }
 
-// NewExchange returns an exchange between the processes that share a store.
+// NewExchange returns an exchange with the processes that share the store.
 func NewExchange(store *sharedstate.Store) *Exchange { return &Exchange{store: store} }
 
-// offerPath returns the path of an offer's file. It is unique to the offer: a process that read an earlier one and is
-// slow must not accept the next one by the same name.
+// offerPath returns the path of an offer file. The path is unique to the offer. Otherwise a slow process that has read
+// an earlier offer could rename, and so accept, the next one.
 func (e *Exchange) offerPath(pid int, number uint64) string {
 	return e.store.ProcessFile(pid, fmt.Sprintf("-%d%s", number, offerSuffix))
 }
 
-// Offer offers connections to the node's other processes and waits until one accepts or offerTimeout has passed. It
-// returns which of the connections were accepted; after an error none was.
+// Offer offers connections to the node's other processes, and waits until one accepts the offer or offerTimeout has
+// passed. It returns which connections were accepted. If err is not nil, none was.
 func (e *Exchange) Offer(connections []OfferedConn, baselines []PingBaseline) (accepted []bool, err error) {
 	accepted = make([]bool, len(connections))
 	e.offerCount++
@@ -96,7 +96,7 @@
 		Node:          e.store.Node(),
 		PID:           os.Getpid(),
 		Number:        e.offerCount,
-		Mark:          e.store.LivenessDescriptor(),
+		LivenessFD:    e.store.LivenessDescriptor(),
 		Connections:   connections,
 		PingBaselines: baselines[:min(len(baselines), maxPingBaselines)],
 	})
@@ -120,9 +120,9 @@
 	return accepted, nil
 }
 
-// withdraw makes an offer void; it returns false where the offer was accepted before. While the folder can't be
-// changed it tries again, for offerTimeout. After that the offer counts as accepted, as another process can still
-// accept it: this one gives its connections up.
+// withdraw withdraws an offer. It returns false if the offer was accepted before. While the folder can't be changed, it
+// retries for up to offerTimeout. After that it returns false, too: another process can still accept the offer, so this
+// process must give up its connections.
 func withdraw(path string) bool {
 	for deadline := time.Now().Add(offerTimeout); ; time.Sleep(offerPollInterval) {
 		err := os.Rename(path, path+withdrawnSuffix)
@@ -136,8 +136,9 @@
 	}
 }
 
-// readAccepted marks the connections of an accepted offer that were accepted. Where that can't be read, as for want
-// of a descriptor, all count as accepted: a connection used by two processes is worse than one that is closed.
+// readAccepted sets accepted for the connections of an accepted offer that the successor accepted. If their list can't
+// be read, for example for lack of a descriptor, all count as accepted: a connection that two processes use is worse
+// than one that is closed.
 func readAccepted(path string, accepted []bool) {
 	defer func() { _ = os.Remove(path + acceptedSuffix) }()
 	text, err := sealedfile.Read(path + acceptedSuffix)
--- a/internal/hotrestart/offer_test.go
+++ b/internal/hotrestart/offer_test.go
@@ -12,7 +12,7 @@
 	"onyxstream/internal/sharedstate"
 )
 
-// newExchange returns an exchange of this process as one of node "n1".
+// newExchange returns an exchange for this process as a process of node "n1".
 func newExchange(t *testing.T, dir string) *Exchange {
 	t.Helper()
 	store, err := sharedstate.Open(dir, "n1")
@@ -23,18 +23,19 @@
 	return NewExchange(store)
 }
 
-// An offer that no process accepts is withdrawn, and none of its connections counts as accepted.
+// An offer that no process accepts must be withdrawn without leaving files, and none of its connections may count as
+// accepted.
 func TestOffer_NoSuccessor_IsWithdrawn(t *testing.T) {
 	dir := t.TempDir()
 	e := newExchange(t, dir)
 	accepted, err := e.Offer([]OfferedConn{{Line: "OPEN a b"}}, nil)
 	if err == nil || len(accepted) != 1 || accepted[0] {
-		t.Errorf("%v, %v", accepted, err)
+		t.Errorf("Offer without a successor: got accepted %v, error %v, want an error and nothing accepted", accepted, err)
 	}
 	if names, _ := filepath.Glob(filepath.Join(dir, "*.offer*")); len(names) > 0 {
-		t.Errorf("left are %v", names)
+		t.Errorf("files left after the withdrawal: %v", names)
 	}
-	// A process that has read this offer and is slow must not accept the next one by its name.
+	// A slow process that has read this offer must not accept the next one by the name of this one.
 	first := e.offerPath(os.Getpid(), e.offerCount)
 	next := make(chan error, 1)
 	go func() {
@@ -43,23 +44,24 @@
 	}()
 	for over := false; !over; {
 		if os.Rename(first, first+claimedSuffix) == nil {
-			t.Fatal("the next offer is accepted under the name of the first")
+			t.Fatal("the next offer has the name of the first one")
 		}
 		select {
 		case err := <-next:
 			over = true
 			if err == nil {
-				t.Error("the next offer counts as accepted")
+				t.Error("the next offer counts as accepted, but there is no successor")
 			}
 		default:
 		}
 	}
 	if out, _, err := e.Accept(); len(out) > 0 || err != nil {
-		t.Errorf("its own: %v, %v", out, err)
+		t.Errorf("Accept of the process's own offers: got %v, error %v, want none", out, err)
 	}
 }
 
-// An offer whose file is gone was accepted. Where the list of its accepted connections can't be read, all were.
+// If the list of the accepted connections can't be read, all connections must count as accepted. Invalid indices in the
+// list must be ignored.
 func TestReadAccepted_ListMissing_AllAccepted(t *testing.T) {
 	name := filepath.Join(t.TempDir(), "o")
 	if err := os.WriteFile(name+acceptedSuffix, []byte("1 7 x "), 0o600); err != nil {
@@ -68,20 +70,20 @@
 	accepted := make([]bool, 3)
 	readAccepted(name, accepted)
 	if accepted[0] || !accepted[1] || accepted[2] {
-		t.Errorf("accepted are %v", accepted)
+		t.Errorf("accepted from list \"1 7 x\": got %v, want only index 1", accepted)
 	}
 	accepted = make([]bool, 2)
 	readAccepted(name, accepted)
 	if !accepted[0] || !accepted[1] {
-		t.Errorf("without a list: %v", accepted)
+		t.Errorf("accepted without a list: got %v, want all", accepted)
 	}
 }
 
-// An offer is accepted only from a live process of this node that holds its mark.
+// Accept must accept an offer only from a live process of this node that holds its liveness file.
 func TestAccept_ForeignOrDamagedOffer_IsRejected(t *testing.T) {
 	dir := t.TempDir()
 	e := newExchange(t, dir)
-	put := func(o offer) {
+	writeOffer := func(o offer) {
 		t.Helper()
 		text, err := sealedfile.Encode(offerFormat, o)
 		if err != nil {
@@ -91,29 +93,29 @@
 			t.Fatal(err)
 		}
 	}
-	rejected := func(what, why string) {
+	expectRejected := func(what, why string) {
 		t.Helper()
 		out, _, err := e.Accept()
 		if len(out) > 0 || err == nil || !strings.Contains(err.Error(), why) {
-			t.Errorf("%s: %v, %v", what, out, err)
+			t.Errorf("%s: got %v, error %v, want no connections and an error with %q", what, out, err, why)
 		}
 		names, _ := e.store.ProcessFiles(offerSuffix)
 		for _, n := range names {
 			_ = os.Remove(n)
 		}
 	}
-	put(offer{Node: "n2", PID: 1})
-	rejected("another node's", "invalid offer")
-	put(offer{Node: "n1", PID: os.Getppid(), Mark: 2, Connections: make([]OfferedConn, MaxOffered+1)})
-	rejected("too large", "invalid offer")
-	put(offer{Node: "n1", PID: 1 << 22, Mark: 2})
-	rejected("of a process that is not there", "process")
-	put(offer{Node: "n1", PID: os.Getppid(), Mark: 0})
-	rejected("of a process without the mark", "process")
+	writeOffer(offer{Node: "n2", PID: 1})
+	expectRejected("offer of another node", "invalid offer")
+	writeOffer(offer{Node: "n1", PID: os.Getppid(), LivenessFD: 2, Connections: make([]OfferedConn, MaxOffered+1)})
+	expectRejected("offer with too many connections", "invalid offer")
+	writeOffer(offer{Node: "n1", PID: 1 << 22, LivenessFD: 2})
+	expectRejected("offer of a process that does not exist", "process")
+	writeOffer(offer{Node: "n1", PID: os.Getppid(), LivenessFD: 0})
+	expectRejected("offer of a process without the liveness file", "process")
 	if err := os.WriteFile(e.offerPath(7, 0), []byte("onyxstream-offer-1 0 2\n{}"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	rejected("damaged", "damaged")
+	expectRejected("damaged offer", "damaged")
 }
 
 func TestCopySocket_OtherRemote_IsRejected(t *testing.T) {
@@ -131,29 +133,29 @@
 	if err != nil || s.Remote != l.Addr().String() {
 		t.Fatalf("%+v, %v", s, err)
 	}
-	self, err := pidfd(os.Getpid())
+	self, err := openPidfd(os.Getpid())
 	if err != nil {
-		t.Skip("no pidfd here: ", err)
+		t.Skip("pidfd_open is not available: ", err)
 	}
 	copied, err := copySocket(self, s)
 	if err != nil {
-		t.Logf("the system does not allow pidfd_getfd: %v", err)
+		t.Logf("pidfd_getfd is not allowed: %v", err)
 	} else {
 		_ = copied.Close()
 		if copied.RemoteAddr().String() != s.Remote {
-			t.Error("another socket")
+			t.Error("the copy has another remote address")
 		}
 	}
 	for _, bad := range []Socket{{s.FD, "127.0.0.1:1"}, {1 << 20, s.Remote}, {0, s.Remote}} {
 		if got, err := copySocket(self, bad); err == nil {
 			_ = got.Close()
-			t.Errorf("%+v is copied", bad)
+			t.Errorf("copied %+v, want an error", bad)
 		}
 	}
 }
 
-// An offer that can't be withdrawn at once, as its folder can't be changed for a moment, is withdrawn once it can be,
-// and does not count as accepted.
+// If an offer can't be withdrawn at once, because its folder can't be changed for a moment, the withdrawal must be
+// retried. The offer must not count as accepted.
 func TestOffer_WithdrawFailsForAMoment_NothingIsAccepted(t *testing.T) {
 	e := newExchange(t, t.TempDir())
 	blocked := e.offerPath(os.Getpid(), 1) + withdrawnSuffix
@@ -166,6 +168,6 @@
 	}()
 	accepted, err := e.Offer(make([]OfferedConn, 2), nil)
 	if err == nil || accepted[0] || accepted[1] {
-		t.Errorf("accepted %v, error %v: there is no other process", accepted, err)
+		t.Errorf("Offer without a successor: got accepted %v, error %v, want an error and nothing accepted", accepted, err)
 	}
 }
--- a/internal/hotrestart/socket.go
+++ b/internal/hotrestart/socket.go
@@ -8,8 +8,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// Socket is a connected socket of the process that offers it. The process that copies it checks the remote address, as
-// the descriptor may be that of another socket by then.
+// Socket is a connected socket of the process that offers it. The process that copies it checks the remote address,
+// because the descriptor may refer to another socket by then.
 type Socket struct {
 	FD     int    `json:"fd"`
 	Remote string `json:"to"`
@@ -26,11 +26,11 @@
 	return socket, err
 }
 
-func pidfd(pid int) (int, error) { return unix.PidfdOpen(pid, 0) }
+func openPidfd(pid int) (int, error) { return unix.PidfdOpen(pid, 0) }
 
-// copySocket copies a connected socket of another process, given as a pidfd.
-func copySocket(process int, socket Socket) (*net.TCPConn, error) {
-	fd, err := unix.PidfdGetfd(process, socket.FD, 0)
+// copySocket copies a connected socket of another process, which is given by its pidfd.
+func copySocket(pidfd int, socket Socket) (*net.TCPConn, error) {
+	fd, err := unix.PidfdGetfd(pidfd, socket.FD, 0)
 	if err != nil {
 		return nil, fmt.Errorf("descriptor %d: %w", socket.FD, err)
 	}
--- a/internal/hotrestart/stored_test.go
+++ b/internal/hotrestart/stored_test.go
@@ -11,8 +11,9 @@
 	"onyxstream/internal/sealedfile"
 )
 
-// The file in testdata was written by the release before the names in the code changed: another process of the node,
-// or the next one, may still be of that release.
+// The file in testdata was written by an earlier release, whose code has other names than the JSON keys suggest. It
+// must stay readable, and be written the same, because another process of the node, or its successor, may be of that
+// release.
 
 func readFixture(t *testing.T, name string) []byte {
 	t.Helper()
@@ -30,24 +31,24 @@
 		t.Fatal(err)
 	}
 	want := offer{
-		Node:   "n1",
-		PID:    4711,
-		Number: 7,
-		Mark:   3,
+		Node:       "n1",
+		PID:        4711,
+		Number:     7,
+		LivenessFD: 3,
 		Connections: []OfferedConn{
 			{
 				Line:    "OPEN id=c1 class=chat d=1000",
 				Host:    "host-a",
-				ClientSocket:  Socket{11, "127.0.0.1:40001"},
-				HostSocket:    Socket{12, "127.0.0.1:9001"},
+				Client:  Socket{11, "127.0.0.1:40001"},
+				Peer:    Socket{12, "127.0.0.1:9001"},
 				Partial: []byte("half a li"),
 				Load:    2.5,
 			},
 			{
 				Line:   "OPEN id=c2 class=chat d=900",
 				Host:   "host-b",
-				ClientSocket: Socket{13, "127.0.0.1:40002"},
-				HostSocket:   Socket{14, "127.0.0.1:9002"},
+				Client: Socket{13, "127.0.0.1:40002"},
+				Peer:   Socket{14, "127.0.0.1:9002"},
 			},
 		},
 		PingBaselines: []PingBaseline{{"host-a", 1764590400000, 350 * time.Microsecond}},
@@ -57,11 +58,11 @@
 	}
 	again, err := sealedfile.Encode(offerFormat, got)
 	if diff := cmp.Diff(string(text), string(again)); diff != "" || err != nil {
-		t.Errorf("%v, an earlier release would not read it: %s", err, diff)
+		t.Errorf("encoding differs from the earlier release: error %v, diff (-want +got):\n%s", err, diff)
 	}
 }
 
-// The names of the files are part of the format: two processes of one node find each other by them.
+// The names of the files are part of the format, because two processes of one node find each other by them.
 func TestStoredFileNames_EarlierRelease_AreEqual(t *testing.T) {
 	dir := t.TempDir()
 	got := newExchange(t, dir).offerPath(4711, 7)
--- a/internal/sharedstate/drain.go
+++ b/internal/sharedstate/drain.go
@@ -6,23 +6,23 @@
 	"golang.org/x/sys/unix"
 )
 
-// Drain is the drain of the node itself. Its two times are kept on both of the machine's clocks: a reader goes by the
-// time since boot, which no step of the wall clock moves, where both have it.
+// Drain is a drain of the node itself. It has its deadline and its admission cutoff on two clocks of the machine. A
+// reader uses the time since boot, which does not change when the wall clock is stepped, if writer and reader have it.
 type Drain struct {
 	Active bool `json:"on"`
-	// Deadline is when the established connections are to be gone.
+	// Deadline is when all established connections must be gone.
 	Deadline time.Time `json:"by"`
-	// AdmissionCutoff is from when on new clients are rejected.
+	// AdmissionCutoff is when the node starts to reject new clients.
 	AdmissionCutoff time.Time     `json:"shut"`
 	RetryAfter      time.Duration `json:"retry_after_ns"`
 	KeepConnections bool          `json:"keep"`
-	// Serial is that of the state's change by which the drain was set.
+	// Serial is the state's serial for the change that set the drain.
 	Serial              uint64        `json:"serial"`
 	DeadlineBoot        time.Duration `json:"by_boot_ns,omitempty"`
 	AdmissionCutoffBoot time.Duration `json:"shut_boot_ns,omitempty"`
 }
 
-// Remaining returns how long it is until the drain's deadline and its admission cutoff; below 0 for past.
+// Remaining returns the time until the drain's deadline and until its admission cutoff, negative if they have passed.
 func (d Drain) Remaining(now ClockReading) (untilDeadline, untilCutoff time.Duration) {
 	if d.DeadlineBoot > 0 && now.Boot > 0 {
 		return d.DeadlineBoot - now.Boot, d.AdmissionCutoffBoot - now.Boot
@@ -30,11 +30,11 @@
 	return d.Deadline.Sub(now.Wall), d.AdmissionCutoff.Sub(now.Wall)
 }
 
-// ClockReading is a reading of the machine's clocks: the wall clock, which may be stepped, and the time since boot,
-// which all processes of the machine share.
+// ClockReading is a reading of two clocks that all processes of the machine share: the wall clock, which may be
+// stepped, and the time since boot.
 type ClockReading struct {
 	Wall time.Time
-	Boot time.Duration // 0 where the system has no such clock
+	Boot time.Duration // 0 if the system has no such clock
 }
 
 // ReadClocks reads the machine's clocks.
@@ -47,8 +47,8 @@
 	return now
 }
 
-// NewDrain returns an active drain that begins at the reading, with its deadline and its admission cutoff so much
-// later.
+// NewDrain returns an active drain that starts at the time of the reading. Its deadline and its admission cutoff are
+// the given durations after that.
 func (r ClockReading) NewDrain(untilDeadline, untilCutoff time.Duration) Drain {
 	drain := Drain{
 		Active:          true,
--- a/internal/sharedstate/processes.go
+++ b/internal/sharedstate/processes.go
@@ -10,43 +10,45 @@
 )
 
 const (
-	// markSuffix ends the name of a process's mark: a file that the process keeps locked for as long as it lives.
-	markSuffix = ".alive"
-	// offerPattern matches what a process may leave behind of hot restarts, behind the name that its mark begins with.
+	// livenessSuffix ends the name of a process's liveness file. The process keeps the file locked as long as it lives,
+	// and writes its status to it.
+	livenessSuffix = ".alive"
+	// offerPattern matches the files of a process's hot-restart offers, after the common prefix of its file names. A
+	// process that dies leaves them behind.
 	offerPattern = "-*.offer*"
 
-	maxMarks       = 4096    // that are looked at in one call
-	maxMarkBytes   = 32      // that are read of a mark
-	maxDescriptors = 1 << 20 // that a mark can state
+	maxLivenessFiles = 4096    // limit of files read in one call
+	maxLivenessBytes = 32      // limit of bytes read from a liveness file
+	maxDescriptors   = 1 << 20 // upper bound, exclusive, of a valid count in a liveness file
 )
 
 // ProcessStatus is what a process publishes about itself to the node's other processes.
 type ProcessStatus struct {
-	Ready       bool // it can take over from another process
-	Descriptors int  // that it holds or may open
+	Ready       bool // whether it can take over connections of another process
+	Descriptors int  // number of descriptors that it holds or reserves
 }
 
-// Publish writes this process's status into its mark.
+// Publish writes this process's status to its liveness file.
 func (s *Store) Publish(status ProcessStatus) error {
 	ready := 0
 	if status.Ready {
 		ready = 1
 	}
-	_, err := s.mark.WriteAt(fmt.Appendf(nil, "%d %010d\n", ready, status.Descriptors), 0)
+	_, err := s.livenessFile.WriteAt(fmt.Appendf(nil, "%d %010d\n", ready, status.Descriptors), 0)
 	return err
 }
 
-// LivenessDescriptor returns the descriptor of this process's mark. It proves to others that the process is one of the
-// node.
-func (s *Store) LivenessDescriptor() int { return int(s.mark.Fd()) }
+// LivenessDescriptor returns the descriptor of this process's liveness file. Other processes check it to verify that
+// this process belongs to the node.
+func (s *Store) LivenessDescriptor() int { return int(s.livenessFile.Fd()) }
 
-// LivenessPath returns the path of a process's mark.
-func (s *Store) LivenessPath(pid int) string { return s.ProcessFile(pid, markSuffix) }
+// LivenessPath returns the path of a process's liveness file.
+func (s *Store) LivenessPath(pid int) string { return s.ProcessFile(pid, livenessSuffix) }
 
-// OtherProcesses returns the status of each other live process of the node. It removes the files of those that died.
+// OtherProcesses returns the status of each other live process of the node. It removes the files of dead processes.
 func (s *Store) OtherProcesses() ([]ProcessStatus, error) {
-	marks, err := s.ProcessFiles(markSuffix)
-	if err != nil || len(marks) <= 1 {
+	paths, err := s.ProcessFiles(livenessSuffix)
+	if err != nil || len(paths) <= 1 {
 		return nil, err
 	}
 	unlock, err := s.lock()
@@ -55,43 +57,46 @@
 	}
 	defer unlock()
 	var others []ProcessStatus
-	for _, path := range marks[:min(len(marks), maxMarks)] {
-		if path == s.mark.Name() {
+	for _, path := range paths[:min(len(paths), maxLivenessFiles)] {
+		if path == s.livenessFile.Name() {
 			continue
 		}
-		if status, alive := readMark(path); alive {
+		if status, alive := readLivenessFile(path); alive {
 			others = append(others, status)
 		}
 	}
 	return others, nil
 }
 
-// readMark returns the status of the process of a mark; of one that died it removes the files.
-func readMark(path string) (status ProcessStatus, alive bool) {
-	mark, err := os.Open(path)
+// readLivenessFile reads the status of a process from its liveness file. If the file is not locked, the process is
+// dead, and its files are removed.
+func readLivenessFile(path string) (status ProcessStatus, alive bool) {
+	file, err := os.Open(path)
 	if err != nil {
-		return ProcessStatus{}, false // its process ended just now
+		return ProcessStatus{}, false // the process has just ended and removed the file
 	}
-	defer mark.Close()
-	if syscall.Flock(int(mark.Fd()), syscall.LOCK_SH|syscall.LOCK_NB) == nil {
+	defer file.Close()
+	if syscall.Flock(int(file.Fd()), syscall.LOCK_SH|syscall.LOCK_NB) == nil {
 		removeProcessFiles(path)
 		return ProcessStatus{}, false
 	}
-	var buffer [maxMarkBytes]byte
-	n, _ := mark.ReadAt(buffer[:], 0)
-	return parseMark(string(buffer[:n])), true
+	var buffer [maxLivenessBytes]byte
+	n, _ := file.ReadAt(buffer[:], 0)
+	return parseStatus(string(buffer[:n])), true
 }
 
-// removeProcessFiles removes what a process that died left: its mark, and offers that no process accepted.
-func removeProcessFiles(markPath string) {
-	offers, _ := filepath.Glob(strings.TrimSuffix(markPath, markSuffix) + offerPattern)
-	for _, path := range append(offers, markPath) {
+// removeProcessFiles removes the files that a dead process left: its liveness file, and offers that no process
+// accepted.
+func removeProcessFiles(livenessPath string) {
+	offers, _ := filepath.Glob(strings.TrimSuffix(livenessPath, livenessSuffix) + offerPattern)
+	for _, path := range append(offers, livenessPath) {
 		_ = os.Remove(path)
 	}
 }
 
-// parseMark parses a mark. One that is not written yet or can't be parsed is that of a live process that is not ready.
-func parseMark(text string) (status ProcessStatus) {
+// parseStatus parses the content of a liveness file. An empty or invalid file means that its process is alive, but not
+// ready.
+func parseStatus(text string) (status ProcessStatus) {
 	ready, descriptors, _ := strings.Cut(strings.TrimSpace(text), " ")
 	status.Ready = ready == "1"
 	count, err := strconv.Atoi(descriptors)
--- a/internal/sharedstate/state.go
+++ b/internal/sharedstate/state.go
@@ -1,5 +1,5 @@
-// Package sharedstate keeps what all processes of one node share, in a folder: the operators' overrides, which hold
-// for the node and not for one process of it, and a mark for each process that is alive.
+// Package sharedstate stores the state that all processes of one node share, as files in a folder. It consists of the
+// operators' overrides, which apply to the whole node, and of a liveness file for each process.
 package sharedstate
 
 import (
@@ -11,18 +11,18 @@
 )
 
 const (
-	// stateFormat heads the state's file; its last character is the version.
+	// stateFormat begins the state file; its last character is the version.
 	stateFormat = "onyxstream-handover-1"
-	// maxOverrides bounds the overrides in a state; more are rejected.
+	// maxOverrides limits the overrides in a state.
 	maxOverrides = 1024
-	// maxHostIDBytes bounds a host's id, as on the control listener.
+	// maxHostIDBytes limits a host's id. The control listener has the same limit.
 	maxHostIDBytes = 128
-	// resumeRetention is how long an override that resumed a host is kept.
+	// resumeRetention is how long an override that resumes a host is kept.
 	resumeRetention = 2 * time.Minute
 )
 
-// State is what holds for all processes of a node. Serial counts its changes. Each entry carries the serial of its
-// own last change, by which a process knows the entries that it has not applied yet.
+// State applies to all processes of a node. Serial counts its changes. Each override and the drain have the serial of
+// their own last change, from which a process knows which of them it has not applied yet.
 type State struct {
 	Node      string         `json:"node"`
 	Serial    uint64         `json:"serial"`
@@ -30,7 +30,7 @@
 	Drain     Drain          `json:"drain"`
 }
 
-// HostOverride is an operator's override of a host's state: draining, or resumed.
+// HostOverride is an operator's override of a host: it drains the host, or resumes it.
 type HostOverride struct {
 	Host     string    `json:"host"`
 	Draining bool      `json:"out"`
@@ -38,11 +38,11 @@
 	Serial   uint64    `json:"serial"`
 }
 
-// ErrOverrideLimit is returned where a state would have more overrides than it may.
+// ErrOverrideLimit is returned if a state would have more than maxOverrides overrides.
 var ErrOverrideLimit = fmt.Errorf("host override limit of %d reached", maxOverrides)
 
-// SetOverride sets the override of a host, given at a time. It drops other hosts' resumptions that are past their
-// retention.
+// SetOverride sets the override of a host that an operator gave at a time. It also removes overrides that resume other
+// hosts, if they are older than resumeRetention.
 func (s *State) SetOverride(host string, draining bool, at time.Time) error {
 	s.dropExpiredResumptions(host, at)
 	i := slices.IndexFunc(s.Overrides, func(o HostOverride) bool { return o.Host == host })
@@ -58,13 +58,15 @@
 	return nil
 }
 
+// dropExpiredResumptions removes the overrides that resume a host and are older than resumeRetention, except that of
+// exceptHost.
 func (s *State) dropExpiredResumptions(exceptHost string, now time.Time) {
 	s.Overrides = slices.DeleteFunc(s.Overrides, func(o HostOverride) bool {
 		return o.Host != exceptHost && !o.Draining && now.Sub(o.SetAt) > resumeRetention
 	})
 }
 
-// Override returns the override of a host.
+// Override returns the override of a host, and whether there is one.
 func (s *State) Override(host string) (override HostOverride, ok bool) {
 	i := slices.IndexFunc(s.Overrides, func(o HostOverride) bool { return o.Host == host })
 	if i < 0 {
@@ -73,25 +75,25 @@
 	return s.Overrides[i], true
 }
 
-// SetDrain sets the drain of the node itself; one that is not active ends it.
+// SetDrain sets the drain of the node itself. A drain that is not active ends the current one.
 func (s *State) SetDrain(drain Drain) {
 	s.Serial++
 	drain.Serial = s.Serial
 	s.Drain = drain
 }
 
-// Encode returns the content of the state's file.
+// Encode returns the content of the state file.
 func (s *State) Encode() ([]byte, error) { return sealedfile.Encode(stateFormat, s) }
 
-// Decode reads the content of a node's state file. It returns an error for anything but what Encode returned for this
-// node.
+// Decode decodes the content of a node's state file. It returns an error unless the content is one that Encode can
+// return for this node.
 func Decode(text []byte, node string) (State, error) {
 	var state State
 	if err := sealedfile.Decode(stateFormat, text, &state); err != nil {
 		return State{}, err
 	}
 	if state.Node != node {
-		return State{}, fmt.Errorf("state is of node %q", state.Node)
+		return State{}, fmt.Errorf("file has the state of node %q", state.Node)
 	}
 	if len(state.Overrides) > maxOverrides {
 		return State{}, ErrOverrideLimit
--- a/internal/sharedstate/state_test.go
+++ b/internal/sharedstate/state_test.go
@@ -35,38 +35,38 @@
 	}
 	got, err := Decode(text, "n1")
 	if diff := cmp.Diff(state, got); diff != "" || err != nil {
-		t.Errorf("%v, %s", err, diff)
+		t.Errorf("Decode of an encoded state: error %v, diff (-want +got):\n%s", err, diff)
 	}
 	if state.Serial != 4 || len(state.Overrides) != 2 || state.Overrides[0].Serial != 3 || state.Overrides[0].Draining {
-		t.Errorf("the overrides are %+v", state)
+		t.Errorf("state after 3 overrides of 2 hosts and a drain: got %+v", state)
 	}
 }
 
-// Only a complete state of this node and this version is accepted.
+// Decode must accept only a complete and unchanged state of this node and this version.
 func TestDecode_CutChangedOrForeign_IsRejected(t *testing.T) {
 	state := sampleState(t)
 	text, err := state.Encode()
 	if err != nil {
 		t.Fatal(err)
 	}
-	for i := range text { // cut anywhere, and changed anywhere
+	for i := range text { // cut the text at i, or flip a bit at i
 		if _, err := Decode(text[:i], "n1"); err == nil {
-			t.Errorf("cut at %d, it is accepted", i)
+			t.Errorf("state cut at byte %d: accepted, want an error", i)
 		}
 		changed := bytes.Clone(text)
 		changed[i] ^= 1
 		if _, err := Decode(changed, "n1"); err == nil && i > len(stateFormat) && i != len(stateFormat)+1 {
 			if got, _ := Decode(changed, "n1"); cmp.Diff(state, got) != "" {
-				t.Errorf("changed at %d, it is accepted", i)
+				t.Errorf("state changed at byte %d: accepted as a different state", i)
 			}
 		}
 	}
 	if _, err := Decode(text, "n2"); err == nil || !strings.Contains(err.Error(), `of node "n1"`) {
-		t.Errorf("another node's: %v", err)
+		t.Errorf("state of another node: got error %v", err)
 	}
 	_, err = Decode([]byte("onyxstream-handover-9 0 0\n"), "n1")
 	if err == nil || !strings.Contains(err.Error(), "another version") {
-		t.Errorf("another version's: %v", err)
+		t.Errorf("state of another version: got error %v", err)
 	}
 }
 
@@ -78,7 +78,7 @@
 	f.Fuzz(func(t *testing.T, text []byte) {
 		decoded, err := Decode(text, "n1")
 		if err == nil && (decoded.Node != "n1" || len(decoded.Overrides) > maxOverrides) {
-			t.Errorf("%q is read as %+v", text, decoded)
+			t.Errorf("Decode(%q) = %+v, want an error", text, decoded)
 		}
 	})
 }
@@ -91,13 +91,13 @@
 		}
 	}
 	if err := state.SetOverride("more", true, noon); err != ErrOverrideLimit {
-		t.Errorf("one more: %v", err)
+		t.Errorf("override beyond the limit: got error %v, want ErrOverrideLimit", err)
 	}
 	if err := state.SetOverride("h0", false, noon); err != nil {
-		t.Errorf("one that is there: %v", err)
+		t.Errorf("override of a host that has one, at the limit: %v", err)
 	}
 	err := state.SetOverride("more", true, noon.Add(resumeRetention+time.Second))
 	if err != nil || len(state.Overrides) != maxOverrides/2 {
-		t.Errorf("after the retention: %v, %d overrides", err, len(state.Overrides))
+		t.Errorf("after the retention: error %v, %d overrides, want half of the limit", err, len(state.Overrides))
 	}
 }
--- a/internal/sharedstate/store.go
+++ b/internal/sharedstate/store.go
@@ -23,21 +23,21 @@
 	lockRetryInterval = 2 * time.Millisecond
 )
 
-// Store keeps the state of one node in a folder that the node's processes share, and marks this process as alive
-// there. Its methods may be called from any goroutine.
+// Store stores the state of one node in a folder that the node's processes share, and holds the liveness file of this
+// process there. Its methods may be called from any goroutine.
 type Store struct {
 	folder     string
-	filePrefix string // of all files of this node
+	filePrefix string // begins the names of all files of this node
 	node       string
 
 	mu       sync.Mutex
-	last     State       // as read or written last
-	lastInfo os.FileInfo // of the file that was read or written last
+	last     State       // state that was read or written last
+	lastInfo os.FileInfo // file info of the state file that was read or written last
 
-	mark *os.File // of this process, locked for as long as it lives
+	livenessFile *os.File // liveness file of this process, locked as long as the process lives
 }
 
-// Open marks this process as alive in the folder of a node's processes. After an error nothing can be shared for now.
+// Open opens the shared folder of a node's processes and creates this process's liveness file in it.
 func Open(folder, node string) (*Store, error) {
 	s := &Store{
 		folder:     folder,
@@ -50,29 +50,30 @@
 		return nil, err
 	}
 	defer unlock()
-	// Under the lock: another process would take a mark that is not locked yet for that of a dead process.
-	mark, err := os.OpenFile(s.ProcessFile(os.Getpid(), markSuffix), os.O_RDWR|os.O_CREATE|os.O_TRUNC, 0o600)
+	// Create the liveness file under the lock. Otherwise another process may see it before it is locked, and take this
+	// process for dead.
+	livenessFile, err := os.OpenFile(s.ProcessFile(os.Getpid(), livenessSuffix), os.O_RDWR|os.O_CREATE|os.O_TRUNC, 0o600)
 	if err != nil {
 		return nil, err
 	}
-	if err := syscall.Flock(int(mark.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
-		_ = mark.Close()
-		return nil, fmt.Errorf("%s: %w", mark.Name(), err)
+	if err := syscall.Flock(int(livenessFile.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
+		_ = livenessFile.Close()
+		return nil, fmt.Errorf("lock %s: %w", livenessFile.Name(), err)
 	}
-	s.mark = mark
+	s.livenessFile = livenessFile
 	return s, nil
 }
 
-// Close removes this process's mark. The state stays for the next process.
+// Close removes this process's liveness file. The state stays for the next process.
 func (s *Store) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	_ = os.Remove(s.mark.Name())
-	_ = s.mark.Close()
+	_ = os.Remove(s.livenessFile.Name())
+	_ = s.livenessFile.Close()
 }
 
-// nodeFilePrefix begins the names of a node's files. It is a hash: a node's name may have characters that a file's
-// may not.
+// nodeFilePrefix returns the prefix of the names of a node's files. It has a hash of the node's name, because the name
+// may contain characters that are not allowed in file names.
 func nodeFilePrefix(node string) string {
 	return fmt.Sprintf("onyxstream-%016x", xxhash.Sum64String(node))
 }
@@ -82,19 +83,19 @@
 // Node returns the name of the node.
 func (s *Store) Node() string { return s.node }
 
-// ProcessFile returns the path of a file of one process of the node.
+// ProcessFile returns the path of the file with a suffix that belongs to one process of the node.
 func (s *Store) ProcessFile(pid int, suffix string) string {
 	return filepath.Join(s.folder, fmt.Sprintf("%s-%d%s", s.filePrefix, pid, suffix))
 }
 
-// ProcessFiles returns the paths of the files of all processes of the node whose names end in a suffix, a pattern of
-// filepath.Match.
+// ProcessFiles returns the paths of the files with a suffix that belong to any process of the node. The suffix may be a
+// pattern, as for filepath.Match.
 func (s *Store) ProcessFiles(suffix string) ([]string, error) {
 	return filepath.Glob(filepath.Join(s.folder, s.filePrefix+"-*"+suffix))
 }
 
-// lock excludes the node's other processes from changes; the system releases it where its holder dies. It waits for
-// lockTimeout at most.
+// lock takes the lock that excludes the node's other processes from changes. It waits at most lockTimeout. The system
+// releases the lock if this process dies.
 func (s *Store) lock() (unlock func(), err error) {
 	file, err := os.OpenFile(filepath.Join(s.folder, s.filePrefix+lockSuffix), os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
@@ -107,12 +108,12 @@
 		}
 		if time.Now().After(deadline) {
 			_ = file.Close()
-			return nil, fmt.Errorf("%s: held by another process: %w", file.Name(), err)
+			return nil, fmt.Errorf("lock %s: held by another process: %w", file.Name(), err)
 		}
 	}
 }
 
-// DamageError is returned for a state file that was read and is damaged, or is none of this node's.
+// DamageError is returned for a state file that could be read, but is damaged or does not belong to this node.
 type DamageError struct {
 	Path string
 	Err  error
@@ -120,12 +121,12 @@
 
 func (e *DamageError) Error() string { return e.Path + ": " + e.Err.Error() }
 
-// Unwrap returns the reason.
+// Unwrap returns why the file was rejected.
 func (e *DamageError) Unwrap() error { return e.Err }
 
-// Load returns the state as it is now; changed is false where it is as this process knew it. A file that can't be
-// used is a DamageError, returned once for each version of the file. After any other error the next call reads the
-// file again. After each error state is the last one known.
+// Load returns the current state. changed reports whether it differs from the state that this process knew. A damaged
+// file is reported as a *DamageError, once for each version of the file; after any other error the next call reads the
+// file again. If err is not nil, state is the last state known.
 func (s *Store) Load() (state State, changed bool, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -158,15 +159,15 @@
 	return state, changed, nil
 }
 
-// isLastFile reports whether the file is unchanged since it was read or written last.
+// isLastFile reports whether the file is the one that was read or written last, and is unchanged since then.
 func (s *Store) isLastFile(info os.FileInfo) bool {
 	return s.lastInfo != nil && os.SameFile(info, s.lastInfo) &&
 		info.ModTime().Equal(s.lastInfo.ModTime()) && info.Size() == s.lastInfo.Size()
 }
 
-// Update changes the state atomically, in one order for all processes. A damaged file is replaced by the last state
-// known. A file that can't be read now may have changes of other processes, so it is left as it is and the error
-// returned.
+// Update changes the state atomically, in the same order for all processes. It replaces a damaged file by the last
+// state known. If the file can't be read at the moment, it may have changes of other processes: Update then leaves it
+// as it is and returns the error.
 func (s *Store) Update(change func(*State) error) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/sharedstate/store_faults_test.go
+++ b/internal/sharedstate/store_faults_test.go
@@ -6,7 +6,7 @@
 	"onyxstream/internal/faultinject"
 )
 
-// withDescriptors calls f while this process may open only so many more descriptors.
+// withDescriptors calls f while this process can open at most more further descriptors.
 func withDescriptors(t *testing.T, more uint64, f func()) {
 	t.Helper()
 	if err := faultinject.WithDescriptors(more, f); err != nil {
@@ -14,7 +14,7 @@
 	}
 }
 
-// A state that can't be opened for a moment counts as not read.
+// If the state file can't be opened for a moment, the next Load must read it, rather than treat it as known.
 func TestLoad_OpenFailsForAMoment_IsReadLater(t *testing.T) {
 	dir := t.TempDir()
 	writer := openStore(t, dir, "n1")
@@ -22,18 +22,19 @@
 		t.Fatal(err)
 	}
 	reader := openStore(t, t.TempDir(), "n1")
-	reader.folder = dir // its own mark lies elsewhere: two stores of one process would share one
+	reader.folder = dir // its liveness file is in another folder, as two stores of one process would use the same file
 	withDescriptors(t, 0, func() {
 		if _, _, err := reader.Load(); err == nil {
-			t.Error("it was read without a descriptor")
+			t.Error("Load succeeded without a free descriptor")
 		}
 	})
 	if state, changed, err := reader.Load(); err != nil || !changed || len(state.Overrides) != 1 {
-		t.Errorf("read later: %+v, changed %v, error %v", state, changed, err)
+		t.Errorf("next Load: got state %+v, changed %v, error %v, want a changed state with 1 override", state, changed, err)
 	}
 }
 
-// A change made while the state can't be read must not replace it by the older one that this process knows.
+// If the state file can't be read for a moment, Update must fail. It would otherwise replace the changes of other
+// processes by the older state that this process knows.
 func TestUpdate_ReadFailsForAMoment_OthersChangesStay(t *testing.T) {
 	dir := t.TempDir()
 	writer := openStore(t, dir, "n1")
@@ -44,16 +45,16 @@
 	other.folder = dir
 	withDescriptors(t, 1, func() { // one for the lock, none for the state
 		if err := other.Update(drainHost("h2")); err == nil {
-			t.Error("the change was made on what could not be read")
+			t.Error("Update succeeded, but the state could not be read")
 		}
 	})
 	if state, _, err := writer.Load(); err != nil || len(state.Overrides) != 1 || state.Overrides[0].Host != "h1" {
-		t.Errorf("the other process's change is gone: %+v, error %v", state, err)
+		t.Errorf("state after the failed Update: got %+v, error %v, want only the override of h1", state, err)
 	}
 	if err := other.Update(drainHost("h2")); err != nil {
 		t.Fatal(err)
 	}
 	if state, _, err := writer.Load(); err != nil || len(state.Overrides) != 2 {
-		t.Errorf("once it can be read again: %+v, error %v", state, err)
+		t.Errorf("state after the next Update: got %+v, error %v, want 2 overrides", state, err)
 	}
 }
--- a/internal/sharedstate/store_test.go
+++ b/internal/sharedstate/store_test.go
@@ -29,32 +29,33 @@
 	a := openStore(t, dir, "n1")
 	defer a.Close()
 	if _, changed, err := a.Load(); changed || err != nil {
-		t.Errorf("an empty folder: %v, %v", changed, err)
+		t.Errorf("Load from an empty folder: got changed %v, error %v", changed, err)
 	}
 	if err := a.Update(drainHost("h")); err != nil {
 		t.Fatal(err)
 	}
 	if _, changed, _ := a.Load(); changed {
-		t.Error("its own change is reported to it as one")
+		t.Error("Load reports the store's own update as a change")
 	}
 	b := openSecondStore(t, dir, "n1")
 	state, changed, err := b.Load()
 	if !changed || err != nil || len(state.Overrides) != 1 || state.Overrides[0].Host != "h" {
-		t.Errorf("the other reads %+v, %v, %v", state, changed, err)
+		t.Errorf("Load by the other process: got %+v, changed %v, error %v", state, changed, err)
 	}
 	if err := b.Update(drainHost("i")); err != nil {
 		t.Fatal(err)
 	}
 	if state, changed, err := a.Load(); !changed || err != nil || len(state.Overrides) != 2 {
-		t.Errorf("and back: %+v, %v, %v", state, changed, err)
+		t.Errorf("Load after the other process's update: got %+v, changed %v, error %v", state, changed, err)
 	}
 	otherNode := openSecondStore(t, dir, "n2")
 	if state, changed, err := otherNode.Load(); changed || err != nil || len(state.Overrides) > 0 {
-		t.Errorf("another node reads %+v, %v, %v", state, changed, err)
+		t.Errorf("Load for another node: got %+v, changed %v, error %v, want an empty state", state, changed, err)
 	}
 }
 
-// openSecondStore opens the store as another process would, as far as one process can: its mark has another name.
+// openSecondStore opens a second store, to stand in for another process of the node. Its liveness file has another name
+// than the first store's, which has the same process id.
 func openSecondStore(t *testing.T, dir, node string) *Store {
 	t.Helper()
 	s := openStore(t, dir, node+"x")
@@ -64,7 +65,8 @@
 	return s
 }
 
-// A kill in the middle of a write leaves the state as it was, and the lock is released with its holder.
+// If a process is killed while it writes the state, the old state must stay readable. While one store holds the lock,
+// another must not change the state; after the release it can.
 func TestStore_KilledWhileWriting_StateStays(t *testing.T) {
 	dir := t.TempDir()
 	a := openStore(t, dir, "n1")
@@ -77,7 +79,7 @@
 	}
 	b := openSecondStore(t, dir, "n1")
 	if state, _, err := b.Load(); err != nil || len(state.Overrides) != 1 {
-		t.Errorf("read as %+v, %v", state, err)
+		t.Errorf("state after an interrupted write: got %+v, error %v, want 1 override", state, err)
 	}
 	if err := b.Update(drainHost("i")); err != nil {
 		t.Error(err)
@@ -87,7 +89,7 @@
 		t.Fatal(err)
 	}
 	if err := b.Update(drainHost("j")); err == nil {
-		t.Error("a change goes past another one")
+		t.Error("Update succeeded while another store held the lock")
 	}
 	unlock()
 	if err := b.Update(drainHost("j")); err != nil {
@@ -95,7 +97,8 @@
 	}
 }
 
-// Damage is reported once, and the next change replaces the file by the state that this process knows.
+// Load must report a damaged file once and keep the last state known. The next Update must replace the file by that
+// state with the change.
 func TestLoad_DamagedFile_IsReportedOnceAndReplaced(t *testing.T) {
 	dir := t.TempDir()
 	a := openStore(t, dir, "n1")
@@ -108,33 +111,33 @@
 			t.Fatal(err)
 		}
 		if state, changed, err := a.Load(); err == nil || changed || len(state.Overrides) != 1 {
-			t.Errorf("%.10q is read as %+v, %v, %v", text, state, changed, err)
+			t.Errorf("Load of %.10q: got %+v, changed %v, error %v, want an error and the last state", text, state, changed, err)
 		}
 		if _, _, err := a.Load(); err != nil {
-			t.Errorf("%.10q is reported again: %v", text, err)
+			t.Errorf("second Load of %.10q: got error %v, want none", text, err)
 		}
 	}
 	if err := a.Update(drainHost("i")); err != nil {
 		t.Fatal(err)
 	}
 	if state, _, err := openSecondStore(t, dir, "n1").Load(); err != nil || len(state.Overrides) != 2 {
-		t.Errorf("then %+v, %v", state, err)
+		t.Errorf("state after Update: got %+v, error %v, want 2 overrides", state, err)
 	}
 }
 
 func TestOpen_FolderMissing_Fails(t *testing.T) {
 	if _, err := Open(filepath.Join(t.TempDir(), "none"), "n1"); err == nil {
-		t.Error("no error")
+		t.Error("Open succeeded, but the folder does not exist")
 	}
 }
 
-// The mark of a live process is read, that of a dead one is removed with its offers.
+// OtherProcesses must read the liveness file of a live process, and remove that of a dead one together with its offers.
 func TestOtherProcesses_LiveAndDead_ReadAndRemoved(t *testing.T) {
 	dir := t.TempDir()
 	a := openStore(t, dir, "n1")
 	defer a.Close()
 	if others, err := a.OtherProcesses(); len(others) > 0 || err != nil {
-		t.Errorf("alone: %v, %v", others, err)
+		t.Errorf("without other processes: got %v, error %v", others, err)
 	}
 	name := filepath.Join(dir, nodeFilePrefix("n1")+"-1.alive")
 	f, err := os.Create(name)
@@ -145,11 +148,11 @@
 		t.Fatal(err)
 	}
 	if others, err := a.OtherProcesses(); len(others) != 1 || others[0].Ready || err != nil {
-		t.Errorf("one that has published nothing: %v, %v", others, err)
+		t.Errorf("process without a published status: got %v, error %v", others, err)
 	}
 	_, _ = fmt.Fprintf(f, "1 %010d\n", 77)
 	if others, err := a.OtherProcesses(); len(others) != 1 || others[0] != (ProcessStatus{true, 77}) || err != nil {
-		t.Errorf("one that is ready: %v, %v", others, err)
+		t.Errorf("ready process: got %v, error %v", others, err)
 	}
 	_ = f.Close()
 	offer := filepath.Join(dir, nodeFilePrefix("n1")+"-1-3.offer")
@@ -157,11 +160,11 @@
 		t.Fatal(err)
 	}
 	if others, err := a.OtherProcesses(); len(others) > 0 || err != nil {
-		t.Errorf("one that died: %v, %v", others, err)
+		t.Errorf("dead process: got %v, error %v, want none", others, err)
 	}
 	for _, file := range []string{name, offer} {
 		if _, err := os.Stat(file); err == nil {
-			t.Errorf("%s is left", file)
+			t.Errorf("file of the dead process not removed: %s", file)
 		}
 	}
 }
--- a/internal/sharedstate/stored_test.go
+++ b/internal/sharedstate/stored_test.go
@@ -10,8 +10,9 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// The files in testdata were written by the release before the names in the code changed: another process of the node,
-// or the next one, may still be of that release.
+// The files in testdata were written by an earlier release, whose code has other names than the JSON keys suggest. They
+// must stay readable, and be written the same, because another process of the node, or its successor, may be of that
+// release.
 
 func readFixture(t *testing.T, name string) []byte {
 	t.Helper()
@@ -52,15 +53,15 @@
 	}
 	again, err := got.Encode()
 	if diff := cmp.Diff(string(text), string(again)); diff != "" || err != nil {
-		t.Errorf("%v, an earlier release would not read it: %s", err, diff)
+		t.Errorf("encoding differs from the earlier release: error %v, diff (-want +got):\n%s", err, diff)
 	}
 }
 
-func TestStoredMark_FromEarlierRelease_IsReadAndWrittenAlike(t *testing.T) {
+func TestStoredStatus_FromEarlierRelease_IsReadAndWrittenAlike(t *testing.T) {
 	text := readFixture(t, "process-v1.alive")
 	want := ProcessStatus{Ready: true, Descriptors: 1234}
-	if got := parseMark(string(text)); got != want {
-		t.Errorf("%+v, want %+v", got, want)
+	if got := parseStatus(string(text)); got != want {
+		t.Errorf("status: got %+v, want %+v", got, want)
 	}
 	s, err := Open(t.TempDir(), "n1")
 	if err != nil {
@@ -70,13 +71,13 @@
 	if err := s.Publish(want); err != nil {
 		t.Fatal(err)
 	}
-	again, err := os.ReadFile(s.mark.Name())
+	again, err := os.ReadFile(s.livenessFile.Name())
 	if string(again) != string(text) || err != nil {
-		t.Errorf("%v, written as %q, want %q", err, again, text)
+		t.Errorf("published status: error %v, got %q, want %q", err, again, text)
 	}
 }
 
-// The names of the files are part of the format: two processes of one node find each other by them.
+// The names of the files are part of the format, because two processes of one node find each other by them.
 func TestStoredFileNames_EarlierRelease_AreEqual(t *testing.T) {
 	dir := t.TempDir()
 	s, err := Open(dir, "n1")
@@ -85,7 +86,7 @@
 	}
 	defer s.Close()
 	const base = "onyxstream-51ce9f3ef4b004a7"
-	got := []string{s.statePath(), s.mark.Name()}
+	got := []string{s.statePath(), s.livenessFile.Name()}
 	want := []string{
 		filepath.Join(dir, base+".words"),
 		filepath.Join(dir, fmt.Sprintf("%s-%d.alive", base, os.Getpid())),
