--- a/internal/logging/recover.go
+++ b/internal/logging/recover.go
@@ -4,7 +4,8 @@
 	"go.uber.org/zap"
 )
 
-// RecoverPanic logs a panic of its goroutine as an error with its stack, and ends it. It must be deferred directly.
+// RecoverPanic recovers from a panic of its goroutine, and logs it as an error with its stack. It must be deferred
+// directly.
 func RecoverPanic(log *zap.Logger, message string) {
 	if panicked := recover(); panicked != nil {
 		log.Error(message, zap.Any("panic", panicked), zap.Stack("stack"))
--- a/internal/logging/writer.go
+++ b/internal/logging/writer.go
@@ -1,5 +1,5 @@
-// Package logging writes a log without blocking who logs. Lines go to a bounded queue, from which one goroutine writes
-// them: if the log's pipe or file system hangs, lines are dropped and counted.
+// Package logging writes a log without blocking its callers. Lines go to a bounded queue, from which one goroutine
+// writes them. If the log's pipe or file system hangs and the queue is full, lines are dropped and counted.
 package logging
 
 import (
@@ -10,12 +10,13 @@
 )
 
 const (
-	maxQueuedBytes   = 256 << 10 // lines beyond it are dropped
+	maxQueuedBytes   = 256 << 10 // lines beyond this limit are dropped
 	syncTimeout      = 100 * time.Millisecond
 	syncPollInterval = time.Millisecond
 )
 
-// Writer is a zapcore.WriteSyncer that never blocks on what it writes to. Its methods may be called by any goroutine.
+// Writer is a zapcore.WriteSyncer whose Write never blocks on the underlying writer. Its methods may be called from any
+// goroutine.
 type Writer struct {
 	out  io.Writer
 	wake chan struct{}
@@ -23,10 +24,10 @@
 	mu      sync.Mutex
 	queued  []byte
 	writing bool
-	dropped int // lines, since the last write that reported them
+	dropped int // number of dropped lines that have not been reported in the log yet
 }
 
-// New returns a writer to out, and starts its goroutine, which lasts as long as the process.
+// New returns a Writer to out and starts its goroutine, which runs until the process ends.
 func New(out io.Writer) *Writer {
 	w := &Writer{out: out, wake: make(chan struct{}, 1)}
 	go w.run()
@@ -38,7 +39,7 @@
 	w.enqueue(line)
 	select {
 	case w.wake <- struct{}{}:
-	default: // the goroutine is awake
+	default: // the goroutine has been woken already
 	}
 	return len(line), nil
 }
@@ -53,8 +54,8 @@
 	w.queued = append(w.queued, line...)
 }
 
-// Sync waits until all that was queued is written. It returns an error after a tenth of a second: a log that cannot be
-// written must not delay the end of the process.
+// Sync waits until all queued lines are written. It returns an error after a tenth of a second, because a log that
+// can't be written must not delay the end of the process.
 func (w *Writer) Sync() error {
 	for deadline := time.Now().Add(syncTimeout); time.Now().Before(deadline); time.Sleep(syncPollInterval) {
 		if w.idle() {
@@ -70,7 +71,7 @@
 	return !w.writing && len(w.queued) == 0
 }
 
-// run writes what is queued. A write that fails loses its lines; the next one may succeed.
+// run writes the queued lines. The lines of a failed write are lost, but later writes may succeed.
 func (w *Writer) run() {
 	for range w.wake {
 		for {
@@ -87,7 +88,7 @@
 	}
 }
 
-// dequeue returns what is queued, and how many lines were dropped.
+// dequeue takes all lines out of the queue. It also returns how many lines were dropped.
 func (w *Writer) dequeue() (lines []byte, dropped int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -97,7 +98,8 @@
 	return lines, w.dropped
 }
 
-// finishWrite notes the end of a write. Dropped lines that it reported are no longer counted.
+// finishWrite records the end of a write. If the write succeeded, the dropped lines that it reported are no longer
+// counted.
 func (w *Writer) finishWrite(reported int, err error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/logging/writer_test.go
+++ b/internal/logging/writer_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// sink is a log file that can hang or fail.
+// sink is a log file whose writes can hang or fail.
 type sink struct {
 	mu   sync.Mutex
 	text strings.Builder
@@ -53,13 +53,13 @@
 	const lines = 2 * maxQueuedBytes / 50
 	s := &sink{hang: make(chan struct{})}
 	w := New(s)
-	for i := range lines { // none of them blocks: the test would not end
+	for i := range lines { // if a write blocked, the test would not end
 		if n, err := w.Write([]byte(line(i))); n != len(line(i)) || err != nil {
 			t.Fatalf("line %d: %d bytes accepted, error %v", i, n, err)
 		}
 	}
 	if w.Sync() == nil {
-		t.Error("Sync succeeds while nothing is written")
+		t.Error("Sync succeeded, but nothing was written")
 	}
 	close(s.hang)
 	if err := w.Sync(); err != nil {
@@ -75,7 +75,7 @@
 		t.Errorf("of %d lines %d were written, and the log does not contain %q", lines, written, report)
 	}
 	if len(text) > 2*maxQueuedBytes+200 {
-		t.Errorf("%d bytes were kept", len(text))
+		t.Errorf("the queue is not bounded: it kept %d bytes", len(text))
 	}
 }
 
@@ -111,7 +111,7 @@
 	}
 	for i := range lines {
 		if n := strings.Count(s.String(), line(i)); n != writers {
-			t.Errorf("line %d was written %d times, %d wanted", i, n, writers)
+			t.Errorf("line %d was written %d times, want %d", i, n, writers)
 		}
 	}
 }
@@ -123,7 +123,7 @@
 		start := time.Now()
 		_, _ = w.Write([]byte(line(1)))
 		if w.Sync() == nil || time.Since(start) > 2*syncTimeout {
-			t.Errorf("it ended after %v", time.Since(start))
+			t.Errorf("Sync succeeded or took too long: %v", time.Since(start))
 		}
 		close(s.hang)
 		synctest.Wait()
--- a/internal/sealedfile/sealedfile.go
+++ b/internal/sealedfile/sealedfile.go
@@ -1,5 +1,6 @@
-// Package sealedfile reads and writes the small files by which the processes of one machine exchange state. A file is
-// one header line with the name of its format, a checksum and a length, followed by a JSON value.
+// Package sealedfile reads and writes small files with a checksum, through which the processes of one machine exchange
+// state. A file is a header line followed by a JSON value. The header has the name of the format, the checksum and the
+// length of the JSON value in bytes.
 package sealedfile
 
 import (
@@ -13,29 +14,30 @@
 	"strings"
 )
 
-// MaxBytes bounds a file: Read refuses a larger one.
+// MaxBytes is the maximum size of a file. Read rejects a larger one.
 const MaxBytes = 1 << 20
 
-// temporarySuffix is that of a file that is being written.
-const temporarySuffix = ".new"
+// tempSuffix ends the name of a file that is being written.
+const tempSuffix = ".new"
 
 var (
-	// ErrTooLarge is returned by Read for a file of more than MaxBytes.
+	// ErrTooLarge is returned by Read for a file larger than MaxBytes.
 	ErrTooLarge = errors.New("file is too large")
-	// ErrDamaged is returned by Decode where the checksum or the length does not match.
+	// ErrDamaged is returned by Decode if the checksum or the length does not match.
 	ErrDamaged = errors.New("file is damaged: checksum or length mismatch")
-	// ErrUnknownFormat is returned by Decode where the header is none of this program's.
+	// ErrUnknownFormat is returned by Decode if the header does not have the expected format.
 	ErrUnknownFormat = errors.New("file is of an unknown format")
 )
 
-// VersionError is returned by Decode for a file of another version of the format.
+// VersionError is returned by Decode for a file that has the expected format in another version.
 type VersionError struct{ Header string }
 
 func (e *VersionError) Error() string {
 	return fmt.Sprintf("file is of another version: %.40q", e.Header)
 }
 
-// Encode returns a file's content: the header for the format, and value as JSON.
+// Encode returns the content of a file: the header for the format, then value as JSON. The last character of format is
+// its version.
 func Encode(format string, value any) ([]byte, error) {
 	body, err := json.Marshal(value)
 	if err != nil {
@@ -49,8 +51,8 @@
 	return crc32.Checksum(body, crc32.MakeTable(crc32.Castagnoli))
 }
 
-// Decode reads into value what Encode returned for the same format. A format's name ends in a version of one
-// character. A content that is cut, changed or has unknown fields is an error.
+// Decode decodes into value what Encode returned for the same format. It returns an error if the content is truncated
+// or changed, or has unknown fields.
 func Decode(format string, text []byte, value any) error {
 	header, body, hasBody := bytes.Cut(text, []byte("\n"))
 	var gotFormat string
@@ -72,7 +74,7 @@
 	return decoder.Decode(value)
 }
 
-// Read reads a file of at most MaxBytes; a larger one is ErrTooLarge.
+// Read reads a file of at most MaxBytes. It returns ErrTooLarge for a larger one.
 func Read(path string) ([]byte, error) {
 	file, err := os.Open(path)
 	if err != nil {
@@ -86,10 +88,10 @@
 	return text, err
 }
 
-// Write replaces a file atomically for other processes, and for a kill at any point. It does not sync: the file need
-// not outlive the machine.
+// Write replaces a file atomically: other processes see the old or the new content, even if this process is killed at
+// any point. It does not sync the file, which need not survive a crash of the machine.
 func Write(path string, text []byte) error {
-	temporary := path + temporarySuffix
+	temporary := path + tempSuffix
 	if err := os.WriteFile(temporary, text, 0o600); err != nil {
 		_ = os.Remove(temporary)
 		return err
