--- a/internal/nodeconfig/options.go
+++ b/internal/nodeconfig/options.go
@@ -10,48 +10,49 @@
 	"onyxstream/internal/tomlfile"
 )
 
-// unixPrefix begins the address of a Unix socket.
+// unixPrefix is the prefix of a Unix socket's address.
 const unixPrefix = "unix:"
 
-// maxPeers bounds the peers of a node's cold start.
+// maxPeers is the maximum number of peers in the cold-start options.
 const maxPeers = 4096
 
-// Options is onyxstream's own configuration file (TOML). A node runs without it; each part is off where it is missing.
+// Options is the content of the TOML file with the options of onyxstream itself. The file is optional, and so is each
+// of its tables: a feature whose table is missing is off.
 type Options struct {
 	Control   Control    `toml:"control"`
 	ColdStart *ColdStart `toml:"coldstart"`
 }
 
-// Control has the control listeners, where agents and operators call the node.
+// Control configures the control listeners, which take the commands of agents and operators.
 type Control struct {
-	Socket string     `toml:"socket"` // path of a Unix socket; "" for none
-	Listen string     `toml:"listen"` // address for TLS; "" for none
+	Socket string     `toml:"socket"` // path of the Unix socket to listen on; "" for none
+	Listen string     `toml:"listen"` // TCP address to listen on with TLS; "" for none
 	Keys   *pki.Files `toml:"keys"`   // required with Listen
 }
 
-// ColdStart turns on the cold start for many nodes at once: calls to the list service are paced, and a node can use an
-// endpoint list that it cached or that a peer has.
+// ColdStart turns on cold start, for many nodes that start at once: list requests to discovery are paced, and a node
+// can use an endpoint list from its cache or from a peer.
 type ColdStart struct {
-	Service string     `toml:"service"` // name of the list service, the same at all nodes; "" for its address
-	Folder  string     `toml:"folder"`  // persistent folder of this node, for its cache; "" for none
-	Peers   []Peer     `toml:"peer"`    // nodes that may have a newer list
-	Keys    *pki.Files `toml:"keys"`    // client certificate, required for peers by host and port
+	Service string     `toml:"service"` // name of the discovery service, the same on all nodes; "" to use its address
+	Folder  string     `toml:"folder"`  // persistent folder of this node for the cached list; "" for no cache
+	Peers   []Peer     `toml:"peer"`    // the nodes that are polled for a newer list
+	Keys    *pki.Files `toml:"keys"`    // client certificate; required for a peer with a TCP address
 }
 
-// Peer is another node's control listener.
+// Peer is the control listener of another node.
 type Peer struct {
-	Name string `toml:"name"` // in its certificate; unused for a Unix socket
+	Name string `toml:"name"` // name in the peer's certificate; unused for a Unix socket
 	Addr string `toml:"addr"` // "unix:PATH", or host and port
 }
 
-// ReadOptions reads and checks the file. Errors are *tomlfile.Error.
+// ReadOptions reads and checks the options file. Its errors are of type *tomlfile.Error.
 func ReadOptions(path string) (Options, error) {
 	var options Options
 	_, err := tomlfile.Read(path, &options)
 	return options, err
 }
 
-// Check returns a *tomlfile.FieldError for the first field with an invalid value.
+// Check returns a *tomlfile.FieldError for the first field that has an invalid value.
 func (o *Options) Check() error {
 	if err := o.ColdStart.check(); err != nil {
 		return err
@@ -64,10 +65,10 @@
 		return nil
 	}
 	if _, err := net.ResolveTCPAddr("tcp", c.Listen); err != nil {
-		return tomlfile.NewFieldError("control.listen", "%q is no address and port", c.Listen)
+		return tomlfile.NewFieldError("control.listen", "%q is not a TCP address", c.Listen)
 	}
 	if c.Keys == nil {
-		return tomlfile.NewFieldError("control.listen", "[control.keys] is required with it")
+		return tomlfile.NewFieldError("control.listen", "requires [control.keys]")
 	}
 	for _, field := range []struct{ name, value string }{
 		{"cert", c.Keys.Cert},
@@ -109,7 +110,7 @@
 	}
 	if c.Keys == nil || peer.Name == "" {
 		return tomlfile.NewFieldError(path+".name",
-			"a peer by host and port needs the name in its certificate, and [coldstart.keys]")
+			"a peer with a TCP address requires the name in its certificate and [coldstart.keys]")
 	}
 	return nil
 }
