--- a/internal/hotrestart/offer_test.go
+++ b/internal/hotrestart/offer_test.go
@@ -131,7 +131,7 @@
 	defer c.Close()
 	s, err := SocketOf(c.(*net.TCPConn))
 	if err != nil || s.Remote != l.Addr().String() {
-		t.Fatalf("%+v, %v", s, err)
+		t.Fatalf("SocketOf: got %+v, error %v", s, err)
 	}
 	self, err := openPidfd(os.Getpid())
 	if err != nil {
--- a/internal/lifecycle/run.go
+++ b/internal/lifecycle/run.go
@@ -47,7 +47,7 @@
 	coordinator *multiprocess.Coordinator
 
 	maxControlConnections int
-	listener              *clientListener
+	listener              *clientListener // accepts the clients
 	controlListeners      []control.Listener
 	management            net.Listener // nil if none is configured
 }
--- a/internal/multiprocess/coordinator.go
+++ b/internal/multiprocess/coordinator.go
@@ -44,7 +44,7 @@
 
 	exchange   atomic.Pointer[hotrestart.Exchange] // set before store, so it is not nil if store is not
 	store      atomic.Pointer[sharedstate.Store]   // nil while the folder can't be used
-	openFailed bool                                // used only by openStore
+	openFailed bool                                // used only by openStore, which has one caller at a time
 
 	soleProcess  atomic.Bool // no other process ran at the last check
 	shuttingDown atomic.Bool // this process no longer accepts connections from other processes
--- a/internal/multiprocess/handoff.go
+++ b/internal/multiprocess/handoff.go
@@ -14,7 +14,7 @@
 
 const (
 	// acceptInterval is how often a process checks for offered connections while another process runs. The clients of
-	// offered connections get no messages until the offer is accepted.
+	// offered connections wait until the offer is accepted or withdrawn.
 	acceptInterval = 5 * time.Millisecond
 	// maxFailedOffers is the number of failed offers after which a process stops the hand-off if no connection was
 	// accepted so far. The system may not allow one process to copy the sockets of another.
--- a/internal/nodeconfig/options.go
+++ b/internal/nodeconfig/options.go
@@ -23,7 +23,7 @@
 	ColdStart *ColdStart `toml:"coldstart"`
 }
 
-// Control configures the control listeners, which take the commands of agents and operators.
+// Control configures the control listeners, which serve agents, operators and peers.
 type Control struct {
 	Socket string     `toml:"socket"` // path of the Unix socket to listen on; "" for none
 	Listen string     `toml:"listen"` // TCP address to listen on with TLS; "" for none
--- a/internal/sharedstate/store_faults_test.go
+++ b/internal/sharedstate/store_faults_test.go
@@ -6,7 +6,7 @@
 	"onyxstream/internal/faultinject"
 )
 
-// withDescriptors calls f while this process can open at most more further descriptors.
+// withDescriptors calls f while this process can open only the given number of further descriptors.
 func withDescriptors(t *testing.T, more uint64, f func()) {
 	t.Helper()
 	if err := faultinject.WithDescriptors(more, f); err != nil {
