--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -99,7 +99,7 @@
 	if !b.started {
 		b.start()
 	}
-	b.table.progress(now, b.drainGrace(), b.settings.DrainGrace*9/10, len(b.requests) == 0)
+	b.table.finishTransitions(now, b.drainGrace(), b.settings.DrainGrace*9/10, len(b.requests) == 0)
 	b.dispatch(event)
 	if len(b.pacing.queue) > 0 && b.pacing.interval <= 0 { // a set-up that ended may let the next ones go
 		b.resumeQueue()
--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -11,11 +11,11 @@
 // ids, so that the tables of all nodes change alike.
 func (b *Balancer) updateEndpoints(e ListEvent) {
 	if e.Kind == ListFailed {
-		b.handlePollFailure()
+		b.handleListFailure()
 		return
 	}
 	if e.Kind != ListOverride && !e.Superseded {
-		b.handlePollSuccess(e.Kind)
+		b.handleListSuccess(e.Kind)
 	}
 	entries := slices.SortedFunc(slices.Values(e.Servers), func(x, y Server) int { return cmp.Compare(x.ID, y.ID) })
 	b.drainServers(entries)
@@ -40,7 +40,7 @@
 	for _, entry := range entries {
 		removed[entry.ID] = entry.State == Removed
 	}
-	before := slices.Clone(b.table.holders)
+	before := slices.Clone(b.table.members)
 	for _, srv := range before {
 		gone, listed := removed[srv.id]
 		if gone || complete && !listed {
@@ -50,7 +50,7 @@
 			b.removeIfUnused(srv)
 		}
 	}
-	if len(b.table.holders) < len(before) {
+	if len(b.table.members) < len(before) {
 		b.table.syncSecondHops()
 	}
 }
@@ -58,7 +58,7 @@
 // addServers adds or updates the live servers.
 func (b *Balancer) addServers(entries []Server, override bool) {
 	var live []*server
-	empty := len(b.table.holders) == 0 // filled one by one, the first server would take the whole table
+	empty := len(b.table.members) == 0 // filled one by one, the first server would take the whole table
 	for _, entry := range entries {
 		if entry.State != Live {
 			continue
--- a/balancer/housekeeping.go
+++ b/balancer/housekeeping.go
@@ -30,7 +30,7 @@
 	if b.now >= b.rates.secondStartedAt+time.Second {
 		b.updateRates()
 	}
-	b.pollIfDue()
+	b.requestListIfDue()
 }
 
 // updateRates ends a second. A reconnect surge counts in part only, and an overload does not lower the usual rate.
--- a/balancer/list_bench_test.go
+++ b/balancer/list_bench_test.go
@@ -20,13 +20,13 @@
 				all := testFleet(n)
 				node := New(testSettings())
 				node.Handle(0, ListEvent{Kind: ListSnapshot, Revision: 1, Servers: all})
-				news := []Server{}
+				changes := []Server{}
 				for i, s := range all[:n/2] {
 					s.State = Draining
-					news = append(news, s, Server{ID: ServerID(fmt.Sprint("new", i)), Weight: 1, StartedAt: time.Minute})
+					changes = append(changes, s, Server{ID: ServerID(fmt.Sprint("new", i)), Weight: 1, StartedAt: time.Minute})
 				}
 				b.StartTimer()
-				node.Handle(time.Minute, ListEvent{Kind: ListDelta, Revision: 2, Servers: news})
+				node.Handle(time.Minute, ListEvent{Kind: ListDelta, Revision: 2, Servers: changes})
 				node.Handle(time.Minute+testSettings().DrainGrace, Timer{Token: sweepToken})
 			}
 		})
--- a/balancer/load.go
+++ b/balancer/load.go
@@ -96,7 +96,7 @@
 func (b *Balancer) updateTotals() {
 	ejected, known, limited := 0.0, 0.0, 0.0
 	totals := fleetTotals{maxProbes: maxGroupProbes}
-	for _, srv := range b.table.holders {
+	for _, srv := range b.table.members {
 		if srv.state == draining {
 			continue
 		}
@@ -105,7 +105,7 @@
 			totals.zoneWeight += srv.weight
 		}
 		switch {
-		case b.isLimited(srv):
+		case b.recentlyLimited(srv):
 			limited += srv.weight
 			known += srv.weight
 		case srv.connections > 0:
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -6,15 +6,15 @@
 )
 
 const (
-	maxEjectedFraction   = 0.5 // share of the fleet's weight that may be ejected: more is no server's fault
-	loggedOutlierFailure = 2   // number of the consecutive failure that is logged
+	maxEjectedFraction  = 0.5 // share of the fleet's weight that may be ejected: more is no server's fault
+	outlierLogThreshold = 2   // number of the consecutive failure that is logged
 )
 
 // recordFailure notes a failed attempt and ejects the server for a time.
 func (b *Balancer) recordFailure(srv *server, ejectFor time.Duration) {
 	srv.consecutiveFailures++
 	srv.ejectedUntil = max(srv.ejectedUntil, b.now+ejectFor)
-	if srv.consecutiveFailures == loggedOutlierFailure {
+	if srv.consecutiveFailures == outlierLogThreshold {
 		b.log(fmt.Sprintf("outlier ejected server=%s consecutive_failures=%d", srv.id, srv.consecutiveFailures))
 	}
 }
--- a/balancer/overload.go
+++ b/balancer/overload.go
@@ -3,7 +3,7 @@
 import "time"
 
 const (
-	headroom               = 0.88 // fraction of a server's capacity at which a reduced limit aims
+	targetUtilization      = 0.88 // fraction of a server's capacity at which a reduced limit aims
 	priorityReserve        = 0.15 // fraction of a limit that is kept for requests of high relative value
 	limitRecoveryDeadlines = 16   // longest deadlines in which a limit grows back
 	maxLatencyAge          = 2 * time.Second
@@ -32,8 +32,8 @@
 	return limit > 0 && b.loadOf(srv)+addedLoad > limit*usable
 }
 
-// isLimited reports whether a server's load limit is new.
-func (b *Balancer) isLimited(srv *server) bool {
+// recentlyLimited reports whether a server's load limit is new.
+func (b *Balancer) recentlyLimited(srv *server) bool {
 	return srv.loadLimit > 0 && b.now < srv.limitedAt+b.derived.limitRecovery/4
 }
 
@@ -51,7 +51,7 @@
 	srv.messageLatency = latency
 	srv.latencyAt = b.now
 	slope := float64(latency-previous) / float64(span)
-	fraction := headroom / max(headroom/2, 1+slope)
+	fraction := targetUtilization / max(targetUtilization/2, 1+slope)
 	objective := b.derived.minMessageObjective
 	if latency > 3*objective/8 && fraction < 1 && objective > 0 {
 		b.reduceLimit(srv, fraction)
@@ -60,7 +60,7 @@
 
 // reduceLimit limits a server to a fraction of its present load and sheds what is over that.
 func (b *Balancer) reduceLimit(srv *server, fraction float64) {
-	srv.peakLoad = max(b.loadOf(srv), srv.peakLoad*headroom)
+	srv.peakLoad = max(b.loadOf(srv), srv.peakLoad*targetUtilization)
 	srv.loadLimit = b.loadOf(srv) * fraction
 	srv.limitedAt = b.now
 	b.shedLoad(srv, b.loadOf(srv)-srv.loadLimit)
@@ -75,9 +75,9 @@
 	}
 	srv.resets++
 	srv.lastResetAt = b.now
-	if srv.resets >= srv.connections && (srv.resets >= minOverloadConnections || b.isLimited(srv)) {
-		srv.peakLoad = max(srv.loadBeforeResets, srv.peakLoad*headroom)
-		srv.loadLimit = srv.loadBeforeResets * headroom / 2
+	if srv.resets >= srv.connections && (srv.resets >= minOverloadConnections || b.recentlyLimited(srv)) {
+		srv.peakLoad = max(srv.loadBeforeResets, srv.peakLoad*targetUtilization)
+		srv.loadLimit = srv.loadBeforeResets * targetUtilization / 2
 		srv.limitedAt = b.now
 		b.recordFailure(srv, 4*b.derived.minSetupObjective)
 	}
--- a/balancer/overload_sim_test.go
+++ b/balancer/overload_sim_test.go
@@ -51,7 +51,7 @@
 	key         string
 	class       int
 	node        int
-	tries       int
+	retries     int
 	attempt     int
 	established bool
 }
@@ -83,18 +83,18 @@
 // maxScheduled bounds the events that are due: a node that sets ever more timers is a fault.
 const maxScheduled = 100_000
 
-func (j *overloadSim) schedule(d time.Duration, do func()) {
-	if j.sequence++; len(j.queue) > maxScheduled {
-		panic(fmt.Sprintf("at %v, with %d clients, over %d timers are set", j.now, len(j.clients), maxScheduled))
+func (sim *overloadSim) schedule(d time.Duration, do func()) {
+	if sim.sequence++; len(sim.queue) > maxScheduled {
+		panic(fmt.Sprintf("at %v, with %d clients, over %d timers are set", sim.now, len(sim.clients), maxScheduled))
 	}
-	heap.Push(&j.queue, simEvent{j.now + d, j.sequence, do})
+	heap.Push(&sim.queue, simEvent{sim.now + d, sim.sequence, do})
 }
 
-func (j *overloadSim) drawDuration(from, to time.Duration) time.Duration {
-	return from + time.Duration(j.rng.Float64()*float64(to-from))
+func (sim *overloadSim) drawDuration(from, to time.Duration) time.Duration {
+	return from + time.Duration(sim.rng.Float64()*float64(to-from))
 }
 
-func (j *overloadSim) startNode(seed uint64, i, nodes int, quota float64) *Balancer {
+func (sim *overloadSim) startNode(seed uint64, i, nodes int, quota float64) *Balancer {
 	s := testSettings()
 	s.Seed = seed
 	s.NodeIndex = i
@@ -103,7 +103,7 @@
 	s.MaxAttempts = 3
 	s.MaxRetryAfter = time.Second
 	s.Classes = nil
-	for _, d := range j.deadlines {
+	for _, d := range sim.deadlines {
 		s.Classes = append(s.Classes, Class{
 			SetupLatencyObjective:   d / 4,
 			Deadline:                d,
@@ -113,79 +113,79 @@
 	}
 	s.Tenants = []Tenant{{ConnectionQuota: quota}}
 	b := New(s)
-	j.handle(i, b, ListEvent{Kind: ListSnapshot, Revision: 1, Servers: testFleet(20)})
+	sim.handle(i, b, ListEvent{Kind: ListSnapshot, Revision: 1, Servers: testFleet(20)})
 	return b
 }
 
 // handle hands a node an event and carries out its actions. Timers of a node that was restarted are dropped.
-func (j *overloadSim) handle(i int, b *Balancer, e Event) {
-	for _, a := range slices.Clone(b.Handle(j.now, e)) {
+func (sim *overloadSim) handle(i int, b *Balancer, e Event) {
+	for _, a := range slices.Clone(b.Handle(sim.now, e)) {
 		switch a := a.(type) {
 		case SetTimer:
-			j.schedule(a.At-j.now, func() {
-				if i >= len(j.fleet) || j.fleet[i] == b {
-					j.handle(i, b, Timer{Token: a.Token})
+			sim.schedule(a.At-sim.now, func() {
+				if i >= len(sim.fleet) || sim.fleet[i] == b {
+					sim.handle(i, b, Timer{Token: a.Token})
 				}
 			})
 		case Send:
-			j.send(i, b, a)
+			sim.send(i, b, a)
 		case Reject:
-			j.retry(a.ID, a.RetryAfter)
+			sim.retry(a.ID, a.RetryAfter)
 		case Fail:
-			j.retry(a.ID, 0)
+			sim.retry(a.ID, 0)
 		}
 	}
 }
 
-func (j *overloadSim) send(i int, b *Balancer, a Send) {
-	c := j.clients[a.ID]
+func (sim *overloadSim) send(i int, b *Balancer, a Send) {
+	c := sim.clients[a.ID]
 	n := c.attempt
 	c.attempt++
-	if j.backendFreeAt = max(j.backendFreeAt, j.now); j.now > 3*time.Second {
-		j.backendFreeAt += j.setupCost
+	if sim.backendFreeAt = max(sim.backendFreeAt, sim.now); sim.now > 3*time.Second {
+		sim.backendFreeAt += sim.setupCost
 	}
-	took := j.backendFreeAt - j.now + j.drawDuration(20*ms, 40*ms)
+	took := sim.backendFreeAt - sim.now + sim.drawDuration(20*ms, 40*ms)
 	if took > a.Timeout {
-		j.schedule(a.Timeout, func() {
-			j.handle(i, b, AttemptEnded{ID: a.ID, Attempt: n, Server: a.Server, Took: a.Timeout, Outcome: ResponseTimeout})
+		sim.schedule(a.Timeout, func() {
+			sim.handle(i, b, AttemptEnded{ID: a.ID, Attempt: n, Server: a.Server, Took: a.Timeout, Outcome: ResponseTimeout})
 		})
 		return
 	}
-	j.schedule(took, func() {
-		if j.clients[a.ID] != c {
+	sim.schedule(took, func() {
+		if sim.clients[a.ID] != c {
 			return
 		}
-		j.handle(i, b, Established{ID: a.ID, Attempt: n, Server: a.Server, Took: took})
-		j.accountTime(c.class, 1, 0)
-		j.times[c.class].succeeded++
+		sim.handle(i, b, Established{ID: a.ID, Attempt: n, Server: a.Server, Took: took})
+		sim.accountTime(c.class, 1, 0)
+		sim.times[c.class].succeeded++
 		c.established = true
-		j.schedule(time.Duration(j.rng.ExpFloat64()*float64(j.meanLifetime)), func() {
+		sim.schedule(time.Duration(sim.rng.ExpFloat64()*float64(sim.meanLifetime)), func() {
 			if c.established && c.id == a.ID {
 				c.established = false
-				delete(j.clients, a.ID)
-				j.accountTime(c.class, -1, -1)
-				j.handle(i, b, AttemptEnded{ID: a.ID, Attempt: n, Server: a.Server, Outcome: Served})
+				delete(sim.clients, a.ID)
+				sim.accountTime(c.class, -1, -1)
+				sim.handle(i, b, AttemptEnded{ID: a.ID, Attempt: n, Server: a.Server, Outcome: Served})
 			}
 		})
 	})
 }
 
 // accountTime adds the client time until now and changes the numbers of clients.
-func (j *overloadSim) accountTime(class, up, want int) {
-	if span := j.now - max(j.accountedUntil, j.accountedFrom); span > 0 {
-		for i := range j.times {
-			j.times[i].establishedTime += span * time.Duration(j.times[i].established)
-			j.times[i].wantedTime += span * time.Duration(j.times[i].wanted)
+func (sim *overloadSim) accountTime(class, up, want int) {
+	if span := sim.now - max(sim.accountedUntil, sim.accountedFrom); span > 0 {
+		for i := range sim.times {
+			sim.times[i].establishedTime += span * time.Duration(sim.times[i].established)
+			sim.times[i].wantedTime += span * time.Duration(sim.times[i].wanted)
 		}
 	}
-	j.times[class].established += up
-	j.times[class].wanted += want
-	j.accountedUntil = j.now
+	sim.times[class].established += up
+	sim.times[class].wanted += want
+	sim.accountedUntil = sim.now
 }
 
 // total is the client time of all classes.
-func (j *overloadSim) total() (sum clientTime) {
-	for _, c := range j.times {
+func (sim *overloadSim) total() (sum clientTime) {
+	for _, c := range sim.times {
 		sum.establishedTime += c.establishedTime
 		sum.wantedTime += c.wantedTime
 	}
@@ -193,70 +193,70 @@
 }
 
 // retry schedules the next try of a rejected client: twice soon, or after the Retry-After, then with backoff.
-func (j *overloadSim) retry(id RequestID, advice time.Duration) {
-	c := j.clients[id]
-	delete(j.clients, id)
-	c.tries++
-	wait := j.drawDuration(15*ms, 120*ms)
-	if round := c.tries / 3; c.tries%3 == 0 {
-		wait = j.drawDuration(150*ms, 980*ms) << min(round-1, 3)
-	} else if advice > 0 && j.rng.Float64() < 0.7 {
+func (sim *overloadSim) retry(id RequestID, advice time.Duration) {
+	c := sim.clients[id]
+	delete(sim.clients, id)
+	c.retries++
+	wait := sim.drawDuration(15*ms, 120*ms)
+	if round := c.retries / 3; c.retries%3 == 0 {
+		wait = sim.drawDuration(150*ms, 980*ms) << min(round-1, 3)
+	} else if advice > 0 && sim.rng.Float64() < 0.7 {
 		wait = advice
 	}
-	j.schedule(wait, func() { j.connect(c) })
+	sim.schedule(wait, func() { sim.connect(c) })
 }
 
-func (j *overloadSim) connect(c *simClient) {
-	j.sequence++
-	c.id, c.node, c.attempt = RequestID(fmt.Sprintf("c%07d", j.sequence)), j.rng.IntN(len(j.fleet)), 0
-	j.clients[c.id] = c
-	b := j.fleet[c.node]
-	j.handle(c.node, b, Arrival{ID: c.id, Key: c.key, Class: c.class, TimeLeft: b.settings.Classes[c.class].Deadline,
-		Retry: c.tries > 0, Reconnect: c.tries > 0})
+func (sim *overloadSim) connect(c *simClient) {
+	sim.sequence++
+	c.id, c.node, c.attempt = RequestID(fmt.Sprintf("c%07d", sim.sequence)), sim.rng.IntN(len(sim.fleet)), 0
+	sim.clients[c.id] = c
+	b := sim.fleet[c.node]
+	sim.handle(c.node, b, Arrival{ID: c.id, Key: c.key, Class: c.class, TimeLeft: b.settings.Classes[c.class].Deadline,
+		Retry: c.retries > 0, Reconnect: c.retries > 0})
 }
 
-func (j *overloadSim) addClient() {
-	j.sequence++
-	c := &simClient{key: fmt.Sprint("k", j.sequence), class: j.rng.IntN(len(j.deadlines))}
-	j.accountTime(c.class, 0, 1)
-	j.times[c.class].attempted++
-	j.connect(c)
+func (sim *overloadSim) addClient() {
+	sim.sequence++
+	c := &simClient{key: fmt.Sprint("k", sim.sequence), class: sim.rng.IntN(len(sim.deadlines))}
+	sim.accountTime(c.class, 0, 1)
+	sim.times[c.class].attempted++
+	sim.connect(c)
 }
 
-func (j *overloadSim) scheduleArrivals(rate float64) {
-	j.schedule(time.Duration(j.rng.ExpFloat64()/rate*float64(time.Second)), func() {
-		j.addClient()
-		j.scheduleArrivals(rate)
+func (sim *overloadSim) scheduleArrivals(rate float64) {
+	sim.schedule(time.Duration(sim.rng.ExpFloat64()/rate*float64(time.Second)), func() {
+		sim.addClient()
+		sim.scheduleArrivals(rate)
 	})
 }
 
 // resetConnections breaks a part of the connections; their clients reconnect within a second.
-func (j *overloadSim) resetConnections(share float64) {
-	var standing []RequestID
-	for id, c := range j.clients {
+func (sim *overloadSim) resetConnections(share float64) {
+	var connected []RequestID
+	for id, c := range sim.clients {
 		if c.established {
-			standing = append(standing, id)
+			connected = append(connected, id)
 		}
 	}
-	slices.Sort(standing)
-	for _, id := range standing {
-		if c := j.clients[id]; j.rng.Float64() < share {
+	slices.Sort(connected)
+	for _, id := range connected {
+		if c := sim.clients[id]; sim.rng.Float64() < share {
 			c.established = false
-			delete(j.clients, id)
-			j.accountTime(c.class, -1, 0)
-			j.times[c.class].attempted++
-			j.handle(c.node, j.fleet[c.node], AttemptEnded{ID: id, Attempt: c.attempt - 1, Outcome: ConnectionReset})
-			j.schedule(j.drawDuration(150*ms, 980*ms), func() { j.connect(c) })
+			delete(sim.clients, id)
+			sim.accountTime(c.class, -1, 0)
+			sim.times[c.class].attempted++
+			sim.handle(c.node, sim.fleet[c.node], AttemptEnded{ID: id, Attempt: c.attempt - 1, Outcome: ConnectionReset})
+			sim.schedule(sim.drawDuration(150*ms, 980*ms), func() { sim.connect(c) })
 		}
 	}
 }
 
-func (j *overloadSim) run(until time.Duration) {
-	for len(j.queue) > 0 && j.queue[0].at <= until {
-		e := heap.Pop(&j.queue).(simEvent)
-		j.now = e.at
+func (sim *overloadSim) run(until time.Duration) {
+	for len(sim.queue) > 0 && sim.queue[0].at <= until {
+		e := heap.Pop(&sim.queue).(simEvent)
+		sim.now = e.at
 		e.do()
 	}
-	j.now = until
-	j.accountTime(0, 0, 0)
+	sim.now = until
+	sim.accountTime(0, 0, 0)
 }
--- a/balancer/overload_surge_test.go
+++ b/balancer/overload_surge_test.go
@@ -18,32 +18,32 @@
 	early           bool    // 6 s after the start; in the first 3 s all clients reconnect at no cost
 }
 
-// play returns the part of the wanted client time that is served in the half minute from the surge on.
-func (p reconnectSurge) play(seed uint64) float64 {
-	j := newOverloadSim(seed, []time.Duration{700 * ms, 900 * ms, time.Second, 1200 * ms})
-	j.setupCost = time.Duration(float64(time.Second) / (p.rate * p.backendCapacity))
-	open := p.rate * j.meanLifetime.Seconds()
+// simulate returns the part of the wanted client time that is served in the half minute from the surge on.
+func (p reconnectSurge) simulate(seed uint64) float64 {
+	sim := newOverloadSim(seed, []time.Duration{700 * ms, 900 * ms, time.Second, 1200 * ms})
+	sim.setupCost = time.Duration(float64(time.Second) / (p.rate * p.backendCapacity))
+	open := p.rate * sim.meanLifetime.Seconds()
 	for i := range p.nodes {
-		j.fleet = append(j.fleet, j.startNode(seed, i, p.nodes, 1.5*open))
+		sim.fleet = append(sim.fleet, sim.startNode(seed, i, p.nodes, 1.5*open))
 	}
 	at := time.Minute
-	j.scheduleArrivals(p.rate)
+	sim.scheduleArrivals(p.rate)
 	if p.early {
 		at = 6 * time.Second
 		for range int(open) {
-			j.schedule(j.drawDuration(0, 3*time.Second), j.addClient)
+			sim.schedule(sim.drawDuration(0, 3*time.Second), sim.addClient)
 		}
 	}
-	j.run(at)
-	j.accountedFrom = at
-	for i := range j.fleet {
+	sim.run(at)
+	sim.accountedFrom = at
+	for i := range sim.fleet {
 		if p.restart && i%10 < 7 {
-			j.fleet[i] = j.startNode(seed, i, p.nodes, 1.5*open)
+			sim.fleet[i] = sim.startNode(seed, i, p.nodes, 1.5*open)
 		}
 	}
-	j.resetConnections(p.resetFraction)
-	j.run(at + 30*time.Second)
-	return j.total().served()
+	sim.resetConnections(p.resetFraction)
+	sim.run(at + 30*time.Second)
+	return sim.total().served()
 }
 
 // A reconnect surge overloads the backend of all set-ups, of which each node sees a few a second at most. The
@@ -65,7 +65,7 @@
 		t.Run(fmt.Sprintf("%+v", c.reconnectSurge), func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(2) {
-				if got := c.play(seed + 1); got < c.least {
+				if got := c.simulate(seed + 1); got < c.least {
 					t.Errorf("seed %d: %.3f of the time is served, %g is wanted", seed+1, got, c.least)
 				} else {
 					t.Logf("seed %d: %.3f", seed+1, got)
@@ -86,50 +86,50 @@
 	deadlines       []time.Duration
 }
 
-// play returns the part of the wanted client time that is served in the half minute from the release on, and by
+// simulate returns the part of the wanted client time that is served in the half minute from the release on, and by
 // class the part of the clients that were established while it lasted.
-func (p rollingRestart) play(seed uint64) (served float64, established []float64) {
+func (p rollingRestart) simulate(seed uint64) (served float64, established []float64) {
 	const (
 		begin, length  = 10 * time.Second, 12 * time.Second
 		steps, batches = 9, 10
 	)
-	j := newOverloadSim(seed, p.deadlines)
-	j.setupCost = time.Duration(float64(time.Second) / (p.rate * p.backendCapacity))
-	open := p.rate * j.meanLifetime.Seconds()
+	sim := newOverloadSim(seed, p.deadlines)
+	sim.setupCost = time.Duration(float64(time.Second) / (p.rate * p.backendCapacity))
+	open := p.rate * sim.meanLifetime.Seconds()
 	for i := range p.nodes {
-		j.fleet = append(j.fleet, j.startNode(seed, i, p.nodes, 1.5*open))
+		sim.fleet = append(sim.fleet, sim.startNode(seed, i, p.nodes, 1.5*open))
 	}
-	j.scheduleArrivals(p.rate)
+	sim.scheduleArrivals(p.rate)
 	for range int(open) {
-		j.schedule(j.drawDuration(0, 3*time.Second), j.addClient)
+		sim.schedule(sim.drawDuration(0, 3*time.Second), sim.addClient)
 	}
-	j.schedule(begin, func() { j.resetConnections(p.firstFraction) })
+	sim.schedule(begin, func() { sim.resetConnections(p.firstFraction) })
 	for i := range steps {
-		j.schedule(begin+time.Duration(i+1)*length/steps, func() { j.resetConnections(p.stepFraction) })
+		sim.schedule(begin+time.Duration(i+1)*length/steps, func() { sim.resetConnections(p.stepFraction) })
 	}
 	for batch := range batches {
-		j.schedule(begin+time.Duration(batch)*length/batches, func() { j.restart(seed, batch, batches) })
+		sim.schedule(begin+time.Duration(batch)*length/batches, func() { sim.restart(seed, batch, batches) })
 	}
-	j.run(begin)
-	j.accountedFrom = begin
-	for i := range j.times {
-		j.times[i].attempted, j.times[i].succeeded = 0, 0
+	sim.run(begin)
+	sim.accountedFrom = begin
+	for i := range sim.times {
+		sim.times[i].attempted, sim.times[i].succeeded = 0, 0
 	}
-	j.run(begin + length)
-	for _, c := range j.times {
+	sim.run(begin + length)
+	for _, c := range sim.times {
 		established = append(established, float64(c.succeeded)/float64(c.attempted))
 	}
-	j.run(begin + 30*time.Second)
-	return j.total().served(), established
+	sim.run(begin + 30*time.Second)
+	return sim.total().served(), established
 }
 
 // restart replaces every n-th node, after it has answered its queued requests.
-func (j *overloadSim) restart(seed uint64, first, n int) {
-	for i := first; i < len(j.fleet); i += n {
-		old := j.fleet[i]
+func (sim *overloadSim) restart(seed uint64, first, n int) {
+	for i := first; i < len(sim.fleet); i += n {
+		old := sim.fleet[i]
 		quota := old.settings.Tenants[0].ConnectionQuota
-		j.handle(i, old, Drain{Active: true, Deadline: j.now, AdmissionCutoff: j.now, KeepConnections: true})
-		j.fleet[i] = j.startNode(seed+1, i, len(j.fleet), quota)
+		sim.handle(i, old, Drain{Active: true, Deadline: sim.now, AdmissionCutoff: sim.now, KeepConnections: true})
+		sim.fleet[i] = sim.startNode(seed+1, i, len(sim.fleet), quota)
 	}
 }
 
@@ -152,7 +152,7 @@
 		t.Run(fmt.Sprintf("%+v", c.rollingRestart), func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(2) {
-				served, established := c.play(seed + 1)
+				served, established := c.simulate(seed + 1)
 				t.Logf("seed %d: %.3f of the time is served, of the classes' clients %.3f succeeded", seed+1, served, established)
 				if slices.Min(established) < slices.Max(established)/2 {
 					t.Errorf("seed %d: of the classes' clients %.3f succeeded, one class less than half of the best", seed+1, established)
--- a/balancer/overload_test.go
+++ b/balancer/overload_test.go
@@ -12,7 +12,7 @@
 	b, s := nodeWithConnections(t, testSettings(), 20)
 	// Half a second of work piles up in a second: its load is 1.5 times its capacity.
 	out := b.Handle(time.Second, LatencyReport{ID: "open0", Latency: 500 * ms})
-	if want := 2000 * headroom / 1.5; s.loadLimit < want*0.99 || s.loadLimit > want*1.01 {
+	if want := 2000 * targetUtilization / 1.5; s.loadLimit < want*0.99 || s.loadLimit > want*1.01 {
 		t.Errorf("limit %.0f, want %.0f", s.loadLimit, want)
 	}
 	if n := len(migrations(out)); n != 8 {
@@ -33,7 +33,7 @@
 
 // A server whose latency nears the objective sheds a little load at once: a node with few connections there learns
 // of it by its own messages alone.
-func TestLatency_NearObjective_ShedsALittle(t *testing.T) {
+func TestLatency_NearObjective_ShedsLittleLoad(t *testing.T) {
 	objective := testSettings().Classes[0].MessageLatencyObjective
 	b, s := nodeWithConnections(t, testSettings(), 20)
 	if out := b.Handle(time.Second, LatencyReport{ID: "open0", Latency: objective / 3}); len(migrations(out)) != 0 {
@@ -112,17 +112,17 @@
 // go elsewhere. One reset of many shows nothing.
 func TestResets_MostConnections_LimitServer(t *testing.T) {
 	b, s := nodeWithConnections(t, testSettings(), 20)
-	broken := func(at time.Duration, from, to int) {
+	reset := func(at time.Duration, from, to int) {
 		for i := from; i < to; i += 2 {
 			b.Handle(at, AttemptEnded{ID: RequestID(fmt.Sprint("open", i)), Server: "a", Outcome: ConnectionReset, Final: true})
 		}
 	}
-	broken(time.Second, 0, 2)
+	reset(time.Second, 0, 2)
 	if s.loadLimit != 0 || b.isEjected(s) {
 		t.Fatal("one reset connection of twenty limits its server")
 	}
-	broken(3*time.Second, 2, 40)
-	if want := 1900 * headroom / 2; s.loadLimit != want || !b.isEjected(s) {
+	reset(3*time.Second, 2, 40)
+	if want := 1900 * targetUtilization / 2; s.loadLimit != want || !b.isEjected(s) {
 		t.Errorf("limit %.0f, ejected %v; want %.0f, true", s.loadLimit, b.isEjected(s), want)
 	}
 	for i := range 20 {
@@ -136,15 +136,15 @@
 	if b.now = 3*time.Second + b.derived.limitRecovery; b.isEjected(s) || b.exceedsLimit(s, &request{}, 100) {
 		t.Error("the limit does not grow back")
 	}
-	// Of two connections that a server had here both broken is no chance; of one it may well be.
+	// Of two connections that a server had here both reset is no chance; of one it may well be.
 	b, s = nodeWithConnections(t, testSettings(), 1)
-	if broken(time.Second, 0, 1); s.loadLimit != 0 {
+	if reset(time.Second, 0, 1); s.loadLimit != 0 {
 		t.Error("the reset of the only connection limits the server")
 	}
 }
 
 // Of many nodes that each have one connection on an overloaded server, some migrate theirs, neither all nor none.
-func TestLatency_ManyNodes_MigrateTheirPart(t *testing.T) {
+func TestLatency_ManyNodes_MigrateTheirShare(t *testing.T) {
 	const nodes = 400
 	moved := 0
 	for i := range nodes {
--- a/balancer/pacing.go
+++ b/balancer/pacing.go
@@ -6,11 +6,11 @@
 // its sends where set-ups fail or are slow at several servers, and adapts the interval to the outcomes.
 
 const (
-	pacingReleaseFactor = 16              // multiple of the baseline rate at which pacing ends
-	maxSendInterval     = 3 * time.Second // a node that tries no server for 4 s counts as down
-	slowStartSetups     = 1               // set-ups in flight at a node that has seen none succeed
-	maxAwaitingSetup    = 64              // requests that wait for one of them
-	minFailuresInRow    = 2               // servers that fail one after the other, from which a low sample paces
+	pacingReleaseFactor    = 16              // multiple of the baseline rate at which pacing ends
+	maxSendInterval        = 3 * time.Second // a node that tries no server for 4 s counts as down
+	initialSetupLimit      = 1               // set-ups in flight at a node that has seen none succeed
+	maxAwaitingSetup       = 64              // requests that wait for one of them
+	minConsecutiveFailures = 2               // servers that fail one after the other, from which a low sample paces
 )
 
 // pacingState limits the rate of set-ups.
@@ -37,7 +37,7 @@
 		b.rejectOrFail(req, b.drain.RetryAfter, ReasonDraining)
 	case req.MidFlow && len(req.attempts) == 0: // no set-up: it continues on its server
 		b.startAttempt(req, timeLeft)
-	case b.slowStartFull():
+	case b.setupLimitReached():
 		b.awaitSetup(req, timeLeft)
 	case b.pacing.interval <= 0 || wait <= timerTolerance:
 		b.pacing.nextSendAt = b.now + b.pacing.interval
@@ -49,11 +49,11 @@
 	}
 }
 
-// slowStartFull reports whether a node that has just started has as many set-ups in flight as it may: one, and one
+// setupLimitReached reports whether a node that has just started has as many set-ups in flight as it may: one, and one
 // for each that succeeded. Nodes that restart amid an overload would otherwise keep it up. Nodes with more traffic
 // learn soon enough.
-func (b *Balancer) slowStartFull() bool {
-	return b.pacing.interval <= 0 && b.lowSample() && b.pacing.inFlight >= slowStartSetups+int(b.rates.setupsTotal)
+func (b *Balancer) setupLimitReached() bool {
+	return b.pacing.interval <= 0 && b.lowSample() && b.pacing.inFlight >= initialSetupLimit+int(b.rates.setupsTotal)
 }
 
 // awaitSetup queues a request until one of the set-ups in flight ends, or rejects it.
@@ -110,15 +110,15 @@
 	switch {
 	case !failed && took < threshold:
 		b.relaxPacing(b.pacing.interval / 2)
-	case b.pacing.setupTime >= threshold || b.failedInRow():
+	case b.pacing.setupTime >= threshold || b.failuresShowOverload():
 		b.tightenPacing(failed, took)
 	}
 }
 
-// failedInRow reports whether failures of several servers, one after the other, show an overload before the average
+// failuresShowOverload reports whether failures of several servers, one after the other, show an overload before the average
 // set-up time does.
-func (b *Balancer) failedInRow() bool {
-	if b.pacing.consecutiveFailures < minFailuresInRow {
+func (b *Balancer) failuresShowOverload() bool {
+	if b.pacing.consecutiveFailures < minConsecutiveFailures {
 		return false
 	}
 	_, estimated := b.baselineInterval()
--- a/balancer/pacing_lowsample_test.go
+++ b/balancer/pacing_lowsample_test.go
@@ -9,7 +9,7 @@
 
 // A mid-flow arrival continues its connection at once and is no set-up: it neither shortens the interval nor takes
 // a turn.
-func TestPacing_MidFlowArrival_IsNoSetup(t *testing.T) {
+func TestPacing_MidFlowArrival_NotCountedAsSetup(t *testing.T) {
 	b := lowSampleNode(t)
 	establishConnection(t, b, "first", time.Second, 10*ms, false)
 	b.pacing.interval, b.pacing.nextSendAt, b.pacing.changedAt = 2*time.Second, 4*time.Second, 2*time.Second
@@ -26,7 +26,7 @@
 
 // The time that a request may be queued follows the shortest deadline, so that classes of long deadlines do not
 // take every turn.
-func TestPacing_Wait_IsAlikeForAllClasses(t *testing.T) {
+func TestPacing_QueueTime_SameForAllClasses(t *testing.T) {
 	b := lowSampleNode(t,
 		Class{SetupLatencyObjective: 200 * ms, Deadline: 700 * ms},
 		Class{SetupLatencyObjective: 800 * ms, Deadline: 4800 * ms},
@@ -51,7 +51,7 @@
 }
 
 // A node that begins to pace sends the next set-up an interval after the last one, not at once.
-func TestPacing_Begin_MovesTheNextTurn(t *testing.T) {
+func TestPacing_Start_DelaysNextSetup(t *testing.T) {
 	b := lowSampleNode(t)
 	establishConnection(t, b, "first", time.Second, 10*ms, false)
 	for i, id := range []RequestID{"a", "b"} {
@@ -79,7 +79,7 @@
 }
 
 // A node that has just started sends one set-up, and more as they succeed; queued requests are answered in time.
-func TestPacing_SlowStart_OneSetupUntilOneCameUp(t *testing.T) {
+func TestPacing_SlowStart_OneSetupUntilOneSucceeds(t *testing.T) {
 	b := lowSampleNode(t)
 	arrive := func(at time.Duration, id RequestID) []Action {
 		return slices.Clone(b.Handle(at, Arrival{ID: id, Key: string(id), TimeLeft: 2 * time.Second}))
@@ -116,7 +116,7 @@
 
 // A request that is queued behind a set-up that hangs is answered after half of the shortest deadline, whatever its
 // own deadline.
-func TestPacing_SlowStart_WaitEndsAlikeForAllClasses(t *testing.T) {
+func TestPacing_SlowStart_QueueTimeSameForAllClasses(t *testing.T) {
 	b := lowSampleNode(t,
 		Class{SetupLatencyObjective: 200 * ms, Deadline: 700 * ms},
 		Class{SetupLatencyObjective: 800 * ms, Deadline: 4800 * ms},
@@ -132,8 +132,8 @@
 			t.Fatalf("%s is not queued: %v", id, out)
 		}
 	}
-	const look = 10 * ms
-	for waited := look; waited < 4*time.Second; waited += look {
+	const step = 10 * ms
+	for waited := step; waited < 4*time.Second; waited += step {
 		for _, a := range b.Handle(begin+waited, Timer{Token: pacingToken}) {
 			if r, ok := a.(Reject); ok {
 				answered[r.ID] = waited
@@ -141,14 +141,14 @@
 		}
 	}
 	for _, id := range []RequestID{"class0", "class1"} {
-		if at, ok := answered[id]; !ok || at > 350*ms+look {
-			t.Errorf("%s was answered after %v (%v), want %v at most", id, at, ok, 350*ms+look)
+		if at, ok := answered[id]; !ok || at > 350*ms+step {
+			t.Errorf("%s was answered after %v (%v), want %v at most", id, at, ok, 350*ms+step)
 		}
 	}
 }
 
 // A request with less time left than any set-up takes shows nothing by its time-out.
-func TestPacing_TimeoutsShorterThanAnySetup_PaceNothing(t *testing.T) {
+func TestPacing_TimeoutsShorterThanAnySetup_DoNotStartPacing(t *testing.T) {
 	b := lowSampleNode(t)
 	at := time.Second
 	establishConnection(t, b, "well", at, 20*ms, false)
--- a/balancer/pacing_test.go
+++ b/balancer/pacing_test.go
@@ -14,15 +14,15 @@
 	answered := map[RequestID]bool{}
 	sent := 0
 	var timers []time.Duration
-	var take func(actions []Action)
-	take = func(actions []Action) {
+	var apply func(actions []Action)
+	apply = func(actions []Action) {
 		for _, a := range actions {
 			switch a := a.(type) {
 			case Send:
 				sent++
 				at := a
 				defer func() {
-					take(b.Handle(now, AttemptEnded{ID: at.ID, Attempt: len(b.requests[at.ID].attempts) - 1, Took: 10 * ms, Outcome: Errored}))
+					apply(b.Handle(now, AttemptEnded{ID: at.ID, Attempt: len(b.requests[at.ID].attempts) - 1, Took: 10 * ms, Outcome: Errored}))
 				}()
 			case Reject:
 				answered[a.ID] = true
@@ -37,7 +37,7 @@
 	for i := range 100 {
 		id := RequestID(fmt.Sprint("r", i))
 		due[id] = 2 * time.Second
-		take(append([]Action(nil), b.Handle(0, Arrival{ID: id, Key: fmt.Sprint(i), TimeLeft: 2 * time.Second})...))
+		apply(append([]Action(nil), b.Handle(0, Arrival{ID: id, Key: fmt.Sprint(i), TimeLeft: 2 * time.Second})...))
 	}
 	if sent > 20 {
 		t.Errorf("%d set-ups were sent into the overload at once", sent)
@@ -47,7 +47,7 @@
 		for i := 0; i < len(timers); i++ {
 			if timers[i] <= now {
 				timers = append(timers[:i], timers[i+1:]...)
-				take(append([]Action(nil), b.Handle(now, Timer{Token: pacingToken})...))
+				apply(append([]Action(nil), b.Handle(now, Timer{Token: pacingToken})...))
 				break
 			}
 		}
@@ -58,7 +58,7 @@
 }
 
 // Pacing ends with time where few connections come, and so few good set-ups can end it.
-func TestPacing_QuietTime_EndsIt(t *testing.T) {
+func TestPacing_QuietPeriod_EndsPacing(t *testing.T) {
 	b := newWarmNode(t, testSettings(), 6)
 	for i, id := range []RequestID{"a", "b", "r"} {
 		b.Handle(0, Arrival{ID: id, Key: string(id), TimeLeft: time.Second})
@@ -124,7 +124,7 @@
 
 // A node that starts amid an overload paces after two servers fail in a row. Failures of one server, or after a
 // success, pace nothing.
-func TestPacing_StartAmidOverload_BeginsSoon(t *testing.T) {
+func TestPacing_NodeStartsDuringOverload_PacesSoon(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		first bool // one came up well before
@@ -163,8 +163,8 @@
 		t.Errorf("%v between sends after thirty in the first second", b.pacing.interval)
 	}
 	b.now = time.Minute
-	if usual, _ := b.baselineInterval(); usual != b.derived.limitRecovery {
-		t.Errorf("a minute later without arrivals the baseline is %v, want %v", usual, b.derived.limitRecovery)
+	if baseline, _ := b.baselineInterval(); baseline != b.derived.limitRecovery {
+		t.Errorf("a minute later without arrivals the baseline is %v, want %v", baseline, b.derived.limitRecovery)
 	}
 }
 
@@ -186,7 +186,7 @@
 }
 
 // Where servers are few, errors of one must not pace all set-ups; errors of several do.
-func TestPacing_ErrorsOfOneServer_DoNotBeginIt(t *testing.T) {
+func TestPacing_ErrorsOfOneServer_DoNotStartPacing(t *testing.T) {
 	b, _ := nodeWithConnections(t, testSettings(), 0)
 	fail := func(on ServerID) {
 		b.now += time.Millisecond
@@ -222,7 +222,7 @@
 
 // While the backend of all set-ups is overloaded, pacing holds at the baseline rate, whatever time passes. After
 // it, good set-ups end pacing soon.
-func TestPacing_LastingOverload_Holds(t *testing.T) {
+func TestPacing_SustainedOverload_KeepsBaselineRate(t *testing.T) {
 	s := testSettings()
 	s.NodeCount = 300
 	s.Tenants = []Tenant{{ConnectionQuota: 600}}
@@ -235,14 +235,14 @@
 	}
 	var pending []out
 	n := 0
-	sum := 0
+	sentCount := 0
 	sent := func(now time.Duration, actions []Action) {
 		for _, q := range sends(actions) {
-			sum++
+			sentCount++
 			pending = append(pending, out{q.ID, len(b.requests[q.ID].attempts) - 1, q.Server, now})
 		}
 	}
-	play := func(from, to, every, takes time.Duration, fails bool) {
+	run := func(from, to, every, takes time.Duration, fails bool) {
 		for now := from; now < to; now += 10 * ms {
 			if now%every == 0 {
 				n++
@@ -264,21 +264,21 @@
 			sent(now, b.Handle(now, Timer{Token: pacingToken}))
 		}
 	}
-	const calm, overload, over = time.Minute, 90 * time.Second, 20 * time.Second
-	play(10*ms, calm, 4*time.Second, 20*ms, false)
+	const calm, overload, recovery = time.Minute, 90 * time.Second, 20 * time.Second
+	run(10*ms, calm, 4*time.Second, 20*ms, false)
 	if b.pacing.interval != 0 {
 		t.Fatalf("interval %v while all is well", b.pacing.interval)
 	}
-	usual, _ := b.baselineInterval()
-	play(calm, calm+overload/2, 250*ms, 600*ms, true)
-	sum = 0
-	play(calm+overload/2, calm+overload, 250*ms, 600*ms, true)
-	if maxSent := 2 * float64(overload/2) / float64(usual); float64(sum) > maxSent {
-		t.Errorf("in the overload it sends %d in %v, baseline interval %v", sum, overload/2, usual)
+	baseline, _ := b.baselineInterval()
+	run(calm, calm+overload/2, 250*ms, 600*ms, true)
+	sentCount = 0
+	run(calm+overload/2, calm+overload, 250*ms, 600*ms, true)
+	if maxSent := 2 * float64(overload/2) / float64(baseline); float64(sentCount) > maxSent {
+		t.Errorf("in the overload it sends %d in %v, baseline interval %v", sentCount, overload/2, baseline)
 	}
 	pending = nil
-	play(calm+overload, calm+overload+over, 500*ms, 20*ms, false)
-	if b.pacing.interval > usual/8 {
-		t.Errorf("after it the interval is %v, baseline %v", b.pacing.interval, usual)
+	run(calm+overload, calm+overload+recovery, 500*ms, 20*ms, false)
+	if b.pacing.interval > baseline/8 {
+		t.Errorf("after it the interval is %v, baseline %v", b.pacing.interval, baseline)
 	}
 }
--- a/balancer/placement.go
+++ b/balancer/placement.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	reinstateWithin = 2 * time.Second // until a reinstated server is used, whatever its entries
+	reinstateDelay = 2 * time.Second // until a reinstated server is used, whatever its entries
 
 	maxGroupProbes       = 4 // servers that a group may newly use in an overloaded fleet
 	lowSampleGroupProbes = 2 // the same at a node with a low sample
@@ -72,7 +72,7 @@
 // node with a low sample can tell neither a group's size nor a hot spot. There each group has the same few
 // replicas, fewer while much of the listed weight is gone: each replica costs load.
 func (b *Balancer) replicaCount(group string) int {
-	servers := float64(len(b.table.holders))
+	servers := float64(len(b.table.members))
 	zoneLocal := b.settings.CrossZoneCost >= minZoneLocalCost
 	if zoneLocal { // it has replicas in each zone
 		servers *= b.fleet.zoneWeight / max(b.fleet.weight, b.fleet.zoneWeight)
@@ -89,7 +89,7 @@
 // lowSample reports whether, by the quotas, this node is to have too few connections on a server to judge it by them.
 func (b *Balancer) lowSample() bool {
 	quota := b.derived.connectionQuota
-	return quota > 0 && quota < minOverloadConnections*float64(len(b.table.holders))
+	return quota > 0 && quota < minOverloadConnections*float64(len(b.table.members))
 }
 
 // isZoneLocal reports whether the clients of a preferred entry are kept in this node's zone: all of them, or as
@@ -98,8 +98,8 @@
 	if b.settings.CrossZoneCost < minZoneLocalCost {
 		return false
 	}
-	zonePart := b.fleet.zoneWeight * float64(b.settings.Zones) / max(b.fleet.weight, 1e-9)
-	return float64(mix(hash, uint64(b.settings.Zone)+1)) < zonePart*math.MaxUint64
+	zoneShare := b.fleet.zoneWeight * float64(b.settings.Zones) / max(b.fleet.weight, 1e-9)
+	return float64(mix(hash, uint64(b.settings.Zone)+1)) < zoneShare*math.MaxUint64
 }
 
 // isEligible reports whether a server may get a request: a retry there is safe and its slow start allows it.
@@ -123,11 +123,11 @@
 		probesLeft: b.fleet.maxProbes,
 	}
 	entries := len(b.table.first) + position.replicas
-	unseen := len(b.table.holders)
+	unseen := len(b.table.members)
 	for i := 0; i < entries && unseen > 0; i++ {
 		entry := b.candidateEntry(position, i)
 		if req.MidFlow && !scan.pastPreferred {
-			if srv := scan.currentHolder(entry); srv != nil {
+			if srv := scan.midFlowServer(entry); srv != nil {
 				return srv
 			}
 		}
@@ -148,7 +148,7 @@
 // to see it used, also where clients of its entries are few.
 func (b *Balancer) overdueReinstated(req *request) *server {
 	for _, srv := range b.reinstated {
-		due := b.now >= srv.reinstatedAt+reinstateWithin
+		due := b.now >= srv.reinstatedAt+reinstateDelay
 		if due && !req.MidFlow && b.isEligible(srv, req) && !b.isEjected(srv) {
 			return srv
 		}
@@ -179,8 +179,8 @@
 	bestScore float64 // orders servers of the same rank; the least is best
 }
 
-// currentHolder returns the server on which the table put a mid-flow connection, however loaded it is.
-func (s *tableScan) currentHolder(entry int) *server {
+// midFlowServer returns the server on which the table put a mid-flow connection, however loaded it is.
+func (s *tableScan) midFlowServer(entry int) *server {
 	for _, srv := range s.table.hops(entry) {
 		if srv == nil || s.zoneLocal && srv.zone != s.settings.Zone {
 			continue
--- a/balancer/placement_test.go
+++ b/balancer/placement_test.go
@@ -36,7 +36,7 @@
 	b := newWarmNode(t, testSettings(), 8)
 	home := b.table.first[firstEntryOf(b, &request{Arrival: Arrival{Group: "g"}})]
 	var holder *server
-	for _, s := range b.table.holders {
+	for _, s := range b.table.members {
 		if s != home {
 			holder = s
 		}
@@ -45,7 +45,7 @@
 		b.handleInherited(Arrival{ID: RequestID(fmt.Sprint("h", i)), TimeLeft: time.Second}, home)
 	}
 	b.handleInherited(Arrival{ID: "held", Group: "g", TimeLeft: time.Second}, holder)
-	for i, s := range b.table.holders {
+	for i, s := range b.table.members {
 		if s != home && s != holder {
 			b.handleInherited(Arrival{ID: RequestID(fmt.Sprint("x", i)), TimeLeft: time.Second}, s)
 		}
@@ -72,7 +72,7 @@
 			near = append(near, s)
 		}
 	}
-	for _, s := range b.table.holders {
+	for _, s := range b.table.members {
 		s.loadLimit, s.limitedAt = 100, b.now
 	}
 	b.updateTotals()
@@ -97,7 +97,7 @@
 	s.NodeCount, s.Tenants = 80, []Tenant{{ConnectionQuota: 350}}
 	b := newWarmNode(t, s, 10)
 	b.now = time.Minute
-	for i, s := range b.table.holders {
+	for i, s := range b.table.members {
 		if s.connections, s.load = 1, 1; i < 4 {
 			s.loadLimit, s.limitedAt = 0.1, b.now
 		}
@@ -178,24 +178,24 @@
 // Where crossing zones is costly, clients stay in the zone of their node as far as its servers have capacity, whole
 // groups together and alike at all nodes of the zone. Mid-flow arrivals find them, also while the server drains.
 func TestPlacement_CrossZoneCost_KeepsClientsInZone(t *testing.T) {
-	node := func(index int, price float64, inZone int) *Balancer { // in zone 0
+	node := func(index int, crossZoneCost float64, inZone int) *Balancer { // in zone 0
 		s := testSettings()
-		s.Seed, s.NodeIndex, s.NodeCount, s.Zones, s.CrossZoneCost = uint64(index), index, 80, 2, price
+		s.Seed, s.NodeIndex, s.NodeCount, s.Zones, s.CrossZoneCost = uint64(index), index, 80, 2, crossZoneCost
 		s.Tenants = []Tenant{{ConnectionQuota: 350}}
-		rows := testFleet(20)
-		for i := range rows {
-			rows[i].Zone, rows[i].Weight = min(1, i/inZone), 1
+		entries := testFleet(20)
+		for i := range entries {
+			entries[i].Zone, entries[i].Weight = min(1, i/inZone), 1
 		}
 		b := New(s)
-		b.Handle(0, ListEvent{Kind: ListCached, Revision: 1, Servers: rows})
+		b.Handle(0, ListEvent{Kind: ListCached, Revision: 1, Servers: entries})
 		return b
 	}
 	for _, c := range []struct {
-		price       float64
-		own         int
-		least, most float64 // the part of groups in zone 0
+		crossZoneCost float64
+		own           int
+		least, most   float64 // the part of groups in zone 0
 	}{{0.1, 10, 1, 1}, {0.1, 16, 1, 1}, {0.1, 5, 0.5, 0.75}, {0.01, 10, 0.4, 0.6}} {
-		x, y := node(1, c.price, c.own), node(2, c.price, c.own)
+		x, y := node(1, c.crossZoneCost, c.own), node(2, c.crossZoneCost, c.own)
 		in, r, s := 0, &request{load: 1}, (*server)(nil)
 		for g := range 200 {
 			r.Arrival = Arrival{Group: fmt.Sprint(g), Key: "k"}
@@ -209,10 +209,10 @@
 		y.Handle(time.Second, listDelta(Server{ID: s.id, State: Draining, Weight: 1}))
 		r.MidFlow = true
 		if to := y.selectServer(r); to == nil || to.id != s.id {
-			t.Errorf("cost %g: a mid-flow arrival misses its draining server", c.price)
+			t.Errorf("cost %g: a mid-flow arrival misses its draining server", c.crossZoneCost)
 		}
 		if part := float64(in) / 200; part < c.least || part > c.most {
-			t.Errorf("cost %g, %d of 20 servers in the zone: %.2f of the groups stay, want %g to %g", c.price, c.own, part, c.least, c.most)
+			t.Errorf("cost %g, %d of 20 servers in the zone: %.2f of the groups stay, want %g to %g", c.crossZoneCost, c.own, part, c.least, c.most)
 		}
 	}
 }
--- a/balancer/polling_test.go
+++ b/balancer/polling_test.go
@@ -47,7 +47,7 @@
 
 // Whatever polls failed before, and however many nodes there are, the next poll comes within MaxRepollDelay, or
 // twice that less the time that the failed one took; the first of a node within 4 s.
-func TestPolling_AnyFailures_RepollInTime(t *testing.T) {
+func TestPolling_AnyFailures_NextRequestInTime(t *testing.T) {
 	for _, nodes := range []int{1, 3, 25, 40, 300, 3000} {
 		for _, within := range []time.Duration{time.Second, 10 * time.Second, time.Minute} {
 			for _, took := range []time.Duration{0, time.Second, 3 * time.Second} {
@@ -97,7 +97,7 @@
 	for i := range nodes {
 		all = append(all, newFleetNode(t, i, nodes, 60))
 	}
-	calls := func(from, to time.Duration) (highest int) {
+	run := func(from, to time.Duration) (highest int) {
 		per := map[time.Duration]int{}
 		for now := from; now < to; now += 20 * ms {
 			for _, n := range all {
@@ -117,19 +117,19 @@
 		}
 		return highest
 	}
-	calls(20*ms, 20*time.Second)
-	if highest := calls(20*time.Second, 60*time.Second); highest > nodes/4 {
+	run(20*ms, 20*time.Second)
+	if highest := run(20*time.Second, 60*time.Second); highest > nodes/4 {
 		t.Errorf("%d of %d nodes poll in the same tenth of a second after failures", highest, nodes)
 	}
 }
 
 const (
-	listCallCost    = 60 * ms         // of the simulated endpoint list
-	listCallTimeout = 2 * time.Second // of its callers
+	listRequestCost    = 60 * ms         // of the simulated endpoint list
+	listRequestTimeout = 2 * time.Second // of its callers
 )
 
-// listCall is a poll that the simulated endpoint list has not answered yet.
-type listCall struct {
+// listRequest is a poll that the simulated endpoint list has not answered yet.
+type listRequest struct {
 	from   int
 	at     time.Duration
 	failed bool // timed out
@@ -140,7 +140,7 @@
 	t        *testing.T
 	nodes    []*Balancer
 	lastPoll []time.Duration
-	queue    []*listCall
+	queue    []*listRequest
 }
 
 func (l *listSim) start(i int) {
@@ -153,10 +153,10 @@
 
 // run returns the number of nodes that have no open watch at the end.
 func (l *listSim) run(from, to time.Duration) (withoutWatch int) {
-	for now := from; now < to; now += listCallCost {
-		l.poll(from, now)
+	for now := from; now < to; now += listRequestCost {
+		l.requestLists(from, now)
 		l.failTimedOut(now)
-		l.answerNext(now)
+		l.respondToNext(now)
 	}
 	for _, n := range l.nodes {
 		if !n.polling.watching {
@@ -166,12 +166,12 @@
 	return withoutWatch
 }
 
-// poll has all nodes do their housekeeping and queues their polls.
-func (l *listSim) poll(from, now time.Duration) {
+// requestLists has all nodes do their housekeeping and queues their polls.
+func (l *listSim) requestLists(from, now time.Duration) {
 	for i, n := range l.nodes {
 		for _, a := range n.Handle(now, Timer{Token: sweepToken}) {
 			if _, ok := a.(WatchList); ok {
-				l.queue = append(l.queue, &listCall{from: i, at: now})
+				l.queue = append(l.queue, &listRequest{from: i, at: now})
 				l.lastPoll[i] = now
 			}
 		}
@@ -184,22 +184,22 @@
 
 func (l *listSim) failTimedOut(now time.Duration) {
 	for _, c := range l.queue {
-		if !c.failed && now >= c.at+listCallTimeout {
+		if !c.failed && now >= c.at+listRequestTimeout {
 			c.failed = true
 			l.nodes[c.from].Handle(now, ListEvent{Kind: ListFailed})
 		}
 	}
 }
 
-// answerNext works through one call; the answer to one that timed out is lost.
-func (l *listSim) answerNext(now time.Duration) {
+// respondToNext works through one call; the answer to one that timed out is lost.
+func (l *listSim) respondToNext(now time.Duration) {
 	if len(l.queue) == 0 {
 		return
 	}
-	call := l.queue[0]
+	next := l.queue[0]
 	l.queue = l.queue[1:]
-	if !call.failed {
-		l.nodes[call.from].Handle(now, ListEvent{Kind: ListSnapshot, Revision: 2, Servers: testFleet(10)})
+	if !next.failed {
+		l.nodes[next.from].Handle(now, ListEvent{Kind: ListSnapshot, Revision: 2, Servers: testFleet(10)})
 	}
 }
 
--- a/balancer/replay_test.go
+++ b/balancer/replay_test.go
@@ -45,17 +45,17 @@
 
 // replay feeds a balancer seeded random events that follow its own actions, and hashes those.
 type replay struct {
-	rng      *rand.Rand
-	settings Settings
-	balancer *Balancer
-	digest   hash.Hash64
-	now      time.Duration
-	timers   timerHeap
-	timerNo  int
-	attempts map[RequestID]int
-	open     []openAttempt
-	servers  int
-	sends    int
+	rng         *rand.Rand
+	settings    Settings
+	balancer    *Balancer
+	digest      hash.Hash64
+	now         time.Duration
+	timers      timerHeap
+	timerNumber int
+	attempts    map[RequestID]int
+	open        []openAttempt
+	servers     int
+	sends       int
 }
 
 func newReplay(settings Settings) *replay {
@@ -78,8 +78,8 @@
 			fmt.Fprintln(r.digest, r.now, "Log")
 			continue
 		case SetTimer:
-			r.timerNo++
-			heap.Push(&r.timers, dueTimer{max(a.At, r.now), r.timerNo, a.Token})
+			r.timerNumber++
+			heap.Push(&r.timers, dueTimer{max(a.At, r.now), r.timerNumber, a.Token})
 		case Send:
 			r.sends++
 			r.open = append(r.open, openAttempt{id: a.ID, number: r.attempts[a.ID], server: a.Server})
--- a/balancer/replicas_test.go
+++ b/balancer/replicas_test.go
@@ -8,7 +8,7 @@
 
 // A group larger than one server's part of a node's traffic has as many replicas as its part is worth, the same at
 // nodes that know as much.
-func TestReplicas_LargeGroup_FollowItsPart(t *testing.T) {
+func TestReplicas_LargeGroup_MatchItsShare(t *testing.T) {
 	a, b := newFleetNode(t, 0, 2, 40), newFleetNode(t, 1, 2, 40)
 	for _, n := range []*Balancer{a, b} {
 		n.counts.connections, n.counts.byGroup["big"], n.counts.byGroup["small"] = 99, 30, 1
@@ -41,12 +41,12 @@
 		all = append(all, newWarmNode(t, s, 10))
 	}
 	hotSpots, worst := 0, 0
-	for day := range 20 {
+	for trial := range 20 {
 		on, key := map[ServerID]int{}, 0
 		for g, size := range []int{42, 42, 32, 28, 16, 16, 11} {
 			for range size {
 				key++
-				r := &request{Arrival: Arrival{Group: fmt.Sprint(day, "-", g), Key: fmt.Sprint(day, "k", key)}, load: 1}
+				r := &request{Arrival: Arrival{Group: fmt.Sprint(trial, "-", g), Key: fmt.Sprint(trial, "k", key)}, load: 1}
 				n := all[key%nodes]
 				n.counts.connections, n.counts.byGroup[r.Group] = 1, 1
 				on[n.selectServer(r).id]++
@@ -75,7 +75,7 @@
 	s.NodeCount, s.Tenants = 80, []Tenant{{ConnectionQuota: 350}}
 	n := newWarmNode(t, s, 12)
 	gone := func(id ServerID) bool { return id >= "s06" }
-	count := func(tried bool) (places int) {
+	count := func(tried bool) (replicas int) {
 		for g := range 20 {
 			on := map[ServerID]bool{}
 			for k := range 20 {
@@ -87,9 +87,9 @@
 				}
 				on[to.id] = true
 			}
-			places += len(on)
+			replicas += len(on)
 		}
-		return places
+		return replicas
 	}
 	if got := count(true); got > 50 {
 		t.Errorf("20 groups use %d replicas before the list changes", got)
--- a/balancer/request_test.go
+++ b/balancer/request_test.go
@@ -114,12 +114,12 @@
 
 // A retry at a node with a low sample waits longer: after one time-out, what is slow is likely the backend of all
 // set-ups, and set-ups that time out only keep it busy.
-func TestRetry_LowSample_WaitsLonger(t *testing.T) {
+func TestRetry_LowSample_HasLongerTimeout(t *testing.T) {
 	for _, c := range []struct {
-		name    string
-		quota   float64
-		retry   bool
-		patient bool
+		name        string
+		quota       float64
+		retry       bool
+		longTimeout bool
 	}{{"second attempt", 350, false, true}, {"client's retry", 350, true, true}, {"no low sample", 8000, false, false}} {
 		s := testSettings()
 		s.NodeCount, s.Tenants = 80, []Tenant{{ConnectionQuota: c.quota}}
@@ -132,7 +132,7 @@
 			continue
 		}
 		sent = sends(n.Handle(time.Second+objective, AttemptEnded{ID: "a", Server: sent[0].Server, Took: objective, Outcome: ResponseTimeout}))
-		if len(sent) != 1 || (sent[0].Timeout > 5*objective) != c.patient || sent[0].Timeout > 9*objective {
+		if len(sent) != 1 || (sent[0].Timeout > 5*objective) != c.longTimeout || sent[0].Timeout > 9*objective {
 			t.Errorf("%s: the next attempt is %v", c.name, sent)
 		}
 	}
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -46,8 +46,8 @@
 // together.
 func (b *Balancer) refillByQuota(srv *server, factor float64) {
 	window := b.settings.CollapseWindow.Seconds()
-	part := b.derived.connectionQuota * srv.weight / max(b.fleet.maxWeight, srv.weight) * max(1, 2*factor)
-	budget := b.settings.CollapseMultiple * part * window / b.settings.SlowStartDuration.Seconds()
+	quotaShare := b.derived.connectionQuota * srv.weight / max(b.fleet.maxWeight, srv.weight) * max(1, 2*factor)
+	budget := b.settings.CollapseMultiple * quotaShare * window / b.settings.SlowStartDuration.Seconds()
 	arrivalRate := max(b.rates.setups, b.rates.arrivalsLastSecond, b.rates.arrivalsThisSecond)
 	expected := arrivalRate * window * srv.weight / max(b.fleet.usableCapacity, srv.weight)
 	rounding := b.rng.Float64()
--- a/balancer/slowstart_fleet_test.go
+++ b/balancer/slowstart_fleet_test.go
@@ -19,12 +19,12 @@
 
 // slowStartResult is what a run shows.
 type slowStartResult struct {
-	worst float64 // most sends to the server in any window, beyond the budget and two calls, in roots of that budget
-	got   float64 // what the server got, as a part of its even share of the arrivals
+	worstExcess   float64 // most sends to the server in any window, beyond the budget and two calls, in roots of that budget
+	shareReceived float64 // what the server got, as a part of its even share of the arrivals
 }
 
-// play runs the fleet until the server has warmed up.
-func (p slowStartRun) play() slowStartResult {
+// simulate runs the fleet until the server has warmed up.
+func (p slowStartRun) simulate() slowStartResult {
 	const begin = time.Hour
 	startedAt := begin + 5*time.Second
 	quota := 60 * float64(p.servers)
@@ -45,7 +45,7 @@
 		fleet.nodes = append(fleet.nodes, node)
 	}
 	fleet.servers[0].StartedAt = startedAt
-	worst := 0.0
+	worstExcess := 0.0
 	for now := begin; now < startedAt+s.SlowStartDuration; now += 10 * ms {
 		rate := p.rate
 		if now >= startedAt+3*time.Second {
@@ -56,11 +56,11 @@
 			perServer := quota / float64(p.servers) * max(1, 2*capacityFraction(s, now-startedAt))
 			budget := s.CollapseMultiple * perServer * s.CollapseWindow.Seconds() / s.SlowStartDuration.Seconds()
 			sent := float64(fleet.sentSince(now - s.CollapseWindow))
-			worst = max(worst, (sent-2-budget)/math.Sqrt(budget))
+			worstExcess = max(worstExcess, (sent-2-budget)/math.Sqrt(budget))
 		}
 	}
 	evenShare := float64(fleet.arrivals) / float64(p.servers)
-	return slowStartResult{worst: worst, got: float64(len(fleet.sendTimes)) / evenShare}
+	return slowStartResult{worstExcess: worstExcess, shareReceived: float64(len(fleet.sendTimes)) / evenShare}
 }
 
 // slowStartFleet is the fleet of a run. The first of its servers starts during the run.
@@ -132,22 +132,22 @@
 	} {
 		for seed := range uint64(4) {
 			run := slowStartRun{c.nodes, c.servers, seed, c.rate, c.burst, 1}
-			result := run.play()
-			t.Logf("%+v: %.2f roots over the budget, %.2f of its part", run, result.worst, result.got)
-			if result.worst > 2 || result.got < c.least {
+			result := run.simulate()
+			t.Logf("%+v: %.2f roots over the budget, %.2f of its part", run, result.worstExcess, result.shareReceived)
+			if result.worstExcess > 2 || result.shareReceived < c.least {
 				t.Error("the run logged before is out of its bounds")
 			}
 		}
 	}
-	tooMuch := slowStartRun{nodes: 30, servers: 4, seed: 1, rate: 1, burst: 10, quotaFactor: 4}
-	if worst := tooMuch.play().worst; worst <= 2 {
-		t.Errorf("budgets four times too large are not detected: %.2f roots over", worst)
+	oversized := slowStartRun{nodes: 30, servers: 4, seed: 1, rate: 1, burst: 10, quotaFactor: 4}
+	if worstExcess := oversized.simulate().worstExcess; worstExcess <= 2 {
+		t.Errorf("budgets four times too large are not detected: %.2f roots over", worstExcess)
 	}
 }
 
 // The budget binds in every window of its length, also in one that begins in the middle of two of a node's own
 // windows.
-func TestSlowStart_BurstsAroundAWindowsEnd_KeepTheBudget(t *testing.T) {
+func TestSlowStart_BurstsAroundWindowEnd_KeepBudget(t *testing.T) {
 	for _, nodes := range []int{1, 2, 3, 8} {
 		const hosts = 4
 		s := testSettings()
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -110,7 +110,7 @@
 
 // When all servers start at once and the settings have no quotas, the present fraction of the arrivals is served by
 // all nodes together, and no server gets more than its budget.
-func TestSlowStart_AllServersWarmUp_ServeWhatTheyCan(t *testing.T) {
+func TestSlowStart_AllServersWarmUp_ServeWithinCapacity(t *testing.T) {
 	const nodes, servers, perSecond = 40, 10, 5
 	set := testSettings()
 	var all []*Balancer
@@ -213,13 +213,13 @@
 		s.Seed, s.NodeIndex, s.NodeCount, s.Tenants = uint64(i)+1, i, nodes, []Tenant{{ConnectionQuota: quota}}
 		n := newWarmNode(t, s, 10)
 		part = quota * testFleet(1)[0].Weight / n.fleet.weight
-		rows := testFleet(3)
-		rows[0].StartedAt = time.Minute
-		n.Handle(time.Minute, ListEvent{Kind: ListSnapshot, Revision: 2, Servers: rows})
+		entries := testFleet(3)
+		entries[0].StartedAt = time.Minute
+		n.Handle(time.Minute, ListEvent{Kind: ListSnapshot, Revision: 2, Servers: entries})
 		for c := range 60 {
 			id := RequestID(fmt.Sprint(c))
 			for _, to := range sends(n.Handle(time.Minute+time.Duration(c)*ms, Arrival{ID: id, Key: fmt.Sprint(i, id), TimeLeft: time.Second})) {
-				if to.Server == rows[0].ID {
+				if to.Server == entries[0].ID {
 					sent++
 				}
 			}
--- a/balancer/statelists.go
+++ b/balancer/statelists.go
@@ -6,7 +6,7 @@
 // of a large fleet asks for them thousands of times.
 type stateLists struct {
 	active   []*server    // by id
-	groups   [2][]*server // the active ones by parity, by id
+	byParity [2][]*server // the active ones by parity, by id
 	draining [2]int       // number of draining ones, by parity
 	filling  int          // number of filling ones
 }
@@ -16,7 +16,7 @@
 	switch srv.state {
 	case active:
 		l.active = removeByID(l.active, srv)
-		l.groups[srv.parity] = removeByID(l.groups[srv.parity], srv)
+		l.byParity[srv.parity] = removeByID(l.byParity[srv.parity], srv)
 	case draining:
 		l.draining[srv.parity]--
 	case filling:
@@ -26,7 +26,7 @@
 	switch to {
 	case active:
 		l.active = insertByID(l.active, srv)
-		l.groups[srv.parity] = insertByID(l.groups[srv.parity], srv)
+		l.byParity[srv.parity] = insertByID(l.byParity[srv.parity], srv)
 	case draining:
 		l.draining[srv.parity]++
 	case filling:
@@ -35,14 +35,14 @@
 }
 
 // regroup gives all servers a parity in turn and lists them anew. None of them may drain.
-func (l *stateLists) regroup(holders []*server) {
+func (l *stateLists) regroup(members []*server) {
 	l.active = l.active[:0]
-	l.groups = [2][]*server{l.groups[0][:0], l.groups[1][:0]}
-	for i, srv := range holders {
+	l.byParity = [2][]*server{l.byParity[0][:0], l.byParity[1][:0]}
+	for i, srv := range members {
 		srv.parity = i % 2
 		if srv.state == active {
 			l.active = append(l.active, srv)
-			l.groups[srv.parity] = append(l.groups[srv.parity], srv)
+			l.byParity[srv.parity] = append(l.byParity[srv.parity], srv)
 		}
 	}
 }
--- a/balancer/statelists_test.go
+++ b/balancer/statelists_test.go
@@ -34,7 +34,7 @@
 					tab.syncSecondHops()
 				}
 			default:
-				tab.progress(now, 200*time.Millisecond, 400*time.Millisecond, false)
+				tab.finishTransitions(now, 200*time.Millisecond, 400*time.Millisecond, false)
 			}
 			checkStateLists(t, tab)
 		}
@@ -56,7 +56,7 @@
 	if l.draining != drains {
 		t.Fatalf("draining: %v are counted, %v are", l.draining, drains)
 	}
-	for parity, group := range l.groups {
+	for parity, group := range l.byParity {
 		want := slices.DeleteFunc(tab.inState(active), func(s *server) bool { return s.parity != parity })
 		if !slices.Equal(group, want) {
 			t.Fatalf("group %d: %d are listed, %d are", parity, len(group), len(want))
@@ -69,7 +69,7 @@
 		}
 		held[s]++
 	}
-	for _, s := range tab.holders {
+	for _, s := range tab.members {
 		if s.state != draining && s.entryCount != held[s] {
 			t.Fatalf("%s counts %d entries and holds %d", s.id, s.entryCount, held[s])
 		}
--- a/balancer/table.go
+++ b/balancer/table.go
@@ -24,7 +24,7 @@
 // list, so nodes that saw the same changes hold the same table.
 type table struct {
 	first, second []*server
-	holders       []*server // servers that are not inactive, by id
+	members       []*server // servers that are not inactive, by id
 	changing      bool      // some of them drain or fill
 	states        stateLists
 }
@@ -46,14 +46,14 @@
 	size := tableSize(len(servers))
 	t.first = make([]*server, size)
 	t.second = make([]*server, size)
-	t.holders = slices.Clone(servers)
-	slices.SortFunc(t.holders, byID)
+	t.members = slices.Clone(servers)
+	slices.SortFunc(t.members, byID)
 	heaviest := 0.0
-	for _, srv := range t.holders {
+	for _, srv := range t.members {
 		srv.state = active
 		heaviest = max(heaviest, srv.weight)
 	}
-	t.states.regroup(t.holders)
+	t.states.regroup(t.members)
 	if len(servers) > 0 {
 		t.assignAll(heaviest)
 	}
@@ -61,10 +61,10 @@
 
 // assignAll assigns the entries of an empty table.
 func (t *table) assignAll(heaviest float64) {
-	steps := make([]uint64, len(t.holders)) // how far each server is in its sequence
-	due := make([]float64, len(t.holders))  // entries that each server may take by now
+	steps := make([]uint64, len(t.members)) // how far each server is in its sequence
+	due := make([]float64, len(t.members))  // entries that each server may take by now
 	for free := len(t.first); free > 0; {
-		for n, srv := range t.holders {
+		for n, srv := range t.members {
 			due[n] += srv.weight / heaviest
 			if due[n] < 1 || free == 0 {
 				continue
--- a/balancer/table_test.go
+++ b/balancer/table_test.go
@@ -14,8 +14,8 @@
 	for _, n := range names {
 		all = append(all, &server{id: ServerID(n), weight: 1, state: active})
 	}
-	t.holders = append(t.holders, all...)
-	t.states.regroup(t.holders)
+	t.members = append(t.members, all...)
+	t.states.regroup(t.members)
 	for _, i := range layout {
 		t.first, t.second = append(t.first, nil), append(t.second, all[i])
 		t.assign(len(t.first)-1, all[i])
@@ -45,11 +45,11 @@
 	}
 }
 
-var sevenThrice = []int{0, 0, 0, 1, 1, 1, 2, 2, 2, 3, 3, 3, 4, 4, 4, 5, 5, 5, 6, 6, 6}
+var threeEntriesEach = []int{0, 0, 0, 1, 1, 1, 2, 2, 2, 3, 3, 3, 4, 4, 4, 5, 5, 5, 6, 6, 6}
 
 // The drain example of the paper, with servers in sorted order in turn, as the design page has it.
 func TestTable_Drain_GoesToOtherParity(t *testing.T) {
-	tab, s := newTestTable("0123456", sevenThrice)
+	tab, s := newTestTable("0123456", threeEntriesEach)
 	tab.drain(s[4], 0)
 	expectHops(t, tab, "000111222333135555666", "000111222333444555666")
 	tab.drain(s[2], 0) // the same group: it may drain at the same time
@@ -58,13 +58,13 @@
 	tab.remove(s[4])
 	tab.syncSecondHops()
 	expectHops(t, tab, "000111135333135555666", "000111135333135555666")
-	if s[2].state != inactive || s[4].state != inactive || len(tab.holders) != 5 {
+	if s[2].state != inactive || s[4].state != inactive || len(tab.members) != 5 {
 		t.Error("the drained servers are not inactive")
 	}
 }
 
 func TestTable_DrainOfBothParities_SpreadsOverAll(t *testing.T) {
-	tab, s := newTestTable("0123456", sevenThrice)
+	tab, s := newTestTable("0123456", threeEntriesEach)
 	tab.drain(s[4], 0)
 	tab.drain(s[1], 0)
 	expectHops(t, tab, "000023222333535555666", "000111222333444555666")
@@ -94,7 +94,7 @@
 	if first != x || second != all[1] {
 		t.Error("an entry that is filled must name the old server as second hop")
 	}
-	tab.progress(time.Second, time.Second, time.Second, false)
+	tab.finishTransitions(time.Second, time.Second, time.Second, false)
 	if second := tab.hops(3)[0]; x.state != active || second != nil {
 		t.Error("the fill did not end with the grace")
 	}
@@ -125,26 +125,26 @@
 
 // Servers know their entries without a search: after any changes a drain empties all of them in order, and a fill
 // takes the lowest one of the server that holds most.
-func TestTable_AnyChanges_KnowOwnEntries(t *testing.T) {
+func TestTable_AnyChanges_ServersTrackOwnEntries(t *testing.T) {
 	for seed := range uint64(20) {
 		b, now := newWarmNode(t, testSettings(), 12), time.Duration(0)
 		draw := rand.New(rand.NewPCG(seed, 1))
 		for version := range int64(60) {
 			now += time.Duration(draw.Int64N(int64(time.Second)))
 			states := []ServerState{Live, Draining, Removed}
-			var rows []Server
+			var entries []Server
 			for _, s := range testFleet(16) {
 				if draw.IntN(4) == 0 {
 					s.State = states[draw.IntN(3)]
-					rows = append(rows, s)
+					entries = append(entries, s)
 				}
 			}
-			b.Handle(now, ListEvent{Kind: ListDelta, Revision: version + 2, Servers: rows})
+			b.Handle(now, ListEvent{Kind: ListDelta, Revision: version + 2, Servers: entries})
 			held := map[*server][]int{}
 			for i, s := range b.table.first {
 				held[s] = append(held[s], i)
 			}
-			for _, s := range b.table.holders {
+			for _, s := range b.table.members {
 				if !slices.Equal(s.ownEntries(b.table.first), held[s]) || s.entryCount != len(held[s]) {
 					t.Fatalf("seed %d, version %d: %s holds %d entries, lists %d, counts %d", seed, version, s.id, len(held[s]),
 						len(s.ownEntries(b.table.first)), s.entryCount)
--- a/balancer/transition.go
+++ b/balancer/transition.go
@@ -13,7 +13,7 @@
 	}
 	toAll := t.states.filling > 0 || t.states.draining[1-srv.parity] > 0
 	if t.states.draining == [2]int{} { // parities stay as they are for as long as any server drains
-		t.states.regroup(t.holders)
+		t.states.regroup(t.members)
 	}
 	t.states.move(srv, draining)
 	srv.changedAt = now
@@ -29,7 +29,7 @@
 // receivers returns the servers that take over the entries of a server: the active ones of the other parity, or all
 // of them; where none is active those that fill, and a single nil where there is no server.
 func (t *table) receivers(srv *server, all bool) []*server {
-	receivers := t.states.groups[1-srv.parity]
+	receivers := t.states.byParity[1-srv.parity]
 	if all || len(receivers) == 0 {
 		receivers = t.states.active
 	}
@@ -45,7 +45,7 @@
 // remove takes out a server that holds no first-hop entries. syncSecondHops must follow.
 func (t *table) remove(srv *server) {
 	t.states.move(srv, inactive)
-	t.holders = removeByID(t.holders, srv)
+	t.members = removeByID(t.members, srv)
 }
 
 // syncSecondHops copies the first hop where the second one is a removed server. It is called once for all that were
@@ -68,7 +68,7 @@
 	t.states.move(srv, filling)
 	srv.changedAt = now
 	t.changing = true
-	t.holders = insertByID(t.holders, srv)
+	t.members = insertByID(t.members, srv)
 	if others == 0 {
 		t.fillEmpty(srv)
 	}
@@ -108,14 +108,14 @@
 // fillCount is ceil((floor(entries/servers)/3)*2).
 func fillCount(entries, servers int) int { return (entries/max(servers, 1)*2 + 2) / 3 }
 
-// progress ends drains and fills whose times have passed, and fills at once where this node has no request.
-func (t *table) progress(now, drainTime, fillTime time.Duration, idle bool) {
+// finishTransitions ends drains and fills whose times have passed, and fills at once where this node has no request.
+func (t *table) finishTransitions(now, drainTime, fillTime time.Duration, idle bool) {
 	if !t.changing {
 		return
 	}
-	holders := slices.Clone(t.holders)
+	members := slices.Clone(t.members)
 	t.changing = false
-	for _, srv := range holders {
+	for _, srv := range members {
 		age := now - srv.changedAt
 		switch {
 		case srv.state == draining && age >= drainTime:
@@ -126,15 +126,15 @@
 			t.changing = true
 		}
 	}
-	if len(t.holders) < len(holders) {
+	if len(t.members) < len(members) {
 		t.syncSecondHops()
 	}
 }
 
-// inState lists the holders in a state, by id.
+// inState lists the members in a state, by id.
 func (t *table) inState(state serverState) []*server {
 	var matching []*server
-	for _, srv := range t.holders {
+	for _, srv := range t.members {
 		if srv.state == state {
 			matching = append(matching, srv)
 		}
