--- a/balancer/actions.go
+++ b/balancer/actions.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// Reason is why a request was rejected or failed, for logs and metrics.
+// Reason says why a request was rejected or failed. Logs and metrics contain its text.
 type Reason string
 
-// The reasons.
+// The reasons for a rejection or a failure.
 const (
 	ReasonDraining  Reason = "the node drains"
 	ReasonPaced     Reason = "its turn among paced set-ups comes too late"
@@ -15,43 +15,43 @@
 	ReasonNoServer  Reason = "no server may take it"
 )
 
-// Action is one thing that the node is to do. Actions are carried out in order.
+// Action is an instruction to the node, which carries out the actions of an event in order.
 type Action interface{ action() }
 
-// The actions.
+// The actions that Handle returns.
 type (
-	// Send starts an attempt; attempts of a request count from 0.
+	// Send starts the next attempt of a request at a server. The attempts of a request are numbered from 0.
 	Send struct {
 		ID      RequestID
 		Server  ServerID
 		Timeout time.Duration
 	}
-	// Reject is a final answer: a retry is harmless.
+	// Reject is a final answer which tells the client that a retry is harmless.
 	Reject struct {
 		ID         RequestID
 		RetryAfter time.Duration // 0 for none
 		Reason     Reason
 	}
-	// Fail is a final answer that promises nothing about a retry.
+	// Fail is a final answer which does not tell the client whether a retry is harmless.
 	Fail struct {
 		ID     RequestID
 		Reason Reason
 	}
-	// Cancel withdraws an attempt.
+	// Cancel cancels a pending attempt.
 	Cancel struct {
 		ID      RequestID
 		Attempt int
 	}
-	// Migrate asks the client of an open connection to reconnect.
+	// Migrate asks the client of an established connection to reconnect.
 	Migrate struct{ ID RequestID }
 	// SetTimer asks for a Timer event at a clock time.
 	SetTimer struct {
 		At    time.Duration
 		Token string
 	}
-	// WatchList asks the endpoint list for changes from now on.
+	// WatchList sends a list request to discovery and watches for later changes of the endpoint list.
 	WatchList struct{}
-	// Log adds a line to the node's log.
+	// Log writes a line to the node's log.
 	Log struct{ Text string }
 )
 
--- a/balancer/api.go
+++ b/balancer/api.go
@@ -1,26 +1,27 @@
-// Package balancer decides, for one balancer node, which server gets each long-lived connection.
+// Package balancer decides, for one node, which server gets each long-lived connection. A server is a backend server,
+// which other packages call a host.
 //
-// It is a pure state machine: Handle takes one event and returns actions. The package does no I/O, reads no clock,
+// The package is a pure state machine: Handle takes one event and returns actions. It does no I/O, reads no clock,
 // starts no goroutine and is not safe for concurrent use. The settings are in api.go, the events in events.go and the
-// actions in actions.go; the other files hold the decisions.
+// actions in actions.go; the other files make the decisions.
 package balancer
 
 import "time"
 
-// ServerID and RequestID are opaque names given by the caller.
+// ServerID and RequestID are opaque identifiers that the caller chooses.
 type (
 	ServerID  string
 	RequestID string
 )
 
-// MaxRepollDelay bounds the time between the end of a failed call to the endpoint list, or of a watch, and the next
-// WatchList. Where the call took less than MaxRepollDelay, the bound is twice MaxRepollDelay less the time that it
-// took: a change must be known 6 s after the list could be reached, of which 3 s may go into a call that is lost
-// just then.
+// MaxRepollDelay bounds the time from the end of a failed list request, or of a watch, to the next WatchList action.
+// If the request failed in less than MaxRepollDelay, the bound is 2*MaxRepollDelay minus the duration of the request.
+// A node must know a change within 6 s after discovery becomes reachable, and a request that is lost at that moment
+// may take up 3 s of them.
 const MaxRepollDelay = 2500 * time.Millisecond
 
-// MaxSchedulingDelay is how long a node may be held up between reading its clock and writing. The drain grace
-// covers it.
+// MaxSchedulingDelay is the longest expected delay between a node's reading of its clock and the write that follows.
+// The drain grace covers it.
 const MaxSchedulingDelay = 150 * time.Millisecond
 
 // Effect says how safely a request of a class may be retried.
@@ -29,11 +30,11 @@
 // The effects that a class can have.
 const (
 	Idempotent      Effect = iota // may be retried without restriction
-	IdempotentByKey               // a group of servers drops repeats for a time
-	NonIdempotent                 // must not run twice
+	IdempotentByKey               // the servers in its Scope drop repeats during its IdempotencyWindow
+	NonIdempotent                 // must not be executed twice
 )
 
-// Scope names the servers that drop repeats of an IdempotentByKey request.
+// Scope says which servers drop repeats of an IdempotentByKey request that one of them has executed.
 type Scope uint8
 
 // The scopes of an IdempotentByKey class.
@@ -45,49 +46,49 @@
 
 // Class is one kind of request.
 type Class struct {
-	SetupLatencyObjective   time.Duration // until the connection is established
-	Deadline                time.Duration // total time that a client waits
-	MessageLatencyObjective time.Duration // of a message on an open connection; 0 where unknown
+	SetupLatencyObjective   time.Duration // latency objective of connection setup
+	Deadline                time.Duration // longest time that a client waits for its final answer
+	MessageLatencyObjective time.Duration // latency objective of messages on an established connection; 0 if unknown
 	PriorityWeight          float64
 	Effect                  Effect
 	Scope                   Scope         // IdempotentByKey only
-	IdempotencyWindow       time.Duration // IdempotentByKey only: how long repeats are dropped
+	IdempotencyWindow       time.Duration // IdempotentByKey only: time in which repeats are dropped
 }
 
-// Tenant is a customer with a quota of the service.
+// Tenant is a customer of the service, with a quota.
 type Tenant struct {
-	ConnectionQuota float64 // open connections over all nodes; 0 where unknown
+	ConnectionQuota float64 // established connections through all nodes; 0 if unknown
 }
 
-// Settings is what a node knows at its start. Flags that begin with May say what the deployment allows.
+// Settings configures a node. The flags whose names begin with May say what the deployment allows.
 type Settings struct {
 	Seed            uint64
-	NodeIndex       int // this node among its peers
+	NodeIndex       int // index of this node in the fleet
 	NodeCount       int
 	Zone            int
 	Classes         []Class
 	Tenants         []Tenant
-	OverQuotaWeight float64 // weight of a request of a tenant over its quota, as a fraction of its class's
-	PassThrough     bool    // packets pass through: arrivals may be mid-flow
-	PollList        bool    // the endpoint list answers only when it is polled
+	OverQuotaWeight float64 // fraction of the priority weight that requests of a tenant over its quota have
+	PassThrough     bool    // pass-through mode: arrivals may be mid-flow
+	PollList        bool    // discovery doesn't push the endpoint list: the node polls it
 
 	MaxAttempts   int // 0 for no limit
 	MayCancel     bool
 	MayProbe      bool
 	MayNotify     bool
-	MaxRetryAfter time.Duration // longest Retry-After; 0 where clients take none
-
-	DrainGrace        time.Duration // a draining server gets nothing after it
-	SlowStartFraction float64       // fraction of its capacity that a server has at its start
-	SlowStartDuration time.Duration // until it has all of it
-	CollapseMultiple  float64       // load over present capacity at which a starting server collapses
-	CollapseWindow    time.Duration // when that lasts so long
-	PollInterval      time.Duration // longest time between polls of the endpoint list
+	MaxRetryAfter time.Duration // longest Retry-After; 0 if clients don't honor it
+
+	DrainGrace        time.Duration // time after which a draining server gets nothing more
+	SlowStartFraction float64       // fraction of its capacity that a server has when it starts
+	SlowStartDuration time.Duration // time from its start until a server has its full capacity
+	CollapseMultiple  float64       // ratio of load to present capacity at which a server in slow start collapses
+	CollapseWindow    time.Duration // time for which that load must last for a collapse
+	PollInterval      time.Duration // longest time between list requests while no watch is open
 	CrossZoneCost     float64       // cost of a request that crosses zones, as a fraction of its weight; 0 for none
-	Zones             int           // number of zones; 0 where unknown
+	Zones             int           // number of zones; 0 if unknown
 }
 
-// ServerState is the state of a server in the endpoint list.
+// ServerState is the state of a server according to the endpoint list.
 type ServerState uint8
 
 // The states in the endpoint list.
@@ -103,8 +104,8 @@
 	Zone         int
 	Cell         int
 	State        ServerState
-	Weight       float64       // listed size in relation to other servers
-	StartedAt    time.Duration // clock time of its last start; 0 for long ago
-	AssumedStart bool          // StartedAt is an assumption, as the list is stale; a later list confirms it
-	EjectFor     time.Duration // ejected for so long, as other nodes could not connect to it; 0 for not
+	Weight       float64       // capacity in relation to other servers
+	StartedAt    time.Duration // clock time of its last start; 0 if long ago
+	AssumedStart bool          // StartedAt is an assumption because the list may be stale; a later list confirms it
+	EjectFor     time.Duration // how long to eject it because other nodes could not connect to it; 0 for not at all
 }
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -11,23 +11,23 @@
 	sweepInterval  = 200 * time.Millisecond
 	sweepToken     = "sweep"
 	pacingToken    = "wait"
-	timerTolerance = time.Microsecond // timers are cut to the microsecond, so one may fall due that much early
+	timerTolerance = time.Microsecond // timers are truncated to the microsecond, so one may fire that much early
 )
 
-// Balancer decides for one node.
+// Balancer makes the decisions of one node.
 type Balancer struct {
 	settings Settings
 	derived  derivedSettings
 	now      time.Duration
-	actions  []Action // of the event in hand
+	actions  []Action // actions of the current event
 	rng      *rand.Rand
-	started  bool // an event has been handled
+	started  bool // the first event has been handled
 
 	table      table
 	servers    map[ServerID]*server
 	requests   map[RequestID]*request
-	scans      uint64    // scans of the table so far; marks the servers that the present one met
-	reinstated []*server // brought back by operators and not used since, in that order
+	scans      uint64    // number of the current table scan; marks the servers that the scan has visited
+	reinstated []*server // servers that operators reinstated and that got no request since, in order of reinstatement
 
 	fleet   fleetTotals
 	loads   loadEstimates
@@ -38,16 +38,16 @@
 	drain   Drain // graceful shutdown of this node
 }
 
-// derivedSettings are bounds over all classes and tenants.
+// derivedSettings holds minima and sums over all classes and tenants.
 type derivedSettings struct {
-	minMessageObjective time.Duration // 0 where no class has one
+	minMessageObjective time.Duration // 0 if no class has one
 	minSetupObjective   time.Duration
 	minDeadline         time.Duration
-	limitRecovery       time.Duration // in which a load limit grows back
-	connectionQuota     float64       // this node's part of the tenants' quotas; 0 where unknown
+	limitRecovery       time.Duration // time in which a reduced load limit recovers
+	connectionQuota     float64       // this node's share of all tenants' quotas; 0 if unknown
 }
 
-// New returns the balancer of a node that knows only its settings.
+// New returns the balancer of a node that has no endpoint list yet.
 func New(s Settings) *Balancer {
 	b := &Balancer{
 		settings: s,
@@ -60,7 +60,7 @@
 			byTenant: make([]int, len(s.Tenants)+1),
 		},
 	}
-	b.settings.Tenants = append(slices.Clip(s.Tenants), Tenant{}) // the last one is for requests of none
+	b.settings.Tenants = append(slices.Clip(s.Tenants), Tenant{}) // the last entry counts requests without a known tenant
 	b.settings.Classes = slices.Clone(s.Classes)
 	for i := range b.settings.Classes {
 		class := &b.settings.Classes[i]
@@ -70,7 +70,7 @@
 	return b
 }
 
-// deriveSettings computes the bounds over all classes and tenants.
+// deriveSettings computes minima and sums over all classes and tenants.
 func deriveSettings(s *Settings) derivedSettings {
 	var derived derivedSettings
 	for _, tenant := range s.Tenants {
@@ -92,7 +92,8 @@
 	return derived
 }
 
-// Handle takes one event at a clock time and returns the actions, which are valid until the next call.
+// Handle handles an event that happens at the given clock time. It returns the resulting actions, which are valid
+// until the next call.
 func (b *Balancer) Handle(now time.Duration, event Event) []Action {
 	b.now = now
 	b.actions = b.actions[:0]
@@ -101,14 +102,14 @@
 	}
 	b.table.finishTransitions(now, b.drainGrace(), b.settings.DrainGrace*9/10, len(b.requests) == 0)
 	b.dispatch(event)
-	if len(b.pacing.queue) > 0 && b.pacing.interval <= 0 { // a set-up that ended may let the next ones go
+	if len(b.pacing.queue) > 0 && b.pacing.interval <= 0 { // a setup that ended may make room for queued ones
 		b.resumeQueue()
 	}
 	b.armPacingTimer()
 	return b.actions
 }
 
-// start begins the housekeeping with the first event.
+// start schedules the first list request and the first sweep when the first event arrives.
 func (b *Balancer) start() {
 	b.started = true
 	b.rates.secondStartedAt = b.now
@@ -117,7 +118,7 @@
 	b.emit(SetTimer{b.now + sweepInterval, sweepToken})
 }
 
-// dispatch hands an event to its handler.
+// dispatch calls the handler of an event.
 func (b *Balancer) dispatch(event Event) {
 	switch e := event.(type) {
 	case ListEvent:
@@ -141,7 +142,7 @@
 		b.finish(b.requests[e.ID])
 	case Drain:
 		b.drain = e
-		b.resumeQueue() // queued requests are answered at once
+		b.resumeQueue() // answers the queued requests at once
 	case Timer:
 		b.handleTimer(e)
 	}
@@ -159,7 +160,7 @@
 func (b *Balancer) emit(a Action)   { b.actions = append(b.actions, a) }
 func (b *Balancer) log(text string) { b.emit(Log{text}) }
 
-// jitter draws a time from 0 to span.
+// jitter returns a random duration between 0 and span.
 func (b *Balancer) jitter(span time.Duration) time.Duration {
 	return time.Duration(b.rng.Float64() * float64(span))
 }
--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -7,8 +7,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// updateEndpoints takes in a change of the endpoint list: drains and removals first, then additions, each in order of
-// ids, so that the tables of all nodes change alike.
+// updateEndpoints applies a change of the endpoint list: drains, then removals, then additions, each ordered by server
+// id, so that the tables of all nodes change in the same way.
 func (b *Balancer) updateEndpoints(e ListEvent) {
 	if e.Kind == ListFailed {
 		b.handleListFailure()
@@ -23,7 +23,7 @@
 	b.addServers(entries, e.Kind == ListOverride)
 }
 
-// drainServers drains the servers that are listed as draining or removed.
+// drainServers drains the servers whose entries say draining or removed.
 func (b *Balancer) drainServers(entries []Server) {
 	for _, entry := range entries {
 		srv := b.servers[entry.ID]
@@ -34,7 +34,7 @@
 	}
 }
 
-// removeServers removes the servers that are listed as removed or, where the list is complete, not at all.
+// removeServers removes the servers whose entries say removed and, if the list is complete, those without an entry.
 func (b *Balancer) removeServers(entries []Server, complete bool) {
 	removed := make(map[ServerID]bool, len(entries))
 	for _, entry := range entries {
@@ -55,10 +55,10 @@
 	}
 }
 
-// addServers adds or updates the live servers.
+// addServers adds or updates the servers whose entries say live.
 func (b *Balancer) addServers(entries []Server, override bool) {
 	var live []*server
-	empty := len(b.table.members) == 0 // filled one by one, the first server would take the whole table
+	empty := len(b.table.members) == 0 // build instead of fill: the first server filled would get the whole table
 	for _, entry := range entries {
 		if entry.State != Live {
 			continue
@@ -82,7 +82,8 @@
 	}
 }
 
-// updateServer takes over a listed entry, and forgets what was observed of a server that has restarted since.
+// updateServer applies an entry of the list. It discards what this node observed of the server if the server has
+// restarted since.
 func (b *Balancer) updateServer(entry Server) *server {
 	srv := b.servers[entry.ID]
 	if srv == nil {
@@ -106,7 +107,7 @@
 	return srv
 }
 
-// resetServer starts the observation of a server anew.
+// resetServer discards what this node observed of a server.
 func (b *Balancer) resetServer(srv *server, entry Server) {
 	srv.startedAt = entry.StartedAt
 	srv.assumedStart = entry.AssumedStart
@@ -118,19 +119,19 @@
 		srv.tokens = 0
 		srv.refilledAt = b.now - b.settings.CollapseWindow
 	} else {
-		srv.tokens = b.rng.Float64() // so that not all nodes of a large fleet have their first token at once
+		srv.tokens = b.rng.Float64() // random, or all nodes of a large fleet would get their first token at once
 		srv.refilledAt = b.now
 	}
 }
 
-// removeIfUnused forgets a server that nothing refers to any more.
+// removeIfUnused deletes a server that is neither in the table nor has connections or attempts.
 func (b *Balancer) removeIfUnused(srv *server) {
 	if srv.state == inactive && srv.connections == 0 && b.servers[srv.id] == srv {
 		delete(b.servers, srv.id)
 	}
 }
 
-// clearReinstated ends the wait of a reinstated server for its first use.
+// clearReinstated removes a server from the list of reinstated servers that wait for their first request.
 func (b *Balancer) clearReinstated(srv *server) {
 	if srv.reinstatedAt > 0 {
 		srv.reinstatedAt = 0
--- a/balancer/events.go
+++ b/balancer/events.go
@@ -5,87 +5,87 @@
 // Event is one thing that happened to the node.
 type Event interface{ event() }
 
-// ListKind says how a list event is to be read.
+// ListKind says what a ListEvent contains.
 type ListKind uint8
 
 // The kinds of list events.
 const (
-	ListDelta    ListKind = iota // changed entries only
+	ListDelta    ListKind = iota // the changed entries
 	ListSnapshot                 // the complete list
-	ListCached                   // the complete list from a cache, maybe stale
-	ListFailed                   // a poll failed or the watch broke
-	ListOverride                 // changed entries from operators: no sign that polls succeed
+	ListCached                   // the complete list from a cache, possibly stale
+	ListFailed                   // nothing: a list request failed or the watch broke
+	ListOverride                 // entries that operators changed; says nothing about the state of discovery
 )
 
-// The events.
+// The events that Handle accepts.
 type (
 	// ListEvent carries a change of the endpoint list.
 	ListEvent struct {
 		Kind       ListKind
 		Revision   int64
 		Servers    []Server
-		Superseded bool // of a call after which another was made: no sign that the later one succeeds
+		Superseded bool // the response to an earlier list request; says nothing about the pending one
 	}
 	// Arrival is a new request. It gets exactly one final answer.
 	Arrival struct {
 		ID        RequestID
 		Class     int
 		Tenant    int
-		Key       string // of the client
-		Group     string // connections of a group share work on a server; "" for none
+		Key       string // client key
+		Group     string // connections of a group share work if they are on the same server; "" for none
 		TimeLeft  time.Duration
-		Load      float64 // expected load, 0 where unknown
+		Load      float64 // expected load; 0 if unknown
 		Retry     bool
-		MidFlow   bool // packets of a connection that is open elsewhere
-		Reconnect bool // back after a reset or a migration
+		MidFlow   bool // packets of a connection that is already established, through another node
+		Reconnect bool // the client reconnects after a reset or a migration
 	}
-	// Inherited is a connection that was open through this node at its start.
+	// Inherited is a connection that is already established through this node when the balancer starts.
 	Inherited struct {
 		Arrival
 		Server ServerID
 	}
-	// Timer is a SetTimer that has fallen due.
+	// Timer reports that a timer set by SetTimer has expired.
 	Timer struct{ Token string }
-	// Established says that the connection of a request is up.
+	// Established reports that an attempt has established its connection.
 	Established struct {
 		ID      RequestID
 		Attempt int
 		Server  ServerID
 		Took    time.Duration
 	}
-	// AttemptEnded says how an attempt ended.
+	// AttemptEnded reports the outcome of an attempt.
 	AttemptEnded struct {
 		ID      RequestID
 		Attempt int
 		Server  ServerID
 		Took    time.Duration
 		Outcome Outcome
-		Final   bool // the request is concluded, now or before
+		Final   bool // the request has its final answer and gets no further attempt
 	}
-	// LoadReport gives the load of an open connection, in work a second.
+	// LoadReport reports the load of an established connection, in units of work per second.
 	LoadReport struct {
 		ID   RequestID
 		Load float64
 	}
-	// LatencyReport gives the time that a message takes at a connection's server.
+	// LatencyReport reports the latency of a message at a connection's server.
 	LatencyReport struct {
 		ID      RequestID
 		Latency time.Duration
 	}
-	// PeerMessage comes from another node.
+	// PeerMessage is a message from a peer.
 	PeerMessage struct {
 		From int
 		Data []byte
 	}
-	// Drain begins or, where Active is false, cancels the graceful shutdown of this node.
+	// Drain starts the graceful shutdown of this node, or cancels it if Active is false.
 	Drain struct {
 		Active          bool
-		Deadline        time.Duration // clock time by which all connections are to be gone
+		Deadline        time.Duration // clock time by which all connections must be migrated
 		AdmissionCutoff time.Duration // clock time from which new requests are rejected
 		RetryAfter      time.Duration // Retry-After of those rejections
-		KeepConnections bool          // open connections stay: they go on by way of other nodes
+		KeepConnections bool          // established connections stay; their packets will pass through other nodes
 	}
-	// ClientDisconnected ends a request without an answer.
+	// ClientDisconnected reports that a client disconnected. Its request gets no final answer.
 	ClientDisconnected struct{ ID RequestID }
 )
 
@@ -101,20 +101,20 @@
 func (Drain) event()              {}
 func (ClientDisconnected) event() {}
 
-// Outcome is the end of an attempt or of a health check.
+// Outcome is the outcome of an attempt or of a health check.
 type Outcome uint8
 
 // The outcomes.
 const (
 	Served Outcome = iota
 	Errored
-	Rejected        // by the server, before any work was done
-	ResponseTimeout // no response in time
-	ConnectFailed   // no connection in time
-	ConnectionReset // the connection broke
-	Cancelled       // cancelled, or the client disconnected
-	NotSent         // not sent at all
+	Rejected        // rejected by the server before it did any work
+	ResponseTimeout // the server did not respond in time
+	ConnectFailed   // the node could not connect to the server in time
+	ConnectionReset // the connection to the server broke
+	Cancelled       // the node cancelled the attempt, or the client disconnected
+	NotSent         // nothing was sent to the server
 )
 
-// ProvesNotExecuted reports whether the outcome proves that the attempt never ran.
+// ProvesNotExecuted reports whether the outcome proves that the server did not execute the request.
 func (o Outcome) ProvesNotExecuted() bool { return o == Rejected || o == ConnectFailed || o == NotSent }
--- a/balancer/eviction.go
+++ b/balancer/eviction.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// drainGrace is for how long a draining server is still sent mid-flow arrivals. The rest of the settings' grace
-// covers the way out of the node and a hold-up on it.
+// drainGrace is how long a draining server still gets mid-flow arrivals. The rest of the DrainGrace
+// setting covers a scheduling delay and the time until a packet has left the node.
 func (b *Balancer) drainGrace() time.Duration {
 	return max(min(b.settings.DrainGrace*9/10, b.settings.DrainGrace-MaxSchedulingDelay), 0)
 }
 
-// evictConnections migrates open connections during the node's own graceful shutdown, at an even rate and those of
-// least value first.
+// evictConnections migrates established connections during the graceful shutdown of this node: at an even rate until
+// the deadline, and those of least value first.
 func (b *Balancer) evictConnections() {
 	open := b.connectionsByValue(nil)
 	steps := int(max((b.drain.Deadline-b.now)/sweepInterval, 1))
@@ -24,8 +24,8 @@
 	}
 }
 
-// shedLoad migrates connections off a server until its load has fallen by an amount, those of least value first.
-// The last one goes by chance, so that many nodes with a connection each move some of them.
+// shedLoad migrates connections off a server until its load has fallen by excess, those of least value first. Whether
+// the last one migrates is random: if many nodes have one connection each on the server, some of these migrate.
 func (b *Balancer) shedLoad(srv *server, excess float64) {
 	for _, req := range b.connectionsByValue(srv) {
 		if excess < req.load*b.rng.Float64() {
@@ -37,8 +37,8 @@
 	}
 }
 
-// connectionsByValue lists the open connections of a server, or of all for nil, least priority weight for their load
-// first.
+// connectionsByValue returns the established connections of a server, or of all servers if srv is nil. Those with the
+// least priority weight per load come first.
 func (b *Balancer) connectionsByValue(srv *server) []*request {
 	var open []*request
 	for _, req := range b.requests {
--- a/balancer/housekeeping.go
+++ b/balancer/housekeeping.go
@@ -3,22 +3,22 @@
 import "time"
 
 const (
-	fleetWeightDecaySweeps = 4096 // sweeps in which the largest weight of the fleet fades
-	rateSmoothing          = 0.1  // weight of one second in the rate of set-ups
+	fleetWeightDecaySweeps = 4096 // time constant, in sweeps, with which the fleet's largest weight decays
+	rateSmoothing          = 0.1  // weight of the last second in the moving average of the setup rate
 )
 
-// arrivalRates count requests and set-ups over time.
+// arrivalRates counts arrivals and successful connection setups.
 type arrivalRates struct {
-	startedAt          time.Duration // of the first event
-	secondStartedAt    time.Duration // of the second that runs
-	setups             float64       // moving average, a second
+	startedAt          time.Duration // clock time of the first event
+	secondStartedAt    time.Duration // start of the current second
+	setups             float64       // moving average of successful setups per second
 	setupsThisSecond   float64
 	setupsTotal        float64
 	arrivalsLastSecond float64
 	arrivalsThisSecond float64
 }
 
-// sweep is the periodic housekeeping.
+// sweep does the periodic work that no event triggers.
 func (b *Balancer) sweep() {
 	b.emit(SetTimer{b.now + sweepInterval, sweepToken})
 	b.updateTotals()
@@ -33,7 +33,8 @@
 	b.requestListIfDue()
 }
 
-// updateRates ends a second. A reconnect surge counts in part only, and an overload does not lower the usual rate.
+// updateRates updates the rates at the end of a second. A reconnect surge counts only in part, and the usual rate does
+// not fall while setups are paced.
 func (b *Balancer) updateRates() {
 	setups := min(b.rates.setupsThisSecond, 2*b.rates.setups+1)
 	if b.pacing.interval == 0 || setups > b.rates.setups {
--- a/balancer/load.go
+++ b/balancer/load.go
@@ -3,57 +3,60 @@
 import "cmp"
 
 const (
-	// As in the design: a server is skipped from this part of the mean load and this many connections on.
+	// A server counts as overloaded if its load exceeds its share of the fleet's load by overloadFactor and it has at
+	// least minOverloadConnections. Both values are those of the design
+	// (docs/design.md).
 	overloadFactor         = 1.5
 	minOverloadConnections = 2
 
-	overloadedFraction          = 0.5    // share of the known weight with new limits, from which the fleet is overloaded
-	lowSampleOverloadedFraction = 1. / 3 // the same at a node with a low sample
+	overloadedFraction          = 0.5    // the fleet is overloaded if more of the known weight was recently limited
+	lowSampleOverloadedFraction = 1. / 3 // overloadedFraction at a node with a low sample
 
 	loadSmoothing = 0.05 // weight of one load report in the mean loads
 )
 
-// fleetTotals are sums over the servers that do not drain, as of the last sweep or list.
+// fleetTotals holds sums over the servers that are not draining, as of the last sweep or list change.
 type fleetTotals struct {
-	load            float64 // on servers that are not ejected
-	usableCapacity  float64 // of servers that are not ejected
+	load            float64 // load of the servers that are not ejected
+	usableCapacity  float64 // present capacity of the servers that are not ejected
 	weight          float64
-	zoneWeight      float64 // in this node's zone
-	maxWeight       float64 // the largest weight, which fades slowly
+	zoneWeight      float64 // weight of the servers in this node's zone
+	maxWeight       float64 // largest value of weight so far; decays slowly
 	overloaded      bool
-	ignoreEjections bool // more are ejected than can be outliers
-	maxProbes       int  // servers that a group may newly use in an overloaded fleet
+	ignoreEjections bool // so many servers are ejected that they cannot all be outliers
+	maxProbes       int  // number of servers on which a group may open its first connection in an overloaded fleet
 }
 
-// loadEstimates are mean loads of a connection.
+// loadEstimates holds the mean load of a connection.
 type loadEstimates struct {
-	mean      float64   // 0 until the first report
-	byClass   []float64 // by class; 0 until the first report
-	groupCost float64   // of a group at each server that has a connection of it
+	mean      float64   // 0 until the first load report
+	byClass   []float64 // mean by class; 0 until the first load report
+	groupCost float64   // load that a group adds to each server with connections of the group
 }
 
-// connectionCounts count this node's open connections and attempts in flight.
+// connectionCounts counts this node's established connections and attempts in flight.
 type connectionCounts struct {
 	connections int
 	byGroup     map[string]int
-	byTenant    []int // the last one is for requests of none
+	byTenant    []int // the last entry counts requests without a known tenant
 }
 
-// adjustCounts adds a request to its server, or removes it with change = -1.
+// adjustCounts adds a request to the counts of its server and of the node if change is 1, or removes it if change is
+// -1.
 func (b *Balancer) adjustCounts(srv *server, req *request, change int) {
 	srv.connections += change
 	srv.load += float64(change) * req.load
 	b.fleet.load += float64(change) * req.load
 	b.counts.connections += change
 	if srv.connections == 0 {
-		srv.load = 0 // no drift from rounding
+		srv.load = 0 // rounding errors must not add up
 	}
 	b.counts.byTenant[req.Tenant] += change
 	adjustGroup(b.counts.byGroup, req.Group, change)
 	adjustGroup(srv.groups, req.Group, change)
 }
 
-// adjustGroup changes a group's count and drops a group without connections.
+// adjustGroup changes a group's count and deletes a group without connections.
 func adjustGroup(counts map[string]int, group string, change int) {
 	counts[group] += change
 	if counts[group] <= 0 {
@@ -61,7 +64,7 @@
 	}
 }
 
-// updateLoad takes in a connection's reported load. The first report sets the load of all that have none.
+// updateLoad applies a load report. The first report sets the load of all connections.
 func (b *Balancer) updateLoad(req *request, load float64) {
 	if req == nil || req.establishedOn == nil || load <= 0 {
 		return
@@ -77,11 +80,11 @@
 	*classMean += loadSmoothing * (load - *classMean)
 	b.loads.mean += loadSmoothing * (load - b.loads.mean)
 	if req.Group != "" {
-		b.loads.groupCost = b.loads.mean // the settings say that a group has a cost, not which
+		b.loads.groupCost = b.loads.mean // the settings don't give the cost of a group
 	}
 }
 
-// setInitialLoad gives all connections the load of the first report.
+// setInitialLoad sets the load of all connections to that of the first load report.
 func (b *Balancer) setInitialLoad(load float64) {
 	b.loads.mean = load
 	for _, srv := range b.servers {
@@ -92,7 +95,7 @@
 	}
 }
 
-// updateTotals sums up the fleet.
+// updateTotals recomputes the totals of the fleet.
 func (b *Balancer) updateTotals() {
 	ejected, known, limited := 0.0, 0.0, 0.0
 	totals := fleetTotals{maxProbes: maxGroupProbes}
@@ -121,22 +124,22 @@
 	totals.maxWeight = max(b.fleet.maxWeight, totals.weight)
 	totals.ignoreEjections = ejected > maxEjectedFraction*totals.weight
 	totals.overloaded = limited > overloadedFraction*known
-	if b.lowSample() { // it knows few servers, and late
+	if b.lowSample() { // this node has connections on few servers and detects an overload late
 		totals.overloaded = limited > lowSampleOverloadedFraction*known
 		totals.maxProbes = lowSampleGroupProbes
 	}
 	b.fleet = totals
 }
 
-// loadOf is the load of this node on a server, with the cost of the groups there.
+// loadOf returns the load that this node's connections put on a server, including the cost of their groups.
 func (b *Balancer) loadOf(srv *server) float64 {
 	return srv.load + b.loads.groupCost*float64(len(srv.groups))
 }
 
-// capacityOf is the part of a server's weight that it has now.
+// capacityOf returns a server's present capacity: its weight, reduced during slow start.
 func (b *Balancer) capacityOf(srv *server) float64 { return srv.weight * b.slowStartFactor(srv) }
 
-// isOverloaded reports whether a server, with more load added, is over its part of the fleet's load.
+// isOverloaded reports whether a server with addedLoad would exceed its share of the fleet's load by overloadFactor.
 func (b *Balancer) isOverloaded(srv *server, addedLoad float64) bool {
 	if srv.connections < minOverloadConnections {
 		return false
--- a/balancer/overload.go
+++ b/balancer/overload.go
@@ -3,14 +3,14 @@
 import "time"
 
 const (
-	targetUtilization      = 0.88 // fraction of a server's capacity at which a reduced limit aims
-	priorityReserve        = 0.15 // fraction of a limit that is kept for requests of high relative value
-	limitRecoveryDeadlines = 16   // longest deadlines in which a limit grows back
-	maxLatencyAge          = 2 * time.Second
+	targetUtilization      = 0.88            // fraction of the estimated capacity to which a load limit is reduced
+	priorityReserve        = 0.15            // fraction of a load limit reserved for requests of high relative value
+	limitRecoveryDeadlines = 16              // time in which a load limit recovers, as a multiple of the longest deadline
+	maxLatencyAge          = 2 * time.Second // age above which the previous latency report is ignored
 )
 
-// relativeValue is a request's priority weight for the load it brings, in relation to the class where that is
-// highest. A tenant over its quota, judged by this node's part of its connections, counts for less.
+// relativeValue returns a request's priority weight per load, relative to the class with the highest such ratio. The
+// value is reduced for a tenant whose connections through this node exceed the node's share of the tenant's quota.
 func (b *Balancer) relativeValue(req *request) float64 {
 	best := 1e-12
 	for i, class := range b.settings.Classes {
@@ -24,7 +24,7 @@
 	return value / best
 }
 
-// exceedsLimit reports whether a server, with more load added, is over its load limit as it has grown back since.
+// exceedsLimit reports whether a server with addedLoad would exceed its load limit, as far as the limit has recovered.
 func (b *Balancer) exceedsLimit(srv *server, req *request, addedLoad float64) bool {
 	usable := 1 - priorityReserve*(1-b.relativeValue(req))
 	recovered := srv.peakLoad * float64(b.now-srv.limitedAt) / float64(b.derived.limitRecovery)
@@ -32,13 +32,13 @@
 	return limit > 0 && b.loadOf(srv)+addedLoad > limit*usable
 }
 
-// recentlyLimited reports whether a server's load limit is new.
+// recentlyLimited reports whether a server's load limit was reduced within the first quarter of its recovery time.
 func (b *Balancer) recentlyLimited(srv *server) bool {
 	return srv.loadLimit > 0 && b.now < srv.limitedAt+b.derived.limitRecovery/4
 }
 
-// observeLatency takes in how long messages take at a server. That grows by the work asked beyond its capacity and
-// falls by the spare capacity, so the slope says how far to reduce the limit.
+// observeLatency applies a latency report. The message latency of an overloaded server rises at a rate in proportion
+// to the excess load and falls in proportion to the spare capacity, so its slope tells how far to reduce the limit.
 func (b *Balancer) observeLatency(req *request, latency time.Duration) {
 	if req == nil || req.establishedOn == nil {
 		return
@@ -58,7 +58,7 @@
 	}
 }
 
-// reduceLimit limits a server to a fraction of its present load and sheds what is over that.
+// reduceLimit limits a server's load to a fraction of its present load and sheds the excess.
 func (b *Balancer) reduceLimit(srv *server, fraction float64) {
 	srv.peakLoad = max(b.loadOf(srv), srv.peakLoad*targetUtilization)
 	srv.loadLimit = b.loadOf(srv) * fraction
@@ -66,8 +66,9 @@
 	b.shedLoad(srv, b.loadOf(srv)-srv.loadLimit)
 }
 
-// recordReset notes that a server reset an open connection. One that resets most of what it has was overloaded before
-// late messages could show it: half of its load is its limit, or all clients would come back at once.
+// recordReset counts an established connection that a server reset. A server that resets most of its connections was
+// overloaded before late messages could show it. Its limit becomes half of its earlier load; otherwise all clients
+// would reconnect to it at once.
 func (b *Balancer) recordReset(srv *server) {
 	if b.now > srv.lastResetAt+sweepInterval {
 		srv.resets = 0
--- a/balancer/pacing.go
+++ b/balancer/pacing.go
@@ -2,32 +2,33 @@
 
 import "time"
 
-// No node sees the backend that all servers call to set a connection up, such as a session store. Each node spaces
-// its sends where set-ups fail or are slow at several servers, and adapts the interval to the outcomes.
+// All servers may depend on one backend to set up connections, such as a session store. The nodes cannot observe it.
+// If setups fail or are slow at several servers, each node paces its setups and adapts the interval to their outcomes.
 
 const (
-	pacingReleaseFactor    = 16              // multiple of the baseline rate at which pacing ends
-	maxSendInterval        = 3 * time.Second // a node that tries no server for 4 s counts as down
-	initialSetupLimit      = 1               // set-ups in flight at a node that has seen none succeed
-	maxAwaitingSetup       = 64              // requests that wait for one of them
-	minConsecutiveFailures = 2               // servers that fail one after the other, from which a low sample paces
+	pacingReleaseFactor    = 16              // multiple of the baseline rate above which pacing ends
+	maxSendInterval        = 3 * time.Second // must be under 4 s: a node that sends to no server for 4 s counts as down
+	initialSetupLimit      = 1               // setups in flight until the first one succeeds
+	maxAwaitingSetup       = 64              // queued requests that wait for one of those setups
+	minConsecutiveFailures = 2               // of different servers in a row; starts pacing at a node with a low sample
 )
 
-// pacingState limits the rate of set-ups.
+// pacingState is the state of connection setup pacing.
 type pacingState struct {
-	interval            time.Duration // between sends, 0 while set-ups are not paced
+	interval            time.Duration // time between sends; 0 while setups are not paced
 	nextSendAt          time.Duration
-	changedAt           time.Duration // of the interval: outcomes of earlier sends don't count
+	changedAt           time.Duration // when interval last changed; outcomes of earlier sends don't count
 	setupTime           time.Duration // moving average over all servers
-	lastFailed          *server       // the last one that failed a set-up
-	consecutiveFailures int           // of set-ups, those of one server after another counted once
-	inFlight            int           // set-ups without an outcome
-	queue               []*request    // waiting to be sent
-	timerAt             time.Duration // when the queue's timer falls due
+	lastFailed          *server       // server at which a setup last failed
+	consecutiveFailures int           // failed setups in a row; repeated failures of one server count once
+	inFlight            int           // setups without an outcome
+	queue               []*request    // requests that wait to be sent
+	timerAt             time.Duration // when the queue's timer expires
 }
 
-// admit sends a request, queues it where set-ups are paced, or rejects it where its turn comes too late. That bound
-// follows the shortest deadline for all classes, so that those of long deadlines do not take every turn.
+// admit sends a request. While setups are paced it queues the request, or rejects it if its turn would come too late.
+// The longest queue time depends on the shortest deadline of all classes; otherwise classes with long deadlines would
+// get every turn.
 func (b *Balancer) admit(req *request) {
 	timeLeft := req.deadline - b.now
 	wait := b.pacing.nextSendAt - b.now
@@ -35,7 +36,7 @@
 	switch {
 	case b.drain.Active && b.now >= b.drain.AdmissionCutoff && !req.MidFlow:
 		b.rejectOrFail(req, b.drain.RetryAfter, ReasonDraining)
-	case req.MidFlow && len(req.attempts) == 0: // no set-up: it continues on its server
+	case req.MidFlow && len(req.attempts) == 0: // no setup: the connection continues on its server
 		b.startAttempt(req, timeLeft)
 	case b.setupLimitReached():
 		b.awaitSetup(req, timeLeft)
@@ -49,27 +50,28 @@
 	}
 }
 
-// setupLimitReached reports whether a node that has just started has as many set-ups in flight as it may: one, and one
-// for each that succeeded. Nodes that restart amid an overload would otherwise keep it up. Nodes with more traffic
-// learn soon enough.
+// setupLimitReached reports whether a node that has just started has its maximum of setups in flight: one, plus one for
+// each that succeeded. Without this limit, nodes that restart during an overload would prolong it. It applies only to
+// nodes with a low sample, because nodes with more traffic detect the overload soon enough.
 func (b *Balancer) setupLimitReached() bool {
 	return b.pacing.interval <= 0 && b.lowSample() && b.pacing.inFlight >= initialSetupLimit+int(b.rates.setupsTotal)
 }
 
-// awaitSetup queues a request until one of the set-ups in flight ends, or rejects it.
+// awaitSetup queues a request until a setup in flight ends, or rejects it if it has waited too long or the queue is
+// full.
 func (b *Balancer) awaitSetup(req *request, timeLeft time.Duration) {
 	waited := req.TimeLeft - timeLeft
 	if waited > min(req.TimeLeft, b.derived.minDeadline)/2 || len(b.pacing.queue) >= maxAwaitingSetup {
 		b.rejectOrFail(req, b.derived.minSetupObjective, ReasonSlowStart)
 		return
 	}
-	if b.pacing.nextSendAt <= b.now+timerTolerance { // looked at again even if no set-up ends
+	if b.pacing.nextSendAt <= b.now+timerTolerance { // retry even if no setup ends
 		b.pacing.nextSendAt = b.now + b.derived.minSetupObjective
 	}
 	b.pacing.queue = append(b.pacing.queue, req)
 }
 
-// resumeQueue admits all queued requests anew.
+// resumeQueue calls admit again for all queued requests.
 func (b *Balancer) resumeQueue() {
 	queued := b.pacing.queue
 	b.pacing.queue = nil
@@ -80,7 +82,7 @@
 	}
 }
 
-// armPacingTimer sets one timer for the whole queue.
+// armPacingTimer sets a timer for the next send, one for the whole queue.
 func (b *Balancer) armPacingTimer() {
 	if len(b.pacing.queue) > 0 && b.pacing.timerAt != b.pacing.nextSendAt {
 		b.pacing.timerAt = b.pacing.nextSendAt
@@ -88,10 +90,10 @@
 	}
 }
 
-// observeSetup adapts the interval to how long a set-up took, or to its failure. Slow set-ups in general mean that
-// the backend behind all servers is overloaded. Outcomes of sends before the last change of the interval don't
-// count, nor do repeated failures of a single server. Two servers that fail one after the other count at a node
-// with a low sample, and at one that has seen nothing succeed.
+// observeSetup adapts the interval to the duration of a setup, or to its failure. If setups are slow on average, the
+// backend behind all servers is overloaded. Setups that were sent before the last change of the interval don't count,
+// nor do repeated failures of a single server. At a node with a low sample, and at a new node without a successful
+// setup, two servers that fail in a row are enough.
 func (b *Balancer) observeSetup(req *request, attempt *attempt, took time.Duration, failed bool) {
 	if failed && attempt.server == b.pacing.lastFailed || !req.isSetup() {
 		return
@@ -115,8 +117,8 @@
 	}
 }
 
-// failuresShowOverload reports whether failures of several servers, one after the other, show an overload before the average
-// set-up time does.
+// failuresShowOverload reports whether failures of several servers in a row show an overload before the average setup
+// time does.
 func (b *Balancer) failuresShowOverload() bool {
 	if b.pacing.consecutiveFailures < minConsecutiveFailures {
 		return false
@@ -125,20 +127,21 @@
 	return b.lowSample() || estimated && b.rates.setupsTotal == 0
 }
 
-// tightenPacing lengthens the interval after a set-up that failed or was slow.
+// tightenPacing lengthens the interval after a setup that failed or was slow.
 func (b *Balancer) tightenPacing(failed bool, took time.Duration) {
 	if b.pacing.interval == 0 {
-		b.log("connection set-up pacing started: set-ups fail or are slow at several servers")
+		b.log("connection setup pacing started: setups fail or are slow at several servers")
 	}
 	next := min(max(b.pacing.interval, b.tightenedInterval(failed, took)), maxSendInterval)
-	b.pacing.nextSendAt += next - b.pacing.interval // counted from the last send
+	b.pacing.nextSendAt += next - b.pacing.interval // the interval starts at the last send
 	b.pacing.interval = next
 	b.pacing.changedAt = b.now
 }
 
-// tightenedInterval is the baseline after a failed set-up, and a quarter of it or more after a slow one. A node
-// with a low sample takes the longest interval at once, as each step would take a time-out; its set-ups count as
-// failed from the shortest objective on, or classes of long deadlines would leave the others no turn.
+// tightenedInterval returns the next interval: at least the baseline after a failed setup, and at least a quarter of it
+// after a slow one. A node with a low sample uses the longest interval at once, because each step up would take
+// another timeout. Its setups count as failed if they take longer than the shortest objective of all classes;
+// otherwise classes with long deadlines would leave no turn to the others.
 func (b *Balancer) tightenedInterval(failed bool, took time.Duration) time.Duration {
 	baseline, estimated := b.baselineInterval()
 	switch {
@@ -152,18 +155,18 @@
 	return baseline
 }
 
-// relaxPacing shortens the interval, and ends pacing where that is far below the baseline.
+// relaxPacing shortens the interval, and ends pacing if the new interval is far below the baseline.
 func (b *Balancer) relaxPacing(interval time.Duration) {
 	baseline, _ := b.baselineInterval()
 	if b.pacing.interval > 0 && interval < baseline/pacingReleaseFactor {
 		interval = 0
-		b.log("connection set-up pacing ended")
+		b.log("connection setup pacing ended")
 	}
 	b.pacing.interval = interval
 	b.pacing.nextSendAt = min(b.pacing.nextSendAt, b.now+interval)
 }
 
-// relaxWithTime shortens the interval once set-ups sent since its last change have had time to end.
+// relaxWithTime shortens the interval when the setups that were sent since its last change have had time to end.
 func (b *Balancer) relaxWithTime() {
 	settle := 2 * b.pacing.setupTime
 	if b.rates.arrivalsLastSecond+b.rates.arrivalsThisSecond > 0 {
@@ -175,7 +178,8 @@
 	}
 }
 
-// baselineInterval is the usual time between set-ups; estimated for a node that has just started.
+// baselineInterval returns the usual time between setups, and whether it is an estimate because the node has just
+// started.
 func (b *Balancer) baselineInterval() (interval time.Duration, estimated bool) {
 	age := (b.now - b.rates.startedAt).Seconds()
 	rate := max(b.rates.setups, 1/b.derived.limitRecovery.Seconds())
--- a/balancer/placement.go
+++ b/balancer/placement.go
@@ -10,27 +10,27 @@
 )
 
 const (
-	reinstateDelay = 2 * time.Second // until a reinstated server is used, whatever its entries
+	reinstateDelay = 2 * time.Second // time after which a reinstated server gets the next request, whatever its entries
 
-	maxGroupProbes       = 4 // servers that a group may newly use in an overloaded fleet
-	lowSampleGroupProbes = 2 // the same at a node with a low sample
+	maxGroupProbes       = 4 // servers on which a group may open its first connection in an overloaded fleet
+	lowSampleGroupProbes = 2 // maxGroupProbes at a node with a low sample
 	lowSampleReplicas    = 4 // replicas of each group at a node with a low sample
-	minReconnectReplicas = 3 // replicas among which a reconnecting client finds another than its first
+	minReconnectReplicas = 3 // replicas among which a reconnecting client gets another one than its first
 
-	minZoneLocalCost = 0.05 // cross-zone cost from which clients are kept in this node's zone
+	minZoneLocalCost = 0.05 // lowest cross-zone cost at which clients are kept in this node's zone
 )
 
-// tablePosition is where the scan of the table for a request begins.
+// tablePosition is the position at which the table scan for a request begins.
 type tablePosition struct {
-	hash     uint64 // of the first entry of the request or of its group
-	replica  int    // of the group's entries, the one that is this client's
-	replicas int    // number of the group's entries
+	hash     uint64 // hash of the request's or of its group's first entry
+	replica  int    // index of this client's replica among the group's
+	replicas int    // number of the group's replicas
 }
 
-// preferredEntry returns the request's position in the table, by the hash of its client key, or of its group where
-// there is one, as connections of a group share work on a server; by its own id where it has neither. A group with
-// several replicas has further entries, each hashed from the first. The client's key picks one of them, and most
-// keys keep their replica as the number changes.
+// preferredEntry returns the request's position in the table. Requests with a group are placed by the hash of the
+// group, because connections of a group share work on a server. Other requests are placed by the hash of their client key,
+// and requests without a key by the hash of their id. A group with several replicas has an entry for each, with a hash
+// derived from that of the first. The client key selects a replica; most keys keep it when the number changes.
 func (b *Balancer) preferredEntry(req *request) tablePosition {
 	key := cmp.Or(req.Key, string(req.ID))
 	position := tablePosition{
@@ -42,7 +42,7 @@
 	}
 	position.replicas = b.replicaCount(req.Group)
 	position.replica = int(jump.Hash(xxhash.Sum64String(key), position.replicas))
-	if req.Reconnect && b.lowSample() && !req.MidFlow { // what moved the client away is likely to last
+	if req.Reconnect && b.lowSample() && !req.MidFlow { // the reason for the reconnect probably persists
 		position.replicas = max(position.replicas, minReconnectReplicas)
 		others := uint64(position.replicas - 1)
 		skip := 1 + int(xxhash.Sum64String(string(req.ID))%others)
@@ -51,8 +51,8 @@
 	return position
 }
 
-// candidateEntry returns the i-th entry to look at: the preferred one, the group's other replicas, then the entries
-// that follow the preferred one.
+// candidateEntry returns the i-th entry of a scan: first the preferred entry, then those of the group's other replicas,
+// then the entries after the preferred one.
 func (b *Balancer) candidateEntry(position tablePosition, i int) int {
 	replica, offset := position.replica, 0
 	if i < position.replicas {
@@ -68,13 +68,14 @@
 	return int((hash%size + uint64(offset)) % size)
 }
 
-// replicaCount returns the number of replicas of a group: its part of what this node has open, in servers' parts. A
-// node with a low sample can tell neither a group's size nor a hot spot. There each group has the same few
-// replicas, fewer while much of the listed weight is gone: each replica costs load.
+// replicaCount returns the number of replicas of a group, which grows with the group's share of this node's
+// connections and with the number of servers. A node with a low sample can detect neither the size of a group nor a hot
+// spot. There each group has the same small number of replicas, and fewer while much of the fleet's weight is missing,
+// because each replica costs load.
 func (b *Balancer) replicaCount(group string) int {
 	servers := float64(len(b.table.members))
 	zoneLocal := b.settings.CrossZoneCost >= minZoneLocalCost
-	if zoneLocal { // it has replicas in each zone
+	if zoneLocal { // the group has replicas of its own in each zone
 		servers *= b.fleet.zoneWeight / max(b.fleet.weight, b.fleet.zoneWeight)
 	}
 	switch {
@@ -86,14 +87,15 @@
 	return 1 + int(float64(b.counts.byGroup[group])/float64(b.counts.connections+1)*servers/overloadFactor)
 }
 
-// lowSample reports whether, by the quotas, this node is to have too few connections on a server to judge it by them.
+// lowSample reports whether this node has a low sample: according to the quotas it has too few connections on each
+// server to judge the server by them.
 func (b *Balancer) lowSample() bool {
 	quota := b.derived.connectionQuota
 	return quota > 0 && quota < minOverloadConnections*float64(len(b.table.members))
 }
 
-// isZoneLocal reports whether the clients of a preferred entry are kept in this node's zone: all of them, or as
-// many as its servers have capacity for if clients come to all zones alike. The hash says which.
+// isZoneLocal reports whether clients with this preferred entry are kept in this node's zone. All are, or a fraction
+// that the zone's servers have capacity for if every zone gets the same number of clients. The hash decides which ones.
 func (b *Balancer) isZoneLocal(hash uint64) bool {
 	if b.settings.CrossZoneCost < minZoneLocalCost {
 		return false
@@ -102,14 +104,14 @@
 	return float64(mix(hash, uint64(b.settings.Zone)+1)) < zoneShare*math.MaxUint64
 }
 
-// isEligible reports whether a server may get a request: a retry there is safe and its slow start allows it.
+// isEligible reports whether a server may get a request: the attempt must be safe and within its slow-start budget.
 func (b *Balancer) isEligible(srv *server, req *request) bool {
 	return b.mayAttempt(req, srv) && b.hasSlowStartBudget(srv)
 }
 
-// selectServer picks the first hop of the request's preferred entry, or the second hop for a mid-flow arrival while
-// that entry changes. Where that server can't take it, the best of those that the candidate entries name, which are
-// the same at every node; nil where there is none.
+// selectServer selects the first hop of the request's preferred entry, or the second hop for a mid-flow arrival while
+// that entry changes. If that server can't get the request, it selects the best server among the candidate entries,
+// which are the same at every node. It returns nil if there is none.
 func (b *Balancer) selectServer(req *request) *server {
 	if srv := b.overdueReinstated(req); srv != nil {
 		return srv
@@ -144,8 +146,8 @@
 	return scan.best
 }
 
-// overdueReinstated returns a server that operators brought back and that has got nothing for a while: they expect
-// to see it used, also where clients of its entries are few.
+// overdueReinstated returns a server that operators reinstated and that has had no request for reinstateDelay, or nil.
+// Operators expect to see such a server used, even if few clients hash to its entries.
 func (b *Balancer) overdueReinstated(req *request) *server {
 	for _, srv := range b.reinstated {
 		due := b.now >= srv.reinstatedAt+reinstateDelay
@@ -156,14 +158,14 @@
 	return nil
 }
 
-// candidateRank orders the servers that a request may go to instead of its preferred one; the least is best.
+// candidateRank ranks the servers that may get a request in place of its preferred one. The lowest rank is best.
 type candidateRank int
 
 const (
-	rankHasGroup   candidateRank = iota // the group's cost is paid there already
-	rankNext                            // the next entry that names another server
-	rankOverloaded                      // the least loaded one is best
-	rankEjected                         // the one whose ejection ends first is best
+	rankHasGroup   candidateRank = iota // has connections of the group, so the request adds no group cost
+	rankNext                            // has the next entry
+	rankOverloaded                      // is overloaded; the least loaded one is best
+	rankEjected                         // is ejected; the one whose ejection ends first is best
 )
 
 // tableScan is one search of the table for the server of a request.
@@ -171,15 +173,16 @@
 	*Balancer
 	request       *request
 	zoneLocal     bool
-	pastPreferred bool // the preferred server has been met
-	probesLeft    int  // servers that the group may still newly use, in an overloaded fleet
+	pastPreferred bool // the scan has visited the preferred server
+	probesLeft    int  // servers on which the group may still open its first connection in an overloaded fleet
 
 	best      *server
 	bestRank  candidateRank
-	bestScore float64 // orders servers of the same rank; the least is best
+	bestScore float64 // orders servers of the same rank; the lowest score is best
 }
 
-// midFlowServer returns the server on which the table put a mid-flow connection, however loaded it is.
+// midFlowServer returns the server of a mid-flow connection according to the table, however loaded the server is, or
+// nil if that server can't get the request.
 func (s *tableScan) midFlowServer(entry int) *server {
 	for _, srv := range s.table.hops(entry) {
 		if srv == nil || s.zoneLocal && srv.zone != s.settings.Zone {
@@ -192,7 +195,7 @@
 	return nil
 }
 
-// consider looks at the next server of the scan and reports whether the request goes there without looking further.
+// consider examines the next server of the scan. It reports whether the request goes there and the scan ends.
 func (s *tableScan) consider(srv *server) bool {
 	preferred := !s.pastPreferred && (!s.zoneLocal || srv.zone == s.settings.Zone)
 	s.pastPreferred = s.pastPreferred || preferred
@@ -209,12 +212,12 @@
 		s.probesLeft--
 	}
 	if s.probesLeft < 0 && !hasGroup && s.fleet.overloaded && s.request.Group != "" {
-		return false // a group that scatters costs load on every server
+		return false // the group would cost load on one more server
 	}
 	switch {
 	case ejected:
 		s.propose(srv, rankEjected, srv.ejectedUntil.Seconds())
-	case s.exceedsLimit(srv, s.request, addedLoad): // one more would make all of its messages late
+	case s.exceedsLimit(srv, s.request, addedLoad): // another connection would delay the messages of all
 	case s.isOverloaded(srv, addedLoad):
 		s.propose(srv, rankOverloaded, s.loadOf(srv)/s.capacityOf(srv))
 	case preferred:
@@ -227,7 +230,7 @@
 	return false
 }
 
-// propose keeps a server where it is better than the best one so far.
+// propose makes a server the best one if it is better than the best one so far.
 func (s *tableScan) propose(srv *server, rank candidateRank, score float64) {
 	if s.best == nil || rank < s.bestRank || rank == s.bestRank && score < s.bestScore {
 		s.best, s.bestRank, s.bestScore = srv, rank, score
--- a/balancer/polling.go
+++ b/balancer/polling.go
@@ -2,25 +2,26 @@
 
 import "time"
 
-// maxConcurrentListRequests is how many calls at once the endpoint list serves before callers time out.
+// maxConcurrentListRequests is the number of concurrent list requests that discovery serves before some time out.
 const maxConcurrentListRequests = 25
 
-// pollingState is what a node knows of its calls to the endpoint list.
+// pollingState is the state of a node's list requests.
 type pollingState struct {
-	pending       bool // a call is under way
-	watching      bool
+	pending       bool // a list request is in flight
+	watching      bool // a watch is open
 	requestedAt   time.Duration
 	nextRequestAt time.Duration
 	backoff       time.Duration
 }
 
-// schedulePolling sets the time of the first poll.
+// schedulePolling sets the time of the first list request.
 func (b *Balancer) schedulePolling() {
 	spread := min(b.requestSpread(b.settings.PollInterval/20), MaxRepollDelay*8/5)
 	b.polling.nextRequestAt = b.now + b.jitter(spread)
 }
 
-// requestListIfDue polls the endpoint list where no watch is open and no call is pending within the poll interval.
+// requestListIfDue sends a list request if one is due, unless a watch is open or a request was sent within the poll
+// interval and is still in flight.
 func (b *Balancer) requestListIfDue() {
 	if !b.settings.PollList || b.polling.watching || b.now < b.polling.nextRequestAt {
 		return
@@ -33,7 +34,7 @@
 	b.emit(WatchList{})
 }
 
-// handleListFailure schedules the next poll: exponential backoff with jitter, within MaxRepollDelay.
+// handleListFailure schedules the next list request with exponential backoff and jitter, within MaxRepollDelay.
 func (b *Balancer) handleListFailure() {
 	b.polling.backoff = min(max(2*b.polling.backoff, sweepInterval), b.settings.PollInterval/4, MaxRepollDelay/2)
 	maxSpread := max(MaxRepollDelay, 2*MaxRepollDelay+b.polling.requestedAt-b.now) * 2 / 3
@@ -43,15 +44,16 @@
 	b.polling.nextRequestAt = b.now + b.polling.backoff/2 + b.jitter(spread)
 }
 
-// handleListSuccess resets the backoff; a cached list is no open watch.
+// handleListSuccess resets the backoff. A watch is open unless the list came from a cache.
 func (b *Balancer) handleListSuccess(kind ListKind) {
 	b.polling.watching = kind != ListCached
 	b.polling.pending = false
 	b.polling.backoff = 0
 }
 
-// requestSpread is the span over which the nodes spread polls that would be made at once, at least the given one. The
-// list works through calls that time out as well, so many nodes must not repeat theirs as soon.
+// requestSpread returns the time span over which the nodes spread list requests that they would otherwise send at once;
+// it is at least the given span. Discovery also processes requests that have timed out, so in a large fleet the nodes
+// must repeat theirs later.
 func (b *Balancer) requestSpread(least time.Duration) time.Duration {
 	crowding := min(1, float64(b.settings.NodeCount)/maxConcurrentListRequests/2-0.5)
 	return max(least, time.Duration(float64(b.settings.PollInterval)/2*crowding))
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -5,29 +5,29 @@
 	"time"
 )
 
-// attempt is one send of a request to a server.
+// attempt is an attempt to serve a request at one server.
 type attempt struct {
 	server      *server
 	sentAt      time.Duration
-	pending     bool // no outcome yet
-	notExecuted bool // its outcome proves that it never ran
+	pending     bool // has no outcome yet
+	notExecuted bool // the outcome proves that the server did not execute it
 }
 
-// request is one client's connection, wanted or open.
+// request is a client's request, or the connection that was established for it.
 type request struct {
 	Arrival
 	deadline      time.Duration
 	attempts      []attempt
-	establishedOn *server // nil while it is not established
+	establishedOn *server // nil while the connection is not established
 	load          float64
-	answered      bool // has had its final answer
+	answered      bool // the client needs no final answer any more
 }
 
-// isSetup reports whether the last attempt sets a connection up. The first one of a mid-flow arrival continues a
-// connection that is open.
+// isSetup reports whether the last attempt sets up a connection. The first attempt of a mid-flow arrival continues an
+// established one.
 func (r *request) isSetup() bool { return !r.MidFlow || len(r.attempts) > 1 }
 
-// handleArrival admits a new request.
+// handleArrival registers and admits a new request.
 func (b *Balancer) handleArrival(arrival Arrival) {
 	req := b.addRequest(arrival)
 	if req == nil {
@@ -37,7 +37,7 @@
 	b.admit(req)
 }
 
-// handleInherited counts a connection that is open on a server already.
+// handleInherited registers a connection that is already established on a server.
 func (b *Balancer) handleInherited(arrival Arrival, srv *server) {
 	req := b.addRequest(arrival)
 	if req == nil {
@@ -48,7 +48,7 @@
 	b.adjustCounts(srv, req, 1)
 }
 
-// addRequest registers a request, or returns nil where its id is known or its class is not.
+// addRequest registers a request. It returns nil if the id is already registered or the class is unknown.
 func (b *Balancer) addRequest(arrival Arrival) *request {
 	if b.requests[arrival.ID] != nil || arrival.Class < 0 || arrival.Class >= len(b.settings.Classes) {
 		return nil
@@ -65,7 +65,7 @@
 	return req
 }
 
-// startAttempt sends a request to the server that it is placed on, or answers it where there is none.
+// startAttempt selects a server and sends the request to it, or gives the final answer if there is no server.
 func (b *Balancer) startAttempt(req *request, timeLeft time.Duration) {
 	var srv *server
 	if timeLeft > 0 && len(b.table.first) > 0 && !b.attemptsExhausted(req) {
@@ -93,8 +93,9 @@
 	return b.settings.MaxAttempts > 0 && len(req.attempts) >= b.settings.MaxAttempts
 }
 
-// attemptTimeout leaves time for another attempt, as a server that hangs sends nothing. A retry at a node with a low
-// sample waits on: where set-ups are slow everywhere, giving one up early only repeats its work.
+// attemptTimeout returns the timeout of the next attempt. It leaves time for another attempt, because a server that
+// hangs sends nothing. A retry at a node with a low sample has a longer timeout: if setups are slow at all servers, an
+// early timeout only repeats their work.
 func (b *Balancer) attemptTimeout(req *request, timeLeft time.Duration) time.Duration {
 	if b.lowSample() && (req.Retry || len(req.attempts) > 0) {
 		return timeLeft * 9 / 10
@@ -114,7 +115,8 @@
 	return ReasonNoServer
 }
 
-// mayAttempt reports whether the next attempt may go to a server: a retry must be safe, and no server is tried twice.
+// mayAttempt reports whether the next attempt may go to a server. A retry must be safe, and no server gets two attempts
+// of a request.
 func (b *Balancer) mayAttempt(req *request, srv *server) bool {
 	class := &b.settings.Classes[req.Class]
 	for i := range req.attempts {
@@ -133,7 +135,7 @@
 	return true
 }
 
-// inScope reports whether one server drops repeats of what another executed.
+// inScope reports whether srv drops repeats of requests that executedOn has executed.
 func (c *Class) inScope(executedOn, srv *server) bool {
 	switch c.Scope {
 	case ScopeZone:
@@ -144,7 +146,7 @@
 	return true
 }
 
-// rejectOrFail gives the final answer: a rejection where a retry is known to be harmless, else a failure.
+// rejectOrFail gives the final answer: a rejection if a retry is known to be harmless, otherwise a failure.
 func (b *Balancer) rejectOrFail(req *request, retryAfter time.Duration, reason Reason) {
 	if b.retryIsHarmless(req) {
 		b.emit(Reject{req.ID, min(retryAfter, b.settings.MaxRetryAfter), reason})
@@ -168,7 +170,8 @@
 	return true
 }
 
-// finish marks a request as answered and removes it once no attempt of it is pending.
+// finish marks a request as answered. It deletes the request unless an attempt is pending. It cancels a pending attempt
+// that has not established its connection, if the settings allow that.
 func (b *Balancer) finish(req *request) {
 	if req == nil {
 		return
@@ -183,7 +186,8 @@
 	}
 }
 
-// pendingAttempt finds an attempt without an outcome; attempts of a request run one at a time.
+// pendingAttempt returns a request and its attempt with the given number, or nil if the attempt is not pending. Only
+// the last attempt of a request can be pending.
 func (b *Balancer) pendingAttempt(id RequestID, number int) (*request, *attempt) {
 	req := b.requests[id]
 	if req == nil || number < 0 || number != len(req.attempts)-1 || !req.attempts[number].pending {
@@ -229,19 +233,19 @@
 	}
 }
 
-// recordOutcome draws conclusions from an outcome on the server and on set-ups in general.
+// recordOutcome updates the state of the server and of setup pacing after an attempt has ended.
 func (b *Balancer) recordOutcome(req *request, attempt *attempt, e AttemptEnded) {
 	srv := attempt.server
 	objective := b.settings.Classes[req.Class].SetupLatencyObjective
 	switch {
 	case e.Outcome == Served:
 		b.recordSuccess(srv)
-	case e.Outcome == ConnectionReset && req.establishedOn != nil: // a dead server shows in failed connects
+	case e.Outcome == ConnectionReset && req.establishedOn != nil: // if the server is down, failed connects eject it
 		b.recordReset(srv)
 	case e.Outcome == ConnectFailed:
 		b.recordFailure(srv, 4*objective)
 	case e.Outcome == ResponseTimeout:
-		// A client that left less time than any set-up takes shows nothing.
+		// A timeout shows nothing if the client left less time than any setup takes.
 		if req.TimeLeft >= b.derived.minSetupObjective {
 			b.observeSetup(req, attempt, e.Took, true)
 		}
@@ -254,7 +258,7 @@
 	}
 }
 
-// expectedLoad is what a connection of a class is taken to cost until a report says more.
+// expectedLoad returns the load that a connection of a class is assumed to have until its first load report.
 func (b *Balancer) expectedLoad(class int) float64 {
 	return cmp.Or(b.loads.byClass[class], b.loads.mean, 1)
 }
--- a/balancer/server.go
+++ b/balancer/server.go
@@ -6,62 +6,62 @@
 	"time"
 )
 
-// serverState is a server's state in the table.
+// serverState is a server's state in the forwarding table.
 type serverState uint8
 
 const (
-	inactive serverState = iota
+	inactive serverState = iota // not in the table
 	active
-	draining
-	filling
+	draining // holds only second-hop entries
+	filling  // was added recently: the second hops of its entries name their previous servers
 )
 
-// server is what this node knows of one listed server, from its own traffic and its endpoint list.
+// server is what this node knows of one listed server, from the endpoint list and from its own traffic.
 type server struct {
 	id         ServerID
-	hash       uint64 // of the id
+	hash       uint64 // hash of the id
 	zone, cell int
 	weight     float64
 	state      serverState
-	parity     int           // the group of servers that may drain at the same time
+	parity     int           // 0 or 1: servers of the same parity may drain at the same time
 	changedAt  time.Duration // when it began to drain or fill
-	lastScan   uint64        // number of the last scan that met it
+	lastScan   uint64        // number of the last table scan that visited it
 
-	startedAt    time.Duration // 0 for long ago
+	startedAt    time.Duration // clock time of its last start; 0 if long ago
 	assumedStart bool          // startedAt is an assumption
 
-	entryCount    int     // first-hop entries that it holds
-	entryIndexes  []int32 // which they are; some may be others' by now
-	entriesSorted bool    // entryIndexes is in order and free of others'
+	entryCount    int     // number of first-hop entries that it holds
+	entryIndexes  []int32 // indexes of these entries; may include entries that other servers hold by now
+	entriesSorted bool    // entryIndexes is sorted and includes no entries of other servers
 
-	connections int            // open connections and attempts in flight
-	load        float64        // their summed load
-	groups      map[string]int // how many of them are of each group
+	connections int            // established connections and attempts in flight
+	load        float64        // sum of their loads
+	groups      map[string]int // number of them by group
 
-	reinstatedAt time.Duration // when operators brought it back, until it is used; 0 for not
+	reinstatedAt time.Duration // when operators reinstated it; 0 if never, or if it was used or drained since
 
 	consecutiveFailures int
 	ejectedUntil        time.Duration
 
-	loadLimit        float64       // as last reduced; grows back in proportion to peakLoad; 0 for none
-	peakLoad         float64       // highest load of late
-	limitedAt        time.Duration // when loadLimit was reduced
-	resets           int           // connections that it reset in quick succession
+	loadLimit        float64       // limit at limitedAt, which recovers in proportion to peakLoad; 0 for no limit
+	peakLoad         float64       // highest recent load
+	limitedAt        time.Duration // when loadLimit was last reduced
+	resets           int           // number of connections that it reset in quick succession
 	lastResetAt      time.Duration
 	loadBeforeResets float64
-	messageLatency   time.Duration // as last reported, at latencyAt
-	latencyAt        time.Duration
+	messageLatency   time.Duration // last reported message latency
+	latencyAt        time.Duration // when messageLatency was reported
 
-	tokens          float64 // connections that its slow start still allows
+	tokens          float64 // connections left in the slow-start budget
 	refilledAt      time.Duration
-	maxPerWindow    int             // bounds sends in any CollapseWindow; 0 for no bound
-	recentSendTimes []time.Duration // of the last CollapseWindow, in order
+	maxPerWindow    int             // bound on sends within any CollapseWindow; 0 for no bound
+	recentSendTimes []time.Duration // times of the sends within the last CollapseWindow, in order
 }
 
-// byID orders servers.
+// byID compares servers by their ids.
 func byID(x, y *server) int { return cmp.Compare(x.id, y.id) }
 
-// ownEntries returns the first-hop entries that a server holds, in order.
+// ownEntries returns the indexes of the first-hop entries that a server holds, in order.
 func (s *server) ownEntries(first []*server) []int {
 	s.sortEntries(first)
 	var own []int
@@ -73,7 +73,7 @@
 	return own
 }
 
-// firstEntry returns the first entry that a server holds; it must hold one.
+// firstEntry returns the lowest index of the first-hop entries that a server holds. The server must hold an entry.
 func (s *server) firstEntry(first []*server) int {
 	s.sortEntries(first)
 	for first[s.entryIndexes[0]] != s {
@@ -82,7 +82,8 @@
 	return int(s.entryIndexes[0])
 }
 
-// sortEntries puts entryIndexes in order and drops others' entries. Searching the table for them does not scale.
+// sortEntries sorts entryIndexes and removes the entries that other servers hold by now. The list exists because a
+// search of the whole table for a server's entries does not scale.
 func (s *server) sortEntries(first []*server) {
 	if s.entriesSorted {
 		return
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// slowStartFactor returns the fraction of its capacity that a server has for certain, 1 when it has warmed up.
+// slowStartFactor returns the fraction of its capacity that a server has for certain. It is 1 after slow start.
 func (b *Balancer) slowStartFactor(srv *server) float64 {
 	age := b.now - srv.startedAt
 	if srv.startedAt <= 0 || age >= b.settings.SlowStartDuration {
@@ -15,11 +15,12 @@
 	return start + (1-start)*max(0, float64(age)/float64(b.settings.SlowStartDuration))
 }
 
-// hasSlowStartBudget reports whether this node's part of the budget of a server that warms up covers one more
-// connection. The budget of a CollapseWindow is CollapseMultiple times what the server can take now.
+// hasSlowStartBudget reports whether this node's share of a server's slow-start budget covers another connection. The
+// budget for a CollapseWindow is CollapseMultiple times what the server can accept at the moment. A server that has
+// warmed up needs no budget.
 func (b *Balancer) hasSlowStartBudget(srv *server) bool {
 	factor := b.slowStartFactor(srv)
-	if factor >= 1 || b.settings.CollapseWindow <= 0 { // without a window there is no budget to keep
+	if factor >= 1 || b.settings.CollapseWindow <= 0 { // without a collapse window there is no budget
 		return true
 	}
 	if b.derived.connectionQuota <= 0 {
@@ -30,8 +31,8 @@
 	return srv.tokens >= 1 && (srv.maxPerWindow == 0 || b.recentSends(srv) < srv.maxPerWindow)
 }
 
-// refillByRate refills the budget by what this node places or, where all servers warm up and nothing is placed, by
-// what arrives. Tokens are saved up, as little may come to one node.
+// refillByRate refills the budget according to this node's rate of setups or, if all servers are warming up and few
+// requests can be sent, to its rate of arrivals. Unused tokens accumulate, because a node may get few arrivals.
 func (b *Balancer) refillByRate(srv *server, factor float64) {
 	placed := b.settings.CollapseMultiple * b.rates.setups
 	rate := factor * max(placed, b.rates.arrivalsLastSecond) * srv.weight / max(b.fleet.weight, srv.weight)
@@ -40,10 +41,10 @@
 	srv.refilledAt = b.now
 }
 
-// refillByQuota refills the budget for one window: no faster than fills the server over its warm-up, and more from
-// half of that on. When it is full, the server has its part of the tenants' quotas, of the fleet at its largest. A
-// budget under one connection is one in some windows, drawn by chance: saved up, those of many nodes would come
-// together.
+// refillByQuota refills the budget for one window. The budget is CollapseMultiple times the connections that, at an
+// even rate over the slow start, fill the server to its share of the tenants' quotas in the largest fleet so far. Once
+// the server has more than half of its capacity, the budget grows with that capacity. A budget below one connection
+// becomes one connection in randomly chosen windows; if it accumulated instead, many nodes would send at the same time.
 func (b *Balancer) refillByQuota(srv *server, factor float64) {
 	window := b.settings.CollapseWindow.Seconds()
 	quotaShare := b.derived.connectionQuota * srv.weight / max(b.fleet.maxWeight, srv.weight) * max(1, 2*factor)
@@ -59,19 +60,19 @@
 	}
 }
 
-// recentSends counts the sends to a server within the last CollapseWindow. The budget binds in every window of that
-// length, also in one that begins in the middle of two of this node's own.
+// recentSends counts the sends to a server within the last CollapseWindow. The budget applies to every window of that
+// length, including those that overlap two of this node's refill windows.
 func (b *Balancer) recentSends(srv *server) int {
 	expired, _ := slices.BinarySearch(srv.recentSendTimes, b.now-b.settings.CollapseWindow+1)
 	srv.recentSendTimes = slices.Delete(srv.recentSendTimes, 0, expired)
 	return len(srv.recentSendTimes)
 }
 
-// recordSlowStartSend takes one connection out of a server's budget.
+// recordSlowStartSend subtracts one connection from a server's slow-start budget.
 func (b *Balancer) recordSlowStartSend(srv *server) {
 	srv.tokens--
 	if srv.maxPerWindow > 0 {
-		b.recentSends(srv) // drops the expired ones
+		b.recentSends(srv) // removes expired send times
 		srv.recentSendTimes = append(srv.recentSendTimes, b.now)
 	}
 }
--- a/balancer/statelists.go
+++ b/balancer/statelists.go
@@ -2,16 +2,16 @@
 
 import "slices"
 
-// stateLists holds the servers of a table by state. They are updated as states change, as a list that replaces half
-// of a large fleet asks for them thousands of times.
+// stateLists holds the servers of a table by state. It is updated incrementally, because an endpoint list that replaces
+// half of a large fleet reads it thousands of times.
 type stateLists struct {
-	active   []*server    // by id
-	byParity [2][]*server // the active ones by parity, by id
-	draining [2]int       // number of draining ones, by parity
-	filling  int          // number of filling ones
+	active   []*server    // active servers, sorted by id
+	byParity [2][]*server // active servers of each parity, sorted by id
+	draining [2]int       // number of draining servers of each parity
+	filling  int          // number of filling servers
 }
 
-// move takes a server to a state.
+// move changes the state of a server.
 func (l *stateLists) move(srv *server, to serverState) {
 	switch srv.state {
 	case active:
@@ -34,7 +34,7 @@
 	}
 }
 
-// regroup gives all servers a parity in turn and lists them anew. None of them may drain.
+// regroup assigns alternating parities to all servers and rebuilds the lists. No server may be draining.
 func (l *stateLists) regroup(members []*server) {
 	l.active = l.active[:0]
 	l.byParity = [2][]*server{l.byParity[0][:0], l.byParity[1][:0]}
@@ -47,13 +47,13 @@
 	}
 }
 
-// insertByID adds a server to a list that is ordered by id.
+// insertByID inserts a server into a list that is sorted by id.
 func insertByID(list []*server, srv *server) []*server {
 	at, _ := slices.BinarySearchFunc(list, srv, byID)
 	return slices.Insert(list, at, srv)
 }
 
-// removeByID removes a server from a list that is ordered by id.
+// removeByID removes a server from a list that is sorted by id.
 func removeByID(list []*server, srv *server) []*server {
 	at, found := slices.BinarySearchFunc(list, srv, byID)
 	if !found {
--- a/balancer/table.go
+++ b/balancer/table.go
@@ -6,42 +6,42 @@
 )
 
 const (
-	// minTableSize is four times the design's, so that shares stay even as servers are added later.
+	// minTableSize is four times the size in the design, so that the servers' shares stay even when servers are added.
 	minTableSize = 4096
-	// Past largeTableSize entries the table grows by minServerEntries a server, not by their square. A draining
-	// server's load then goes to that many others at least.
+	// Above largeTableSize entries, the table size grows by minServerEntries per server instead of with the square of
+	// the number of servers. The load of a draining server then goes to at least minServerEntries other servers.
 	largeTableSize   = 1 << 16
 	minServerEntries = 16
 
-	// Estimated memory in bytes: two hops of a pointer each, the entries that servers list as their own, at worst
-	// twice, and what else is kept of a server.
+	// Estimated memory in bytes. An entry has two hops of one pointer each and is in the entryIndexes of servers, in the
+	// worst case twice. serverMemory covers everything else that is stored for a server.
 	entryMemory  = 2*8 + 2*4
 	serverMemory = 2 << 10
 )
 
-// table maps entries to servers. New connections go to the first hop of their entry. While an entry changes, its
-// second hop is where connections from before the change are. The table is built and changed only from the endpoint
-// list, so nodes that saw the same changes hold the same table.
+// table is the forwarding table, which maps entries to servers. New connections go to the first hop of their entry.
+// While an entry changes, its second hop is the server of the connections from before the change. The table depends
+// only on the endpoint list, so nodes that got the same changes have the same table.
 type table struct {
 	first, second []*server
-	members       []*server // servers that are not inactive, by id
-	changing      bool      // some of them drain or fill
+	members       []*server // servers that are not inactive, sorted by id
+	changing      bool      // some members are draining or filling
 	states        stateLists
 }
 
-// tableSize is the number of entries for so many servers: a power of two, at least servers*floor(servers/2) up to
-// largeTableSize.
+// tableSize returns the number of entries for a number of servers. It is a power of two and, up to largeTableSize, at
+// least servers*floor(servers/2).
 func tableSize(servers int) int {
 	entries := min(servers*(servers/2), max(largeTableSize, minServerEntries*servers))
 	return 1 << bits.Len(uint(max(entries, minTableSize)-1))
 }
 
-// EstimateMemory returns an estimate, in bytes, of the memory that a list of so many servers takes.
+// EstimateMemory estimates the memory, in bytes, that a balancer with the given number of servers needs.
 func EstimateMemory(servers int) int { return tableSize(servers)*entryMemory + servers*serverMemory }
 
-// build lays out a fresh table. Servers take entries in turn, as often as their weight says, each the next free one
-// of a sequence that is hashed from its id. Shares are even to an entry, and two nodes whose lists differ by a few
-// servers agree on nearly all other entries.
+// build creates a new table. The servers take entries in turn, in proportion to their weights. Each takes the next free
+// entry of its own sequence, which is derived from the hash of its id. The shares of the servers deviate from their
+// weights by one entry at most, and nodes whose lists differ by a few servers agree on nearly all other entries.
 func (t *table) build(servers []*server) {
 	size := tableSize(len(servers))
 	t.first = make([]*server, size)
@@ -61,8 +61,8 @@
 
 // assignAll assigns the entries of an empty table.
 func (t *table) assignAll(heaviest float64) {
-	steps := make([]uint64, len(t.members)) // how far each server is in its sequence
-	due := make([]float64, len(t.members))  // entries that each server may take by now
+	steps := make([]uint64, len(t.members)) // position of each server in its sequence
+	due := make([]float64, len(t.members))  // entries that each server may take at the moment
 	for free := len(t.first); free > 0; {
 		for n, srv := range t.members {
 			due[n] += srv.weight / heaviest
@@ -78,8 +78,8 @@
 	}
 }
 
-// nextFree returns the next free entry of a server's sequence. The size is a power of two, so an odd stride meets
-// every entry.
+// nextFree returns the next free entry of a server's sequence. The table size is a power of two, so a sequence with an
+// odd stride visits every entry.
 func (t *table) nextFree(srv *server, step *uint64) int {
 	size := uint64(len(t.first))
 	stride := mix(srv.hash, 1) | 1
@@ -91,7 +91,7 @@
 	return int(entry % size)
 }
 
-// assign gives a first-hop entry to a server, or to none for nil.
+// assign sets the first hop of an entry. A nil server clears it.
 func (t *table) assign(entry int, srv *server) {
 	t.first[entry] = srv
 	if srv != nil {
@@ -101,8 +101,8 @@
 	}
 }
 
-// hops returns an entry's servers in the order in which a mid-flow arrival tries them: the second hop while the entry
-// changes, then the first.
+// hops returns the servers of an entry in the order in which a mid-flow arrival tries them: the second hop, or nil if
+// the entry is not changing, then the first hop.
 func (t *table) hops(entry int) [2]*server {
 	first, second := t.first[entry], t.second[entry]
 	if second == nil || second == first {
@@ -115,7 +115,7 @@
 	return [2]*server{second, first}
 }
 
-// mix hashes two words by folding their 128-bit product: alike on all nodes, without a seed.
+// mix hashes two words by folding their 128-bit product. It has no seed, so that all nodes get the same result.
 func mix(x, y uint64) uint64 {
 	hi, lo := bits.Mul64(x^0x9e3779b97f4a7c15, y^0xd1b54a32d192ed03)
 	return hi ^ lo
--- a/balancer/transition.go
+++ b/balancer/transition.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// drain moves a server to the second hop only: its first-hop entries go in turn to the servers of the other parity.
-// Where servers of both parities drain, or during a fill, they go to all active servers.
+// drain leaves a server only its second-hop entries. Its first-hop entries go in turn to the active servers of the
+// other parity, or to all active servers if servers of both parities are draining or a server is filling.
 func (t *table) drain(srv *server, now time.Duration) {
 	if srv.state != active && srv.state != filling {
 		return
 	}
 	toAll := t.states.filling > 0 || t.states.draining[1-srv.parity] > 0
-	if t.states.draining == [2]int{} { // parities stay as they are for as long as any server drains
+	if t.states.draining == [2]int{} { // parities must not change while a server is draining
 		t.states.regroup(t.members)
 	}
 	t.states.move(srv, draining)
@@ -26,8 +26,9 @@
 	srv.entryIndexes = nil
 }
 
-// receivers returns the servers that take over the entries of a server: the active ones of the other parity, or all
-// of them; where none is active those that fill, and a single nil where there is no server.
+// receivers returns the servers that take over the entries of a draining server: the active servers of the other
+// parity, or all active servers if all is true or that parity has none. If no server is active, it returns the filling
+// servers, or a single nil if there are none either.
 func (t *table) receivers(srv *server, all bool) []*server {
 	receivers := t.states.byParity[1-srv.parity]
 	if all || len(receivers) == 0 {
@@ -42,14 +43,14 @@
 	return receivers
 }
 
-// remove takes out a server that holds no first-hop entries. syncSecondHops must follow.
+// remove removes a server that holds no first-hop entries. The caller must call syncSecondHops afterwards.
 func (t *table) remove(srv *server) {
 	t.states.move(srv, inactive)
 	t.members = removeByID(t.members, srv)
 }
 
-// syncSecondHops copies the first hop where the second one is a removed server. It is called once for all that were
-// removed, as it goes through the whole table.
+// syncSecondHops sets second hops that are removed servers to the first hop of their entry. It scans the whole table,
+// so callers that remove several servers call it once.
 func (t *table) syncSecondHops() {
 	for entry, srv := range t.second {
 		if srv != nil && srv.state == inactive {
@@ -58,8 +59,8 @@
 	}
 }
 
-// fill gives a server two thirds of an even share of the entries: each is the lowest one of the active server that
-// holds most (ties by id), which becomes its second hop.
+// fill adds a server and gives it two thirds of an even share of the entries. Each entry is the lowest one of the
+// active server that holds the most entries, by lowest id on a tie. That server becomes the second hop of the entry.
 func (t *table) fill(srv *server, now time.Duration) {
 	if srv.state != inactive {
 		return
@@ -75,7 +76,7 @@
 	t.takeEntries(srv, fillCount(len(t.first), others))
 }
 
-// fillEmpty gives a server all entries that have none.
+// fillEmpty gives a server all entries that have no server.
 func (t *table) fillEmpty(srv *server) {
 	for entry := range t.first {
 		if t.first[entry] == nil {
@@ -85,7 +86,7 @@
 	}
 }
 
-// takeEntries moves a number of entries from the active servers that hold most to another server.
+// takeEntries moves count entries to a server, from the active servers that hold the most.
 func (t *table) takeEntries(srv *server, count int) {
 	level := 0
 	for _, donor := range t.states.active {
@@ -105,10 +106,10 @@
 	}
 }
 
-// fillCount is ceil((floor(entries/servers)/3)*2).
+// fillCount returns the number of entries that a new server gets: ceil(floor(entries/servers) * 2/3).
 func fillCount(entries, servers int) int { return (entries/max(servers, 1)*2 + 2) / 3 }
 
-// finishTransitions ends drains and fills whose times have passed, and fills at once where this node has no request.
+// finishTransitions ends the drains and fills whose time has passed. Fills also end if this node has no requests.
 func (t *table) finishTransitions(now, drainTime, fillTime time.Duration, idle bool) {
 	if !t.changing {
 		return
@@ -131,7 +132,7 @@
 	}
 }
 
-// inState lists the members in a state, by id.
+// inState returns the members in the given state, sorted by id.
 func (t *table) inState(state serverState) []*server {
 	var matching []*server
 	for _, srv := range t.members {
