--- a/balancer/bench_test.go
+++ b/balancer/bench_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// BenchmarkListChange shows that the cost of a list change follows the entries that move, not servers times
-// entries. Compare the allocations, not the times.
+// BenchmarkListChange measures a change of the endpoint list. Its cost must grow with the number of entries that move,
+// not with servers times entries. Compare the allocations, not the times.
 func BenchmarkListChange(b *testing.B) {
 	for _, n := range []int{10, 100, 1000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/balancer/decisions_amd64_test.go
+++ b/balancer/decisions_amd64_test.go
@@ -1,17 +1,17 @@
 package balancer
 
-// The recorded decisions are those of amd64: other processors may fuse floating-point operations, which shifts single
-// bits.
+// The recorded decisions are valid on amd64 only: other processors may fuse floating-point operations, which changes
+// single bits of the results.
 
 import (
 	"testing"
 	"time"
 )
 
-// eventsPerReplay is the number of drawn events in one replay; timers that fall due come on top.
+// eventsPerReplay is the number of random events in one replay, not counting the timers that expire.
 const eventsPerReplay = 20_000
 
-// replaySettings are the settings under which the decisions are recorded.
+// replaySettings returns the settings for which decisions are recorded, by name.
 func replaySettings() map[string]Settings {
 	variants := map[string]Settings{}
 	add := func(name string, change func(*Settings)) {
@@ -49,8 +49,8 @@
 	return variants
 }
 
-// wantDecisions holds the hash of the actions of each replay. A new value goes with a change of what the balancer
-// decides and with that change's measured effect, never with a refactoring.
+// wantDecisions holds the hash of the actions of each replay. Change a value only in a commit that changes the
+// balancer's decisions and states the measured effect, never in a refactoring.
 var wantDecisions = map[string]uint64{
 	"default":                         0x1e1f25a076e24f6a,
 	"long slow start":                 0xbb3d5655a3c67d2f,
@@ -73,10 +73,10 @@
 			r := newReplay(settings)
 			got := r.run()
 			if r.sends < eventsPerReplay/20 {
-				t.Errorf("%d attempts sent: the replay shows too little", r.sends)
+				t.Errorf("%d attempts sent: too few for a meaningful replay", r.sends)
 			}
 			if want := wantDecisions[name]; got != want {
-				t.Errorf("%q: %#x, want %#x", name, got, want)
+				t.Errorf("%q: hash of the decisions %#x, want %#x", name, got, want)
 			}
 		})
 	}
--- a/balancer/helpers_test.go
+++ b/balancer/helpers_test.go
@@ -50,7 +50,7 @@
 	}
 }
 
-// newWarmNode returns a node with n servers that have warmed up.
+// newWarmNode returns a node with n servers, none of which is in slow start.
 func newWarmNode(t *testing.T, s Settings, n int) *Balancer {
 	t.Helper()
 	b := New(s)
@@ -58,7 +58,7 @@
 	return b
 }
 
-// firstEntryOf returns the first candidate entry of a request.
+// firstEntryOf returns the index of a request's first candidate entry.
 func firstEntryOf(b *Balancer, r *request) int {
 	return b.candidateEntry(b.preferredEntry(r), 0)
 }
@@ -72,7 +72,7 @@
 	return out
 }
 
-// finalAnswers counts the final answers for a request.
+// finalAnswers counts the final answers to a request and reports whether one is a rejection.
 func finalAnswers(actions []Action, id RequestID) (n int, rejected bool) {
 	for _, a := range actions {
 		switch a := a.(type) {
@@ -92,7 +92,8 @@
 
 func keyOf(i int) string { return fmt.Sprint("key-", i) }
 
-// nodeWithConnections returns a node with n open connections of class 0 on each of its two servers.
+// nodeWithConnections returns a node with n established connections of class 0 on each of its two servers, and the
+// first of these servers.
 func nodeWithConnections(t *testing.T, s Settings, n int) (*Balancer, *server) {
 	t.Helper()
 	b := New(s)
@@ -115,14 +116,14 @@
 	return out
 }
 
-// newFleetNode returns one of many nodes, with servers that have warmed up.
+// newFleetNode returns a node of a fleet of nodes, with servers none of which is in slow start.
 func newFleetNode(t *testing.T, index, nodes, servers int) *Balancer {
 	s := testSettings()
 	s.Seed, s.NodeIndex, s.NodeCount = uint64(index)+1, index, nodes
 	return newWarmNode(t, s, servers)
 }
 
-// lowSampleNode returns a node of a large fleet, which is to have less than one connection on each of its servers.
+// lowSampleNode returns a node of a large fleet whose share of the quotas is less than one connection per server.
 func lowSampleNode(t *testing.T, classes ...Class) *Balancer {
 	t.Helper()
 	s := testSettings()
@@ -132,17 +133,17 @@
 	}
 	b := newWarmNode(t, s, 10)
 	if !b.lowSample() {
-		t.Fatal("the node has no low sample")
+		t.Fatal("lowSample is false for the node")
 	}
 	return b
 }
 
-// establishConnection sends a request and has it succeed.
+// establishConnection sends a request and establishes its connection.
 func establishConnection(t *testing.T, b *Balancer, id RequestID, at time.Duration, took time.Duration, midFlow bool) {
 	t.Helper()
 	sent := sends(b.Handle(at, Arrival{ID: id, Key: string(id), TimeLeft: time.Second, MidFlow: midFlow}))
 	if len(sent) != 1 {
-		t.Fatalf("%s was not sent", id)
+		t.Fatalf("request %s was not sent", id)
 	}
 	b.Handle(at+took, Established{ID: id, Server: sent[0].Server, Took: took})
 }
@@ -154,12 +155,12 @@
 	return out
 }
 
-// listDelta is a change of the list after the first one.
+// listDelta returns a delta that follows the first list.
 func listDelta(servers ...Server) ListEvent {
 	return ListEvent{Kind: ListDelta, Revision: 2, Servers: servers}
 }
 
-// capacityFraction is the part of its capacity that a server has at an age, by the settings.
+// capacityFraction returns the fraction of its capacity that a server of the given age has according to the settings.
 func capacityFraction(s Settings, age time.Duration) float64 {
 	return min(1, s.SlowStartFraction+(1-s.SlowStartFraction)*float64(age)/float64(s.SlowStartDuration))
 }
--- a/balancer/invariants_test.go
+++ b/balancer/invariants_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// invariantRun feeds two balancers the same random events and checks what must hold in every run.
+// invariantRun feeds the same random events to two balancers and checks the invariants of their actions.
 type invariantRun struct {
 	t         *testing.T
 	seed      uint64
@@ -18,10 +18,10 @@
 	now       time.Duration
 	ids       []RequestID
 	drainedAt map[ServerID]time.Duration // when a server began to drain
-	pending   map[RequestID]int          // pending attempts
-	sent      map[RequestID]int
-	opened    map[RequestID]bool // established once
-	done      map[RequestID]bool // answered
+	pending   map[RequestID]int          // number of pending attempts
+	sent      map[RequestID]int          // number of attempts
+	opened    map[RequestID]bool         // the connection was established
+	done      map[RequestID]bool         // the request needs no further answer
 }
 
 func newInvariantRun(t *testing.T, seed uint64) *invariantRun {
@@ -47,11 +47,11 @@
 	}
 }
 
-// handle hands an event to both balancers and checks their actions.
+// handle passes an event to both balancers and checks their actions.
 func (r *invariantRun) handle(e Event) {
 	actions := r.nodes[0].Handle(r.now, e)
 	if twin := r.nodes[1].Handle(r.now, e); fmt.Sprint(twin) != fmt.Sprint(actions) {
-		r.t.Fatalf("seed %d: the same events drew %v and %v", r.seed, actions, twin)
+		r.t.Fatalf("seed %d: the same event resulted in %v and %v", r.seed, actions, twin)
 	}
 	for _, action := range actions {
 		switch a := action.(type) {
@@ -69,13 +69,13 @@
 
 func (r *invariantRun) checkSend(a Send) {
 	if r.done[a.ID] {
-		r.t.Fatalf("seed %d: a send after the final answer", r.seed)
+		r.t.Fatalf("seed %d: send after the final answer", r.seed)
 	}
 	if at, ok := r.drainedAt[a.Server]; ok && r.now > at+r.settings.DrainGrace {
-		r.t.Fatalf("seed %d: a send past the drain grace", r.seed)
+		r.t.Fatalf("seed %d: send after the drain grace", r.seed)
 	}
 	if r.pending[a.ID]++; r.pending[a.ID] > 1 {
-		r.t.Fatalf("seed %d: two attempts at once", r.seed)
+		r.t.Fatalf("seed %d: two concurrent attempts of a request", r.seed)
 	}
 	if r.sent[a.ID]++; r.sent[a.ID] > r.settings.MaxAttempts {
 		r.t.Fatalf("seed %d: too many attempts", r.seed)
@@ -91,7 +91,7 @@
 
 func (r *invariantRun) drawID() RequestID { return r.ids[r.rng.IntN(len(r.ids))] }
 
-// step draws and handles one event.
+// step generates and handles one random event.
 func (r *invariantRun) step(number int) {
 	r.now += time.Duration(r.rng.IntN(20)) * ms
 	kind := r.rng.IntN(20)
@@ -130,7 +130,7 @@
 	})
 }
 
-// endAttempt establishes a request's connection or ends its attempt.
+// endAttempt establishes the connection of a pending attempt or ends the attempt.
 func (r *invariantRun) endAttempt(id RequestID) {
 	if r.pending[id] == 0 {
 		return
@@ -149,7 +149,7 @@
 	r.handle(AttemptEnded{ID: id, Attempt: r.sent[id] - 1, Took: 100 * ms, Outcome: outcome, Final: final})
 }
 
-// changeServer changes the state of a server in the list.
+// changeServer changes the state of a server in the endpoint list.
 func (r *invariantRun) changeServer() {
 	entry := testFleet(r.servers)[r.rng.IntN(8)]
 	entry.State = ServerState(r.rng.IntN(3))
@@ -166,7 +166,7 @@
 	r.handle(ListEvent{Kind: ListDelta, Servers: []Server{entry}})
 }
 
-// endAll ends every attempt.
+// endAll ends all pending attempts.
 func (r *invariantRun) endAll() {
 	for range 3 {
 		for _, id := range r.ids {
@@ -181,22 +181,22 @@
 	}
 }
 
-// checkNothingRetained checks the balancers after all attempts have ended.
+// checkNothingRetained checks that the balancers retain no state of requests after all attempts have ended.
 func (r *invariantRun) checkNothingRetained() {
 	for _, n := range r.nodes {
 		if len(n.requests) != 0 || len(n.pacing.queue) != 0 {
-			r.t.Fatalf("seed %d: %d requests are retained", r.seed, len(n.requests))
+			r.t.Fatalf("seed %d: %d requests retained", r.seed, len(n.requests))
 		}
 		for _, s := range n.servers {
 			if s.connections != 0 || len(s.groups) != 0 || s.load != 0 {
-				r.t.Fatalf("seed %d: server %s keeps %+v", r.seed, s.id, s)
+				r.t.Fatalf("seed %d: server %s retains state: %+v", r.seed, s.id, s)
 			}
 		}
 	}
 }
 
-// Over random events the rules of the protocol hold, two balancers with the same events decide alike, and nothing
-// is retained in the end.
+// For any sequence of events, the rules of the protocol hold, two balancers with the same events make the same
+// decisions, and no state of a request is retained after its end.
 func TestInvariants_RandomEvents_Hold(t *testing.T) {
 	for seed := range uint64(40) {
 		r := newInvariantRun(t, seed)
--- a/balancer/list_bench_test.go
+++ b/balancer/list_bench_test.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// fleetSizes are the numbers of servers that a node is to bear.
+// fleetSizes are the numbers of servers that a node must support.
 var fleetSizes = []int{10, 100, 350, 1024, 2000, 3200}
 
-// BenchmarkHalfReplaced measures one list that drains half of a fleet and adds as many servers, and the sweep in
-// which the drains end. A node answers nobody while it works at it.
+// BenchmarkHalfReplaced measures a list change that drains half of a fleet and adds as many servers, and the sweep in
+// which the drains end. A node handles no requests in the meantime.
 func BenchmarkHalfReplaced(b *testing.B) {
 	for _, n := range fleetSizes {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -33,7 +33,7 @@
 	}
 }
 
-// BenchmarkFirstList measures the first list of a node.
+// BenchmarkFirstList measures the first endpoint list of a node.
 func BenchmarkFirstList(b *testing.B) {
 	for _, n := range fleetSizes {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/balancer/midflow_test.go
+++ b/balancer/midflow_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// A mid-flow arrival goes to the server of its connection: to the second hop while its entry changes, also when
-// that server drains, and never past the drain grace.
+// A mid-flow arrival goes to the server of its connection. That is the second hop while its entry changes, even if that
+// server is draining, until its drain grace ends.
 func TestMidFlow_ChangingEntry_GoesToSecondHop(t *testing.T) {
 	b := newWarmNode(t, testSettings(), 6)
 	b.Handle(0, Arrival{ID: "held", Key: "held", TimeLeft: time.Second}) // a node without requests ends fills at once
@@ -22,22 +22,23 @@
 		t.Helper()
 		out := sends(b.Handle(at, Arrival{ID: id, Key: key, TimeLeft: time.Second, MidFlow: mid}))
 		if len(out) != 1 {
-			t.Fatalf("%s was not sent", id)
+			t.Fatalf("request %s was not sent", id)
 		}
 		return out[0].Server
 	}
 	if got := send("new", 1100*ms, false); got == "s02" {
-		t.Error("a new connection was sent to a draining server")
+		t.Error("new request was sent to a draining server")
 	}
 	if got := send("mid", 1200*ms, true); got != "s02" {
-		t.Errorf("mid-flow within the grace went to %s, want s02", got)
+		t.Errorf("mid-flow arrival within the drain grace went to %s, want s02", got)
 	}
-	// Told at the start of one turn and sent at the end of another, a send of the grace's last moment came behind it.
+	// A node learns of the drain at the start of one event loop turn and sends at the end of another, so a send that is
+	// decided in the last moment of the grace would come after it.
 	if got := send("late", 1000*ms+b.settings.DrainGrace*19/20, true); got == "s02" {
-		t.Error("mid-flow at the very end of the grace was sent to a draining server")
+		t.Error("mid-flow arrival at the very end of the drain grace was sent to the draining server")
 	}
 
-	// A fill: the server that gave its entry away is the second hop.
+	// While a server is filling, the second hop of its entry is the entry's previous server.
 	b = newWarmNode(t, testSettings(), 6)
 	b.Handle(0, Arrival{ID: "held", Key: "held", TimeLeft: time.Second})
 	b.Handle(time.Second, listDelta(Server{ID: "s99", Weight: 1}))
@@ -49,12 +50,12 @@
 			continue
 		}
 		if first.id != "s99" {
-			t.Fatalf("an entry of %s changes in a fill of s99", first.id)
+			t.Fatalf("an entry of %s changes while s99 is filling", first.id)
 		}
 		if got := send("fill", 1100*ms, true); got != second.id {
-			t.Errorf("mid-flow in a fill went to %s, want %s", got, second.id)
+			t.Errorf("mid-flow arrival during the fill went to %s, want %s", got, second.id)
 		}
 		return
 	}
-	t.Error("no entry changes in a fill")
+	t.Error("no entry changes during the fill")
 }
--- a/balancer/outlier_test.go
+++ b/balancer/outlier_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// A server that hangs accepts connections and sends nothing; a dead one refuses them. Both stop getting new
-// connections within a few attempts, are tried again later, and recover.
+// A server that hangs accepts connections and sends nothing; a server that is down refuses them. Each of the two is
+// ejected after a few attempts, gets attempts again later, and recovers.
 func TestOutlier_FailingServer_IsEjectedForATime(t *testing.T) {
 	for _, outcome := range []Outcome{ResponseTimeout, ConnectFailed} {
 		b := newWarmNode(t, testSettings(), 6)
@@ -34,11 +34,11 @@
 		s := b.servers[bad]
 		b.now = s.ejectedUntil + ms
 		if b.isEjected(s) {
-			t.Error("it is never tried again")
+			t.Error("the ejection does not end at ejectedUntil")
 		}
 		b.recordSuccess(s)
 		if s.consecutiveFailures != 0 || b.isEjected(s) {
-			t.Error("a success does not clear it")
+			t.Error("a success does not clear failures and ejection")
 		}
 	}
 }
@@ -49,6 +49,6 @@
 		b.recordFailure(s, time.Second)
 	}
 	if out := sends(b.Handle(ms, Arrival{ID: "r", Key: "k", TimeLeft: time.Second})); len(out) != 1 {
-		t.Error("with all servers ejected the request must still be sent")
+		t.Error("the request was not sent although all servers are ejected")
 	}
 }
--- a/balancer/overload_sim_test.go
+++ b/balancer/overload_sim_test.go
@@ -8,32 +8,33 @@
 	"time"
 )
 
-// overloadSim is a fleet in virtual time whose set-ups all call one backend, which works through them in turn, also
-// through those that timed out. Rejected clients retry until they are served.
+// overloadSim simulates a fleet in virtual time. All connection setups depend on one backend, which processes them one
+// after the other, including those that have timed out. Clients whose requests are rejected retry until they are
+// served.
 type overloadSim struct {
 	rng           *rand.Rand
 	fleet         []*Balancer
-	clients       map[RequestID]*simClient // with a request or connection, by its id
+	clients       map[RequestID]*simClient // clients with a request or a connection, by its id
 	now           time.Duration
 	queue         simQueue
 	sequence      int
-	backendFreeAt time.Duration // when the backend has worked through its queue
-	setupCost     time.Duration // of one set-up at the backend
-	meanLifetime  time.Duration // of a connection, on average
+	backendFreeAt time.Duration // when the backend will have processed its queue
+	setupCost     time.Duration // time that the backend takes for one setup
+	meanLifetime  time.Duration // mean lifetime of a connection
 
-	deadlines                     []time.Duration // of each class
-	times                         []clientTime    // of each class
+	deadlines                     []time.Duration // by class
+	times                         []clientTime    // by class
 	accountedUntil, accountedFrom time.Duration
 }
 
-// clientTime is the client time of a class that was wanted and that was served.
+// clientTime sums up, for a class, the time in which clients wanted a connection and the time in which they had one.
 type clientTime struct {
-	established, wanted         int // clients at this moment
+	established, wanted         int // present number of clients
 	establishedTime, wantedTime time.Duration
-	attempted, succeeded        int // clients that made a request, and those that were established
+	attempted, succeeded        int // clients that made a request, and those that got a connection
 }
 
-// served is the part of the wanted time that was served.
+// served returns the fraction of the wanted time in which clients had a connection.
 func (c clientTime) served() float64 { return float64(c.establishedTime) / float64(c.wantedTime) }
 
 func newOverloadSim(seed uint64, deadlines []time.Duration) *overloadSim {
@@ -80,7 +81,7 @@
 	return x
 }
 
-// maxScheduled bounds the events that are due: a node that sets ever more timers is a fault.
+// maxScheduled bounds the number of scheduled events, to detect a node that sets ever more timers.
 const maxScheduled = 100_000
 
 func (sim *overloadSim) schedule(d time.Duration, do func()) {
@@ -117,7 +118,8 @@
 	return b
 }
 
-// handle hands a node an event and carries out its actions. Timers of a node that was restarted are dropped.
+// handle passes an event to a node and carries out the resulting actions. Timers of a node that has restarted since are
+// ignored.
 func (sim *overloadSim) handle(i int, b *Balancer, e Event) {
 	for _, a := range slices.Clone(b.Handle(sim.now, e)) {
 		switch a := a.(type) {
@@ -170,7 +172,8 @@
 	})
 }
 
-// accountTime adds the client time until now and changes the numbers of clients.
+// accountTime adds the client time since its last call, then adds up and want to the numbers of established and wanted
+// clients of a class.
 func (sim *overloadSim) accountTime(class, up, want int) {
 	if span := sim.now - max(sim.accountedUntil, sim.accountedFrom); span > 0 {
 		for i := range sim.times {
@@ -183,7 +186,7 @@
 	sim.accountedUntil = sim.now
 }
 
-// total is the client time of all classes.
+// total returns the sum of the client time of all classes.
 func (sim *overloadSim) total() (sum clientTime) {
 	for _, c := range sim.times {
 		sum.establishedTime += c.establishedTime
@@ -192,7 +195,8 @@
 	return sum
 }
 
-// retry schedules the next try of a rejected client: twice soon, or after the Retry-After, then with backoff.
+// retry schedules the next request of a client that got a rejection or a failure. Two out of three retries follow soon
+// or after the Retry-After; the third has a backoff.
 func (sim *overloadSim) retry(id RequestID, advice time.Duration) {
 	c := sim.clients[id]
 	delete(sim.clients, id)
@@ -230,7 +234,7 @@
 	})
 }
 
-// resetConnections breaks a part of the connections; their clients reconnect within a second.
+// resetConnections resets a random share of the connections. Their clients reconnect within a second.
 func (sim *overloadSim) resetConnections(share float64) {
 	var connected []RequestID
 	for id, c := range sim.clients {
--- a/balancer/overload_surge_test.go
+++ b/balancer/overload_surge_test.go
@@ -7,18 +7,18 @@
 	"time"
 )
 
-// reconnectSurge is a run in which a part of all clients reconnects at once, faster than the backend of all set-ups
-// can serve them.
+// reconnectSurge is a simulation in which a fraction of all clients reconnects at once, faster than the backend of all
+// connection setups can serve them.
 type reconnectSurge struct {
 	nodes           int
-	rate            float64 // new clients a second, over all nodes
-	backendCapacity float64 // of set-ups, as a multiple of that rate
-	resetFraction   float64 // of the connections
-	restart         bool    // seven in ten nodes restart at that moment
-	early           bool    // 6 s after the start; in the first 3 s all clients reconnect at no cost
+	rate            float64 // new clients per second, over all nodes
+	backendCapacity float64 // setups per second of the backend, as a multiple of rate
+	resetFraction   float64 // fraction of the connections that is reset
+	restart         bool    // seven in ten nodes restart at the same moment
+	early           bool    // the surge is 6 s after the start; in the first 3 s all clients connect at no cost
 }
 
-// simulate returns the part of the wanted client time that is served in the half minute from the surge on.
+// simulate returns the served fraction of the wanted client time in the 30 s after the surge.
 func (p reconnectSurge) simulate(seed uint64) float64 {
 	sim := newOverloadSim(seed, []time.Duration{700 * ms, 900 * ms, time.Second, 1200 * ms})
 	sim.setupCost = time.Duration(float64(time.Second) / (p.rate * p.backendCapacity))
@@ -46,8 +46,8 @@
 	return sim.total().served()
 }
 
-// A reconnect surge overloads the backend of all set-ups, of which each node sees a few a second at most. The
-// overload ends soon, whatever the size of the fleet, how long it has run and what the backend bears.
+// A reconnect surge overloads the backend of all connection setups, of which each node observes a few per second at
+// most. The overload must end soon, whatever the size of the fleet, its uptime and the capacity of the backend.
 func TestOverload_ReconnectSurge_EndsSoon(t *testing.T) {
 	for _, c := range []struct {
 		reconnectSurge
@@ -66,28 +66,28 @@
 			t.Parallel()
 			for seed := range uint64(2) {
 				if got := c.simulate(seed + 1); got < c.least {
-					t.Errorf("seed %d: %.3f of the time is served, %g is wanted", seed+1, got, c.least)
+					t.Errorf("seed %d: %.3f of the client time is served, want at least %g", seed+1, got, c.least)
 				} else {
-					t.Logf("seed %d: %.3f", seed+1, got)
+					t.Logf("seed %d: %.3f of the client time is served", seed+1, got)
 				}
 			}
 		})
 	}
 }
 
-// rollingRestart is a run in which a release of the servers resets a part of the connections every 1.3 s, while all
-// nodes are restarted, a tenth at a time.
+// rollingRestart is a simulation in which a rollout on the servers resets a fraction of the connections every 1.3 s,
+// while all nodes restart, one tenth at a time.
 type rollingRestart struct {
 	nodes           int
-	rate            float64 // new clients a second, over all nodes
-	backendCapacity float64 // of set-ups, as a multiple of that rate
-	firstFraction   float64 // of the connections, reset as the release begins
-	stepFraction    float64 // the same at each later step
+	rate            float64 // new clients per second, over all nodes
+	backendCapacity float64 // setups per second of the backend, as a multiple of rate
+	firstFraction   float64 // fraction of the connections that is reset when the rollout begins
+	stepFraction    float64 // fraction that is reset at each later step
 	deadlines       []time.Duration
 }
 
-// simulate returns the part of the wanted client time that is served in the half minute from the release on, and by
-// class the part of the clients that were established while it lasted.
+// simulate returns the served fraction of the wanted client time in the 30 s after the rollout begins and, by class,
+// the fraction of the clients that got a connection during the rollout.
 func (p rollingRestart) simulate(seed uint64) (served float64, established []float64) {
 	const (
 		begin, length  = 10 * time.Second, 12 * time.Second
@@ -123,7 +123,7 @@
 	return sim.total().served(), established
 }
 
-// restart replaces every n-th node, after it has answered its queued requests.
+// restart replaces every n-th node, after the node has answered its queued requests.
 func (sim *overloadSim) restart(seed uint64, first, n int) {
 	for i := first; i < len(sim.fleet); i += n {
 		old := sim.fleet[i]
@@ -133,12 +133,12 @@
 	}
 }
 
-// While the backend of all set-ups is overloaded, no class is left without service: neither nodes that have just
-// started nor paced ones together send so much that only classes of long deadlines succeed.
+// While the backend of all connection setups is overloaded, every class must be served. If nodes that have just
+// started, or nodes that pace, sent too many setups together, only classes with long deadlines would succeed.
 func TestPacing_RollingRestart_ServesEveryClass(t *testing.T) {
 	for _, c := range []struct {
 		rollingRestart
-		least float64 // of the wanted time, all classes together
+		least float64 // served fraction of the wanted time of all classes
 	}{
 		{rollingRestart{nodes: 300, rate: 40, backendCapacity: 6, firstFraction: 0.35, stepFraction: 0.05,
 			deadlines: []time.Duration{700 * ms, 3 * time.Second, 4800 * ms}}, 0.85},
@@ -153,12 +153,12 @@
 			t.Parallel()
 			for seed := range uint64(2) {
 				served, established := c.simulate(seed + 1)
-				t.Logf("seed %d: %.3f of the time is served, of the classes' clients %.3f succeeded", seed+1, served, established)
+				t.Logf("seed %d: %.3f of the client time is served; clients that succeeded, by class: %.3f", seed+1, served, established)
 				if slices.Min(established) < slices.Max(established)/2 {
-					t.Errorf("seed %d: of the classes' clients %.3f succeeded, one class less than half of the best", seed+1, established)
+					t.Errorf("seed %d: clients that succeeded, by class: %.3f; the lowest is below half of the highest", seed+1, established)
 				}
 				if served < c.least {
-					t.Errorf("seed %d: %.3f of the time is served, %g is wanted", seed+1, served, c.least)
+					t.Errorf("seed %d: %.3f of the client time is served, want at least %g", seed+1, served, c.least)
 				}
 			}
 		})
--- a/balancer/overload_test.go
+++ b/balancer/overload_test.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// The slope of the message latency shows how much more a server is asked than it can do; what is over its limit is
-// migrated.
+// The slope of the message latency shows by how much a server's load exceeds its capacity. Connections over the reduced
+// limit are migrated.
 func TestLatency_LateMessages_ReduceLimit(t *testing.T) {
 	b, s := nodeWithConnections(t, testSettings(), 20)
-	// Half a second of work piles up in a second: its load is 1.5 times its capacity.
+	// The backlog grows by half a second within a second: the load is 1.5 times the capacity.
 	out := b.Handle(time.Second, LatencyReport{ID: "open0", Latency: 500 * ms})
 	if want := 2000 * targetUtilization / 1.5; s.loadLimit < want*0.99 || s.loadLimit > want*1.01 {
 		t.Errorf("limit %.0f, want %.0f", s.loadLimit, want)
@@ -18,35 +18,35 @@
 	if n := len(migrations(out)); n != 8 {
 		t.Errorf("%d of 20 connections migrated, want 8", n)
 	}
-	// The backlog falls by a third of a second in a second: that is fast enough.
+	// The backlog falls by a third of a second within a second, which is fast enough.
 	before := s.loadLimit
 	out = b.Handle(2*time.Second, LatencyReport{ID: "open0", Latency: 160 * ms})
 	if len(migrations(out)) != 0 || s.loadLimit != before {
-		t.Error("a shrinking backlog reduced the limit again")
+		t.Error("the limit was reduced again while the backlog shrinks")
 	}
-	// Long after, the limit has grown back.
+	// After the recovery time, the limit has recovered.
 	b.now = 2*time.Second + b.derived.limitRecovery
 	if b.exceedsLimit(s, &request{}, 100) {
-		t.Error("the limit does not grow back")
+		t.Error("the limit has not recovered after limitRecovery")
 	}
 }
 
-// A server whose latency nears the objective sheds a little load at once: a node with few connections there learns
-// of it by its own messages alone.
+// A server whose message latency approaches the objective sheds a little load at once, because a node with few
+// connections on the server detects an overload only by the messages of these connections.
 func TestLatency_NearObjective_ShedsLittleLoad(t *testing.T) {
 	objective := testSettings().Classes[0].MessageLatencyObjective
 	b, s := nodeWithConnections(t, testSettings(), 20)
 	if out := b.Handle(time.Second, LatencyReport{ID: "open0", Latency: objective / 3}); len(migrations(out)) != 0 {
-		t.Errorf("%d migrated well below the objective", len(migrations(out)))
+		t.Errorf("%d of 20 connections migrated well below the objective", len(migrations(out)))
 	}
 	out := b.Handle(2*time.Second, LatencyReport{ID: "open0", Latency: objective * 9 / 20})
 	if n := len(migrations(out)); n < 2 || n > 6 || s.loadLimit == 0 {
-		t.Errorf("%d of 20 migrated, limit %.0f: want a few", n, s.loadLimit)
+		t.Errorf("%d of 20 connections migrated, limit %.0f; want 2 to 6 and a limit", n, s.loadLimit)
 	}
 }
 
-// When the whole fleet is overloaded, what exceeds the limits is rejected at once, the classes of least value for
-// their load first.
+// When the whole fleet is overloaded, requests that exceed the limits are rejected at once, those of classes with the
+// least value per load first.
 func TestAdmission_OverloadedFleet_RejectsLeastValueFirst(t *testing.T) {
 	set := testSettings()
 	set.Classes[1].PriorityWeight = 1
@@ -64,14 +64,14 @@
 		s.loadLimit += 100
 	}
 	if !fits(0) || fits(1) {
-		t.Errorf("near its limit a server fits class 0: %v, class 1: %v; want true, false", fits(0), fits(1))
+		t.Errorf("servers near their limit accept class 0: %v, class 1: %v; want true, false", fits(0), fits(1))
 	}
 	for _, s := range b.servers {
 		s.load = 2 * s.loadLimit
 	}
 	out := b.Handle(time.Second+ms, Arrival{ID: "late", Key: "k", TimeLeft: time.Second})
 	if n, rejected := finalAnswers(out, "late"); n != 1 || !rejected || len(sends(out)) != 0 {
-		t.Error("with all servers at their limit the request must be rejected at once")
+		t.Error("the request was not rejected at once although all servers are at their limit")
 	}
 	for _, a := range out {
 		if r, ok := a.(Reject); ok && r.RetryAfter <= 0 {
@@ -88,28 +88,28 @@
 	r := &request{Arrival: Arrival{Tenant: 0}}
 	b.counts.byTenant[0] = 3 // its quota over three nodes
 	if v := b.relativeValue(r); v != 1 {
-		t.Errorf("value %.2f within the quota, want 1", v)
+		t.Errorf("relative value within the quota: %.2f, want 1", v)
 	}
 	b.counts.byTenant[0] = 4
 	if v := b.relativeValue(r); v < 0.09 || v > 0.11 {
-		t.Errorf("value %.2f over the quota, want 0.1", v)
+		t.Errorf("relative value over the quota: %.2f, want 0.1", v)
 	}
 	b.counts.byTenant[1] = 1000
 	if v := b.relativeValue(&request{Arrival: Arrival{Tenant: 1}}); v != 1 {
-		t.Errorf("value %.2f for a tenant without a known quota, want 1", v)
+		t.Errorf("relative value for a tenant without a known quota: %.2f, want 1", v)
 	}
-	// Tenants that the settings do not know are no fault.
+	// Requests of tenants that are not in the settings are served.
 	for i, tenant := range []int{-3, 2, 99} {
 		id := RequestID(fmt.Sprint("t", i))
 		if out := sends(b.Handle(0, Arrival{ID: id, Tenant: tenant, Key: "k", TimeLeft: time.Second})); len(out) != 1 {
 			t.Errorf("a request of tenant %d was not sent", tenant)
 		}
-		b.Handle(0, Established{ID: id, Took: ms}) // one that has just started has few set-ups under way
+		b.Handle(0, Established{ID: id, Took: ms}) // a node that has just started has few setups in flight
 	}
 }
 
-// A server that resets most of its connections at once is limited and ejected, so that the clients that reconnect
-// go elsewhere. One reset of many shows nothing.
+// A server that resets most of its connections at once is limited and ejected, so that reconnecting clients go to other
+// servers. The reset of one connection of many has no effect.
 func TestResets_MostConnections_LimitServer(t *testing.T) {
 	b, s := nodeWithConnections(t, testSettings(), 20)
 	reset := func(at time.Duration, from, to int) {
@@ -119,7 +119,7 @@
 	}
 	reset(time.Second, 0, 2)
 	if s.loadLimit != 0 || b.isEjected(s) {
-		t.Fatal("one reset connection of twenty limits its server")
+		t.Fatal("one reset connection of twenty limits or ejects the server")
 	}
 	reset(3*time.Second, 2, 40)
 	if want := 1900 * targetUtilization / 2; s.loadLimit != want || !b.isEjected(s) {
@@ -129,21 +129,21 @@
 		a := Arrival{ID: RequestID(fmt.Sprint("back", i)), Key: fmt.Sprint(2 * i), TimeLeft: time.Second, Reconnect: true}
 		for _, send := range sends(b.Handle(3*time.Second+100*ms, a)) {
 			if send.Server == "a" {
-				t.Errorf("%s is sent to the server that has just reset all its connections", a.ID)
+				t.Errorf("request %s was sent to the server that has just reset all its connections", a.ID)
 			}
 		}
 	}
 	if b.now = 3*time.Second + b.derived.limitRecovery; b.isEjected(s) || b.exceedsLimit(s, &request{}, 100) {
-		t.Error("the limit does not grow back")
+		t.Error("the server is ejected or its limit has not recovered after limitRecovery")
 	}
-	// Of two connections that a server had here both reset is no chance; of one it may well be.
+	// The reset of both of two connections is hardly a coincidence; the reset of a single connection may be one.
 	b, s = nodeWithConnections(t, testSettings(), 1)
 	if reset(time.Second, 0, 1); s.loadLimit != 0 {
 		t.Error("the reset of the only connection limits the server")
 	}
 }
 
-// Of many nodes that each have one connection on an overloaded server, some migrate theirs, neither all nor none.
+// Of many nodes with one connection each on an overloaded server, some migrate it, but not all of them.
 func TestLatency_ManyNodes_MigrateTheirShare(t *testing.T) {
 	const nodes = 400
 	moved := 0
@@ -158,6 +158,6 @@
 		}
 	}
 	if moved < nodes/20 || moved > nodes*2/3 {
-		t.Errorf("%d of %d nodes migrate their one connection", moved, nodes)
+		t.Errorf("%d of %d nodes migrated their only connection, want some", moved, nodes)
 	}
 }
--- a/balancer/pacing_lowsample_test.go
+++ b/balancer/pacing_lowsample_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// A mid-flow arrival continues its connection at once and is no set-up: it neither shortens the interval nor takes
-// a turn.
+// A mid-flow arrival continues its connection at once and does not count as a setup: it neither shortens the interval
+// nor takes a turn.
 func TestPacing_MidFlowArrival_NotCountedAsSetup(t *testing.T) {
 	b := lowSampleNode(t)
 	establishConnection(t, b, "first", time.Second, 10*ms, false)
@@ -20,12 +20,12 @@
 		t.Errorf("interval %v, next send at %v after four mid-flow arrivals; want 2s and 4s", b.pacing.interval, b.pacing.nextSendAt)
 	}
 	if establishConnection(t, b, "new", 4*time.Second, 10*ms, false); b.pacing.interval != time.Second {
-		t.Errorf("interval %v after a good set-up, want half of 2s", b.pacing.interval)
+		t.Errorf("interval %v after a fast setup, want half of 2s", b.pacing.interval)
 	}
 }
 
-// The time that a request may be queued follows the shortest deadline, so that classes of long deadlines do not
-// take every turn.
+// The longest queue time depends on the shortest deadline of all classes, or classes with long deadlines would get
+// every turn.
 func TestPacing_QueueTime_SameForAllClasses(t *testing.T) {
 	b := lowSampleNode(t,
 		Class{SetupLatencyObjective: 200 * ms, Deadline: 700 * ms},
@@ -35,14 +35,14 @@
 	b.pacing.interval, b.pacing.nextSendAt, b.pacing.changedAt = 3*time.Second, 4*time.Second, 2*time.Second
 	for class, deadline := range []time.Duration{700 * ms, 4800 * ms} {
 		for _, c := range []struct {
-			before time.Duration // the turn
+			before time.Duration // time until the next turn
 			waits  bool
 		}{{500 * ms, false}, {300 * ms, true}} {
 			id := RequestID(fmt.Sprint(class, c.before))
 			out := b.Handle(4*time.Second-c.before, Arrival{ID: id, Class: class, Key: "k", TimeLeft: deadline})
 			n, rejected := finalAnswers(out, id)
 			if waits := n == 0 && len(sends(out)) == 0; waits != c.waits || !waits && !rejected {
-				t.Errorf("class %d, %v before its turn: queued %v, rejected %v; want it queued: %v", class, c.before, waits, rejected, c.waits)
+				t.Errorf("class %d, %v before its turn: queued %v, rejected %v; want queued %v", class, c.before, waits, rejected, c.waits)
 			}
 			b.Handle(4*time.Second-c.before, ClientDisconnected{ID: id})
 			b.pacing.queue = nil
@@ -50,7 +50,7 @@
 	}
 }
 
-// A node that begins to pace sends the next set-up an interval after the last one, not at once.
+// A node that starts pacing sends the next setup one interval after the last one, not at once.
 func TestPacing_Start_DelaysNextSetup(t *testing.T) {
 	b := lowSampleNode(t)
 	establishConnection(t, b, "first", time.Second, 10*ms, false)
@@ -58,7 +58,7 @@
 		at := 2*time.Second + time.Duration(i)*100*ms
 		sent := sends(b.Handle(at, Arrival{ID: id, Key: string(id), TimeLeft: 300 * ms}))
 		if len(sent) != 1 {
-			t.Fatalf("%s was not sent", id)
+			t.Fatalf("request %s was not sent", id)
 		}
 	}
 	for i, id := range []RequestID{"a", "b"} {
@@ -67,18 +67,19 @@
 		b.observeSetup(r, &r.attempts[0], 300*ms, true)
 	}
 	if b.pacing.interval != maxSendInterval {
-		t.Fatalf("two servers failed in a row, interval %v, want %v", b.pacing.interval, maxSendInterval)
+		t.Fatalf("interval %v after two servers failed in a row, want %v", b.pacing.interval, maxSendInterval)
 	}
 	out := b.Handle(2500*ms, Arrival{ID: "next", Key: "n", TimeLeft: 2 * time.Second})
 	if n, rejected := finalAnswers(out, "next"); len(sends(out)) != 0 || n != 1 || !rejected {
-		t.Errorf("half a second after the last send the next one is sent: %v", out)
+		t.Errorf("actions half a second after the last send: %v, want a rejection", out)
 	}
 	if out = b.Handle(5200*ms, Arrival{ID: "later", Key: "l", TimeLeft: 2 * time.Second}); len(sends(out)) != 1 {
-		t.Errorf("an interval after the last send nothing is sent: %v", out)
+		t.Errorf("actions one interval after the last send: %v, want a send", out)
 	}
 }
 
-// A node that has just started sends one set-up, and more as they succeed; queued requests are answered in time.
+// A node that has just started has one setup in flight, and more when setups succeed. Queued requests get their final
+// answers in time.
 func TestPacing_SlowStart_OneSetupUntilOneSucceeds(t *testing.T) {
 	b := lowSampleNode(t)
 	arrive := func(at time.Duration, id RequestID) []Action {
@@ -86,16 +87,16 @@
 	}
 	first := sends(arrive(time.Second, "r0"))
 	if len(first) != 1 {
-		t.Fatal("the first one was not sent")
+		t.Fatal("the first setup was not sent")
 	}
 	for i := 1; i < 4; i++ {
 		if out := arrive(time.Second, RequestID(fmt.Sprint("r", i))); len(sends(out)) != 0 {
-			t.Fatalf("a second set-up is in flight before the first has an outcome: %v", out)
+			t.Fatalf("actions while the first setup is in flight: %v, want no send", out)
 		}
 	}
 	out := slices.Clone(b.Handle(1020*ms, Established{ID: "r0", Server: first[0].Server, Took: 20 * ms}))
 	if n := len(sends(out)); n != 2 {
-		t.Errorf("after one succeeded %d are sent, want 2", n)
+		t.Errorf("%d setups sent after the first one succeeded, want 2", n)
 	}
 	answered := 0
 	for at := 1100 * ms; at < 3*time.Second; at += 100 * ms { // no other event
@@ -104,18 +105,18 @@
 		}
 	}
 	if answered != 1 || len(b.pacing.queue) != 0 {
-		t.Errorf("the queued request had %d answers, %d are still queued", answered, len(b.pacing.queue))
+		t.Errorf("the queued request got %d final answers, %d requests are still queued", answered, len(b.pacing.queue))
 	}
 	for i := range 2 * maxAwaitingSetup {
 		arrive(4*time.Second, RequestID(fmt.Sprint("more", i)))
 	}
 	if len(b.pacing.queue) > maxAwaitingSetup {
-		t.Errorf("%d are queued, want at most %d", len(b.pacing.queue), maxAwaitingSetup)
+		t.Errorf("%d requests are queued, want at most %d", len(b.pacing.queue), maxAwaitingSetup)
 	}
 }
 
-// A request that is queued behind a set-up that hangs is answered after half of the shortest deadline, whatever its
-// own deadline.
+// A request that is queued behind a setup that hangs gets its final answer after half of the shortest deadline of all
+// classes, whatever its own deadline.
 func TestPacing_SlowStart_QueueTimeSameForAllClasses(t *testing.T) {
 	b := lowSampleNode(t,
 		Class{SetupLatencyObjective: 200 * ms, Deadline: 700 * ms},
@@ -123,13 +124,13 @@
 	)
 	begin := time.Second
 	if len(sends(b.Handle(begin, Arrival{ID: "hangs", Class: 1, Key: "h", TimeLeft: 4800 * ms, Retry: true}))) != 1 {
-		t.Fatal("the first one was not sent")
+		t.Fatal("the first setup was not sent")
 	}
 	answered := map[RequestID]time.Duration{}
 	for class, deadline := range []time.Duration{700 * ms, 4800 * ms} {
 		id := RequestID(fmt.Sprint("class", class))
 		if out := b.Handle(begin, Arrival{ID: id, Class: class, Key: "k", TimeLeft: deadline}); len(out) > 1 {
-			t.Fatalf("%s is not queued: %v", id, out)
+			t.Fatalf("actions for %s: %v, want it queued", id, out)
 		}
 	}
 	const step = 10 * ms
@@ -142,12 +143,12 @@
 	}
 	for _, id := range []RequestID{"class0", "class1"} {
 		if at, ok := answered[id]; !ok || at > 350*ms+step {
-			t.Errorf("%s was answered after %v (%v), want %v at most", id, at, ok, 350*ms+step)
+			t.Errorf("%s was rejected after %v (answered: %v), want %v at most", id, at, ok, 350*ms+step)
 		}
 	}
 }
 
-// A request with less time left than any set-up takes shows nothing by its time-out.
+// The timeout of a request does not count as a failed setup if it had less time left than any setup takes.
 func TestPacing_TimeoutsShorterThanAnySetup_DoNotStartPacing(t *testing.T) {
 	b := lowSampleNode(t)
 	at := time.Second
@@ -163,10 +164,10 @@
 			}
 		}
 		if !sent {
-			t.Errorf("request %d is not sent", i)
+			t.Errorf("request %d was not sent", i)
 		}
 	}
 	if b.pacing.interval != 0 {
-		t.Errorf("set-ups are paced, interval %v", b.pacing.interval)
+		t.Errorf("setups are paced with interval %v, want no pacing", b.pacing.interval)
 	}
 }
--- a/balancer/pacing_test.go
+++ b/balancer/pacing_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// While all set-ups fail, few are sent, and every request is answered in time.
+// While all setups fail, few are sent, and every request gets its final answer in time.
 func TestPacing_AllSetupsFail_AnswersInTime(t *testing.T) {
 	b := newWarmNode(t, testSettings(), 12)
 	now := time.Duration(0)
@@ -27,7 +27,7 @@
 			case Reject:
 				answered[a.ID] = true
 				if now > due[a.ID] {
-					t.Fatalf("%s was answered after its time", a.ID)
+					t.Fatalf("%s was rejected after its deadline", a.ID)
 				}
 			case SetTimer:
 				timers = append(timers, a.At)
@@ -40,7 +40,7 @@
 		apply(append([]Action(nil), b.Handle(0, Arrival{ID: id, Key: fmt.Sprint(i), TimeLeft: 2 * time.Second})...))
 	}
 	if sent > 20 {
-		t.Errorf("%d set-ups were sent into the overload at once", sent)
+		t.Errorf("%d setups were sent at once while all fail, want at most 20", sent)
 	}
 	for now < 3*time.Second {
 		now += 5 * ms
@@ -53,22 +53,22 @@
 		}
 	}
 	if len(answered) != 100 || len(b.requests) != 0 {
-		t.Errorf("%d of 100 answered, %d retained", len(answered), len(b.requests))
+		t.Errorf("%d of 100 requests rejected, %d retained", len(answered), len(b.requests))
 	}
 }
 
-// Pacing ends with time where few connections come, and so few good set-ups can end it.
+// If there are few arrivals, and so few successful setups that could end pacing, pacing ends with time.
 func TestPacing_QuietPeriod_EndsPacing(t *testing.T) {
 	b := newWarmNode(t, testSettings(), 6)
 	for i, id := range []RequestID{"a", "b", "r"} {
 		b.Handle(0, Arrival{ID: id, Key: string(id), TimeLeft: time.Second})
 		b.Handle(20*ms, AttemptEnded{ID: id, Took: 20 * ms, Outcome: Errored})
-		if i == 0 && b.pacing.interval > 0 { // would cost clients without retries their only try
-			t.Fatal("a single set-up error begins pacing")
+		if i == 0 && b.pacing.interval > 0 { // clients without retries would lose their only request
+			t.Fatal("a single setup error started pacing")
 		}
 	}
 	if b.pacing.interval == 0 {
-		t.Fatal("errors of one set-up after another do not begin pacing")
+		t.Fatal("errors of several setups in a row did not start pacing")
 	}
 	for now := sweepInterval; now < 10*time.Second; now += sweepInterval {
 		b.Handle(now, Timer{Token: pacingToken})
@@ -78,12 +78,12 @@
 		}
 	}
 	if b.pacing.interval > 0 {
-		t.Errorf("still paced with interval %v after ten quiet seconds", b.pacing.interval)
+		t.Errorf("setups are still paced with interval %v after a quiet period of 10 s", b.pacing.interval)
 	}
 }
 
-// However long the queue and however short the interval, a node has one timer set, and good set-ups end pacing
-// instead of halving the interval for ever.
+// A node has one pacing timer, however long the queue and however short the interval. Fast setups end pacing instead of
+// halving the interval forever.
 func TestPacing_Queue_HasOneTimer(t *testing.T) {
 	b := newWarmNode(t, testSettings(), 4)
 	at := time.Second
@@ -106,28 +106,28 @@
 		handle(Arrival{ID: RequestID(fmt.Sprint("w", i)), Key: fmt.Sprint(i), TimeLeft: time.Second})
 	}
 	if timers != 1 || sent != 0 {
-		t.Errorf("30 queued, %d sent, %d timers are set; want 1", sent, timers)
+		t.Errorf("%d of 30 queued requests sent, %d timers set; want 0 and 1", sent, timers)
 	}
-	for i := range 40 { // good ones that were sent since, all in one instant
+	for i := range 40 { // fast setups, all sent since and at the same time
 		b.observeSetup(&request{}, &attempt{server: b.servers["a"], sentAt: at}, ms, false)
 		if handle(Timer{Token: pacingToken}); b.pacing.interval > 0 && b.pacing.interval <= timerTolerance {
-			t.Fatalf("interval after %d good set-ups: %v", i+1, b.pacing.interval)
+			t.Fatalf("interval after %d fast setups: %v", i+1, b.pacing.interval)
 		}
 	}
 	if b.pacing.interval != 0 || len(b.pacing.queue) > 0 || sent != 30 {
-		t.Errorf("interval %v, %d queued and %d of 30 sent after forty good set-ups", b.pacing.interval, len(b.pacing.queue), sent)
+		t.Errorf("interval %v, %d queued and %d of 30 sent after 40 fast setups; want 0, 0 and 30", b.pacing.interval, len(b.pacing.queue), sent)
 	}
-	if timers > 12 { // one for each shorter pace
-		t.Errorf("%d timers were set", timers)
+	if timers > 12 { // one for each shorter interval
+		t.Errorf("%d timers were set, want at most 12", timers)
 	}
 }
 
-// A node that starts amid an overload paces after two servers fail in a row. Failures of one server, or after a
-// success, pace nothing.
+// A node that starts during an overload starts pacing after two servers fail in a row. Failures of a single server, or
+// after a successful setup, do not start pacing.
 func TestPacing_NodeStartsDuringOverload_PacesSoon(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		first bool // one came up well before
+		first bool // a setup succeeded before
 		on    []ServerID
 		paced bool
 	}{
@@ -151,41 +151,41 @@
 	}
 }
 
-// A node that has just started has no rate of set-ups of its own; it paces by the rate of its arrivals.
-func TestPacing_NewNode_UsesArrivalRate(t *testing.T) {
+// A node that has just started has no average rate of setups yet. Its baseline is the rate of setups since its start.
+func TestPacing_NewNode_UsesSetupRateSinceStart(t *testing.T) {
 	b := newWarmNode(t, testSettings(), 4)
 	for i := range 30 {
 		id := RequestID(fmt.Sprint("r", i))
 		b.Handle(0, Arrival{ID: id, Key: fmt.Sprint(i), TimeLeft: 2 * time.Second})
 		b.Handle(ms, Established{ID: id, Took: 600 * ms})
 	}
-	if b.pacing.interval <= 0 || b.pacing.interval > time.Second/10 { // it was set when the twelfth had come
-		t.Errorf("%v between sends after thirty in the first second", b.pacing.interval)
+	if b.pacing.interval <= 0 || b.pacing.interval > time.Second/10 { // it was set at the twelfth setup
+		t.Errorf("interval %v after 30 setups in the first second, want 0 to 100ms", b.pacing.interval)
 	}
 	b.now = time.Minute
 	if baseline, _ := b.baselineInterval(); baseline != b.derived.limitRecovery {
-		t.Errorf("a minute later without arrivals the baseline is %v, want %v", baseline, b.derived.limitRecovery)
+		t.Errorf("baseline after a minute without arrivals: %v, want %v", baseline, b.derived.limitRecovery)
 	}
 }
 
-// Timers are cut to the microsecond and send times are not. A timer that falls due a fraction early sends, or it
-// would be set again and again for the same microsecond.
+// Timers are truncated to the microsecond and send times are not. A timer that expires a fraction of a microsecond
+// early must send; otherwise it would be set again and again for the same microsecond.
 func TestPacing_EarlyTimer_Sends(t *testing.T) {
 	b := newWarmNode(t, testSettings(), 4)
 	b.Handle(time.Second, Arrival{ID: "first", Key: "a", TimeLeft: time.Second})
 	b.pacing.interval, b.pacing.nextSendAt, b.pacing.changedAt = 10*ms, time.Second+10*ms+400, time.Second
 	b.Handle(time.Second, Arrival{ID: "waits", Key: "b", TimeLeft: time.Second})
-	// The timer comes at its time, cut to the microsecond.
+	// The timer expires at its time, truncated to the microsecond.
 	at := time.Second + 10*ms
 	if out := b.Handle(at, Timer{pacingToken}); len(sends(out)) != 1 {
-		t.Errorf("the send time has come, and the actions are %v", out)
+		t.Errorf("actions at the send time: %v, want a send", out)
 	}
 	if out := b.Handle(at+2*ms, Timer{pacingToken}); len(out) != 0 {
-		t.Errorf("nothing is queued any more, and the actions are %v", out)
+		t.Errorf("actions with an empty queue: %v, want none", out)
 	}
 }
 
-// Where servers are few, errors of one must not pace all set-ups; errors of several do.
+// If there are few servers, errors of a single one must not start pacing, but errors of several must.
 func TestPacing_ErrorsOfOneServer_DoNotStartPacing(t *testing.T) {
 	b, _ := nodeWithConnections(t, testSettings(), 0)
 	fail := func(on ServerID) {
@@ -194,7 +194,7 @@
 	}
 	for i := range 8 {
 		if fail("a"); b.pacing.interval > 0 {
-			t.Fatalf("paced after %d errors of one server", i+1)
+			t.Fatalf("setups are paced after %d errors of a single server", i+1)
 		}
 	}
 	for range 4 {
@@ -202,26 +202,26 @@
 		fail("a")
 	}
 	if b.pacing.interval == 0 {
-		t.Error("not paced though several servers fail")
+		t.Error("setups are not paced although several servers fail")
 	}
 }
 
-// The interval is not shortened before set-ups that were sent since its last change can have ended.
+// The interval is not shortened before the setups that were sent since its last change have had time to end.
 func TestPacing_SlowSetups_RelaxLater(t *testing.T) {
 	b := newWarmNode(t, testSettings(), 6)
 	b.pacing.setupTime, b.pacing.interval, b.pacing.changedAt = time.Second, time.Second, 10*time.Second
 	for now := 10 * time.Second; now <= 12*time.Second; now += sweepInterval {
 		if b.Handle(now, Timer{Token: sweepToken}); b.pacing.interval != time.Second {
-			t.Fatalf("relaxed %v after the last change, a set-up takes %v", now-b.pacing.changedAt, b.pacing.setupTime)
+			t.Fatalf("interval was shortened %v after its last change, although a setup takes %v", now-b.pacing.changedAt, b.pacing.setupTime)
 		}
 	}
 	if b.Handle(13*time.Second, Timer{Token: sweepToken}); b.pacing.interval >= time.Second {
-		t.Error("it never relaxes")
+		t.Error("the interval was not shortened after 3 s")
 	}
 }
 
-// While the backend of all set-ups is overloaded, pacing holds at the baseline rate, whatever time passes. After
-// it, good set-ups end pacing soon.
+// While the backend of all connection setups is overloaded, pacing keeps to the baseline rate, however long that lasts.
+// Afterwards, fast setups soon end pacing.
 func TestPacing_SustainedOverload_KeepsBaselineRate(t *testing.T) {
 	s := testSettings()
 	s.NodeCount = 300
@@ -267,18 +267,18 @@
 	const calm, overload, recovery = time.Minute, 90 * time.Second, 20 * time.Second
 	run(10*ms, calm, 4*time.Second, 20*ms, false)
 	if b.pacing.interval != 0 {
-		t.Fatalf("interval %v while all is well", b.pacing.interval)
+		t.Fatalf("interval %v before the overload, want no pacing", b.pacing.interval)
 	}
 	baseline, _ := b.baselineInterval()
 	run(calm, calm+overload/2, 250*ms, 600*ms, true)
 	sentCount = 0
 	run(calm+overload/2, calm+overload, 250*ms, 600*ms, true)
 	if maxSent := 2 * float64(overload/2) / float64(baseline); float64(sentCount) > maxSent {
-		t.Errorf("in the overload it sends %d in %v, baseline interval %v", sentCount, overload/2, baseline)
+		t.Errorf("%d setups sent within %v of the overload, more than twice the baseline of one per %v", sentCount, overload/2, baseline)
 	}
 	pending = nil
 	run(calm+overload, calm+overload+recovery, 500*ms, 20*ms, false)
 	if b.pacing.interval > baseline/8 {
-		t.Errorf("after it the interval is %v, baseline %v", b.pacing.interval, baseline)
+		t.Errorf("interval %v after the overload, want at most an eighth of the baseline %v", b.pacing.interval, baseline)
 	}
 }
--- a/balancer/placement.go
+++ b/balancer/placement.go
@@ -28,9 +28,9 @@
 }
 
 // preferredEntry returns the request's position in the table. Requests with a group are placed by the hash of the
-// group, because connections of a group share work on a server. Other requests are placed by the hash of their client key,
-// and requests without a key by the hash of their id. A group with several replicas has an entry for each, with a hash
-// derived from that of the first. The client key selects a replica; most keys keep it when the number changes.
+// group, because connections of a group share work on a server. Other requests are placed by the hash of their client
+// key, and requests without a key by the hash of their id. A group with several replicas has an entry for each, with a
+// hash derived from that of the first. The client key selects a replica; most keys keep it when the number changes.
 func (b *Balancer) preferredEntry(req *request) tablePosition {
 	key := cmp.Or(req.Key, string(req.ID))
 	position := tablePosition{
--- a/balancer/placement_test.go
+++ b/balancer/placement_test.go
@@ -15,12 +15,12 @@
 		a := Arrival{ID: RequestID(fmt.Sprint(i)), Key: fmt.Sprint("key", i), TimeLeft: time.Second}
 		x, y := sends(b.Handle(0, a)), sends(c.Handle(0, a))
 		if len(x) != 1 || len(y) != 1 {
-			t.Fatal("no send")
+			t.Fatal("the request was not sent")
 		}
 		first := b.table.hops(firstEntryOf(b, &request{Arrival: a}))[1]
 		overloaded := b.isOverloaded(first, 1) || first.connections >= minOverloadConnections
 		if !overloaded && x[0].Server != first.id {
-			t.Errorf("key %d left its first hop %s for %s", i, first.id, x[0].Server)
+			t.Errorf("key %d: first hop is %s, sent to %s", i, first.id, x[0].Server)
 		}
 		b.Handle(0, AttemptEnded{ID: a.ID, Outcome: Served, Final: true})
 		c.Handle(0, AttemptEnded{ID: a.ID, Outcome: Served, Final: true})
@@ -30,8 +30,8 @@
 	}
 }
 
-// A group costs load on every server that has connections of it: past an overloaded server a connection goes to one
-// that has some.
+// A group costs load on every server that has connections of it. If the group's server is overloaded, a new connection
+// goes to a server that already has connections of the group.
 func TestPlacement_OverloadedServer_PrefersHolderOfGroup(t *testing.T) {
 	b := newWarmNode(t, testSettings(), 8)
 	home := b.table.first[firstEntryOf(b, &request{Arrival: Arrival{Group: "g"}})]
@@ -52,16 +52,16 @@
 	}
 	b.updateTotals()
 	if !b.isOverloaded(home, 1) {
-		t.Fatal("the group's first hop is not over the bound")
+		t.Fatal("the group's first hop is not overloaded")
 	}
 	out := sends(b.Handle(0, Arrival{ID: "r", Group: "g", Key: "k", TimeLeft: time.Second}))
 	if len(out) != 1 || out[0].Server != holder.id {
-		t.Errorf("sent to %v, want %s, which has the group", out, holder.id)
+		t.Errorf("sent to %v, want %s, which has a connection of the group", out, holder.id)
 	}
 }
 
-// In an overloaded fleet a group may newly use only the first servers from its entry; past them its requests are
-// rejected.
+// In an overloaded fleet, a group may use only the first maxGroupProbes servers from its entry, besides those that have
+// connections of it. If these are at their limits, requests of the group are rejected.
 func TestPlacement_OverloadedFleet_BoundsGroupProbes(t *testing.T) {
 	b := newWarmNode(t, testSettings(), 8)
 	b.now = time.Minute
@@ -78,20 +78,20 @@
 	b.updateTotals()
 	for i, s := range near[:maxGroupProbes] {
 		if got := b.selectServer(r); got != s {
-			t.Fatalf("choice %d is %v, want %s", i, got, s.id)
+			t.Fatalf("selected server %d is %v, want %s", i, got, s.id)
 		}
 		s.load = 100 // at its limit
 	}
 	if got := b.selectServer(r); got != nil {
-		t.Errorf("the group went on to %s", got.id)
+		t.Errorf("selected server %s, want none after maxGroupProbes servers", got.id)
 	}
 	near[maxGroupProbes].groups["g"] = 1
 	if got := b.selectServer(r); got != near[maxGroupProbes] {
-		t.Error("the group is not sent to the server that has it")
+		t.Error("the server with a connection of the group was not selected")
 	}
 }
 
-// At a node with a low sample the bound is lower.
+// At a node with a low sample, a group may use fewer servers in an overloaded fleet.
 func TestPlacement_LowSample_BoundsGroupProbesFurther(t *testing.T) {
 	s := testSettings()
 	s.NodeCount, s.Tenants = 80, []Tenant{{ConnectionQuota: 350}}
@@ -110,12 +110,12 @@
 		s.loadLimit, s.limitedAt, s.load = 0.1, b.now, 100
 	}
 	if len(used) > lowSampleGroupProbes || len(used) == 0 {
-		t.Errorf("a group in an overloaded fleet probes %d servers, want at most %d", len(used), lowSampleGroupProbes)
+		t.Errorf("a group in an overloaded fleet uses %d servers, want 1 to %d", len(used), lowSampleGroupProbes)
 	}
 }
 
-// A server that operators reinstated is used soon, also where no client leads to it; once is enough, and not while
-// it drains again.
+// A server that operators reinstated soon gets a request, even if no client hashes to it: one request only, and none if
+// it drains again before.
 func TestOverride_ReinstatedServer_IsUsedSoon(t *testing.T) {
 	s := testSettings()
 	b, _ := nodeWithConnections(t, s, 4)
@@ -124,7 +124,7 @@
 	}
 	at := time.Minute
 	on := map[ServerID]int{}
-	key := func() string { // a key that leads to server a
+	key := func() string { // a key that hashes to server a
 		for i := 0; ; i++ {
 			r := &request{Arrival: Arrival{Key: fmt.Sprint("key", i)}}
 			if b.table.first[firstEntryOf(b, r)] == b.servers["a"] {
@@ -143,20 +143,20 @@
 	out(at, Draining)
 	out(at+time.Second, Live)
 	if arrive(at+time.Second, "early"); on["a"] != 1 {
-		t.Errorf("at once: %v", on)
+		t.Errorf("requests by server right after the reinstatement: %v, want a:1", on)
 	}
 	arrive(at+4*time.Second, "due")
 	if arrive(at+5*time.Second, "after"); on["b"] != 1 || on["a"] != 2 {
-		t.Errorf("then: %v", on)
+		t.Errorf("requests by server after reinstateDelay: %v, want a:2 b:1", on)
 	}
 	out(at+6*time.Second, Live)
 	out(at+7*time.Second, Draining)
 	if arrive(at+10*time.Second, "out again"); on["b"] != 1 || len(b.reinstated) > 0 {
-		t.Errorf("out again: %v", on)
+		t.Errorf("requests by server after b drained again: %v, want b:1", on)
 	}
 }
 
-// A reconnecting client that was migrated off an overloaded server does not get the same server from another node.
+// A client that was migrated off an overloaded server and reconnects through another node gets another server.
 func TestReconnect_LowSample_GetsAnotherServer(t *testing.T) {
 	s := testSettings()
 	s.NodeCount, s.Tenants = 80, []Tenant{{ConnectionQuota: 350}}
@@ -165,20 +165,21 @@
 	for i := range 40 {
 		r := &request{Arrival: Arrival{Group: "g", Key: "k", ID: RequestID(fmt.Sprint(i)), Reconnect: true}, load: 1}
 		on[n.selectServer(r)]++
-		r.Reconnect, r.MidFlow = false, true // a mid-flow arrival goes by its key alone
+		r.Reconnect, r.MidFlow = false, true // a mid-flow arrival is placed by its key alone
 		if n.selectServer(r) != same {
-			t.Fatal("a mid-flow arrival is not sent where its key leads")
+			t.Fatal("a mid-flow arrival is not sent to the server of its key")
 		}
 	}
 	if len(on) < 3 || on[same] > 0 {
-		t.Errorf("40 reconnects use %d servers, %d of them the old one", len(on), on[same])
+		t.Errorf("40 reconnects use %d servers, want at least 3; %d went to the old server, want none", len(on), on[same])
 	}
 }
 
-// Where crossing zones is costly, clients stay in the zone of their node as far as its servers have capacity, whole
-// groups together and alike at all nodes of the zone. Mid-flow arrivals find them, also while the server drains.
+// If crossing zones is costly, clients stay in their node's zone as far as its servers have capacity. Groups stay
+// together, and all nodes of the zone make the same choice. Mid-flow arrivals reach the servers of their connections,
+// even while these drain.
 func TestPlacement_CrossZoneCost_KeepsClientsInZone(t *testing.T) {
-	node := func(index int, crossZoneCost float64, inZone int) *Balancer { // in zone 0
+	node := func(index int, crossZoneCost float64, inZone int) *Balancer { // a node in zone 0 with inZone of 20 servers there
 		s := testSettings()
 		s.Seed, s.NodeIndex, s.NodeCount, s.Zones, s.CrossZoneCost = uint64(index), index, 80, 2, crossZoneCost
 		s.Tenants = []Tenant{{ConnectionQuota: 350}}
@@ -192,8 +193,8 @@
 	}
 	for _, c := range []struct {
 		crossZoneCost float64
-		own           int
-		least, most   float64 // the part of groups in zone 0
+		own           int     // number of servers in zone 0
+		least, most   float64 // bounds of the fraction of the groups that stay in zone 0
 	}{{0.1, 10, 1, 1}, {0.1, 16, 1, 1}, {0.1, 5, 0.5, 0.75}, {0.01, 10, 0.4, 0.6}} {
 		x, y := node(1, c.crossZoneCost, c.own), node(2, c.crossZoneCost, c.own)
 		in, r, s := 0, &request{load: 1}, (*server)(nil)
@@ -203,16 +204,16 @@
 				in++
 			}
 			if other := y.selectServer(r); other.id != s.id {
-				t.Fatalf("group %d is on %s at one node and on %s at another", g, s.id, other.id)
+				t.Fatalf("group %d is placed on %s by one node and on %s by another", g, s.id, other.id)
 			}
 		}
 		y.Handle(time.Second, listDelta(Server{ID: s.id, State: Draining, Weight: 1}))
 		r.MidFlow = true
 		if to := y.selectServer(r); to == nil || to.id != s.id {
-			t.Errorf("cost %g: a mid-flow arrival misses its draining server", c.crossZoneCost)
+			t.Errorf("cost %g: a mid-flow arrival is not sent to its draining server", c.crossZoneCost)
 		}
 		if part := float64(in) / 200; part < c.least || part > c.most {
-			t.Errorf("cost %g, %d of 20 servers in the zone: %.2f of the groups stay, want %g to %g", c.crossZoneCost, c.own, part, c.least, c.most)
+			t.Errorf("cost %g, %d of 20 servers in the zone: %.2f of the groups stay in the zone, want %g to %g", c.crossZoneCost, c.own, part, c.least, c.most)
 		}
 	}
 }
@@ -230,6 +231,6 @@
 		b.Handle(0, AttemptEnded{ID: id, Outcome: Served, Final: true})
 	}
 	if len(hit) != 8 {
-		t.Errorf("200 requests met %d of 8 servers", len(hit))
+		t.Errorf("200 requests were spread over %d of 8 servers, want all", len(hit))
 	}
 }
--- a/balancer/polling_test.go
+++ b/balancer/polling_test.go
@@ -19,34 +19,35 @@
 	}
 	run(0, 2*time.Second)
 	if watches != 1 {
-		t.Fatalf("polled %d times at the start, want once", watches)
+		t.Fatalf("%d list requests at the start, want 1", watches)
 	}
 	b.Handle(2*time.Second, ListEvent{Kind: ListFailed})
 	run(2*time.Second, 9*time.Second)
 	if watches != 2 {
-		t.Fatalf("polled %d times after one failure, want twice", watches)
+		t.Fatalf("%d list requests after one failure, want 2", watches)
 	}
 	b.Handle(9*time.Second, ListEvent{Kind: ListSnapshot, Revision: 3, Servers: testFleet(3)})
 	run(9*time.Second, 60*time.Second)
 	if watches != 2 {
-		t.Error("polled during an open watch")
+		t.Error("list request sent while a watch is open")
 	}
 	b.Handle(60*time.Second, ListEvent{Kind: ListFailed}) // the watch broke
 	run(60*time.Second, 70*time.Second)
 	if watches != 3 {
-		t.Error("not polled after the watch broke")
+		t.Error("no list request sent after the watch broke")
 	}
 	push := testSettings()
 	push.PollList = false
 	b, watches = New(push), 0
 	run(0, 5*time.Second)
 	if watches != 0 {
-		t.Error("a pushed list was polled")
+		t.Error("list request sent although discovery pushes the list")
 	}
 }
 
-// Whatever polls failed before, and however many nodes there are, the next poll comes within MaxRepollDelay, or
-// twice that less the time that the failed one took; the first of a node within 4 s.
+// Whatever list requests have failed before, and however many nodes there are, the next one follows within
+// MaxRepollDelay, or within twice that minus the duration of the failed request. The first one of a node follows within
+// 4 s.
 func TestPolling_AnyFailures_NextRequestInTime(t *testing.T) {
 	for _, nodes := range []int{1, 3, 25, 40, 300, 3000} {
 		for _, within := range []time.Duration{time.Second, 10 * time.Second, time.Minute} {
@@ -72,7 +73,7 @@
 							continue
 						}
 						if limit := 4*time.Second + sweepInterval; fails == 0 && now-since > limit {
-							t.Fatalf("%d nodes, %v: first polled after %v", nodes, within, now-since)
+							t.Fatalf("%d nodes, poll interval %v: first list request after %v", nodes, within, now-since)
 						}
 						if fails > 0 {
 							worst = max(worst, now-since)
@@ -82,15 +83,15 @@
 					}
 				}
 				if limit := max(MaxRepollDelay, 2*MaxRepollDelay-took); worst > limit {
-					t.Errorf("%d nodes, %v, calls that take %v: polled again after %v, want at most %v", nodes, within, took, worst, limit)
+					t.Errorf("%d nodes, poll interval %v, requests that take %v: next list request after %v, want at most %v", nodes, within, took, worst, limit)
 				}
 			}
 		}
 	}
 }
 
-// The endpoint list has a fixed capacity for all nodes: polls at the start, and after a failure for all at once,
-// must not be synchronized.
+// Discovery has a fixed capacity for all nodes. List requests at the start, and after a failure that hits all nodes at
+// once, must not be synchronized.
 func TestPolling_ManyNodes_Spread(t *testing.T) {
 	const nodes = 160
 	var all []*Balancer
@@ -119,23 +120,24 @@
 	}
 	run(20*ms, 20*time.Second)
 	if highest := run(20*time.Second, 60*time.Second); highest > nodes/4 {
-		t.Errorf("%d of %d nodes poll in the same tenth of a second after failures", highest, nodes)
+		t.Errorf("%d of %d nodes send list requests within the same 100 ms after failures", highest, nodes)
 	}
 }
 
 const (
-	listRequestCost    = 60 * ms         // of the simulated endpoint list
-	listRequestTimeout = 2 * time.Second // of its callers
+	listRequestCost    = 60 * ms         // time that the simulated discovery takes for a list request
+	listRequestTimeout = 2 * time.Second // timeout of a list request
 )
 
-// listRequest is a poll that the simulated endpoint list has not answered yet.
+// listRequest is a list request to which the simulated discovery has not responded yet.
 type listRequest struct {
 	from   int
 	at     time.Duration
 	failed bool // timed out
 }
 
-// listSim is an endpoint list that works through the calls of many nodes in turn, also through those that timed out.
+// listSim simulates a discovery service that processes the list requests of many nodes one after the other, including
+// those that have timed out.
 type listSim struct {
 	t        *testing.T
 	nodes    []*Balancer
@@ -151,7 +153,7 @@
 	l.nodes[i] = newWarmNode(l.t, s, 10)
 }
 
-// run returns the number of nodes that have no open watch at the end.
+// run simulates a time span and returns the number of nodes without an open watch at its end.
 func (l *listSim) run(from, to time.Duration) (withoutWatch int) {
 	for now := from; now < to; now += listRequestCost {
 		l.requestLists(from, now)
@@ -166,7 +168,7 @@
 	return withoutWatch
 }
 
-// requestLists has all nodes do their housekeeping and queues their polls.
+// requestLists triggers the periodic work of all nodes and queues their list requests.
 func (l *listSim) requestLists(from, now time.Duration) {
 	for i, n := range l.nodes {
 		for _, a := range n.Handle(now, Timer{Token: sweepToken}) {
@@ -177,7 +179,7 @@
 		}
 		interval := n.settings.PollInterval
 		if !n.polling.watching && now-l.lastPoll[i] > interval && now-from > interval {
-			l.t.Fatalf("node %d has not polled since %v, at %v", i, l.lastPoll[i], now)
+			l.t.Fatalf("node %d sent its last list request at %v; it is %v", i, l.lastPoll[i], now)
 		}
 	}
 }
@@ -191,7 +193,7 @@
 	}
 }
 
-// respondToNext works through one call; the answer to one that timed out is lost.
+// respondToNext processes one list request. The response to a request that has timed out is lost.
 func (l *listSim) respondToNext(now time.Duration) {
 	if len(l.queue) == 0 {
 		return
@@ -203,7 +205,7 @@
 	}
 }
 
-// Nodes that start at the same time must not keep the endpoint list busy with calls that nobody waits for.
+// Nodes that start at the same time must not keep discovery busy with list requests that have timed out.
 func TestPolling_ManyStarts_AllGetTheList(t *testing.T) {
 	const nodes = 80
 	list := &listSim{t: t, nodes: make([]*Balancer, nodes), lastPoll: make([]time.Duration, nodes)}
@@ -211,18 +213,18 @@
 		list.start(i)
 	}
 	if n := list.run(0, 8*time.Second); n > 0 {
-		t.Errorf("%d of %d nodes have no list after 8 s", n, nodes)
+		t.Errorf("%d of %d nodes have no watch after 8 s", n, nodes)
 	}
 	for i := range nodes * 7 / 10 {
 		list.start(i)
 	}
 	if n := list.run(8*time.Second, 16*time.Second); n > 0 {
-		t.Errorf("%d have none 8 s after seven in ten were restarted", n)
+		t.Errorf("%d nodes have no watch 8 s after seven in ten nodes restarted", n)
 	}
-	for _, n := range list.nodes { // the service goes down, and with it every watch
+	for _, n := range list.nodes { // discovery goes down, and every watch breaks
 		n.Handle(16*time.Second, ListEvent{Kind: ListFailed})
 	}
 	if n := list.run(16*time.Second, 24*time.Second); n > 0 {
-		t.Errorf("%d have none 8 s after all watches broke", n)
+		t.Errorf("%d nodes have no watch 8 s after all watches broke", n)
 	}
 }
--- a/balancer/replay_test.go
+++ b/balancer/replay_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// dueTimer is a timer that the balancer set; number keeps timers of one instant in order.
+// dueTimer is a timer that the balancer has set. Its number keeps timers for the same time in order.
 type dueTimer struct {
 	at     time.Duration
 	number int
@@ -35,7 +35,7 @@
 	return last
 }
 
-// openAttempt is an attempt without an outcome, or an established connection.
+// openAttempt is a pending attempt or an established connection.
 type openAttempt struct {
 	id          RequestID
 	number      int
@@ -43,7 +43,7 @@
 	established bool
 }
 
-// replay feeds a balancer seeded random events that follow its own actions, and hashes those.
+// replay feeds seeded random events, which depend on the balancer's actions, to a balancer and hashes the actions.
 type replay struct {
 	rng         *rand.Rand
 	settings    Settings
@@ -70,7 +70,8 @@
 	}
 }
 
-// handle hands the balancer one event, hashes its actions and takes them in. The text of a log line is no decision.
+// handle passes an event to the balancer, then hashes and carries out its actions. The hash leaves out the text of log
+// lines, which is not a decision.
 func (r *replay) handle(event Event) {
 	for _, action := range slices.Clone(r.balancer.Handle(r.now, event)) {
 		switch a := action.(type) {
@@ -89,7 +90,8 @@
 	}
 }
 
-// advance moves the clock on; timers that fall due meanwhile are handled at their time, cut to the microsecond.
+// advance advances the clock. Timers that expire in the meantime are handled at their time, truncated to the
+// microsecond.
 func (r *replay) advance(span time.Duration) {
 	until := r.now + span
 	for len(r.timers) > 0 && r.timers[0].at <= until {
@@ -100,7 +102,7 @@
 	r.now = until
 }
 
-// duration draws a time up to a bound.
+// duration returns a random duration up to a bound.
 func (r *replay) duration(bound time.Duration) time.Duration {
 	return time.Duration(r.rng.Int64N(int64(bound)/1000)) * time.Microsecond
 }
@@ -135,7 +137,7 @@
 	return arrival
 }
 
-// listEvent draws a change of the endpoint list.
+// listEvent returns a random change of the endpoint list.
 func (r *replay) listEvent(number int) ListEvent {
 	event := ListEvent{Revision: int64(number)}
 	switch r.rng.IntN(12) {
@@ -180,7 +182,8 @@
 	return event
 }
 
-// outcome draws how an attempt ends: well in calm times, and with faults of one server or of all in others.
+// outcome returns a random outcome of an attempt: mostly success, but mostly faults of all servers in phase 1 and of
+// server s03 in phase 2.
 func (r *replay) outcome(phase int, server ServerID) Outcome {
 	faulty := phase == 1 && r.rng.IntN(10) < 8 || phase == 2 && server == "s03"
 	if faulty || r.rng.IntN(25) == 0 {
@@ -189,9 +192,9 @@
 	return Served
 }
 
-// step draws and handles one event.
+// step generates and handles one random event.
 func (r *replay) step(number int) {
-	phase := number / 1500 % 5 // calm, overload of all, one faulty server, late messages, graceful shutdown
+	phase := number / 1500 % 5 // normal, all servers overloaded, one faulty server, late messages, graceful shutdown
 	pause := 12 * ms
 	if phase == 1 {
 		pause = 3 * ms
@@ -241,7 +244,7 @@
 	}
 }
 
-// establish has an attempt succeed; slowly while all servers are overloaded.
+// establish establishes the connection of an open attempt, slowly while all servers are overloaded.
 func (r *replay) establish(phase, i int) {
 	attempt := &r.open[i]
 	took := 5*ms + r.duration(60*ms)
@@ -254,7 +257,7 @@
 	}
 }
 
-// end has an attempt or a connection end.
+// end ends an open attempt or an established connection.
 func (r *replay) end(phase, i int) {
 	attempt := r.open[i]
 	r.open = slices.Delete(r.open, i, i+1)
@@ -268,7 +271,7 @@
 	})
 }
 
-// run handles the start of the node, then all drawn events, and returns the hash of all actions.
+// run handles the first endpoint list, then all random events, and returns the hash of all actions.
 func (r *replay) run() uint64 {
 	var fleet []Server
 	for i := range r.servers {
--- a/balancer/replicas_test.go
+++ b/balancer/replicas_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// A group larger than one server's part of a node's traffic has as many replicas as its part is worth, the same at
-// nodes that know as much.
+// A group that is larger than one server's share of a node's traffic has replicas in proportion to its share. Nodes
+// with the same traffic use the same replicas.
 func TestReplicas_LargeGroup_MatchItsShare(t *testing.T) {
 	a, b := newFleetNode(t, 0, 2, 40), newFleetNode(t, 1, 2, 40)
 	for _, n := range []*Balancer{a, b} {
@@ -19,19 +19,19 @@
 			r := &request{Arrival: Arrival{Group: g, Key: fmt.Sprint("k", i)}, load: 1}
 			x, y := a.selectServer(r), b.selectServer(r)
 			if x == nil || y == nil || x.id != y.id {
-				t.Fatalf("%s of %s: %v at one node, %v at the other", r.Key, g, x, y)
+				t.Fatalf("key %s of group %s: server %v at one node, %v at the other", r.Key, g, x, y)
 			}
 			on[g][x.id] = true
 		}
 	}
 	want := 1 + int(0.3*40/overloadFactor)
-	if n := len(on["big"]); n > want || n < want*3/4 || len(on["small"]) != 1 { // two places may be one server's
-		t.Errorf("the large group is on %d servers, want %d, the small one on %d", len(on["big"]), want, len(on["small"]))
+	if n := len(on["big"]); n > want || n < want*3/4 || len(on["small"]) != 1 { // two replicas may be on one server
+		t.Errorf("the large group is on %d servers, want %d; the small one is on %d, want 1", len(on["big"]), want, len(on["small"]))
 	}
 }
 
-// Eighty nodes with a connection or two each cannot tell that a group is a quarter of the traffic. Each group has
-// the same few replicas, so that no server becomes a hot spot.
+// Eighty nodes with one or two connections each cannot detect that a group is a quarter of the traffic. Each group has
+// the same small number of replicas, so that no server becomes a hot spot.
 func TestReplicas_LowSample_AvoidHotSpots(t *testing.T) {
 	const nodes, quota = 80, 350.0
 	var all []*Balancer
@@ -63,13 +63,13 @@
 			}
 		}
 	}
-	if hotSpots > 15 { // of 200; 27 with one place each
-		t.Errorf("%d servers have over two and a half even parts, the worst %d connections", hotSpots, worst)
+	if hotSpots > 15 { // of 200; with one replica per group there are 27
+		t.Errorf("%d servers have over 2.5 times their even share, want at most 15; the highest has %d connections", hotSpots, worst)
 	}
 }
 
-// When a zone is lost, groups go to their other replicas, of which there are two while over half of the fleet is
-// gone, as each replica costs load.
+// When a zone fails, groups move to their other replicas. While half of the fleet is gone, a group has only two
+// replicas, because each replica costs load.
 func TestReplicas_LostZone_Shrink(t *testing.T) {
 	s := testSettings()
 	s.NodeCount, s.Tenants = 80, []Tenant{{ConnectionQuota: 350}}
@@ -81,7 +81,7 @@
 			for k := range 20 {
 				r := &request{Arrival: Arrival{Group: fmt.Sprint("g", g), Key: fmt.Sprint("k", k)}, load: 1}
 				to := n.selectServer(r)
-				for tried && gone(to.id) && len(r.attempts) < 3 { // refused: nobody is there
+				for tried && gone(to.id) && len(r.attempts) < 3 { // connection refused: the server is down
 					r.attempts = append(r.attempts, attempt{server: to, notExecuted: true})
 					to = n.selectServer(r)
 				}
@@ -92,7 +92,7 @@
 		return replicas
 	}
 	if got := count(true); got > 50 {
-		t.Errorf("20 groups use %d replicas before the list changes", got)
+		t.Errorf("20 groups use %d replicas before the list changes, want at most 50", got)
 	}
 	var lost []Server
 	for _, s := range testFleet(12) {
@@ -103,16 +103,16 @@
 	}
 	n.Handle(time.Second, ListEvent{Kind: ListDelta, Revision: 2, Servers: lost})
 	if got := count(false); got > 20*2 {
-		t.Errorf("20 groups use %d replicas after the list changed", got)
+		t.Errorf("20 groups use %d replicas after the list changed, want at most 40", got)
 	}
-	for i := range 5 * 3600 { // an hour: it was made smaller for good
+	for i := range 5 * 3600 { // after an hour, the smaller fleet counts as permanent
 		n.Handle(time.Second+time.Duration(i)*sweepInterval, Timer{Token: sweepToken})
 	}
 	if got := count(false); got <= 20*2 {
-		t.Errorf("20 groups use %d replicas an hour later", got)
+		t.Errorf("20 groups use %d replicas an hour later, want more than 40", got)
 	}
 	n.Handle(2*time.Hour, ListEvent{Kind: ListDelta, Revision: 3, Servers: testFleet(12)})
 	if got := count(false); got < 20*2 {
-		t.Errorf("20 groups use %d replicas when all servers are back", got)
+		t.Errorf("20 groups use %d replicas after all servers came back, want at least 40", got)
 	}
 }
--- a/balancer/request_test.go
+++ b/balancer/request_test.go
@@ -8,16 +8,16 @@
 func TestArrival_NoServers_IsRejected(t *testing.T) {
 	b := New(testSettings())
 	if n, rejected := finalAnswers(b.Handle(0, Arrival{ID: "r", TimeLeft: time.Second}), "r"); n != 1 || !rejected {
-		t.Error("with no list the request must be rejected at once")
+		t.Error("the request was not rejected at once although there is no endpoint list")
 	}
 	b.Handle(0, ListEvent{Kind: ListSnapshot, Revision: 1, Servers: testFleet(2)})
 	b.Handle(0, ListEvent{Kind: ListSnapshot, Revision: 2})
 	out := b.Handle(0, Arrival{ID: "q", TimeLeft: time.Second})
 	if n, _ := finalAnswers(out, "q"); n != 1 || len(sends(out)) != 0 {
-		t.Error("requests are still sent with an empty list")
+		t.Error("the request was not answered at once although the endpoint list is empty")
 	}
 	if len(b.requests) != 0 {
-		t.Error("a rejected request is retained")
+		t.Error("a rejected request was retained")
 	}
 }
 
@@ -27,8 +27,8 @@
 		class   int
 		outcome Outcome
 		took    time.Duration
-		retry   bool // another attempt may follow
-		reject  bool // the last answer may be a rejection
+		retry   bool // another attempt follows
+		reject  bool // the final answer is a rejection
 	}{
 		{"idempotent after a time-out", 0, ResponseTimeout, 300 * ms, true, true},
 		{"non-idempotent after a time-out", 2, ResponseTimeout, 300 * ms, false, false},
@@ -52,28 +52,28 @@
 			out := b.Handle(c.took, AttemptEnded{ID: "r", Server: first.Server, Took: c.took, Outcome: c.outcome})
 			retries := sends(out)
 			if c.retry != (len(retries) == 1) {
-				t.Fatalf("further attempts: %v", retries)
+				t.Fatalf("attempts after the first: %v", retries)
 			}
 			now := c.took
 			for i := 1; len(retries) == 1; i++ {
 				was, is := b.servers[first.Server], b.servers[retries[0].Server]
 				if was == is {
-					t.Fatal("the same server was tried twice")
+					t.Fatal("two attempts at the same server")
 				}
 				if c.class == 1 && was.zone != is.zone || c.class == 4 && was.cell != is.cell {
-					t.Fatal("a keyed request left its scope")
+					t.Fatal("an attempt of a request that is idempotent by key left its scope")
 				}
 				out = b.Handle(now, AttemptEnded{ID: "r", Attempt: i, Took: c.took, Outcome: c.outcome})
 				for n, _ := finalAnswers(out, "r"); n == 0 && len(sends(out)) == 0; n, _ = finalAnswers(out, "r") {
 					if now += 5 * ms; now > 3*time.Second {
-						t.Fatal("a queued request was lost")
+						t.Fatal("the queued request got no final answer")
 					}
 					out = b.Handle(now, Timer{Token: pacingToken})
 				}
 				retries = sends(out)
 			}
 			if n, rejected := finalAnswers(out, "r"); n != 1 || rejected != c.reject {
-				t.Errorf("%d final answers, rejected %v, want one, rejected %v", n, rejected, c.reject)
+				t.Errorf("%d final answers, rejected %v; want 1, rejected %v", n, rejected, c.reject)
 			}
 		})
 	}
@@ -89,7 +89,7 @@
 		out = b.Handle(ms, AttemptEnded{ID: "r", Attempt: i, Outcome: ConnectFailed})
 	}
 	if n, rejected := finalAnswers(out, "r"); n != 1 || !rejected || len(sends(out)) != 0 {
-		t.Error("after the last attempt the request must be rejected at once")
+		t.Error("the request was not rejected at once after its last attempt")
 	}
 }
 
@@ -98,22 +98,22 @@
 	b.Handle(0, Arrival{ID: "r", Key: "k", TimeLeft: time.Second})
 	out := b.Handle(ms, ClientDisconnected{ID: "r"})
 	if len(out) != 1 || out[0] != (Cancel{ID: "r"}) {
-		t.Errorf("got %v, want a cancel", out)
+		t.Errorf("actions after the client disconnected: %v, want a cancel", out)
 	}
 	out = b.Handle(2*ms, AttemptEnded{ID: "r", Outcome: Cancelled, Final: true})
 	if len(out) != 0 || len(b.requests) != 0 {
-		t.Error("the request is not freed with its last attempt")
+		t.Error("the request was retained after its last attempt ended")
 	}
 	for _, e := range []Event{ClientDisconnected{ID: "r"}, AttemptEnded{ID: "r"}, Established{ID: "r"}, LoadReport{ID: "r", Load: 1},
 		LatencyReport{ID: "r", Latency: time.Second}, Timer{Token: "other"}, PeerMessage{}} {
 		if out := b.Handle(3*ms, e); len(out) != 0 {
-			t.Errorf("%T for an unknown request drew %v", e, out)
+			t.Errorf("actions for a %T of an unknown request: %v, want none", e, out)
 		}
 	}
 }
 
-// A retry at a node with a low sample waits longer: after one time-out, what is slow is likely the backend of all
-// set-ups, and set-ups that time out only keep it busy.
+// A retry at a node with a low sample has a longer timeout. After one timeout, the backend of all connection setups is
+// probably overloaded, and setups that time out only keep it busy.
 func TestRetry_LowSample_HasLongerTimeout(t *testing.T) {
 	for _, c := range []struct {
 		name        string
@@ -126,14 +126,14 @@
 		n, objective := newWarmNode(t, s, 10), s.Classes[0].SetupLatencyObjective
 		sent := sends(n.Handle(time.Second, Arrival{ID: "a", Key: "k", TimeLeft: 10 * objective, Retry: c.retry}))
 		if len(sent) != 1 || (sent[0].Timeout > 2*objective) != c.retry {
-			t.Fatalf("%s: the first attempt is %v", c.name, sent)
+			t.Fatalf("%s: first attempt: %v", c.name, sent)
 		}
 		if c.retry {
 			continue
 		}
 		sent = sends(n.Handle(time.Second+objective, AttemptEnded{ID: "a", Server: sent[0].Server, Took: objective, Outcome: ResponseTimeout}))
 		if len(sent) != 1 || (sent[0].Timeout > 5*objective) != c.longTimeout || sent[0].Timeout > 9*objective {
-			t.Errorf("%s: the next attempt is %v", c.name, sent)
+			t.Errorf("%s: second attempt: %v", c.name, sent)
 		}
 	}
 }
--- a/balancer/settings_test.go
+++ b/balancer/settings_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Settings that no deployment has yet still serve.
+// A balancer serves requests with unusual settings too.
 func TestSettings_Unusual_StillServe(t *testing.T) {
 	bare := Settings{Classes: []Class{{}}}
 	for _, c := range []struct {
@@ -36,7 +36,7 @@
 				id := RequestID(fmt.Sprint("r", i))
 				out := b.Handle(now, Arrival{ID: id, TimeLeft: time.Second})
 				if n, _ := finalAnswers(out, id); n+len(sends(out)) != 1 {
-					t.Fatalf("request %d drew %v", i, out)
+					t.Fatalf("actions for request %d: %v, want one send or final answer", i, out)
 				}
 				if len(sends(out)) == 1 {
 					served++
@@ -47,7 +47,7 @@
 				b.Handle(now, Timer{Token: sweepToken})
 			}
 			if served < c.served {
-				t.Errorf("%d of 60 requests were placed, want %d", served, c.served)
+				t.Errorf("%d of 60 requests were sent, want %d", served, c.served)
 			}
 		})
 	}
--- a/balancer/slowstart_fleet_test.go
+++ b/balancer/slowstart_fleet_test.go
@@ -8,22 +8,22 @@
 	"time"
 )
 
-// slowStartRun plays a fleet of nodes to which one starting server is added.
+// slowStartRun is a simulation of a fleet of nodes to which one starting server is added.
 type slowStartRun struct {
 	nodes, servers int
 	seed           uint64
-	rate           float64 // arrivals at each node, a second
-	burst          float64 // multiplies the rate after three seconds
-	quotaFactor    float64 // multiplies the quotas in the nodes' settings, to check that the test sees too large a budget
+	rate           float64 // arrivals per second at each node
+	burst          float64 // factor of the rate from 3 s after the server's start on
+	quotaFactor    float64 // factor of the quotas in the nodes' settings, to check that the test detects budgets that are too large
 }
 
-// slowStartResult is what a run shows.
+// slowStartResult is the result of a slowStartRun.
 type slowStartResult struct {
-	worstExcess   float64 // most sends to the server in any window, beyond the budget and two calls, in roots of that budget
-	shareReceived float64 // what the server got, as a part of its even share of the arrivals
+	worstExcess   float64 // excess of the sends in the worst window over budget+2, in square roots of the budget
+	shareReceived float64 // sends to the server, as a fraction of its even share of the arrivals
 }
 
-// simulate runs the fleet until the server has warmed up.
+// simulate runs the fleet until the slow start of the server ends.
 func (p slowStartRun) simulate() slowStartResult {
 	const begin = time.Hour
 	startedAt := begin + 5*time.Second
@@ -63,18 +63,18 @@
 	return slowStartResult{worstExcess: worstExcess, shareReceived: float64(len(fleet.sendTimes)) / evenShare}
 }
 
-// slowStartFleet is the fleet of a run. The first of its servers starts during the run.
+// slowStartFleet is the fleet of a slowStartRun. The first of its servers starts during the run.
 type slowStartFleet struct {
 	rng       *rand.Rand
 	nodes     []*Balancer
 	servers   []Server
-	listed    bool // the nodes know of the starting server
+	listed    bool // the starting server is in the endpoint list
 	requests  int
 	arrivals  int             // since it was listed
 	sendTimes []time.Duration // to the starting server
 }
 
-// step has clients arrive at all nodes for 10 ms.
+// step simulates 10 ms of arrivals at all nodes.
 func (f *slowStartFleet) step(now time.Duration, rate float64) {
 	if !f.listed && now >= f.servers[0].StartedAt {
 		f.listed = true
@@ -92,7 +92,7 @@
 	}
 }
 
-// arrive has a client arrive at a node, whose connection ends at once.
+// arrive simulates a client that arrives at a node and whose connection ends at once.
 func (f *slowStartFleet) arrive(now time.Duration, b *Balancer) {
 	f.requests++
 	if f.listed {
@@ -108,7 +108,7 @@
 	}
 }
 
-// sentSince counts the sends to the starting server after a time.
+// sentSince counts the sends to the starting server after the given time.
 func (f *slowStartFleet) sentSince(start time.Duration) int {
 	n := 0
 	for i := len(f.sendTimes) - 1; i >= 0 && f.sendTimes[i] > start; i-- {
@@ -117,12 +117,13 @@
 	return n
 }
 
-// The budgets of all nodes add up to no more than a starting server bears, however many nodes there are and however
-// little comes to each. Where less comes than that, the server gets most of its part.
+// The budgets of all nodes add up to no more than a starting server can accept, however many nodes there are and
+// however few arrivals each gets. If there are fewer arrivals than the budget allows, the server gets most of its share
+// of them.
 func TestSlowStart_WholeFleet_KeepsBudget(t *testing.T) {
 	for _, c := range []struct {
 		nodes, servers     int
-		rate, burst, least float64 // least is the part that the server must get; 0 where the budget is less
+		rate, burst, least float64 // least is the required fraction of the even share; 0 if the budget is smaller
 	}{
 		{5, 4, 2, 1, 0.5}, {5, 4, 40, 1, 0},
 		{20, 4, 0.5, 1, 0.5}, {20, 4, 1, 10, 0},
@@ -133,20 +134,19 @@
 		for seed := range uint64(4) {
 			run := slowStartRun{c.nodes, c.servers, seed, c.rate, c.burst, 1}
 			result := run.simulate()
-			t.Logf("%+v: %.2f roots over the budget, %.2f of its part", run, result.worstExcess, result.shareReceived)
+			t.Logf("%+v: %.2f square roots over the budget, %.2f of the even share", run, result.worstExcess, result.shareReceived)
 			if result.worstExcess > 2 || result.shareReceived < c.least {
-				t.Error("the run logged before is out of its bounds")
+				t.Error("the run logged above exceeds the budget or is below the least share")
 			}
 		}
 	}
 	oversized := slowStartRun{nodes: 30, servers: 4, seed: 1, rate: 1, burst: 10, quotaFactor: 4}
 	if worstExcess := oversized.simulate().worstExcess; worstExcess <= 2 {
-		t.Errorf("budgets four times too large are not detected: %.2f roots over", worstExcess)
+		t.Errorf("budgets that are four times too large are not detected: %.2f square roots over the budget", worstExcess)
 	}
 }
 
-// The budget binds in every window of its length, also in one that begins in the middle of two of a node's own
-// windows.
+// The budget applies to every window of its length, including those that overlap two refill windows of a node.
 func TestSlowStart_BurstsAroundWindowEnd_KeepBudget(t *testing.T) {
 	for _, nodes := range []int{1, 2, 3, 8} {
 		const hosts = 4
@@ -180,7 +180,7 @@
 				}
 			}
 		}
-		arrive(at+ms, 16) // each node's window begins
+		arrive(at+ms, 16) // starts the refill window of each node
 		sent = 0
 		end := at + ms + s.CollapseWindow
 		arrive(end-20*ms, 1600)
@@ -197,20 +197,20 @@
 		if budget < 30 {
 			limit = budget + 3*math.Sqrt(budget) + 3
 		}
-		t.Logf("%d nodes: %d and %d sent around the end of a window, %.0f allowed", nodes, before, sent-before, limit)
+		t.Logf("%d nodes: %d and %d sends before and after the end of a refill window, %.0f allowed", nodes, before, sent-before, limit)
 		if float64(sent) > limit || sent == 0 {
-			t.Errorf("%d nodes send %d within 40 ms, %.0f are allowed in %v", nodes, sent, limit, s.CollapseWindow)
+			t.Errorf("%d nodes: %d sends within 40 ms, want at least 1 and at most %.0f in %v", nodes, sent, limit, s.CollapseWindow)
 		}
 	}
 }
 
-// The slow-start budget of a server is one for all nodes together.
+// All nodes together keep to the slow-start budget of a server.
 func TestSlowStart_ManyNodes_KeepBudget(t *testing.T) {
 	const nodes, servers = 160, 60
 	var all []*Balancer
 	for i := range nodes {
 		n := newFleetNode(t, i, nodes, servers)
-		n.rates.setups = 0.25 // as after a while of steady traffic
+		n.rates.setups = 0.25 // as after a period of steady traffic
 		all = append(all, n)
 	}
 	starting := Server{ID: "s99", Weight: 2, StartedAt: time.Minute}
@@ -218,9 +218,9 @@
 		n.Handle(time.Minute, listDelta(starting))
 	}
 	set := testSettings()
-	rate := 0.25 * nodes * starting.Weight / all[0].fleet.weight // what the fleet's traffic comes to for its weight
+	rate := 0.25 * nodes * starting.Weight / all[0].fleet.weight // the server's share of the fleet's traffic by weight
 	var sent []time.Duration
-	for step := range 1000 { // ten seconds, in which all clients reconnect again and again
+	for step := range 1000 { // 10 s in which all clients reconnect again and again
 		now := time.Minute + time.Duration(step)*10*ms
 		for i, n := range all {
 			if (step+i)%50 != 0 {
@@ -243,9 +243,9 @@
 			}
 		}
 		factor := capacityFraction(set, from-time.Minute)
-		// Chance of 160 draws: three more than the mean would be.
+		// The limit allows 3 connections above the mean, because 160 nodes round their budgets at random.
 		if limit := set.CollapseMultiple*factor*rate*set.CollapseWindow.Seconds() + 3; float64(in) > limit {
-			t.Fatalf("%d connections in the window from %v on, want at most %.1f", in, from-time.Minute, limit)
+			t.Fatalf("%d connections in the window that starts at %v, want at most %.1f", in, from-time.Minute, limit)
 		}
 	}
 }
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -8,7 +8,7 @@
 
 func TestSlowStart_ReconnectSurge_KeepsBudget(t *testing.T) {
 	b := newWarmNode(t, testSettings(), 5)
-	b.rates.setups = 2 // connections a second over the warm five
+	b.rates.setups = 2 // connections per second on the five servers that have warmed up
 	b.Handle(0, listDelta(Server{ID: "cold", Weight: 2, StartedAt: time.Nanosecond}))
 	n := 0
 	for i := range 400 {
@@ -19,9 +19,9 @@
 			}
 		}
 	}
-	// Two seconds of CollapseMultiple times its part of the rate, and the first token.
+	// CollapseMultiple times its share of the rate for 2 s, and the first token.
 	if n > 2 {
-		t.Errorf("a starting server got %d connections of a surge in 2 s", n)
+		t.Errorf("a starting server got %d connections of a surge in 2 s, want at most 2", n)
 	}
 }
 
@@ -29,11 +29,11 @@
 	b := newWarmNode(t, testSettings(), 4)
 	b.Handle(30*time.Second, ListEvent{Kind: ListDelta, Servers: []Server{{ID: "s01", Weight: 1, StartedAt: 29 * time.Second}}})
 	if got := b.slowStartFactor(b.servers["s01"]); got > 0.35 {
-		t.Errorf("slow start factor %.2f a second after the restart", got)
+		t.Errorf("slow start factor %.2f one second after the restart, want at most 0.35", got)
 	}
 }
 
-// Nodes that have placed hardly anything spend the budget that the quotas give them, and in sum keep to it.
+// Nodes without much traffic use the budget that follows from the quotas, and together keep to it.
 func TestSlowStart_NodesWithoutTraffic_SpendBudget(t *testing.T) {
 	const nodes, servers, quota = 80, 10, 300.0
 	var all []*Balancer
@@ -47,7 +47,7 @@
 	set := testSettings()
 	windows := make([]float64, 4)
 	for w := range windows {
-		for i, n := range all { // every node has several clients waiting in every window
+		for i, n := range all { // every node has 20 arrivals in every window
 			now := time.Minute + time.Duration(w)*set.CollapseWindow + time.Duration(i)*ms
 			for c := range 20 {
 				id := RequestID(fmt.Sprint(w, "-", i, "-", c))
@@ -64,12 +64,12 @@
 		factor := capacityFraction(set, time.Duration(w)*set.CollapseWindow)
 		budget := set.CollapseMultiple * factor * quota * 4 / all[0].fleet.weight * set.CollapseWindow.Seconds()
 		if sent < budget/8 || sent > budget {
-			t.Errorf("window %d: %.0f connections of a budget of %.1f", w, sent, budget)
+			t.Errorf("window %d: %.0f connections with a budget of %.1f, want at least an eighth of it and at most all", w, sent, budget)
 		}
 	}
 }
 
-// The budget grows with the server's capacity from half of its warm-up on, and in sum stays within it.
+// The budget grows with the server's capacity in the second half of its slow start, and all nodes together keep to it.
 func TestSlowStart_Warming_BudgetGrows(t *testing.T) {
 	const nodes, servers, quota = 80, 10, 300.0
 	set := testSettings()
@@ -101,15 +101,15 @@
 	}
 	early := spent(time.Minute, time.Minute)
 	late := spent(time.Minute, time.Minute+set.SlowStartDuration-3*set.CollapseWindow)
-	// What fills the server over its slow start.
+	// The connections per window that fill the server over its slow start.
 	fills := quota * 4 / all[0].fleet.weight / set.SlowStartDuration.Seconds() * set.CollapseWindow.Seconds()
 	if limit := 3 * set.CollapseMultiple * fills * 2; late < early*3/2 || late > limit {
-		t.Errorf("%.0f connections in three windows at the start, %.0f near the end of slow start, at most %.0f", early, late, limit)
+		t.Errorf("%.0f connections in three windows at the start, %.0f near the end of slow start; want 1.5 times as many, and at most %.0f", early, late, limit)
 	}
 }
 
-// When all servers start at once and the settings have no quotas, the present fraction of the arrivals is served by
-// all nodes together, and no server gets more than its budget.
+// When all servers start at once and the settings have no quotas, all nodes together serve the fraction of the arrivals
+// that the servers have capacity for, and no server gets more than its budget.
 func TestSlowStart_AllServersWarmUp_ServeWithinCapacity(t *testing.T) {
 	const nodes, servers, perSecond = 40, 10, 5
 	set := testSettings()
@@ -144,10 +144,10 @@
 	for w := 2; w < 10; w++ {
 		factor := capacityFraction(set, time.Duration(w)*time.Second)
 		if arrived := float64(nodes * perSecond); sent[w] < arrived*factor/2 || sent[w] > arrived*factor*1.7 {
-			t.Errorf("in second %d %.0f of %.0f were sent at a factor of %.2f", w, sent[w], arrived, factor)
+			t.Errorf("second %d: %.0f of %.0f requests sent at a slow start factor of %.2f", w, sent[w], arrived, factor)
 		}
 	}
-	for id, times := range on { // by its even part of the arrivals
+	for id, times := range on { // the budget follows from the even share of the arrivals
 		for k, from := range times {
 			n := 0
 			for _, at := range times[k:] {
@@ -158,14 +158,14 @@
 			factor := capacityFraction(set, from-time.Hour)
 			limit := set.CollapseMultiple*factor*nodes*perSecond/servers*set.CollapseWindow.Seconds() + 4
 			if float64(n) > limit {
-				t.Fatalf("%s was sent %d in the window from %v on, want at most %.0f", id, n, from-time.Hour, limit)
+				t.Fatalf("server %s: %d connections in the window that starts at %v, want at most %.0f", id, n, from-time.Hour, limit)
 			}
 		}
 	}
 }
 
-// A cached list cannot say which servers have restarted since: they are in slow start until another list confirms
-// them.
+// A cached list cannot show which servers have restarted since. All of them are in slow start until another list
+// confirms their start times.
 func TestSlowStart_CachedList_AssumesStartUntilConfirmed(t *testing.T) {
 	s := testSettings()
 	s.Tenants = []Tenant{{ConnectionQuota: 60}}
@@ -183,27 +183,27 @@
 		return n
 	}
 	if n := place(time.Hour, "a"); n == 0 || n > 30 {
-		t.Errorf("%d of 60 were sent to servers that may be in slow start", n)
+		t.Errorf("%d of 60 requests sent to servers that may be in slow start, want 1 to 30", n)
 	}
 	b.Handle(time.Hour+time.Second, ListEvent{Kind: ListSnapshot, Revision: 1, Servers: confirmed})
 	if n := place(time.Hour+time.Second, "b"); n < 55 {
-		t.Errorf("%d of 60 were sent to servers that a list confirmed", n)
+		t.Errorf("%d of 60 requests sent to servers that a list confirmed, want at least 55", n)
 	}
 }
 
-// Without a collapse window there is no budget, and starting servers serve like others.
+// Without a collapse window there is no budget, and starting servers get requests like any others.
 func TestSlowStart_NoCollapseWindow_Serves(t *testing.T) {
 	s := testSettings()
 	s.CollapseWindow = 0
 	n := newWarmNode(t, s, 1)
 	n.Handle(time.Minute, ListEvent{Kind: ListSnapshot, Revision: 2, Servers: []Server{{ID: "s99", Weight: 1, StartedAt: time.Minute}}})
 	if sent := sends(n.Handle(time.Minute, Arrival{ID: "a", Key: "k", TimeLeft: time.Second})); len(sent) != 1 {
-		t.Errorf("a starting server without a budget got %v", sent)
+		t.Errorf("sends to a starting server without a budget: %v, want 1", sent)
 	}
 }
 
-// The quotas are of the fleet at its largest: in a fleet that has shrunk, a starting server gets its part of that
-// one.
+// The budget of a starting server follows from its share of the quotas in the largest fleet so far, even if the fleet
+// has shrunk since.
 func TestSlowStart_ShrunkFleet_KeepsBudget(t *testing.T) {
 	const nodes, quota = 16, 417.0
 	set, sent, part := testSettings(), 0, 0.0
@@ -225,7 +225,7 @@
 			}
 		}
 	}
-	// Each node rounds its budget by chance: four standard deviations of sixteen such draws.
+	// Each node rounds its budget at random: the limit allows four standard deviations of the sum of 16 such roundings.
 	limit := set.CollapseMultiple*part*set.CollapseWindow.Seconds()/set.SlowStartDuration.Seconds() + 8
 	if float64(sent) > limit || sent < 4 {
 		t.Errorf("%d connections to a starting server in one window, want 4 to %.1f", sent, limit)
--- a/balancer/statelists_test.go
+++ b/balancer/statelists_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// After any changes in any order, the lists by state match the states of all servers, and every entry of the table
-// is held by a server that is there.
+// After any sequence of changes, the lists match the states of all servers, and every entry of the table is held by an
+// active or filling server.
 func TestStateLists_AnyChanges_MatchTheServers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tab, all := &table{}, []*server{}
@@ -44,34 +44,34 @@
 func checkStateLists(t *rapid.T, tab *table) {
 	l := tab.states
 	if got := tab.inState(active); !slices.Equal(l.active, got) {
-		t.Fatalf("active: %d are listed, %d are", len(l.active), len(got))
+		t.Fatalf("active servers: list has %d, want %d", len(l.active), len(got))
 	}
 	if got := len(tab.inState(filling)); l.filling != got {
-		t.Fatalf("filling: %d are counted, %d are", l.filling, got)
+		t.Fatalf("filling servers: count is %d, want %d", l.filling, got)
 	}
 	drains := [2]int{}
 	for _, s := range tab.inState(draining) {
 		drains[s.parity]++
 	}
 	if l.draining != drains {
-		t.Fatalf("draining: %v are counted, %v are", l.draining, drains)
+		t.Fatalf("draining servers by parity: counts are %v, want %v", l.draining, drains)
 	}
 	for parity, group := range l.byParity {
 		want := slices.DeleteFunc(tab.inState(active), func(s *server) bool { return s.parity != parity })
 		if !slices.Equal(group, want) {
-			t.Fatalf("group %d: %d are listed, %d are", parity, len(group), len(want))
+			t.Fatalf("active servers of parity %d: list has %d, want %d", parity, len(group), len(want))
 		}
 	}
 	held := map[*server]int{}
 	for _, s := range tab.first {
 		if s != nil && s.state != active && s.state != filling {
-			t.Fatalf("%s holds an entry in state %d", s.id, s.state)
+			t.Fatalf("server %s in state %d holds an entry", s.id, s.state)
 		}
 		held[s]++
 	}
 	for _, s := range tab.members {
 		if s.state != draining && s.entryCount != held[s] {
-			t.Fatalf("%s counts %d entries and holds %d", s.id, s.entryCount, held[s])
+			t.Fatalf("server %s: entryCount is %d, want %d", s.id, s.entryCount, held[s])
 		}
 	}
 }
--- a/balancer/table_agreement_test.go
+++ b/balancer/table_agreement_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Nodes that start from lists that differ by one server agree on nearly all entries that this server does not hold,
-// so mid-flow arrivals find their connections.
+// Two nodes whose first lists differ by one server agree on nearly all entries that this server does not hold, so that
+// mid-flow arrivals reach the servers of their connections.
 func TestTable_SimilarLists_Agree(t *testing.T) {
 	complete, shorter := newFleetNode(t, 0, 160, 60), New(testSettings())
 	shorter.Handle(0, ListEvent{Kind: ListCached, Revision: 1, Servers: testFleet(60)[1:]})
@@ -21,14 +21,14 @@
 		}
 	}
 	if part := float64(same) / float64(all); part < 0.9 {
-		t.Errorf("%.3f of the entries that the missing server does not hold agree", part)
+		t.Errorf("%.3f of the entries that the missing server does not hold agree, want at least 0.9", part)
 	} else {
-		t.Logf("%.3f agree", part)
+		t.Logf("%.3f of the entries agree", part)
 	}
 }
 
-// A restarted node builds its table from the list that its peers came to by many changes. How far they agree is
-// what a rolling restart of nodes costs mid-flow arrivals; docs/design.md quotes it.
+// A restarted node builds its table from the complete list, while its peers reached the same list by many changes.
+// Where their tables differ, a rolling restart of nodes breaks mid-flow connections; docs/design.md quotes the figures.
 func TestTable_RestartAfterChurn_Agrees(t *testing.T) {
 	agree := func(from, to int) float64 {
 		old := newFleetNode(t, 0, 160, from)
@@ -55,27 +55,27 @@
 		least    float64
 	}{{60, 61, 0.9}, {60, 72, 0.6}, {60, 120, 0.1}, {60, 48, 0.5}} {
 		if got := agree(c.from, c.to); got < c.least {
-			t.Errorf("from %d to %d servers: %.3f of the keys agree, want %.2f", c.from, c.to, got, c.least)
+			t.Errorf("from %d to %d servers: %.3f of the keys agree, want at least %.2f", c.from, c.to, got, c.least)
 		} else {
-			t.Logf("from %d to %d servers: %.3f agree", c.from, c.to, got)
+			t.Logf("from %d to %d servers: %.3f of the keys agree", c.from, c.to, got)
 		}
 	}
 }
 
-// A node that starts with an empty list builds the same table from its first list as one that starts with it.
+// A node whose first list is empty builds the same table from its next list as a node that starts with that list.
 func TestTable_FirstListAfterEmptyOne_IsEven(t *testing.T) {
 	b := newWarmNode(t, testSettings(), 0)
 	b.Handle(time.Second, ListEvent{Kind: ListSnapshot, Revision: 2, Servers: testFleet(4)})
 	same := newWarmNode(t, testSettings(), 4)
 	for i, s := range b.table.first {
 		if s == nil || s.id != same.table.first[i].id {
-			t.Fatalf("entry %d is not as at a node that began with the list", i)
+			t.Fatalf("entry %d differs from that of a node that started with the list", i)
 		}
 	}
 }
 
-// Nodes with the same changes hold the same table, whatever else they saw, and a change moves only the entries of
-// the servers that it names.
+// Nodes that got the same list changes have the same table, whatever other events they got. A change moves only the
+// entries of the servers in it.
 func TestTable_SameChanges_StayEqualAndRemapLittle(t *testing.T) {
 	other := testSettings()
 	other.Seed, other.NodeIndex = 99, 1
--- a/balancer/table_test.go
+++ b/balancer/table_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// newTestTable lays out a table by hand, as in the examples of the paper.
+// newTestTable returns a table with the given first-hop entries, as in the examples of the paper behind the design.
 func newTestTable(names string, layout []int) (*table, []*server) {
 	t := &table{}
 	var all []*server
@@ -47,19 +47,20 @@
 
 var threeEntriesEach = []int{0, 0, 0, 1, 1, 1, 2, 2, 2, 3, 3, 3, 4, 4, 4, 5, 5, 5, 6, 6, 6}
 
-// The drain example of the paper, with servers in sorted order in turn, as the design page has it.
+// The drain example of the paper, except that the entries go to the other servers in turn, sorted by id, as
+// docs/design.md specifies.
 func TestTable_Drain_GoesToOtherParity(t *testing.T) {
 	tab, s := newTestTable("0123456", threeEntriesEach)
 	tab.drain(s[4], 0)
 	expectHops(t, tab, "000111222333135555666", "000111222333444555666")
-	tab.drain(s[2], 0) // the same group: it may drain at the same time
+	tab.drain(s[2], 0) // the same parity, so it may drain at the same time
 	expectHops(t, tab, "000111135333135555666", "000111222333444555666")
 	tab.remove(s[2])
 	tab.remove(s[4])
 	tab.syncSecondHops()
 	expectHops(t, tab, "000111135333135555666", "000111135333135555666")
 	if s[2].state != inactive || s[4].state != inactive || len(tab.members) != 5 {
-		t.Error("the drained servers are not inactive")
+		t.Error("the removed servers are not inactive or still members")
 	}
 }
 
@@ -70,13 +71,13 @@
 	expectHops(t, tab, "000023222333535555666", "000111222333444555666")
 	for _, x := range tab.first {
 		if x == s[1] || x == s[4] {
-			t.Fatalf("%s still takes new connections", x.id)
+			t.Fatalf("draining server %s still holds a first-hop entry", x.id)
 		}
 	}
 }
 
-// The fill example of the paper under the rule of the design page: the most frequent active server gives, ties by
-// id.
+// The fill example of the paper, with the rule of docs/design.md: entries are taken from the active server that holds
+// the most, by lowest id on a tie.
 func TestTable_Fill_TakesTwoThirdsFromMostFrequent(t *testing.T) {
 	tab, all := newTestTable("0123456", []int{0, 0, 0, 1, 1, 1, 1, 3, 5, 3, 3, 3, 1, 3, 5, 5, 5, 5, 6, 6, 6})
 	tab.remove(all[2])
@@ -87,16 +88,16 @@
 	if n := fillCount(21, 5); n != 3 {
 		t.Fatalf("fill count %d, want 3", n)
 	}
-	// 1, 3 and 5 hold five entries each: one of each moves to the second hop.
+	// Servers 1, 3 and 5 hold five entries each. Each loses one and becomes its second hop.
 	expectHops(t, tab, "000411144333135555666", "000111135333135555666")
 	hops := tab.hops(3)
 	first, second := hops[1], hops[0]
 	if first != x || second != all[1] {
-		t.Error("an entry that is filled must name the old server as second hop")
+		t.Error("hops of a filled entry: want the new server first and the previous one second")
 	}
 	tab.finishTransitions(time.Second, time.Second, time.Second, false)
 	if second := tab.hops(3)[0]; x.state != active || second != nil {
-		t.Error("the fill did not end with the grace")
+		t.Error("the fill did not end after its time")
 	}
 }
 
@@ -123,8 +124,8 @@
 	expectHops(t, tab, "777", "777")
 }
 
-// Servers know their entries without a search: after any changes a drain empties all of them in order, and a fill
-// takes the lowest one of the server that holds most.
+// Servers keep track of their entries without a search of the table. After any changes a drain moves all entries of a
+// server in order, and a fill takes the lowest one of the server that holds the most.
 func TestTable_AnyChanges_ServersTrackOwnEntries(t *testing.T) {
 	for seed := range uint64(20) {
 		b, now := newWarmNode(t, testSettings(), 12), time.Duration(0)
@@ -146,16 +147,16 @@
 			}
 			for _, s := range b.table.members {
 				if !slices.Equal(s.ownEntries(b.table.first), held[s]) || s.entryCount != len(held[s]) {
-					t.Fatalf("seed %d, version %d: %s holds %d entries, lists %d, counts %d", seed, version, s.id, len(held[s]),
+					t.Fatalf("seed %d, version %d: server %s holds %d entries; ownEntries has %d, entryCount is %d", seed, version, s.id, len(held[s]),
 						len(s.ownEntries(b.table.first)), s.entryCount)
 				}
 				if len(held[s]) > 0 && s.firstEntry(b.table.first) != held[s][0] {
-					t.Fatalf("seed %d, version %d: the lowest of %s is %d, not %d", seed, version, s.id, s.firstEntry(b.table.first), held[s][0])
+					t.Fatalf("seed %d, version %d: firstEntry of server %s is %d, want %d", seed, version, s.id, s.firstEntry(b.table.first), held[s][0])
 				}
 			}
 			for i, s := range b.table.second {
 				if s != nil && s.state == inactive {
-					t.Fatalf("seed %d, version %d: second hop %d is %s, which was removed", seed, version, i, s.id)
+					t.Fatalf("seed %d, version %d: second hop of entry %d is the removed server %s", seed, version, i, s.id)
 				}
 			}
 		}
@@ -175,7 +176,7 @@
 	for _, s := range testFleet(12) {
 		want := s.Weight / total * float64(len(b.table.first))
 		if got := held[s.ID]; got < 0.8*want || got > 1.2*want {
-			t.Errorf("%s holds %.0f entries, want %.0f by its weight", s.ID, got, want)
+			t.Errorf("server %s holds %.0f entries, want %.0f according to its weight", s.ID, got, want)
 		}
 	}
 }
