--- a/balancer/api.go
+++ b/balancer/api.go
@@ -17,11 +17,11 @@
 // MaxRepollDelay bounds the time from the end of a failed list request, or of a watch, to the next WatchList action.
 // If the request failed in less than MaxRepollDelay, the bound is 2*MaxRepollDelay minus the duration of the request.
 // A node must know a change within 6 s after discovery becomes reachable, and a request that is lost at that moment
-// may take up 3 s of them.
+// may take up 3 s of that time.
 const MaxRepollDelay = 2500 * time.Millisecond
 
-// MaxSchedulingDelay is the longest expected delay between a node's reading of its clock and the write that follows.
-// The drain grace covers it.
+// MaxSchedulingDelay is the longest scheduling delay, between a node's reading of its clock and the write that follows,
+// that the drain grace covers.
 const MaxSchedulingDelay = 150 * time.Millisecond
 
 // Effect says how safely a request of a class may be retried.
--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -107,7 +107,7 @@
 	return srv
 }
 
-// resetServer discards what this node observed of a server.
+// resetServer records the start of a server and discards what this node observed of it before.
 func (b *Balancer) resetServer(srv *server, entry Server) {
 	srv.startedAt = entry.StartedAt
 	srv.assumedStart = entry.AssumedStart
--- a/balancer/eviction.go
+++ b/balancer/eviction.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// drainGrace is how long a draining server still gets mid-flow arrivals. The rest of the DrainGrace
-// setting covers a scheduling delay and the time until a packet has left the node.
+// drainGrace is how long a draining server still gets mid-flow arrivals. The rest of the DrainGrace setting covers a
+// scheduling delay and the time until a packet has left the node.
 func (b *Balancer) drainGrace() time.Duration {
 	return max(min(b.settings.DrainGrace*9/10, b.settings.DrainGrace-MaxSchedulingDelay), 0)
 }
--- a/balancer/load.go
+++ b/balancer/load.go
@@ -3,9 +3,8 @@
 import "cmp"
 
 const (
-	// A server counts as overloaded if its load exceeds its share of the fleet's load by overloadFactor and it has at
-	// least minOverloadConnections. Both values are those of the design
-	// (docs/design.md).
+	// A server is overloaded if it has at least minOverloadConnections and its load exceeds overloadFactor times its
+	// share of the fleet's load. Both values are those of the design (docs/design.md).
 	overloadFactor         = 1.5
 	minOverloadConnections = 2
 
@@ -139,7 +138,7 @@
 // capacityOf returns a server's present capacity: its weight, reduced during slow start.
 func (b *Balancer) capacityOf(srv *server) float64 { return srv.weight * b.slowStartFactor(srv) }
 
-// isOverloaded reports whether a server with addedLoad would exceed its share of the fleet's load by overloadFactor.
+// isOverloaded reports whether a server with addedLoad would exceed overloadFactor times its share of the fleet's load.
 func (b *Balancer) isOverloaded(srv *server, addedLoad float64) bool {
 	if srv.connections < minOverloadConnections {
 		return false
--- a/balancer/outlier_test.go
+++ b/balancer/outlier_test.go
@@ -11,27 +11,27 @@
 func TestOutlier_FailingServer_IsEjectedForATime(t *testing.T) {
 	for _, outcome := range []Outcome{ResponseTimeout, ConnectFailed} {
 		b := newWarmNode(t, testSettings(), 6)
-		bad := b.table.first[0].id
-		hits, now := 0, time.Duration(0)
+		failing := b.table.first[0].id
+		attempts, now := 0, time.Duration(0)
 		for i := range 200 {
 			id := RequestID(fmt.Sprint("r", i))
 			out := b.Handle(now, Arrival{ID: id, Key: fmt.Sprint(i), TimeLeft: 2 * time.Second})
 			for n := 0; len(sends(out)) == 1; n++ {
 				e := AttemptEnded{ID: id, Attempt: n, Took: 300 * ms, Outcome: outcome}
-				if sends(out)[0].Server != bad {
+				if sends(out)[0].Server != failing {
 					b.Handle(now, Established{ID: id, Attempt: n, Took: 20 * ms})
 					e.Outcome, e.Final = Served, true
 				} else {
-					hits++
+					attempts++
 				}
 				out = b.Handle(now, e)
 			}
 			now += 50 * ms
 		}
-		if hits < 2 || hits > 12 {
-			t.Errorf("outcome %d: the failing server got %d attempts in 10 s", outcome, hits)
+		if attempts < 2 || attempts > 12 {
+			t.Errorf("outcome %d: the failing server got %d attempts in 10 s, want 2 to 12", outcome, attempts)
 		}
-		s := b.servers[bad]
+		s := b.servers[failing]
 		b.now = s.ejectedUntil + ms
 		if b.isEjected(s) {
 			t.Error("the ejection does not end at ejectedUntil")
--- a/balancer/overload_sim_test.go
+++ b/balancer/overload_sim_test.go
@@ -197,15 +197,15 @@
 
 // retry schedules the next request of a client that got a rejection or a failure. Two out of three retries follow soon
 // or after the Retry-After; the third has a backoff.
-func (sim *overloadSim) retry(id RequestID, advice time.Duration) {
+func (sim *overloadSim) retry(id RequestID, retryAfter time.Duration) {
 	c := sim.clients[id]
 	delete(sim.clients, id)
 	c.retries++
 	wait := sim.drawDuration(15*ms, 120*ms)
 	if round := c.retries / 3; c.retries%3 == 0 {
 		wait = sim.drawDuration(150*ms, 980*ms) << min(round-1, 3)
-	} else if advice > 0 && sim.rng.Float64() < 0.7 {
-		wait = advice
+	} else if retryAfter > 0 && sim.rng.Float64() < 0.7 {
+		wait = retryAfter
 	}
 	sim.schedule(wait, func() { sim.connect(c) })
 }
--- a/balancer/overload_test.go
+++ b/balancer/overload_test.go
@@ -48,9 +48,9 @@
 // When the whole fleet is overloaded, requests that exceed the limits are rejected at once, those of classes with the
 // least value per load first.
 func TestAdmission_OverloadedFleet_RejectsLeastValueFirst(t *testing.T) {
-	set := testSettings()
-	set.Classes[1].PriorityWeight = 1
-	b, _ := nodeWithConnections(t, set, 20)
+	settings := testSettings()
+	settings.Classes[1].PriorityWeight = 1
+	b, _ := nodeWithConnections(t, settings, 20)
 	b.loads.byClass[0], b.loads.byClass[1] = 100, 1000 // the second class costs ten times as much for the same weight
 	for _, id := range []RequestID{"open0", "open1"} {
 		b.Handle(time.Second, LatencyReport{ID: id, Latency: 400 * ms})
@@ -81,10 +81,10 @@
 }
 
 func TestValue_TenantOverQuota_CountsLess(t *testing.T) {
-	set := testSettings()
-	set.Tenants = []Tenant{{ConnectionQuota: 9}, {ConnectionQuota: 0}}
-	set.OverQuotaWeight = 0.1
-	b := newWarmNode(t, set, 6)
+	settings := testSettings()
+	settings.Tenants = []Tenant{{ConnectionQuota: 9}, {ConnectionQuota: 0}}
+	settings.OverQuotaWeight = 0.1
+	b := newWarmNode(t, settings, 6)
 	r := &request{Arrival: Arrival{Tenant: 0}}
 	b.counts.byTenant[0] = 3 // its quota over three nodes
 	if v := b.relativeValue(r); v != 1 {
--- a/balancer/pacing.go
+++ b/balancer/pacing.go
@@ -140,7 +140,7 @@
 
 // tightenedInterval returns the next interval: at least the baseline after a failed setup, and at least a quarter of it
 // after a slow one. A node with a low sample uses the longest interval at once, because each step up would take
-// another timeout. Its setups count as failed if they take longer than the shortest objective of all classes;
+// another timeout. Its setups count as failed if they take at least the shortest objective of all classes;
 // otherwise classes with long deadlines would leave no turn to the others.
 func (b *Balancer) tightenedInterval(failed bool, took time.Duration) time.Duration {
 	baseline, estimated := b.baselineInterval()
--- a/balancer/placement_test.go
+++ b/balancer/placement_test.go
@@ -119,7 +119,7 @@
 func TestOverride_ReinstatedServer_IsUsedSoon(t *testing.T) {
 	s := testSettings()
 	b, _ := nodeWithConnections(t, s, 4)
-	out := func(now time.Duration, state ServerState) {
+	override := func(now time.Duration, state ServerState) {
 		b.Handle(now, ListEvent{Kind: ListOverride, Servers: []Server{{ID: "b", Weight: 1, State: state}}})
 	}
 	at := time.Minute
@@ -140,8 +140,8 @@
 			b.servers[a.Server].ejectedUntil = 0
 		}
 	}
-	out(at, Draining)
-	out(at+time.Second, Live)
+	override(at, Draining)
+	override(at+time.Second, Live)
 	if arrive(at+time.Second, "early"); on["a"] != 1 {
 		t.Errorf("requests by server right after the reinstatement: %v, want a:1", on)
 	}
@@ -149,8 +149,8 @@
 	if arrive(at+5*time.Second, "after"); on["b"] != 1 || on["a"] != 2 {
 		t.Errorf("requests by server after reinstateDelay: %v, want a:2 b:1", on)
 	}
-	out(at+6*time.Second, Live)
-	out(at+7*time.Second, Draining)
+	override(at+6*time.Second, Live)
+	override(at+7*time.Second, Draining)
 	if arrive(at+10*time.Second, "out again"); on["b"] != 1 || len(b.reinstated) > 0 {
 		t.Errorf("requests by server after b drained again: %v, want b:1", on)
 	}
@@ -221,16 +221,16 @@
 // Requests without a key are spread over the fleet by their own ids.
 func TestPlacement_NoKey_Spreads(t *testing.T) {
 	b := newWarmNode(t, testSettings(), 8)
-	hit := map[ServerID]int{}
+	requestsByServer := map[ServerID]int{}
 	for i := range 200 {
 		id := RequestID(fmt.Sprint("r", i))
 		for _, s := range sends(b.Handle(0, Arrival{ID: id, TimeLeft: time.Second})) {
-			hit[s.Server]++
+			requestsByServer[s.Server]++
 		}
 		b.Handle(0, Established{ID: id})
 		b.Handle(0, AttemptEnded{ID: id, Outcome: Served, Final: true})
 	}
-	if len(hit) != 8 {
-		t.Errorf("200 requests were spread over %d of 8 servers, want all", len(hit))
+	if len(requestsByServer) != 8 {
+		t.Errorf("200 requests were spread over %d of 8 servers, want all", len(requestsByServer))
 	}
 }
--- a/balancer/settings_test.go
+++ b/balancer/settings_test.go
@@ -13,7 +13,7 @@
 		name    string
 		set     func(*Settings)
 		servers int
-		served  int // of 60 requests, at least
+		served  int // least number of requests, of 60, that must be sent
 	}{
 		{"nothing but a class", func(s *Settings) { *s = bare }, 3, 60},
 		{"one server", func(*Settings) {}, 1, 60},
--- a/balancer/slowstart_fleet_test.go
+++ b/balancer/slowstart_fleet_test.go
@@ -70,8 +70,8 @@
 	servers   []Server
 	listed    bool // the starting server is in the endpoint list
 	requests  int
-	arrivals  int             // since it was listed
-	sendTimes []time.Duration // to the starting server
+	arrivals  int             // number of arrivals since the starting server was listed
+	sendTimes []time.Duration // times of the sends to the starting server
 }
 
 // step simulates 10 ms of arrivals at all nodes.
@@ -217,7 +217,7 @@
 	for _, n := range all {
 		n.Handle(time.Minute, listDelta(starting))
 	}
-	set := testSettings()
+	settings := testSettings()
 	rate := 0.25 * nodes * starting.Weight / all[0].fleet.weight // the server's share of the fleet's traffic by weight
 	var sent []time.Duration
 	for step := range 1000 { // 10 s in which all clients reconnect again and again
@@ -238,13 +238,13 @@
 	for i, from := range sent {
 		in := 0
 		for _, at := range sent[i:] {
-			if at < from+set.CollapseWindow {
+			if at < from+settings.CollapseWindow {
 				in++
 			}
 		}
-		factor := capacityFraction(set, from-time.Minute)
+		factor := capacityFraction(settings, from-time.Minute)
 		// The limit allows 3 connections above the mean, because 160 nodes round their budgets at random.
-		if limit := set.CollapseMultiple*factor*rate*set.CollapseWindow.Seconds() + 3; float64(in) > limit {
+		if limit := settings.CollapseMultiple*factor*rate*settings.CollapseWindow.Seconds() + 3; float64(in) > limit {
 			t.Fatalf("%d connections in the window that starts at %v, want at most %.1f", in, from-time.Minute, limit)
 		}
 	}
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -44,11 +44,11 @@
 		n.Handle(time.Minute, listDelta(Server{ID: "s99", Weight: 4, StartedAt: time.Minute}))
 		all = append(all, n)
 	}
-	set := testSettings()
+	settings := testSettings()
 	windows := make([]float64, 4)
 	for w := range windows {
 		for i, n := range all { // every node has 20 arrivals in every window
-			now := time.Minute + time.Duration(w)*set.CollapseWindow + time.Duration(i)*ms
+			now := time.Minute + time.Duration(w)*settings.CollapseWindow + time.Duration(i)*ms
 			for c := range 20 {
 				id := RequestID(fmt.Sprint(w, "-", i, "-", c))
 				for _, s := range sends(n.Handle(now, Arrival{ID: id, Key: string(id), TimeLeft: time.Second})) {
@@ -61,18 +61,19 @@
 		}
 	}
 	for w, sent := range windows {
-		factor := capacityFraction(set, time.Duration(w)*set.CollapseWindow)
-		budget := set.CollapseMultiple * factor * quota * 4 / all[0].fleet.weight * set.CollapseWindow.Seconds()
+		factor := capacityFraction(settings, time.Duration(w)*settings.CollapseWindow)
+		budget := settings.CollapseMultiple * factor * quota * 4 / all[0].fleet.weight * settings.CollapseWindow.Seconds()
 		if sent < budget/8 || sent > budget {
 			t.Errorf("window %d: %.0f connections with a budget of %.1f, want at least an eighth of it and at most all", w, sent, budget)
 		}
 	}
 }
 
-// The budget grows with the server's capacity in the second half of its slow start, and all nodes together keep to it.
+// The budget grows with the server's capacity once the server has more than half of it, and all nodes together keep to
+// the budget.
 func TestSlowStart_Warming_BudgetGrows(t *testing.T) {
 	const nodes, servers, quota = 80, 10, 300.0
-	set := testSettings()
+	settings := testSettings()
 	var all []*Balancer
 	for i := range nodes {
 		s := testSettings()
@@ -81,7 +82,7 @@
 	}
 	spent := func(since, from time.Duration) (n float64) {
 		for w := range 3 {
-			now := from + time.Duration(w)*set.CollapseWindow
+			now := from + time.Duration(w)*settings.CollapseWindow
 			for i, b := range all {
 				for c := range 12 {
 					id := RequestID(fmt.Sprint(now, "-", i, "-", c))
@@ -100,10 +101,10 @@
 		b.Handle(time.Minute, listDelta(Server{ID: "s99", Weight: 4, StartedAt: time.Minute}))
 	}
 	early := spent(time.Minute, time.Minute)
-	late := spent(time.Minute, time.Minute+set.SlowStartDuration-3*set.CollapseWindow)
+	late := spent(time.Minute, time.Minute+settings.SlowStartDuration-3*settings.CollapseWindow)
 	// The connections per window that fill the server over its slow start.
-	fills := quota * 4 / all[0].fleet.weight / set.SlowStartDuration.Seconds() * set.CollapseWindow.Seconds()
-	if limit := 3 * set.CollapseMultiple * fills * 2; late < early*3/2 || late > limit {
+	fills := quota * 4 / all[0].fleet.weight / settings.SlowStartDuration.Seconds() * settings.CollapseWindow.Seconds()
+	if limit := 3 * settings.CollapseMultiple * fills * 2; late < early*3/2 || late > limit {
 		t.Errorf("%.0f connections in three windows at the start, %.0f near the end of slow start; want 1.5 times as many, and at most %.0f", early, late, limit)
 	}
 }
@@ -112,7 +113,7 @@
 // that the servers have capacity for, and no server gets more than its budget.
 func TestSlowStart_AllServersWarmUp_ServeWithinCapacity(t *testing.T) {
 	const nodes, servers, perSecond = 40, 10, 5
-	set := testSettings()
+	settings := testSettings()
 	var all []*Balancer
 	for i := range nodes {
 		s := testSettings()
@@ -142,7 +143,7 @@
 		}
 	}
 	for w := 2; w < 10; w++ {
-		factor := capacityFraction(set, time.Duration(w)*time.Second)
+		factor := capacityFraction(settings, time.Duration(w)*time.Second)
 		if arrived := float64(nodes * perSecond); sent[w] < arrived*factor/2 || sent[w] > arrived*factor*1.7 {
 			t.Errorf("second %d: %.0f of %.0f requests sent at a slow start factor of %.2f", w, sent[w], arrived, factor)
 		}
@@ -151,12 +152,12 @@
 		for k, from := range times {
 			n := 0
 			for _, at := range times[k:] {
-				if at < from+set.CollapseWindow {
+				if at < from+settings.CollapseWindow {
 					n++
 				}
 			}
-			factor := capacityFraction(set, from-time.Hour)
-			limit := set.CollapseMultiple*factor*nodes*perSecond/servers*set.CollapseWindow.Seconds() + 4
+			factor := capacityFraction(settings, from-time.Hour)
+			limit := settings.CollapseMultiple*factor*nodes*perSecond/servers*settings.CollapseWindow.Seconds() + 4
 			if float64(n) > limit {
 				t.Fatalf("server %s: %d connections in the window that starts at %v, want at most %.0f", id, n, from-time.Hour, limit)
 			}
@@ -206,10 +207,10 @@
 // has shrunk since.
 func TestSlowStart_ShrunkFleet_KeepsBudget(t *testing.T) {
 	const nodes, quota = 16, 417.0
-	set, sent, part := testSettings(), 0, 0.0
-	set.SlowStartDuration, set.CollapseWindow = 20*time.Second, 2*time.Second
+	settings, sent, part := testSettings(), 0, 0.0
+	settings.SlowStartDuration, settings.CollapseWindow = 20*time.Second, 2*time.Second
 	for i := range nodes {
-		s := set
+		s := settings
 		s.Seed, s.NodeIndex, s.NodeCount, s.Tenants = uint64(i)+1, i, nodes, []Tenant{{ConnectionQuota: quota}}
 		n := newWarmNode(t, s, 10)
 		part = quota * testFleet(1)[0].Weight / n.fleet.weight
@@ -226,7 +227,7 @@
 		}
 	}
 	// Each node rounds its budget at random: the limit allows four standard deviations of the sum of 16 such roundings.
-	limit := set.CollapseMultiple*part*set.CollapseWindow.Seconds()/set.SlowStartDuration.Seconds() + 8
+	limit := settings.CollapseMultiple*part*settings.CollapseWindow.Seconds()/settings.SlowStartDuration.Seconds() + 8
 	if float64(sent) > limit || sent < 4 {
 		t.Errorf("%d connections to a starting server in one window, want 4 to %.1f", sent, limit)
 	}
