--- a/balancer/pacing_test.go
+++ b/balancer/pacing_test.go
@@ -132,8 +132,8 @@
 		paced bool
 	}{
 		{"two servers fail", false, []ServerID{"a", "b"}, true},
-		{"one fails often", false, []ServerID{"a", "a", "a", "a"}, false},
-		{"one has come up", true, []ServerID{"a", "b"}, false},
+		{"one server fails repeatedly", false, []ServerID{"a", "a", "a", "a"}, false},
+		{"two servers fail after a success", true, []ServerID{"a", "b"}, false},
 	} {
 		b, _ := nodeWithConnections(t, testSettings(), 0)
 		b.now = time.Second
--- a/balancer/request_test.go
+++ b/balancer/request_test.go
@@ -30,16 +30,16 @@
 		retry   bool // another attempt follows
 		reject  bool // the final answer is a rejection
 	}{
-		{"idempotent after a time-out", 0, ResponseTimeout, 300 * ms, true, true},
-		{"non-idempotent after a time-out", 2, ResponseTimeout, 300 * ms, false, false},
+		{"idempotent after a timeout", 0, ResponseTimeout, 300 * ms, true, true},
+		{"non-idempotent after a timeout", 2, ResponseTimeout, 300 * ms, false, false},
 		{"non-idempotent after a failed connect", 2, ConnectFailed, 50 * ms, true, true},
 		{"non-idempotent rejected", 2, Rejected, 5 * ms, true, true},
 		{"non-idempotent after an error", 2, Errored, 5 * ms, false, false},
-		{"keyed zone in its window", 1, ResponseTimeout, 300 * ms, true, false},
-		{"keyed zone past its window", 1, ResponseTimeout, 1200 * ms, false, false},
-		{"keyed all in its window", 3, ResponseTimeout, 300 * ms, true, true},
-		{"keyed all past its window", 3, ResponseTimeout, 1200 * ms, false, true},
-		{"keyed cell in its window", 4, ConnectionReset, 300 * ms, true, false},
+		{"idempotent by key in zone, within window", 1, ResponseTimeout, 300 * ms, true, false},
+		{"idempotent by key in zone, after window", 1, ResponseTimeout, 1200 * ms, false, false},
+		{"idempotent by key everywhere, within window", 3, ResponseTimeout, 300 * ms, true, true},
+		{"idempotent by key everywhere, after window", 3, ResponseTimeout, 1200 * ms, false, true},
+		{"idempotent by key in cell, within window", 4, ConnectionReset, 300 * ms, true, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			b := New(testSettings())
--- a/balancer/settings_test.go
+++ b/balancer/settings_test.go
@@ -15,15 +15,15 @@
 		servers int
 		served  int // least number of requests, of 60, that must be sent
 	}{
-		{"nothing but a class", func(s *Settings) { *s = bare }, 3, 60},
+		{"one class only", func(s *Settings) { *s = bare }, 3, 60},
 		{"one server", func(*Settings) {}, 1, 60},
-		{"no limit of attempts", func(s *Settings) { s.MaxAttempts = 0 }, 5, 60},
-		{"a pushed list, connections that end here", func(s *Settings) { s.PollList, s.PassThrough = false, false }, 5, 60},
-		{"no peers told", func(s *Settings) { s.NodeCount = 0 }, 5, 60},
-		{"no warm-up", func(s *Settings) { s.SlowStartDuration, s.SlowStartFraction = 0, 0 }, 5, 60},
-		{"no message aims", func(s *Settings) { s.Classes[0].MessageLatencyObjective = 0 }, 5, 60},
-		{"no set-up aim", func(s *Settings) { s.Classes[0].SetupLatencyObjective = 0 }, 5, 60},
-		{"no server", func(*Settings) {}, 0, 0},
+		{"no attempt limit", func(s *Settings) { s.MaxAttempts = 0 }, 5, 60},
+		{"pushed endpoint list, proxy mode", func(s *Settings) { s.PollList, s.PassThrough = false, false }, 5, 60},
+		{"no node count", func(s *Settings) { s.NodeCount = 0 }, 5, 60},
+		{"no slow start", func(s *Settings) { s.SlowStartDuration, s.SlowStartFraction = 0, 0 }, 5, 60},
+		{"no message latency objective", func(s *Settings) { s.Classes[0].MessageLatencyObjective = 0 }, 5, 60},
+		{"no setup latency objective", func(s *Settings) { s.Classes[0].SetupLatencyObjective = 0 }, 5, 60},
+		{"no servers", func(*Settings) {}, 0, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := testSettings()
