--- a/balancer/overload_surge_test.go
+++ b/balancer/overload_surge_test.go
@@ -7,47 +7,47 @@
 	"time"
 )
 
-// reconnectSurge is a run in which a part of all clients reconnects at once, faster than the backend of all set-ups
-// can serve them.
+// reconnectSurge is a simulation in which a fraction of all clients reconnects at once, faster than the backend of all
+// connection setups can serve them.
 type reconnectSurge struct {
 	nodes           int
-	rate            float64 // new clients a second, over all nodes
-	backendCapacity float64 // of set-ups, as a multiple of that rate
-	resetFraction   float64 // of the connections
-	restart         bool    // seven in ten nodes restart at that moment
-	early           bool    // 6 s after the start; in the first 3 s all clients reconnect at no cost
+	rate            float64 // new clients per second, over all nodes
+	backendCapacity float64 // setups per second of the backend, as a multiple of rate
+	resetFraction   float64 // fraction of the connections that is reset
+	restart         bool    // seven in ten nodes restart at the same moment
+	early           bool    // the surge is 6 s after the start; in the first 3 s all clients connect at no cost
 }
 
-// play returns the part of the wanted client time that is served in the half minute from the surge on.
-func (p reconnectSurge) play(seed uint64) float64 {
-	j := newOverloadSim(seed, []time.Duration{700 * ms, 900 * ms, time.Second, 1200 * ms})
-	j.setupCost = time.Duration(float64(time.Second) / (p.rate * p.backendCapacity))
-	open := p.rate * j.meanLifetime.Seconds()
+// simulate returns the served fraction of the wanted client time in the 30 s after the surge.
+func (p reconnectSurge) simulate(seed uint64) float64 {
+	sim := newOverloadSim(seed, []time.Duration{700 * ms, 900 * ms, time.Second, 1200 * ms})
+	sim.setupCost = time.Duration(float64(time.Second) / (p.rate * p.backendCapacity))
+	open := p.rate * sim.meanLifetime.Seconds()
 	for i := range p.nodes {
-		j.fleet = append(j.fleet, j.startNode(seed, i, p.nodes, 1.5*open))
+		sim.fleet = append(sim.fleet, sim.startNode(seed, i, p.nodes, 1.5*open))
 	}
 	at := time.Minute
-	j.scheduleArrivals(p.rate)
+	sim.scheduleArrivals(p.rate)
 	if p.early {
 		at = 6 * time.Second
 		for range int(open) {
-			j.schedule(j.drawDuration(0, 3*time.Second), j.addClient)
+			sim.schedule(sim.drawDuration(0, 3*time.Second), sim.addClient)
 		}
 	}
-	j.run(at)
-	j.accountedFrom = at
-	for i := range j.fleet {
+	sim.run(at)
+	sim.accountedFrom = at
+	for i := range sim.fleet {
 		if p.restart && i%10 < 7 {
-			j.fleet[i] = j.startNode(seed, i, p.nodes, 1.5*open)
+			sim.fleet[i] = sim.startNode(seed, i, p.nodes, 1.5*open)
 		}
 	}
-	j.resetConnections(p.resetFraction)
-	j.run(at + 30*time.Second)
-	return j.total().served()
+	sim.resetConnections(p.resetFraction)
+	sim.run(at + 30*time.Second)
+	return sim.total().served()
 }
 
-// A reconnect surge overloads the backend of all set-ups, of which each node sees a few a second at most. The
-// overload ends soon, whatever the size of the fleet, how long it has run and what the backend bears.
+// A reconnect surge overloads the backend of all connection setups, of which each node observes a few per second at
+// most. The overload must end soon, whatever the size of the fleet, its uptime and the capacity of the backend.
 func TestOverload_ReconnectSurge_EndsSoon(t *testing.T) {
 	for _, c := range []struct {
 		reconnectSurge
@@ -65,80 +65,80 @@
 		t.Run(fmt.Sprintf("%+v", c.reconnectSurge), func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(2) {
-				if got := c.play(seed + 1); got < c.least {
-					t.Errorf("seed %d: %.3f of the time is served, %g is wanted", seed+1, got, c.least)
+				if got := c.simulate(seed + 1); got < c.least {
+					t.Errorf("seed %d: %.3f of the client time is served, want at least %g", seed+1, got, c.least)
 				} else {
-					t.Logf("seed %d: %.3f", seed+1, got)
+					t.Logf("seed %d: %.3f of the client time is served", seed+1, got)
 				}
 			}
 		})
 	}
 }
 
-// rollingRestart is a run in which a release of the servers resets a part of the connections every 1.3 s, while all
-// nodes are restarted, a tenth at a time.
+// rollingRestart is a simulation in which a rollout on the servers resets a fraction of the connections every 1.3 s,
+// while all nodes restart, one tenth at a time.
 type rollingRestart struct {
 	nodes           int
-	rate            float64 // new clients a second, over all nodes
-	backendCapacity float64 // of set-ups, as a multiple of that rate
-	firstFraction   float64 // of the connections, reset as the release begins
-	stepFraction    float64 // the same at each later step
+	rate            float64 // new clients per second, over all nodes
+	backendCapacity float64 // setups per second of the backend, as a multiple of rate
+	firstFraction   float64 // fraction of the connections that is reset when the rollout begins
+	stepFraction    float64 // fraction that is reset at each later step
 	deadlines       []time.Duration
 }
 
-// play returns the part of the wanted client time that is served in the half minute from the release on, and by
-// class the part of the clients that were established while it lasted.
-func (p rollingRestart) play(seed uint64) (served float64, established []float64) {
+// simulate returns the served fraction of the wanted client time in the 30 s after the rollout begins and, by class,
+// the fraction of the clients that got a connection during the rollout.
+func (p rollingRestart) simulate(seed uint64) (served float64, established []float64) {
 	const (
 		begin, length  = 10 * time.Second, 12 * time.Second
 		steps, batches = 9, 10
 	)
-	j := newOverloadSim(seed, p.deadlines)
-	j.setupCost = time.Duration(float64(time.Second) / (p.rate * p.backendCapacity))
-	open := p.rate * j.meanLifetime.Seconds()
+	sim := newOverloadSim(seed, p.deadlines)
+	sim.setupCost = time.Duration(float64(time.Second) / (p.rate * p.backendCapacity))
+	open := p.rate * sim.meanLifetime.Seconds()
 	for i := range p.nodes {
-		j.fleet = append(j.fleet, j.startNode(seed, i, p.nodes, 1.5*open))
+		sim.fleet = append(sim.fleet, sim.startNode(seed, i, p.nodes, 1.5*open))
 	}
-	j.scheduleArrivals(p.rate)
+	sim.scheduleArrivals(p.rate)
 	for range int(open) {
-		j.schedule(j.drawDuration(0, 3*time.Second), j.addClient)
+		sim.schedule(sim.drawDuration(0, 3*time.Second), sim.addClient)
 	}
-	j.schedule(begin, func() { j.resetConnections(p.firstFraction) })
+	sim.schedule(begin, func() { sim.resetConnections(p.firstFraction) })
 	for i := range steps {
-		j.schedule(begin+time.Duration(i+1)*length/steps, func() { j.resetConnections(p.stepFraction) })
+		sim.schedule(begin+time.Duration(i+1)*length/steps, func() { sim.resetConnections(p.stepFraction) })
 	}
 	for batch := range batches {
-		j.schedule(begin+time.Duration(batch)*length/batches, func() { j.restart(seed, batch, batches) })
+		sim.schedule(begin+time.Duration(batch)*length/batches, func() { sim.restart(seed, batch, batches) })
 	}
-	j.run(begin)
-	j.accountedFrom = begin
-	for i := range j.times {
-		j.times[i].attempted, j.times[i].succeeded = 0, 0
+	sim.run(begin)
+	sim.accountedFrom = begin
+	for i := range sim.times {
+		sim.times[i].attempted, sim.times[i].succeeded = 0, 0
 	}
-	j.run(begin + length)
-	for _, c := range j.times {
+	sim.run(begin + length)
+	for _, c := range sim.times {
 		established = append(established, float64(c.succeeded)/float64(c.attempted))
 	}
-	j.run(begin + 30*time.Second)
-	return j.total().served(), established
+	sim.run(begin + 30*time.Second)
+	return sim.total().served(), established
 }
 
-// restart replaces every n-th node, after it has answered its queued requests.
-func (j *overloadSim) restart(seed uint64, first, n int) {
-	for i := first; i < len(j.fleet); i += n {
-		old := j.fleet[i]
+// restart replaces every n-th node, after the node has answered its queued requests.
+func (sim *overloadSim) restart(seed uint64, first, n int) {
+	for i := first; i < len(sim.fleet); i += n {
+		old := sim.fleet[i]
 		quota := old.settings.Tenants[0].ConnectionQuota
-		j.handle(i, old, Drain{Active: true, Deadline: j.now, AdmissionCutoff: j.now, KeepConnections: true})
-		j.fleet[i] = j.startNode(seed+1, i, len(j.fleet), quota)
+		sim.handle(i, old, Drain{Active: true, Deadline: sim.now, AdmissionCutoff: sim.now, KeepConnections: true})
+		sim.fleet[i] = sim.startNode(seed+1, i, len(sim.fleet), quota)
 	}
 }
 
-// While the backend of all set-ups is overloaded, no class is left without service: neither nodes that have just
-// started nor paced ones together send so much that only classes of long deadlines succeed.
+// While the backend of all connection setups is overloaded, every class must be served. If nodes that have just
+// started, or nodes that pace, sent too many setups together, only classes with long deadlines would succeed.
 func TestPacing_RollingRestart_ServesEveryClass(t *testing.T) {
 	for _, c := range []struct {
 		rollingRestart
-		least float64 // of the wanted time, all classes together
+		least float64 // served fraction of the wanted time of all classes
 	}{
 		{rollingRestart{nodes: 300, rate: 40, backendCapacity: 6, firstFraction: 0.35, stepFraction: 0.05,
 			deadlines: []time.Duration{700 * ms, 3 * time.Second, 4800 * ms}}, 0.85},
@@ -152,13 +152,13 @@
 		t.Run(fmt.Sprintf("%+v", c.rollingRestart), func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(2) {
-				served, established := c.play(seed + 1)
-				t.Logf("seed %d: %.3f of the time is served, of the classes' clients %.3f succeeded", seed+1, served, established)
+				served, established := c.simulate(seed + 1)
+				t.Logf("seed %d: %.3f of the client time is served; clients that succeeded, by class: %.3f", seed+1, served, established)
 				if slices.Min(established) < slices.Max(established)/2 {
-					t.Errorf("seed %d: of the classes' clients %.3f succeeded, one class less than half of the best", seed+1, established)
+					t.Errorf("seed %d: clients that succeeded, by class: %.3f; the lowest is below half of the highest", seed+1, established)
 				}
 				if served < c.least {
-					t.Errorf("seed %d: %.3f of the time is served, %g is wanted", seed+1, served, c.least)
+					t.Errorf("seed %d: %.3f of the client time is served, want at least %g", seed+1, served, c.least)
 				}
 			}
 		})
--- a/balancer/statelists.go
+++ b/balancer/statelists.go
@@ -2,21 +2,21 @@
 
 import "slices"
 
-// stateLists holds the servers of a table by state. They are updated as states change, as a list that replaces half
-// of a large fleet asks for them thousands of times.
+// stateLists holds the servers of a table by state. It is updated incrementally, because an endpoint list that replaces
+// half of a large fleet reads it thousands of times.
 type stateLists struct {
-	active   []*server    // by id
-	groups   [2][]*server // the active ones by parity, by id
-	draining [2]int       // number of draining ones, by parity
-	filling  int          // number of filling ones
+	active   []*server    // active servers, sorted by id
+	byParity [2][]*server // active servers of each parity, sorted by id
+	draining [2]int       // number of draining servers of each parity
+	filling  int          // number of filling servers
 }
 
-// move takes a server to a state.
+// move changes the state of a server.
 func (l *stateLists) move(srv *server, to serverState) {
 	switch srv.state {
 	case active:
 		l.active = removeByID(l.active, srv)
-		l.groups[srv.parity] = removeByID(l.groups[srv.parity], srv)
+		l.byParity[srv.parity] = removeByID(l.byParity[srv.parity], srv)
 	case draining:
 		l.draining[srv.parity]--
 	case filling:
@@ -26,7 +26,7 @@
 	switch to {
 	case active:
 		l.active = insertByID(l.active, srv)
-		l.groups[srv.parity] = insertByID(l.groups[srv.parity], srv)
+		l.byParity[srv.parity] = insertByID(l.byParity[srv.parity], srv)
 	case draining:
 		l.draining[srv.parity]++
 	case filling:
@@ -34,26 +34,26 @@
 	}
 }
 
-// regroup gives all servers a parity in turn and lists them anew. None of them may drain.
-func (l *stateLists) regroup(holders []*server) {
+// regroup assigns alternating parities to all servers and rebuilds the lists. No server may be draining.
+func (l *stateLists) regroup(members []*server) {
 	l.active = l.active[:0]
-	l.groups = [2][]*server{l.groups[0][:0], l.groups[1][:0]}
-	for i, srv := range holders {
+	l.byParity = [2][]*server{l.byParity[0][:0], l.byParity[1][:0]}
+	for i, srv := range members {
 		srv.parity = i % 2
 		if srv.state == active {
 			l.active = append(l.active, srv)
-			l.groups[srv.parity] = append(l.groups[srv.parity], srv)
+			l.byParity[srv.parity] = append(l.byParity[srv.parity], srv)
 		}
 	}
 }
 
-// insertByID adds a server to a list that is ordered by id.
+// insertByID inserts a server into a list that is sorted by id.
 func insertByID(list []*server, srv *server) []*server {
 	at, _ := slices.BinarySearchFunc(list, srv, byID)
 	return slices.Insert(list, at, srv)
 }
 
-// removeByID removes a server from a list that is ordered by id.
+// removeByID removes a server from a list that is sorted by id.
 func removeByID(list []*server, srv *server) []*server {
 	at, found := slices.BinarySearchFunc(list, srv, byID)
 	if !found {
