--- a/cmd/onyxstream/discovery_test.go
+++ b/cmd/onyxstream/discovery_test.go
@@ -84,7 +84,7 @@
 	discovery := newFakeDiscovery(t, endpointListJSON(1, true, all...))
 	node := startNode(t, nodeOptions{initialList: endpointListJSON(1, true, all...)}, discovery.addr)
 	node.openRequest(t, "").expectLine("UP from-ha")
-	eventually(t, "the watch is open", func() bool { return discovery.OpenCalls() == 1 })
+	eventually(t, "the watch is open", func() bool { return discovery.OpenRequests() == 1 })
 	for i := range all[:512] {
 		all[i].Phase = wire.Draining
 	}
--- a/cmd/onyxstream/endpoint_memory_test.go
+++ b/cmd/onyxstream/endpoint_memory_test.go
@@ -51,7 +51,7 @@
 	discovery := newFakeDiscovery(t, list)
 	node := startNode(t, nodeOptions{initialList: list, memoryMB: 64, programPath: path}, discovery.addr)
 	node.openRequest(t, "").expectLine("UP from-ha")
-	eventually(t, "the watch is open", func() bool { return discovery.OpenCalls() == 1 })
+	eventually(t, "the watch is open", func() bool { return discovery.OpenRequests() == 1 })
 	for step := range 4 {
 		var changed []wire.Endpoint
 		for i := step * hostCount / 20; i < (step+1)*hostCount/20; i++ {
--- a/cmd/onyxstream/reload_test.go
+++ b/cmd/onyxstream/reload_test.go
@@ -29,7 +29,7 @@
 	eventually(t, "the new list has replaced the old one", func() bool {
 		return strings.Contains(node.openRequest(t, "").expectLine("UP "), "from-hb")
 	})
-	eventually(t, "the old watch is closed", func() bool { return oldDiscovery.OpenCalls() == 0 })
+	eventually(t, "the old watch is closed", func() bool { return oldDiscovery.OpenRequests() == 0 })
 	oldDiscovery.setUnavailable(true)
 	for range 10 {
 		node.openRequest(t, "").expectLine("UP from-hb")
@@ -144,7 +144,7 @@
 	oldList := endpointListJSON(41, true, hostA.endpoint(wire.Serving))
 	oldDiscovery := newFakeDiscovery(t, oldList)
 	node := startNode(t, nodeOptions{initialList: oldList, env: []string{"PROXY_DEBUG=1"}}, oldDiscovery.addr)
-	eventually(t, "the first watch request", func() bool { return oldDiscovery.OpenCalls() == 1 })
+	eventually(t, "the first watch request", func() bool { return oldDiscovery.OpenRequests() == 1 })
 	node.waitForLog(t, "endpoint list received") // a watch without a list would be closed by the reload
 	discovery := newFakeDiscovery(t, endpointListJSON(3, true, hostC.endpoint(wire.Serving)))
 	discovery.setUnavailable(true)
@@ -158,7 +158,7 @@
 		node.waitUntilServedBy(t, hostA.id)
 	}
 	oldDiscovery.setUnavailable(true)
-	eventually(t, "the old watch is closed", func() bool { return oldDiscovery.OpenCalls() == 0 })
+	eventually(t, "the old watch is closed", func() bool { return oldDiscovery.OpenRequests() == 0 })
 	discovery.setUnavailable(false)
 	node.waitUntilServedBy(t, hostC.id)
 }
--- a/internal/fakeserver/discovery.go
+++ b/internal/fakeserver/discovery.go
@@ -82,8 +82,8 @@
 	return append([]string(nil), d.requests...)
 }
 
-// OpenCalls returns the number of calls that are open.
-func (d *Discovery) OpenCalls() int {
+// OpenRequests returns the number of list requests and watches that are open.
+func (d *Discovery) OpenRequests() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.openCalls
--- a/internal/scaletest/measurement.go
+++ b/internal/scaletest/measurement.go
@@ -62,7 +62,7 @@
 		if err := ctx.Err(); err != nil {
 			return sample, err
 		}
-		resource := fmt.Sprintf("processor: %d follow the list after %v", m.cluster.Discovery.OpenCalls(), startupTimeout)
+		resource := fmt.Sprintf("processor: %d follow the list after %v", m.cluster.Discovery.OpenRequests(), startupTimeout)
 		return sample, &ShortageError{kind, m.nodes, resource}
 	}
 	sample.StartupTime = time.Since(begin)
@@ -93,7 +93,7 @@
 func (m *measurement) awaitWatches(ctx context.Context, timeout time.Duration) bool {
 	deadline := time.Now().Add(timeout)
 	for ; time.Now().Before(deadline) && ctx.Err() == nil; sleep(ctx, pollInterval) {
-		if m.cluster.Discovery.OpenCalls() >= m.nodes {
+		if m.cluster.Discovery.OpenRequests() >= m.nodes {
 			return true
 		}
 	}
