--- a/internal/fakeserver/discovery.go
+++ b/internal/fakeserver/discovery.go
@@ -113,7 +113,7 @@
 	case ModeUnavailable:
 		d.reject(w, "down")
 	case ModeReset:
-		d.record(EventCallRejected, "reset")
+		d.record(EventDiscoveryRejected, "reset")
 		panic(http.ErrAbortHandler)
 	case ModeSilent:
 		<-request.Context().Done()
--- a/internal/fakeserver/discovery_admission.go
+++ b/internal/fakeserver/discovery_admission.go
@@ -65,6 +65,6 @@
 	if retryAfter != "" {
 		w.Header().Set("Retry-After", retryAfter)
 	}
-	d.record(EventCallRejected, reason)
+	d.record(EventDiscoveryRejected, reason)
 	http.Error(w, reason, http.StatusServiceUnavailable)
 }
--- a/internal/fakeserver/eventlog.go
+++ b/internal/fakeserver/eventlog.go
@@ -12,23 +12,23 @@
 
 // The kinds of events. Their values are part of the event files that users read.
 const (
-	EventOpened        = "opened"  // host: an OPEN was read to its end
-	EventEstablished   = "up"      // host: the connection is established; the detail is the receipt
-	EventRejected      = "refused" // host: answered BUSY
-	EventFailed        = "failed"  // host: answered ERR or, with the reason as the detail, SYNTAX
-	EventEnded         = "ended"   // host: ended the connection with BYE
-	EventMigrated      = "moved"   // host: sent MOVE
-	EventDisconnected  = "left"    // host: the client ended the connection
-	EventReset         = "broken"  // host: reset the connection
-	EventHealthCheck   = "probed"  // host: received PING or STATS
-	EventFault         = "fault"   // any source: a fault began or ended
-	EventListSent      = "told"    // discovery: wrote a list or an update; the detail is the revision
-	EventCallRejected  = "turned"  // discovery: failed a call; the detail is the reason
-	EventRequested     = "asked"   // discovery: received a call; the detail is its URI
-	EventReceived      = "heard"   // client: received an answer, the detail
-	EventDialed        = "dialled" // link: accepted a connection; the detail says if it was rejected
-	EventNodeHealthy   = "in"      // frontend balancer: sends clients to the node
-	EventNodeUnhealthy = "out"     // frontend balancer: stopped sending clients to the node
+	EventOpened            = "opened"  // host: an OPEN was read to its end
+	EventEstablished       = "up"      // host: the connection is established; the detail is the receipt
+	EventRejected          = "refused" // host: answered BUSY
+	EventFailed            = "failed"  // host: answered ERR or, with the reason as the detail, SYNTAX
+	EventEnded             = "ended"   // host: ended the connection with BYE
+	EventMigrated          = "moved"   // host: sent MOVE
+	EventDisconnected      = "left"    // host: the client ended the connection
+	EventReset             = "broken"  // host: reset the connection
+	EventHealthCheck       = "probed"  // host: received PING or STATS
+	EventFault             = "fault"   // any source: a fault began or ended
+	EventListSent          = "told"    // discovery: wrote a list or an update; the detail is the revision
+	EventDiscoveryRejected = "turned"  // discovery: failed a call; the detail is the reason
+	EventRequested         = "asked"   // discovery: received a call; the detail is its URI
+	EventReceived          = "heard"   // client: received an answer, the detail
+	EventDialed            = "dialled" // link: accepted a connection; the detail says if it was rejected
+	EventNodeHealthy       = "in"      // frontend balancer: sends clients to the node
+	EventNodeUnhealthy     = "out"     // frontend balancer: stopped sending clients to the node
 )
 
 // The sources of events of servers that have no name of their own.
--- a/internal/testcluster/judge.go
+++ b/internal/testcluster/judge.go
@@ -61,7 +61,7 @@
 	return DiscoveryCalls{
 		Calls:      len(calls),
 		ListsSent:  len(EventTimes(events, fakeserver.SourceDiscovery, fakeserver.EventListSent)),
-		Rejected:   len(EventTimes(events, fakeserver.SourceDiscovery, fakeserver.EventCallRejected)),
+		Rejected:   len(EventTimes(events, fakeserver.SourceDiscovery, fakeserver.EventDiscoveryRejected)),
 		MaxIn100ms: MaxInWindow(calls, callWindow),
 	}
 }
@@ -96,7 +96,7 @@
 		switch event.Kind {
 		case fakeserver.EventRequested:
 			step.Calls++
-		case fakeserver.EventCallRejected:
+		case fakeserver.EventDiscoveryRejected:
 			step.Rejected++
 		default:
 			if setupsByHost[index] == nil {
@@ -113,7 +113,7 @@
 // countsInStep reports whether StartSteps counts an event.
 func countsInStep(event fakeserver.Event) bool {
 	switch event.Kind {
-	case fakeserver.EventRequested, fakeserver.EventCallRejected:
+	case fakeserver.EventRequested, fakeserver.EventDiscoveryRejected:
 		return event.Source == fakeserver.SourceDiscovery
 	case fakeserver.EventOpened:
 		return true
--- a/internal/testcluster/judge_test.go
+++ b/internal/testcluster/judge_test.go
@@ -21,7 +21,7 @@
 	events = append(events, at("h1", fakeserver.EventOpened, 0, 40*ms, 200*ms)...)
 	events = append(events, at("h10", fakeserver.EventOpened, 10*ms, 20*ms, 99*ms, 100*ms, 109*ms)...) // not h1's
 	events = append(events, at(fakeserver.SourceDiscovery, fakeserver.EventRequested, 0, 99*ms, 100*ms)...)
-	events = append(events, at(fakeserver.SourceDiscovery, fakeserver.EventCallRejected, 150*ms)...)
+	events = append(events, at(fakeserver.SourceDiscovery, fakeserver.EventDiscoveryRejected, 150*ms)...)
 	if n, host := MaxSetupBurst(events, []string{"h1", "h10"}, 100*ms); n != 5 || host != "h10" {
 		t.Errorf("the burst is %d at %s", n, host)
 	}
