--- a/cmd/onyxstream/fake_host_test.go
+++ b/cmd/onyxstream/fake_host_test.go
@@ -34,7 +34,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(host.Close)
-	host.SetReply(func(line string) string {
+	host.SetResponse(func(line string) string {
 		host.mu.Lock()
 		defer host.mu.Unlock()
 		host.received = append(host.received, line)
--- a/internal/fakeserver/host_faults.go
+++ b/internal/fakeserver/host_faults.go
@@ -145,8 +145,8 @@
 	return nil
 }
 
-// SetReply replaces the answers of the capacity model: each opening is answered by what the function returns for its
+// SetResponse replaces the answers of the capacity model: each opening is answered by what the function returns for its
 // line, which ends with CRLF; "" sends nothing. nil restores the model. The function runs in the host's loop.
-func (h *Host) SetReply(reply func(line string) string) {
+func (h *Host) SetResponse(reply func(line string) string) {
 	h.runInLoop(func() { h.scriptedReply = reply })
 }
