--- a/cmd/onyxstream/system_faults_test.go
+++ b/cmd/onyxstream/system_faults_test.go
@@ -37,7 +37,7 @@
 			{Call: faultinject.Connect, Probability: share, Errors: connectErrors},
 		}},
 		{"wait", []faultinject.Rule{
-			{Call: faultinject.Wait, Probability: share, Errors: interrupted},
+			{Call: faultinject.EpollWait, Probability: share, Errors: interrupted},
 		}},
 		{"interrupted", []faultinject.Rule{
 			{Call: faultinject.Read, Probability: share, Errors: interrupted, OnSockets: true},
--- a/internal/faultinject/faultinject.go
+++ b/internal/faultinject/faultinject.go
@@ -22,15 +22,15 @@
 
 // The calls.
 const (
-	Accept  Call = unix.SYS_ACCEPT4
-	Socket  Call = unix.SYS_SOCKET
-	Connect Call = unix.SYS_CONNECT
-	Read    Call = unix.SYS_READ
-	Write   Call = unix.SYS_WRITE
-	Wait    Call = unix.SYS_EPOLL_PWAIT
-	OpenAt  Call = unix.SYS_OPENAT
-	Fsync   Call = unix.SYS_FSYNC
-	Rename  Call = unix.SYS_RENAMEAT
+	Accept    Call = unix.SYS_ACCEPT4
+	Socket    Call = unix.SYS_SOCKET
+	Connect   Call = unix.SYS_CONNECT
+	Read      Call = unix.SYS_READ
+	Write     Call = unix.SYS_WRITE
+	EpollWait Call = unix.SYS_EPOLL_PWAIT
+	OpenAt    Call = unix.SYS_OPENAT
+	Fsync     Call = unix.SYS_FSYNC
+	Rename    Call = unix.SYS_RENAMEAT
 )
 
 // Rule makes some of a program's calls fail.
