--- a/cmd/onyxstream/reload_test.go
+++ b/cmd/onyxstream/reload_test.go
@@ -171,10 +171,10 @@
 	node, oldDiscovery := startNodeWithHosts(t, nodeOptions{faults: faults}, hostA)
 	discovery := newFakeDiscovery(t, endpointListJSON(1, true, hostB.endpoint(wire.Serving)))
 	eventually(t, "the first watch request", func() bool { return len(oldDiscovery.requestPaths()) == 1 })
-	node.faults.Fail(faultinject.Rule{Call: faultinject.OpenAt, Probability: 1, Errors: []unix.Errno{unix.ENFILE}})
+	node.faults.SetRules(faultinject.Rule{Call: faultinject.OpenAt, Probability: 1, Errors: []unix.Errno{unix.ENFILE}})
 	node.reload(t, oldDiscovery.addr, discovery.addr)
 	node.waitForLog(t, "configuration reload failed")
-	node.faults.Fail()
+	node.faults.SetRules()
 	node.waitUntilServedBy(t, "hb")
 }
 
--- a/cmd/onyxstream/startup_test.go
+++ b/cmd/onyxstream/startup_test.go
@@ -72,7 +72,7 @@
 	node := startProcessWith(t, writeConfig(t, addr, discovery.addr, options), options)
 	node.addr = addr
 	time.Sleep(300 * time.Millisecond)
-	node.faults.Fail()
+	node.faults.SetRules()
 	eventually(t, "the node serves", func() bool {
 		select {
 		case err := <-node.exited:
--- a/cmd/onyxstream/system_faults_test.go
+++ b/cmd/onyxstream/system_faults_test.go
@@ -77,10 +77,10 @@
 		calls = append(calls, rule.Call)
 	}
 	node, _ := startNodeWithHosts(t, nodeOptions{faults: &faultinject.Options{Calls: calls, Seed: 1}}, hosts...)
-	node.faults.Fail(rules...)
+	node.faults.SetRules(rules...)
 	const clients = 8
 	answers, missing := node.runLoad(clients, time.Second)
-	node.faults.Fail()
+	node.faults.SetRules()
 	t.Logf("while calls fail: %v", answers)
 	expectNoneMissing(t, missing)
 	for _, rule := range rules {
--- a/cmd/onyxstream/upgrade_test.go
+++ b/cmd/onyxstream/upgrade_test.go
@@ -56,12 +56,12 @@
 	established := node.establish(t, 40, "UP ") // more than one offer
 	options.faults = &faultinject.Options{Calls: calls, Seed: 2}
 	successor := startSuccessor(t, options, discovery.addr)
-	node.faults.Fail(rules...)
-	successor.faults.Fail(rules...)
+	node.faults.SetRules(rules...)
+	successor.faults.SetRules(rules...)
 	node.terminate(t)
 	answers, missing := successor.runLoad(4, 2*time.Second)
 	node.waitForCleanExit(t)
-	successor.faults.Fail()
+	successor.faults.SetRules()
 	expectNoneMissing(t, missing)
 	served, migrated := expectServedOrMigrated(t, established)
 	t.Logf("answers %v; of %d established connections %d are served on, %d were migrated",
--- a/internal/faultinject/faultinject.go
+++ b/internal/faultinject/faultinject.go
@@ -52,7 +52,7 @@
 	Calls      []Call
 	StepsClock bool // the wall clock can be stepped
 	Seed       uint64
-	Rules      []Rule // in force from the first call on, see Process.Fail
+	Rules      []Rule // in force from the first call on, see Process.SetRules
 }
 
 // Process is a program under fault injection. Its methods are safe for concurrent use.
@@ -101,8 +101,8 @@
 	return p, nil
 }
 
-// Fail replaces the rules. Without any, no call fails from now on.
-func (p *Process) Fail(rules ...Rule) {
+// SetRules replaces the rules. Without any, no call fails from now on.
+func (p *Process) SetRules(rules ...Rule) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.rules = rules
--- a/internal/faultinject/faultinject_test.go
+++ b/internal/faultinject/faultinject_test.go
@@ -87,18 +87,18 @@
 	}
 }
 
-func TestFail_ConnectRule_ProgramSeesError(t *testing.T) {
+func TestSetRules_ConnectRule_ProgramSeesError(t *testing.T) {
 	process, dial := startChild(t, Options{Calls: []Call{Connect, EpollWait}})
 	if _, text := dial(); !strings.HasSuffix(text, "<nil>") {
 		t.Errorf("without a rule: %s", text)
 	}
-	process.Fail(
+	process.SetRules(
 		Rule{Call: Connect, Errors: []unix.Errno{unix.ENETUNREACH}, Probability: 1},
 		Rule{Call: EpollWait, Errors: []unix.Errno{unix.EINTR}, Probability: 0.5})
 	if _, text := dial(); !strings.Contains(text, "network is unreachable") {
 		t.Errorf("with the rule: %s", text)
 	}
-	process.Fail()
+	process.SetRules()
 	if _, text := dial(); !strings.HasSuffix(text, "<nil>") || process.Injected(Connect) != 1 {
 		t.Errorf("after the rule: %s, %d injected", text, process.Injected(Connect))
 	}
--- a/internal/soaktest/call_faults.go
+++ b/internal/soaktest/call_faults.go
@@ -131,9 +131,9 @@
 				process.StepClock(fault.ClockStep)
 				return
 			}
-			process.Fail(fault.Rules...)
+			process.SetRules(fault.Rules...)
 			ctxtime.Sleep(r.ctx, fault.Duration)
-			process.Fail()
+			process.SetRules()
 		})
 	}
 }
