--- a/internal/fakeserver/discovery_admission.go
+++ b/internal/fakeserver/discovery_admission.go
@@ -7,10 +7,10 @@
 
 // DiscoveryLimits is the capacity of a discovery service. The zero value serves any number of calls at once.
 type DiscoveryLimits struct {
-	RequestDuration time.Duration // to serve a list or the start of a watch; calls are served one by one
-	MaxWait         time.Duration // a call that would wait longer is rejected after this; 0 for no limit
-	MaxQueue        int           // calls past this number of waiting ones are rejected at once; 0 for no limit
-	RetryAfter      string        // Retry-After header of rejected calls, verbatim; "" for none
+	CallDuration time.Duration // to serve a list or the start of a watch; calls are served one by one
+	MaxWait      time.Duration // a call that would wait longer is rejected after this; 0 for no limit
+	MaxQueue     int           // calls past this number of waiting ones are rejected at once; 0 for no limit
+	RetryAfter   string        // Retry-After header of rejected calls, verbatim; "" for none
 }
 
 // SetLimits sets the capacity for calls from now on.
@@ -25,7 +25,7 @@
 func (d *Discovery) admit(w http.ResponseWriter) bool {
 	d.mu.Lock()
 	limits, now := d.limits, d.clock.Now()
-	if limits.RequestDuration <= 0 {
+	if limits.CallDuration <= 0 {
 		d.mu.Unlock()
 		return true
 	}
@@ -33,7 +33,7 @@
 	queueFull := limits.MaxQueue > 0 && d.queued >= limits.MaxQueue
 	tooLate := limits.MaxWait > 0 && start-now > limits.MaxWait
 	if !queueFull && !tooLate {
-		d.idleAt = start + limits.RequestDuration
+		d.idleAt = start + limits.CallDuration
 	}
 	d.queued++
 	d.mu.Unlock()
@@ -47,7 +47,7 @@
 		d.reject(w, "it waited too long")
 		return false
 	}
-	time.Sleep(start + limits.RequestDuration - now)
+	time.Sleep(start + limits.CallDuration - now)
 	return true
 }
 
--- a/internal/testcluster/cluster.go
+++ b/internal/testcluster/cluster.go
@@ -138,10 +138,10 @@
 		return nil, err
 	}
 	c.Discovery.SetLimits(fakeserver.DiscoveryLimits{
-		RequestDuration: c.config.Discovery.CallDuration.AsDuration(),
-		MaxWait:         c.config.Discovery.MaxWait.AsDuration(),
-		MaxQueue:        c.config.Discovery.MaxQueue,
-		RetryAfter:      c.config.Discovery.RetryAfter,
+		CallDuration: c.config.Discovery.CallDuration.AsDuration(),
+		MaxWait:      c.config.Discovery.MaxWait.AsDuration(),
+		MaxQueue:     c.config.Discovery.MaxQueue,
+		RetryAfter:   c.config.Discovery.RetryAfter,
 	})
 	return endpoints, nil
 }
