--- a/internal/faultinject/faultinject.go
+++ b/internal/faultinject/faultinject.go
@@ -1,9 +1,9 @@
-// Package faultinject runs a program whose system calls fail on command, and whose wall clock can be stepped, for tests.
+// Package faultinject runs a program under test, makes its system calls fail, and steps its wall clock.
 //
-// The program is started by a launcher, which is the test's own binary. The launcher installs a seccomp filter on
-// itself, which needs no privileges, passes the filter's listener to the test, and executes the program. The kernel
-// then notifies the test of each system call that the filter names, and the test lets it proceed or has it fail. It
-// needs Linux 5.19 or newer.
+// A launcher, which is the test's own binary, starts the program. The launcher installs a seccomp filter on itself
+// (unprivileged processes may do so), sends the filter's notification listener to the test, and then executes the
+// program. The kernel notifies the test of each system call that the filter names, and the test lets the call proceed
+// or makes it fail. The package requires Linux 5.19 or newer.
 package faultinject
 
 import (
@@ -17,10 +17,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// Call is a system call that can be made to fail.
+// Call is the number of a system call that can be made to fail.
 type Call int
 
-// The calls.
+// The system calls that rules can name.
 const (
 	Accept    Call = unix.SYS_ACCEPT4
 	Socket    Call = unix.SYS_SOCKET
@@ -33,44 +33,45 @@
 	Rename    Call = unix.SYS_RENAMEAT
 )
 
-// Rule makes some of a program's calls fail.
+// Rule makes some of a program's system calls fail.
 type Rule struct {
 	Call        Call
-	Errors      []unix.Errno // one of them is drawn
-	Probability float64      // that a call fails; 1 for all calls
-	// OnSockets restricts the rule to sockets: Read and Write are also used on files, on pipes and by the runtime.
+	Errors      []unix.Errno // a failing call returns one of them, drawn at random
+	Probability float64      // probability that a call fails; 1 fails every call
+	// OnSockets restricts the rule to sockets. Read and Write also apply to files and pipes, and the Go runtime uses
+	// them too.
 	OnSockets bool
-	// MaxBytes makes reads and writes on sockets transfer at most this number of bytes, instead of failing; 0 for not.
+	// MaxBytes, if above 0, makes reads and writes on sockets transfer at most this many bytes instead of failing.
 	MaxBytes int
 }
 
 // onSocketsOnly reports whether the rule is restricted to sockets.
 func (r *Rule) onSocketsOnly() bool { return r.OnSockets || r.MaxBytes > 0 }
 
-// Options name what can be injected into a program. Calls that are not named run at full speed.
+// Options selects the faults that can be injected into a program. System calls that it does not name run at full speed.
 type Options struct {
-	Calls      []Call
-	StepsClock bool // the wall clock can be stepped
-	Seed       uint64
-	Rules      []Rule // in force from the first call on, see Process.SetRules
+	Calls      []Call // system calls that rules can make fail
+	StepsClock bool   // enables Process.StepClock
+	Seed       uint64 // of the random choices
+	Rules      []Rule // in force until Process.SetRules replaces them
 }
 
 // Process is a program under fault injection. Its methods are safe for concurrent use.
 type Process struct {
-	listener int // descriptor of the filter's notifications
-	served   sync.WaitGroup
+	listener int            // descriptor on which the kernel sends the filter's notifications
+	served   sync.WaitGroup // the goroutine that handles notifications
 
 	mu          sync.Mutex
 	rng         *rand.Rand
 	rules       []Rule
 	clockOffset time.Duration
-	injected    map[Call]int
+	injected    map[Call]int // number of calls that a rule was applied to
 }
 
 const rngStream = 0x73797366
 
-// Start starts a command under fault injection. It replaces the command's path and arguments by the launcher's: the
-// TestMain of the test must call RunLauncher first.
+// Start starts a command under fault injection. It replaces the command's path and arguments with those of the
+// launcher, so the test's TestMain must call RunLauncher before anything else.
 func Start(cmd *exec.Cmd, options Options) (*Process, error) {
 	pair, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_SEQPACKET|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -85,11 +86,11 @@
 	if err := cmd.Start(); err != nil {
 		return nil, err
 	}
-	_ = launcherEnd.Close() // so that a launcher that fails ends the receive below
+	_ = launcherEnd.Close() // lets the receive below return if the launcher fails
 	listener, err := receiveListener(pair[0])
 	if err != nil {
 		_ = cmd.Process.Kill()
-		return nil, fmt.Errorf("faultinject: the launcher set no filter: %w", err)
+		return nil, fmt.Errorf("faultinject: receive seccomp listener from launcher: %w", err)
 	}
 	p := &Process{
 		listener: listener,
@@ -101,26 +102,27 @@
 	return p, nil
 }
 
-// SetRules replaces the rules. Without any, no call fails from now on.
+// SetRules replaces the rules. Without arguments it ends all faults.
 func (p *Process) SetRules(rules ...Rule) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.rules = rules
 }
 
-// StepClock sets the offset of the program's wall clock from the machine's.
+// StepClock sets the offset of the program's wall clock from the machine's. It has no effect without
+// Options.StepsClock.
 func (p *Process) StepClock(offset time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.clockOffset = offset
 }
 
-// Injected returns how many calls a rule has hit so far.
+// Injected returns the number of calls that a rule has been applied to so far.
 func (p *Process) Injected(call Call) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.injected[call]
 }
 
-// Wait waits until the program has ended and no notification is being served.
+// Wait waits until the program has exited and its last notification has been handled.
 func (p *Process) Wait() { p.served.Wait() }
--- a/internal/faultinject/faultinject_test.go
+++ b/internal/faultinject/faultinject_test.go
@@ -13,7 +13,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// childAddrVar makes the test's binary the program under faults, which dials the address in it.
+// childAddrVar is the environment variable that makes the test's binary act as the program under fault injection. It
+// holds the address that the program dials.
 const childAddrVar = "ONYXSTREAM_TEST_CHILD"
 
 func TestMain(m *testing.M) {
@@ -25,7 +26,7 @@
 	os.Exit(m.Run())
 }
 
-// child dials once for each line of its input, and prints its wall clock and the error.
+// child dials addr once for each line of its input, and prints its wall-clock time and the error of the dial.
 func child(addr string) {
 	lines := bufio.NewScanner(os.Stdin)
 	for lines.Scan() {
@@ -37,7 +38,8 @@
 	}
 }
 
-// startChild starts a child under fault injection. dial has it dial once and returns its clock and its output line.
+// startChild starts a child process under fault injection. dial makes the child dial once, and returns the child's
+// wall-clock time and its output line.
 func startChild(t *testing.T, options Options) (process *Process, dial func() (unixTime int64, text string)) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -70,13 +72,13 @@
 		}
 		process.Wait()
 	})
-	answers := bufio.NewReader(stdout)
+	output := bufio.NewReader(stdout)
 	return process, func() (unixTime int64, text string) {
 		t.Helper()
 		if _, err := fmt.Fprintln(stdin); err != nil {
 			t.Fatal(err)
 		}
-		line, err := answers.ReadString('\n')
+		line, err := output.ReadString('\n')
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -90,17 +92,17 @@
 func TestSetRules_ConnectRule_ProgramSeesError(t *testing.T) {
 	process, dial := startChild(t, Options{Calls: []Call{Connect, EpollWait}})
 	if _, text := dial(); !strings.HasSuffix(text, "<nil>") {
-		t.Errorf("without a rule: %s", text)
+		t.Errorf("dial without a rule: %s", text)
 	}
 	process.SetRules(
 		Rule{Call: Connect, Errors: []unix.Errno{unix.ENETUNREACH}, Probability: 1},
 		Rule{Call: EpollWait, Errors: []unix.Errno{unix.EINTR}, Probability: 0.5})
 	if _, text := dial(); !strings.Contains(text, "network is unreachable") {
-		t.Errorf("with the rule: %s", text)
+		t.Errorf("dial with the rule: %s; want network is unreachable", text)
 	}
 	process.SetRules()
 	if _, text := dial(); !strings.HasSuffix(text, "<nil>") || process.Injected(Connect) != 1 {
-		t.Errorf("after the rule: %s, %d injected", text, process.Injected(Connect))
+		t.Errorf("dial after the rules ended: %s, %d faults injected; want <nil>, 1", text, process.Injected(Connect))
 	}
 }
 
--- a/internal/faultinject/launcher.go
+++ b/internal/faultinject/launcher.go
@@ -14,17 +14,18 @@
 	"golang.org/x/sys/unix"
 )
 
-// The environment of the launcher. All names begin with listenerVar, and are removed from the program's environment.
+// The environment variables of the launcher. All their names begin with listenerVar; the launcher removes them from the
+// program's environment.
 const (
-	listenerVar = "ONYXSTREAM_SYSFAULT"         // descriptor to which the filter's listener is sent
-	callsVar    = "ONYXSTREAM_SYSFAULT_CALLS"   // numbers of the calls that the filter reports
-	preloadVar  = "ONYXSTREAM_SYSFAULT_PRELOAD" // path of the library that hides the vDSO; unset for none
+	listenerVar = "ONYXSTREAM_SYSFAULT"         // descriptor of the socket on which to send the filter's listener
+	callsVar    = "ONYXSTREAM_SYSFAULT_CALLS"   // numbers of the system calls that the filter reports
+	preloadVar  = "ONYXSTREAM_SYSFAULT_PRELOAD" // path of the library that hides the vDSO; unset without StepsClock
 )
 
-// firstExtraFile is the descriptor of the first of a command's extra files.
+// firstExtraFile is the descriptor that the first entry of exec.Cmd.ExtraFiles has in the child.
 const firstExtraFile = 3
 
-// prepare makes a command start the launcher, which executes the command's program.
+// prepare changes a command so that it starts the launcher, which then executes the command's program.
 func prepare(cmd *exec.Cmd, launcherEnd *os.File, options Options) error {
 	launcher, err := os.Executable()
 	if err != nil {
@@ -52,7 +53,8 @@
 	return nil
 }
 
-// RunLauncher executes the program that Start was given, if this process is a launcher; else it returns at once.
+// RunLauncher executes the program that was passed to Start if this process is a launcher. Otherwise it returns at
+// once.
 func RunLauncher() {
 	if os.Getenv(listenerVar) == "" {
 		return
@@ -63,8 +65,8 @@
 	}
 }
 
-// launch installs the filter and executes the program; it returns only with an error. The filter is the calling
-// thread's, the only one that remains after the exec.
+// launch installs the filter and executes the program. It returns only if that fails. The filter applies to the calling
+// thread alone, which is the only thread that remains after the exec.
 func launch() error {
 	runtime.LockOSThread()
 	descriptor, err := strconv.Atoi(os.Getenv(listenerVar))
@@ -77,12 +79,13 @@
 		return err
 	}
 	if err := unix.Sendmsg(descriptor, []byte{1}, unix.UnixRights(listener), nil, 0); err != nil {
-		return fmt.Errorf("sendmsg: %w", err)
+		return fmt.Errorf("send seccomp listener: %w", err)
 	}
 	return syscall.Exec(os.Args[1], os.Args[1:], programEnvironment())
 }
 
-// programEnvironment returns the environment of the program.
+// programEnvironment returns the program's environment: the launcher's without its own variables, and with LD_PRELOAD if
+// the clock can be stepped.
 func programEnvironment() []string {
 	preload := os.Getenv(preloadVar)
 	env := slices.DeleteFunc(os.Environ(), func(variable string) bool { return strings.HasPrefix(variable, listenerVar) })
@@ -92,8 +95,8 @@
 	return env
 }
 
-// errNoDescriptor reports that the launcher sent a message without a single descriptor.
-var errNoDescriptor = errors.New("no descriptor")
+// errNoDescriptor reports a message from the launcher that does not carry exactly one descriptor.
+var errNoDescriptor = errors.New("message does not carry exactly one descriptor")
 
 // receiveListener receives the filter's listener from the launcher.
 func receiveListener(from int) (listener int, err error) {
@@ -102,7 +105,7 @@
 	rights := make([]byte, unix.CmsgSpace(descriptorSize))
 	n, rightsLength, _, _, err := unix.Recvmsg(from, data, rights, unix.MSG_CMSG_CLOEXEC)
 	if err != nil || n == 0 {
-		return 0, errors.Join(errors.New("it ended"), err)
+		return 0, errors.Join(errors.New("launcher exited"), err)
 	}
 	messages, err := unix.ParseSocketControlMessage(rights[:rightsLength])
 	if err != nil || len(messages) == 0 {
--- a/internal/faultinject/notify.go
+++ b/internal/faultinject/notify.go
@@ -29,10 +29,10 @@
 	flags uint32
 }
 
-// failWith returns the response that makes a call fail.
+// failWith returns the response that makes a system call fail with an error number.
 func failWith(errno unix.Errno) response { return response{error: -int32(errno)} }
 
-// serve answers the kernel's notifications until the program has ended.
+// serve responds to the kernel's notifications until the program has exited.
 func (p *Process) serve() {
 	defer unix.Close(p.listener)
 	for {
@@ -46,15 +46,16 @@
 		}
 		var request notification
 		if ioctl(p.listener, unix.SECCOMP_IOCTL_NOTIF_RECV, unsafe.Pointer(&request)) != nil {
-			continue // the calling thread has ended meanwhile
+			continue // the calling thread has exited in the meantime
 		}
-		reply := p.decide(&request)
-		reply.id = request.id
-		_ = ioctl(p.listener, unix.SECCOMP_IOCTL_NOTIF_SEND, unsafe.Pointer(&reply))
+		decision := p.decide(&request)
+		decision.id = request.id
+		_ = ioctl(p.listener, unix.SECCOMP_IOCTL_NOTIF_SEND, unsafe.Pointer(&decision))
 	}
 }
 
-// decide returns the response to a call by the clock or the first rule that hits it.
+// decide returns the response to a system call: the stepped time for clock_gettime, otherwise the effect of the first
+// rule that applies. A call that no rule applies to proceeds.
 func (p *Process) decide(request *notification) response {
 	proceed := response{flags: unix.SECCOMP_USER_NOTIF_FLAG_CONTINUE}
 	call := Call(request.call)
@@ -82,7 +83,7 @@
 	return proceed
 }
 
-// writeClock writes the program's wall clock into its memory, as clock_gettime does.
+// writeClock writes the stepped wall-clock time into the program's memory, where clock_gettime would write it.
 func (p *Process) writeClock(request *notification) error {
 	p.mu.Lock()
 	now := time.Now().Add(p.clockOffset)
@@ -95,13 +96,13 @@
 	return err
 }
 
-// isSocket reports whether the first argument of a call is the descriptor of a socket.
+// isSocket reports whether the first argument of a system call is the descriptor of a socket.
 func isSocket(request *notification) bool {
 	name, err := os.Readlink(fmt.Sprintf("/proc/%d/fd/%d", request.pid, request.args[0]))
 	return err == nil && strings.HasPrefix(name, "socket:")
 }
 
-// ioctl repeats a call that a signal interrupts.
+// ioctl calls ioctl(2) again whenever a signal interrupts it.
 func ioctl(fd int, request uintptr, argument unsafe.Pointer) error {
 	for {
 		_, _, errno := unix.Syscall(unix.SYS_IOCTL, uintptr(fd), request, uintptr(argument))
--- a/internal/faultinject/transfer.go
+++ b/internal/faultinject/transfer.go
@@ -6,8 +6,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// transferAtMost carries out a read or write in the program's place, of a limited number of bytes, on a copy of its
-// socket.
+// transferAtMost performs a read or write of at most maxBytes on behalf of the program, on a duplicate of its socket.
 func transferAtMost(request *notification, call Call, maxBytes int) response {
 	n, err := transfer(request, call, maxBytes)
 	if err == nil {
@@ -51,7 +50,8 @@
 	return n, nil
 }
 
-// copyDescriptor duplicates a descriptor of another process into this one; pid is one of its threads.
+// copyDescriptor duplicates a descriptor of another process into this process. pid is the ID of any thread of the other
+// process.
 func copyDescriptor(pid, fd int) (int, error) {
 	process, err := unix.PidfdOpen(pid, unix.PIDFD_THREAD)
 	if err != nil {
--- a/internal/faultinject/vdso.go
+++ b/internal/faultinject/vdso.go
@@ -8,7 +8,8 @@
 	"sync"
 )
 
-// hideVDSO is the source of a library that hides the vDSO from the program, which then reads the time by a system call.
+// hideVDSO is the C source of a preloaded library that hides the vDSO from the program. Without the vDSO the program
+// reads the time with a system call, which the filter can intercept.
 const hideVDSO = `
 #include <elf.h>
 __attribute__((constructor)) static void hide(int argc, char **argv, char **envp) {
@@ -18,7 +19,8 @@
 }
 `
 
-// clockLibrary builds the library, once per process, and returns its path. It stays in the system's temporary folder.
+// clockLibrary builds the library once per process and returns its path. The library stays in the system's temporary
+// directory.
 var clockLibrary = sync.OnceValues(func() (string, error) {
 	dir, err := os.MkdirTemp("", "onyxstream-faultinject")
 	if err != nil {
@@ -30,7 +32,7 @@
 		return "", fmt.Errorf("faultinject: %w", err)
 	}
 	if out, err := exec.Command("gcc", "-shared", "-fPIC", "-o", library, source).CombinedOutput(); err != nil {
-		return "", fmt.Errorf("faultinject: gcc: %w: %s", err, out)
+		return "", fmt.Errorf("faultinject: build vDSO library: gcc: %w: %s", err, out)
 	}
 	return library, nil
 })
