--- a/internal/fakeserver/discovery.go
+++ b/internal/fakeserver/discovery.go
@@ -14,12 +14,12 @@
 const (
 	anyLoopbackPort   = "127.0.0.1:0"
 	readHeaderTimeout = 10 * time.Second
-	// rawQueue is how many texts of SendRaw may wait for one call.
-	rawQueue = 64
+	// maxQueuedRawTexts bounds the texts of SendRaw that wait to be written to one watch. SendRaw blocks beyond it.
+	maxQueuedRawTexts = 64
 )
 
-// Discovery is a fake discovery service over HTTP/1.1. It serves the endpoint list, and watches that stream updates of
-// it, and injects faults on command. It is safe for concurrent use.
+// Discovery is a fake discovery service over HTTP/1.1. It serves the endpoint list and watches, which stream updates of
+// the list, and injects faults on demand. It is safe for concurrent use.
 type Discovery struct {
 	clock  *Clock
 	events *EventLog
@@ -27,25 +27,25 @@
 	addr   string
 	meter  meter
 
-	mu          sync.Mutex
-	notifyDelay time.Duration
-	frozen      bool
-	mode        DiscoveryMode
-	revision    int64          // of the last change, published or not
-	changes     []change       // in order of revision and of publication
-	published   *publishedList // replaced at a restart
-	changed     chan struct{}  // closed and replaced to wake the watches
-	requests    []string
-	openCalls   int
-	limits      DiscoveryLimits
-	idleAt      time.Duration // when all admitted calls are served
-	queued      int           // calls that wait to be served
-	rawBody     string        // replaces the start of each list and watch; "" for none
-	rawCalls    map[chan string]bool
+	mu           sync.Mutex
+	notifyDelay  time.Duration
+	frozen       bool
+	mode         DiscoveryMode
+	revision     int64          // of the last change, published or not
+	changes      []change       // in order of revision, which is also the order of publication
+	published    *publishedList // replaced on each restart
+	changed      chan struct{}  // closed and replaced to wake the watches
+	requests     []string       // URIs
+	openRequests int
+	limits       DiscoveryLimits
+	idleAt       time.Duration        // when the last admitted request will have been served
+	queued       int                  // requests that wait to be served
+	rawBody      string               // replaces each list and the first object of each watch; "" for none
+	rawRequests  map[chan string]bool // channels on which the open requests get the texts of SendRaw
 }
 
-// NewDiscovery starts a service with a list of endpoints at a revision. An empty listen address stands for any port of
-// 127.0.0.1.
+// NewDiscovery starts a discovery service whose list holds the given endpoints at the given revision. An empty listen
+// address stands for any free port of 127.0.0.1.
 func NewDiscovery(
 	listen string, clock *Clock, events *EventLog, revision int64, endpoints ...wire.Endpoint,
 ) (*Discovery, error) {
@@ -57,11 +57,11 @@
 		return nil, err
 	}
 	d := &Discovery{
-		clock:    clock,
-		events:   events,
-		addr:     listener.Addr().String(),
-		changed:  make(chan struct{}),
-		rawCalls: map[chan string]bool{},
+		clock:       clock,
+		events:      events,
+		addr:        listener.Addr().String(),
+		changed:     make(chan struct{}),
+		rawRequests: map[chan string]bool{},
 	}
 	d.resetList(revision, endpoints)
 	d.server = &http.Server{Handler: d, ReadHeaderTimeout: readHeaderTimeout}
@@ -72,10 +72,10 @@
 // Addr returns the address at which the service listens.
 func (d *Discovery) Addr() string { return d.addr }
 
-// Close ends the service and its watches.
+// Close stops the service and closes its watches.
 func (d *Discovery) Close() { _ = d.server.Close() }
 
-// Requests returns the URIs of all calls so far, in order.
+// Requests returns the URIs of all list requests and watches so far, in order of arrival.
 func (d *Discovery) Requests() []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -86,28 +86,28 @@
 func (d *Discovery) OpenRequests() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.openCalls
+	return d.openRequests
 }
 
-// Traffic returns the traffic with all callers so far.
+// Traffic returns the traffic with all clients so far.
 func (d *Discovery) Traffic() Traffic { return d.meter.traffic() }
 
-// record adds an event of the service.
+// record adds an event of the service to the log.
 func (d *Discovery) record(kind, detail string) {
 	d.events.Add(Event{Source: SourceDiscovery, Kind: kind, Detail: detail})
 }
 
-// wakeWatches has the watches look for updates and faults; mu is held.
+// wakeWatches makes the watches check for updates and faults. The caller must hold mu.
 func (d *Discovery) wakeWatches() {
 	close(d.changed)
 	d.changed = make(chan struct{})
 }
 
-// ServeHTTP answers a call.
+// ServeHTTP serves a list request or a watch.
 func (d *Discovery) ServeHTTP(w http.ResponseWriter, request *http.Request) {
-	rawTexts := make(chan string, rawQueue)
-	mode, rawBody := d.beginCall(request, rawTexts)
-	defer d.endCall(rawTexts)
+	rawTexts := make(chan string, maxQueuedRawTexts)
+	mode, rawBody := d.beginRequest(request, rawTexts)
+	defer d.endRequest(rawTexts)
 	d.record(EventRequested, request.URL.RequestURI())
 	switch mode {
 	case ModeUnavailable:
@@ -119,30 +119,30 @@
 		<-request.Context().Done()
 	case ModeNormal:
 		if d.admit(w) {
-			d.answer(w, request, rawBody, rawTexts)
+			d.respond(w, request, rawBody, rawTexts)
 		}
 	}
 }
 
-// beginCall registers a call and returns how to answer it.
-func (d *Discovery) beginCall(request *http.Request, rawTexts chan string) (mode DiscoveryMode, rawBody string) {
+// beginRequest registers an open request. It returns the mode and the raw body with which to respond.
+func (d *Discovery) beginRequest(request *http.Request, rawTexts chan string) (mode DiscoveryMode, rawBody string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.requests = append(d.requests, request.URL.RequestURI())
-	d.openCalls++
-	d.rawCalls[rawTexts] = true
+	d.openRequests++
+	d.rawRequests[rawTexts] = true
 	return d.mode, d.rawBody
 }
 
-func (d *Discovery) endCall(rawTexts chan string) {
+func (d *Discovery) endRequest(rawTexts chan string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.openCalls--
-	delete(d.rawCalls, rawTexts)
+	d.openRequests--
+	delete(d.rawRequests, rawTexts)
 }
 
-// answer serves an admitted call.
-func (d *Discovery) answer(w http.ResponseWriter, request *http.Request, rawBody string, rawTexts <-chan string) {
+// respond serves an admitted request.
+func (d *Discovery) respond(w http.ResponseWriter, request *http.Request, rawBody string, rawTexts <-chan string) {
 	query := request.URL.Query()
 	isWatch := query.Get("watch") != ""
 	switch {
--- a/internal/fakeserver/discovery_admission.go
+++ b/internal/fakeserver/discovery_admission.go
@@ -7,21 +7,21 @@
 
 // DiscoveryLimits is the capacity of a discovery service. The zero value serves any number of calls at once.
 type DiscoveryLimits struct {
-	CallDuration time.Duration // to serve a list or the start of a watch; calls are served one by one
-	MaxWait      time.Duration // a call that would wait longer is rejected after this; 0 for no limit
-	MaxQueue     int           // calls past this number of waiting ones are rejected at once; 0 for no limit
-	RetryAfter   string        // Retry-After header of rejected calls, verbatim; "" for none
+	CallDuration time.Duration // time to serve a list or the start of a watch; requests are served one at a time
+	MaxWait      time.Duration // a request that would wait longer is rejected after this time; 0 for no limit
+	MaxQueue     int           // while this many requests wait, further ones are rejected at once; 0 for no limit
+	RetryAfter   string        // Retry-After header of rejected requests, verbatim; "" for none
 }
 
-// SetLimits sets the capacity for calls from now on.
+// SetLimits sets the capacity for requests that arrive from now on.
 func (d *Discovery) SetLimits(limits DiscoveryLimits) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.limits = limits
 }
 
-// admit waits until a call is served, and reports whether it was; else it has been rejected. A call whose client has
-// disconnected is served too, as a service notices that only when it answers.
+// admit waits until a request has been served and returns true, or rejects the request and returns false. A request
+// whose client has disconnected takes its time too, because a service notices the disconnect only when it responds.
 func (d *Discovery) admit(w http.ResponseWriter) bool {
 	d.mu.Lock()
 	limits, now := d.limits, d.clock.Now()
@@ -57,7 +57,7 @@
 	d.queued--
 }
 
-// reject answers a call with status 503.
+// reject responds to a request with status 503.
 func (d *Discovery) reject(w http.ResponseWriter, reason string) {
 	d.mu.Lock()
 	retryAfter := d.limits.RetryAfter
--- a/internal/fakeserver/discovery_faults.go
+++ b/internal/fakeserver/discovery_faults.go
@@ -7,18 +7,18 @@
 	"onyxstream/internal/wire"
 )
 
-// DiscoveryMode is how a discovery service answers its calls.
+// DiscoveryMode is the way in which a discovery service handles list requests and watches.
 type DiscoveryMode uint8
 
 // The modes.
 const (
 	ModeNormal      DiscoveryMode = iota
-	ModeUnavailable               // calls are answered with status 503, watches are reset
-	ModeReset                     // calls and watches are reset
-	ModeSilent                    // calls and watches stay open without any byte, heartbeats included
+	ModeUnavailable               // new requests get status 503; open watches are reset
+	ModeReset                     // list requests and watches are reset
+	ModeSilent                    // list requests and watches stay open but get no bytes, not even heartbeats
 )
 
-// SetNotifyDelay delays the publication of changes that are made from now on.
+// SetNotifyDelay delays the publication of all changes made from now on.
 func (d *Discovery) SetNotifyDelay(delay time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -26,7 +26,8 @@
 	d.record(EventFault, "lags by "+delay.String())
 }
 
-// SetFrozen stops the publication of changes, or ends that. Calls are answered and watches send heartbeats meanwhile.
+// SetFrozen stops or resumes the publication of changes. While the list is frozen, list requests are still served and
+// watches still send heartbeats.
 func (d *Discovery) SetFrozen(on bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -35,7 +36,7 @@
 	d.wakeWatches()
 }
 
-// SetMode sets how calls are answered. Open watches follow it too.
+// SetMode sets the mode. It applies to open watches too.
 func (d *Discovery) SetMode(mode DiscoveryMode) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -44,7 +45,7 @@
 	d.wakeWatches()
 }
 
-// Restart resets all watches and renumbers the list, with all changes published, from a revision.
+// Restart publishes all changes, resets all watches and renumbers the list to the given revision.
 func (d *Discovery) Restart(revision int64) {
 	d.mu.Lock()
 	for i := range d.changes {
@@ -55,7 +56,7 @@
 	d.Restore(revision, snapshot.Endpoints...)
 }
 
-// Restore resets all watches and replaces the list and its revision, as a service does that is restored from an older
+// Restore resets all watches and replaces the list and its revision, like a service that was restored from an older
 // backup or has lost its state.
 func (d *Discovery) Restore(revision int64, endpoints ...wire.Endpoint) {
 	d.mu.Lock()
@@ -65,18 +66,19 @@
 	d.wakeWatches()
 }
 
-// SetRawBody replaces lists and the start of watches by a text; "" ends that. It holds for calls from now on.
+// SetRawBody makes requests that arrive from now on get a raw text in place of the list or of the first object of a
+// watch. An empty text restores normal responses.
 func (d *Discovery) SetRawBody(text string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.rawBody = text
 }
 
-// SendRaw writes a text to all open watches that began with a raw body; "" resets them.
+// SendRaw writes a text to all open watches that began with a raw body. An empty text resets them.
 func (d *Discovery) SendRaw(text string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for texts := range d.rawCalls {
+	for texts := range d.rawRequests {
 		texts <- text
 	}
 }
--- a/internal/fakeserver/discovery_list.go
+++ b/internal/fakeserver/discovery_list.go
@@ -6,22 +6,22 @@
 	"onyxstream/internal/wire"
 )
 
-// maxChanges bounds the history of changes. A watch that starts before it is sent the complete list.
+// maxChanges bounds the history of changes. A watch that asks for a revision before the history gets the complete list.
 const maxChanges = 4096
 
 // change is one revision of the list.
 type change struct {
 	revision  int64
-	due       time.Duration // when it is published
+	due       time.Duration // time of publication
 	endpoints []wire.Endpoint
 	published bool
 }
 
-// publishedList is the list as callers see it.
+// publishedList is the list that clients see.
 type publishedList struct {
 	revision  int64
 	endpoints map[string]wire.Endpoint
-	order     []string // IDs in order of their first appearance, so that answers are deterministic
+	order     []string // IDs in order of their first appearance, which makes responses deterministic
 }
 
 func (l *publishedList) set(endpoint wire.Endpoint) {
@@ -42,8 +42,8 @@
 	return snapshot
 }
 
-// Set changes endpoints in one new revision, which is published after the present delay. An endpoint that is gone has
-// the phase wire.Removed.
+// Set changes endpoints in one new revision, which is published after the current notify delay. To remove an endpoint,
+// pass it with the phase wire.Removed.
 func (d *Discovery) Set(endpoints ...wire.Endpoint) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -64,7 +64,7 @@
 	})
 }
 
-// resetList replaces the list and forgets its history; mu is held, or the service has not started.
+// resetList replaces the list and clears its history. The caller must hold mu unless the service has not started.
 func (d *Discovery) resetList(revision int64, endpoints []wire.Endpoint) {
 	d.revision = revision
 	d.changes = nil
@@ -74,7 +74,7 @@
 	}
 }
 
-// publish applies a change to the published list, once; mu is held.
+// publish applies a change to the published list unless it is published already. The caller must hold mu.
 func (d *Discovery) publish(c *change) {
 	if c.published {
 		return
@@ -86,7 +86,7 @@
 	d.published.revision = c.revision
 }
 
-// publishDue publishes the changes that are due, unless the list is frozen; mu is held.
+// publishDue publishes the changes that are due, unless the list is frozen. The caller must hold mu.
 func (d *Discovery) publishDue() {
 	now := d.clock.Now()
 	for i := range d.changes {
@@ -96,7 +96,7 @@
 	}
 }
 
-// snapshot returns the complete list after publishing what is due.
+// snapshot publishes the changes that are due and returns the complete list.
 func (d *Discovery) snapshot() wire.EndpointList {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -104,8 +104,9 @@
 	return d.published.snapshot()
 }
 
-// updateSince returns what a watch that knows the list up to a revision is sent: the changes since, or the complete
-// list if it asks for that or the history doesn't reach back. ok is false if there is nothing to send; mu is held.
+// updateSince returns the update to send to a watch that has received the list up to a revision: the later changes, or
+// the complete list if the watch asks for it or the history does not reach back to the revision. ok is false if there
+// is nothing to send. The caller must hold mu.
 func (d *Discovery) updateSince(revision int64, complete bool) (update wire.EndpointList, ok bool) {
 	d.publishDue()
 	if revision == d.published.revision && !complete {
@@ -117,7 +118,7 @@
 	return d.changesSince(revision), true
 }
 
-// oldestKnownRevision returns the first revision from which the history is complete; mu is held.
+// oldestKnownRevision returns the oldest revision whose later changes are all in the history. The caller must hold mu.
 func (d *Discovery) oldestKnownRevision() int64 {
 	for _, c := range d.changes {
 		if c.published {
@@ -127,7 +128,7 @@
 	return d.published.revision
 }
 
-// changesSince returns the last state of each endpoint that changed after a revision; mu is held.
+// changesSince returns the latest state of each endpoint that changed after a revision. The caller must hold mu.
 func (d *Discovery) changesSince(revision int64) wire.EndpointList {
 	update := wire.EndpointList{Revision: d.published.revision, Endpoints: []wire.Endpoint{}}
 	indexes := map[string]int{}
--- a/internal/fakeserver/discovery_test.go
+++ b/internal/fakeserver/discovery_test.go
@@ -12,23 +12,23 @@
 	"onyxstream/internal/wire"
 )
 
-// discoveryCaller calls a discovery service; its calls end with the test.
-type discoveryCaller struct {
+// discoveryClient calls a discovery service; its calls end with the test.
+type discoveryClient struct {
 	ctx    context.Context
 	client *http.Client
 	url    string
 }
 
-func newDiscoveryCaller(t *testing.T, discovery *Discovery) *discoveryCaller {
-	return &discoveryCaller{
+func newDiscoveryClient(t *testing.T, discovery *Discovery) *discoveryClient {
+	return &discoveryClient{
 		ctx:    t.Context(),
 		client: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}},
 		url:    "http://" + discovery.Addr() + "/catalog/members",
 	}
 }
 
-// call returns the body and the status of an answer, 0 where the connection was reset.
-func (c *discoveryCaller) call(query string) (body *bufio.Reader, status int) {
+// get returns the body and the status of an answer, 0 where the connection was reset.
+func (c *discoveryClient) get(query string) (body *bufio.Reader, status int) {
 	request, _ := http.NewRequestWithContext(c.ctx, http.MethodGet, c.url+query, nil)
 	response, err := c.client.Do(request)
 	if err != nil {
@@ -75,8 +75,8 @@
 		t.Fatal(err)
 	}
 	defer discovery.Close()
-	caller := newDiscoveryCaller(t, discovery)
-	watch, _ := caller.call("?watch=1&after=41")
+	client := newDiscoveryClient(t, discovery)
+	watch, _ := client.get("?watch=1&after=41")
 	expectList(t, watch, 41, false, 0) // no changes yet
 	discovery.SetNotifyDelay(150 * time.Millisecond)
 	setAt := env.clock.Now()
@@ -93,11 +93,11 @@
 		}
 		list, _ = nextList(t, watch)
 	}
-	complete, _ := caller.call("")
+	complete, _ := client.get("")
 	expectList(t, complete, 43, true, 2)
 	discovery.SetFrozen(true)
 	discovery.Set(endpoint("b", wire.Removed))
-	frozen, _ := caller.call("")
+	frozen, _ := client.get("")
 	if list, _ := nextList(t, frozen); list.Revision != 43 {
 		t.Errorf("a frozen list has revision %d", list.Revision)
 	}
@@ -109,17 +109,17 @@
 	if _, ended := nextList(t, watch); !ended {
 		t.Error("a watch outlives the restart")
 	}
-	watch, _ = caller.call("?watch=1&after=44") // a revision before the restart: the complete list
+	watch, _ = client.get("?watch=1&after=44") // a revision before the restart: the complete list
 	expectList(t, watch, 7, true, 1)
 	discovery.SetMode(ModeUnavailable)
 	if _, ended := nextList(t, watch); !ended {
 		t.Error("a watch outlives the failure")
 	}
-	if _, status := caller.call(""); status != http.StatusServiceUnavailable {
+	if _, status := client.get(""); status != http.StatusServiceUnavailable {
 		t.Errorf("status %d while unavailable", status)
 	}
 	discovery.SetMode(ModeReset)
-	if _, status := caller.call(""); status != 0 {
+	if _, status := client.get(""); status != 0 {
 		t.Errorf("status %d while calls are reset", status)
 	}
 }
--- a/internal/fakeserver/discovery_watch.go
+++ b/internal/fakeserver/discovery_watch.go
@@ -10,10 +10,10 @@
 	"onyxstream/internal/wire"
 )
 
-// heartbeatInterval is how often a watch sends an empty line.
+// heartbeatInterval is the interval between the empty lines that a watch sends as heartbeats.
 const heartbeatInterval = 500 * time.Millisecond
 
-// writeList writes a list or an update as one line of JSON; false if that failed.
+// writeList writes a list or an update as one line of JSON, and reports whether that succeeded.
 func (d *Discovery) writeList(w io.Writer, list wire.EndpointList) bool {
 	text, err := json.Marshal(list)
 	if err != nil {
@@ -24,13 +24,13 @@
 	return err == nil
 }
 
-// watch streams updates after a revision, or from the complete list on, until the client disconnects. It panics with
-// http.ErrAbortHandler to reset the connection.
+// watch streams the updates after a revision, or the complete list and its updates, until the client disconnects. It
+// panics with http.ErrAbortHandler to reset the connection.
 func (d *Discovery) watch(w http.ResponseWriter, request *http.Request, after int64, complete bool) {
 	heartbeat := time.NewTicker(heartbeatInterval)
 	defer heartbeat.Stop()
 	d.mu.Lock()
-	list := d.published // replaced by a restart, which ends the watch
+	list := d.published // a restart replaces it, which ends the watch
 	d.mu.Unlock()
 	started := false
 	for {
@@ -44,7 +44,7 @@
 		if !d.followMode(request, mode) {
 			return
 		}
-		if !ok && !started { // a watch starts with an object, even an empty one
+		if !ok && !started { // a watch starts with an update, if need be an empty one
 			update = wire.EndpointList{Revision: after, Endpoints: []wire.Endpoint{}}
 		}
 		if ok || !started {
@@ -67,8 +67,8 @@
 	}
 }
 
-// followMode applies the mode to an open watch: it returns true in ModeNormal, and false once the client of a silent
-// watch has disconnected. In the other modes it resets the connection.
+// followMode applies the mode to an open watch. In ModeNormal it returns true. In ModeSilent it waits until the client
+// has disconnected and returns false. In the other modes it resets the connection by a panic.
 func (d *Discovery) followMode(request *http.Request, mode DiscoveryMode) bool {
 	switch mode {
 	case ModeUnavailable, ModeReset:
@@ -81,7 +81,8 @@
 	return true
 }
 
-// watchRaw streams a text, the texts of SendRaw and heartbeats until the client disconnects or SendRaw resets it.
+// watchRaw streams a raw text, then the texts of SendRaw and heartbeats, until the client disconnects or SendRaw resets
+// the watch.
 func (d *Discovery) watchRaw(w http.ResponseWriter, request *http.Request, text string, texts <-chan string) {
 	for {
 		d.mu.Lock()
--- a/internal/fakeserver/eventlog.go
+++ b/internal/fakeserver/eventlog.go
@@ -10,34 +10,34 @@
 	"time"
 )
 
-// The kinds of events. Their values are part of the event files that users read.
+// The kinds of events. Their values are part of the format of event files.
 const (
-	EventOpened            = "opened"  // host: an OPEN was read to its end
+	EventOpened            = "opened"  // host: received a complete opening line
 	EventEstablished       = "up"      // host: the connection is established; the detail is the receipt
-	EventRejected          = "refused" // host: answered BUSY
-	EventFailed            = "failed"  // host: answered ERR or, with the reason as the detail, SYNTAX
+	EventRejected          = "refused" // host: responded with BUSY
+	EventFailed            = "failed"  // host: responded with ERR or SYNTAX; the detail is the reason
 	EventEnded             = "ended"   // host: ended the connection with BYE
-	EventMigrated          = "moved"   // host: sent MOVE
-	EventDisconnected      = "left"    // host: the client ended the connection
-	EventReset             = "broken"  // host: reset the connection
+	EventMigrated          = "moved"   // host: sent MOVE; client: received it
+	EventDisconnected      = "left"    // host: the client ended the connection; client: the connection ended
+	EventReset             = "broken"  // host: reset the connection; client: the connection failed
 	EventHealthCheck       = "probed"  // host: received PING or STATS
 	EventFault             = "fault"   // any source: a fault began or ended
-	EventListSent          = "told"    // discovery: wrote a list or an update; the detail is the revision
-	EventDiscoveryRejected = "turned"  // discovery: failed a call; the detail is the reason
-	EventRequested         = "asked"   // discovery: received a call; the detail is its URI
-	EventReceived          = "heard"   // client: received an answer, the detail
-	EventDialed            = "dialled" // link: accepted a connection; the detail says if it was rejected
-	EventNodeHealthy       = "in"      // frontend balancer: sends clients to the node
-	EventNodeUnhealthy     = "out"     // frontend balancer: stopped sending clients to the node
+	EventListSent          = "told"    // discovery: sent a list or an update; the detail is the revision
+	EventDiscoveryRejected = "turned"  // discovery: rejected or reset a request; the detail is the reason
+	EventRequested         = "asked"   // discovery: received a list request or a watch, the detail is the URI; client: sent a request
+	EventReceived          = "heard"   // client: received a line; the detail is the line
+	EventDialed            = "dialled" // link: accepted a connection; the detail is "refused" if the link reset it
+	EventNodeHealthy       = "in"      // front: sends clients to the node
+	EventNodeUnhealthy     = "out"     // front: sends no clients to the node
 )
 
-// The sources of events of servers that have no name of their own.
+// The event sources of the servers that have no configured name.
 const (
 	SourceDiscovery = "discovery"
 	SourceFrontend  = "front"
 )
 
-// The details of a host's EventFault. Their values are part of the event files that users read.
+// The details of a host's EventFault. Their values are part of the format of event files.
 const (
 	DetailHang        = "hangs"
 	DetailResume      = "goes on"
@@ -45,25 +45,25 @@
 	DetailCancelDrain = "drains no more"
 	DetailCrash       = "dies"
 	DetailRestart     = "comes back"
-	DetailCollapse    = "fell over"
+	DetailCollapse    = "fell over" // a cold host collapsed under overload
 )
 
-// Event is one thing that a fake server, a link or a client saw.
+// Event is an event at a fake server, a link or a client.
 type Event struct {
 	At     time.Duration `json:"at"` // ns since the start of the run
 	Source string        `json:"who"`
-	Kind   string        `json:"what"`
-	ID     string        `json:"id,omitempty"`
+	Kind   string        `json:"what"`         // one of the Event constants
+	ID     string        `json:"id,omitempty"` // of the connection
 	Key    string        `json:"key,omitempty"`
 	Class  string        `json:"class,omitempty"`
 	Tenant string        `json:"tenant,omitempty"`
 	Detail string        `json:"note,omitempty"`
 }
 
-// maxEvents bounds the memory of an event log to about 100 MB. Events past it are counted and dropped.
+// maxEvents bounds the memory of an event log to about 100 MB. Further events are counted and dropped.
 const maxEvents = 1 << 20
 
-// EventLog collects the events of one or more sources. It is safe for concurrent use; a nil log drops all events.
+// EventLog collects the events of one or more sources. It is safe for concurrent use. A nil log drops all events.
 type EventLog struct {
 	clock   *Clock
 	mu      sync.Mutex
@@ -71,7 +71,7 @@
 	dropped int
 }
 
-// NewEventLog returns an empty log that takes its times from a clock.
+// NewEventLog returns an empty log that takes the times of its events from a clock.
 func NewEventLog(clock *Clock) *EventLog { return &EventLog{clock: clock} }
 
 // Add appends an event with the current time.
@@ -85,11 +85,11 @@
 		l.dropped++
 		return
 	}
-	event.At = l.clock.Now() // under the lock, so that times never decrease
+	event.At = l.clock.Now() // read under the lock, so that the times in the log never decrease
 	l.events = append(l.events, event)
 }
 
-// Events returns a copy of the events so far, and the number of dropped ones.
+// Events returns a copy of the events so far, and the number of dropped events.
 func (l *EventLog) Events() (events []Event, dropped int) {
 	if l == nil {
 		return nil, 0
@@ -126,7 +126,7 @@
 	return all
 }
 
-// eventFileVersion counts changes of the file format that older readers can't read.
+// eventFileVersion is the version of the file format. It increases with each change that older readers can't read.
 const eventFileVersion = 1
 
 // eventFileHeader is the first line of an event file.
@@ -137,7 +137,8 @@
 	Events  int       `json:"records"`
 }
 
-// WriteEvents writes events as JSON Lines after a header with the start of the clock and the number of dropped events.
+// WriteEvents writes a header line, with the start time of the clock and the number of dropped events, and then the
+// events, all as JSON Lines.
 func WriteEvents(w io.Writer, clock *Clock, events []Event, dropped int) error {
 	buffered := bufio.NewWriter(w)
 	encoder := json.NewEncoder(buffered)
--- a/internal/fakeserver/frontend.go
+++ b/internal/fakeserver/frontend.go
@@ -9,14 +9,14 @@
 const (
 	healthCheckInterval = 50 * time.Millisecond
 	healthCheckTimeout  = time.Second
-	readyPollInterval   = healthCheckInterval / 5
+	readyCheckInterval  = healthCheckInterval / 5
 )
 
-// Node is a node that a frontend balancer sends clients to.
+// Node is a node that the front sends clients to.
 type Node struct{ Name, Addr, Zone string }
 
-// FrontendBalancer picks a node for each client by zone, among the nodes that pass their health checks. It is safe for
-// concurrent use.
+// FrontendBalancer is a fake front, the load balancer in front of the nodes. For each client it picks a node that
+// passes its health checks, in the client's zone if there is one. It is safe for concurrent use.
 type FrontendBalancer struct {
 	events     *EventLog
 	ejectAfter time.Duration
@@ -29,8 +29,8 @@
 	picks   uint64
 }
 
-// NewFrontendBalancer starts a balancer and its health checks; Close ends them. A node is ejected when its last passed
-// check is ejectAfter ago; 0 ejects it at the first failed check.
+// NewFrontendBalancer starts a front and its health checks; Close ends them. A failed check ejects a node if its last
+// passed check is at least ejectAfter ago; with 0, the first failed check ejects it.
 func NewFrontendBalancer(events *EventLog, ejectAfter time.Duration, nodes ...Node) *FrontendBalancer {
 	ctx, cancel := context.WithCancel(context.Background())
 	f := &FrontendBalancer{
@@ -86,8 +86,8 @@
 	f.events.Add(Event{Source: SourceFrontend, Kind: kind, Detail: f.nodes[index].Name})
 }
 
-// Pick returns the next healthy node of a zone in turn, or of any zone if the zone has none or is empty. ok is false
-// while no node is healthy.
+// Pick returns a healthy node of a zone, round robin. If the zone has no healthy node or is "", Pick returns a healthy
+// node of any zone. ok is false while no node is healthy.
 func (f *FrontendBalancer) Pick(zone string) (node Node, ok bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -98,7 +98,7 @@
 	return f.pickFrom("")
 }
 
-// pickFrom returns the next healthy node of a zone, "" for any; mu is held.
+// pickFrom returns the next healthy node of a zone, or of any zone if zone is "". The caller must hold mu.
 func (f *FrontendBalancer) pickFrom(zone string) (node Node, ok bool) {
 	for offset := range f.nodes {
 		index := (int(f.picks%uint64(len(f.nodes))) + offset) % len(f.nodes)
@@ -116,7 +116,7 @@
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-time.After(readyPollInterval):
+		case <-time.After(readyCheckInterval):
 		}
 	}
 	return nil
--- a/internal/fakeserver/host.go
+++ b/internal/fakeserver/host.go
@@ -27,7 +27,7 @@
 }
 
 const (
-	loopQueue = 256
+	maxQueuedTasks = 256
 	// microUnits converts loads and utilization to the integers in which they are stored and reported.
 	microUnits = 1e6
 	// idleWait is how long the loop waits while the model has nothing to do.
@@ -41,7 +41,7 @@
 	config      HostConfig
 	clock       *Clock
 	events      *EventLog
-	commands    chan func() // run by the loop
+	tasks       chan func() // run by the loop
 	quit        chan struct{}
 	wg          sync.WaitGroup
 	lineLatency atomic.Int64                  // ns
@@ -50,18 +50,18 @@
 	addr        string
 
 	// Owned by the loop.
-	model         *capacity.Host
-	connections   map[*hostConnection]bool
-	sessions      map[string]*session
-	rng           *rand.Rand
-	receipts      int // given out so far
-	draining      bool
-	crashed       bool
-	restarted     bool
-	startedAt     time.Time
-	listener      net.Listener
-	hangEnd       chan struct{} // as hangGate
-	scriptedReply func(line string) string
+	model            *capacity.Host
+	connections      map[*hostConnection]bool
+	sessions         map[string]*session
+	rng              *rand.Rand
+	receipts         int // given out so far
+	draining         bool
+	crashed          bool
+	restarted        bool
+	startedAt        time.Time
+	listener         net.Listener
+	hangEnd          chan struct{} // as hangGate
+	scriptedResponse func(line string) string
 }
 
 // NewHost starts a host; Close ends it. The log may be nil.
@@ -79,7 +79,7 @@
 		config:      config,
 		clock:       clock,
 		events:      events,
-		commands:    make(chan func(), loopQueue),
+		tasks:       make(chan func(), maxQueuedTasks),
 		quit:        make(chan struct{}),
 		connections: map[*hostConnection]bool{},
 		sessions:    map[string]*session{},
@@ -155,10 +155,10 @@
 }
 
 // runInLoop runs a function in the loop and waits for it. Once the host is closed it does nothing.
-func (h *Host) runInLoop(command func()) {
+func (h *Host) runInLoop(task func()) {
 	done := make(chan struct{})
 	posted := h.post(func() {
-		command()
+		task()
 		close(done)
 	})
 	if !posted {
@@ -171,9 +171,9 @@
 }
 
 // post queues a function for the loop; false once the host is closed.
-func (h *Host) post(command func()) bool {
+func (h *Host) post(task func()) bool {
 	select {
-	case h.commands <- command:
+	case h.tasks <- task:
 		return true
 	case <-h.quit:
 		return false
@@ -193,9 +193,9 @@
 		select {
 		case <-h.quit:
 			return
-		case command := <-h.commands:
+		case task := <-h.tasks:
 			h.advance()
-			command()
+			task()
 		case <-timer.C:
 			h.advance()
 		}
--- a/internal/fakeserver/host_connection.go
+++ b/internal/fakeserver/host_connection.go
@@ -30,7 +30,7 @@
 	outgoing  chan outgoingLine
 	closed    chan struct{}
 	closeOnce sync.Once
-	replied   chan struct{} // closed when the opening is answered; further lines wait for it
+	responded chan struct{} // closed when the opening is answered; further lines wait for it
 	session   *session      // owned by the host's loop
 }
 
@@ -52,11 +52,11 @@
 				continue
 			}
 			c := &hostConnection{
-				host:     h,
-				tcp:      connection.(*net.TCPConn),
-				outgoing: make(chan outgoingLine, maxOutgoing),
-				closed:   make(chan struct{}),
-				replied:  make(chan struct{}),
+				host:      h,
+				tcp:       connection.(*net.TCPConn),
+				outgoing:  make(chan outgoingLine, maxOutgoing),
+				closed:    make(chan struct{}),
+				responded: make(chan struct{}),
 			}
 			h.wg.Go(c.read)
 			h.wg.Go(c.write)
@@ -105,7 +105,7 @@
 			}
 			_, err := io.WriteString(c.tcp, line.text)
 			if first {
-				close(c.replied)
+				close(c.responded)
 			}
 			if line.last || err != nil {
 				c.close()
@@ -146,8 +146,8 @@
 		return
 	}
 	err := c.serve()
-	resetByPeer := errors.Is(err, syscall.ECONNRESET)
-	c.host.runInLoop(func() { c.host.disconnected(c, resetByPeer) })
+	resetRemotely := errors.Is(err, syscall.ECONNRESET)
+	c.host.runInLoop(func() { c.host.disconnected(c, resetRemotely) })
 	c.close()
 }
 
@@ -186,14 +186,14 @@
 	h := c.host
 	h.record(EventHealthCheck, wire.Opening{}, command)
 	h.sleepLineLatency()
-	reply := "PONG"
+	response := "PONG"
 	if command == "STATS" {
-		reply = "NO"
+		response = "NO"
 		if h.config.AnswersStats {
-			reply = fmt.Sprintf("PONG x0=%.3f", float64(h.utilization.Load())/microUnits)
+			response = fmt.Sprintf("PONG x0=%.3f", float64(h.utilization.Load())/microUnits)
 		}
 	}
-	_, err := io.WriteString(c.tcp, reply+"\r\n")
+	_, err := io.WriteString(c.tcp, response+"\r\n")
 	return err
 }
 
@@ -212,7 +212,7 @@
 			return err
 		}
 		select {
-		case <-c.replied:
+		case <-c.responded:
 		case <-c.closed:
 			return net.ErrClosed
 		}
--- a/internal/fakeserver/host_faults.go
+++ b/internal/fakeserver/host_faults.go
@@ -147,6 +147,6 @@
 
 // SetResponse replaces the answers of the capacity model: each opening is answered by what the function returns for its
 // line, which ends with CRLF; "" sends nothing. nil restores the model. The function runs in the host's loop.
-func (h *Host) SetResponse(reply func(line string) string) {
-	h.runInLoop(func() { h.scriptedReply = reply })
+func (h *Host) SetResponse(response func(line string) string) {
+	h.runInLoop(func() { h.scriptedResponse = response })
 }
--- a/internal/fakeserver/host_session.go
+++ b/internal/fakeserver/host_session.go
@@ -24,8 +24,8 @@
 	h.record(EventOpened, opening, openingDetail(opening))
 	switch {
 	case h.crashed:
-	case h.scriptedReply != nil:
-		h.replyScripted(c, opening, h.scriptedReply(opening.Line()))
+	case h.scriptedResponse != nil:
+		h.sendScriptedResponse(c, opening, h.scriptedResponse(opening.Line()))
 	case opening.MidFlow:
 		h.resumeSession(c, opening)
 	case opening.CurrentHost != "" && opening.CurrentHost != h.config.ID:
@@ -55,21 +55,21 @@
 	return strings.Join(fields, " ")
 }
 
-// replyScripted sends a test's reply, or nothing where it is empty; an UP establishes a session.
-func (h *Host) replyScripted(c *hostConnection, opening wire.Opening, reply string) {
-	if reply == "" {
+// sendScriptedResponse sends a test's reply, or nothing where it is empty; an UP establishes a session.
+func (h *Host) sendScriptedResponse(c *hostConnection, opening wire.Opening, response string) {
+	if response == "" {
 		return
 	}
-	line := strings.TrimSuffix(reply, "\r\n")
+	line := strings.TrimSuffix(response, "\r\n")
 	if wire.ParseResponse([]byte(line)) != wire.ResponseEstablished {
-		c.send(reply, true)
+		c.send(response, true)
 		return
 	}
 	s := &session{opening: opening, connection: c, established: true, receipt: line[len("UP "):]}
 	h.sessions[opening.ID] = s
 	c.session = s
 	h.record(EventEstablished, opening, s.receipt)
-	c.send(reply, false)
+	c.send(response, false)
 }
 
 // resumeSession attaches a connection to its established session, or resets it where there is none to resume.
--- a/internal/fakeserver/link.go
+++ b/internal/fakeserver/link.go
@@ -208,8 +208,8 @@
 	}
 }
 
-// awaitUnstalled waits while a direction is stalled, and returns its faults; closed once the link is.
-func (k *Link) awaitUnstalled(direction int) (fault LinkFault, closed bool) {
+// awaitStallEnd waits while a direction is stalled, and returns its faults; closed once the link is.
+func (k *Link) awaitStallEnd(direction int) (fault LinkFault, closed bool) {
 	return k.awaitFault(direction, func(f LinkFault) bool { return !f.Stall })
 }
 
--- a/internal/fakeserver/link_relay.go
+++ b/internal/fakeserver/link_relay.go
@@ -85,7 +85,7 @@
 	_ = s.from.SetReadDeadline(time.Now()) // ends the reader, which may be blocked
 	for range s.chunks {
 	}
-	fault, closed := s.link.awaitUnstalled(s.direction)
+	fault, closed := s.link.awaitStallEnd(s.direction)
 	if !closed && !lossy && writeErr == nil && !errors.Is(s.readErr, syscall.ECONNRESET) {
 		_ = s.to.(interface{ CloseWrite() error }).CloseWrite()
 		return
@@ -125,7 +125,7 @@
 func (s *stream) write() (lossy bool, err error) {
 	nextWrite := time.Now() // by the rate limit
 	for queued := range s.chunks {
-		fault, closed := s.link.awaitUnstalled(s.direction)
+		fault, closed := s.link.awaitStallEnd(s.direction)
 		if closed || lossy && !fault.Blackhole {
 			return lossy, nil
 		}
