--- a/internal/fakeserver/capacity/advance.go
+++ b/internal/fakeserver/capacity/advance.go
@@ -5,10 +5,11 @@
 	"time"
 )
 
-// collapseChecks is how many times the overload is examined within Spec.CollapseAfter.
+// collapseChecks is the number of overload checks within Spec.CollapseAfter.
 const collapseChecks = 8
 
-// Next returns the time of the next state change if no call comes before; ok is false where none will come.
+// Next returns the time of the next state change if no other method is called before. ok is false if no state change is
+// due.
 func (h *Host) Next() (at time.Duration, ok bool) {
 	if h.collapsed {
 		return 0, false
@@ -35,12 +36,12 @@
 	return at, ok
 }
 
-// mayCollapse reports whether a cold host is overloaded now.
+// mayCollapse reports whether the host started cold and is overloaded now.
 func (h *Host) mayCollapse() bool {
 	return h.startedCold && h.spec.CollapseAfter > 0 && h.overloadRatio() > h.spec.CollapseMultiple
 }
 
-// Advance moves the host to now and returns what happened up to then, in order.
+// Advance moves the host to now and returns the events up to then, in order of time.
 func (h *Host) Advance(now time.Duration) []Event {
 	var events []Event
 	for !h.collapsed && h.now < now {
@@ -60,7 +61,7 @@
 	return events
 }
 
-// advanceSetups moves the host to a time before which no set-up ends, and completes those that end then.
+// advanceSetups moves the host to a time before which no setup ends, and completes the setups that end at that time.
 func (h *Host) advanceSetups(events []Event, to time.Duration) []Event {
 	active, rate := h.activeSetups()
 	done := (to - h.now).Seconds() * rate
@@ -77,7 +78,7 @@
 	return events
 }
 
-// activeSetups returns the set-ups that are worked on now, at most one a core, and the work per second of each.
+// activeSetups returns the setups that the host works on now, at most one per core, and the work per second on each.
 func (h *Host) activeSetups() (active []*connection, rate float64) {
 	cores := int(math.Ceil(h.spec.Cores))
 	for _, c := range h.setups {
@@ -92,7 +93,7 @@
 	return active, min(free/float64(len(active)), h.coreSpeed())
 }
 
-// driftLoads draws new loads for some established connections, and the time of the next drift.
+// driftLoads draws new loads for some established connections at random, and sets the time of the next drift.
 func (h *Host) driftLoads(events []Event) []Event {
 	h.nextDrift += driftInterval
 	for _, c := range h.order {
@@ -107,7 +108,7 @@
 	return events
 }
 
-// updateCollapse tracks the overload of a cold host and reports whether the host has collapsed.
+// updateCollapse tracks the overload of a host in slow start, and reports whether the host has collapsed.
 func (h *Host) updateCollapse() bool {
 	if h.slowStartFactor() >= 1 || !h.mayCollapse() {
 		h.overloadedSince = 0
--- a/internal/fakeserver/capacity/capacity_test.go
+++ b/internal/fakeserver/capacity/capacity_test.go
@@ -41,17 +41,17 @@
 		t.Errorf("established before the work is done: %v", got)
 	}
 	if got := establishedIDs(host.Advance(101 * time.Millisecond)); len(got) != 2 {
-		t.Errorf("two cores complete %v in the time of one set-up", got)
+		t.Errorf("two cores complete %v in the time of one setup, want two setups", got)
 	}
-	// Established connections take capacity from set-ups.
+	// Established connections reduce the capacity that is left for setups.
 	for i := range 19 {
 		host.AddEstablished(fmt.Sprint("s", i), "", 1)
 	}
 	if got := establishedIDs(host.Advance(250 * time.Millisecond)); len(got) != 0 {
-		t.Errorf("an overloaded host completes set-ups at full speed: %v", got)
+		t.Errorf("an overloaded host completes setups at full speed: %v", got)
 	}
 	if got := establishedIDs(host.Advance(10 * time.Second)); len(got) != 2 {
-		t.Errorf("an overloaded host completes %v, want two set-ups", got)
+		t.Errorf("an overloaded host completes %v, want two setups", got)
 	}
 }
 
@@ -63,14 +63,14 @@
 	}
 	b.BeginSetup(0, "last", "", 1)
 	if got := establishedIDs(b.Advance(219 * time.Millisecond)); len(got) != 0 {
-		t.Error("the store answered the eleventh call before its turn")
+		t.Error("the store answered the eleventh call too early")
 	}
 	if got := establishedIDs(b.Advance(221 * time.Millisecond)); len(got) != 1 {
-		t.Error("the eleventh call was not answered in its turn")
+		t.Error("the store answered the eleventh call too late")
 	}
 	slow := SessionStore{Latency: time.Millisecond, SlowFactor: 8}
 	if at := slow.Call(0); at != 8*time.Millisecond {
-		t.Errorf("a store with slow factor 8 answers after %v", at)
+		t.Errorf("a store with slow factor 8 answers after %v, want 8ms", at)
 	}
 }
 
@@ -79,13 +79,13 @@
 	host.SetSlowFactor(4)
 	host.SetStolenFraction(0.5)
 	if got := host.Capacity(); got != 0.25 {
-		t.Errorf("capacity %g, want an eighth of 2", got)
+		t.Errorf("capacity %g, want 0.25, an eighth of 2", got)
 	}
 	before := host.LineLatency()
 	host.SetSlowFactor(1)
 	host.SetStolenFraction(0)
 	if host.Capacity() != 2 || before < 7*host.LineLatency() {
-		t.Errorf("capacity %g, line latency %v before and %v now", host.Capacity(), before, host.LineLatency())
+		t.Errorf("capacity %g, line latency %v with faults, %v after them", host.Capacity(), before, host.LineLatency())
 	}
 }
 
@@ -100,7 +100,7 @@
 	host.Remove("b")
 	host.Remove("b")
 	if d := host.Demand(); d > 1e-9 {
-		t.Errorf("demand %g of an empty host", d)
+		t.Errorf("demand %g on a host without connections", d)
 	}
 }
 
@@ -124,7 +124,7 @@
 		return host
 	}
 	if run(50*time.Millisecond, true).Collapsed() {
-		t.Error("a cold host collapses below the multiple")
+		t.Error("a cold host collapses below the collapse multiple")
 	}
 	host := run(10*time.Millisecond, true)
 	if !host.Collapsed() || host.BeginSetup(4*time.Second, "x", "", 1) != Unavailable {
@@ -139,11 +139,11 @@
 	host = New(spec, nil, 1, 0, true)
 	host.Advance(4 * time.Second)
 	if got := host.Capacity(); got < 1.29 || got > 1.31 {
-		t.Errorf("capacity %g halfway through slow start", got)
+		t.Errorf("capacity %g halfway through slow start, want 1.3", got)
 	}
 	host.Advance(8 * time.Second)
 	if got := host.Capacity(); got != 2 {
-		t.Errorf("capacity %g after slow start", got)
+		t.Errorf("capacity %g after slow start, want 2", got)
 	}
 }
 
@@ -153,20 +153,20 @@
 	host := New(spec, nil, 1, 0, false)
 	for i, want := range []Admission{Admitted, Admitted, Rejected} {
 		if got := host.BeginSetup(0, fmt.Sprint(i), "", 1); got != want {
-			t.Errorf("set-up %d: admission %d, want %d", i, got, want)
+			t.Errorf("setup %d: admission %d, want %d", i, got, want)
 		}
 	}
 	host.Advance(time.Second)
 	if host.BeginSetup(time.Second, "3", "", 1) != Admitted || host.BeginSetup(time.Second, "4", "", 1) != Rejected {
-		t.Error("the limit of connections is not kept")
+		t.Error("the host does not enforce the limit of connections")
 	}
 	if host.BeginSetup(time.Second, "0", "", 1) != Rejected {
-		t.Error("an ID in use is admitted again")
+		t.Error("the host admits an ID that is in use")
 	}
 }
 
-// Under random calls, the same seed gives the same events, their times never decrease, every set-up of a host that does
-// not collapse ends, and an empty host has no demand.
+// Under random operations: the same seed gives the same events, the times of events never decrease, every setup of a
+// host that does not collapse ends, and a host without connections has no demand.
 func TestHost_RandomEvents_InvariantsHold(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		spec := drawSpec(t)
@@ -174,7 +174,7 @@
 		events, host := runOperations(spec, operations)
 		repeated, _ := runOperations(spec, operations)
 		if !reflect.DeepEqual(events, repeated) {
-			t.Fatal("the same seed gives other events")
+			t.Fatal("the same seed and operations give different events")
 		}
 		var last time.Duration
 		for _, event := range events {
@@ -185,13 +185,13 @@
 		}
 		established, setups := host.Counts()
 		if !host.Collapsed() && setups > 0 {
-			t.Fatalf("%d set-ups never end", setups)
+			t.Fatalf("%d setups never end", setups)
 		}
 		for i := range 21 {
 			host.Remove(fmt.Sprint(i))
 		}
 		if demand := host.Demand(); demand > 1e-6 {
-			t.Fatalf("demand %g left of %d connections", demand, established)
+			t.Fatalf("demand %g after all of %d connections were removed", demand, established)
 		}
 	})
 }
@@ -213,7 +213,7 @@
 	}
 }
 
-// operation is one call to a host.
+// operation is a random method call on a host.
 type operation struct {
 	at    time.Duration
 	kind  int
@@ -235,7 +235,7 @@
 	return operations
 }
 
-// runOperations runs operations on a new host, and one hour more.
+// runOperations runs operations on a new host, and then advances the host by one hour.
 func runOperations(spec Spec, operations []operation) (events []Event, host *Host) {
 	host = New(spec, &SessionStore{Latency: 5 * time.Millisecond, Rate: 50}, 7, 0, true)
 	end := time.Duration(0)
--- a/internal/fakeserver/capacity/host.go
+++ b/internal/fakeserver/capacity/host.go
@@ -6,56 +6,55 @@
 	"time"
 )
 
-// Admission is the result of a request for a set-up.
+// Admission is the result of a request for a connection setup.
 type Admission uint8
 
 // The admission results.
 const (
-	Admitted    Admission = iota // an Event with Established set follows when the set-up is done
-	Rejected                     // a limit is reached or the ID is in use; nothing was started
-	Unavailable                  // the host has collapsed: it does not answer
+	Admitted    Admission = iota // an Event with Established set follows when the setup is done
+	Rejected                     // a limit is reached or the ID is in use; no setup was started
+	Unavailable                  // the host has collapsed and does not respond
 )
 
 // Event is a state change that Advance reports.
 type Event struct {
-	ID          string // of the connection; empty where Collapsed is set
+	ID          string // of the connection; empty if Collapsed is set
 	At          time.Duration
-	Established bool    // the set-up is done; if neither this nor Collapsed is set, the load has changed
+	Established bool    // the setup is done; if neither Established nor Collapsed is set, the load has changed
 	Load        float64 // current load of the connection
 	Collapsed   bool    // the host has collapsed
 }
 
-// connection is a set-up in progress or an established connection.
+// connection is a connection setup in progress or an established connection.
 type connection struct {
 	id, group      string
 	meanLoad, load float64
-	storeAnswersAt time.Duration // set-ups only
-	remainingWork  float64       // set-ups only
+	storeAnswersAt time.Duration // setups only
+	remainingWork  float64       // setups only
 	established    bool
 	index          int // in Host.order
 }
 
-// Host is the model of one host. Times that are passed to its methods must not decrease. It is not safe for
-// concurrent use.
+// Host is the model of one host. The times passed to its methods must not decrease. It is not safe for concurrent use.
 type Host struct {
 	spec  Spec
 	store *SessionStore
 	rng   *rand.Rand
 	now   time.Duration
 
-	startedAt      time.Duration // last start
-	startedCold    bool          // last start
+	startedAt      time.Duration // time of the last start
+	startedCold    bool          // the last start was cold
 	slowFactor     float64       // multiplies all work; 1 for none
 	stolenFraction float64       // fraction of the cores that another program uses
 
 	connections     map[string]*connection
-	order           []*connection // all connections, in an order that depends on the events alone
-	setups          []*connection // set-ups in order of arrival
+	order           []*connection // all connections, in a deterministic order
+	setups          []*connection // setups in order of arrival
 	groupSizes      map[string]int
-	establishedLoad float64 // without groups
+	establishedLoad float64 // load of the established connections, without the cost of groups
 	nextDrift       time.Duration
 
-	recentSetupWork   float64       // requested set-up work, decaying by setupWorkDecay
+	recentSetupWork   float64       // requested setup work, decaying with the time constant setupWorkDecay
 	recentSetupWorkAt time.Duration // when recentSetupWork was computed
 	overloadedSince   time.Duration // 0 while not overloaded
 	collapsed         bool
@@ -63,14 +62,14 @@
 
 const (
 	driftInterval    = time.Second
-	driftOneIn       = 4    // one connection in this many changes its load at a drift
-	minSetupFraction = 0.05 // fraction of the capacity that set-ups get at any demand: schedulers are fair
-	negligibleWork   = 1e-9 // work that counts as none
+	driftOneIn       = 4    // on average, one connection in this many changes its load at a drift
+	minSetupFraction = 0.05 // fraction of the capacity that setups get at any demand, because schedulers are fair
+	negligibleWork   = 1e-9 // remaining work up to this amount counts as done
 	rngStream        = 0x686f7374
 )
 
 // New returns a host that starts at now, with a slow start if cold is set and the spec has one. Hosts with the same
-// store share its queue; nil stands for a store that answers at once. The same seed and calls give the same events.
+// store share its queue; a nil store answers at once. The same seed and the same method calls give the same events.
 func New(spec Spec, store *SessionStore, seed uint64, now time.Duration, cold bool) *Host {
 	if store == nil {
 		store = &SessionStore{}
@@ -97,8 +96,8 @@
 	h.nextDrift = now + driftInterval
 }
 
-// BeginSetup requests the set-up of a connection whose mean load is weight times Spec.ConnectionLoad. The caller
-// must have advanced the host to now.
+// BeginSetup requests the setup of a connection whose mean load is weight times Spec.ConnectionLoad. The caller must
+// have advanced the host to now.
 func (h *Host) BeginSetup(now time.Duration, id, group string, weight float64) Admission {
 	h.addSetupWork(now, h.spec.SetupWork)
 	if h.collapsed {
@@ -114,7 +113,7 @@
 	return Admitted
 }
 
-// isFull reports whether a limit of connections or set-ups is reached.
+// isFull reports whether the limit of connections or of setups is reached.
 func (h *Host) isFull() bool {
 	established, setups := h.Counts()
 	if h.spec.MaxConnections > 0 && established+setups >= h.spec.MaxConnections {
@@ -123,7 +122,7 @@
 	return h.spec.MaxSetups > 0 && setups >= h.spec.MaxSetups
 }
 
-// AddEstablished adds an established connection without a set-up. It does nothing if the ID is in use.
+// AddEstablished adds an established connection without a setup. It does nothing if the ID is in use.
 func (h *Host) AddEstablished(id, group string, weight float64) {
 	if h.connections[id] != nil {
 		return
@@ -140,7 +139,7 @@
 	return c
 }
 
-// establish counts the load of a connection from now on.
+// establish marks a connection as established and counts its load from now on.
 func (h *Host) establish(c *connection) {
 	c.established = true
 	h.establishedLoad += c.load
@@ -149,7 +148,7 @@
 	}
 }
 
-// Remove removes a connection or a set-up; an unknown ID is ignored.
+// Remove removes an established connection or a setup. It ignores an unknown ID.
 func (h *Host) Remove(id string) {
 	c := h.connections[id]
 	if c == nil {
@@ -174,19 +173,19 @@
 	}
 }
 
-// removeSetup takes a connection off the queue of set-ups.
+// removeSetup removes a connection from the queue of setups.
 func (h *Host) removeSetup(c *connection) {
 	if i := slices.Index(h.setups, c); i >= 0 {
 		h.setups = slices.Delete(h.setups, i, i+1)
 	}
 }
 
-// Counts returns the numbers of established connections and of set-ups in progress.
+// Counts returns the numbers of established connections and of setups in progress.
 func (h *Host) Counts() (established, setups int) {
 	return len(h.connections) - len(h.setups), len(h.setups)
 }
 
-// IDs returns the IDs of all connections and set-ups, in an order that depends on the events alone.
+// IDs returns the IDs of all established connections and setups, in a deterministic order.
 func (h *Host) IDs() []string {
 	ids := make([]string, len(h.order))
 	for i, c := range h.order {
--- a/internal/fakeserver/capacity/load.go
+++ b/internal/fakeserver/capacity/load.go
@@ -10,7 +10,7 @@
 	maxStolenFraction = 0.99
 	// minIdleFraction bounds the queueing delay of a line: at most 1/minIdleFraction times its work.
 	minIdleFraction = 0.02
-	// setupWorkDecay is the time constant of the average that measures the overload of a cold host.
+	// setupWorkDecay is the time constant of the decaying sum of setup work that measures the overload of a cold host.
 	setupWorkDecay = 250 * time.Millisecond
 	maxSeconds     = 1e9
 )
@@ -18,7 +18,8 @@
 // SetSlowFactor multiplies the duration of all work by factor; 1 restores normal speed.
 func (h *Host) SetSlowFactor(factor float64) { h.slowFactor = max(factor, minSlowFactor) }
 
-// SetStolenFraction gives a fraction of the cores to another program; 0 ends that.
+// SetStolenFraction takes a fraction of the cores away from the host, like another program on the machine; 0 restores
+// them.
 func (h *Host) SetStolenFraction(fraction float64) {
 	h.stolenFraction = min(max(fraction, 0), maxStolenFraction)
 }
@@ -41,39 +42,39 @@
 	return initial + (1-initial)*float64(sinceStart)/float64(h.spec.SlowStartDuration)
 }
 
-// Demand returns the load of established connections and their groups, in cores of speed 1.
+// Demand returns the load of the established connections and their groups, in cores of speed 1.
 func (h *Host) Demand() float64 {
 	return h.establishedLoad + float64(len(h.groupSizes))*h.spec.GroupCost*h.spec.ConnectionLoad
 }
 
-// Utilization returns the demand divided by the capacity; above 1 the host is overloaded.
+// Utilization returns the demand divided by the capacity. The host is overloaded when it is above 1.
 func (h *Host) Utilization() float64 { return h.Demand() / max(h.Capacity(), negligibleWork) }
 
-// LineLatency returns the current time to answer a line: its work, and the queueing delay of an M/M/1 queue at this
-// utilization, at most fifty times the work.
+// LineLatency returns the current time to answer a line, as in an M/M/1 queue at this utilization: the work of the line
+// plus the queueing delay, together at most fifty times the work.
 func (h *Host) LineLatency() time.Duration {
 	work := h.spec.LineWork / h.spec.Speed * h.slowFactor / (1 - h.stolenFraction)
 	return seconds(work / max(1-h.Utilization(), minIdleFraction))
 }
 
-// addSetupWork counts the work of a requested set-up, rejected ones included: rejecting costs work too.
+// addSetupWork counts the work of a requested setup. Rejected setups count as well, because rejecting costs work too.
 func (h *Host) addSetupWork(now time.Duration, work float64) {
 	h.recentSetupWork = h.recentSetupWork*setupWorkRemaining(now-h.recentSetupWorkAt) + work
 	h.recentSetupWorkAt = now
 }
 
-// setupWorkRemaining returns the fraction of recent set-up work that still counts after some time.
+// setupWorkRemaining returns the fraction of recent setup work that still counts after the elapsed time.
 func setupWorkRemaining(elapsed time.Duration) float64 {
 	return math.Exp(-float64(elapsed) / float64(setupWorkDecay))
 }
 
-// overloadRatio returns the rate of requested set-up work plus the demand, divided by the capacity.
+// overloadRatio returns the rate of requested setup work plus the demand, divided by the capacity.
 func (h *Host) overloadRatio() float64 {
 	rate := h.recentSetupWork * setupWorkRemaining(h.now-h.recentSetupWorkAt) / setupWorkDecay.Seconds()
 	return (rate + h.Demand()) / max(h.Capacity(), negligibleWork)
 }
 
-// seconds converts a number of seconds, bounded so that it can't overflow.
+// seconds converts a number of seconds to a duration, bounded by maxSeconds so that it can't overflow.
 func seconds(s float64) time.Duration {
 	return time.Duration(min(s, maxSeconds) * float64(time.Second))
 }
--- a/internal/fakeserver/capacity/spec.go
+++ b/internal/fakeserver/capacity/spec.go
@@ -1,9 +1,9 @@
-// Package capacity models what a host can do: the number and speed of its cores, the drifting load of established
-// connections, the cost of a connection group, set-ups that call a session store and then need work, slow start, and
-// the collapse of a cold host that is overloaded.
+// Package capacity models the capacity of a host: the number and speed of its cores, the drifting load of established
+// connections, the cost of a connection group, connection setups that call a session store and then need work, slow
+// start, and the collapse of a host that is overloaded during slow start.
 //
-// The model is a deterministic state machine. The caller passes in events and the time; the model returns what
-// happened. It uses no socket and no clock, so that servers on sockets and simulations in virtual time share it.
+// The model is a deterministic state machine. The caller passes in events and the time, and the model returns the
+// resulting events. It uses no sockets and no clock, so that fake servers and simulations in virtual time can share it.
 package capacity
 
 import (
@@ -11,24 +11,25 @@
 	"time"
 )
 
-// Spec describes a host. Work is in seconds of a core of speed 1, load is in such seconds per second.
+// Spec describes a host. Work is measured in seconds of a core of speed 1, and load in units of work per second.
 type Spec struct {
 	Cores             float64       // number of cores
 	Speed             float64       // speed of one core; 1 is the reference
 	ConnectionLoad    float64       // mean load of an established connection
 	LoadDrift         float64       // largest deviation of a load from its mean, as a fraction of the mean; 0 for none
 	GroupCost         float64       // load of each group with an established connection, in multiples of ConnectionLoad
-	SetupWork         float64       // work of one set-up
-	LineWork          float64       // work of one answered line
-	MaxConnections    int           // limit of connections, set-ups included; 0 for none
-	MaxSetups         int           // limit of concurrent set-ups; 0 for none
+	SetupWork         float64       // work of one connection setup
+	LineWork          float64       // work to answer one line
+	MaxConnections    int           // limit of connections, including those in setup; 0 for none
+	MaxSetups         int           // limit of concurrent setups; 0 for none
 	SlowStartFraction float64       // fraction of the capacity available at a cold start; 0 or 1 for no slow start
 	SlowStartDuration time.Duration // time from a cold start to the full capacity
-	CollapseMultiple  float64       // a cold host collapses when its load exceeds this multiple of its capacity ...
-	CollapseAfter     time.Duration // ... for this long; 0 for a host that never collapses
+	CollapseMultiple  float64       // in slow start, a host collapses when its load exceeds this multiple of its capacity
+	CollapseAfter     time.Duration // time above CollapseMultiple until the collapse; 0 for a host that never collapses
 }
 
-// Check validates the spec. It returns the configuration key of the first field that is out of range, with an error.
+// Check validates the spec. It returns an error for the first field that is out of range, and the field's configuration
+// key.
 func (s Spec) Check() (field string, err error) {
 	for _, f := range []struct {
 		name            string
--- a/internal/fakeserver/discovery_test.go
+++ b/internal/fakeserver/discovery_test.go
@@ -12,7 +12,7 @@
 	"onyxstream/internal/wire"
 )
 
-// discoveryClient calls a discovery service; its calls end with the test.
+// discoveryClient sends requests to a discovery service. The requests end with the test.
 type discoveryClient struct {
 	ctx    context.Context
 	client *http.Client
@@ -27,7 +27,7 @@
 	}
 }
 
-// get returns the body and the status of an answer, 0 where the connection was reset.
+// get sends a request and returns the body and the status of the response. The status is 0 if the connection was reset.
 func (c *discoveryClient) get(query string) (body *bufio.Reader, status int) {
 	request, _ := http.NewRequestWithContext(c.ctx, http.MethodGet, c.url+query, nil)
 	response, err := c.client.Do(request)
@@ -37,7 +37,7 @@
 	return bufio.NewReader(response.Body), response.StatusCode
 }
 
-// nextList reads the next list or update, past heartbeats; ended where the connection has ended.
+// nextList skips heartbeats and reads the next list or update. ended reports that the connection has ended.
 func nextList(t *testing.T, body *bufio.Reader) (list wire.EndpointList, ended bool) {
 	t.Helper()
 	for {
@@ -56,7 +56,7 @@
 	}
 }
 
-// expectList reads the next list or update, and checks its revision, completeness and number of endpoints.
+// expectList reads the next list or update and checks its revision, completeness and number of endpoints.
 func expectList(t *testing.T, body *bufio.Reader, revision int64, complete bool, endpoints int) {
 	t.Helper()
 	list, _ := nextList(t, body)
@@ -77,19 +77,19 @@
 	defer discovery.Close()
 	client := newDiscoveryClient(t, discovery)
 	watch, _ := client.get("?watch=1&after=41")
-	expectList(t, watch, 41, false, 0) // no changes yet
+	expectList(t, watch, 41, false, 0) // an empty update: nothing has changed yet
 	discovery.SetNotifyDelay(150 * time.Millisecond)
 	setAt := env.clock.Now()
 	discovery.Set(endpoint("a", wire.Draining))
 	discovery.SetNotifyDelay(0)
-	discovery.Set(endpoint("b", wire.Serving)) // is published after the change before it
+	discovery.Set(endpoint("b", wire.Serving)) // must be published after the previous, delayed change
 	list, _ := nextList(t, watch)
 	if now := env.clock.Now(); now < setAt+150*time.Millisecond {
-		t.Errorf("notified %v after the change, want at least 150 ms", now-setAt)
+		t.Errorf("update arrived %v after the change, want at least 150 ms", now-setAt)
 	}
 	for list.Revision < 43 {
 		if list.Complete || len(list.Endpoints) == 0 || list.Endpoints[0].Phase != wire.Draining {
-			t.Errorf("update %+v", list)
+			t.Errorf("update %+v, want the draining endpoint first", list)
 		}
 		list, _ = nextList(t, watch)
 	}
@@ -99,27 +99,27 @@
 	discovery.Set(endpoint("b", wire.Removed))
 	frozen, _ := client.get("")
 	if list, _ := nextList(t, frozen); list.Revision != 43 {
-		t.Errorf("a frozen list has revision %d", list.Revision)
+		t.Errorf("frozen list has revision %d, want 43", list.Revision)
 	}
 	discovery.SetFrozen(false)
 	if list, _ := nextList(t, watch); list.Revision != 44 || list.Endpoints[0].Phase != wire.Removed {
-		t.Errorf("update %+v", list)
+		t.Errorf("update %+v, want revision 44 with the removed endpoint", list)
 	}
 	discovery.Restart(7)
 	if _, ended := nextList(t, watch); !ended {
-		t.Error("a watch outlives the restart")
+		t.Error("the watch stays open after the restart")
 	}
-	watch, _ = client.get("?watch=1&after=44") // a revision before the restart: the complete list
+	watch, _ = client.get("?watch=1&after=44") // an unknown revision from before the restart gets the complete list
 	expectList(t, watch, 7, true, 1)
 	discovery.SetMode(ModeUnavailable)
 	if _, ended := nextList(t, watch); !ended {
-		t.Error("a watch outlives the failure")
+		t.Error("the watch stays open while the service is unavailable")
 	}
 	if _, status := client.get(""); status != http.StatusServiceUnavailable {
-		t.Errorf("status %d while unavailable", status)
+		t.Errorf("status %d while the service is unavailable, want 503", status)
 	}
 	discovery.SetMode(ModeReset)
 	if _, status := client.get(""); status != 0 {
-		t.Errorf("status %d while calls are reset", status)
+		t.Errorf("status %d while requests are reset, want a reset", status)
 	}
 }
--- a/internal/fakeserver/eventlog.go
+++ b/internal/fakeserver/eventlog.go
@@ -24,7 +24,7 @@
 	EventFault             = "fault"   // any source: a fault began or ended
 	EventListSent          = "told"    // discovery: sent a list or an update; the detail is the revision
 	EventDiscoveryRejected = "turned"  // discovery: rejected or reset a request; the detail is the reason
-	EventRequested         = "asked"   // discovery: received a list request or a watch, the detail is the URI; client: sent a request
+	EventRequested         = "asked"   // discovery: received a request, the detail is its URI; client: sent a request
 	EventReceived          = "heard"   // client: received a line; the detail is the line
 	EventDialed            = "dialled" // link: accepted a connection; the detail is "refused" if the link reset it
 	EventNodeHealthy       = "in"      // front: sends clients to the node
--- a/internal/fakeserver/frontend_test.go
+++ b/internal/fakeserver/frontend_test.go
@@ -18,7 +18,7 @@
 	}
 	for range 5 {
 		if node, ok := balancer.Pick("b"); !ok || node.Name != "nb" {
-			t.Errorf("picked %v for zone b", node)
+			t.Errorf("picked %v for zone b, want nb", node)
 		}
 	}
 	crashedAt := env.clock.Now()
@@ -32,9 +32,9 @@
 	eventually(t, "clients of zone b go to na", picksForB("na"))
 	events, _ := env.events.Events()
 	for _, event := range events {
-		// The delay counts from the last passed check, before the crash.
+		// The delay is counted from the last passed check, which precedes the crash.
 		if event.Kind == EventNodeUnhealthy && event.At < crashedAt+ejectAfter-4*healthCheckInterval {
-			t.Errorf("ejected %v after the crash", event.At-crashedAt)
+			t.Errorf("node ejected %v after the crash, want at least 200 ms minus four check intervals", event.At-crashedAt)
 		}
 	}
 	if err := hostB.Restart(); err != nil {
--- a/internal/fakeserver/helpers_test.go
+++ b/internal/fakeserver/helpers_test.go
@@ -15,10 +15,10 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// testTimeout bounds each connection and wait.
+// testTimeout bounds the life of each connection and each wait.
 const testTimeout = 20 * time.Second
 
-// fixture is the clock and the event log of a test.
+// fixture holds the clock and the event log of a test.
 type fixture struct {
 	t      *testing.T
 	clock  *Clock
@@ -30,7 +30,7 @@
 	return &fixture{t, clock, NewEventLog(clock)}
 }
 
-// host starts a host in zone a, after a change, and closes it after the test.
+// host starts a host in zone a and closes it after the test. change, if not nil, adjusts the configuration.
 func (env *fixture) host(id string, change func(*HostConfig)) *Host {
 	env.t.Helper()
 	config := HostConfig{
@@ -55,14 +55,14 @@
 	return env.events.Count(func(event Event) bool { return event.Kind == kind })
 }
 
-// testClient is a client's connection.
+// testClient is the connection of a client.
 type testClient struct {
 	t          *testing.T
 	connection *net.TCPConn
 	reader     *bufio.Reader
 }
 
-// dial connects and sends a line.
+// dial connects to addr and sends a line.
 func dial(t *testing.T, addr, line string) *testClient {
 	t.Helper()
 	connection, err := net.Dial("tcp", addr)
@@ -76,7 +76,7 @@
 	return client
 }
 
-// send writes a line.
+// send sends a line.
 func (c *testClient) send(line string) {
 	c.t.Helper()
 	if _, err := io.WriteString(c.connection, line+"\r\n"); err != nil {
@@ -84,7 +84,7 @@
 	}
 }
 
-// expect reads a line, which must have a prefix, and returns it.
+// expect reads a line, checks its prefix, and returns the line.
 func (c *testClient) expect(prefix string) string {
 	c.t.Helper()
 	line, err := c.reader.ReadString('\n')
@@ -94,22 +94,22 @@
 	return strings.TrimSpace(line)
 }
 
-// expectEnd waits for the end of the connection, without any further byte.
+// expectEnd waits for the end of the connection and checks that no further byte arrives.
 func (c *testClient) expectEnd() {
 	c.t.Helper()
 	rest, err := io.ReadAll(c.reader)
 	timedOut := err != nil && strings.Contains(err.Error(), "timeout")
 	if len(rest) > 0 || timedOut {
-		c.t.Fatalf("ended with %q, error %v", rest, err)
+		c.t.Fatalf("received %q, error %v; want the end of the connection", rest, err)
 	}
 }
 
-// eventually waits for a condition.
+// eventually waits until a condition holds.
 func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	for begin := time.Now(); !condition(); time.Sleep(5 * time.Millisecond) {
 		if time.Since(begin) > testTimeout {
-			t.Fatalf("never: %s", what)
+			t.Fatalf("condition not met before the timeout: %s", what)
 		}
 	}
 }
--- a/internal/fakeserver/host.go
+++ b/internal/fakeserver/host.go
@@ -15,28 +15,28 @@
 // HostConfig describes a fake host.
 type HostConfig struct {
 	ID, Zone          string
-	Listen            string // address; "" for any free port of 127.0.0.1
+	Listen            string // listen address; "" for any free port of 127.0.0.1
 	Spec              capacity.Spec
-	Store             *SharedSessionStore // nil for a store of its own that answers at once
+	Store             *SharedSessionStore // nil for a separate store without delay
 	Seed              uint64
 	StartsCold        bool          // the first start is a slow start
-	ReportsLoad       bool          // connections report their load by LOAD lines
-	AnswersStats      bool          // STATS is answered by a load report; else by NO
-	ResumeTimeout     time.Duration // how long a connection that its node reset can be resumed mid-flow; 0 for never
-	ObeysTestCommands bool          // lines that begin with testCommandPrefix are commands to the connection
+	ReportsLoad       bool          // the host reports the load of its connections in LOAD lines
+	AnswersStats      bool          // the host responds to STATS with a load report, otherwise with NO
+	ResumeTimeout     time.Duration // time in which a connection that its node reset can be resumed mid-flow; 0 for none
+	ObeysTestCommands bool          // the host executes lines that begin with testCommandPrefix
 }
 
 const (
 	maxQueuedTasks = 256
 	// microUnits converts loads and utilization to the integers in which they are stored and reported.
 	microUnits = 1e6
-	// idleWait is how long the loop waits while the model has nothing to do.
+	// idleWait is the timeout of the loop while no change of the model is due.
 	idleWait = time.Hour
 )
 
 // Host is a fake host. Its loop goroutine owns the capacity model and the state of all connections. The goroutines of
-// a connection post functions to the loop, and the loop queues lines for them without blocking. The methods are safe
-// for concurrent use.
+// a connection post tasks to the loop, and the loop queues lines for these goroutines without blocking. The methods are
+// safe for concurrent use.
 type Host struct {
 	config      HostConfig
 	clock       *Clock
@@ -44,8 +44,8 @@
 	tasks       chan func() // run by the loop
 	quit        chan struct{}
 	wg          sync.WaitGroup
-	lineLatency atomic.Int64                  // ns
-	utilization atomic.Uint64                 // in millionths
+	lineLatency atomic.Int64                  // of the capacity model, in ns
+	utilization atomic.Uint64                 // of the capacity model, in millionths
 	hangGate    atomic.Pointer[chan struct{}] // closed when the hang ends; nil while the host does not hang
 	addr        string
 
@@ -54,17 +54,17 @@
 	connections      map[*hostConnection]bool
 	sessions         map[string]*session
 	rng              *rand.Rand
-	receipts         int // given out so far
+	receipts         int // number of receipts issued so far
 	draining         bool
 	crashed          bool
 	restarted        bool
 	startedAt        time.Time
 	listener         net.Listener
-	hangEnd          chan struct{} // as hangGate
+	hangEnd          chan struct{} // the channel in hangGate
 	scriptedResponse func(line string) string
 }
 
-// NewHost starts a host; Close ends it. The log may be nil.
+// NewHost starts a host; Close stops it. events may be nil.
 func NewHost(config HostConfig, clock *Clock, events *EventLog) (*Host, error) {
 	if field, err := config.Spec.Check(); err != nil {
 		return nil, fmt.Errorf("host %s: %s: %w", config.ID, field, err)
@@ -98,7 +98,7 @@
 	return h, nil
 }
 
-// Close ends the host and resets its connections.
+// Close stops the host and resets its connections.
 func (h *Host) Close() {
 	h.runInLoop(h.crash)
 	select {
@@ -115,7 +115,8 @@
 // Addr returns the address at which the host listens.
 func (h *Host) Addr() string { return h.addr }
 
-// Endpoint returns the host's entry in the endpoint list. It has a start time if the last start was a slow start.
+// Endpoint returns the host's entry in the endpoint list. The entry has a start time if the last start was a slow
+// start.
 func (h *Host) Endpoint(phase wire.Phase) wire.Endpoint {
 	endpoint := wire.Endpoint{ID: h.config.ID, Addr: h.addr, Zone: h.config.Zone, Phase: phase, Size: 1}
 	h.runInLoop(func() {
@@ -128,18 +129,18 @@
 
 // HostState is a snapshot of a host's state.
 type HostState struct {
-	Established int // connections
-	Setups      int // in progress
-	Connections int // TCP connections
-	Capacity    float64
-	Demand      float64 // as Capacity, in cores of speed 1
+	Established int     // established connections
+	Setups      int     // connection setups in progress
+	Connections int     // open TCP connections
+	Capacity    float64 // in cores of speed 1
+	Demand      float64 // in cores of speed 1
 	Draining    bool
 	Crashed     bool
 	Hanging     bool
-	Collapsed   bool // by overload
+	Collapsed   bool // under overload
 }
 
-// State returns the present state.
+// State returns the current state.
 func (h *Host) State() (state HostState) {
 	h.runInLoop(func() {
 		state.Established, state.Setups = h.model.Counts()
@@ -154,7 +155,7 @@
 	return state
 }
 
-// runInLoop runs a function in the loop and waits for it. Once the host is closed it does nothing.
+// runInLoop runs a task in the loop and waits until it is done. Once the host is closed, runInLoop does nothing.
 func (h *Host) runInLoop(task func()) {
 	done := make(chan struct{})
 	posted := h.post(func() {
@@ -170,7 +171,7 @@
 	}
 }
 
-// post queues a function for the loop; false once the host is closed.
+// post queues a task for the loop. It returns false once the host is closed.
 func (h *Host) post(task func()) bool {
 	select {
 	case h.tasks <- task:
@@ -180,7 +181,8 @@
 	}
 }
 
-// loop advances the model when a change is due or a command comes, until the host is closed.
+// loop runs tasks, and advances the model before each task and whenever a change of the model is due, until the host is
+// closed.
 func (h *Host) loop() {
 	timer := time.NewTimer(idleWait)
 	defer timer.Stop()
@@ -202,7 +204,7 @@
 	}
 }
 
-// advance moves the model to the present and applies its events. It runs in the loop.
+// advance moves the model to the current time and applies the model's events. It runs in the loop.
 func (h *Host) advance() {
 	if h.crashed {
 		return
@@ -219,7 +221,7 @@
 	h.utilization.Store(uint64(h.model.Utilization() * microUnits))
 }
 
-// applyModelEvent applies an event of one connection.
+// applyModelEvent applies a model event to the session that it concerns.
 func (h *Host) applyModelEvent(event capacity.Event) {
 	s := h.sessions[event.ID]
 	switch {
@@ -231,7 +233,7 @@
 	}
 }
 
-// record adds an event of a connection.
+// record adds an event of a connection to the log.
 func (h *Host) record(kind string, opening wire.Opening, detail string) {
 	h.events.Add(Event{
 		Source: h.config.ID,
@@ -244,5 +246,5 @@
 	})
 }
 
-// recordFault adds an event of a fault that began or ended.
+// recordFault adds the start or the end of a fault to the log.
 func (h *Host) recordFault(detail string) { h.record(EventFault, wire.Opening{}, detail) }
--- a/internal/fakeserver/host_commands.go
+++ b/internal/fakeserver/host_commands.go
@@ -7,21 +7,22 @@
 	"strings"
 )
 
-// testCommandPrefix begins a line that commands a connection, at hosts that obey test commands.
+// testCommandPrefix is the prefix of a line that holds a test command, on hosts with HostConfig.ObeysTestCommands.
 const testCommandPrefix = "DO "
 
-// FloodLines is how many lines the command "flood" writes: more than the socket buffers on the path take.
+// FloodLines is the number of lines that the test command "flood" writes: more than fit into the socket buffers on the
+// path.
 const FloodLines = 20000
 
-// maxFloodPadding bounds the padding of a flood line.
+// maxFloodPadding bounds the padding of a flood line, in bytes.
 const maxFloodPadding = 1500
 
-// FloodLine returns line i of a flood, with its end.
+// FloodLine returns line i of a flood, including the line end.
 func FloodLine(i int) string {
 	return fmt.Sprintf("F %d %s\r\n", i, strings.Repeat("x", i%maxFloodPadding))
 }
 
-// runTestCommand runs a test's command; ended reports that it ends the connection.
+// runTestCommand executes a test command. ended reports that the command ends the connection.
 func (c *hostConnection) runTestCommand(command string) (ended bool, err error) {
 	switch command {
 	case "bye":
@@ -45,7 +46,7 @@
 func (c *hostConnection) flood() error {
 	w := bufio.NewWriter(c.tcp)
 	for i := range FloodLines {
-		_, _ = w.WriteString(FloodLine(i)) // Flush returns the error
+		_, _ = w.WriteString(FloodLine(i)) // Flush returns any error
 	}
 	return w.Flush()
 }
--- a/internal/fakeserver/host_connection.go
+++ b/internal/fakeserver/host_connection.go
@@ -15,31 +15,31 @@
 )
 
 const (
-	// maxOutgoing bounds the lines that wait to be written to a connection. One whose peer does not read is reset past
-	// it, as the loop must not block.
+	// maxOutgoing bounds the lines that wait to be written to a connection. The host resets a connection whose remote
+	// side does not read and whose queue is full, because the loop must not block.
 	maxOutgoing = 64
-	// maxLineBytes is the protocol's limit of a line, and its end.
+	// maxLineBytes is the protocol's maximum length of a line, including the line end.
 	maxLineBytes = wire.MaxLine + 2
 	readBuffer   = 512
 )
 
-// hostConnection is one TCP connection of a host, with a goroutine that reads and one that writes.
+// hostConnection is a TCP connection of a host. One goroutine reads from it and one writes to it.
 type hostConnection struct {
 	host      *Host
 	tcp       *net.TCPConn
 	outgoing  chan outgoingLine
 	closed    chan struct{}
 	closeOnce sync.Once
-	responded chan struct{} // closed when the opening is answered; further lines wait for it
+	responded chan struct{} // closed once the response to the opening line is written; later lines wait for it
 	session   *session      // owned by the host's loop
 }
 
 type outgoingLine struct {
 	text string
-	last bool // the connection is closed after it
+	last bool // the connection is closed after this line
 }
 
-// accept serves a listener until it is closed.
+// accept accepts and serves connections until the listener is closed.
 func (h *Host) accept(listener net.Listener) {
 	h.wg.Go(func() {
 		for {
@@ -64,7 +64,7 @@
 	})
 }
 
-// send queues a line without blocking; it resets a connection whose queue is full.
+// send queues a line without blocking. If the queue is full, it resets the connection.
 func (c *hostConnection) send(text string, last bool) {
 	select {
 	case c.outgoing <- outgoingLine{text, last}:
@@ -73,7 +73,7 @@
 	}
 }
 
-// sendReport queues a load report unless the queue is half full: a later report makes up for a lost one.
+// sendReport queues a load report, or drops it if the queue is half full, because a later report replaces it.
 func (c *hostConnection) sendReport(text string) {
 	if len(c.outgoing) < maxOutgoing/2 {
 		c.send(text, false)
@@ -115,7 +115,7 @@
 	}
 }
 
-// awaitHangEnd waits while the host hangs; false if the connection or the host is closed meanwhile.
+// awaitHangEnd waits while the host hangs. It returns false if the connection or the host is closed in the meantime.
 func (h *Host) awaitHangEnd(closed <-chan struct{}) bool {
 	for {
 		hangEnd := h.hangGate.Load()
@@ -132,7 +132,7 @@
 	}
 }
 
-// read registers the connection, serves it and reports its end to the loop.
+// read registers the connection with the loop, serves it, and reports its end to the loop.
 func (c *hostConnection) read() {
 	registered := false
 	c.host.runInLoop(func() {
@@ -151,7 +151,8 @@
 	c.close()
 }
 
-// serve answers health checks until an opening comes, and then serves the client; it returns why the connection ended.
+// serve responds to health checks until an opening line arrives, and then serves the client. It returns the error that
+// ended the connection, if any.
 func (c *hostConnection) serve() error {
 	reader := bufio.NewReaderSize(c.tcp, readBuffer)
 	for {
@@ -181,7 +182,7 @@
 	}
 }
 
-// answerHealthCheck answers PING or STATS.
+// answerHealthCheck responds to PING or STATS.
 func (c *hostConnection) answerHealthCheck(command string) error {
 	h := c.host
 	h.record(EventHealthCheck, wire.Opening{}, command)
@@ -197,14 +198,14 @@
 	return err
 }
 
-// sleepLineLatency sleeps for as long as a line takes at the present load.
+// sleepLineLatency sleeps for the time that the host takes to answer a line at its current load.
 func (h *Host) sleepLineLatency() {
 	if latency := time.Duration(h.lineLatency.Load()); latency > 0 {
 		time.Sleep(latency)
 	}
 }
 
-// echoLines answers each line of an open connection by itself, once the opening is answered.
+// echoLines echoes each line that follows the opening line, once the response to the opening line is written.
 func (c *hostConnection) echoLines(reader *bufio.Reader) error {
 	for {
 		line, err := readLine(reader)
@@ -233,7 +234,7 @@
 	}
 }
 
-// readLine reads one line with its end, or fails with wire.ErrTooLong past maxLineBytes.
+// readLine reads one line, including the line end. It fails with wire.ErrTooLong if the line exceeds maxLineBytes.
 func readLine(reader *bufio.Reader) (string, error) {
 	var line []byte
 	for {
--- a/internal/fakeserver/host_faults.go
+++ b/internal/fakeserver/host_faults.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// Hang stops all answers until Resume. Connections are accepted and the kernel takes their bytes meanwhile.
+// Hang stops all responses until Resume. While the host hangs, it accepts connections and the kernel receives their
+// bytes.
 func (h *Host) Hang() {
 	h.runInLoop(func() {
 		if h.hangEnd != nil {
@@ -22,7 +23,7 @@
 // Resume ends a hang.
 func (h *Host) Resume() { h.runInLoop(h.endHang) }
 
-// endHang ends a hang, if there is one. It runs in the loop.
+// endHang ends a hang if the host hangs. It runs in the loop.
 func (h *Host) endHang() {
 	if h.hangEnd == nil {
 		return
@@ -41,7 +42,8 @@
 	})
 }
 
-// SetStolenFraction gives a fraction of the cores to another program; 0 ends that.
+// SetStolenFraction takes a fraction of the cores away from the host, like another program on the machine; 0 restores
+// them.
 func (h *Host) SetStolenFraction(fraction float64) {
 	h.runInLoop(func() {
 		h.model.SetStolenFraction(fraction)
@@ -49,8 +51,9 @@
 	})
 }
 
-// Drain rejects new connections, and sends MOVE to the established ones one by one, in an order drawn from the seed,
-// spread over a period; a negative period keeps them. The discovery service is not notified.
+// Drain rejects new connections and sends MOVE to the established ones, one by one and evenly spread over a period, in
+// a random order that depends on the seed. With a negative period the established connections stay. The discovery
+// service is not notified.
 func (h *Host) Drain(period time.Duration) {
 	h.runInLoop(func() {
 		if h.draining || h.crashed {
@@ -83,7 +86,7 @@
 	}
 }
 
-// CancelDrain accepts new connections again; MOVEs that are scheduled are still sent.
+// CancelDrain accepts new connections again. MOVE lines that are already scheduled are still sent.
 func (h *Host) CancelDrain() {
 	h.runInLoop(func() {
 		h.draining = false
@@ -91,7 +94,8 @@
 	})
 }
 
-// Crash ends the host like a killed process, until Restart: connections are reset, new ones refused.
+// Crash stops the host until Restart, like a killed process: its connections are reset, and new connections get
+// "connection refused".
 func (h *Host) Crash() {
 	h.runInLoop(func() {
 		if !h.crashed {
@@ -117,7 +121,8 @@
 	h.sessions = map[string]*session{}
 }
 
-// Restart starts a crashed host again at its address, without connections, with a slow start if its spec has one.
+// Restart starts a crashed host again at the same address, without connections and with a slow start if its spec has
+// one.
 func (h *Host) Restart() error {
 	var err error
 	h.runInLoop(func() {
@@ -145,8 +150,9 @@
 	return nil
 }
 
-// SetResponse replaces the answers of the capacity model: each opening is answered by what the function returns for its
-// line, which ends with CRLF; "" sends nothing. nil restores the model. The function runs in the host's loop.
+// SetResponse replaces the responses of the capacity model. For each opening line, the host sends what the function
+// returns: a response that ends with CRLF, or "" to send nothing. A nil function restores the model. The function runs
+// in the host's loop.
 func (h *Host) SetResponse(response func(line string) string) {
 	h.runInLoop(func() { h.scriptedResponse = response })
 }
--- a/internal/fakeserver/host_session.go
+++ b/internal/fakeserver/host_session.go
@@ -10,16 +10,17 @@
 	"onyxstream/internal/wire"
 )
 
-// session is a client's connection in set-up or established. It outlives its TCP connection while it can be resumed.
+// session is the connection of a client, from its setup on. While it can be resumed mid-flow, it outlives its TCP
+// connection.
 type session struct {
 	opening     wire.Opening
 	receipt     string
 	connection  *hostConnection // nil while the session waits to be resumed
 	established bool
-	endTimer    *time.Timer // nil without a duration
+	endTimer    *time.Timer // nil if the client requested no duration
 }
 
-// open handles an OPEN whose last byte has been read. It runs in the loop.
+// open handles a complete opening line. It runs in the loop.
 func (h *Host) open(c *hostConnection, opening wire.Opening) {
 	h.record(EventOpened, opening, openingDetail(opening))
 	switch {
@@ -39,7 +40,7 @@
 	}
 }
 
-// openingDetail describes the flags and the timeout of an opening, for judges of the event log.
+// openingDetail returns the flags and the timeout of an opening line, for tests that check the event log.
 func openingDetail(opening wire.Opening) string {
 	var fields []string
 	addIf := func(set bool, field string) {
@@ -55,7 +56,8 @@
 	return strings.Join(fields, " ")
 }
 
-// sendScriptedResponse sends a test's reply, or nothing where it is empty; an UP establishes a session.
+// sendScriptedResponse sends the response that a test has set, or nothing if it is empty. The response UP establishes a
+// session.
 func (h *Host) sendScriptedResponse(c *hostConnection, opening wire.Opening, response string) {
 	if response == "" {
 		return
@@ -72,7 +74,8 @@
 	c.send(response, false)
 }
 
-// resumeSession attaches a connection to its established session, or resets it where there is none to resume.
+// resumeSession attaches a connection to the established session of its opening line. If no such session waits to be
+// resumed, it resets the connection.
 func (h *Host) resumeSession(c *hostConnection, opening wire.Opening) {
 	s := h.sessions[opening.ID]
 	if s == nil || !s.established || s.connection != nil {
@@ -86,7 +89,8 @@
 	c.send("UP "+s.receipt+"\r\n", false)
 }
 
-// beginSession establishes a session that was at this host before, or requests the set-up of a new one.
+// beginSession establishes a session at once if the client was connected to this host before, and otherwise requests
+// the setup of a new session.
 func (h *Host) beginSession(c *hostConnection, opening wire.Opening) {
 	s := &session{opening: opening, connection: c}
 	weight := 1.0
@@ -111,7 +115,7 @@
 	}
 }
 
-// establish notifies a session's node that it is established, and starts the timer of its duration.
+// establish marks a session as established, notifies its node, and starts the timer of its duration.
 func (h *Host) establish(s *session, load float64) {
 	s.established = true
 	h.receipts++
@@ -130,7 +134,7 @@
 	}
 }
 
-// loadLine is the report of a connection's load.
+// loadLine returns the line that reports the load of a connection.
 func loadLine(load float64) string {
 	return "LOAD " + strconv.FormatFloat(load*microUnits, 'f', 0, 64) + "\r\n"
 }
@@ -138,8 +142,8 @@
 // maxConnectionDuration bounds the duration that a client can request.
 const maxConnectionDuration = 30 * 24 * time.Hour
 
-// connectionDuration returns the requested duration of a connection, the parameter "life" in milliseconds of its
-// opening line, which nodes forward like other unknown parameters; 0 without one.
+// connectionDuration returns the duration of a connection that its opening line requests with the parameter "life", in
+// milliseconds, or 0 without a valid one. Nodes don't know the parameter and forward it like other unknown parameters.
 func connectionDuration(line string) time.Duration {
 	_, list, _ := strings.Cut(line, "life=")
 	value, _, _ := strings.Cut(list, ",")
@@ -150,7 +154,8 @@
 	return time.Duration(ms) * time.Millisecond
 }
 
-// endSession ends a session from the host's side by a last line. A host that hangs does so after the hang.
+// endSession sends a last line to a session and ends it. If the host hangs, that happens after the hang. It runs in the
+// loop.
 func (h *Host) endSession(s *session, kind, line string) {
 	if h.sessions[s.opening.ID] != s {
 		return
@@ -170,7 +175,7 @@
 	h.removeSession(s)
 }
 
-// removeSession forgets a session and its load.
+// removeSession removes a session and its load.
 func (h *Host) removeSession(s *session) {
 	if h.sessions[s.opening.ID] != s {
 		return
@@ -182,7 +187,7 @@
 	h.model.Remove(s.opening.ID)
 }
 
-// disconnected handles a connection that the peer has ended, or reset.
+// disconnected handles the end of a TCP connection. reset reports that the remote side reset it.
 func (h *Host) disconnected(c *hostConnection, reset bool) {
 	delete(h.connections, c)
 	s := c.session
@@ -202,7 +207,7 @@
 	}
 }
 
-// expireSession removes a session that was not resumed in time.
+// expireSession removes a session that was not resumed within HostConfig.ResumeTimeout.
 func (h *Host) expireSession(s *session) {
 	if s.connection == nil && h.sessions[s.opening.ID] == s {
 		h.record(EventDisconnected, s.opening, "parked and not taken up")
--- a/internal/fakeserver/host_test.go
+++ b/internal/fakeserver/host_test.go
@@ -17,7 +17,7 @@
 	})
 	client := dial(t, host.Addr(), "OPEN a key c=chat,t=acme,d=2000,life=50")
 	if receipt := client.expect("UP "); receipt != "UP h1-1" {
-		t.Errorf("receipt %q", receipt)
+		t.Errorf("response %q, want UP h1-1", receipt)
 	}
 	client.expect("LOAD ")
 	client.expect("BYE")
@@ -38,7 +38,7 @@
 	} {
 		if got := env.count(kind); got != want {
 			events, _ := env.events.Events()
-			t.Errorf("%d events %q, want %d, in %v", got, kind, want, events)
+			t.Errorf("%d events of kind %q, want %d, in %v", got, kind, want, events)
 		}
 	}
 }
@@ -59,7 +59,7 @@
 		client.expectEnd()
 	}
 	if n := env.count(EventMigrated); n != 8 {
-		t.Errorf("%d migrated", n)
+		t.Errorf("%d connections migrated, want 8", n)
 	}
 	host.CancelDrain()
 	client := dial(t, host.Addr(), "OPEN again key c=chat,t=acme,d=2000")
@@ -78,7 +78,7 @@
 	pending := dial(t, host.Addr(), "OPEN b key c=chat,t=acme,d=2000")
 	time.Sleep(100 * time.Millisecond)
 	if env.count(EventEnded) != 0 || env.count(EventOpened) != 1 {
-		t.Error("a hanging host reads or ends connections")
+		t.Error("a hanging host reads from connections or ends them")
 	}
 	host.Resume()
 	pending.expect("UP ")
@@ -106,16 +106,17 @@
 	}
 	state := host.State()
 	if state.Established != 0 || state.Crashed || state.Capacity > 0.31*warmCapacity {
-		t.Errorf("state %+v after the restart, warm capacity %g", state, warmCapacity)
+		t.Errorf("state %+v after the restart, want an empty host in slow start; capacity before %g", state, warmCapacity)
 	}
 	after := host.Endpoint(wire.Serving)
 	if before.StartedAtMS != 0 || after.StartedAtMS == 0 || after.Addr != before.Addr {
-		t.Errorf("endpoint %+v before, %+v after", before, after)
+		t.Errorf("endpoint %+v before the restart, %+v after it; want the same address and a start time", before, after)
 	}
 	dial(t, host.Addr(), "OPEN a key c=chat,t=acme,d=2000").expect("UP ")
 }
 
-// A connection that its node reset is resumed with its receipt, and reset where no session waits to be resumed.
+// A connection that its node reset is resumed with the same receipt. A mid-flow reconnect is reset if no session waits
+// to be resumed.
 func TestHost_MidFlowReconnect_ResumesSession(t *testing.T) {
 	env := newFixture(t)
 	host := env.host("h1", func(config *HostConfig) { config.ResumeTimeout = time.Hour })
@@ -126,11 +127,11 @@
 	eventually(t, "the host sees the reset", func() bool { return host.State().Connections == 0 })
 	resumed := dial(t, host.Addr(), "OPEN a key c=chat,t=acme,d=2000,mid=1")
 	if got := resumed.expect("UP "); got != receipt {
-		t.Errorf("resumed with %q, was %q", got, receipt)
+		t.Errorf("response %q after the reconnect, want %q as before", got, receipt)
 	}
 	resumed.send("M 1")
 	resumed.expect("M 1")
-	dial(t, host.Addr(), "OPEN a key c=chat,t=acme,d=2000,mid=1").expectEnd() // has a connection already
+	dial(t, host.Addr(), "OPEN a key c=chat,t=acme,d=2000,mid=1").expectEnd() // the session already has a connection
 	dial(t, host.Addr(), "OPEN other key c=chat,t=acme,d=2000,mid=1").expectEnd()
 	dial(t, host.Addr(), "OPEN stood key c=chat,t=acme,d=2000,at=h1").expect("UP ")
 	dial(t, host.Addr(), "OPEN stood2 key c=chat,t=acme,d=2000,at=h2").expect("ERR")
--- a/internal/fakeserver/link.go
+++ b/internal/fakeserver/link.go
@@ -17,23 +17,23 @@
 	BothDirections = ToTarget | FromTarget
 )
 
-// The indexes of the directions in Link's arrays: the bits of Direction.
+// The indexes of the directions in the arrays of Link. They are the bit numbers of Direction.
 const (
 	toTargetIndex = iota
 	fromTargetIndex
 	directionCount
 )
 
-// LinkFault is what a link does to one direction. The zero value passes everything on.
+// LinkFault is the set of faults that a link injects into one direction. The zero value forwards all bytes unchanged.
 type LinkFault struct {
 	Delay          time.Duration // added to every byte
 	BytesPerSecond int64         // 0 for no limit
-	Stall          bool          // bytes wait until the stall ends
-	Blackhole      bool          // bytes are taken and dropped
+	Stall          bool          // bytes are held back until the stall ends
+	Blackhole      bool          // bytes are read and dropped
 }
 
-// Link is a relay in front of one target that injects network faults. A connection that lost bytes in a blackhole is
-// reset when the blackhole ends, as by a machine that is back and does not know the connection. It is safe for
+// Link is a relay in front of one target that injects network faults. When a blackhole ends, the link resets each
+// connection that lost bytes in it, like a machine that has restarted and does not know the connection. It is safe for
 // concurrent use.
 type Link struct {
 	target   string // "unix:PATH", or host and port
@@ -44,7 +44,7 @@
 
 	mu          sync.Mutex
 	faults      [directionCount]LinkFault
-	changed     chan struct{} // closed and replaced at each change of faults, and at the close
+	changed     chan struct{} // closed and replaced when the faults change and when the link is closed
 	connections map[net.Conn]bool
 	lossy       [directionCount]map[net.Conn]bool // connections that lost bytes in a direction
 	rejecting   bool
@@ -54,8 +54,8 @@
 // NewLink starts a link to target on a free port of 127.0.0.1.
 func NewLink(target string) (*Link, error) { return NewLinkAt("127.0.0.1:0", target, "", nil) }
 
-// NewLinkAt starts a link that listens at an address. Both addresses are "unix:PATH", or host and port. Each accepted
-// connection is recorded in the log, which may be nil, with the link's name as the source.
+// NewLinkAt starts a link to target that listens at an address. Both addresses are "unix:PATH" or host and port. The
+// link records each accepted connection in the log, which may be nil, with its name as the source.
 func NewLinkAt(listen, target, name string, events *EventLog) (*Link, error) {
 	network, address := splitNetwork(listen)
 	listener, err := net.Listen(network, address)
@@ -79,7 +79,7 @@
 
 const unixPrefix = "unix:"
 
-// splitNetwork returns the network and the address for package net.
+// splitNetwork splits an address, "unix:PATH" or host and port, into a network and an address for package net.
 func splitNetwork(addr string) (network, address string) {
 	if path, ok := strings.CutPrefix(addr, unixPrefix); ok {
 		return "unix", path
@@ -96,10 +96,10 @@
 	return addr.String()
 }
 
-// Name returns the source of the link's events.
+// Name returns the name of the link, which is the source of its events.
 func (k *Link) Name() string { return k.name }
 
-// SetFault changes the faults of some directions.
+// SetFault changes the faults of one or both directions.
 func (k *Link) SetFault(direction Direction, change func(*LinkFault)) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -118,7 +118,7 @@
 	k.wakeRelays()
 }
 
-// wakeRelays wakes those that wait for a change of faults; mu is held.
+// wakeRelays wakes the goroutines that wait for a change of faults. The caller must hold mu.
 func (k *Link) wakeRelays() {
 	close(k.changed)
 	k.changed = make(chan struct{})
@@ -129,12 +129,12 @@
 	k.SetFault(BothDirections, func(f *LinkFault) { f.Delay = delay })
 }
 
-// SetBlackhole drops all bytes in both directions, or ends that.
+// SetBlackhole starts or stops dropping all bytes in both directions.
 func (k *Link) SetBlackhole(on bool) {
 	k.SetFault(BothDirections, func(f *LinkFault) { f.Blackhole = on })
 }
 
-// SetStalled stalls both directions, or ends that.
+// SetStalled starts or ends a stall of both directions.
 func (k *Link) SetStalled(on bool) {
 	k.SetFault(BothDirections, func(f *LinkFault) { f.Stall = on })
 }
@@ -144,7 +144,7 @@
 	k.SetFault(BothDirections, func(f *LinkFault) { f.BytesPerSecond = bytesPerSecond })
 }
 
-// SetRejecting resets each new connection, or ends that. Existing connections go on.
+// SetRejecting starts or stops resetting each new connection. Existing connections are not affected.
 func (k *Link) SetRejecting(on bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -160,7 +160,7 @@
 	}
 }
 
-// Close ends the link and its connections.
+// Close stops the link and resets its connections.
 func (k *Link) Close() {
 	_ = k.listener.Close()
 	k.mu.Lock()
@@ -171,7 +171,7 @@
 	k.wg.Wait()
 }
 
-// resetConnection closes a TCP connection with a RST; a Unix socket is closed.
+// resetConnection closes a TCP connection with a RST, and a Unix socket in the ordinary way.
 func resetConnection(connection net.Conn) {
 	if tcp, ok := connection.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
@@ -179,7 +179,8 @@
 	_ = connection.Close()
 }
 
-// register lets faults reach a connection; false if the link rejects it or is closed.
+// register adds a connection to those that faults apply to. It returns false if the link rejects connections or is
+// closed.
 func (k *Link) register(connection net.Conn) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -199,7 +200,7 @@
 	}
 }
 
-// markLossy notes that a connection lost bytes in a direction.
+// markLossy records that a connection lost bytes in a direction.
 func (k *Link) markLossy(direction int, connection net.Conn) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -208,12 +209,12 @@
 	}
 }
 
-// awaitStallEnd waits while a direction is stalled, and returns its faults; closed once the link is.
+// awaitStallEnd waits while a direction is stalled, and returns its faults. closed reports that the link is closed.
 func (k *Link) awaitStallEnd(direction int) (fault LinkFault, closed bool) {
 	return k.awaitFault(direction, func(f LinkFault) bool { return !f.Stall })
 }
 
-// awaitBlackholeEnd waits until a direction is no blackhole, or the link is closed.
+// awaitBlackholeEnd waits until the blackhole of a direction ends or the link is closed.
 func (k *Link) awaitBlackholeEnd(direction int) {
 	k.awaitFault(direction, func(f LinkFault) bool { return !f.Blackhole })
 }
--- a/internal/fakeserver/link_relay.go
+++ b/internal/fakeserver/link_relay.go
@@ -9,10 +9,10 @@
 )
 
 const (
-	// acceptRetryInterval is the pause after a failed accept, as when the process is out of descriptors.
+	// acceptRetryInterval is the pause after a failed accept, for example when the process has run out of descriptors.
 	acceptRetryInterval = 5 * time.Millisecond
 	chunkSize           = 16 << 10
-	// maxChunks bounds the chunks in flight in one direction of a connection; the writer waits past it.
+	// maxChunks bounds the chunks in flight in one direction of a connection. read blocks beyond it.
 	maxChunks = 64
 )
 
@@ -31,7 +31,7 @@
 	}
 }
 
-// relay connects a client to the target until either ends.
+// relay relays a client's connection to the target until both directions have ended.
 func (k *Link) relay(client net.Conn) {
 	registered := k.register(client)
 	detail := ""
@@ -59,10 +59,10 @@
 	_ = target.Close()
 }
 
-// chunk is bytes in flight.
+// chunk is a sequence of bytes in flight.
 type chunk struct {
 	bytes []byte
-	due   time.Time // when the delay of the link is over
+	due   time.Time // end of the link's delay
 }
 
 // stream is one direction of a relayed connection.
@@ -70,7 +70,7 @@
 	link      *Link
 	direction int
 	from, to  net.Conn
-	chunks    chan chunk // closed by the reader
+	chunks    chan chunk // closed by read
 	readErr   error      // valid once chunks is closed
 }
 
@@ -78,11 +78,11 @@
 	return &stream{link: link, direction: direction, from: from, to: to, chunks: make(chan chunk, maxChunks)}
 }
 
-// run carries the bytes of a direction and then its end: a FIN as a FIN, a reset as a reset.
+// run forwards the bytes of a direction and then the way in which it ended: a FIN as a FIN, a reset as a reset.
 func (s *stream) run() {
 	go s.read()
 	lossy, writeErr := s.write()
-	_ = s.from.SetReadDeadline(time.Now()) // ends the reader, which may be blocked
+	_ = s.from.SetReadDeadline(time.Now()) // unblocks read
 	for range s.chunks {
 	}
 	fault, closed := s.link.awaitStallEnd(s.direction)
@@ -97,7 +97,7 @@
 	resetConnection(s.to)
 }
 
-// read queues what comes from one side until it ends.
+// read queues the bytes from the sending side until its connection ends.
 func (s *stream) read() {
 	defer close(s.chunks)
 	for {
@@ -113,17 +113,17 @@
 	}
 }
 
-// delay returns the present delay of the direction.
+// delay returns the current delay of the direction.
 func (s *stream) delay() time.Duration {
 	s.link.mu.Lock()
 	defer s.link.mu.Unlock()
 	return s.link.faults[s.direction].Delay
 }
 
-// write passes the queued chunks on, subject to the faults of the link, until the queue ends, the link is closed, a
+// write forwards the queued chunks, subject to the faults of the link, until the queue is closed, the link is closed, a
 // blackhole that dropped bytes ends, or a write fails. lossy reports that bytes were dropped.
 func (s *stream) write() (lossy bool, err error) {
-	nextWrite := time.Now() // by the rate limit
+	nextWrite := time.Now() // earliest time that the rate limit allows
 	for queued := range s.chunks {
 		fault, closed := s.link.awaitStallEnd(s.direction)
 		if closed || lossy && !fault.Blackhole {
@@ -148,7 +148,7 @@
 	return lossy, nil
 }
 
-// transferTime returns how long a number of bytes takes at a rate.
+// transferTime returns the time to transfer a number of bytes at a rate.
 func transferTime(bytes int, bytesPerSecond int64) time.Duration {
 	return time.Duration(float64(bytes) / float64(bytesPerSecond) * float64(time.Second))
 }
--- a/internal/fakeserver/link_test.go
+++ b/internal/fakeserver/link_test.go
@@ -19,7 +19,7 @@
 	client := dial(t, link.Addr(), "OPEN a key c=chat,t=acme,d=2000")
 	client.expect("UP ")
 	if latency := time.Since(start); latency < 80*time.Millisecond {
-		t.Errorf("round trip in %v with a delay of 40 ms each way", latency)
+		t.Errorf("round trip took %v with a delay of 40 ms in each direction, want at least 80 ms", latency)
 	}
 	link.SetDelay(0)
 	link.SetStalled(true)
@@ -33,11 +33,11 @@
 		client.send(strings.Repeat("x", 500))
 		client.expect("x")
 	}
-	if took := time.Since(start); took < 150*time.Millisecond { // 50 ms after each line but the last
-		t.Errorf("2 kB in %v at 10 kB per second", took)
+	if took := time.Since(start); took < 150*time.Millisecond { // 50 ms after each line except the last
+		t.Errorf("2 kB took %v at 10 kB per second, want at least 150 ms", took)
 	}
 	link.SetRate(0)
-	link.SetFault(ToTarget, func(fault *LinkFault) { fault.Blackhole = true }) // the host's lines still come
+	link.SetFault(ToTarget, func(fault *LinkFault) { fault.Blackhole = true }) // the host's lines still arrive
 	client.send("M lost")
 	quiet := dial(t, link.Addr(), "OPEN b key c=chat,t=acme,d=2000")
 	host.Drain(0)
@@ -48,7 +48,7 @@
 	}
 	_ = quiet.connection.SetReadDeadline(time.Now().Add(testTimeout))
 	link.SetFault(ToTarget, func(fault *LinkFault) { fault.Blackhole = false })
-	quiet.expectEnd() // reset: its bytes were lost
+	quiet.expectEnd() // the link resets the connection because its bytes were lost
 	host.CancelDrain()
 	client = dial(t, link.Addr(), "OPEN c key c=chat,t=acme,d=2000")
 	client.expect("UP ")
--- a/internal/fakeserver/ping.go
+++ b/internal/fakeserver/ping.go
@@ -9,10 +9,10 @@
 	"time"
 )
 
-// ErrNotServing reports that a health check was answered by something other than PONG.
-var ErrNotServing = errors.New("PING was not answered by PONG")
+// ErrNotServing reports that the response to a health check was not PONG.
+var ErrNotServing = errors.New("response to PING is not PONG")
 
-// Ping runs one health check, a PING on a connection of its own, against addr. It fails after the timeout.
+// Ping runs one health check against addr: a PING on a new connection. It fails after the timeout.
 func Ping(ctx context.Context, addr string, timeout time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
--- a/internal/fakeserver/session_store.go
+++ b/internal/fakeserver/session_store.go
@@ -7,7 +7,7 @@
 	"onyxstream/internal/fakeserver/capacity"
 )
 
-// SharedSessionStore is a session store that several hosts call. It is safe for concurrent use.
+// SharedSessionStore is a session store that several hosts can share. It is safe for concurrent use.
 type SharedSessionStore struct {
 	mu    sync.Mutex
 	model capacity.SessionStore
@@ -18,21 +18,21 @@
 	return &SharedSessionStore{model: model}
 }
 
-// SetSlowFactor multiplies the duration of all calls by factor; 1 restores normal speed.
+// SetSlowFactor multiplies the duration of all store calls by factor; 1 restores normal speed.
 func (s *SharedSessionStore) SetSlowFactor(factor float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.model.SlowFactor = factor
 }
 
-// advance moves a host that calls the store to now.
+// advance advances the model of a host that uses the store to now.
 func (s *SharedSessionStore) advance(host *capacity.Host, now time.Duration) []capacity.Event {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return host.Advance(now)
 }
 
-// beginSetup requests a set-up at a host that calls the store.
+// beginSetup requests a connection setup at a host that uses the store.
 func (s *SharedSessionStore) beginSetup(
 	host *capacity.Host, now time.Duration, id, group string, weight float64,
 ) capacity.Admission {
--- a/internal/fakeserver/traffic.go
+++ b/internal/fakeserver/traffic.go
@@ -5,13 +5,13 @@
 	"sync/atomic"
 )
 
-// Traffic counts the TCP payload on a server's connections, without packet headers.
+// Traffic is the amount of TCP payload on a server's connections, without packet headers.
 type Traffic struct {
 	BytesIn, BytesOut       int64
-	MessagesIn, MessagesOut int64 // reads that returned data, and writes
+	MessagesIn, MessagesOut int64 // number of reads that returned data, and of writes
 }
 
-// Sub returns the traffic since an earlier reading.
+// Sub returns the traffic since an earlier measurement.
 func (t Traffic) Sub(earlier Traffic) Traffic {
 	return Traffic{
 		BytesIn:     t.BytesIn - earlier.BytesIn,
@@ -21,7 +21,7 @@
 	}
 }
 
-// meter counts traffic. It is safe for concurrent use.
+// meter counts the traffic of a server. It is safe for concurrent use.
 type meter struct{ bytesIn, bytesOut, messagesIn, messagesOut atomic.Int64 }
 
 func (m *meter) traffic() Traffic {
@@ -53,7 +53,7 @@
 	meter *meter
 }
 
-// Read counts the bytes that it returns.
+// Read reads and counts the bytes that it returns.
 func (c *meteredConn) Read(into []byte) (int, error) {
 	n, err := c.Conn.Read(into)
 	if n > 0 {
@@ -63,7 +63,7 @@
 	return n, err
 }
 
-// Write counts the bytes that were written.
+// Write writes and counts the bytes that were written.
 func (c *meteredConn) Write(from []byte) (int, error) {
 	n, err := c.Conn.Write(from)
 	if n > 0 {
