--- a/cmd/onyxstream/system_faults_test.go
+++ b/cmd/onyxstream/system_faults_test.go
@@ -37,7 +37,7 @@
 			{Call: faultinject.Connect, Probability: share, Errors: connectErrors},
 		}},
 		{"wait", []faultinject.Rule{
-			{Call: faultinject.Wait, Probability: share, Errors: interrupted},
+			{Call: faultinject.EpollWait, Probability: share, Errors: interrupted},
 		}},
 		{"interrupted", []faultinject.Rule{
 			{Call: faultinject.Read, Probability: share, Errors: interrupted, OnSockets: true},
@@ -77,10 +77,10 @@
 		calls = append(calls, rule.Call)
 	}
 	node, _ := startNodeWithHosts(t, nodeOptions{faults: &faultinject.Options{Calls: calls, Seed: 1}}, hosts...)
-	node.faults.Fail(rules...)
+	node.faults.SetRules(rules...)
 	const clients = 8
 	answers, missing := node.runLoad(clients, time.Second)
-	node.faults.Fail()
+	node.faults.SetRules()
 	t.Logf("while calls fail: %v", answers)
 	expectNoneMissing(t, missing)
 	for _, rule := range rules {
