--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -197,7 +197,7 @@
 	for _, delivery := range deliveries {
 		instance := a.followed[delivery.Instance.Name]
 		if instance == nil {
-			a.fleet.RecordAnswer(a.now(), delivery, control.Answer{}, errors.New("the instance is not in the inventory"))
+			a.fleet.RecordResponse(a.now(), delivery, control.Response{}, errors.New("the instance is not in the inventory"))
 			continue
 		}
 		a.wg.Go(func() { a.deliver(ctx, instance, delivery) })
--- a/internal/agent/follow.go
+++ b/internal/agent/follow.go
@@ -121,7 +121,7 @@
 func (a *Agent) deliver(ctx context.Context, instance *followedInstance, delivery fleet.Delivery) {
 	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
-	var answer control.Answer
+	var answer control.Response
 	err := instance.dialErr
 	if err == nil {
 		answer, err = instance.client.Do(ctx, delivery.Command)
@@ -132,7 +132,7 @@
 			zap.String("operation", delivery.Command.Operation),
 			zap.Error(err))
 	}
-	a.post(func() { a.fleet.RecordAnswer(a.now(), delivery, answer, err) })
+	a.post(func() { a.fleet.RecordResponse(a.now(), delivery, answer, err) })
 	select {
 	case instance.pollNow <- struct{}{}:
 	default: // requested already
--- a/internal/control/messages.go
+++ b/internal/control/messages.go
@@ -86,9 +86,9 @@
 	Rejected Verdict = "refused" // superseded by a command with a higher fence
 )
 
-// Answer is an instance's answer to a command. One start of an instance answers repeats of a command alike, also after
+// Response is an instance's answer to a command. One start of an instance answers repeats of a command alike, also after
 // later commands.
-type Answer struct {
+type Response struct {
 	Verdict     Verdict `json:"verdict"`
 	Reason      string  `json:"why,omitempty"`
 	Fence       uint64  `json:"fence"` // of the command in effect for the instance, or the host
--- a/internal/control/register.go
+++ b/internal/control/register.go
@@ -30,12 +30,12 @@
 
 type recordedAnswer struct {
 	command Command
-	answer  Answer
+	answer  Response
 }
 
 // Decision is what Accept decided on a command.
 type Decision struct {
-	Answer   Answer
+	Response Response
 	MustRun  bool   // the instance must carry the command out now
 	Rollback func() // forgets the command; only before the next call of the register, and where MustRun is set
 }
@@ -63,7 +63,7 @@
 		if recorded.command != c {
 			return Decision{}, fmt.Errorf("operation: %q was given with other contents before", c.Operation)
 		}
-		return Decision{Answer: recorded.answer}, nil
+		return Decision{Response: recorded.answer}, nil
 	}
 	current, known := r.scopes[c.Host]
 	switch {
@@ -72,21 +72,21 @@
 	case known && c.Fence == current.fence:
 		return Decision{}, fmt.Errorf("fence: %d is that of operation %q already", c.Fence, current.operation)
 	case known && c.Fence < current.fence:
-		answer := Answer{
+		answer := Response{
 			Verdict:     Rejected,
 			Reason:      fmt.Sprintf("superseded by operation %s: its fence %d is above %d", current.operation, current.fence, c.Fence),
 			Fence:       current.fence,
 			Incarnation: r.incarnation,
 		}
 		r.record(key, c, answer)
-		return Decision{Answer: answer}, nil
+		return Decision{Response: answer}, nil
 	}
 	r.scopes[c.Host] = scopeState{c.Operation, c.Fence, c.Kind}
-	answer := Answer{Verdict: Done, Fence: c.Fence, Incarnation: r.incarnation}
+	answer := Response{Verdict: Done, Fence: c.Fence, Incarnation: r.incarnation}
 	r.record(key, c, answer)
 	return Decision{
-		Answer:  answer,
-		MustRun: !known || current.kind != c.Kind || c.Kind == Drain, // a repeated drain may have another timeout
+		Response: answer,
+		MustRun:  !known || current.kind != c.Kind || c.Kind == Drain, // a repeated drain may have another timeout
 		Rollback: func() {
 			r.restore(c.Host, current, known)
 			delete(r.answers, key)
@@ -96,7 +96,7 @@
 }
 
 // record remembers an answer and forgets the oldest one past the limit.
-func (r *Register) record(key string, c Command, answer Answer) {
+func (r *Register) record(key string, c Command, answer Response) {
 	if len(r.answerOrder) >= maxAnswers {
 		delete(r.answers, r.answerOrder[0])
 		r.answerOrder = r.answerOrder[1:]
--- a/internal/control/register_test.go
+++ b/internal/control/register_test.go
@@ -14,7 +14,7 @@
 func TestRegister_RandomCommands_AppliesEachOnceInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := NewRegister("b")
-		first := map[string]Answer{}
+		first := map[string]Response{}
 		inEffect := map[string]uint64{}
 		for range rapid.IntRange(1, 60).Draw(t, "n") {
 			fence := rapid.Uint64Range(1, 12).Draw(t, "fence")
@@ -26,7 +26,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			a := decision.Answer
+			a := decision.Response
 			id := c.Operation + c.Host
 			previous, repeated := first[id]
 			switch {
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -162,22 +162,22 @@
 
 // Apply decides on a command and carries it out. An error means that it is invalid, or that the instance failed to apply
 // it; it is not in effect then.
-func (s *Server) Apply(command Command) (Answer, error) {
+func (s *Server) Apply(command Command) (Response, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	decision, err := s.register.Accept(command)
 	if err != nil {
-		return Answer{}, err
+		return Response{}, err
 	}
 	if !decision.MustRun {
-		return decision.Answer, nil
+		return decision.Response, nil
 	}
 	if err := s.instance.Apply(command); err != nil {
 		decision.Rollback()
-		return decision.Answer, err
+		return decision.Response, err
 	}
 	s.log.Info("command applied", append(commandFields(command), zap.Uint64("fence", command.Fence))...)
-	return decision.Answer, nil
+	return decision.Response, nil
 }
 
 // ApplyManual carries out a command without Operation and Fence, for callers that know neither.
--- a/internal/control/server_test.go
+++ b/internal/control/server_test.go
@@ -93,7 +93,7 @@
 	_, c := startServer(t, f)
 	cmd := Command{Operation: "o", Fence: 1, Kind: Drain, DrainTimeout: time.Second}
 	var wg sync.WaitGroup
-	answers := make(chan Answer, 20)
+	answers := make(chan Response, 20)
 	for range 20 {
 		wg.Go(func() {
 			a, err := c.Do(t.Context(), cmd)
@@ -106,7 +106,7 @@
 	wg.Wait()
 	close(answers)
 	for a := range answers {
-		if a != (Answer{Verdict: Done, Fence: 1, Incarnation: "boot"}) {
+		if a != (Response{Verdict: Done, Fence: 1, Incarnation: "boot"}) {
 			t.Errorf("answered %+v", a)
 		}
 	}
--- a/internal/fleet/delivery.go
+++ b/internal/fleet/delivery.go
@@ -6,7 +6,7 @@
 	"onyxstream/internal/control"
 )
 
-// Delivery is a command to send to an instance. RecordAnswer must follow each.
+// Delivery is a command to send to an instance. RecordResponse must follow each.
 type Delivery struct {
 	Instance Instance
 	Command  control.Command
@@ -60,9 +60,9 @@
 	return delay/2 + time.Duration(f.rng.Float64()*float64(delay/2))
 }
 
-// RecordAnswer records an instance's answer to a delivery. With an error no answer arrived: the instance may have applied
+// RecordResponse records an instance's answer to a delivery. With an error no answer arrived: the instance may have applied
 // the command or not.
-func (f *Fleet) RecordAnswer(now time.Duration, delivery Delivery, answer control.Answer, err error) {
+func (f *Fleet) RecordResponse(now time.Duration, delivery Delivery, answer control.Response, err error) {
 	f.advanceClock(now)
 	name, command := delivery.Instance.Name, delivery.Command
 	if current, ok := f.inFlight[name]; ok && current.Command == command {
@@ -94,7 +94,7 @@
 	}
 }
 
-func (f *Fleet) recordRedelivery(scope Scope, command control.Command, answer control.Answer, err error) {
+func (f *Fleet) recordRedelivery(scope Scope, command control.Command, answer control.Response, err error) {
 	pending := f.redeliveries[scope]
 	if pending == nil || f.desired[scope].Command != command {
 		return
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -34,7 +34,7 @@
 	_, deliveries, _ := f.Next(now)
 	for _, t := range deliveries {
 		delivered = append(delivered, t.Instance.Name+" "+string(t.Command.Kind))
-		f.RecordAnswer(now, t, control.Answer{Verdict: control.Done, Fence: t.Command.Fence, Incarnation: "1"}, nil)
+		f.RecordResponse(now, t, control.Response{Verdict: control.Done, Fence: t.Command.Fence, Incarnation: "1"}, nil)
 		f.Observe(now+1, now+1, t.Instance.Name, control.Status{Incarnation: "1", State: state, Fence: t.Command.Fence}, nil)
 	}
 	return delivered
--- a/internal/fleet/progress_test.go
+++ b/internal/fleet/progress_test.go
@@ -32,7 +32,7 @@
 			if delivery.Instance.Name != "a1" {
 				t.Fatalf("%s gets a command before a1", delivery.Instance.Name)
 			}
-			f.RecordAnswer(now, delivery, control.Answer{}, errors.New("connection refused"))
+			f.RecordResponse(now, delivery, control.Response{}, errors.New("connection refused"))
 		}
 	}
 	o, _ := f.Operation("d")
--- a/internal/fleet/simulation_test.go
+++ b/internal/fleet/simulation_test.go
@@ -159,7 +159,7 @@
 		sim.t.Fatalf("%v: %s has two commands in flight", sim.now, name)
 	}
 	requestDelay, answerDelay := sim.delays()
-	var answer control.Answer
+	var answer control.Response
 	err := errLost
 	deliver := func() {
 		if !x.up {
@@ -169,7 +169,7 @@
 		if invalid != nil {
 			sim.t.Fatalf("%v: %s rejects %+v: %v", sim.now, name, delivery.Command, invalid)
 		}
-		answer, err = decision.Answer, nil
+		answer, err = decision.Response, nil
 		if decision.MustRun {
 			x.apply(sim, delivery.Command)
 		}
@@ -189,7 +189,7 @@
 		if lost || x.partitioned {
 			err = errLost
 		}
-		sim.fleet.RecordAnswer(sim.now, delivery, answer, err)
+		sim.fleet.RecordResponse(sim.now, delivery, answer, err)
 	})
 }
 
--- a/internal/fleet/submit_test.go
+++ b/internal/fleet/submit_test.go
@@ -103,7 +103,7 @@
 	if got := deliverAll(f, 5, control.Serving); strings.Join(got, ", ") != "a2 resume" {
 		t.Errorf("while a command to a1 is in flight: %v", got)
 	}
-	f.RecordAnswer(6, deliveries[0], control.Answer{Verdict: control.Done, Fence: 1, Incarnation: "1"}, nil)
+	f.RecordResponse(6, deliveries[0], control.Response{Verdict: control.Done, Fence: 1, Incarnation: "1"}, nil)
 	if got := deliverAll(f, 7, control.Serving); strings.Join(got, ", ") != "a1 resume" {
 		t.Errorf("after its answer: %v", got)
 	}
--- a/internal/lifecycle/control.go
+++ b/internal/lifecycle/control.go
@@ -126,12 +126,12 @@
 		return nil
 	}
 	return &control.ListStatus{
-		State:           state.Phase.String(),
-		Source:          string(state.Source),
-		AgeSeconds:      state.Age.Seconds(),
-		Calls:           state.Calls,
-		Failed:          state.Failed,
-		NextCallSeconds: state.Next.Seconds(),
+		State:              state.Phase.String(),
+		Source:             string(state.Source),
+		AgeSeconds:         state.Age.Seconds(),
+		Requests:           state.Calls,
+		Failed:             state.Failed,
+		NextRequestSeconds: state.Next.Seconds(),
 	}
 }
 
--- a/internal/lifecycle/management.go
+++ b/internal/lifecycle/management.go
@@ -48,7 +48,7 @@
 		Concurrent: m.proxy.OpenClients(),
 	}
 	for _, replies := range m.proxy.Replies() {
-		stats.Replies = append(stats.Replies, management.Replies{
+		stats.FinalAnswers = append(stats.FinalAnswers, management.FinalAnswers{
 			Class:    replies.Class,
 			Success:  replies.Success,
 			Overload: replies.Rejected,
--- a/internal/lifecycle/management_test.go
+++ b/internal/lifecycle/management_test.go
@@ -70,7 +70,7 @@
 	if err := operations.Ready(); err != nil {
 		t.Error(err)
 	}
-	if stats := operations.Stats(); stats.Targets != 1 || len(stats.Replies) != 1 {
+	if stats := operations.Stats(); stats.Targets != 1 || len(stats.FinalAnswers) != 1 {
 		t.Errorf("the counters are %+v", stats)
 	}
 	if err := operations.DrainHost("h1"); !errors.Is(err, node.ErrLoopBusy) {
--- a/internal/management/call_test.go
+++ b/internal/management/call_test.go
@@ -53,7 +53,7 @@
 }
 
 func TestStatsText_Counters_OneLineEach(t *testing.T) {
-	f := Stats{Replies: []Replies{{"chat", 812, 3, 1}, {"push", 0, 0, 0}}, Dispatches: 820, Concurrent: 14, Targets: 9, Disabled: 2}
+	f := Stats{FinalAnswers: []FinalAnswers{{"chat", 812, 3, 1}, {"push", 0, 0, 0}}, Dispatches: 820, Concurrent: 14, Targets: 9, Disabled: 2}
 	want := "YES|svc.replies.chat.success=812|svc.replies.chat.overload=3|svc.replies.chat.error=1|" +
 		"svc.replies.push.success=0|svc.replies.push.overload=0|svc.replies.push.error=0|svc.dispatches=820|" +
 		"svc.concurrent=14|svc.targets=9|svc.targets_disabled=2|END|"
--- a/internal/management/server_test.go
+++ b/internal/management/server_test.go
@@ -39,8 +39,10 @@
 	return strings.Join(f.executed, ",")
 }
 
-func (f *fakeNode) Ready() error               { return f.err }
-func (f *fakeNode) Stats() Stats               { return Stats{Replies: []Replies{{Class: "chat", Success: 7}}} }
+func (f *fakeNode) Ready() error { return f.err }
+func (f *fakeNode) Stats() Stats {
+	return Stats{FinalAnswers: []FinalAnswers{{Class: "chat", Success: 7}}}
+}
 func (f *fakeNode) DrainHost(id string) error  { return f.record("drain-host " + id) }
 func (f *fakeNode) ResumeHost(id string) error { return f.record("resume-host " + id) }
 func (f *fakeNode) Drain() error               { return f.record("drain") }
--- a/internal/management/stats.go
+++ b/internal/management/stats.go
@@ -2,15 +2,15 @@
 
 import "strconv"
 
-// Replies counts the final answers to clients of one class.
-type Replies struct {
+// FinalAnswers counts the final answers to clients of one class.
+type FinalAnswers struct {
 	Class                    string
 	Success, Overload, Error uint64 // established, rejected, failed
 }
 
 // Stats are the counters of a node since the start of its process, and its gauges.
 type Stats struct {
-	Replies           []Replies
+	FinalAnswers      []FinalAnswers
 	Dispatches        uint64 // attempts completely written to hosts
 	Concurrent        int64  // client connections
 	Targets, Disabled int64  // hosts in the endpoint list, and those of them that the node avoids
@@ -26,7 +26,7 @@
 		text = strconv.AppendUint(text, value, 10)
 		text = append(text, "\r\n"...)
 	}
-	for _, replies := range s.Replies {
+	for _, replies := range s.FinalAnswers {
 		prefix := "replies." + replies.Class
 		add(prefix+".success", replies.Success)
 		add(prefix+".overload", replies.Overload)
