--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -20,7 +20,7 @@
 
 const (
 	maxCallers     = 1024 // concurrent connections of the command line
-	maxQueuedCalls = 1024 // of the loop
+	maxQueuedTasks = 1024 // of the loop
 )
 
 // Agent is one agent. Its loop owns the fleet. Requests to instances run in goroutines of their own, at most one for a
@@ -31,13 +31,13 @@
 	store *Store
 	keys  *pki.KeyStore // nil without TLS
 	start time.Time
-	calls chan func()   // to run in the loop
+	tasks chan func()   // to run in the loop
 	done  chan struct{} // closed when the loop ends
 	wg    sync.WaitGroup
 
 	// The fields below belong to the loop.
 	fleet          *fleet.Fleet
-	followed       map[string]*followedInstance // by name
+	polled         map[string]*polledInstance // by name
 	inventoryStamp string
 	watchers       map[chan struct{}]bool // notified of changes
 	waiters        []chan struct{}        // closed once the next step has saved its change
@@ -52,10 +52,10 @@
 		cfg:      cfg,
 		log:      log,
 		start:    time.Now(),
-		calls:    make(chan func(), maxQueuedCalls),
+		tasks:    make(chan func(), maxQueuedTasks),
 		done:     make(chan struct{}),
 		fleet:    fleet.New(fleet.DefaultConfig(), rand.Uint64()),
-		followed: map[string]*followedInstance{},
+		polled:   map[string]*polledInstance{},
 		watchers: map[chan struct{}]bool{},
 	}
 	var err error
@@ -144,7 +144,7 @@
 // post queues f to run in the loop. It returns false once the loop has ended.
 func (a *Agent) post(f func()) bool {
 	select {
-	case a.calls <- f:
+	case a.tasks <- f:
 		return true
 	case <-a.done:
 		return false
@@ -153,7 +153,7 @@
 
 func (a *Agent) loop(ctx context.Context) error {
 	defer close(a.done)
-	a.updateFollowed(ctx)
+	a.updatePolled(ctx)
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	inventoryCheck := time.NewTicker(inventoryCheckInterval)
@@ -171,10 +171,10 @@
 		select {
 		case <-ctx.Done():
 			return nil
-		case f := <-a.calls:
+		case f := <-a.tasks:
 			f()
-			for range len(a.calls) { // all queued calls share one step, and one write
-				(<-a.calls)()
+			for range len(a.tasks) { // all queued calls share one step, and one write
+				(<-a.tasks)()
 			}
 		case <-timer.C:
 		case <-inventoryCheck.C:
@@ -195,7 +195,7 @@
 		a.notifyWatchers()
 	}
 	for _, delivery := range deliveries {
-		instance := a.followed[delivery.Instance.Name]
+		instance := a.polled[delivery.Instance.Name]
 		if instance == nil {
 			a.fleet.RecordResponse(a.now(), delivery, control.Response{}, errors.New("the instance is not in the inventory"))
 			continue
--- a/internal/agent/inventory.go
+++ b/internal/agent/inventory.go
@@ -72,5 +72,5 @@
 		return
 	}
 	a.log.Info("inventory reloaded", zap.Int("instances", len(inventory.Instances)))
-	a.updateFollowed(ctx)
+	a.updatePolled(ctx)
 }
--- a/internal/agent/follow.go
+++ b/internal/agent/poll.go
@@ -25,8 +25,8 @@
 	maxPollBackoff     = 5
 )
 
-// followedInstance is an instance that is polled.
-type followedInstance struct {
+// polledInstance is an instance that is polled.
+type polledInstance struct {
 	fleet.Instance
 	client  *control.Client
 	dialErr error              // of an invalid address; client is nil then
@@ -34,29 +34,29 @@
 	pollNow chan struct{}      // skips the delay before the next poll
 }
 
-// updateFollowed starts to poll new instances and stops to poll removed ones. It runs in the loop.
-func (a *Agent) updateFollowed(ctx context.Context) {
+// updatePolled starts to poll new instances and stops to poll removed ones. It runs in the loop.
+func (a *Agent) updatePolled(ctx context.Context) {
 	listed := map[string]bool{}
 	for _, view := range a.fleet.Views(a.now()) {
 		listed[view.Name] = true
-		if instance := a.followed[view.Name]; instance != nil {
+		if instance := a.polled[view.Name]; instance != nil {
 			if instance.Addr == view.Addr {
 				continue
 			}
 			instance.cancel()
 		}
-		a.followed[view.Name] = a.startPolling(ctx, view.Instance)
+		a.polled[view.Name] = a.startPolling(ctx, view.Instance)
 	}
-	for name, instance := range a.followed {
+	for name, instance := range a.polled {
 		if !listed[name] {
 			instance.cancel()
-			delete(a.followed, name)
+			delete(a.polled, name)
 		}
 	}
 }
 
-func (a *Agent) startPolling(ctx context.Context, entry fleet.Instance) *followedInstance {
-	instance := &followedInstance{Instance: entry, pollNow: make(chan struct{}, 1)}
+func (a *Agent) startPolling(ctx context.Context, entry fleet.Instance) *polledInstance {
+	instance := &polledInstance{Instance: entry, pollNow: make(chan struct{}, 1)}
 	var cfg *tls.Config
 	if a.keys != nil {
 		cfg = a.keys.ClientConfig(entry.Name)
@@ -70,7 +70,7 @@
 
 // poll requests the status of an instance until ctx ends. Its delays have jitter, so that the requests to many instances
 // are spread.
-func (a *Agent) poll(ctx context.Context, instance *followedInstance) {
+func (a *Agent) poll(ctx context.Context, instance *polledInstance) {
 	if instance.client != nil {
 		defer instance.client.Close()
 	}
@@ -94,7 +94,7 @@
 			failures = 0
 		}
 		a.post(func() {
-			if a.followed[instance.Name] == instance {
+			if a.polled[instance.Name] == instance {
 				a.fleet.Observe(a.now(), requested, instance.Name, status, err)
 			}
 		})
@@ -104,27 +104,27 @@
 }
 
 // requestStatus returns the instance's status, or an error if another instance answers at its address.
-func (p *followedInstance) requestStatus(ctx context.Context) (control.Status, error) {
-	if p.dialErr != nil {
-		return control.Status{}, p.dialErr
+func (instance *polledInstance) requestStatus(ctx context.Context) (control.Status, error) {
+	if instance.dialErr != nil {
+		return control.Status{}, instance.dialErr
 	}
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
-	status, err := p.client.Status(ctx)
-	if err == nil && status.Name != p.Name {
-		err = fmt.Errorf("%q answers at %s", status.Name, p.Addr)
+	status, err := instance.client.Status(ctx)
+	if err == nil && status.Name != instance.Name {
+		err = fmt.Errorf("%q answers at %s", status.Name, instance.Addr)
 	}
 	return status, err
 }
 
 // deliver sends a command, records the answer and has the instance polled.
-func (a *Agent) deliver(ctx context.Context, instance *followedInstance, delivery fleet.Delivery) {
+func (a *Agent) deliver(ctx context.Context, instance *polledInstance, delivery fleet.Delivery) {
 	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
-	var answer control.Response
+	var response control.Response
 	err := instance.dialErr
 	if err == nil {
-		answer, err = instance.client.Do(ctx, delivery.Command)
+		response, err = instance.client.Do(ctx, delivery.Command)
 	}
 	if err != nil {
 		a.log.Info("command delivery failed",
@@ -132,7 +132,7 @@
 			zap.String("operation", delivery.Command.Operation),
 			zap.Error(err))
 	}
-	a.post(func() { a.fleet.RecordResponse(a.now(), delivery, answer, err) })
+	a.post(func() { a.fleet.RecordResponse(a.now(), delivery, response, err) })
 	select {
 	case instance.pollNow <- struct{}{}:
 	default: // requested already
--- a/internal/agent/serve.go
+++ b/internal/agent/serve.go
@@ -25,8 +25,8 @@
 // watchPollInterval bounds the delay of changes that are not saved, as of a status.
 const watchPollInterval = 200 * time.Millisecond
 
-// errEnded says that the loop has ended.
-var errEnded = errors.New("the agent is shutting down")
+// errShuttingDown says that the loop has ended.
+var errShuttingDown = errors.New("the agent is shutting down")
 
 // serve answers the command line by HTTP on the agent's socket until ctx ends.
 func (a *Agent) serve(ctx context.Context, listener control.Listener) error {
@@ -82,7 +82,7 @@
 	var result T
 	var err error
 	if !a.runInLoop(func() { result, err = call() }) {
-		control.WriteError(w, http.StatusServiceUnavailable, errEnded)
+		control.WriteError(w, http.StatusServiceUnavailable, errShuttingDown)
 		return
 	}
 	if err != nil {
--- a/internal/agent/stored_test.go
+++ b/internal/agent/stored_test.go
@@ -55,21 +55,21 @@
 
 func TestStoredOperations_FromEarlierRelease_AreReadAndWrittenAlike(t *testing.T) {
 	s := openFixture(t)
-	ops, holds, fence, err := s.Load()
+	operations, desired, fence, err := s.Load()
 	if err != nil {
 		t.Fatal(err)
 	}
-	op := fleet.Operation{Request: fleet.Request{ID: "op-1", Kind: control.HostDrain, Host: "host-a", Targets: []string{"n1", "n2"},
+	wantOperation := fleet.Operation{Request: fleet.Request{ID: "op-1", Kind: control.HostDrain, Host: "host-a", Targets: []string{"n1", "n2"},
 		Options: fleet.Options{WaveSize: 2, MaxUnavailable: 3, MaxUnavailablePerZone: 1, AllowEmptyZone: true, DrainTimeout: 20 * time.Second, RetryAfter: time.Second,
 			StepTimeout: 40 * time.Second, Deadline: time.Hour, OnFailure: "abort"}}, Fence: 7, State: fleet.Paused, Reason: "n2 is down",
 		Steps: map[string]*fleet.Step{"n1": {State: fleet.StepDone, Incarnation: "b1"}, "n2": {State: fleet.StepFailed, Reason: "is down"}}, Elapsed: 90 * time.Second}
-	hold := fleet.DesiredState{Scope: fleet.Scope{Instance: "n1", Host: "host-a"}, Command: control.Command{Operation: "op-1", Fence: 7,
+	wantDesired := fleet.DesiredState{Scope: fleet.Scope{Instance: "n1", Host: "host-a"}, Command: control.Command{Operation: "op-1", Fence: 7,
 		Kind: control.HostDrain, Host: "host-a", DrainTimeout: 20 * time.Second, RetryAfter: time.Second, AdmitFor: 2 * time.Second, KeepConnections: true, HostMustExist: true}}
 	unexported := cmpopts.IgnoreUnexported(fleet.Operation{}, fleet.Step{})
-	if diff := cmp.Diff([]fleet.Operation{op}, ops, unexported); diff != "" {
+	if diff := cmp.Diff([]fleet.Operation{wantOperation}, operations, unexported); diff != "" {
 		t.Error(diff)
 	}
-	if diff := cmp.Diff([]fleet.DesiredState{hold}, holds); diff != "" || fence != 7 {
+	if diff := cmp.Diff([]fleet.DesiredState{wantDesired}, desired); diff != "" || fence != 7 {
 		t.Errorf("fence %d, %s", fence, diff)
 	}
 	again, err := OpenStore(filepath.Join(t.TempDir(), "again.db"))
@@ -77,7 +77,7 @@
 		t.Fatal(err)
 	}
 	defer again.Close()
-	if err := again.Save(fleet.Change{Operations: ops, Desired: holds, Fence: fence}); err != nil {
+	if err := again.Save(fleet.Change{Operations: operations, Desired: desired, Fence: fence}); err != nil {
 		t.Fatal(err)
 	}
 	if diff := cmp.Diff(dump(t, s), dump(t, again)); diff != "" {
--- a/internal/cli/instances.go
+++ b/internal/cli/instances.go
@@ -91,7 +91,7 @@
 	case view.Status.Incarnation == "" || list == nil:
 		return "-"
 	case list.Source == "":
-		return fmt.Sprintf("none, %d calls", list.Requests)
+		return fmt.Sprintf("none, %d calls", list.ListRequests)
 	case list.AgeSeconds >= coldstart.UnknownAge.Seconds():
 		return fmt.Sprintf("%s (%s, age unknown)", list.State, list.Source)
 	}
--- a/internal/control/client.go
+++ b/internal/control/client.go
@@ -67,9 +67,9 @@
 }
 
 // Do sends a command and returns the instance's answer to it.
-func (c *Client) Do(ctx context.Context, command Command) (answer Response, err error) {
-	err = c.Call(ctx, http.MethodPost, "/v1/command", command, &answer)
-	return answer, err
+func (c *Client) Do(ctx context.Context, command Command) (response Response, err error) {
+	err = c.Call(ctx, http.MethodPost, "/v1/command", command, &response)
+	return response, err
 }
 
 // RemoteError is an error that the server answered with; the call itself succeeded.
--- a/internal/control/list.go
+++ b/internal/control/list.go
@@ -49,9 +49,9 @@
 
 // The bounds of a request for the list.
 const (
-	maxListWait         = 10 * time.Second
-	maxUnreachable      = 4096 // hosts
-	maxListRequestBytes = maxUnreachable * (maxNameLength + 4)
+	maxPeerListWait         = 10 * time.Second
+	maxUnreachable          = 4096 // hosts
+	maxPeerListRequestBytes = maxUnreachable * (maxNameLength + 4)
 	// minAgeAdvantage is how much younger than the caller's the list must be to be sent before the caller's timeout.
 	minAgeAdvantage = 500 * time.Millisecond
 )
@@ -65,8 +65,8 @@
 	IDs []string `json:"dead"`
 }
 
-// listQuery is what a caller has, and how long it waits for something newer.
-type listQuery struct {
+// peerListQuery is what a caller has, and how long it waits for something newer.
+type peerListQuery struct {
 	service           string
 	revision          int64
 	age               time.Duration
@@ -75,22 +75,22 @@
 	knownUnreachable  map[string]bool
 }
 
-// handleList answers a long poll for the endpoint list: at once if the instance's is newer than the caller's, otherwise
+// handlePeerList answers a long poll for the endpoint list: at once if the instance's is newer than the caller's, otherwise
 // once it is, or when the timeout is over. A caller that has the same revision gets its age alone.
-func (s *Server) handleList(w http.ResponseWriter, request *http.Request) {
+func (s *Server) handlePeerList(w http.ResponseWriter, request *http.Request) {
 	provider, ok := s.instance.(ListProvider)
 	if !ok {
 		WriteError(w, http.StatusNotFound, errors.New("this instance does not share its endpoint list"))
 		return
 	}
-	if !s.listSlots.tryAcquire() {
-		err := fmt.Errorf("too many list requests: %d are waiting", cap(s.listSlots))
+	if !s.peerListSlots.tryAcquire() {
+		err := fmt.Errorf("too many list requests: %d are waiting", cap(s.peerListSlots))
 		WriteError(w, http.StatusServiceUnavailable, err)
 		return
 	}
-	defer s.listSlots.release()
+	defer s.peerListSlots.release()
 	start := time.Now()
-	query, err := parseListQuery(w, request)
+	query, err := parsePeerListQuery(w, request)
 	if err != nil {
 		WriteError(w, http.StatusBadRequest, err)
 		return
@@ -106,7 +106,7 @@
 }
 
 // waitForList returns the list as soon as it is worth an answer. The error is errNoList or that of ctx.
-func waitForList(ctx context.Context, provider ListProvider, query listQuery, start time.Time) (*CachedList, error) {
+func waitForList(ctx context.Context, provider ListProvider, query peerListQuery, start time.Time) (*CachedList, error) {
 	timeout := time.NewTimer(query.timeout)
 	defer timeout.Stop()
 	for {
@@ -135,7 +135,7 @@
 
 // isOutdatedBy reports whether a list is newer than the caller's, has been confirmed later, or has other unreachable
 // hosts. The caller's has aged since start.
-func (q *listQuery) isOutdatedBy(list *CachedList, start, now time.Time) bool {
+func (q *peerListQuery) isOutdatedBy(list *CachedList, start, now time.Time) bool {
 	if list.List.Revision != q.revision {
 		return list.List.Revision > q.revision
 	}
@@ -168,16 +168,16 @@
 	WriteJSON(w, peerList)
 }
 
-func parseListQuery(w http.ResponseWriter, request *http.Request) (listQuery, error) {
+func parsePeerListQuery(w http.ResponseWriter, request *http.Request) (peerListQuery, error) {
 	values := request.URL.Query()
-	query := listQuery{
+	query := peerListQuery{
 		service:           values.Get("service"),
 		notifyUnreachable: request.Method == http.MethodPost,
 		knownUnreachable:  map[string]bool{},
 	}
 	if query.notifyUnreachable {
 		var known knownUnreachable
-		body := http.MaxBytesReader(w, request.Body, maxListRequestBytes)
+		body := http.MaxBytesReader(w, request.Body, maxPeerListRequestBytes)
 		if err := ReadJSON(body, &known); err != nil {
 			return query, fmt.Errorf("dead: %w", err)
 		}
@@ -194,7 +194,7 @@
 	if err != nil {
 		return query, err
 	}
-	query.timeout, err = parseMilliseconds(values, "within_ms", maxListWait)
+	query.timeout, err = parseMilliseconds(values, "within_ms", maxPeerListWait)
 	return query, err
 }
 
--- a/internal/control/list_test.go
+++ b/internal/control/list_test.go
@@ -134,7 +134,7 @@
 	path, c := startServer(t, h)
 	ctx, cancel := context.WithCancel(t.Context())
 	var wg sync.WaitGroup
-	for range minConns / listDivisor {
+	for range minConns / peerListDivisor {
 		wg.Go(func() {
 			client, err := Dial("unix:"+path, nil)
 			if err != nil {
@@ -143,7 +143,7 @@
 			}
 			defer client.Close()
 			for ctx.Err() == nil { // the test's own request may have taken the last slot for a moment
-				_, _, _ = client.List(ctx, "s", -1, 0, maxListWait, nil)
+				_, _, _ = client.List(ctx, "s", -1, 0, maxPeerListWait, nil)
 			}
 		})
 	}
@@ -153,7 +153,7 @@
 			break
 		}
 		if time.Since(start) > 10*time.Second {
-			t.Fatalf("%d requests wait, and one more: %v", minConns/listDivisor, err)
+			t.Fatalf("%d requests wait, and one more: %v", minConns/peerListDivisor, err)
 		}
 	}
 	if s, err := c.Status(t.Context()); err != nil || s.Name == "" {
--- a/internal/control/register.go
+++ b/internal/control/register.go
@@ -4,8 +4,8 @@
 
 // The bounds of a register.
 const (
-	maxScopes  = 1024 // the instance, and hosts with an override
-	maxAnswers = 4096 // answers that are remembered for repeated commands
+	maxScopes    = 1024 // the instance, and hosts with an override
+	maxResponses = 4096 // answers that are remembered for repeated commands
 )
 
 // errOverrideLimit is part of the management protocol: its text is also the answer to a line call.
@@ -16,8 +16,8 @@
 type Register struct {
 	incarnation    string
 	scopes         map[string]scopeState // by host; "" is the instance
-	answers        map[string]recordedAnswer
-	answerOrder    []string // keys of answers, the oldest first
+	responses      map[string]recordedResponse
+	responseOrder  []string // keys of answers, the oldest first
 	manualCommands uint64   // commands given to AcceptManual
 }
 
@@ -28,9 +28,9 @@
 	kind      CommandKind
 }
 
-type recordedAnswer struct {
-	command Command
-	answer  Response
+type recordedResponse struct {
+	command  Command
+	response Response
 }
 
 // Decision is what Accept decided on a command.
@@ -45,12 +45,12 @@
 	return &Register{
 		incarnation: incarnation,
 		scopes:      map[string]scopeState{},
-		answers:     map[string]recordedAnswer{},
+		responses:   map[string]recordedResponse{},
 	}
 }
 
-// answerKey identifies a command among the recorded answers.
-func answerKey(c Command) string { return c.Operation + "\x00" + c.Host }
+// responseKey identifies a command among the recorded answers.
+func responseKey(c Command) string { return c.Operation + "\x00" + c.Host }
 
 // Accept decides on a command. An error means that the command is invalid, reuses an operation or a fence with other
 // contents, or exceeds the number of hosts with an override.
@@ -58,12 +58,12 @@
 	if err := c.Check(); err != nil {
 		return Decision{}, err
 	}
-	key := answerKey(c)
-	if recorded, ok := r.answers[key]; ok {
+	key := responseKey(c)
+	if recorded, ok := r.responses[key]; ok {
 		if recorded.command != c {
 			return Decision{}, fmt.Errorf("operation: %q was given with other contents before", c.Operation)
 		}
-		return Decision{Response: recorded.answer}, nil
+		return Decision{Response: recorded.response}, nil
 	}
 	current, known := r.scopes[c.Host]
 	switch {
@@ -72,37 +72,37 @@
 	case known && c.Fence == current.fence:
 		return Decision{}, fmt.Errorf("fence: %d is that of operation %q already", c.Fence, current.operation)
 	case known && c.Fence < current.fence:
-		answer := Response{
+		response := Response{
 			Verdict:     Rejected,
 			Reason:      fmt.Sprintf("superseded by operation %s: its fence %d is above %d", current.operation, current.fence, c.Fence),
 			Fence:       current.fence,
 			Incarnation: r.incarnation,
 		}
-		r.record(key, c, answer)
-		return Decision{Response: answer}, nil
+		r.record(key, c, response)
+		return Decision{Response: response}, nil
 	}
 	r.scopes[c.Host] = scopeState{c.Operation, c.Fence, c.Kind}
-	answer := Response{Verdict: Done, Fence: c.Fence, Incarnation: r.incarnation}
-	r.record(key, c, answer)
+	response := Response{Verdict: Done, Fence: c.Fence, Incarnation: r.incarnation}
+	r.record(key, c, response)
 	return Decision{
-		Response: answer,
+		Response: response,
 		MustRun:  !known || current.kind != c.Kind || c.Kind == Drain, // a repeated drain may have another timeout
 		Rollback: func() {
 			r.restore(c.Host, current, known)
-			delete(r.answers, key)
-			r.answerOrder = r.answerOrder[:len(r.answerOrder)-1]
+			delete(r.responses, key)
+			r.responseOrder = r.responseOrder[:len(r.responseOrder)-1]
 		},
 	}, nil
 }
 
 // record remembers an answer and forgets the oldest one past the limit.
-func (r *Register) record(key string, c Command, answer Response) {
-	if len(r.answerOrder) >= maxAnswers {
-		delete(r.answers, r.answerOrder[0])
-		r.answerOrder = r.answerOrder[1:]
+func (r *Register) record(key string, c Command, response Response) {
+	if len(r.responseOrder) >= maxResponses {
+		delete(r.responses, r.responseOrder[0])
+		r.responseOrder = r.responseOrder[1:]
 	}
-	r.answers[key] = recordedAnswer{c, answer}
-	r.answerOrder = append(r.answerOrder, key)
+	r.responses[key] = recordedResponse{c, response}
+	r.responseOrder = append(r.responseOrder, key)
 }
 
 // AcceptManual completes a command of a caller that knows neither operations nor fences, and puts it in effect after all
--- a/internal/control/register_test.go
+++ b/internal/control/register_test.go
@@ -68,7 +68,7 @@
 			t.Errorf("%+v: must run %v, error %v, want %s", c.command, decision.MustRun, err, c.want)
 		}
 	}
-	for i := range 3 * maxAnswers {
+	for i := range 3 * maxResponses {
 		if _, err := r.Accept(Command{Operation: fmt.Sprint(i), Fence: uint64(i + 10), Kind: Drain}); err != nil {
 			t.Fatal(err)
 		}
@@ -79,7 +79,7 @@
 			t.Fatal("the number of hosts with an override is not bounded")
 		}
 	}
-	if len(r.answers) > maxAnswers || len(r.scopes) > maxScopes {
-		t.Errorf("%d answers and %d scopes are stored", len(r.answers), len(r.scopes))
+	if len(r.responses) > maxResponses || len(r.scopes) > maxScopes {
+		t.Errorf("%d answers and %d scopes are stored", len(r.responses), len(r.scopes))
 	}
 }
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -42,8 +42,8 @@
 // The part of a listener's connections that status streams and waiting list requests may use, one in so many; the rest
 // is for short calls.
 const (
-	watchDivisor = 4
-	listDivisor  = 2
+	watchDivisor    = 4
+	peerListDivisor = 2
 )
 
 // Server answers on the control listeners of one incarnation of an instance.
@@ -52,21 +52,21 @@
 	log         *zap.Logger
 	incarnation string
 
-	mu         sync.Mutex // serializes commands, from the decision to its end
-	register   *Register
-	watchSlots semaphore
-	listSlots  semaphore
+	mu            sync.Mutex // serializes commands, from the decision to its end
+	register      *Register
+	watchSlots    semaphore
+	peerListSlots semaphore
 }
 
 // NewServer makes a server for one incarnation of an instance, with listeners of conns connections each.
 func NewServer(instance Instance, incarnation string, conns int, log *zap.Logger) *Server {
 	return &Server{
-		instance:    instance,
-		log:         log,
-		incarnation: incarnation,
-		register:    NewRegister(incarnation),
-		watchSlots:  make(semaphore, conns/watchDivisor),
-		listSlots:   make(semaphore, conns/listDivisor),
+		instance:      instance,
+		log:           log,
+		incarnation:   incarnation,
+		register:      NewRegister(incarnation),
+		watchSlots:    make(semaphore, conns/watchDivisor),
+		peerListSlots: make(semaphore, conns/peerListDivisor),
 	}
 }
 
@@ -131,8 +131,8 @@
 	}
 	handle("GET /v1/status", Viewer, func(w http.ResponseWriter, _ *http.Request) { WriteJSON(w, s.status()) })
 	handle("GET /v1/watch", Viewer, s.handleWatch)
-	handle("GET /v1/list", Viewer, s.handleList)
-	handle("POST /v1/list", Viewer, s.handleList) // with the unreachable hosts that the caller knows
+	handle("GET /v1/list", Viewer, s.handlePeerList)
+	handle("POST /v1/list", Viewer, s.handlePeerList) // with the unreachable hosts that the caller knows
 	handle("POST /v1/command", Operator, s.handleCommand)
 	return mux
 }
@@ -152,12 +152,12 @@
 		WriteError(w, http.StatusBadRequest, err)
 		return
 	}
-	answer, err := s.Apply(command)
+	response, err := s.Apply(command)
 	if err != nil {
 		WriteError(w, http.StatusConflict, err)
 		return
 	}
-	WriteJSON(w, answer)
+	WriteJSON(w, response)
 }
 
 // Apply decides on a command and carries it out. An error means that it is invalid, or that the instance failed to apply
--- a/internal/control/server_test.go
+++ b/internal/control/server_test.go
@@ -241,8 +241,8 @@
 	if operation, fence := s.register.Current(); operation != "next" || fence != 6 {
 		t.Errorf("%s with fence %d is in effect", operation, fence)
 	}
-	if places, answers := len(s.register.answerOrder), len(s.register.answers); places != answers {
-		t.Errorf("%d places for %d answers", places, answers)
+	if places, responses := len(s.register.responseOrder), len(s.register.responses); places != responses {
+		t.Errorf("%d places for %d answers", places, responses)
 	}
 	f.applyErr = nil
 	apply("last", 7, Resume, Done)
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -39,12 +39,12 @@
 
 // ListStatus says where an instance with cold start has its endpoint list from.
 type ListStatus struct {
-	State              string  `json:"state"`            // none, old or current
-	Source             string  `json:"source,omitempty"` // file, folder, peer or service
-	AgeSeconds         float64 `json:"age_s"`            // since the list service sent or confirmed it
-	Requests           int     `json:"calls"`            // to the list service
-	Failed             int     `json:"failed"`           // calls that failed or broke off
-	NextRequestSeconds float64 `json:"next_call_s"`      // 0 where none is planned
+	State                  string  `json:"state"`            // none, old or current
+	Source                 string  `json:"source,omitempty"` // file, folder, peer or service
+	AgeSeconds             float64 `json:"age_s"`            // since the list service sent or confirmed it
+	ListRequests           int     `json:"calls"`            // to the list service
+	Failed                 int     `json:"failed"`           // calls that failed or broke off
+	NextListRequestSeconds float64 `json:"next_call_s"`      // 0 where none is planned
 }
 
 // AbandonedRequests counts the requests that were rejected or failed for one reason.
--- a/internal/fleet/delivery.go
+++ b/internal/fleet/delivery.go
@@ -62,13 +62,13 @@
 
 // RecordResponse records an instance's answer to a delivery. With an error no answer arrived: the instance may have applied
 // the command or not.
-func (f *Fleet) RecordResponse(now time.Duration, delivery Delivery, answer control.Response, err error) {
+func (f *Fleet) RecordResponse(now time.Duration, delivery Delivery, response control.Response, err error) {
 	f.advanceClock(now)
 	name, command := delivery.Instance.Name, delivery.Command
 	if current, ok := f.inFlight[name]; ok && current.Command == command {
 		delete(f.inFlight, name)
 	}
-	f.recordRedelivery(Scope{name, command.Host}, command, answer, err)
+	f.recordRedelivery(Scope{name, command.Host}, command, response, err)
 	if observation := f.observations[name]; observation != nil && err != nil {
 		observation.LastError = err.Error()
 	}
@@ -85,16 +85,16 @@
 		step.attempts++
 		step.retryAt = f.now + f.backoff(step.attempts)
 		step.Reason = err.Error()
-	case answer.Verdict == control.Rejected:
+	case response.Verdict == control.Rejected:
 		f.withdraw(o, name)
-		f.updateStep(o, step, StepSuperseded, answer.Reason)
+		f.updateStep(o, step, StepSuperseded, response.Reason)
 	default:
-		step.Incarnation = answer.Incarnation
+		step.Incarnation = response.Incarnation
 		f.updateStep(o, step, StepAccepted, "")
 	}
 }
 
-func (f *Fleet) recordRedelivery(scope Scope, command control.Command, answer control.Response, err error) {
+func (f *Fleet) recordRedelivery(scope Scope, command control.Command, response control.Response, err error) {
 	pending := f.redeliveries[scope]
 	if pending == nil || f.desired[scope].Command != command {
 		return
@@ -104,6 +104,6 @@
 		pending.notBefore = f.now + f.backoff(pending.attempts)
 		return
 	}
-	pending.deliveredTo = answer.Incarnation
+	pending.deliveredTo = response.Incarnation
 	pending.attempts = 0
 }
--- a/internal/fleet/desired.go
+++ b/internal/fleet/desired.go
@@ -87,7 +87,7 @@
 		if observation == nil || observation.Reachability != Up {
 			continue
 		}
-		if f.hasCommandInFlight(scope.Instance) || f.isFollowed(state) {
+		if f.hasCommandInFlight(scope.Instance) || f.hasUnfinishedStep(state) {
 			continue
 		}
 		pending := f.redeliveryOf(state)
@@ -123,8 +123,8 @@
 	return pending
 }
 
-// isFollowed reports whether a step that has not ended still delivers the command.
-func (f *Fleet) isFollowed(state DesiredState) bool {
+// hasUnfinishedStep reports whether a step that has not ended still delivers the command.
+func (f *Fleet) hasUnfinishedStep(state DesiredState) bool {
 	step := f.stepOf(state)
 	return step != nil && !step.State.Ended()
 }
--- a/internal/fleet/simulation_test.go
+++ b/internal/fleet/simulation_test.go
@@ -114,21 +114,21 @@
 func (sim *simulation) poll(name string) {
 	x := sim.instances[name]
 	agentIncarnation, requested := sim.agentIncarnation, sim.now
-	requestDelay, answerDelay := sim.delays()
+	requestDelay, responseDelay := sim.delays()
 	if !sim.isLost() && x.up && !x.partitioned {
 		sim.schedule(requestDelay, func() {
 			if !x.up {
 				return
 			}
 			status := x.status(sim.now)
-			sim.schedule(answerDelay, func() {
+			sim.schedule(responseDelay, func() {
 				if agentIncarnation == sim.agentIncarnation && !x.partitioned {
 					sim.fleet.Observe(sim.now, requested, name, status, nil)
 				}
 			})
 		})
 	} else {
-		sim.schedule(requestDelay+answerDelay, func() {
+		sim.schedule(requestDelay+responseDelay, func() {
 			if agentIncarnation == sim.agentIncarnation {
 				sim.fleet.Observe(sim.now, requested, name, control.Status{}, errLost)
 			}
@@ -138,7 +138,7 @@
 }
 
 // delays returns the delays of a request and its answer: mostly short, at times seconds.
-func (sim *simulation) delays() (request, answer time.Duration) {
+func (sim *simulation) delays() (request, response time.Duration) {
 	one := func() time.Duration {
 		if !sim.reliable && sim.rng.IntN(20) == 0 {
 			return time.Duration(sim.rng.Int64N(4e9))
@@ -159,7 +159,7 @@
 		sim.t.Fatalf("%v: %s has two commands in flight", sim.now, name)
 	}
 	requestDelay, answerDelay := sim.delays()
-	var answer control.Response
+	var response control.Response
 	err := errLost
 	deliver := func() {
 		if !x.up {
@@ -169,7 +169,7 @@
 		if invalid != nil {
 			sim.t.Fatalf("%v: %s rejects %+v: %v", sim.now, name, delivery.Command, invalid)
 		}
-		answer, err = decision.Response, nil
+		response, err = decision.Response, nil
 		if decision.MustRun {
 			x.apply(sim, delivery.Command)
 		}
@@ -189,7 +189,7 @@
 		if lost || x.partitioned {
 			err = errLost
 		}
-		sim.fleet.RecordResponse(sim.now, delivery, answer, err)
+		sim.fleet.RecordResponse(sim.now, delivery, response, err)
 	})
 }
 
--- a/internal/lifecycle/control.go
+++ b/internal/lifecycle/control.go
@@ -126,12 +126,12 @@
 		return nil
 	}
 	return &control.ListStatus{
-		State:              state.Phase.String(),
-		Source:             string(state.Source),
-		AgeSeconds:         state.Age.Seconds(),
-		Requests:           state.Calls,
-		Failed:             state.Failed,
-		NextRequestSeconds: state.Next.Seconds(),
+		State:                  state.Phase.String(),
+		Source:                 string(state.Source),
+		AgeSeconds:             state.Age.Seconds(),
+		ListRequests:           state.Calls,
+		Failed:                 state.Failed,
+		NextListRequestSeconds: state.Next.Seconds(),
 	}
 }
 
--- a/internal/management/call.go
+++ b/internal/management/call.go
@@ -78,8 +78,8 @@
 // isNotPlainText reports whether a rune is outside printable ASCII.
 func isNotPlainText(r rune) bool { return r < ' ' || r > '~' }
 
-// formatAnswer returns the line for a call that was carried out, or failed with an error.
-func formatAnswer(err error) string {
+// formatReply returns the line for a call that was carried out, or failed with an error.
+func formatReply(err error) string {
 	if err == nil {
 		return "YES\r\n"
 	}
--- a/internal/management/call_test.go
+++ b/internal/management/call_test.go
@@ -46,7 +46,7 @@
 		if (c.Host != "") != (err == nil && (c.Kind == DrainHost || c.Kind == ResumeHost)) {
 			t.Errorf("%q is read as %+v, %v", line, c, err)
 		}
-		if a := formatAnswer(err); strings.Count(a, "\n") != 1 || strings.Count(a, "\r") != 1 || !strings.HasPrefix(a, "YES") && !strings.HasPrefix(a, "NO ") {
+		if a := formatReply(err); strings.Count(a, "\n") != 1 || strings.Count(a, "\r") != 1 || !strings.HasPrefix(a, "YES") && !strings.HasPrefix(a, "NO ") {
 			t.Errorf("%q is answered %q", line, a)
 		}
 	})
--- a/internal/management/server.go
+++ b/internal/management/server.go
@@ -144,11 +144,11 @@
 		defer s.mu.Unlock()
 		s.callers.Remove(c.element) // no effect for an evicted caller
 	}()
-	s.answer(c)
+	s.reply(c)
 }
 
-// answer reads a call, executes it and writes the answer.
-func (s *Server) answer(c *caller) {
+// reply reads a call, executes it and writes the reply.
+func (s *Server) reply(c *caller) {
 	line, err := readLine(c, c.since.Add(lineTimeout))
 	if err != nil && line == "" {
 		return
@@ -156,19 +156,19 @@
 	s.mu.Lock()
 	c.executing = true
 	s.mu.Unlock()
-	var answer []byte
+	var reply []byte
 	if err == nil {
-		answer, err = s.execute(line)
+		reply, err = s.execute(line)
 	}
-	if answer == nil {
-		answer = []byte(formatAnswer(err))
+	if reply == nil {
+		reply = []byte(formatReply(err))
 	}
 	s.mu.Lock()
 	c.executing = false
 	c.since = time.Now()
 	s.mu.Unlock()
 	_ = c.SetWriteDeadline(time.Now().Add(writeTimeout))
-	if _, err := c.Write(answer); err != nil {
+	if _, err := c.Write(reply); err != nil {
 		return
 	}
 	lingerClose(c.Conn)
