--- a/internal/control/accept.go
+++ b/internal/control/accept.go
@@ -8,30 +8,30 @@
 	"go.uber.org/zap"
 )
 
-// acceptRetryDelay is the delay after a failed accept.
+// acceptRetryDelay is the delay between a failed accept and the next.
 const acceptRetryDelay = 20 * time.Millisecond
 
-// retryingListener retries a failed accept. http.Server would return after most errors.
+// retryingListener retries a failed accept, because http.Server.Serve returns on most accept errors.
 type retryingListener struct {
 	net.Listener
 	log    *zap.Logger
 	closed chan struct{}
 }
 
-// RetryAccept returns a listener whose Accept fails only once it is closed. An accept that fails for lack of descriptors
-// or memory, or because of the connection itself, is retried.
+// RetryAccept wraps a listener so that Accept fails only after Close. It logs and retries all other errors, for example
+// a lack of file descriptors or memory, or a connection that was aborted before the accept.
 func RetryAccept(l net.Listener, log *zap.Logger) net.Listener {
 	return &retryingListener{l, log, make(chan struct{})}
 }
 
-// Accept waits for a connection.
+// Accept waits for the next connection and retries after errors.
 func (l *retryingListener) Accept() (net.Conn, error) {
 	for {
 		conn, err := l.Listener.Accept()
 		if err == nil || errors.Is(err, net.ErrClosed) {
 			return conn, err
 		}
-		l.log.Info("control connection not accepted, retrying", zap.Error(err))
+		l.log.Info("accept on the control listener failed, retrying", zap.Error(err))
 		select {
 		case <-time.After(acceptRetryDelay):
 		case <-l.closed:
@@ -40,7 +40,7 @@
 	}
 }
 
-// Close ends Accept. It must be called once only, as http.Server does.
+// Close closes the listener and ends Accept. It must be called only once; http.Server does so.
 func (l *retryingListener) Close() error {
 	close(l.closed)
 	return l.Listener.Close()
--- a/internal/control/accept_test.go
+++ b/internal/control/accept_test.go
@@ -13,7 +13,7 @@
 	"go.uber.org/zap"
 )
 
-// failingListener fails its first accepts, each with one of errors.
+// failingListener fails its first accepts, one with each of errors.
 type failingListener struct {
 	net.Listener
 	accepts atomic.Int64
@@ -27,7 +27,7 @@
 	return l.Listener.Accept()
 }
 
-// A failed accept must not end Serve: the node ends when it returns.
+// The node exits when Serve returns, so a failed accept must not end Serve.
 func TestServe_AcceptFails_Retries(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s")
 	l, err := ListenUnix(path, minConns)
@@ -51,15 +51,15 @@
 	callCtx, cancelCall := context.WithTimeout(ctx, 10*time.Second)
 	defer cancelCall()
 	if _, err := c.Status(callCtx); err != nil {
-		t.Errorf("no status: %v", err)
+		t.Errorf("Status after failed accepts: %v", err)
 	}
 	cancel()
 	select {
 	case err := <-done:
 		if err != nil {
-			t.Errorf("the server ended with %v", err)
+			t.Errorf("Serve: %v", err)
 		}
 	case <-time.After(10 * time.Second):
-		t.Error("the server does not end")
+		t.Error("Serve does not return after its context ends")
 	}
 }
--- a/internal/control/client.go
+++ b/internal/control/client.go
@@ -14,23 +14,24 @@
 	"time"
 )
 
-// Client calls one control listener. It keeps its connection between calls and is safe for concurrent use.
+// Client sends HTTP requests to one control listener. It keeps connections open between requests and is safe for
+// concurrent use.
 type Client struct {
 	http *http.Client
 	base string
 }
 
-// The limits of a client's connections and calls.
+// The limits of a client's connections and requests.
 const (
 	maxClientConns        = 4
 	dialTimeout           = 5 * time.Second
 	handshakeTimeout      = 5 * time.Second
 	responseHeaderTimeout = 30 * time.Second
-	maxResponseBytes      = 4 << 20 // the status of an instance with thousands of hosts is long
+	maxResponseBytes      = 4 << 20 // an instance with thousands of hosts has a long status
 )
 
-// Dial makes a client for an address: "unix:PATH", or host and port with a TLS configuration. It connects with the
-// first call.
+// Dial returns a client for an address: "unix:PATH", or host and port with a TLS configuration. The client connects
+// when it sends its first request.
 func Dial(addr string, cfg *tls.Config) (*Client, error) {
 	transport := &http.Transport{
 		MaxConnsPerHost:       maxClientConns,
@@ -48,39 +49,39 @@
 		return &Client{&http.Client{Transport: transport}, "http://local"}, nil
 	}
 	if _, _, err := net.SplitHostPort(addr); err != nil {
-		return nil, fmt.Errorf("%q is neither unix:PATH nor host and port", addr)
+		return nil, fmt.Errorf("invalid address %q: want unix:PATH or host:port", addr)
 	}
 	if cfg == nil {
-		return nil, fmt.Errorf("%s: a remote address needs a certificate", addr)
+		return nil, fmt.Errorf("%s: missing certificate for a remote address", addr)
 	}
 	transport.DialContext = dialer.DialContext
 	return &Client{&http.Client{Transport: transport}, "https://" + addr}, nil
 }
 
-// Close closes idle connections.
+// Close closes the idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// Status returns the instance's status.
+// Status requests the instance's status.
 func (c *Client) Status(ctx context.Context) (status Status, err error) {
 	err = c.Call(ctx, http.MethodGet, "/v1/status", nil, &status)
 	return status, err
 }
 
-// Do sends a command and returns the instance's answer to it.
+// Do sends a command and returns the instance's response.
 func (c *Client) Do(ctx context.Context, command Command) (response Response, err error) {
 	err = c.Call(ctx, http.MethodPost, "/v1/command", command, &response)
 	return response, err
 }
 
-// RemoteError is an error that the server answered with; the call itself succeeded.
+// RemoteError is an error response: the server received the request and reported an error.
 type RemoteError struct {
-	Code int // the HTTP status
+	Code int // HTTP status code
 	Text string
 }
 
 func (e *RemoteError) Error() string { return e.Text }
 
-// Call makes one call with in as its JSON body, nil for none, and decodes the answer into out.
+// Call sends one request with in as its JSON body, or without a body if in is nil, and decodes the response into out.
 func (c *Client) Call(ctx context.Context, method, path string, in, out any) error {
 	body, err := c.open(ctx, method, path, in)
 	if err != nil {
@@ -90,17 +91,17 @@
 	text, err := io.ReadAll(io.LimitReader(body, maxResponseBytes+1))
 	switch {
 	case err != nil:
-		return fmt.Errorf("read the answer: %w", err)
+		return fmt.Errorf("read response: %w", err)
 	case len(text) > maxResponseBytes:
-		return fmt.Errorf("the answer is over %d bytes", maxResponseBytes)
+		return fmt.Errorf("response is larger than %d bytes", maxResponseBytes)
 	}
 	if err := json.Unmarshal(text, out); err != nil {
-		return fmt.Errorf("decode the answer: %w", err)
+		return fmt.Errorf("decode response: %w", err)
 	}
 	return nil
 }
 
-// Stream calls handle for each line of a streamed answer, until handle returns false or the stream ends.
+// Stream calls handle for each JSON value of a streamed response, until handle returns false or the stream ends.
 func (c *Client) Stream(ctx context.Context, path string, handle func(line []byte) bool) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -125,7 +126,7 @@
 	}
 }
 
-// open makes a call and returns the body of its answer; one other than 200 is a RemoteError.
+// open sends a request and returns the body of the response. A status other than 200 is a RemoteError.
 func (c *Client) open(ctx context.Context, method, path string, in any) (io.ReadCloser, error) {
 	var body io.Reader
 	if in != nil {
--- a/internal/control/json.go
+++ b/internal/control/json.go
@@ -7,7 +7,7 @@
 	"net/http"
 )
 
-// ReadJSON reads exactly one value; unknown fields are an error.
+// ReadJSON decodes exactly one JSON value. Unknown fields are an error.
 func ReadJSON(r io.Reader, into any) error {
 	decoder := json.NewDecoder(r)
 	decoder.DisallowUnknownFields()
@@ -20,18 +20,19 @@
 	return nil
 }
 
-// errorBody is the JSON of an answer other than 200.
+// errorBody is the JSON body of a response whose status is not 200.
 type errorBody struct {
 	Error string `json:"error"`
 }
 
-// WriteJSON writes an answer. Errors are those of a peer that has disconnected, and are ignored.
+// WriteJSON writes a value as the response body. It ignores write errors, because they mean that the requester has
+// disconnected.
 func WriteJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-// WriteError writes an error with its HTTP status.
+// WriteError writes an HTTP status and an error as the response.
 func WriteError(w http.ResponseWriter, code int, err error) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(code)
--- a/internal/control/list.go
+++ b/internal/control/list.go
@@ -13,59 +13,60 @@
 	"onyxstream/internal/wire"
 )
 
-// PeerList is an instance's endpoint list as it sends it to another instance.
+// PeerList is the endpoint list that an instance sends to a peer.
 type PeerList struct {
-	Service     string             `json:"service"` // name of the list service that it came from, the same on all instances
-	Age         time.Duration      `json:"age_ns"`  // since the service last sent or confirmed it, as of the answer
-	Waited      time.Duration      `json:"waited_ns"`
+	Service     string             `json:"service"`   // name of the discovery service, the same on all instances
+	Age         time.Duration      `json:"age_ns"`    // since discovery last sent or confirmed it, as of the response
+	Waited      time.Duration      `json:"waited_ns"` // how long the request waited for the response
 	Revision    int64              `json:"revision"`
-	List        *wire.EndpointList `json:"list,omitempty"` // nil where the caller has this revision
-	Unreachable []UnreachableHost  `json:"dead,omitempty"` // while the list is not confirmed
+	List        *wire.EndpointList `json:"list,omitempty"` // nil if the requester has this revision
+	Unreachable []UnreachableHost  `json:"dead,omitempty"` // set while the list is not confirmed
 }
 
-// UnreachableHost is a host that an instance could not connect to, and how long ago.
+// UnreachableHost is a host that an instance could not connect to.
 type UnreachableHost struct {
 	ID  string        `json:"id"`
-	Age time.Duration `json:"age_ns"`
+	Age time.Duration `json:"age_ns"` // since the failed connection attempt
 }
 
-// CachedList is the endpoint list that an instance has now. It does not change once it is returned.
+// CachedList is the endpoint list that an instance has now. It is immutable.
 type CachedList struct {
 	Service       string
 	List          wire.EndpointList // complete
-	Confirmed     time.Time         // when the list service last sent or confirmed it
-	Replaced      chan struct{}     // closed once there is another list
-	Unreachable   []string          // hosts that the instance recently failed to connect to
-	UnreachableAt []time.Time       // when, for each of them
+	Confirmed     time.Time         // when discovery last sent or confirmed the list
+	Replaced      chan struct{}     // closed when another list replaces this one
+	Unreachable   []string          // IDs of hosts that the instance recently failed to connect to
+	UnreachableAt []time.Time       // when each connection attempt failed, in the order of Unreachable
 }
 
-// ListProvider is an Instance that sends its endpoint list to others.
+// ListProvider is an Instance that shares its endpoint list with peers.
 type ListProvider interface {
-	// CachedList returns the list, or nil where there is none.
+	// CachedList returns the current list, or nil if the instance has none.
 	CachedList() *CachedList
-	// ListAvailable returns a channel that is closed once there is a first list.
+	// ListAvailable returns a channel that is closed when the instance gets its first list.
 	ListAvailable() <-chan struct{}
 }
 
-// The bounds of a request for the list.
+// The limits of a peer list request.
 const (
 	maxPeerListWait         = 10 * time.Second
 	maxUnreachable          = 4096 // hosts
 	maxPeerListRequestBytes = maxUnreachable * (maxNameLength + 4)
-	// minAgeAdvantage is how much younger than the caller's the list must be to be sent before the caller's timeout.
+	// minAgeAdvantage is how much more recently than the requester's the list must have been confirmed for a response
+	// before the timeout.
 	minAgeAdvantage = 500 * time.Millisecond
 )
 
-// errNoList says that the instance has no list of the service.
+// errNoList means that the instance has no list from the requested discovery service.
 var errNoList = errors.New("no list")
 
-// knownUnreachable is the body of a POST: the unreachable hosts that the caller knows. With a GET the caller does not
-// want to be notified of them.
+// knownUnreachable is the body of a POST: the unreachable hosts that the requester already knows. A requester that
+// sends a GET does not want to be notified of them.
 type knownUnreachable struct {
 	IDs []string `json:"dead"`
 }
 
-// peerListQuery is what a caller has, and how long it waits for something newer.
+// peerListQuery describes the requester's list, and how long the requester waits for a newer one.
 type peerListQuery struct {
 	service           string
 	revision          int64
@@ -75,8 +76,8 @@
 	knownUnreachable  map[string]bool
 }
 
-// handlePeerList answers a long poll for the endpoint list: at once if the instance's is newer than the caller's, otherwise
-// once it is, or when the timeout is over. A caller that has the same revision gets its age alone.
+// handlePeerList serves a long poll for the endpoint list. It responds as soon as the instance's list is newer than the
+// requester's, or when the timeout expires. If both have the same revision, the response leaves out the list.
 func (s *Server) handlePeerList(w http.ResponseWriter, request *http.Request) {
 	provider, ok := s.instance.(ListProvider)
 	if !ok {
@@ -99,18 +100,19 @@
 	switch {
 	case errors.Is(err, errNoList):
 		WriteError(w, http.StatusNotFound, fmt.Errorf("this instance has no list of %q", query.service))
-	case err != nil: // the caller has disconnected
+	case err != nil: // the requester has disconnected
 	default:
 		writePeerList(w, list, query.revision, start)
 	}
 }
 
-// waitForList returns the list as soon as it is worth an answer. The error is errNoList or that of ctx.
+// waitForList waits until the list is newer than the requester's or the timeout expires, and returns the list. The
+// error is errNoList or that of ctx.
 func waitForList(ctx context.Context, provider ListProvider, query peerListQuery, start time.Time) (*CachedList, error) {
 	timeout := time.NewTimer(query.timeout)
 	defer timeout.Stop()
 	for {
-		changed := provider.ListAvailable() // before CachedList, so that no change in between is missed
+		changed := provider.ListAvailable() // before CachedList, so that no list in between is missed
 		list := provider.CachedList()
 		now := time.Now()
 		expired := now.Sub(start) >= query.timeout
@@ -133,8 +135,8 @@
 	}
 }
 
-// isOutdatedBy reports whether a list is newer than the caller's, has been confirmed later, or has other unreachable
-// hosts. The caller's has aged since start.
+// isOutdatedBy reports whether a list has a higher revision than the requester's, was confirmed later, or comes with an
+// unreachable host that the requester doesn't know. The requester's list has aged since start.
 func (q *peerListQuery) isOutdatedBy(list *CachedList, start, now time.Time) bool {
 	if list.List.Revision != q.revision {
 		return list.List.Revision > q.revision
--- a/internal/control/list_test.go
+++ b/internal/control/list_test.go
@@ -12,7 +12,7 @@
 	"onyxstream/internal/wire"
 )
 
-// fakeListInstance is a ListProvider.
+// fakeListInstance is a fake instance that implements ListProvider.
 type fakeListInstance struct {
 	fakeInstance
 	mu        sync.Mutex
@@ -51,13 +51,13 @@
 	return &fakeListInstance{available: make(chan struct{})}
 }
 
-// A request waits until there is something newer, and never longer than its timeout.
+// A request for the peer list waits until the instance has a newer list, and never longer than its timeout.
 func TestList_NothingNewer_Waits(t *testing.T) {
 	h := newFakeListInstance()
 	_, c := startServer(t, h)
 	_, _, err := c.List(t.Context(), "s", -1, 0, 50*time.Millisecond, nil)
 	if !isRemoteError(err, http.StatusNotFound) {
-		t.Errorf("with no list: %v", err)
+		t.Errorf("List without a list: %v, want status 404", err)
 	}
 	poll := func(service string, revision int64, age time.Duration, unreachable *[]string) <-chan PeerList {
 		got := make(chan PeerList, 1)
@@ -73,10 +73,10 @@
 	time.Sleep(50 * time.Millisecond)
 	h.setList("s", 4, time.Minute)
 	if p := <-first; p.Revision != 4 || p.List == nil || p.Age < time.Minute || p.Waited < 40*time.Millisecond {
-		t.Errorf("the first list: %+v", p)
+		t.Errorf("first list: %+v, want revision 4 after a wait", p)
 	}
 	if p := <-poll("s", 3, 0, nil); p.List == nil {
-		t.Errorf("the caller's revision is older: %+v", p)
+		t.Errorf("no list for a requester with an older revision: %+v", p)
 	}
 	same := poll("s", 4, time.Minute, nil)
 	known := []string{"h2"}
@@ -84,26 +84,27 @@
 	time.Sleep(50 * time.Millisecond)
 	select {
 	case p := <-same:
-		t.Errorf("the same list of the same age was sent at once: %+v", p)
+		t.Errorf("immediate response to a requester with the same list: %+v", p)
 	case p := <-other:
-		t.Errorf("a list of another service was sent: %+v", p)
+		t.Errorf("response with the list of another discovery service: %+v", p)
 	default:
 	}
 	h.setList("s", 4, time.Minute, "h1", "h2")
 	if p := <-knowing; len(p.Unreachable) != 2 || p.List != nil {
-		t.Errorf("an unreachable host was not sent: %+v", p)
+		t.Errorf("response to a new unreachable host: %+v, want 2 hosts and no list", p)
 	}
 	h.setList("s", 4, 0)
 	if p := <-same; p.Age > 10*time.Second || p.List != nil {
-		t.Errorf("a confirmed one: %+v", p)
+		t.Errorf("response after a confirmation: %+v, want a low age and no list", p)
 	}
 	h.setList("other", 9, 0)
 	if p := <-other; p.Service != "other" || p.Revision != 9 {
-		t.Errorf("the other service's: %+v", p)
+		t.Errorf("list of the other discovery service: %+v, want revision 9", p)
 	}
 }
 
-// Half of a large fleet may be unreachable, with the longest names: all are sent, and a caller that knows them waits.
+// Half of a large fleet may be unreachable, with IDs of maximum length: the response has all of them, and a requester
+// that knows them waits.
 func TestList_ManyUnreachableHosts_SendsAll(t *testing.T) {
 	h := newFakeListInstance()
 	_, c := startServer(t, h)
@@ -115,7 +116,7 @@
 	none := []string{}
 	list, _, err := c.List(t.Context(), "s", 4, time.Minute, 5*time.Second, &none)
 	if err != nil || len(list.Unreachable) != maxUnreachable {
-		t.Errorf("%d of %d are sent, error %v", len(list.Unreachable), maxUnreachable, err)
+		t.Errorf("%d of %d unreachable hosts received, error %v", len(list.Unreachable), maxUnreachable, err)
 	}
 	for i := range all {
 		all[i] = fmt.Sprintf("%0*d", maxNameLength, i)
@@ -124,11 +125,12 @@
 	const timeout = 100 * time.Millisecond
 	list, _, err = c.List(t.Context(), "s", 4, time.Minute, timeout, &all)
 	if err != nil || list.Waited < timeout {
-		t.Errorf("a caller that knows all waited %v, error %v", list.Waited, err)
+		t.Errorf("a requester that knows all hosts waited %v, error %v", list.Waited, err)
 	}
 }
 
-// Waiting requests are bounded, leave capacity for the agent's, and free their slots when their callers disconnect.
+// The number of waiting requests is limited. They leave connections for the agent's requests, and free their slots when
+// their senders disconnect.
 func TestList_TooManyRequests_Rejects(t *testing.T) {
 	h := newFakeListInstance()
 	path, c := startServer(t, h)
@@ -142,7 +144,7 @@
 				return
 			}
 			defer client.Close()
-			for ctx.Err() == nil { // the test's own request may have taken the last slot for a moment
+			for ctx.Err() == nil { // the test's own request may have taken the last slot
 				_, _, _ = client.List(ctx, "s", -1, 0, maxPeerListWait, nil)
 			}
 		})
@@ -153,22 +155,22 @@
 			break
 		}
 		if time.Since(start) > 10*time.Second {
-			t.Fatalf("%d requests wait, and one more: %v", minConns/peerListDivisor, err)
+			t.Fatalf("a request beside %d waiting ones: %v, want status 503", minConns/peerListDivisor, err)
 		}
 	}
 	if s, err := c.Status(t.Context()); err != nil || s.Name == "" {
-		t.Errorf("the agent's call meanwhile: %+v, %v", s, err)
+		t.Errorf("Status beside waiting requests: %+v, %v", s, err)
 	}
 	cancel()
 	wg.Wait()
 	start := time.Now()
 	err := c.Call(t.Context(), http.MethodGet, "/v1/list", nil, new(PeerList))
 	for isRemoteError(err, http.StatusServiceUnavailable) && time.Since(start) < 10*time.Second {
-		// The server may not have noticed yet that all callers disconnected.
+		// The server may not have noticed yet that all senders have disconnected.
 		err = c.Call(t.Context(), http.MethodGet, "/v1/list", nil, new(PeerList))
 	}
 	if err == nil || !strings.Contains(err.Error(), "after") {
-		t.Errorf("once no request waits: %v", err)
+		t.Errorf("a request without parameters after the others ended: %v, want an error that names after", err)
 	}
 }
 
@@ -182,12 +184,12 @@
 	} {
 		err := c.Call(t.Context(), http.MethodGet, "/v1/list"+query, nil, new(PeerList))
 		if err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%q: %v, want %s", query, err, want)
+			t.Errorf("query %q: error %v, want %s", query, err, want)
 		}
 	}
 }
 
-// An instance without cold start shares no list.
+// An instance without cold start does not share its list.
 func TestList_NoProvider_AnswersNotFound(t *testing.T) {
 	_, c := startServer(t, &fakeInstance{})
 	_, _, err := c.List(t.Context(), "s", -1, 0, time.Second, nil)
--- a/internal/control/listclient.go
+++ b/internal/control/listclient.go
@@ -9,12 +9,12 @@
 	"time"
 )
 
-// List polls an instance for its endpoint list of a service. It is answered once the instance's list has a higher
-// revision than the one given, was confirmed more recently than age ago, or has other unreachable hosts than those
-// given (nil where they don't matter), and after timeout at the latest.
+// List requests an instance's endpoint list of a discovery service. The instance responds when its list has a higher
+// revision than the given one, was confirmed more recently than age ago, or comes with an unreachable host that is not
+// in unreachable (nil ignores unreachable hosts), and after timeout at the latest.
 //
-// validAt is the earliest time at which the answer can have been true, so that an answer that lay unread is not taken
-// for younger than it is.
+// validAt is the earliest time at which the instance can have sent the response. The age of the list counts from
+// validAt, so that a response that waited in a socket buffer is not taken to be more recent than it is.
 func (c *Client) List(
 	ctx context.Context, service string, revision int64, age, timeout time.Duration, unreachable *[]string,
 ) (list PeerList, validAt time.Time, err error) {
@@ -40,19 +40,19 @@
 	return list, start.Add(list.Waited), nil
 }
 
-// check returns an error for an answer that can't be true of a call that took elapsed.
+// check returns an error if the response is invalid, or inconsistent with a request that took elapsed.
 func (p *PeerList) check(elapsed time.Duration) error {
 	if p.Age < 0 || p.Waited < 0 || p.Waited > elapsed {
-		return errors.New("the answer's times can't be true")
+		return errors.New("age or waiting time is out of range")
 	}
 	if len(p.Unreachable) > maxUnreachable {
-		return fmt.Errorf("the answer has over %d unreachable hosts", maxUnreachable)
+		return fmt.Errorf("more than %d unreachable hosts", maxUnreachable)
 	}
 	if p.List == nil {
 		return nil
 	}
 	if err := p.List.Check(); err != nil {
-		return fmt.Errorf("the peer's list: %w", err)
+		return fmt.Errorf("invalid peer list: %w", err)
 	}
 	return nil
 }
--- a/internal/control/listener.go
+++ b/internal/control/listener.go
@@ -11,28 +11,29 @@
 	"golang.org/x/net/netutil"
 )
 
-// Connections of each listener at the same time; more wait in its backlog.
+// The limit of concurrent connections on each listener. Further connections wait in the accept backlog.
 const (
 	minConns     = 64
 	maxConns     = 4096
-	connsDivisor = 8 // the part of the process's descriptors, one in so many
+	connsDivisor = 8 // one in 8 of the process's file descriptors
 )
 
-// staleSocketTimeout bounds the attempt to find out whether a process still listens on a socket.
+// staleSocketTimeout bounds the connection attempt that finds out whether a process still listens on a socket.
 const staleSocketTimeout = time.Second
 
-// MaxConns returns how many connections a listener takes in a process with a limit of descriptors: a node of a large
-// fleet must be able to answer many peers.
+// MaxConns returns the limit of concurrent connections on a listener, given the process's limit of file descriptors. It
+// grows with that limit because a node of a large fleet serves many peers.
 func MaxConns(descriptors int) int { return min(max(descriptors/connsDivisor, minConns), maxConns) }
 
-// Listener is an address where a Server listens, and what peers may do there.
+// Listener is a listener of a Server, with the function that derives the role of a request's sender.
 type Listener struct {
 	net.Listener
 	Role func(*http.Request) Role
 }
 
-// ListenUnix listens on a Unix socket for conns connections. Only the owner of the process may open it, as an operator.
-// It replaces a socket that a killed process left behind, but not one on which a process answers.
+// ListenUnix listens on a Unix socket and limits it to conns concurrent connections. Only the user of the process may
+// connect, and has the role Operator. ListenUnix replaces a socket that a killed process left behind, but fails if
+// another process listens on it.
 func ListenUnix(path string, conns int) (Listener, error) {
 	if err := removeStaleSocket(path); err != nil {
 		return Listener{}, err
@@ -53,11 +54,11 @@
 	conn, err := net.DialTimeout("unix", path, staleSocketTimeout)
 	if err == nil {
 		_ = conn.Close()
-		return fmt.Errorf("listen on %s: another process answers there", path)
+		return fmt.Errorf("listen on %s: another process listens on the socket", path)
 	}
 	info, err := os.Lstat(path)
 	if err != nil {
-		return nil // net.Listen says what is wrong with the path
+		return nil // net.Listen reports what is wrong with the path
 	}
 	if info.Mode()&os.ModeSocket == 0 {
 		return fmt.Errorf("listen on %s: the file is not a socket", path)
@@ -65,13 +66,14 @@
 	return os.Remove(path)
 }
 
-// ListenTLS listens on TCP with TLS for conns connections; role derives what a peer may do from its certificate.
+// ListenTLS listens on TCP with TLS and limits it to conns concurrent connections. role derives the role of a peer from
+// its certificate.
 func ListenTLS(addr string, conns int, cfg *tls.Config, role func(*tls.ConnectionState) Role) (Listener, error) {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
 		return Listener{}, err
 	}
-	// The limit is below TLS: net/http finds a connection's certificates only if it gets the *tls.Conn itself.
+	// The limit wraps the TCP listener, not the TLS listener: net/http sets Request.TLS only for a *tls.Conn.
 	limited := tls.NewListener(netutil.LimitListener(l, conns), cfg)
 	return Listener{limited, func(request *http.Request) Role {
 		if request.TLS == nil {
--- a/internal/control/messages.go
+++ b/internal/control/messages.go
@@ -1,6 +1,7 @@
-// Package control lets operators control an instance: commands to drain and resume it or a host, its status, and its
-// endpoint list for other instances. It has the messages, the register that applies each command once, the server on a
-// Unix socket or TLS, and the client.
+// Package control implements the control listener of an instance and its client, which speak JSON over HTTP on a Unix
+// socket or over TLS. Operators send commands that drain or resume the instance or a host, and read its status; peers
+// request its endpoint list. The package defines the messages, the register that applies each command once, the server
+// and the client.
 package control
 
 import (
@@ -9,41 +10,40 @@
 	"time"
 )
 
-// CommandKind says what a command asks an instance to do.
+// CommandKind is what a command tells an instance to do.
 type CommandKind string
 
 // The kinds of commands.
 const (
-	Drain      CommandKind = "drain"       // admit nothing new and send existing connections away
+	Drain      CommandKind = "drain"       // admit no new requests, and migrate or close the established connections
 	Resume     CommandKind = "resume"      // end a drain
-	HostDrain  CommandKind = "host-drain"  // set an operator's override, for this instance: the host drains
-	HostResume CommandKind = "host-resume" // remove that override
+	HostDrain  CommandKind = "host-drain"  // override the state of a host, for this instance only: the host drains
+	HostResume CommandKind = "host-resume" // remove the override of a host
 )
 
-// Command is one operator's command to an instance. Its operation identifies it, and its fence orders it: whoever issues
-// commands raises the fence with each operation. Times are durations, so the clocks of issuer and instance may differ.
+// Command is one operator's command to an instance. Operation and Host identify the command. Fence orders commands: the
+// issuer raises it with each operation. Times are durations, so that the clocks of issuer and instance may differ.
 type Command struct {
 	Operation    string        `json:"operation"`
 	Fence        uint64        `json:"fence"`
 	Kind         CommandKind   `json:"kind"`
-	Host         string        `json:"host,omitempty"` // of HostDrain and HostResume
-	DrainTimeout time.Duration `json:"within_ns,omitempty"`
-	RetryAfter   time.Duration `json:"retry_after_ns,omitempty"` // sent to rejected clients
-	// AdmitFor is how long a draining node still admits clients: the load balancer in front of the nodes may not have
-	// noticed the drain yet.
+	Host         string        `json:"host,omitempty"`           // set for HostDrain and HostResume only
+	DrainTimeout time.Duration `json:"within_ns,omitempty"`      // until a draining instance closes its connections
+	RetryAfter   time.Duration `json:"retry_after_ns,omitempty"` // sent to rejected clients while the instance drains
+	// AdmitFor is how long a draining node still admits clients, because the front may not have noticed the drain yet.
 	AdmitFor time.Duration `json:"open_ns,omitempty"`
-	// KeepConnections leaves established connections alone in pass-through mode: they go on through other nodes when
-	// this one ends.
+	// KeepConnections keeps established connections open in pass-through mode: they continue through other nodes when
+	// this node exits.
 	KeepConnections bool `json:"keep,omitempty"`
-	// HostMustExist rejects an override of an unknown host, instead of storing it until the host appears.
+	// HostMustExist makes the override of an unknown host fail. Otherwise the instance stores it until the host appears.
 	HostMustExist bool `json:"known,omitempty"`
-	// GivenAt is when another process of the node received the command; zero for now.
+	// GivenAt is when another process of the node received the command; zero means now.
 	GivenAt time.Time `json:"-"`
 }
 
-// The bounds of a command's fields.
+// The limits of a command's fields.
 const (
-	maxNameLength = 128 // bytes of an operation or a host id
+	maxNameLength = 128 // bytes, of an operation or a host ID
 	maxDuration   = 24 * time.Hour
 	maxRetryAfter = time.Hour
 )
@@ -77,20 +77,20 @@
 	return nil
 }
 
-// Verdict says whether a command was applied.
+// Verdict is the result of a command.
 type Verdict string
 
-// The verdicts on a command.
+// The verdicts.
 const (
-	Done     Verdict = "done"    // applied now, or when it first arrived
-	Rejected Verdict = "refused" // superseded by a command with a higher fence
+	Done     Verdict = "done"    // the command was applied, now or when it first arrived
+	Rejected Verdict = "refused" // a command with a higher fence superseded it
 )
 
-// Response is an instance's answer to a command. One start of an instance answers repeats of a command alike, also after
-// later commands.
+// Response is an instance's response to a command. One incarnation of an instance responds to a repeated command as to
+// the first, even after later commands.
 type Response struct {
 	Verdict     Verdict `json:"verdict"`
 	Reason      string  `json:"why,omitempty"`
-	Fence       uint64  `json:"fence"` // of the command in effect for the instance, or the host
-	Incarnation string  `json:"boot"`  // of the instance that answers
+	Fence       uint64  `json:"fence"` // of the command in effect for the instance or the host
+	Incarnation string  `json:"boot"`  // of the instance that responds
 }
--- a/internal/control/register.go
+++ b/internal/control/register.go
@@ -2,23 +2,25 @@
 
 import "fmt"
 
-// The bounds of a register.
+// The limits of a register.
 const (
-	maxScopes    = 1024 // the instance, and hosts with an override
+	maxScopes    = 1024 // the instance, and each host with an override
 	maxResponses = 4096 // answers that are remembered for repeated commands
 )
 
-// errOverrideLimit is part of the management protocol: its text is also the answer to a line call.
+// errOverrideLimit has a fixed text, because it is also the reply to a management call.
 var errOverrideLimit = fmt.Errorf("words on %d hosts are held, no more can be", maxScopes)
 
-// Register applies each command once, and none after a newer one. Drain and resume of the instance share one scope;
-// the override of each host has its own. A Register is not safe for concurrent use.
+// Register decides which commands an instance applies: each command once, and none after a command with a higher fence
+// in the same scope. Drain and resume of the instance share one scope; the override of each host has its own.
+//
+// A Register is not safe for concurrent use.
 type Register struct {
 	incarnation    string
-	scopes         map[string]scopeState // by host; "" is the instance
+	scopes         map[string]scopeState // by host ID; "" is the instance
 	responses      map[string]recordedResponse
-	responseOrder  []string // keys of answers, the oldest first
-	manualCommands uint64   // commands given to AcceptManual
+	responseOrder  []string // keys of responses, oldest first
+	manualCommands uint64   // number of calls of AcceptManual
 }
 
 // scopeState is the command in effect for a scope.
@@ -33,14 +35,14 @@
 	response Response
 }
 
-// Decision is what Accept decided on a command.
+// Decision is the result of Accept.
 type Decision struct {
 	Response Response
-	MustRun  bool   // the instance must carry the command out now
-	Rollback func() // forgets the command; only before the next call of the register, and where MustRun is set
+	MustRun  bool   // the instance must apply the command now
+	Rollback func() // undoes Accept if MustRun is set; valid until the next call of the register
 }
 
-// NewRegister makes an empty register for one incarnation of an instance.
+// NewRegister returns an empty register for one incarnation of an instance.
 func NewRegister(incarnation string) *Register {
 	return &Register{
 		incarnation: incarnation,
@@ -49,11 +51,11 @@
 	}
 }
 
-// responseKey identifies a command among the recorded answers.
+// responseKey identifies a command among the recorded responses.
 func responseKey(c Command) string { return c.Operation + "\x00" + c.Host }
 
-// Accept decides on a command. An error means that the command is invalid, reuses an operation or a fence with other
-// contents, or exceeds the number of hosts with an override.
+// Accept decides whether a command takes effect. An error means that the command is invalid, reuses an operation or a
+// fence with different contents, or exceeds the number of hosts with an override.
 func (r *Register) Accept(c Command) (Decision, error) {
 	if err := c.Check(); err != nil {
 		return Decision{}, err
@@ -86,7 +88,7 @@
 	r.record(key, c, response)
 	return Decision{
 		Response: response,
-		MustRun:  !known || current.kind != c.Kind || c.Kind == Drain, // a repeated drain may have another timeout
+		MustRun:  !known || current.kind != c.Kind || c.Kind == Drain, // a further drain may have another timeout
 		Rollback: func() {
 			r.restore(c.Host, current, known)
 			delete(r.responses, key)
@@ -95,7 +97,7 @@
 	}, nil
 }
 
-// record remembers an answer and forgets the oldest one past the limit.
+// record stores a response for repeats of its command. At the limit it forgets the oldest response.
 func (r *Register) record(key string, c Command, response Response) {
 	if len(r.responseOrder) >= maxResponses {
 		delete(r.responses, r.responseOrder[0])
@@ -105,9 +107,9 @@
 	r.responseOrder = append(r.responseOrder, key)
 }
 
-// AcceptManual completes a command of a caller that knows neither operations nor fences, and puts it in effect after all
-// earlier ones. It gets an operation of its own and keeps the fence in effect, so that commands with fences are neither
-// rejected nor contradicted because of it. rollback forgets the command where it could not be carried out.
+// AcceptManual puts a command without operation and fence in effect, after all earlier commands. It returns the command
+// with an operation of its own and the fence in effect, so that it neither causes the rejection of later commands with
+// fences nor conflicts with their fences. rollback undoes AcceptManual if the instance fails to apply the command.
 func (r *Register) AcceptManual(c Command) (full Command, rollback func(), err error) {
 	current, known := r.scopes[c.Host]
 	r.manualCommands++
@@ -123,7 +125,7 @@
 	return c, func() { r.restore(c.Host, current, known) }, nil
 }
 
-// restore sets a scope back to what it was.
+// restore resets a scope to its previous state.
 func (r *Register) restore(host string, previous scopeState, known bool) {
 	if !known {
 		delete(r.scopes, host)
--- a/internal/control/register_test.go
+++ b/internal/control/register_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// Commands in any order and number: fences in effect only rise, a repeated command gets the same answer, an older one is
-// rejected.
+// For random sequences of commands: the fence in effect only rises, a repeated command gets the same response, and a
+// command with a lower fence is rejected.
 func TestRegister_RandomCommands_AppliesEachOnceInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := NewRegister("b")
@@ -31,11 +31,11 @@
 			previous, repeated := first[id]
 			switch {
 			case repeated && (a != previous || decision.MustRun):
-				t.Fatalf("%+v repeated: %+v, previous answer %+v", c, decision, previous)
+				t.Fatalf("repeated command %+v: %+v, previous response %+v", c, decision, previous)
 			case !repeated && (a.Verdict == Done) != (fence > inEffect[c.Host]):
-				t.Fatalf("%+v after %d: %+v", c, inEffect[c.Host], a)
+				t.Fatalf("command %+v after fence %d: %+v", c, inEffect[c.Host], a)
 			case decision.MustRun && a.Verdict != Done:
-				t.Fatalf("%+v is rejected and applied", c)
+				t.Fatalf("command %+v is rejected and must run", c)
 			}
 			first[id] = a
 			if a.Verdict == Done && !repeated {
@@ -65,7 +65,7 @@
 		{Command{Operation: strings.Repeat("p", 200), Fence: 6, Kind: Drain}, "operation"},
 	} {
 		if decision, err := r.Accept(c.command); decision.MustRun || err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%+v: must run %v, error %v, want %s", c.command, decision.MustRun, err, c.want)
+			t.Errorf("command %+v: must run %v, error %v, want %s", c.command, decision.MustRun, err, c.want)
 		}
 	}
 	for i := range 3 * maxResponses {
@@ -80,6 +80,6 @@
 		}
 	}
 	if len(r.responses) > maxResponses || len(r.scopes) > maxScopes {
-		t.Errorf("%d answers and %d scopes are stored", len(r.responses), len(r.scopes))
+		t.Errorf("the register holds %d responses and %d scopes, above its limits", len(r.responses), len(r.scopes))
 	}
 }
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -12,18 +12,19 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Instance is what a Server controls. Its methods may wait for the instance's event loop, never for a peer.
+// Instance is the instance that a Server controls. Its methods may wait for the instance's event loop, but not for a
+// peer.
 type Instance interface {
 	Status() Status
-	// Apply carries a command out: once it returns, the instance begins nothing that the command forbids. After an error
+	// Apply applies a command. After it returns, the instance starts nothing that the command forbids. After an error
 	// the command is not in effect.
 	Apply(Command) error
 }
 
-// Role is what a peer may do.
+// Role is what the sender of a request may do.
 type Role uint8
 
-// The roles; each includes those before it.
+// The roles. Each role includes the permissions of the roles before it.
 const (
 	NoRole Role = iota
 	Viewer
@@ -39,26 +40,26 @@
 	idleTimeout     = 2 * time.Minute
 )
 
-// The part of a listener's connections that status streams and waiting list requests may use, one in so many; the rest
-// is for short calls.
+// Status streams may use one in watchDivisor of a listener's connections, waiting peer list requests one in
+// peerListDivisor. The others stay available for short requests.
 const (
 	watchDivisor    = 4
 	peerListDivisor = 2
 )
 
-// Server answers on the control listeners of one incarnation of an instance.
+// Server serves the control listeners of one incarnation of an instance.
 type Server struct {
 	instance    Instance
 	log         *zap.Logger
 	incarnation string
 
-	mu            sync.Mutex // serializes commands, from the decision to its end
+	mu            sync.Mutex // serializes commands, from the decision until they are applied
 	register      *Register
 	watchSlots    semaphore
 	peerListSlots semaphore
 }
 
-// NewServer makes a server for one incarnation of an instance, with listeners of conns connections each.
+// NewServer returns a server for one incarnation of an instance. Each of its listeners is limited to conns connections.
 func NewServer(instance Instance, incarnation string, conns int, log *zap.Logger) *Server {
 	return &Server{
 		instance:      instance,
@@ -70,10 +71,10 @@
 	}
 }
 
-// semaphore bounds calls that are answered at the same time.
+// semaphore limits the requests that are served at the same time.
 type semaphore chan struct{}
 
-// tryAcquire reports whether there was a free slot; release must follow.
+// tryAcquire takes a slot if one is free, and reports whether it did. The caller must release the slot.
 func (s semaphore) tryAcquire() bool {
 	select {
 	case s <- struct{}{}:
@@ -85,7 +86,7 @@
 
 func (s semaphore) release() { <-s }
 
-// Serve answers until ctx ends.
+// Serve serves the listeners until ctx ends.
 func (s *Server) Serve(ctx context.Context, listeners ...Listener) error {
 	group, ctx := errgroup.WithContext(ctx)
 	for _, listener := range listeners {
@@ -103,7 +104,7 @@
 	return group.Wait()
 }
 
-// StartHTTP runs an HTTP server in a group until ctx ends, with accepts that are retried.
+// StartHTTP runs an HTTP server in group until ctx ends. It retries failed accepts.
 func StartHTTP(ctx context.Context, group *errgroup.Group, server *http.Server, l net.Listener, log *zap.Logger) {
 	group.Go(func() error {
 		err := server.Serve(RetryAccept(l, log))
@@ -132,7 +133,7 @@
 	handle("GET /v1/status", Viewer, func(w http.ResponseWriter, _ *http.Request) { WriteJSON(w, s.status()) })
 	handle("GET /v1/watch", Viewer, s.handleWatch)
 	handle("GET /v1/list", Viewer, s.handlePeerList)
-	handle("POST /v1/list", Viewer, s.handlePeerList) // with the unreachable hosts that the caller knows
+	handle("POST /v1/list", Viewer, s.handlePeerList) // the body has the unreachable hosts that the requester knows
 	handle("POST /v1/command", Operator, s.handleCommand)
 	return mux
 }
@@ -160,8 +161,8 @@
 	WriteJSON(w, response)
 }
 
-// Apply decides on a command and carries it out. An error means that it is invalid, or that the instance failed to apply
-// it; it is not in effect then.
+// Apply decides whether a command takes effect, and applies it. An error means that the command is invalid or that the
+// instance failed to apply it; the command is not in effect then.
 func (s *Server) Apply(command Command) (Response, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -180,7 +181,7 @@
 	return decision.Response, nil
 }
 
-// ApplyManual carries out a command without Operation and Fence, for callers that know neither.
+// ApplyManual applies a command without operation and fence, for callers that know neither.
 func (s *Server) ApplyManual(command Command) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/control/server_test.go
+++ b/internal/control/server_test.go
@@ -18,12 +18,12 @@
 	"go.uber.org/zap"
 )
 
-// A fixed seed makes runs alike; -rapid.seed sets another.
+// A fixed seed makes test runs reproducible; the flag -rapid.seed sets another.
 func init() { _ = flag.Set("rapid.seed", "1") }
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// fakeInstance records the commands that it applies.
+// fakeInstance is an Instance that records the applied commands.
 type fakeInstance struct {
 	applyErr error
 	mu       sync.Mutex
@@ -56,7 +56,7 @@
 	return len(f.applied)
 }
 
-// isRemoteError reports whether the server answered with an HTTP status.
+// isRemoteError reports whether err is a RemoteError with an HTTP status.
 func isRemoteError(err error, code int) bool {
 	var remote *RemoteError
 	return errors.As(err, &remote) && remote.Code == code
@@ -87,7 +87,7 @@
 	return path, c
 }
 
-// Concurrent and later repeats of a command get the same answer, and it is applied once.
+// A command that is repeated, concurrently or later, is applied once and gets the same response each time.
 func TestServer_RepeatedCommand_AppliedOnce(t *testing.T) {
 	f := &fakeInstance{}
 	_, c := startServer(t, f)
@@ -107,31 +107,31 @@
 	close(answers)
 	for a := range answers {
 		if a != (Response{Verdict: Done, Fence: 1, Incarnation: "boot"}) {
-			t.Errorf("answered %+v", a)
+			t.Errorf("response %+v", a)
 		}
 	}
 	if f.appliedCount() != 1 {
-		t.Errorf("it was applied %d times", f.appliedCount())
+		t.Errorf("the command was applied %d times, want 1", f.appliedCount())
 	}
 	if a, err := c.Do(t.Context(), Command{Operation: "p", Fence: 9, Kind: Resume}); err != nil || a.Verdict != Done {
-		t.Errorf("a newer one: %+v, %v", a, err)
+		t.Errorf("command with a higher fence: %+v, %v", a, err)
 	}
 	if a, err := c.Do(t.Context(), Command{Operation: "q", Fence: 3, Kind: Drain}); err != nil || a.Verdict != Rejected || a.Fence != 9 {
-		t.Errorf("an older one: %+v, %v", a, err)
+		t.Errorf("command with a lower fence: %+v, %v", a, err)
 	}
 	if a, err := c.Do(t.Context(), cmd); err != nil || a.Verdict != Done || f.appliedCount() != 2 {
-		t.Errorf("the first repeated: %+v, %v; %d applied", a, err, f.appliedCount())
+		t.Errorf("repeated first command: %+v, %v; %d commands applied", a, err, f.appliedCount())
 	}
 	_, err := c.Do(t.Context(), Command{Operation: "o", Fence: 1, Kind: Resume})
 	if !isRemoteError(err, http.StatusConflict) {
-		t.Errorf("the same operation with other contents: %v", err)
+		t.Errorf("the same operation with other contents: %v, want status 409", err)
 	}
 	if s, err := c.Status(t.Context()); err != nil || s.Operation != "p" || s.Fence != 9 || s.Incarnation != "boot" {
-		t.Errorf("status %+v, error %v", s, err)
+		t.Errorf("Status: %+v, %v", s, err)
 	}
 }
 
-// Requests that are too large, incomplete, slow or malformed end with an error and delay no other.
+// Requests that are too large, incomplete, slow or malformed end with an error and do not delay other requests.
 func TestServer_MalformedRequest_AnswersError(t *testing.T) {
 	f := &fakeInstance{}
 	path, c := startServer(t, f)
@@ -158,18 +158,18 @@
 			got, err := io.ReadAll(p)
 			var late net.Error
 			if errors.As(err, &late) && late.Timeout() {
-				t.Error("the connection is not closed")
+				t.Error("the server does not close the connection")
 			}
 			if len(got) > 0 && !strings.HasPrefix(string(got), "HTTP/1.1 4") {
-				t.Errorf("answered %.60q", got)
+				t.Errorf("response %.60q, want an HTTP status 4xx", got)
 			}
 		})
 		if s, err := c.Status(t.Context()); err != nil || s.Name != "n1" {
-			t.Errorf("beside it: %+v, %v", s, err)
+			t.Errorf("Status beside a malformed request: %+v, %v", s, err)
 		}
 	}
 	if f.appliedCount() != 0 {
-		t.Error("a command was applied")
+		t.Error("the instance applied a malformed command")
 	}
 }
 
@@ -188,7 +188,7 @@
 		return !strings.Contains(string(line), `"operation":"o"`)
 	})
 	if err != nil || n < 2 {
-		t.Errorf("%d lines, error %v", n, err)
+		t.Errorf("the stream had %d lines, error %v", n, err)
 	}
 }
 
@@ -196,57 +196,57 @@
 	path, _ := startServer(t, &fakeInstance{})
 	if l, err := ListenUnix(path, minConns); err == nil {
 		_ = l.Close()
-		t.Error("two servers listen on one socket")
+		t.Error("a second server listens on the same socket")
 	}
 	file := filepath.Join(t.TempDir(), "file")
 	if err := os.WriteFile(file, []byte("x"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := ListenUnix(file, minConns); err == nil {
-		t.Error("a regular file was replaced by a socket")
+		t.Error("ListenUnix replaced a regular file with a socket")
 	}
 	if info, err := os.Stat(path); err != nil || info.Mode().Perm() != 0o600 {
-		t.Errorf("the socket has mode %v, error %v", info.Mode(), err)
+		t.Errorf("socket mode %v, error %v, want 0600", info.Mode(), err)
 	}
 }
 
-// A manual command keeps the fence in effect, so it neither rejects nor contradicts later commands with fences. A command
-// that the instance fails to apply is forgotten, with or without a fence.
+// A manual command keeps the fence in effect, so that later commands with fences are neither rejected nor in conflict.
+// The server forgets a command that the instance fails to apply, with or without a fence.
 func TestApplyManual_BesideFencedCommands_KeepsFence(t *testing.T) {
 	f := &fakeInstance{}
 	s := NewServer(f, "boot", minConns, zap.NewNop())
 	apply := func(op string, fence uint64, kind CommandKind, verdict Verdict) {
 		t.Helper()
 		if a, err := s.Apply(Command{Operation: op, Fence: fence, Kind: kind}); err != nil || a.Verdict != verdict {
-			t.Errorf("%s: %+v, %v", op, a, err)
+			t.Errorf("operation %s: %+v, %v", op, a, err)
 		}
 	}
 	apply("first", 5, Drain, Done)
 	if err := s.ApplyManual(Command{Kind: Resume}); err != nil || f.appliedCount() != 2 {
-		t.Errorf("manual: %v, %d applied", err, f.appliedCount())
+		t.Errorf("manual command: %v, %d commands applied", err, f.appliedCount())
 	}
 	apply("older", 4, Drain, Rejected)
-	apply("first", 5, Drain, Done) // repeated, and not applied again
+	apply("first", 5, Drain, Done) // a repetition, which is not applied again
 	apply("next", 6, Drain, Done)
 	if f.appliedCount() != 3 {
-		t.Errorf("%d were applied", f.appliedCount())
+		t.Errorf("%d commands were applied, want 3", f.appliedCount())
 	}
 	f.applyErr = errors.New("timed out")
 	if err := s.ApplyManual(Command{Kind: Resume}); !errors.Is(err, f.applyErr) {
-		t.Errorf("manual: %v", err)
+		t.Errorf("failed manual command: %v", err)
 	}
 	if _, err := s.Apply(Command{Operation: "last", Fence: 7, Kind: Resume}); !errors.Is(err, f.applyErr) {
-		t.Errorf("with a fence: %v", err)
+		t.Errorf("failed command with a fence: %v", err)
 	}
 	if operation, fence := s.register.Current(); operation != "next" || fence != 6 {
-		t.Errorf("%s with fence %d is in effect", operation, fence)
+		t.Errorf("operation %s with fence %d is in effect, want next with 6", operation, fence)
 	}
-	if places, responses := len(s.register.responseOrder), len(s.register.responses); places != responses {
-		t.Errorf("%d places for %d answers", places, responses)
+	if keys, responses := len(s.register.responseOrder), len(s.register.responses); keys != responses {
+		t.Errorf("the order has %d keys for %d responses", keys, responses)
 	}
 	f.applyErr = nil
 	apply("last", 7, Resume, Done)
 	if err := s.ApplyManual(Command{Kind: "reboot"}); err == nil || f.appliedCount() != 4 {
-		t.Errorf("unknown kind: %v, %d applied", err, f.appliedCount())
+		t.Errorf("command of unknown kind: %v, %d commands applied", err, f.appliedCount())
 	}
 }
--- a/internal/control/stored_test.go
+++ b/internal/control/stored_test.go
@@ -11,10 +11,10 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// The files in testdata were written by the release before the names in the code changed, with a value in every field:
-// instances, agents and command lines of two releases speak with each other.
+// An earlier release wrote the files in testdata, with a value in every field. They guard the JSON names: instances,
+// agents and command lines of different releases exchange these messages.
 
-// fillFields gives every exported field of a value one of its own that is not zero.
+// fillFields sets every exported field of a value to a distinct value that is not zero.
 func fillFields(v reflect.Value, n *int) {
 	*n++
 	switch v.Kind() {
@@ -37,7 +37,7 @@
 		v.SetBool(true)
 	case reflect.String:
 		v.SetString("v" + strconv.Itoa(*n))
-	case reflect.Uint8: // an enumeration: its first value but one
+	case reflect.Uint8: // an enumeration: its second value
 		v.SetUint(1)
 	case reflect.Int, reflect.Int64:
 		v.SetInt(int64(*n))
@@ -63,11 +63,11 @@
 			continue
 		}
 		if diff := cmp.Diff(want.Interface(), into); diff != "" {
-			t.Errorf("%s is read otherwise: %s", name, diff)
+			t.Errorf("%s decodes to other values (-want +got): %s", name, diff)
 		}
 		again, err := json.Marshal(into)
 		if diff := cmp.Diff(string(text), string(again)); diff != "" || err != nil {
-			t.Errorf("%s is written otherwise: %v, %s", name, err, diff)
+			t.Errorf("%s encodes to other JSON: error %v, diff (-want +got): %s", name, err, diff)
 		}
 	}
 }
--- a/internal/control/stream.go
+++ b/internal/control/stream.go
@@ -9,11 +9,11 @@
 
 // The intervals of a status stream.
 const (
-	statusPollInterval = 100 * time.Millisecond // between looks for a change
-	heartbeatInterval  = 2 * time.Second        // between repeats of an unchanged status
+	statusPollInterval = 100 * time.Millisecond // between checks for a change
+	heartbeatInterval  = 2 * time.Second        // between repetitions of an unchanged status
 )
 
-// handleWatch streams the status, one line for each change, and repeats it as a heartbeat.
+// handleWatch streams the status, one line for each change. It repeats an unchanged status as a heartbeat.
 func (s *Server) handleWatch(w http.ResponseWriter, request *http.Request) {
 	if !s.watchSlots.tryAcquire() {
 		err := fmt.Errorf("too many streams: %d are open", cap(s.watchSlots))
@@ -27,7 +27,7 @@
 	lastWrite := time.Now()
 	for {
 		status := s.status()
-		status.UptimeSeconds = 0 // it changes all the time
+		status.UptimeSeconds = 0 // it changes with each call
 		line, err := json.Marshal(status)
 		if err != nil {
 			return
@@ -47,7 +47,7 @@
 	}
 }
 
-// WriteLine writes and flushes one line of a stream. The peer has until the deadline to take it.
+// WriteLine writes and flushes one line of a stream. The write fails if the peer has not accepted it by the deadline.
 func WriteLine(w http.ResponseWriter, line []byte, deadline time.Time) error {
 	controller := http.NewResponseController(w)
 	_ = controller.SetWriteDeadline(deadline)
--- a/internal/management/call.go
+++ b/internal/management/call.go
@@ -1,5 +1,6 @@
-// Package management answers the platform operators' line calls: one line and one answer a connection, where the answer
-// begins with YES or NO. Calls are carried out by the same operations as commands on the control listener.
+// Package management implements the operators' line protocol: a connection carries one management call, which is one
+// line, and its reply, which begins with YES or NO. The same operations execute these calls and the commands on the
+// control listener.
 package management
 
 import (
@@ -8,20 +9,20 @@
 	"strings"
 )
 
-// Kind says what a call asks for.
+// Kind is what a call asks for.
 type Kind uint8
 
 // The kinds of calls.
 const (
-	Ready      Kind = iota // whether this process can serve
-	ShowStat               // counters
+	Ready      Kind = iota // report whether this process can serve
+	ShowStat               // report the counters
 	DrainHost              // drain a host
 	ResumeHost             // end the drain of a host
 	Drain                  // drain this node
 	Resume                 // end the drain of this node
 )
 
-// kinds has the calls as they are written on the line.
+// kinds maps the names of calls in the line protocol.
 var kinds = map[string]Kind{
 	"ready":          Ready,
 	"show-stat":      ShowStat,
@@ -31,21 +32,21 @@
 	"resume":         Resume,
 }
 
-// takesHost reports whether calls of the kind name a host.
+// takesHost reports whether calls of this kind name a host.
 func (k Kind) takesHost() bool { return k == DrainHost || k == ResumeHost }
 
-// Call is one call; Host is set for DrainHost and ResumeHost only.
+// Call is one management call. Host is set for DrainHost and ResumeHost only.
 type Call struct {
 	Kind Kind
 	Host string
 }
 
 const (
-	maxLineBytes   = 512 // of a call with its line end
+	maxLineBytes   = 512 // of a call, with its line end
 	maxHostIDBytes = 128 // as on the control listener
 )
 
-// Parse reads a call from a line without its end. The text of the error goes to the caller.
+// Parse parses a line without its line end. The reply to the caller contains the text of the error.
 func Parse(line string) (Call, error) {
 	if strings.ContainsFunc(line, isNotPlainText) {
 		return Call{}, errors.New("the line holds bytes that are no plain text")
@@ -78,7 +79,8 @@
 // isNotPlainText reports whether a rune is outside printable ASCII.
 func isNotPlainText(r rune) bool { return r < ' ' || r > '~' }
 
-// formatReply returns the line for a call that was carried out, or failed with an error.
+// formatReply returns the reply to a call that succeeded (err is nil) or failed. It replaces line ends and other
+// unprintable bytes in the text of the error with spaces.
 func formatReply(err error) string {
 	if err == nil {
 		return "YES\r\n"
--- a/internal/management/call_test.go
+++ b/internal/management/call_test.go
@@ -31,12 +31,12 @@
 	} {
 		got, err := Parse(c.line)
 		if c.wantErr == "" && (err != nil || got != c.want) || c.wantErr != "" && (err == nil || !strings.Contains(err.Error(), c.wantErr)) {
-			t.Errorf("%q is read as %+v, %v", c.line, got, err)
+			t.Errorf("Parse(%q) = %+v, %v", c.line, got, err)
 		}
 	}
 }
 
-// The answer to any line is one line: a caller must not be able to inject line ends into it.
+// The reply to any line is one line: a caller must not be able to inject line ends into the reply.
 func FuzzParse(f *testing.F) {
 	for _, s := range []string{"ready", "disable-server a", "\r\nYES", "disable-server \x00", strings.Repeat("a", 600)} {
 		f.Add(s)
@@ -44,10 +44,10 @@
 	f.Fuzz(func(t *testing.T, line string) {
 		c, err := Parse(line)
 		if (c.Host != "") != (err == nil && (c.Kind == DrainHost || c.Kind == ResumeHost)) {
-			t.Errorf("%q is read as %+v, %v", line, c, err)
+			t.Errorf("Parse(%q) = %+v, %v", line, c, err)
 		}
 		if a := formatReply(err); strings.Count(a, "\n") != 1 || strings.Count(a, "\r") != 1 || !strings.HasPrefix(a, "YES") && !strings.HasPrefix(a, "NO ") {
-			t.Errorf("%q is answered %q", line, a)
+			t.Errorf("reply to %q: %q", line, a)
 		}
 	})
 }
--- a/internal/management/conn.go
+++ b/internal/management/conn.go
@@ -9,14 +9,14 @@
 )
 
 const (
-	lineTimeout    = 6 * time.Second // from the accept
+	lineTimeout    = 6 * time.Second // from the accept to the line end
 	writeTimeout   = time.Second
 	lingerTimeout  = 200 * time.Millisecond
 	maxLingerBytes = 4 << 10
 )
 
-// lingerClose closes the write side and reads until the caller closes: closing a socket with unread bytes would send a
-// reset, which may drop the answer.
+// lingerClose closes the write side and reads until the caller closes the connection. Closing a socket with unread
+// bytes sends a reset, which may drop the reply before the caller has read it.
 func lingerClose(conn net.Conn) {
 	if c, ok := conn.(interface{ CloseWrite() error }); ok {
 		_ = c.CloseWrite()
@@ -32,8 +32,8 @@
 	}
 }
 
-// readLine reads one line and returns it without its end. For a line that is too long or has no end it returns an error
-// and what was read.
+// readLine reads one line and returns it without its line end. If the line is too long or has no line end, readLine
+// returns the bytes that it read and an error.
 func readLine(conn net.Conn, deadline time.Time) (string, error) {
 	_ = conn.SetReadDeadline(deadline)
 	var buf [maxLineBytes]byte
--- a/internal/management/server.go
+++ b/internal/management/server.go
@@ -12,7 +12,7 @@
 	"go.uber.org/zap"
 )
 
-// Operations are what callers may ask for. Each returns within half a second; an error says why it was not done.
+// Operations execute management calls. Each returns within half a second. The reply contains the text of an error.
 type Operations interface {
 	Ready() error
 	Stats() Stats
@@ -22,40 +22,41 @@
 	Resume() error
 }
 
-// MaxCallers is the number of concurrent callers. Each needs a descriptor, which the proxy's budget reserves.
+// MaxCallers is the limit of concurrent callers. Each needs a file descriptor, which the proxy's descriptor budget
+// reserves.
 const MaxCallers = 16
 
 const (
 	acceptRetryDelay = 20 * time.Millisecond
-	// minCallerAge protects a caller from eviction: younger ones may not have sent their call yet.
+	// minCallerAge protects a new caller from eviction, because it may not have sent its call yet.
 	minCallerAge       = 20 * time.Millisecond
 	evictRetryInterval = minCallerAge / 4
 )
 
-// Server answers line calls on the operators' address.
+// Server serves management calls.
 type Server struct {
 	operations Operations
 	log        *zap.Logger
 
 	mu      sync.Mutex
-	callers *list.List // of *caller, the oldest first
+	callers *list.List // of *caller, oldest first
 	wg      sync.WaitGroup
 }
 
-// caller is a connection with one call. Its fields are guarded by Server.mu once it is in the list.
+// caller is a connection with one call. Server.mu guards its fields after it is added to Server.callers.
 type caller struct {
 	net.Conn
-	since     time.Time // accepted, or executed
+	since     time.Time // when the connection was accepted or the call was executed, whichever is later
 	element   *list.Element
 	executing bool
 }
 
-// NewServer makes a server for the operations.
+// NewServer returns a server for the operations.
 func NewServer(operations Operations, log *zap.Logger) *Server {
 	return &Server{operations: operations, log: log, callers: list.New()}
 }
 
-// Serve answers until ctx ends, and waits for calls that are being executed.
+// Serve serves callers until ctx ends, and then waits for the calls that are being executed.
 func (s *Server) Serve(ctx context.Context, l net.Listener) error {
 	stop := context.AfterFunc(ctx, func() {
 		_ = l.Close()
@@ -74,7 +75,7 @@
 		case errors.Is(err, net.ErrClosed):
 			return err
 		case err != nil:
-			s.log.Info("management connection not accepted, retrying", zap.Error(err))
+			s.log.Info("accept on the management listener failed, retrying", zap.Error(err))
 			time.Sleep(acceptRetryDelay)
 			continue
 		}
@@ -84,7 +85,7 @@
 	}
 }
 
-// closeCallers disconnects all callers but those whose call is being executed: they still get their answer.
+// closeCallers disconnects all callers except those whose call is being executed: they still get their reply.
 func (s *Server) closeCallers() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -96,7 +97,7 @@
 	}
 }
 
-// start begins to serve a caller, in place of an idle one where there are too many. It returns false where none can be
+// start starts to serve a caller. At the limit of callers it evicts an idle one, and returns false if none can be
 // evicted now.
 func (s *Server) start(ctx context.Context, conn net.Conn) bool {
 	now := time.Now()
@@ -107,7 +108,7 @@
 	}
 	c := &caller{Conn: conn, since: now}
 	c.element = s.callers.PushBack(c)
-	if ctx.Err() != nil { // closeCallers has run already
+	if ctx.Err() != nil { // closeCallers has already run
 		_ = conn.Close()
 	}
 	s.wg.Add(1)
@@ -115,8 +116,8 @@
 	return true
 }
 
-// evictIdle disconnects the oldest caller whose call is not being executed. It returns false where there is none, or it
-// was accepted a moment ago. The caller holds mu.
+// evictIdle disconnects the oldest caller whose call is not being executed. It returns false if there is none, or if
+// that caller is younger than minCallerAge. s.mu must be held.
 func (s *Server) evictIdle(now time.Time) bool {
 	for element := s.callers.Front(); element != nil; element = element.Next() {
 		c := element.Value.(*caller)
@@ -174,7 +175,7 @@
 	lingerClose(c.Conn)
 }
 
-// execute carries a call out. It returns the whole answer where that is more than YES or NO, otherwise nil.
+// execute executes a call. It returns the complete reply of ShowStat, and nil for calls whose reply is YES or NO.
 func (s *Server) execute(line string) ([]byte, error) {
 	call, err := Parse(line)
 	if err != nil {
--- a/internal/management/server_test.go
+++ b/internal/management/server_test.go
@@ -15,12 +15,12 @@
 	"go.uber.org/zap"
 )
 
-// fakeNode records the operations that it carries out.
+// fakeNode implements Operations and records the executed ones.
 type fakeNode struct {
 	mu       sync.Mutex
 	executed []string
-	gate     chan struct{} // operations wait for it; nil for none
-	err      error         // that they return
+	gate     chan struct{} // operations wait until it is closed; nil for no wait
+	err      error         // result of the operations
 }
 
 func (f *fakeNode) record(operation string) error {
@@ -77,14 +77,14 @@
 	return c
 }
 
-// call makes a call and returns all that is answered.
+// call makes a management call and returns the complete reply.
 func call(t *testing.T, addr, text string) string {
 	t.Helper()
 	c := dial(t, addr)
 	_, _ = io.WriteString(c, text)
 	all, err := io.ReadAll(c)
 	if err != nil {
-		t.Errorf("%.40q: %v after %q", text, err, all)
+		t.Errorf("call %.40q: %v after the reply %q", text, err, all)
 	}
 	return string(all)
 }
@@ -101,17 +101,17 @@
 		{"drain\r\nresume\r\n", "YES\r\n"}, // only the first line is a call
 	} {
 		if got := call(t, addr, c.call); !strings.HasPrefix(got, c.wantPrefix) {
-			t.Errorf("%.40q: %q", c.call, got)
+			t.Errorf("call %.40q: reply %q", c.call, got)
 		}
 	}
 	if got := f.calls(); got != "drain-host h1,resume-host h1,drain,resume,drain" {
-		t.Errorf("executed %s", got)
+		t.Errorf("executed operations: %s", got)
 	}
 	f.mu.Lock()
 	f.err = errors.New("no host\r\nYES")
 	f.mu.Unlock()
 	if got := call(t, addr, "disable-server x\r\n"); got != "NO no host  YES\r\n" {
-		t.Errorf("a failed call: %q", got)
+		t.Errorf("reply to a failed call: %q", got)
 	}
 }
 
@@ -121,11 +121,11 @@
 	_, _ = io.WriteString(c, "drai")
 	_ = c.(*net.TCPConn).CloseWrite()
 	if all, _ := io.ReadAll(c); !strings.HasPrefix(string(all), "NO ") || f.calls() != "" {
-		t.Errorf("answered %q, executed %q", all, f.calls())
+		t.Errorf("reply %q, executed operations %q", all, f.calls())
 	}
 }
 
-// Idle callers are evicted for new ones; those whose call is being executed are not.
+// New callers evict idle callers, but not those whose call is being executed.
 func TestServer_TooManyIdleCallers_EvictsOldest(t *testing.T) {
 	f := &fakeNode{gate: make(chan struct{})}
 	addr := serve(t, f)
@@ -135,11 +135,11 @@
 		_, _ = io.WriteString(dial(t, addr), "re")
 	}
 	if got := call(t, addr, "show-stat\r\n"); !strings.HasSuffix(got, "END\r\n") {
-		t.Errorf("beside idle callers: %q", got)
+		t.Errorf("reply beside idle callers: %q", got)
 	}
 	close(f.gate)
 	if line, err := bufio.NewReader(executing).ReadString('\n'); line != "YES\r\n" {
-		t.Errorf("the call being executed: %q, %v", line, err)
+		t.Errorf("reply to the call that was being executed: %q, %v", line, err)
 	}
 }
 
--- a/internal/management/stats.go
+++ b/internal/management/stats.go
@@ -2,21 +2,21 @@
 
 import "strconv"
 
-// FinalAnswers counts the final answers to clients of one class.
+// FinalAnswers are the numbers of final answers to the clients of one class.
 type FinalAnswers struct {
 	Class                    string
-	Success, Overload, Error uint64 // established, rejected, failed
+	Success, Overload, Error uint64 // established, rejected and failed requests
 }
 
 // Stats are the counters of a node since the start of its process, and its gauges.
 type Stats struct {
 	FinalAnswers      []FinalAnswers
-	Dispatches        uint64 // attempts completely written to hosts
+	Dispatches        uint64 // attempts that were completely written to a host
 	Concurrent        int64  // client connections
 	Targets, Disabled int64  // hosts in the endpoint list, and those of them that the node avoids
 }
 
-// Text formats the answer to show-stat: one line a figure, and END.
+// Text formats the reply to show-stat: YES, one line for each counter or gauge, and END.
 func (s *Stats) Text() []byte {
 	text := []byte("YES\r\n")
 	add := func(name string, value uint64) {
