--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -1,5 +1,6 @@
-// Package agent runs operations on a fleet of instances: it polls the instances of an inventory, delivers commands to
-// them, keeps operations on disk, and serves the command line. Package fleet decides what is done and when.
+// Package agent runs operations on a fleet of instances. It polls the status of the instances of an inventory, delivers
+// commands to them, stores operations on disk, and serves the command line. Package fleet decides which commands are
+// delivered, and when.
 package agent
 
 import (
@@ -19,19 +20,20 @@
 )
 
 const (
-	maxCallers     = 1024 // concurrent connections of the command line
-	maxQueuedTasks = 1024 // of the loop
+	maxCallers     = 1024 // concurrent connections from the command line
+	maxQueuedTasks = 1024 // tasks that wait for the loop
 )
 
-// Agent is one agent. Its loop owns the fleet. Requests to instances run in goroutines of their own, at most one for a
-// status and one for a command to each instance, so that a slow instance delays no other.
+// Agent runs operations on the instances of one inventory. Its loop owns the fleet. Requests to instances run in
+// goroutines of their own, at most one status request and one command for each instance, so that a slow instance does
+// not delay others.
 type Agent struct {
 	cfg   Config
 	log   *zap.Logger
 	store *Store
 	keys  *pki.KeyStore // nil without TLS
 	start time.Time
-	tasks chan func()   // to run in the loop
+	tasks chan func()   // functions to run in the loop
 	done  chan struct{} // closed when the loop ends
 	wg    sync.WaitGroup
 
@@ -39,14 +41,14 @@
 	fleet          *fleet.Fleet
 	polled         map[string]*polledInstance // by name
 	inventoryStamp string
-	watchers       map[chan struct{}]bool // notified of changes
-	waiters        []chan struct{}        // closed once the next step has saved its change
+	watchers       map[chan struct{}]bool // channels to notify of changes
+	waiters        []chan struct{}        // channels to close after the next step has saved its change
 
 	writeChange func(fleet.Change) error // writes a change to disk; tests replace it
-	saveHook    func(saved bool) error   // for tests, before and after each write; an error ends the agent
+	saveHook    func(saved bool) error   // called before and after each write, for tests; an error ends the agent
 }
 
-// New opens the store and reads the inventory. Run must follow, as it closes the store.
+// New opens the store and reads the inventory. The caller must call Run, which closes the store.
 func New(cfg Config, log *zap.Logger) (*Agent, error) {
 	a := &Agent{
 		cfg:      cfg,
@@ -104,11 +106,11 @@
 	return nil
 }
 
-// now returns the time for the fleet.
+// now returns the current time as the fleet counts it, from the start of the agent.
 func (a *Agent) now() time.Duration { return time.Since(a.start) }
 
-// Run follows the fleet and serves the command line until ctx ends, and closes the store. Commands that instances
-// accepted stay in force.
+// Run polls the instances, runs the operations and serves the command line until ctx ends. Then it closes the store.
+// Commands that instances accepted stay in effect.
 func (a *Agent) Run(ctx context.Context) error {
 	defer a.store.Close()
 	listener, err := control.ListenUnix(a.cfg.Socket, maxCallers)
@@ -123,7 +125,7 @@
 	return err
 }
 
-// runInLoop runs f in the loop and waits until its changes are on disk. It returns false once the loop has ended.
+// runInLoop runs f in the loop and waits until its changes are on disk. It returns false if the loop has ended.
 func (a *Agent) runInLoop(f func()) bool {
 	saved := make(chan struct{})
 	posted := a.post(func() {
@@ -141,7 +143,7 @@
 	}
 }
 
-// post queues f to run in the loop. It returns false once the loop has ended.
+// post queues f to run in the loop. It returns false if the loop has ended.
 func (a *Agent) post(f func()) bool {
 	select {
 	case a.tasks <- f:
@@ -173,7 +175,7 @@
 			return nil
 		case f := <-a.tasks:
 			f()
-			for range len(a.tasks) { // all queued calls share one step, and one write
+			for range len(a.tasks) { // all queued tasks share one step and one write
 				(<-a.tasks)()
 			}
 		case <-timer.C:
@@ -183,8 +185,8 @@
 	}
 }
 
-// step advances the fleet. Its change is on disk before commands are delivered: an agent that restarts must know of all
-// commands that instances may have applied.
+// step advances the fleet. It saves the change to disk before it delivers commands, because a restarted agent must know
+// all commands that instances may have applied.
 func (a *Agent) step(ctx context.Context) (wake time.Duration, err error) {
 	change, deliveries, wake := a.fleet.Next(a.now())
 	if !change.Empty() {
@@ -197,7 +199,7 @@
 	for _, delivery := range deliveries {
 		instance := a.polled[delivery.Instance.Name]
 		if instance == nil {
-			a.fleet.RecordResponse(a.now(), delivery, control.Response{}, errors.New("the instance is not in the inventory"))
+			a.fleet.RecordResponse(a.now(), delivery, control.Response{}, errors.New("instance is not in the inventory"))
 			continue
 		}
 		a.wg.Go(func() { a.deliver(ctx, instance, delivery) })
@@ -209,12 +211,12 @@
 	for watcher := range a.watchers {
 		select {
 		case watcher <- struct{}{}:
-		default: // notified already
+		default: // a notification is already pending
 		}
 	}
 }
 
-// logChange logs the operations of a change.
+// logChange logs the changed operations.
 func (a *Agent) logChange(change fleet.Change) {
 	for _, o := range change.Operations {
 		a.log.Info("operation changed",
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -24,7 +24,7 @@
 	for range 8 {
 		wg.Go(func() {
 			if o, err := submit(t, c, request); err != nil || o.Fence != 1 {
-				t.Errorf("submitted with fence %d, error %v", o.Fence, err)
+				t.Errorf("Submit: fence %d, error %v, want fence 1", o.Fence, err)
 			}
 		})
 	}
@@ -34,22 +34,22 @@
 	c, _ = r.startAgent(t, nil)
 	eventually(t, "all are up", func() bool { return allUp(c) })
 	if o, err := submit(t, c, request); err != nil || o.State != fleet.Succeeded {
-		t.Errorf("after a restart it is %s, error %v", o.State, err)
+		t.Errorf("operation after a restart of the agent: %s, error %v", o.State, err)
 	}
 	r.checkDrainedOnce(t)
 	other := drainRequest("d", r.names()[:1])
 	var remote *control.RemoteError
 	if _, err := submit(t, c, other); !errors.As(err, &remote) || remote.Code != http.StatusConflict {
-		t.Errorf("the same id with other contents: %v", err)
+		t.Errorf("the same ID with other contents: %v, want status 409", err)
 	}
 	other.ID = "e"
 	other.Options.AllowEmptyZone = false
 	if _, err := submit(t, c, other); !errors.As(err, &remote) || remote.Code != http.StatusPreconditionFailed {
-		t.Errorf("a request over its limits: %v", err)
+		t.Errorf("a drain that exceeds its limits: %v, want status 412", err)
 	}
 }
 
-// A slow instance delays no other; a restarted one gets its desired state again.
+// A slow instance does not delay others, and a restarted instance gets its desired state again.
 func TestAgent_SlowOrRestartedInstance_DrainsAll(t *testing.T) {
 	t.Parallel()
 	r := newTestFleet(t, 4)
@@ -66,13 +66,13 @@
 	}
 	eventually(t, "three are up", func() bool { return up() == 3 })
 	request := drainRequest("d", r.names()[1:])
-	request.Options.MaxUnavailable = 4 // the slow one is unknown, and counts as unavailable
+	request.Options.MaxUnavailable = 4 // the slow instance is Unknown, which counts as unavailable
 	if _, err := submit(t, c, request); err != nil {
 		t.Fatal(err)
 	}
 	eventually(t, "the others are drained", func() bool { return operation(t, c, "d").State == fleet.Succeeded })
 	if up() > 3 {
-		t.Error("the slow one has answered: the test shows nothing")
+		t.Error("the slow instance has responded, so the test proves nothing")
 	}
 	x := r.instances[2]
 	x.stop()
@@ -80,12 +80,12 @@
 	eventually(t, "the restarted one is drained again", func() bool { return x.count(control.Drain) == 2 })
 	time.Sleep(500 * time.Millisecond)
 	if n := x.count(control.Drain); n != 2 {
-		t.Errorf("it was drained %d times", n)
+		t.Errorf("the restarted instance was drained %d times, want 2", n)
 	}
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	if x.applied[0] != x.applied[1] {
-		t.Errorf("first %+v, then %+v", x.applied[0], x.applied[1])
+		t.Errorf("the first drain is %+v, the second %+v", x.applied[0], x.applied[1])
 	}
 }
 
@@ -94,7 +94,7 @@
 	r := newTestFleet(t, 1)
 	c, _ := r.startAgent(t, nil)
 	eventually(t, "the first is up", func() bool { return allUp(c) })
-	if _, err := New(r.cfg, zap.NewNop()); err == nil || !strings.Contains(err.Error(), "another agent holds it") {
-		t.Errorf("a second agent: %v", err)
+	if _, err := New(r.cfg, zap.NewNop()); err == nil || !strings.Contains(err.Error(), "in use by another agent") {
+		t.Errorf("New with a store in use: %v", err)
 	}
 }
--- a/internal/agent/bench_test.go
+++ b/internal/agent/bench_test.go
@@ -12,8 +12,9 @@
 	"onyxstream/internal/tomlfile"
 )
 
-// BenchmarkFleet measures an agent with fake instances: the time to list them, a drain of a tenth of them with a tenth of
-// those unreachable, and CPU and memory when idle. The instances are in the same process, so CPU and memory include them.
+// BenchmarkFleet measures an agent with fake instances: the time to list them, the time to drain a tenth of them while a
+// tenth of those is unreachable, and the CPU and memory use when idle. The instances run in the same process, so CPU and
+// memory include them.
 //
 //	go test -run '^$' -bench Fleet -benchtime 1x ./internal/agent
 func BenchmarkFleet(b *testing.B) {
@@ -27,7 +28,7 @@
 			reportMillis(b, start, "ms-to-know-all")
 			start = time.Now()
 			if len(views(c)) != size {
-				b.Fatal("a list lacks instances")
+				b.Fatal("the list of instances is incomplete")
 			}
 			reportMillis(b, start, "ms-list")
 			reportIdle(b)
@@ -36,7 +37,7 @@
 	}
 }
 
-// reportIdle reports CPU and memory of the process while nothing happens.
+// reportIdle reports the CPU and memory use of the idle process.
 func reportIdle(b *testing.B) {
 	b.Helper()
 	cpu, start := cpuTime(), time.Now()
@@ -48,8 +49,8 @@
 	b.ReportMetric(float64(memory.HeapInuse+memory.StackInuse)/(1<<20), "MB")
 }
 
-// drainTenth drains a tenth of the instances after a tenth of those stopped, and reports the time until the others are
-// drained.
+// drainTenth stops a tenth of the targets, drains a tenth of the instances, and reports the time until the reachable
+// targets are drained.
 func drainTenth(b *testing.B, r *testFleet, c *control.Client) {
 	b.Helper()
 	size := len(r.instances)
@@ -90,7 +91,7 @@
 	b.ReportMetric(time.Since(start).Seconds()*1000, unit)
 }
 
-// cpuTime is the CPU time of this process.
+// cpuTime returns the CPU time that this process has used.
 func cpuTime() time.Duration {
 	var r syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &r)
@@ -102,7 +103,7 @@
 	savedAtOnce      = 1000
 )
 
-// BenchmarkRecovery measures the start with a store of 10,000 operations, a tenth of which have not ended.
+// BenchmarkRecovery measures the start of an agent with a store of 10,000 operations, a tenth of which have not ended.
 func BenchmarkRecovery(b *testing.B) {
 	r := newTestFleet(b, 10)
 	fillStore(b, r)
@@ -147,7 +148,7 @@
 	}
 }
 
-// storedOperation returns the i-th operation; each tenth is paused, the others have ended.
+// storedOperation returns the i-th operation. Every tenth is paused; the others have ended.
 func storedOperation(i int, names []string) fleet.Operation {
 	o := fleet.Operation{
 		Request: drainRequest(fmt.Sprint("o", i), names),
--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -7,23 +7,23 @@
 	"onyxstream/internal/tomlfile"
 )
 
-// Config is the agent's configuration file.
+// Config is the content of the agent's configuration file.
 type Config struct {
 	Inventory    string            `toml:"inventory"` // path of the inventory file
 	Store        string            `toml:"store"`     // path of the store of operations
-	Socket       string            `toml:"socket"`    // Unix socket for the command line
-	PollInterval tomlfile.Duration `toml:"every"`     // between status requests to an instance; 1 s where it is 0
-	Keys         *pki.Files        `toml:"keys"`      // for instances with a TLS address
+	Socket       string            `toml:"socket"`    // path of the Unix socket for the command line
+	PollInterval tomlfile.Duration `toml:"every"`     // between status requests to an instance; 0 means 1 s
+	Keys         *pki.Files        `toml:"keys"`      // certificate and keys for instances with a TLS address
 }
 
-// The default and bounds of Config.PollInterval.
+// The default and limits of Config.PollInterval.
 const (
 	defaultPollInterval = time.Second
 	minPollInterval     = 10 * time.Millisecond
 	maxPollInterval     = time.Minute
 )
 
-// Check fills in defaults and returns an error that names the first invalid field.
+// Check sets defaults and returns an error that names the first invalid field.
 func (c *Config) Check() error {
 	for _, required := range []struct{ name, value string }{
 		{"inventory", c.Inventory},
@@ -31,7 +31,7 @@
 		{"socket", c.Socket},
 	} {
 		if required.value == "" {
-			return tomlfile.NewFieldError(required.name, "it is missing")
+			return tomlfile.NewFieldError(required.name, "missing")
 		}
 	}
 	if c.PollInterval == 0 {
--- a/internal/agent/disk_test.go
+++ b/internal/agent/disk_test.go
@@ -8,7 +8,8 @@
 	"onyxstream/internal/fleet"
 )
 
-// An agent whose writes fail for a while delivers nothing meanwhile, and then completes its operations, each command once.
+// While writes to the store fail, the agent delivers no commands. After that it completes its operations and delivers
+// each command once.
 func TestAgent_WritesFail_RetriesAndCompletes(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.ENOSPC, syscall.EIO} {
 		t.Run(errno.Error(), func(t *testing.T) {
--- a/internal/agent/inventory.go
+++ b/internal/agent/inventory.go
@@ -14,20 +14,20 @@
 	"onyxstream/internal/tomlfile"
 )
 
-// Inventory is the file of instances.
+// Inventory is the content of the inventory file.
 type Inventory struct {
 	Instances []fleet.Instance `toml:"instance"`
 }
 
 const (
 	maxInstances           = 10_000
-	inventoryCheckInterval = time.Second // for changes of the file
+	inventoryCheckInterval = time.Second // between checks of the file for changes
 )
 
 // Check returns an error that names the first invalid field.
 func (v *Inventory) Check() error {
 	if len(v.Instances) > maxInstances {
-		return tomlfile.NewFieldError("instance", "there are %d, at most %d can be", len(v.Instances), maxInstances)
+		return tomlfile.NewFieldError("instance", "%d instances, want at most %d", len(v.Instances), maxInstances)
 	}
 	var field *fleet.FieldError
 	if err := fleet.CheckInventory(v.Instances); errors.As(err, &field) {
@@ -43,7 +43,7 @@
 	return inventory, err
 }
 
-// fileStamp changes when a file does.
+// fileStamp returns a text that changes when the file changes: its modification time and size, or the error.
 func fileStamp(path string) string {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -52,15 +52,16 @@
 	return fmt.Sprint(info.ModTime().UnixNano(), info.Size())
 }
 
-// reloadInventory reads the inventory if its file has changed. An invalid one changes nothing. It runs in the loop.
+// reloadInventory loads the inventory if its file has changed. It keeps the current inventory if the new one is invalid.
+// It runs in the loop.
 func (a *Agent) reloadInventory(ctx context.Context) {
 	stamp := fileStamp(a.cfg.Inventory)
 	if stamp == a.inventoryStamp {
 		return
 	}
 	inventory, err := ReadInventory(a.cfg.Inventory)
-	if syserr.ReadFailed(err) { // a temporary fault that says nothing of the file
-		a.log.Warn("inventory not readable, retrying", zap.Error(err))
+	if syserr.ReadFailed(err) { // a temporary fault, independent of the file's content
+		a.log.Warn("inventory read failed, retrying", zap.Error(err))
 		return
 	}
 	a.inventoryStamp = stamp
--- a/internal/agent/inventory_test.go
+++ b/internal/agent/inventory_test.go
@@ -21,13 +21,14 @@
 	}
 	time.Sleep(2 * inventoryCheckInterval)
 	if n := len(views(c)); n != 2 {
-		t.Errorf("%d instances after an invalid inventory", n)
+		t.Errorf("%d instances after an invalid inventory, want 2", n)
 	}
 	r.writeInventory(t, r.instances[0])
 	eventually(t, "the valid one is loaded", func() bool { return len(views(c)) == 1 })
 }
 
-// A changed inventory that can't be read at the moment is read at the next check, without another change.
+// A changed inventory file that can't be read because of a temporary fault is read at the next check, even if the file
+// has not changed again.
 func TestReloadInventory_FileUnreadable_RetriesLater(t *testing.T) {
 	r := newTestFleet(t, 2)
 	a, err := New(r.cfg, zap.NewNop())
@@ -43,10 +44,10 @@
 		t.Fatal(err)
 	}
 	if n := len(a.fleet.Views(a.now())); n != 2 {
-		t.Fatalf("%d instances without a descriptor to read the file", n)
+		t.Fatalf("%d instances while the file is unreadable, want 2", n)
 	}
 	a.reloadInventory(ctx)
 	if n := len(a.fleet.Views(a.now())); n != 1 {
-		t.Errorf("%d instances once it can be read, 1 wanted", n)
+		t.Errorf("%d instances after the file is readable again, want 1", n)
 	}
 }
--- a/internal/agent/poll.go
+++ b/internal/agent/poll.go
@@ -15,26 +15,26 @@
 
 const (
 	statusTimeout = 3 * time.Second
-	// commandTimeout is long, as no other command is sent to the instance before the answer to the last.
+	// commandTimeout is long, because the agent sends no further command to an instance before the response to the last.
 	commandTimeout = 12 * time.Second
 )
 
-// The poll interval grows with failures: it doubles with each, up to maxPollBackoff times.
+// The poll interval doubles with each consecutive failure, up to maxPollBackoff times the configured interval.
 const (
 	maxCountedFailures = 3
 	maxPollBackoff     = 5
 )
 
-// polledInstance is an instance that is polled.
+// polledInstance is an instance whose status the agent polls.
 type polledInstance struct {
 	fleet.Instance
 	client  *control.Client
-	dialErr error              // of an invalid address; client is nil then
-	cancel  context.CancelFunc // ends the polling
+	dialErr error              // error for an invalid address; client is nil then
+	cancel  context.CancelFunc // stops polling
 	pollNow chan struct{}      // skips the delay before the next poll
 }
 
-// updatePolled starts to poll new instances and stops to poll removed ones. It runs in the loop.
+// updatePolled starts polling new instances and stops polling removed ones. It runs in the loop.
 func (a *Agent) updatePolled(ctx context.Context) {
 	listed := map[string]bool{}
 	for _, view := range a.fleet.Views(a.now()) {
@@ -68,8 +68,8 @@
 	return instance
 }
 
-// poll requests the status of an instance until ctx ends. Its delays have jitter, so that the requests to many instances
-// are spread.
+// poll requests the status of an instance until ctx ends. Its delays have jitter, which spreads the requests to many
+// instances over time.
 func (a *Agent) poll(ctx context.Context, instance *polledInstance) {
 	if instance.client != nil {
 		defer instance.client.Close()
@@ -103,7 +103,7 @@
 	}
 }
 
-// requestStatus returns the instance's status, or an error if another instance answers at its address.
+// requestStatus requests the instance's status. It returns an error if another instance responds at the address.
 func (instance *polledInstance) requestStatus(ctx context.Context) (control.Status, error) {
 	if instance.dialErr != nil {
 		return control.Status{}, instance.dialErr
@@ -112,12 +112,12 @@
 	defer cancel()
 	status, err := instance.client.Status(ctx)
 	if err == nil && status.Name != instance.Name {
-		err = fmt.Errorf("%q answers at %s", status.Name, instance.Addr)
+		err = fmt.Errorf("unexpected instance %q at %s", status.Name, instance.Addr)
 	}
 	return status, err
 }
 
-// deliver sends a command, records the answer and has the instance polled.
+// deliver sends a command, records the response and triggers a poll of the instance.
 func (a *Agent) deliver(ctx context.Context, instance *polledInstance, delivery fleet.Delivery) {
 	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
@@ -135,6 +135,6 @@
 	a.post(func() { a.fleet.RecordResponse(a.now(), delivery, response, err) })
 	select {
 	case instance.pollNow <- struct{}{}:
-	default: // requested already
+	default: // a poll is already requested
 	}
 }
--- a/internal/agent/recovery_test.go
+++ b/internal/agent/recovery_test.go
@@ -10,7 +10,7 @@
 
 var errKilled = errors.New("killed")
 
-// killSwitch ends an agent at its n-th write, before or after it.
+// killSwitch ends an agent before or after its n-th write.
 type killSwitch struct {
 	n         int
 	afterSave bool
@@ -41,8 +41,8 @@
 	return k.killed
 }
 
-// An agent that is killed before or after any write continues after its restart: no operation that was answered is lost,
-// and no instance applies a command twice.
+// An agent that is killed before or after any write continues its operations after a restart: no operation that it had
+// acknowledged is lost, and no instance applies a command twice.
 func TestAgent_KilledAtEachWrite_AppliesOnce(t *testing.T) {
 	t.Parallel()
 	for n := 1; ; n++ {
@@ -54,13 +54,13 @@
 			continue
 		}
 		if n < 5 {
-			t.Errorf("the operation took %d writes, too few for the test", n-1)
+			t.Errorf("the operation took %d writes, want at least 4", n-1)
 		}
 		return
 	}
 }
 
-// drainWithKill drains three instances with an agent that is killed, and one after it.
+// drainWithKill drains three instances with an agent that is killed, and with a second agent after the first.
 func drainWithKill(t *testing.T, kill *killSwitch) {
 	t.Helper()
 	r := newTestFleet(t, 3)
@@ -84,11 +84,11 @@
 	}
 	eventually(t, "it ends", func() bool { return operation(t, c, "d").State.Ended() })
 	if o := operation(t, c, "d"); o.State != fleet.Succeeded {
-		t.Fatalf("killed at write %d, after it %v: the operation is %s: %s", kill.n, kill.afterSave, o.State, o.Reason)
+		t.Fatalf("killed at write %d (after the write: %v): operation is %s: %s", kill.n, kill.afterSave, o.State, o.Reason)
 	}
 	r.checkDrainedOnce(t)
 	if t.Failed() {
-		t.Fatalf("killed at write %d, after it %v", kill.n, kill.afterSave)
+		t.Fatalf("killed at write %d (after the write: %v)", kill.n, kill.afterSave)
 	}
 	for _, x := range r.instances {
 		x.stop()
--- a/internal/agent/save.go
+++ b/internal/agent/save.go
@@ -10,7 +10,7 @@
 	"onyxstream/internal/fleet"
 )
 
-// The backoff after a failed write; it doubles.
+// The delay after a failed write doubles with each retry.
 const (
 	writeRetryInitialDelay = 50 * time.Millisecond
 	writeRetryMaxDelay     = 2 * time.Second
@@ -26,8 +26,8 @@
 	return errors.Join(a.writeWithRetry(ctx, change), a.saveHook(true))
 }
 
-// writeWithRetry writes a change until that succeeds, as on a disk that is full for a while. The loop does nothing else
-// meanwhile. Once ctx has ended it returns the error of the last attempt.
+// writeWithRetry writes a change and retries until the write succeeds, because a fault such as a full disk may be
+// temporary. The loop is blocked until then. After ctx has ended, writeWithRetry returns the error of the last attempt.
 func (a *Agent) writeWithRetry(ctx context.Context, change fleet.Change) error {
 	delay := writeRetryInitialDelay
 	for {
@@ -35,7 +35,7 @@
 		if err == nil {
 			return nil
 		}
-		a.log.Error("store write failed, no commands are delivered until it succeeds",
+		a.log.Error("store write failed, retrying; no commands are delivered until it succeeds",
 			zap.Error(err),
 			zap.Duration("retry_in", delay))
 		select {
--- a/internal/agent/serve.go
+++ b/internal/agent/serve.go
@@ -16,19 +16,19 @@
 
 // The limits of HTTP exchanges with the command line.
 const (
-	maxRequestBytes = 2 << 20 // a request with ten thousand targets
+	maxRequestBytes = 2 << 20 // enough for a request with 10,000 targets
 	maxHeaderBytes  = 16 << 10
 	headerTimeout   = 3 * time.Second
 	bodyTimeout     = 10 * time.Second
 )
 
-// watchPollInterval bounds the delay of changes that are not saved, as of a status.
+// watchPollInterval is the longest delay of changes that are not saved, for example of a status.
 const watchPollInterval = 200 * time.Millisecond
 
-// errShuttingDown says that the loop has ended.
-var errShuttingDown = errors.New("the agent is shutting down")
+// errShuttingDown means that the loop has ended.
+var errShuttingDown = errors.New("agent is shutting down")
 
-// serve answers the command line by HTTP on the agent's socket until ctx ends.
+// serve serves the command line over HTTP on the agent's socket until ctx ends.
 func (a *Agent) serve(ctx context.Context, listener control.Listener) error {
 	server := &http.Server{
 		Handler:           a.handler(),
@@ -77,7 +77,7 @@
 	respond(a, w, func() (fleet.Operation, error) { return a.fleet.Submit(a.now(), submitted) })
 }
 
-// respond runs call in the loop and writes its result once its changes are on disk.
+// respond runs call in the loop and, after its changes are on disk, writes its result as the response.
 func respond[T any](a *Agent, w http.ResponseWriter, call func() (T, error)) {
 	var result T
 	var err error
@@ -92,7 +92,7 @@
 	control.WriteJSON(w, result)
 }
 
-// errorStatus returns the HTTP status for an error of the fleet.
+// errorStatus returns the HTTP status for an error of package fleet.
 func errorStatus(err error) int {
 	var limit *fleet.LimitError
 	switch {
@@ -104,7 +104,7 @@
 	return http.StatusConflict
 }
 
-// handleWatch streams the instances, one line for each change.
+// handleWatch streams the views of all instances, one line for each change.
 func (a *Agent) handleWatch(w http.ResponseWriter, request *http.Request) {
 	changed := make(chan struct{}, 1)
 	if !a.runInLoop(func() { a.watchers[changed] = true }) {
@@ -136,14 +136,15 @@
 	}
 }
 
-// watchKey returns a text that differs where views do, but for what changes all the time.
+// watchKey returns a text that differs when the views differ. It leaves out ages, uptimes and hosts, which change all the
+// time.
 func watchKey(views []fleet.View) string {
 	var key strings.Builder
 	for _, view := range views {
 		view.AgeMS = 0
 		view.Status.UptimeSeconds = 0
 		view.Status.Hosts = nil
-		text, _ := json.Marshal(view) // plain values can't fail
+		text, _ := json.Marshal(view) // can't fail: View has only plain values
 		key.Write(text)
 	}
 	return key.String()
--- a/internal/agent/store.go
+++ b/internal/agent/store.go
@@ -26,14 +26,14 @@
 
 const storeFormat = "1"
 
-// lockTimeout is how long OpenStore waits for a store that another process has open.
+// lockTimeout is how long OpenStore waits while another process has the store open.
 const lockTimeout = 2 * time.Second
 
 // OpenStore opens or creates a store. It fails if another agent has it open.
 func OpenStore(path string) (*Store, error) {
 	db, err := bolt.Open(path, 0o600, &bolt.Options{Timeout: lockTimeout})
 	if errors.Is(err, bolterrors.ErrTimeout) {
-		return nil, fmt.Errorf("%s: another agent holds it", path)
+		return nil, fmt.Errorf("%s: in use by another agent", path)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
@@ -45,7 +45,7 @@
 	return &Store{db}, nil
 }
 
-// initStore creates what a new store needs, and checks the format of an existing one.
+// initStore creates the buckets and the format key of a new store, and checks the format of an existing store.
 func initStore(tx *bolt.Tx) error {
 	for _, name := range [][]byte{metaBucket, operationsBucket, desiredBucket} {
 		if _, err := tx.CreateBucketIfNotExists(name); err != nil {
@@ -58,7 +58,7 @@
 		return meta.Put(formatKey, []byte(storeFormat))
 	}
 	if string(format) != storeFormat {
-		return fmt.Errorf("its format is %q, this program reads %q", format, storeFormat)
+		return fmt.Errorf("unsupported store format %q, want %q", format, storeFormat)
 	}
 	return nil
 }
@@ -66,10 +66,10 @@
 // Close closes the store.
 func (s *Store) Close() error { return s.db.Close() }
 
-// scopeKey returns the key of a scope's desired state.
+// scopeKey returns the key under which the desired state of a scope is stored.
 func scopeKey(scope fleet.Scope) []byte { return []byte(scope.Instance + "\x00" + scope.Host) }
 
-// Save writes a change, and returns once it is on disk.
+// Save writes a change and returns after it is on disk.
 func (s *Store) Save(change fleet.Change) error {
 	return s.db.Update(func(tx *bolt.Tx) error {
 		if change.Fence > 0 {
@@ -138,7 +138,7 @@
 	return operations, desired, fence, err
 }
 
-// readAll decodes all values of a bucket; what names them in errors.
+// readAll decodes all values of a bucket. Errors call a value by the noun what.
 func readAll[T any](bucket *bolt.Bucket, what string) (values []T, err error) {
 	err = bucket.ForEach(func(key, text []byte) error {
 		var value T
--- a/internal/agent/stored_test.go
+++ b/internal/agent/stored_test.go
@@ -14,9 +14,9 @@
 	"onyxstream/internal/fleet"
 )
 
-// The store in testdata was written by the release before the names in the code changed: operations outlive a release.
+// An earlier release wrote the store in testdata. It guards the stored format, because operations outlive an upgrade.
 
-// openFixture opens a copy: a store is written to as it is opened.
+// openFixture opens a copy of the store in testdata, because opening a store writes to it.
 func openFixture(t *testing.T) *Store {
 	t.Helper()
 	text, err := os.ReadFile("testdata/store-v1.db")
@@ -35,7 +35,7 @@
 	return s
 }
 
-// dump is all that stands in a store, by bucket and key.
+// dump returns all values of a store, by bucket and key.
 func dump(t *testing.T, s *Store) map[string]string {
 	t.Helper()
 	all := map[string]string{}
@@ -81,6 +81,6 @@
 		t.Fatal(err)
 	}
 	if diff := cmp.Diff(dump(t, s), dump(t, again)); diff != "" {
-		t.Errorf("an earlier release would not read it: %s", diff)
+		t.Errorf("an earlier release would not read the written store (-want +got): %s", diff)
 	}
 }
--- a/internal/agent/testfleet_test.go
+++ b/internal/agent/testfleet_test.go
@@ -27,7 +27,7 @@
 	name, path string
 	mu         sync.Mutex
 	draining   bool
-	statusGate chan struct{} // Status waits for it; nil for none
+	statusGate chan struct{} // Status waits until it is closed; nil for no wait
 	applied    []control.Command
 	stop       func()
 }
@@ -73,13 +73,13 @@
 	return n
 }
 
-// instanceStarts counts the starts of all instances, for their incarnations.
+// instanceStarts counts the starts of all instances, to give each start a distinct incarnation.
 var instanceStarts struct {
 	sync.Mutex
 	count int
 }
 
-// start starts a process of the instance, without the state of the last one.
+// start starts the instance. It keeps no state from an earlier start.
 func (x *testInstance) start(t testing.TB) {
 	t.Helper()
 	l, err := control.ListenUnix(x.path, 64)
@@ -103,7 +103,7 @@
 	t.Cleanup(x.stop)
 }
 
-// testFleet has the configuration of an agent and its instances, in one temporary directory.
+// testFleet has the configuration of an agent, and its instances. All files are in one temporary directory.
 type testFleet struct {
 	cfg       Config
 	instances []*testInstance
@@ -138,7 +138,7 @@
 	}
 }
 
-// startAgent starts an agent; stop ends it and waits. change may set hooks.
+// startAgent starts an agent. stop ends the agent and waits until it has ended. change may set hooks before the start.
 func (r *testFleet) startAgent(t testing.TB, change func(*Agent)) (c *control.Client, stop func() error) {
 	t.Helper()
 	a, err := New(r.cfg, zap.NewNop())
@@ -167,7 +167,7 @@
 	return out
 }
 
-// drainRequest returns a request to drain instances that keeps on over failures.
+// drainRequest returns a request to drain instances that continues after failures.
 func drainRequest(id string, names []string) fleet.Request {
 	return fleet.Request{
 		ID:      id,
@@ -195,7 +195,7 @@
 	t.Helper()
 	for _, x := range r.instances {
 		if n := x.count(control.Drain); n != 1 {
-			t.Errorf("%s drained %d times", x.name, n)
+			t.Errorf("%s was drained %d times, want 1", x.name, n)
 		}
 	}
 }
@@ -204,7 +204,7 @@
 	t.Helper()
 	for begin := time.Now(); !f(); time.Sleep(10 * time.Millisecond) {
 		if time.Since(begin) > testTimeout {
-			t.Fatalf("never: %s", what)
+			t.Fatalf("timed out waiting until %s", what)
 		}
 	}
 }
--- a/internal/fleet/delivery.go
+++ b/internal/fleet/delivery.go
@@ -6,23 +6,23 @@
 	"onyxstream/internal/control"
 )
 
-// Delivery is a command to send to an instance. RecordResponse must follow each.
+// Delivery is a command to send to an instance. RecordResponse must follow each delivery.
 type Delivery struct {
 	Instance Instance
 	Command  control.Command
 }
 
-// redelivery is the state of a command that is delivered again to a restarted instance.
+// redelivery is the state of delivering a command again to an instance that has restarted.
 type redelivery struct {
 	attempts    int
 	notBefore   time.Duration
-	deliveredTo string // the incarnation that has answered; it does not get the command again
+	deliveredTo string // the incarnation that has responded; it does not get the command again
 }
 
-// maxBackoffShift keeps the doubled delay from overflowing.
+// maxBackoffShift limits the doublings of the delay, to prevent an overflow.
 const maxBackoffShift = 16
 
-// hasCommandInFlight reports whether a delivery to the instance has not been answered.
+// hasCommandInFlight reports whether a delivery to the instance still waits for its response.
 func (f *Fleet) hasCommandInFlight(name string) bool {
 	_, ok := f.inFlight[name]
 	return ok
@@ -34,8 +34,8 @@
 	plan.deliveries = append(plan.deliveries, delivery)
 }
 
-// mayAttempt reports whether a command may be delivered now, after its backoff and within the retry budget. Otherwise it
-// sets when to look again.
+// mayAttempt reports whether a command may be delivered now: its backoff is over, and the retry budget allows a retry.
+// Otherwise it sets the time of the next check.
 func (f *Fleet) mayAttempt(plan *plan, attempts int, notBefore time.Duration) bool {
 	if notBefore > f.now {
 		plan.wakeBy(notBefore)
@@ -48,10 +48,10 @@
 	return true
 }
 
-// takeRetryToken takes one retry out of the fleet's budget.
+// takeRetryToken takes a token for one retry from the fleet's retry budget, and reports whether there was one.
 func (f *Fleet) takeRetryToken() bool { return f.retryBudget.AllowN(time.Unix(0, 0).Add(f.now), 1) }
 
-// backoff returns the delay before the next attempt: exponential, with jitter over its upper half.
+// backoff returns the delay before the next attempt. It grows exponentially; its upper half is jitter.
 func (f *Fleet) backoff(attempts int) time.Duration {
 	delay := f.cfg.RetryInitialDelay << min(attempts, maxBackoffShift)
 	if delay > f.cfg.RetryMaxDelay || delay <= 0 {
@@ -60,8 +60,8 @@
 	return delay/2 + time.Duration(f.rng.Float64()*float64(delay/2))
 }
 
-// RecordResponse records an instance's answer to a delivery. With an error no answer arrived: the instance may have applied
-// the command or not.
+// RecordResponse records an instance's response to a delivery, or the error if no response arrived. After an error it is
+// unknown whether the instance has applied the command.
 func (f *Fleet) RecordResponse(now time.Duration, delivery Delivery, response control.Response, err error) {
 	f.advanceClock(now)
 	name, command := delivery.Instance.Name, delivery.Command
--- a/internal/fleet/desired.go
+++ b/internal/fleet/desired.go
@@ -14,19 +14,19 @@
 	Host     string `json:"host,omitempty"`
 }
 
-// DesiredState is the last command for a scope. It stays in force over restarts of the instance and the agent.
+// DesiredState is the last command for a scope. It stays in effect across restarts of the instance and the agent.
 type DesiredState struct {
 	Scope
 	Command control.Command `json:"command"`
 }
 
-// Change is what has to be saved before the deliveries that come with it are made.
+// Change is the data that must be saved before the deliveries that Next returns with it are made.
 type Change struct {
 	Operations          []Operation
 	Desired             []DesiredState
-	Removed             []Scope  // without a desired state now
-	ForgottenOperations []string // ids
-	Fence               uint64   // 0 where it is unchanged
+	Removed             []Scope  // scopes that no longer have a desired state
+	ForgottenOperations []string // IDs
+	Fence               uint64   // 0 if it has not changed
 }
 
 // Empty reports whether there is nothing to save.
@@ -61,7 +61,7 @@
 	delete(f.redeliveries, scope)
 }
 
-// withdraw removes the desired state of a step that failed before the instance accepted its command.
+// withdraw removes the desired state of a step that ended before the instance accepted its command.
 func (f *Fleet) withdraw(o *Operation, name string) {
 	scope := o.scope(name)
 	state, ok := f.desired[scope]
@@ -72,14 +72,15 @@
 	f.invalidate(name)
 }
 
-// sortedScopes returns the scopes with a desired state. Their order must not vary: the jitter of retries is drawn in it.
+// sortedScopes returns the scopes that have a desired state, in a fixed order: the order determines which random jitter
+// each retry gets.
 func (f *Fleet) sortedScopes() []Scope {
 	return slices.SortedFunc(maps.Keys(f.desired), func(a, b Scope) int {
 		return cmp.Or(cmp.Compare(a.Instance, b.Instance), cmp.Compare(a.Host, b.Host))
 	})
 }
 
-// restoreDesired delivers commands again to instances that restarted without them.
+// restoreDesired delivers the desired states again to instances that lost them in a restart.
 func (f *Fleet) restoreDesired(plan *plan) {
 	for _, scope := range f.sortedScopes() {
 		state := f.desired[scope]
@@ -100,8 +101,9 @@
 	}
 }
 
-// isMissing reports whether an instance's status does not show the desired state. The status does not have the operation
-// of a host's override, so that one always counts as missing, and is delivered once to each start of the instance.
+// isMissing reports whether an instance's status does not show the desired state. The status does not show the operation
+// of a host override. A desired override therefore always counts as missing, and is delivered once to each incarnation
+// of the instance.
 func (d DesiredState) isMissing(status *control.Status) bool {
 	if d.Host != "" {
 		return d.Command.Kind == control.HostDrain
@@ -109,7 +111,7 @@
 	return d.Command.Kind == control.Drain && status.Fence < d.Command.Fence
 }
 
-// redeliveryOf returns the state of redeliveries for a scope.
+// redeliveryOf returns the redelivery state of a scope, and creates it if there is none.
 func (f *Fleet) redeliveryOf(state DesiredState) *redelivery {
 	pending := f.redeliveries[state.Scope]
 	if pending != nil {
@@ -123,7 +125,8 @@
 	return pending
 }
 
-// hasUnfinishedStep reports whether a step that has not ended still delivers the command.
+// hasUnfinishedStep reports whether the step that set the desired state has not ended. Such a step delivers the command
+// itself.
 func (f *Fleet) hasUnfinishedStep(state DesiredState) bool {
 	step := f.stepOf(state)
 	return step != nil && !step.State.Ended()
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,8 +1,8 @@
-// Package fleet decides which commands many instances get, and when: from the inventory, the last status of each
-// instance, and the operations that operators submitted. It is deterministic: events and the time come in, what to save
-// and which commands to deliver comes out. It has no goroutines, sockets, clocks or files.
+// Package fleet decides which commands each instance of a fleet gets, and when, from the inventory, the last status of
+// each instance, and the operations that operators submitted. It is deterministic: the caller passes in events and the
+// time, and gets the data to save and the commands to deliver. The package uses no goroutines, sockets, clocks or files.
 //
-// Times are durations since the agent's start.
+// Times are durations since the start of the agent.
 package fleet
 
 import (
@@ -14,16 +14,16 @@
 	"golang.org/x/time/rate"
 )
 
-// Config has the bounds of a fleet's work.
+// Config has the timeouts and limits of a fleet.
 type Config struct {
-	DownAfter            time.Duration // an instance without a status for so long is down
-	DeliveryTimeout      time.Duration // a command that is not delivered by then fails its step
+	DownAfter            time.Duration // an instance that has sent no status for this long is down
+	DeliveryTimeout      time.Duration // a step fails if its command is not delivered within this time
 	RetryInitialDelay    time.Duration // doubles with each attempt
 	RetryMaxDelay        time.Duration
-	RetryRate            float64 // retries a second over the whole fleet
+	RetryRate            float64 // retries per second, in the whole fleet
 	RetryBurst           int
-	DefaultDeadline      time.Duration // of an operation that has none
-	MaxEndedOperations   int           // kept for operators to look at
+	DefaultDeadline      time.Duration // of operations without a deadline
+	MaxEndedOperations   int           // kept for operators to inspect
 	MaxRunningOperations int
 }
 
@@ -42,7 +42,7 @@
 	}
 }
 
-// rngStream is the second half of the seed, so that other users of the same seed draw other numbers.
+// rngStream is the second half of the seed of the random source. Other users of the same first half draw other numbers.
 const rngStream = 0x666c656574
 
 // Fleet is the state of one agent. It is not safe for concurrent use.
@@ -57,7 +57,7 @@
 	observations   map[string]*Observation
 
 	operations map[string]*Operation
-	running    []*Operation // by fence
+	running    []*Operation // in the order of their fences
 	ended      []string     // in the order in which they ended
 	fence      uint64       // of the last operation
 
@@ -68,7 +68,7 @@
 	change Change // since the last call of Next
 }
 
-// New makes a fleet with no instances and operations. The seed is that of the retries' jitter.
+// New returns a fleet without instances and operations. The seed determines the jitter of retries.
 func New(cfg Config, seed uint64) *Fleet {
 	return &Fleet{
 		cfg:          cfg,
@@ -83,8 +83,8 @@
 	}
 }
 
-// Restore loads what was saved. Commands that were in flight when the agent ended are delivered again: an instance
-// applies a repeated command once.
+// Restore loads saved data. It has the commands that were in flight when the agent ended delivered again, because an
+// instance applies a repeated command only once.
 func (f *Fleet) Restore(operations []Operation, desired []DesiredState, fence uint64) {
 	f.fence = fence
 	for _, state := range desired {
@@ -109,5 +109,5 @@
 	}
 }
 
-// advanceClock sets the time of an event; it never runs back.
+// advanceClock sets the current time, which never moves backwards.
 func (f *Fleet) advanceClock(now time.Duration) { f.now = max(f.now, now) }
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -16,7 +16,7 @@
 	}
 }
 
-// newServingFleet returns a fleet whose instances all serve.
+// newServingFleet returns a fleet in which all instances are in state Serving.
 func newServingFleet(t *testing.T, list []Instance) *Fleet {
 	t.Helper()
 	f := New(DefaultConfig(), 1)
@@ -29,7 +29,8 @@
 	return f
 }
 
-// deliverAll answers all deliveries and reports the instances in a state afterwards.
+// deliverAll acknowledges all pending deliveries and then observes each instance that got one in the given state. It
+// returns the deliveries as "instance kind".
 func deliverAll(f *Fleet, now time.Duration, state control.InstanceState) (delivered []string) {
 	_, deliveries, _ := f.Next(now)
 	for _, t := range deliveries {
--- a/internal/fleet/inventory.go
+++ b/internal/fleet/inventory.go
@@ -13,7 +13,7 @@
 	Labels map[string]string `json:"labels,omitempty" toml:"labels"`
 }
 
-// FieldError is an invalid field of the inventory.
+// FieldError describes an invalid field of the inventory.
 type FieldError struct{ Path, Reason string }
 
 func (e *FieldError) Error() string { return e.Path + ": " + e.Reason }
@@ -30,15 +30,15 @@
 		sameAddr, addrTaken := addrs[instance.Addr]
 		switch {
 		case instance.Name == "":
-			return fail("name", "it is missing")
+			return fail("name", "missing")
 		case nameTaken:
-			return fail("name", fmt.Sprintf("%q is that of instance[%d] already", instance.Name, sameName))
+			return fail("name", fmt.Sprintf("%q is already the name of instance[%d]", instance.Name, sameName))
 		case instance.Addr == "":
-			return fail("addr", "it is missing")
+			return fail("addr", "missing")
 		case instance.Zone == "":
-			return fail("zone", "it is missing")
+			return fail("zone", "missing")
 		case addrTaken:
-			return fail("addr", fmt.Sprintf("%q is that of instance[%d] already", instance.Addr, sameAddr))
+			return fail("addr", fmt.Sprintf("%q is already the address of instance[%d]", instance.Addr, sameAddr))
 		}
 		names[instance.Name] = i
 		addrs[instance.Addr] = i
@@ -46,8 +46,8 @@
 	return nil
 }
 
-// SetInventory replaces all instances, or returns a FieldError and changes nothing. Steps of an instance that is removed
-// fail; an instance whose address changed is unknown until its next status.
+// SetInventory replaces all instances. If the inventory is invalid, it returns a FieldError and changes nothing. The
+// steps of removed instances fail. An instance with a new address is Unknown until its next status.
 func (f *Fleet) SetInventory(now time.Duration, instances []Instance) error {
 	if err := CheckInventory(instances); err != nil {
 		return err
@@ -73,7 +73,8 @@
 	return nil
 }
 
-// forgetInstance drops what is known of an instance: another one that gets its name later must not get its commands.
+// forgetInstance removes the observation and the desired states of an instance, so that another instance that later has
+// the same name does not get its commands.
 func (f *Fleet) forgetInstance(name string) {
 	delete(f.observations, name)
 	for scope := range f.desired {
--- a/internal/fleet/limits.go
+++ b/internal/fleet/limits.go
@@ -8,7 +8,7 @@
 	"onyxstream/internal/control"
 )
 
-// LimitError says that a drain would make more instances unavailable than its limits allow.
+// LimitError means that a drain would make more instances unavailable than its limits allow.
 type LimitError struct{ Text string }
 
 func (e *LimitError) Error() string { return e.Text }
@@ -17,7 +17,7 @@
 	return &LimitError{fmt.Sprintf(format, args...)}
 }
 
-// limits returns how many instances may be unavailable at the same time, in the fleet and in a zone.
+// limits returns how many instances of the fleet and of a zone may be unavailable at the same time.
 func (f *Fleet) limits(o *Options, zone string) (inFleet, inZone int) {
 	inFleet, inZone = o.MaxUnavailable, o.MaxUnavailablePerZone
 	zoneSize := 0
@@ -38,8 +38,8 @@
 	return inFleet, zoneSize - 1
 }
 
-// checkLimits returns a LimitError for a drain whose targets exceed its limits, with the instances that are unavailable
-// now.
+// checkLimits returns a LimitError for a drain that exceeds its limits: its targets, together with the instances that
+// are unavailable now, are too many.
 func (f *Fleet) checkLimits(r *Request) error {
 	if r.Kind != control.Drain {
 		return nil
@@ -73,8 +73,8 @@
 	return nil
 }
 
-// mayDrain reports whether the limits allow to make an instance unavailable now. Instances that get a drain command count
-// as unavailable, as it may be in effect.
+// mayDrain reports whether the limits allow the operation to make an instance unavailable now. Instances that get
+// a drain command count as unavailable, because the command may be in effect.
 func (f *Fleet) mayDrain(o *Operation, name string) bool {
 	if o.Kind != control.Drain || !f.countsAsAvailable(name) {
 		return true
@@ -93,7 +93,7 @@
 	return inFleet > 0 && inZone > 0
 }
 
-// countsAsAvailable reports whether an instance is available and not desired to drain.
+// countsAsAvailable reports whether an instance is available and its desired state is not a drain.
 func (f *Fleet) countsAsAvailable(name string) bool {
 	state, ok := f.desired[Scope{Instance: name}]
 	if ok && state.Command.Kind == control.Drain {
--- a/internal/fleet/observation.go
+++ b/internal/fleet/observation.go
@@ -6,11 +6,11 @@
 	"onyxstream/internal/control"
 )
 
-// Reachability says whether an instance answers.
+// Reachability is whether an instance responds to status requests.
 type Reachability string
 
 // The values of Reachability. An instance is Unknown before its first status, and after a command that it may have
-// applied; neither Unknown nor Down ones count as available.
+// applied. Instances that are Unknown or Down count as unavailable.
 const (
 	Unknown Reachability = "unknown"
 	Up      Reachability = "up"
@@ -22,9 +22,9 @@
 	Reachability Reachability   `json:"reach"`
 	ObservedAt   time.Duration  `json:"-"` // when the status was requested
 	Status       control.Status `json:"status"`
-	LastError    string         `json:"why,omitempty"` // of a call since then
+	LastError    string         `json:"why,omitempty"` // error of the last request, if it failed after ObservedAt
 
-	validFrom time.Duration // a status that was requested earlier is out of date
+	validFrom time.Duration // a status that was requested earlier is outdated
 }
 
 // isAvailable reports whether the instance admits new clients.
@@ -32,7 +32,7 @@
 	return o.Reachability == Up && o.Status.State == control.Serving
 }
 
-// isUpSince reports whether the instance answered a request made after a time.
+// isUpSince reports whether the instance is up and its last status was requested after a time.
 func (o *Observation) isUpSince(at time.Duration) bool {
 	return o.Reachability == Up && o.ObservedAt > at
 }
@@ -45,8 +45,9 @@
 	return string(o.Status.State)
 }
 
-// Observe records an instance's answer to a status request made at requested, or its error. An answer to a request made
-// before a command was delivered is ignored, however late it arrives.
+// Observe records the status that an instance sent in response to a request made at the time requested, or the error of
+// the request. It ignores a status that was requested before invalidate was last called or before the recorded status,
+// however late it arrives.
 func (f *Fleet) Observe(now, requested time.Duration, name string, status control.Status, err error) {
 	f.advanceClock(now)
 	observation := f.observations[name]
@@ -66,7 +67,7 @@
 	observation.LastError = ""
 }
 
-// invalidate makes an instance unknown until its next status: it may have applied a command.
+// invalidate makes an instance Unknown until its next status, because it may have applied a command.
 func (f *Fleet) invalidate(name string) {
 	observation := f.observations[name]
 	if observation == nil {
@@ -76,7 +77,7 @@
 	observation.validFrom = f.now
 }
 
-// expireObservations marks instances down that have not answered lately.
+// expireObservations marks instances as Down if their last status is older than DownAfter.
 func (f *Fleet) expireObservations() {
 	for _, observation := range f.observations {
 		if observation.Reachability == Up && f.now-observation.ObservedAt > f.cfg.DownAfter {
@@ -89,8 +90,8 @@
 type View struct {
 	Instance
 	Observation
-	AgeMS     int64  `json:"age_ms"`              // of the status
-	Operation string `json:"operation,omitempty"` // that has not ended for the instance
+	AgeMS     int64  `json:"age_ms"`              // age of the status
+	Operation string `json:"operation,omitempty"` // ID of the operation in progress on the instance
 }
 
 // Views returns all instances in the inventory's order.
--- a/internal/fleet/operation.go
+++ b/internal/fleet/operation.go
@@ -14,7 +14,7 @@
 // The states of an operation.
 const (
 	Running   State = "running"
-	Paused    State = "paused" // a step failed; an operator has to continue or abort it
+	Paused    State = "paused" // a step failed; an operator must continue or abort the operation
 	Succeeded State = "done"
 	Failed    State = "failed"
 	Aborted   State = "aborted"
@@ -29,12 +29,12 @@
 // The states of a step.
 const (
 	StepWaiting    StepState = "waiting"
-	StepDelivering StepState = "telling" // the command is sent, or will be again; whether it is in effect is unknown
+	StepDelivering StepState = "telling" // the command is being sent or retried, and may be in effect
 	StepAccepted   StepState = "told"    // the instance has accepted the command
 	StepDone       StepState = "done"    // the instance is in the desired state
 	StepFailed     StepState = "failed"
-	StepSuperseded StepState = "superseded" // by a newer operation on the same instance
-	StepSkipped    StepState = "skipped"    // the operation ended first
+	StepSuperseded StepState = "superseded" // by a newer operation on the same scope
+	StepSkipped    StepState = "skipped"    // the operation ended before the step did
 )
 
 // Ended reports whether the state is final.
@@ -46,11 +46,11 @@
 type Step struct {
 	State       StepState `json:"state"`
 	Reason      string    `json:"why,omitempty"`
-	Incarnation string    `json:"boot,omitempty"` // of the instance that accepted the command
+	Incarnation string    `json:"boot,omitempty"` // incarnation of the instance that accepted the command
 
 	attempts  int
-	retryAt   time.Duration // of the next attempt
-	changedAt time.Duration // when State changed
+	retryAt   time.Duration // time of the next attempt
+	changedAt time.Duration // when State last changed
 }
 
 // Operation is a request and its progress.
@@ -59,14 +59,14 @@
 	Fence   uint64           `json:"fence"`
 	State   State            `json:"state"`
 	Reason  string           `json:"why,omitempty"`
-	Steps   map[string]*Step `json:"steps"`    // by instance
-	Elapsed time.Duration    `json:"spent_ns"` // of its deadline, up to the last save; independent of wall clocks
+	Steps   map[string]*Step `json:"steps"`    // by name of the instance
+	Elapsed time.Duration    `json:"spent_ns"` // time used up to the last save; independent of wall clocks
 
 	elapsedAt time.Duration // when Elapsed was computed
 }
 
-// ErrUnknownOperation says that there is no such operation.
-var ErrUnknownOperation = errors.New("there is no such operation")
+// ErrUnknownOperation means that no operation has the given ID.
+var ErrUnknownOperation = errors.New("no such operation")
 
 func (o *Operation) clone() Operation {
 	c := *o
@@ -88,10 +88,10 @@
 	return counts
 }
 
-// isInstanceWide reports whether the operation is about instances, not hosts.
+// isInstanceWide reports whether the operation applies to whole instances, not to a host.
 func (o *Operation) isInstanceWide() bool { return o.Kind == control.Drain || o.Kind == control.Resume }
 
-// isAchievedBy reports whether an instance in a state has done what the operation asks for.
+// isAchievedBy reports whether an instance in the given state has completed its step of the operation.
 func (o *Operation) isAchievedBy(state control.InstanceState) bool {
 	return o.Kind == control.Drain && state == control.Drained || o.Kind == control.Resume && state == control.Serving
 }
--- a/internal/fleet/operations_test.go
+++ b/internal/fleet/operations_test.go
@@ -12,12 +12,12 @@
 	"onyxstream/internal/control"
 )
 
-// A fixed seed makes runs alike; -rapid.seed sets another.
+// A fixed seed makes test runs reproducible; the flag -rapid.seed sets another.
 func init() { _ = flag.Set("rapid.seed", "1") }
 
 const overriddenHost = "h"
 
-// The kinds of faults; any other number is none.
+// The kinds of faults. Any other number stands for no fault.
 const (
 	faultRestart = iota
 	faultPartition
@@ -26,13 +26,14 @@
 	faultContinue
 )
 
-// maxFault is the largest number that is drawn for a fault, so that some steps have none.
+// maxFault is the largest number drawn for a fault. It is above faultContinue, so that some steps have no fault.
 const maxFault = 6
 
 func noCrashes() crashPoint { return noCrash }
 
-// With lost, late and duplicated messages, and restarts of instances and of the agent at any write: the limit is never
-// exceeded, no instance has two commands in flight, every operation ends, and instances reach the desired state.
+// Messages are lost, delayed and duplicated, instances restart, and the agent crashes at any write. The limit of
+// unavailable instances is never exceeded, no instance has two commands in flight, every operation ends, and the
+// instances reach their desired state.
 func TestOperations_RandomFaults_ReachDesiredState(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		size := rapid.IntRange(2, 8).Draw(t, "instances")
@@ -45,7 +46,7 @@
 			if sim.submitTwice(request) {
 				ids = append(ids, request.ID)
 			}
-			sim.step(noCrash) // the operator is answered once the operation is on disk
+			sim.step(noCrash) // the operator gets the response after the operation is on disk
 			crash := crashPoint(rapid.IntRange(0, 2).Draw(t, "crash"))
 			sim.injectFault(ids, size)
 			pause := time.Duration(rapid.IntRange(0, 10_000).Draw(t, "pause")) * time.Millisecond
@@ -66,7 +67,7 @@
 	})
 }
 
-// drawRequest draws a request for some of the instances.
+// drawRequest draws a request whose targets are some of the instances.
 func drawRequest(t *rapid.T, id string, size, limit int) Request {
 	kinds := []control.CommandKind{control.Drain, control.Drain, control.Resume, control.HostDrain, control.HostResume}
 	policies := []FailurePolicy{PauseOnFailure, AbortOnFailure, ContinueOnFailure}
@@ -92,7 +93,8 @@
 	return request
 }
 
-// submitTwice submits a request, repeats it, and reports whether it was accepted.
+// submitTwice submits a request and reports whether it was accepted. It submits an accepted request again, which must
+// return the same operation.
 func (sim *simulation) submitTwice(request Request) bool {
 	operation, err := sim.fleet.Submit(sim.now, request)
 	var limit *LimitError
@@ -104,12 +106,12 @@
 	}
 	repeated, err := sim.fleet.Submit(sim.now, request)
 	if err != nil || repeated.Fence != operation.Fence {
-		sim.t.Fatalf("the same request repeated is %+v, error %v", repeated, err)
+		sim.t.Fatalf("repeated request: %+v, error %v", repeated, err)
 	}
 	return true
 }
 
-// injectFault draws a fault of an instance, or an operator's call.
+// injectFault draws a fault of an instance, or an operator's request to abort or continue an operation.
 func (sim *simulation) injectFault(ids []string, size int) {
 	fault := rapid.IntRange(0, maxFault).Draw(sim.t, "fault")
 	instance := sim.instances[fmt.Sprint("i", rapid.IntRange(0, size-1).Draw(sim.t, "instance"))]
@@ -140,7 +142,7 @@
 	for _, id := range ids {
 		o, err := sim.fleet.Operation(id)
 		if err != nil || !o.State.Ended() {
-			sim.t.Fatalf("operation %s is %s (%s) in the end, error %v", id, o.State, o.Reason, err)
+			sim.t.Fatalf("operation %s has not ended: state %s (%s), error %v", id, o.State, o.Reason, err)
 		}
 	}
 }
@@ -149,10 +151,10 @@
 	for scope, state := range sim.fleet.desired {
 		instance := sim.instances[scope.Instance]
 		if state.Command.Kind == control.Drain && !instance.draining {
-			sim.t.Fatalf("%s should be drained by %s and serves", scope.Instance, state.Command.Operation)
+			sim.t.Fatalf("%s is not draining, as operation %s requires", scope.Instance, state.Command.Operation)
 		}
 		if state.Command.Kind == control.HostDrain && !instance.overrides[overriddenHost] {
-			sim.t.Fatalf("%s should override h by %s and does not", scope.Instance, state.Command.Operation)
+			sim.t.Fatalf("%s has no host override, as operation %s requires", scope.Instance, state.Command.Operation)
 		}
 	}
 }
--- a/internal/fleet/progress.go
+++ b/internal/fleet/progress.go
@@ -8,24 +8,24 @@
 	"onyxstream/internal/control"
 )
 
-// maxWakeInterval bounds the time to the next call of Next: observations expire meanwhile.
+// maxWakeInterval is the longest time until the next call of Next, which has to notice observations that expire.
 const maxWakeInterval = time.Second
 
-// minWakeInterval is the resolution of Next's time.
+// minWakeInterval is the shortest time until the next call of Next.
 const minWakeInterval = time.Millisecond
 
-// plan collects what Next returns.
+// plan collects the results of Next.
 type plan struct {
 	now        time.Duration
 	deliveries []Delivery
 	wake       time.Duration
 }
 
-// wakeBy makes Next be called at a time at the latest.
+// wakeBy sets the next call of Next to the given time, unless it is earlier already.
 func (p *plan) wakeBy(at time.Duration) { p.wake = min(p.wake, max(at, p.now+minWakeInterval)) }
 
-// Next advances all operations. It returns what to save, which deliveries to make once that is on disk, and when to call
-// it again at the latest.
+// Next advances all operations. It returns the data to save, the deliveries to make after that data is on disk, and the
+// latest time of the next call.
 func (f *Fleet) Next(now time.Duration) (change Change, deliveries []Delivery, wake time.Duration) {
 	f.advanceClock(now)
 	f.expireObservations()
@@ -46,7 +46,7 @@
 	return change, plan.deliveries, plan.wake
 }
 
-// advance updates an operation and its steps by the last status of its instances.
+// advance updates an operation and its steps from the last status of its instances.
 func (f *Fleet) advance(o *Operation) {
 	if o.elapsed(f.now) >= o.Options.Deadline {
 		f.finish(o, Failed, "its deadline has passed")
@@ -86,7 +86,7 @@
 	}
 }
 
-// advanceStep updates a step by the last status of its instance.
+// advanceStep updates a step from the last status of its instance.
 func (f *Fleet) advanceStep(o *Operation, name string, step *Step) {
 	observation := f.observations[name]
 	if observation == nil {
@@ -127,8 +127,8 @@
 	}
 }
 
-// advanceRestarted handles an instance that restarted after it accepted the command: a drain is delivered again, a resume
-// is done, as instances start in service.
+// advanceRestarted updates the step of an instance that restarted after it accepted the command. A drain is delivered
+// again. A resume is done, because instances start in state Serving.
 func (f *Fleet) advanceRestarted(o *Operation, step *Step) {
 	const reason = "the instance has restarted"
 	if o.Kind != control.Drain {
@@ -140,7 +140,7 @@
 	f.updateStep(o, step, StepDelivering, reason)
 }
 
-// redeliver repeats the commands of an operation that were not answered.
+// redeliver repeats those commands of an operation that got no response.
 func (f *Fleet) redeliver(plan *plan, o *Operation) {
 	for _, name := range o.Targets {
 		step := o.Steps[name]
@@ -156,7 +156,7 @@
 	}
 }
 
-// startSteps starts steps as far as the wave size and the limits allow.
+// startSteps starts as many waiting steps as the wave size and the limits allow.
 func (f *Fleet) startSteps(plan *plan, o *Operation) {
 	counts := o.CountSteps()
 	inProgress := counts[StepDelivering] + counts[StepAccepted]
@@ -186,13 +186,13 @@
 	step.changedAt = f.now
 }
 
-// updateStep sets a step's state and marks its operation as changed.
+// updateStep sets the state of a step and adds its operation to the pending change.
 func (f *Fleet) updateStep(o *Operation, step *Step, state StepState, reason string) {
 	f.setState(step, state, reason)
 	f.save(o)
 }
 
-// finish ends an operation and forgets the oldest ended ones past the limit.
+// finish ends an operation. It forgets the oldest ended operations above MaxEndedOperations.
 func (f *Fleet) finish(o *Operation, state State, reason string) {
 	o.State = state
 	o.Reason = reason
@@ -209,8 +209,8 @@
 	}
 }
 
-// skipStep ends a step whose operation has ended. An accepted command stays in force; one that is being delivered does
-// not.
+// skipStep ends a step whose operation has ended. A command that the instance accepted stays in effect; the desired
+// state of a command that is still being delivered is withdrawn.
 func (f *Fleet) skipStep(o *Operation, name string, step *Step) {
 	switch step.State {
 	case StepWaiting:
--- a/internal/fleet/progress_test.go
+++ b/internal/fleet/progress_test.go
@@ -9,7 +9,8 @@
 	"onyxstream/internal/control"
 )
 
-// Deliveries to an unreachable instance are retried within the budget, its step times out, and the operation pauses.
+// Deliveries to an unreachable instance are retried within the retry budget, its step times out, and the operation
+// pauses.
 func TestNext_UnreachableInstance_PausesOperation(t *testing.T) {
 	f := newServingFleet(t, threeInstances())
 	request := Request{
@@ -30,29 +31,30 @@
 		for _, delivery := range deliveries {
 			attempts++
 			if delivery.Instance.Name != "a1" {
-				t.Fatalf("%s gets a command before a1", delivery.Instance.Name)
+				t.Fatalf("%s got a command before the step of a1 ended", delivery.Instance.Name)
 			}
 			f.RecordResponse(now, delivery, control.Response{}, errors.New("connection refused"))
 		}
 	}
 	o, _ := f.Operation("d")
 	if attempts < 5 || attempts > 20 || o.State != Paused || o.Steps["a1"].State != StepFailed || o.Steps["b1"].State != StepWaiting {
-		t.Errorf("%d attempts; the operation is %s, a1 %s, b1 %s", attempts, o.State, o.Steps["a1"].State, o.Steps["b1"].State)
+		t.Errorf("%d attempts; operation %s, a1 %s, b1 %s", attempts, o.State, o.Steps["a1"].State, o.Steps["b1"].State)
 	}
 	if _, err := f.Continue(time.Minute, "d"); err != nil {
 		t.Fatal(err)
 	}
 	f.Observe(time.Minute, time.Minute, "a1", control.Status{Incarnation: "2", State: control.Serving}, nil)
 	if got := deliverAll(f, time.Minute+1, control.Drained); strings.Join(got, "") != "b1 drain" {
-		t.Errorf("continued: %v", got)
+		t.Errorf("deliveries after Continue: %v", got)
 	}
 	f.Next(time.Minute + 3)
 	if o, _ = f.Operation("d"); o.State != Failed || o.Steps["b1"].State != StepDone {
-		t.Errorf("it ends as %s with b1 %s", o.State, o.Steps["b1"].State)
+		t.Errorf("operation %s, step b1 %s, want failed and done", o.State, o.Steps["b1"].State)
 	}
 }
 
-// A drain is delivered again, once, to an instance that restarts, also after the operation ended, until a newer command.
+// A drain is delivered again, once, to an instance that restarts, even after the operation ended, until a newer command
+// replaces it.
 func TestNext_InstanceRestarts_DeliversDesiredStateOnce(t *testing.T) {
 	f := newServingFleet(t, threeInstances())
 	if _, err := f.Submit(2, Request{ID: "d", Kind: control.Drain, Targets: []string{"a1"}}); err != nil {
@@ -61,19 +63,19 @@
 	deliverAll(f, 3, control.Draining)
 	f.Observe(5, 5, "a1", control.Status{Incarnation: "2", State: control.Serving}, nil)
 	if got := deliverAll(f, 6, control.Drained); len(got) != 1 {
-		t.Errorf("after a restart during the drain: %v", got)
+		t.Errorf("deliveries after a restart during the drain: %v", got)
 	}
 	f.Observe(8, 8, "a1", control.Status{Incarnation: "1", State: control.Drained, Fence: 1}, nil)
 	f.Next(9)
 	if o, _ := f.Operation("d"); o.State != Succeeded {
-		t.Fatalf("the operation is %s", o.State)
+		t.Fatalf("operation is %s, want done", o.State)
 	}
 	f.Observe(20, 20, "a1", control.Status{Incarnation: "3", State: control.Serving}, nil)
 	if got := deliverAll(f, 21, control.Drained); len(got) != 1 || got[0] != "a1 drain" {
-		t.Errorf("after a restart: %v", got)
+		t.Errorf("deliveries after a restart: %v", got)
 	}
 	if got := deliverAll(f, 23, control.Drained); len(got) != 0 {
-		t.Errorf("and once more: %v", got)
+		t.Errorf("further deliveries to the restarted instance: %v", got)
 	}
 	if _, err := f.Submit(24, Request{ID: "r", Kind: control.Resume, Targets: []string{"a1"}}); err != nil {
 		t.Fatal(err)
@@ -81,7 +83,7 @@
 	deliverAll(f, 25, control.Serving)
 	f.Observe(30, 30, "a1", control.Status{Incarnation: "4", State: control.Serving}, nil)
 	if got := deliverAll(f, 31, control.Serving); len(got) != 0 {
-		t.Errorf("resumed and restarted: %v", got)
+		t.Errorf("deliveries after a resume and a restart: %v", got)
 	}
 }
 
@@ -98,10 +100,10 @@
 	}
 	f.Next(5)
 	if o, _ := f.Operation("d"); o.Steps["a1"].State != StepFailed || !o.State.Ended() {
-		t.Errorf("the step is %+v, the operation %s", o.Steps["a1"], o.State)
+		t.Errorf("step of a removed instance: %+v, operation %s", o.Steps["a1"], o.State)
 	}
 	f.Observe(6, 6, "a9", control.Status{Incarnation: "9", State: control.Serving}, nil)
 	if got := deliverAll(f, 7, control.Drained); len(got) != 0 {
-		t.Errorf("the instance that has the address now gets %v", got)
+		t.Errorf("deliveries to another instance at the same address: %v", got)
 	}
 }
--- a/internal/fleet/request.go
+++ b/internal/fleet/request.go
@@ -10,7 +10,7 @@
 	"onyxstream/internal/control"
 )
 
-// FailurePolicy says how an operation goes on once a step failed.
+// FailurePolicy is how an operation continues after a step has failed.
 type FailurePolicy string
 
 // The failure policies.
@@ -20,42 +20,43 @@
 	ContinueOnFailure FailurePolicy = "continue"
 )
 
-// Options say how an operation is carried out. Zero values stand for the defaults.
+// Options control how an operation is executed. Zero values select the defaults.
 type Options struct {
-	WaveSize              int           `json:"at_once"`          // instances in progress at the same time; 1 by default
-	MaxUnavailable        int           `json:"unavailable"`      // instances at the same time; half of them by default
-	MaxUnavailablePerZone int           `json:"unavailable_zone"` // all but one by default
+	WaveSize              int           `json:"at_once"`          // instances in progress at the same time; default 1
+	MaxUnavailable        int           `json:"unavailable"`      // at the same time; default half of the instances
+	MaxUnavailablePerZone int           `json:"unavailable_zone"` // default all but one
 	AllowEmptyZone        bool          `json:"empty_zone"`       // a zone may have no available instance
 	DrainTimeout          time.Duration `json:"within_ns"`        // until a draining instance closes its connections
 	RetryAfter            time.Duration `json:"retry_after_ns"`   // sent to rejected clients
 	StepTimeout           time.Duration `json:"step_within_ns"`   // from the accepted command to the desired state
-	Deadline              time.Duration `json:"deadline_ns"`      // of the operation
+	Deadline              time.Duration `json:"deadline_ns"`      // for the whole operation
 	OnFailure             FailurePolicy `json:"on_failure"`
 }
 
 // Request is an operation as an operator submits it.
 type Request struct {
-	ID      string              `json:"id"` // chosen by the operator; a request with a known id is that operation
+	ID      string              `json:"id"` // chosen by the operator; a request with a known ID refers to that operation
 	Kind    control.CommandKind `json:"kind"`
 	Host    string              `json:"host,omitempty"`
 	Targets []string            `json:"targets"` // instances, in the order of their steps
 	Options Options             `json:"options"`
 }
 
-// The defaults and bounds of requests.
+// The defaults and limits of requests.
 const (
 	defaultDrainTimeout = 30 * time.Second
 	defaultRetryAfter   = time.Second
-	stepTimeoutMargin   = 10 * time.Second // of the default step timeout over the drain timeout
+	stepTimeoutMargin   = 10 * time.Second // added to the drain timeout for the default step timeout
 	maxTargets          = 10_000
 )
 
-// sameRequest reports whether two requests ask for the same; options don't count, as defaults were filled in.
+// sameRequest reports whether two requests are the same. It ignores the options, because the stored request has its
+// defaults filled in.
 func sameRequest(a, b Request) bool {
 	return a.Kind == b.Kind && a.Host == b.Host && slices.Equal(a.Targets, b.Targets)
 }
 
-// prepare fills in the defaults of a request and returns an error if it is invalid.
+// prepare sets the defaults of a request and returns an error if the request is invalid.
 func (f *Fleet) prepare(r *Request) error {
 	if err := f.checkTargets(r.Targets); err != nil {
 		return err
@@ -70,7 +71,7 @@
 
 func (f *Fleet) checkTargets(targets []string) error {
 	if len(targets) == 0 || len(targets) > maxTargets {
-		return fmt.Errorf("targets: there are %d, not 1 to %d", len(targets), maxTargets)
+		return fmt.Errorf("targets: %d given, want 1 to %d", len(targets), maxTargets)
 	}
 	seen := map[string]bool{}
 	for _, name := range targets {
@@ -96,14 +97,14 @@
 
 func (o *Options) check() error {
 	if o.WaveSize < 0 || o.MaxUnavailable < 0 || o.MaxUnavailablePerZone < 0 {
-		return errors.New("options: a number is negative")
+		return errors.New("options: negative number")
 	}
 	if o.StepTimeout < 0 || o.Deadline < 0 {
-		return errors.New("options: a time is negative")
+		return errors.New("options: negative duration")
 	}
 	switch o.OnFailure {
 	case PauseOnFailure, AbortOnFailure, ContinueOnFailure:
 		return nil
 	}
-	return fmt.Errorf("options: on_failure %q is neither pause, abort nor continue", o.OnFailure)
+	return fmt.Errorf("options: invalid on_failure %q: want pause, abort or continue", o.OnFailure)
 }
--- a/internal/fleet/select.go
+++ b/internal/fleet/select.go
@@ -8,20 +8,20 @@
 	"strings"
 )
 
-// Selector selects instances. An instance must fit all criteria that are set.
+// Selector selects instances. An instance must match all criteria that are set.
 type Selector struct {
-	Names  []string // patterns as of a shell: "cardiff-*"
+	Names  []string // shell patterns, for example "cardiff-*"
 	Zones  []string
 	Labels []string // "key=value"
 	All    bool
 }
 
-// criterion is one part of a selector: an instance fits if one of the patterns does.
+// criterion is one part of a selector. An instance matches it if it matches one of the patterns.
 type criterion struct {
 	name     string
 	patterns []string
 	matches  func(instance *Instance, pattern string) (bool, error)
-	matched  map[string]bool // patterns that fit any instance
+	matched  map[string]bool // patterns that match at least one instance
 }
 
 func (s *Selector) criteria() []criterion {
@@ -47,7 +47,7 @@
 	return ok && value == want, nil
 }
 
-// fits reports whether an instance matches one of the patterns, or there are none.
+// fits reports whether an instance matches one of the patterns. Every instance fits if there are no patterns.
 func (c *criterion) fits(instance *Instance) (bool, error) {
 	if len(c.patterns) == 0 {
 		return true, nil
@@ -66,8 +66,8 @@
 	return fits, nil
 }
 
-// Select returns the names of the instances that fit, in the inventory's order. A pattern that fits no instance is an
-// error, as it is probably a typing mistake.
+// Select returns the names of the selected instances, in the order of the inventory. A pattern that matches no instance
+// is an error, because it is probably a typing mistake.
 func Select(instances []Instance, s Selector) (names []string, err error) {
 	if !s.All && len(s.Names)+len(s.Zones)+len(s.Labels) == 0 {
 		return nil, errors.New("name instances, or --zone, --label or --all")
@@ -99,7 +99,7 @@
 	return names, nil
 }
 
-// Waves returns the targets in the waves in which they would be started if each wave ended at once.
+// Waves returns the targets in waves of waveSize, as they start if all steps of a wave end at the same time.
 func Waves(targets []string, waveSize int) [][]string {
 	return slices.Collect(slices.Chunk(targets, max(waveSize, 1)))
 }
--- a/internal/fleet/select_test.go
+++ b/internal/fleet/select_test.go
@@ -24,10 +24,10 @@
 	} {
 		got, err := Select(threeInstances(), c.selector)
 		if strings.Join(got, " ") != c.want || (err == nil) != (c.wantErr == "") {
-			t.Errorf("%+v: %v, error %v", c.selector, got, err)
+			t.Errorf("Select(%+v) = %v, %v", c.selector, got, err)
 		}
 		if err != nil && !strings.Contains(err.Error(), c.wantErr) {
-			t.Errorf("%+v: error %v, want %q", c.selector, err, c.wantErr)
+			t.Errorf("Select(%+v): error %v, want %q", c.selector, err, c.wantErr)
 		}
 	}
 }
--- a/internal/fleet/simulatedinstance_test.go
+++ b/internal/fleet/simulatedinstance_test.go
@@ -12,7 +12,7 @@
 	restarts    int
 	register    *control.Register
 	draining    bool
-	drainedAt   time.Duration // when its last connection closes
+	drainedAt   time.Duration // time at which its last connection closes
 	up          bool
 	partitioned bool // from the agent
 	overrides   map[string]bool
@@ -25,7 +25,7 @@
 	x.overrides = map[string]bool{}
 }
 
-// incarnation identifies the instance's start.
+// incarnation identifies a start of the instance.
 func (x *simulatedInstance) incarnation() string { return fmt.Sprint(x.name, "-", x.restarts) }
 
 func (x *simulatedInstance) status(now time.Duration) control.Status {
@@ -57,6 +57,6 @@
 		}
 	}
 	if draining > sim.maxDraining {
-		sim.t.Fatalf("%v: %d instances drain, the limit is %d", sim.now, draining, sim.maxDraining)
+		sim.t.Fatalf("%v: %d instances are draining, limit %d", sim.now, draining, sim.maxDraining)
 	}
 }
--- a/internal/fleet/simulation_test.go
+++ b/internal/fleet/simulation_test.go
@@ -14,19 +14,19 @@
 	"onyxstream/internal/control"
 )
 
-// simulation has an agent, instances and a network that loses, delays and duplicates, in virtual time.
+// simulation runs an agent, instances and a network that loses, delays and duplicates messages, in virtual time.
 type simulation struct {
 	t        *rapid.T
 	rng      *rand.Rand
 	now      time.Duration
 	events   []event
-	reliable bool // no further faults
+	reliable bool // inject no further faults
 
 	fleet            *Fleet
 	agentIncarnation int
 	inventory        []Instance
 	instances        map[string]*simulatedInstance
-	inFlight         map[string]int // commands of the current agent, by instance
+	inFlight         map[string]int // number of commands of the current agent, by instance
 	wake             time.Duration
 
 	saved struct {
@@ -42,7 +42,7 @@
 	run func()
 }
 
-// crashPoint says when the agent crashes in a step.
+// crashPoint is the point of a step at which the agent crashes.
 type crashPoint int
 
 const (
@@ -51,7 +51,7 @@
 	crashAfterWrite
 )
 
-var errLost = errors.New("no answer")
+var errLost = errors.New("no response")
 
 func newSimulation(t *rapid.T, n, limit int, seed uint64) *simulation {
 	sim := &simulation{
@@ -110,7 +110,7 @@
 	}
 }
 
-// poll requests an instance's status, and schedules the next request.
+// poll requests an instance's status and schedules the next request.
 func (sim *simulation) poll(name string) {
 	x := sim.instances[name]
 	agentIncarnation, requested := sim.agentIncarnation, sim.now
@@ -137,7 +137,7 @@
 	sim.schedule(300*time.Millisecond+time.Duration(sim.rng.Int64N(3e8)), func() { sim.poll(name) })
 }
 
-// delays returns the delays of a request and its answer: mostly short, at times seconds.
+// delays returns the delays of a request and its response: mostly short, sometimes seconds.
 func (sim *simulation) delays() (request, response time.Duration) {
 	one := func() time.Duration {
 		if !sim.reliable && sim.rng.IntN(20) == 0 {
@@ -150,13 +150,14 @@
 
 func (sim *simulation) isLost() bool { return !sim.reliable && sim.rng.IntN(10) == 0 }
 
-// send delivers a command to an instance: it may be lost, late or duplicated, and so may its answer.
+// send sends a command to an instance. The network may lose, delay or duplicate the command, and lose or delay the
+// response.
 func (sim *simulation) send(delivery Delivery) {
 	name, agentIncarnation := delivery.Instance.Name, sim.agentIncarnation
 	x := sim.instances[name]
 	sim.inFlight[name]++
 	if sim.inFlight[name] > 1 {
-		sim.t.Fatalf("%v: %s has two commands in flight", sim.now, name)
+		sim.t.Fatalf("%v: %s has more than one command in flight", sim.now, name)
 	}
 	requestDelay, answerDelay := sim.delays()
 	var response control.Response
@@ -193,7 +194,7 @@
 	})
 }
 
-// step does what the agent does after an event, with a crash before or after the write, if any.
+// step does what the agent does after an event. The agent may crash before or after the write.
 func (sim *simulation) step(crash crashPoint) {
 	change, deliveries, wake := sim.fleet.Next(sim.now)
 	sim.wake = wake
@@ -231,7 +232,7 @@
 	sim.saved.fence = max(sim.saved.fence, change.Fence)
 }
 
-// run processes events until a time.
+// run processes events until the given time. Each step may have a crash.
 func (sim *simulation) run(until time.Duration, crash func() crashPoint) {
 	for sim.now < until {
 		next := min(until, max(sim.wake, sim.now+time.Millisecond))
@@ -246,7 +247,7 @@
 	}
 }
 
-// takeDue removes the events that are due, and returns them in the order in which they were scheduled.
+// takeDue removes the due events and returns them in the order in which they were scheduled.
 func (sim *simulation) takeDue() (due []event) {
 	var later []event
 	for _, event := range sim.events {
--- a/internal/fleet/submit.go
+++ b/internal/fleet/submit.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// Submit starts an operation. A request whose id is known returns that operation, or an error if it asks for something
-// else. The error is a LimitError where a drain exceeds its limits.
+// Submit starts an operation. For a request with a known ID it returns the existing operation, or an error if the
+// request differs from it. The error is a LimitError if a drain exceeds its limits.
 func (f *Fleet) Submit(now time.Duration, r Request) (Operation, error) {
 	f.advanceClock(now)
 	f.expireObservations()
 	if o := f.operations[r.ID]; o != nil {
 		if !sameRequest(o.Request, r) {
-			return Operation{}, fmt.Errorf("operation %q was ordered with other contents before", r.ID)
+			return Operation{}, fmt.Errorf("operation %q already exists with other contents", r.ID)
 		}
 		return o.clone(), nil
 	}
@@ -44,7 +44,7 @@
 	return o.clone(), nil
 }
 
-// nextFence returns a fence above all that instances know, also those of an earlier store that was lost.
+// nextFence returns a fence above all fences that instances report, including those of an earlier store that was lost.
 func (f *Fleet) nextFence() uint64 {
 	for _, observation := range f.observations {
 		f.fence = max(f.fence, observation.Status.Fence)
@@ -54,7 +54,7 @@
 	return f.fence
 }
 
-// supersede ends the steps of older operations with the same scope as one of the newest.
+// supersede ends the steps of older operations that have the same scope as a step of the newest operation.
 func (f *Fleet) supersede(newest *Operation) {
 	for _, o := range f.running {
 		if o.Host != newest.Host || o.isInstanceWide() != newest.isInstanceWide() {
@@ -73,7 +73,7 @@
 	}
 }
 
-// Abort ends an operation: it starts no further steps. Commands that instances accepted stay in force.
+// Abort ends an operation, which then starts no further steps. Commands that instances accepted stay in effect.
 func (f *Fleet) Abort(now time.Duration, id, reason string) (Operation, error) {
 	f.advanceClock(now)
 	o := f.operations[id]
@@ -86,7 +86,7 @@
 	return o.clone(), nil
 }
 
-// Continue resumes a paused operation, over further failures too. It changes no other one.
+// Continue resumes a paused operation, which then ignores further failures. It has no effect on other operations.
 func (f *Fleet) Continue(now time.Duration, id string) (Operation, error) {
 	f.advanceClock(now)
 	o := f.operations[id]
@@ -102,7 +102,7 @@
 	return o.clone(), nil
 }
 
-// Operations returns all operations, the newest first.
+// Operations returns all operations, newest first.
 func (f *Fleet) Operations() (operations []Operation) {
 	for _, o := range f.operations {
 		operations = append(operations, o.clone())
@@ -111,7 +111,7 @@
 	return operations
 }
 
-// Operation returns one operation, or ErrUnknownOperation.
+// Operation returns the operation with the given ID, or ErrUnknownOperation.
 func (f *Fleet) Operation(id string) (Operation, error) {
 	o := f.operations[id]
 	if o == nil {
--- a/internal/fleet/submit_test.go
+++ b/internal/fleet/submit_test.go
@@ -33,7 +33,7 @@
 		}
 		var limit *LimitError
 		if c.wantErr == "" || !errors.As(err, &limit) || !strings.Contains(err.Error(), c.wantErr) {
-			t.Errorf("%s %+v: %v, want %q", c.targets, c.options, err, c.wantErr)
+			t.Errorf("drain of %s with %+v: error %v, want %q", c.targets, c.options, err, c.wantErr)
 		}
 	}
 	// An instance that is down counts as unavailable.
@@ -41,7 +41,7 @@
 	f.Observe(10*time.Second, 10*time.Second, "a2", control.Status{State: control.Serving, Incarnation: "1"}, nil)
 	f.Observe(10*time.Second, 10*time.Second, "b1", control.Status{State: control.Serving, Incarnation: "1"}, nil)
 	if _, err := f.Submit(10*time.Second, Request{ID: "x", Kind: control.Drain, Targets: []string{"a2"}}); err == nil {
-		t.Error("a drain of a zone's last available instance was accepted")
+		t.Error("Submit accepted a drain of the last available instance in a zone")
 	}
 }
 
@@ -69,7 +69,7 @@
 		r.ID = "y"
 		c.change(&r)
 		if _, err := f.Submit(2, r); err == nil || !strings.Contains(err.Error(), c.wantErr) {
-			t.Errorf("%+v: %v, want %q", r, err, c.wantErr)
+			t.Errorf("Submit(%+v): error %v, want %q", r, err, c.wantErr)
 		}
 	}
 	for _, inventory := range [][]Instance{
@@ -79,11 +79,11 @@
 		{{Name: "a", Addr: "x", Zone: "z"}, {Name: "b", Addr: "x", Zone: "z"}},
 	} {
 		if err := f.SetInventory(3, inventory); err == nil {
-			t.Errorf("the inventory %+v was accepted", inventory)
+			t.Errorf("SetInventory accepted %+v", inventory)
 		}
 	}
 	if len(f.Views(4)) != 3 {
-		t.Error("an invalid inventory changed something")
+		t.Error("an invalid inventory changed the instances")
 	}
 }
 
@@ -95,33 +95,33 @@
 	if _, err := f.Submit(2, drain); err != nil {
 		t.Fatal(err)
 	}
-	_, deliveries, _ := f.Next(3) // the command to a1 is in flight
+	_, deliveries, _ := f.Next(3) // the command to a1 stays in flight
 	resume := Request{ID: "r", Kind: control.Resume, Targets: targets, Options: Options{WaveSize: 2}}
 	if _, err := f.Submit(4, resume); err != nil {
 		t.Fatal(err)
 	}
 	if got := deliverAll(f, 5, control.Serving); strings.Join(got, ", ") != "a2 resume" {
-		t.Errorf("while a command to a1 is in flight: %v", got)
+		t.Errorf("deliveries while a command to a1 is in flight: %v", got)
 	}
 	f.RecordResponse(6, deliveries[0], control.Response{Verdict: control.Done, Fence: 1, Incarnation: "1"}, nil)
 	if got := deliverAll(f, 7, control.Serving); strings.Join(got, ", ") != "a1 resume" {
-		t.Errorf("after its answer: %v", got)
+		t.Errorf("deliveries after the response of a1: %v", got)
 	}
 	f.Next(8)
 	d, _ := f.Operation("d")
 	r, _ := f.Operation("r")
 	stepsSuperseded := d.Steps["a1"].State == StepSuperseded && d.Steps["a2"].State == StepSuperseded
 	if !stepsSuperseded || !d.State.Ended() || r.State != Succeeded {
-		t.Errorf("the drain is %s %v, the resume %s", d.State, d.Steps["a1"], r.State)
+		t.Errorf("drain %s with step a1 %v, resume %s", d.State, d.Steps["a1"], r.State)
 	}
 }
 
-// After the store was lost, fences go on above those that instances report.
+// After the loss of the store, new fences are above those that instances report.
 func TestSubmit_InstancesWithHigherFence_ContinuesAbove(t *testing.T) {
 	f := newServingFleet(t, threeInstances())
 	f.Observe(2, 2, "a2", control.Status{Incarnation: "1", State: control.Serving, Fence: 41}, nil)
 	o, err := f.Submit(3, Request{ID: "d", Kind: control.Drain, Targets: []string{"a1"}})
 	if err != nil || o.Fence != 42 {
-		t.Errorf("fence %d, error %v", o.Fence, err)
+		t.Errorf("fence %d, error %v, want fence 42", o.Fence, err)
 	}
 }
