--- a/internal/agent/recovery_test.go
+++ b/internal/agent/recovery_test.go
@@ -68,8 +68,8 @@
 	c, stop := r.startAgent(t, func(a *Agent) { a.saveHook = kill.hook })
 	eventually(t, "all are up", func() bool { return allUp(c) })
 	_, err := submit(t, c, request)
-	answered := err == nil
-	if answered {
+	acknowledged := err == nil
+	if acknowledged {
 		eventually(t, "it ends or is killed", func() bool {
 			return kill.hasKilled() || operation(t, c, "d").State.Ended()
 		})
@@ -77,7 +77,7 @@
 	_ = stop()
 	c, stop = r.startAgent(t, nil)
 	eventually(t, "all are up again", func() bool { return allUp(c) })
-	if !answered {
+	if !acknowledged {
 		if _, err := submit(t, c, request); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/control/register.go
+++ b/internal/control/register.go
@@ -5,7 +5,7 @@
 // The limits of a register.
 const (
 	maxScopes    = 1024 // the instance, and each host with an override
-	maxResponses = 4096 // answers that are remembered for repeated commands
+	maxResponses = 4096 // stored for repeats of their commands
 )
 
 // errOverrideLimit has a fixed text, because it is also the reply to a management call.
--- a/internal/control/server_test.go
+++ b/internal/control/server_test.go
@@ -93,19 +93,19 @@
 	_, c := startServer(t, f)
 	cmd := Command{Operation: "o", Fence: 1, Kind: Drain, DrainTimeout: time.Second}
 	var wg sync.WaitGroup
-	answers := make(chan Response, 20)
+	responses := make(chan Response, 20)
 	for range 20 {
 		wg.Go(func() {
 			a, err := c.Do(t.Context(), cmd)
 			if err != nil {
 				t.Error(err)
 			}
-			answers <- a
+			responses <- a
 		})
 	}
 	wg.Wait()
-	close(answers)
-	for a := range answers {
+	close(responses)
+	for a := range responses {
 		if a != (Response{Verdict: Done, Fence: 1, Incarnation: "boot"}) {
 			t.Errorf("response %+v", a)
 		}
--- a/internal/fleet/desired.go
+++ b/internal/fleet/desired.go
@@ -61,7 +61,8 @@
 	delete(f.redeliveries, scope)
 }
 
-// withdraw removes the desired state of a step that ended before the instance accepted its command.
+// withdraw removes the desired state of a step that ends without an accepted command, unless a newer operation has
+// replaced that state. The instance may have applied the command, so it is Unknown until its next status.
 func (f *Fleet) withdraw(o *Operation, name string) {
 	scope := o.scope(name)
 	state, ok := f.desired[scope]
--- a/internal/fleet/observation.go
+++ b/internal/fleet/observation.go
@@ -22,7 +22,7 @@
 	Reachability Reachability   `json:"reach"`
 	ObservedAt   time.Duration  `json:"-"` // when the status was requested
 	Status       control.Status `json:"status"`
-	LastError    string         `json:"why,omitempty"` // error of the last request, if it failed after ObservedAt
+	LastError    string         `json:"why,omitempty"` // error of the last request that failed after ObservedAt
 
 	validFrom time.Duration // a status that was requested earlier is outdated
 }
--- a/internal/fleet/operations_test.go
+++ b/internal/fleet/operations_test.go
@@ -151,10 +151,10 @@
 	for scope, state := range sim.fleet.desired {
 		instance := sim.instances[scope.Instance]
 		if state.Command.Kind == control.Drain && !instance.draining {
-			sim.t.Fatalf("%s is not draining, as operation %s requires", scope.Instance, state.Command.Operation)
+			sim.t.Fatalf("%s is not draining, but operation %s requires it", scope.Instance, state.Command.Operation)
 		}
 		if state.Command.Kind == control.HostDrain && !instance.overrides[overriddenHost] {
-			sim.t.Fatalf("%s has no host override, as operation %s requires", scope.Instance, state.Command.Operation)
+			sim.t.Fatalf("%s has no host override, but operation %s requires one", scope.Instance, state.Command.Operation)
 		}
 	}
 }
