--- a/internal/agent/poll.go
+++ b/internal/agent/poll.go
@@ -15,7 +15,8 @@
 
 const (
 	statusTimeout = 3 * time.Second
-	// commandTimeout is long, because the agent sends no further command to an instance before the response to the last.
+	// commandTimeout is long, because the agent sends no further command to an instance before the response to the
+	// previous one.
 	commandTimeout = 12 * time.Second
 )
 
--- a/internal/agent/stored_test.go
+++ b/internal/agent/stored_test.go
@@ -53,7 +53,7 @@
 	return all
 }
 
-func TestStoredOperations_FromEarlierRelease_AreReadAndWrittenAlike(t *testing.T) {
+func TestStoredOperations_FromEarlierRelease_RoundTripUnchanged(t *testing.T) {
 	s := openFixture(t)
 	operations, desired, fence, err := s.Load()
 	if err != nil {
--- a/internal/control/list_test.go
+++ b/internal/control/list_test.go
@@ -190,7 +190,7 @@
 }
 
 // An instance without cold start does not share its list.
-func TestList_NoProvider_AnswersNotFound(t *testing.T) {
+func TestList_NoProvider_RespondsNotFound(t *testing.T) {
 	_, c := startServer(t, &fakeInstance{})
 	_, _, err := c.List(t.Context(), "s", -1, 0, time.Second, nil)
 	if !isRemoteError(err, http.StatusNotFound) {
--- a/internal/control/server_test.go
+++ b/internal/control/server_test.go
@@ -132,7 +132,7 @@
 }
 
 // Requests that are too large, incomplete, slow or malformed end with an error and do not delay other requests.
-func TestServer_MalformedRequest_AnswersError(t *testing.T) {
+func TestServer_MalformedRequest_RespondsWithError(t *testing.T) {
 	f := &fakeInstance{}
 	path, c := startServer(t, f)
 	head := "POST /v1/command HTTP/1.1\r\nHost: x\r\nConnection: close\r\nContent-Length: "
--- a/internal/control/stored_test.go
+++ b/internal/control/stored_test.go
@@ -48,7 +48,7 @@
 	}
 }
 
-func TestMessages_OfEarlierRelease_AreReadAndWrittenAlike(t *testing.T) {
+func TestMessages_FromEarlierRelease_RoundTripUnchanged(t *testing.T) {
 	for name, into := range map[string]any{"command-v1.json": new(Command), "answer-v1.json": new(Response), "status-v1.json": new(Status), "list-v1.json": new(PeerList)} {
 		path := filepath.Join("testdata", name)
 		text, err := os.ReadFile(path)
--- a/internal/management/server_test.go
+++ b/internal/management/server_test.go
@@ -89,7 +89,7 @@
 	return string(all)
 }
 
-func TestServer_Calls_ExecutedAndAnswered(t *testing.T) {
+func TestServer_Calls_ExecutesAndReplies(t *testing.T) {
 	f := &fakeNode{}
 	addr := serve(t, f)
 	for _, c := range []struct{ call, wantPrefix string }{
@@ -115,7 +115,7 @@
 	}
 }
 
-func TestServer_LineWithoutEnd_AnswersNo(t *testing.T) {
+func TestServer_LineWithoutEnd_RepliesNo(t *testing.T) {
 	f := &fakeNode{}
 	c := dial(t, serve(t, f))
 	_, _ = io.WriteString(c, "drai")
