--- a/internal/agent/follow.go
+++ b/internal/agent/poll.go
@@ -15,48 +15,49 @@
 
 const (
 	statusTimeout = 3 * time.Second
-	// commandTimeout is long, as no other command is sent to the instance before the answer to the last.
+	// commandTimeout is long, because the agent sends no further command to an instance before the response to the
+	// previous one.
 	commandTimeout = 12 * time.Second
 )
 
-// The poll interval grows with failures: it doubles with each, up to maxPollBackoff times.
+// The poll interval doubles with each consecutive failure, up to maxPollBackoff times the configured interval.
 const (
 	maxCountedFailures = 3
 	maxPollBackoff     = 5
 )
 
-// followedInstance is an instance that is polled.
-type followedInstance struct {
+// polledInstance is an instance whose status the agent polls.
+type polledInstance struct {
 	fleet.Instance
 	client  *control.Client
-	dialErr error              // of an invalid address; client is nil then
-	cancel  context.CancelFunc // ends the polling
+	dialErr error              // error for an invalid address; client is nil then
+	cancel  context.CancelFunc // stops polling
 	pollNow chan struct{}      // skips the delay before the next poll
 }
 
-// updateFollowed starts to poll new instances and stops to poll removed ones. It runs in the loop.
-func (a *Agent) updateFollowed(ctx context.Context) {
+// updatePolled starts polling new instances and stops polling removed ones. It runs in the loop.
+func (a *Agent) updatePolled(ctx context.Context) {
 	listed := map[string]bool{}
 	for _, view := range a.fleet.Views(a.now()) {
 		listed[view.Name] = true
-		if instance := a.followed[view.Name]; instance != nil {
+		if instance := a.polled[view.Name]; instance != nil {
 			if instance.Addr == view.Addr {
 				continue
 			}
 			instance.cancel()
 		}
-		a.followed[view.Name] = a.startPolling(ctx, view.Instance)
+		a.polled[view.Name] = a.startPolling(ctx, view.Instance)
 	}
-	for name, instance := range a.followed {
+	for name, instance := range a.polled {
 		if !listed[name] {
 			instance.cancel()
-			delete(a.followed, name)
+			delete(a.polled, name)
 		}
 	}
 }
 
-func (a *Agent) startPolling(ctx context.Context, entry fleet.Instance) *followedInstance {
-	instance := &followedInstance{Instance: entry, pollNow: make(chan struct{}, 1)}
+func (a *Agent) startPolling(ctx context.Context, entry fleet.Instance) *polledInstance {
+	instance := &polledInstance{Instance: entry, pollNow: make(chan struct{}, 1)}
 	var cfg *tls.Config
 	if a.keys != nil {
 		cfg = a.keys.ClientConfig(entry.Name)
@@ -68,9 +69,9 @@
 	return instance
 }
 
-// poll requests the status of an instance until ctx ends. Its delays have jitter, so that the requests to many instances
-// are spread.
-func (a *Agent) poll(ctx context.Context, instance *followedInstance) {
+// poll requests the status of an instance until ctx ends. Its delays have jitter, which spreads the requests to many
+// instances over time.
+func (a *Agent) poll(ctx context.Context, instance *polledInstance) {
 	if instance.client != nil {
 		defer instance.client.Close()
 	}
@@ -94,7 +95,7 @@
 			failures = 0
 		}
 		a.post(func() {
-			if a.followed[instance.Name] == instance {
+			if a.polled[instance.Name] == instance {
 				a.fleet.Observe(a.now(), requested, instance.Name, status, err)
 			}
 		})
@@ -103,28 +104,28 @@
 	}
 }
 
-// requestStatus returns the instance's status, or an error if another instance answers at its address.
-func (p *followedInstance) requestStatus(ctx context.Context) (control.Status, error) {
-	if p.dialErr != nil {
-		return control.Status{}, p.dialErr
+// requestStatus requests the instance's status. It returns an error if another instance responds at the address.
+func (instance *polledInstance) requestStatus(ctx context.Context) (control.Status, error) {
+	if instance.dialErr != nil {
+		return control.Status{}, instance.dialErr
 	}
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
-	status, err := p.client.Status(ctx)
-	if err == nil && status.Name != p.Name {
-		err = fmt.Errorf("%q answers at %s", status.Name, p.Addr)
+	status, err := instance.client.Status(ctx)
+	if err == nil && status.Name != instance.Name {
+		err = fmt.Errorf("unexpected instance %q at %s", status.Name, instance.Addr)
 	}
 	return status, err
 }
 
-// deliver sends a command, records the answer and has the instance polled.
-func (a *Agent) deliver(ctx context.Context, instance *followedInstance, delivery fleet.Delivery) {
+// deliver sends a command, records the response and triggers a poll of the instance.
+func (a *Agent) deliver(ctx context.Context, instance *polledInstance, delivery fleet.Delivery) {
 	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
-	var answer control.Answer
+	var response control.Response
 	err := instance.dialErr
 	if err == nil {
-		answer, err = instance.client.Do(ctx, delivery.Command)
+		response, err = instance.client.Do(ctx, delivery.Command)
 	}
 	if err != nil {
 		a.log.Info("command delivery failed",
@@ -132,9 +133,9 @@
 			zap.String("operation", delivery.Command.Operation),
 			zap.Error(err))
 	}
-	a.post(func() { a.fleet.RecordAnswer(a.now(), delivery, answer, err) })
+	a.post(func() { a.fleet.RecordResponse(a.now(), delivery, response, err) })
 	select {
 	case instance.pollNow <- struct{}{}:
-	default: // requested already
+	default: // a poll is already requested
 	}
 }
--- a/internal/agent/stored_test.go
+++ b/internal/agent/stored_test.go
@@ -14,9 +14,9 @@
 	"onyxstream/internal/fleet"
 )
 
-// The store in testdata was written by the release before the names in the code changed: operations outlive a release.
+// An earlier release wrote the store in testdata. It guards the stored format, because operations outlive an upgrade.
 
-// openFixture opens a copy: a store is written to as it is opened.
+// openFixture opens a copy of the store in testdata, because opening a store writes to it.
 func openFixture(t *testing.T) *Store {
 	t.Helper()
 	text, err := os.ReadFile("testdata/store-v1.db")
@@ -35,7 +35,7 @@
 	return s
 }
 
-// dump is all that stands in a store, by bucket and key.
+// dump returns all values of a store, by bucket and key.
 func dump(t *testing.T, s *Store) map[string]string {
 	t.Helper()
 	all := map[string]string{}
@@ -53,23 +53,23 @@
 	return all
 }
 
-func TestStoredOperations_FromEarlierRelease_AreReadAndWrittenAlike(t *testing.T) {
+func TestStoredOperations_FromEarlierRelease_RoundTripUnchanged(t *testing.T) {
 	s := openFixture(t)
-	ops, holds, fence, err := s.Load()
+	operations, desired, fence, err := s.Load()
 	if err != nil {
 		t.Fatal(err)
 	}
-	op := fleet.Operation{Request: fleet.Request{ID: "op-1", Kind: control.HostDrain, Host: "host-a", Targets: []string{"n1", "n2"},
+	wantOperation := fleet.Operation{Request: fleet.Request{ID: "op-1", Kind: control.HostDrain, Host: "host-a", Targets: []string{"n1", "n2"},
 		Options: fleet.Options{WaveSize: 2, MaxUnavailable: 3, MaxUnavailablePerZone: 1, AllowEmptyZone: true, DrainTimeout: 20 * time.Second, RetryAfter: time.Second,
 			StepTimeout: 40 * time.Second, Deadline: time.Hour, OnFailure: "abort"}}, Fence: 7, State: fleet.Paused, Reason: "n2 is down",
 		Steps: map[string]*fleet.Step{"n1": {State: fleet.StepDone, Incarnation: "b1"}, "n2": {State: fleet.StepFailed, Reason: "is down"}}, Elapsed: 90 * time.Second}
-	hold := fleet.DesiredState{Scope: fleet.Scope{Instance: "n1", Host: "host-a"}, Command: control.Command{Operation: "op-1", Fence: 7,
+	wantDesired := fleet.DesiredState{Scope: fleet.Scope{Instance: "n1", Host: "host-a"}, Command: control.Command{Operation: "op-1", Fence: 7,
 		Kind: control.HostDrain, Host: "host-a", DrainTimeout: 20 * time.Second, RetryAfter: time.Second, AdmitFor: 2 * time.Second, KeepConnections: true, HostMustExist: true}}
 	unexported := cmpopts.IgnoreUnexported(fleet.Operation{}, fleet.Step{})
-	if diff := cmp.Diff([]fleet.Operation{op}, ops, unexported); diff != "" {
+	if diff := cmp.Diff([]fleet.Operation{wantOperation}, operations, unexported); diff != "" {
 		t.Error(diff)
 	}
-	if diff := cmp.Diff([]fleet.DesiredState{hold}, holds); diff != "" || fence != 7 {
+	if diff := cmp.Diff([]fleet.DesiredState{wantDesired}, desired); diff != "" || fence != 7 {
 		t.Errorf("fence %d, %s", fence, diff)
 	}
 	again, err := OpenStore(filepath.Join(t.TempDir(), "again.db"))
@@ -77,10 +77,10 @@
 		t.Fatal(err)
 	}
 	defer again.Close()
-	if err := again.Save(fleet.Change{Operations: ops, Desired: holds, Fence: fence}); err != nil {
+	if err := again.Save(fleet.Change{Operations: operations, Desired: desired, Fence: fence}); err != nil {
 		t.Fatal(err)
 	}
 	if diff := cmp.Diff(dump(t, s), dump(t, again)); diff != "" {
-		t.Errorf("an earlier release would not read it: %s", diff)
+		t.Errorf("an earlier release would not read the written store (-want +got): %s", diff)
 	}
 }
--- a/internal/control/register_test.go
+++ b/internal/control/register_test.go
@@ -9,12 +9,12 @@
 	"pgregory.net/rapid"
 )
 
-// Commands in any order and number: fences in effect only rise, a repeated command gets the same answer, an older one is
-// rejected.
+// For random sequences of commands: the fence in effect only rises, a repeated command gets the same response, and a
+// command with a lower fence is rejected.
 func TestRegister_RandomCommands_AppliesEachOnceInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := NewRegister("b")
-		first := map[string]Answer{}
+		first := map[string]Response{}
 		inEffect := map[string]uint64{}
 		for range rapid.IntRange(1, 60).Draw(t, "n") {
 			fence := rapid.Uint64Range(1, 12).Draw(t, "fence")
@@ -26,16 +26,16 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			a := decision.Answer
+			a := decision.Response
 			id := c.Operation + c.Host
 			previous, repeated := first[id]
 			switch {
 			case repeated && (a != previous || decision.MustRun):
-				t.Fatalf("%+v repeated: %+v, previous answer %+v", c, decision, previous)
+				t.Fatalf("repeated command %+v: %+v, previous response %+v", c, decision, previous)
 			case !repeated && (a.Verdict == Done) != (fence > inEffect[c.Host]):
-				t.Fatalf("%+v after %d: %+v", c, inEffect[c.Host], a)
+				t.Fatalf("command %+v after fence %d: %+v", c, inEffect[c.Host], a)
 			case decision.MustRun && a.Verdict != Done:
-				t.Fatalf("%+v is rejected and applied", c)
+				t.Fatalf("command %+v is rejected and must run", c)
 			}
 			first[id] = a
 			if a.Verdict == Done && !repeated {
@@ -65,10 +65,10 @@
 		{Command{Operation: strings.Repeat("p", 200), Fence: 6, Kind: Drain}, "operation"},
 	} {
 		if decision, err := r.Accept(c.command); decision.MustRun || err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%+v: must run %v, error %v, want %s", c.command, decision.MustRun, err, c.want)
+			t.Errorf("command %+v: must run %v, error %v, want %s", c.command, decision.MustRun, err, c.want)
 		}
 	}
-	for i := range 3 * maxAnswers {
+	for i := range 3 * maxResponses {
 		if _, err := r.Accept(Command{Operation: fmt.Sprint(i), Fence: uint64(i + 10), Kind: Drain}); err != nil {
 			t.Fatal(err)
 		}
@@ -79,7 +79,7 @@
 			t.Fatal("the number of hosts with an override is not bounded")
 		}
 	}
-	if len(r.answers) > maxAnswers || len(r.scopes) > maxScopes {
-		t.Errorf("%d answers and %d scopes are stored", len(r.answers), len(r.scopes))
+	if len(r.responses) > maxResponses || len(r.scopes) > maxScopes {
+		t.Errorf("the register holds %d responses and %d scopes, above its limits", len(r.responses), len(r.scopes))
 	}
 }
--- a/internal/lifecycle/control.go
+++ b/internal/lifecycle/control.go
@@ -126,12 +126,12 @@
 		return nil
 	}
 	return &control.ListStatus{
-		State:           state.Phase.String(),
-		Source:          string(state.Source),
-		AgeSeconds:      state.Age.Seconds(),
-		Calls:           state.ListRequests,
-		Failed:          state.Failed,
-		NextCallSeconds: state.Next.Seconds(),
+		State:                  state.Phase.String(),
+		Source:                 string(state.Source),
+		AgeSeconds:             state.Age.Seconds(),
+		ListRequests:           state.ListRequests,
+		Failed:                 state.Failed,
+		NextListRequestSeconds: state.Next.Seconds(),
 	}
 }
 
--- a/internal/management/stats.go
+++ b/internal/management/stats.go
@@ -2,21 +2,21 @@
 
 import "strconv"
 
-// Replies counts the final answers to clients of one class.
-type Replies struct {
+// FinalAnswers are the numbers of final answers to the clients of one class.
+type FinalAnswers struct {
 	Class                    string
-	Success, Overload, Error uint64 // established, rejected, failed
+	Success, Overload, Error uint64 // established, rejected and failed requests
 }
 
 // Stats are the counters of a node since the start of its process, and its gauges.
 type Stats struct {
-	Replies           []Replies
-	Dispatches        uint64 // attempts completely written to hosts
+	FinalAnswers      []FinalAnswers
+	Dispatches        uint64 // attempts that were completely written to a host
 	Concurrent        int64  // client connections
 	Targets, Disabled int64  // hosts in the endpoint list, and those of them that the node avoids
 }
 
-// Text formats the answer to show-stat: one line a figure, and END.
+// Text formats the reply to show-stat: YES, one line for each counter or gauge, and END.
 func (s *Stats) Text() []byte {
 	text := []byte("YES\r\n")
 	add := func(name string, value uint64) {
@@ -26,7 +26,7 @@
 		text = strconv.AppendUint(text, value, 10)
 		text = append(text, "\r\n"...)
 	}
-	for _, replies := range s.Replies {
+	for _, replies := range s.FinalAnswers {
 		prefix := "replies." + replies.Class
 		add(prefix+".success", replies.Success)
 		add(prefix+".overload", replies.Overload)
