--- a/internal/pki/authority.go
+++ b/internal/pki/authority.go
@@ -16,19 +16,19 @@
 	"github.com/google/renameio/v2"
 )
 
-// Names of an authority's files in its folder; a certificate has the suffix .crt, its key .key.
+// Base names of an authority's files in its directory. A certificate has the suffix .crt, its private key .key.
 const (
 	authorityName = "authority"
 	revokedName   = "revoked"
 )
 
-// Create creates an authority in a folder that has none. The folder is created if it is missing.
+// Create creates an authority in a directory that has none. It creates the directory if necessary.
 func Create(dir, name string) error {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return err
 	}
 	if _, err := os.Stat(filepath.Join(dir, authorityName+".crt")); err == nil {
-		return fmt.Errorf("%s: there is an authority already", dir)
+		return fmt.Errorf("%s: authority already exists", dir)
 	}
 	p, err := NewAuthority(name, time.Now())
 	if err != nil {
@@ -40,8 +40,8 @@
 	return p.write(dir, authorityName)
 }
 
-// write writes the key before the certificate, each atomically: a reader between the two finds a pair that does not match
-// and keeps the one that it has.
+// write writes the private key and then the certificate, each atomically. A KeyStore that reloads between the two writes
+// finds a mismatched pair and keeps the previous one.
 func (p KeyPair) write(dir, name string) error {
 	cert, key, err := p.encode()
 	if err != nil {
@@ -53,7 +53,7 @@
 	return renameio.WriteFile(filepath.Join(dir, name+".crt"), cert, 0o644)
 }
 
-// readPair reads the pair of a name from an authority's folder.
+// readPair reads the certificate and private key of a holder from an authority's directory.
 func readPair(dir, name string) (KeyPair, error) {
 	t, err := tls.LoadX509KeyPair(filepath.Join(dir, name+".crt"), filepath.Join(dir, name+".key"))
 	if err != nil {
@@ -61,19 +61,19 @@
 	}
 	key, ok := t.PrivateKey.(*ecdsa.PrivateKey)
 	if !ok {
-		return KeyPair{}, fmt.Errorf("%s: the key is of another kind", name)
+		return KeyPair{}, fmt.Errorf("%s: private key is not an ECDSA key", name)
 	}
 	return KeyPair{t.Leaf, key}, nil
 }
 
-// Issue issues a certificate, or a renewed one, and writes it into the authority's folder.
+// Issue issues a certificate and writes it to the authority's directory. It replaces an existing one of the same holder.
 func Issue(dir, name, role string, validity time.Duration) (*x509.Certificate, error) {
 	authority, err := readPair(dir, authorityName)
 	if err != nil {
-		return nil, fmt.Errorf("the authority can't be read: %w", err)
+		return nil, fmt.Errorf("read authority: %w", err)
 	}
 	if name == authorityName || name == revokedName {
-		return nil, fmt.Errorf("name: %q is taken", name)
+		return nil, fmt.Errorf("name: %q is reserved", name)
 	}
 	issued, err := authority.Issue(name, role, validity, time.Now())
 	if err != nil {
@@ -82,20 +82,20 @@
 	return issued.Cert, issued.write(dir, name)
 }
 
-// Renew issues a new certificate to the holder of one, in the same role.
+// Renew issues a new certificate to an existing holder, with the same role.
 func Renew(dir, name string, validity time.Duration) (*x509.Certificate, error) {
 	old, err := readPair(dir, name)
 	if err != nil {
-		return nil, fmt.Errorf("%s can't be read: %w", name, err)
+		return nil, fmt.Errorf("read certificate of %s: %w", name, err)
 	}
 	return Issue(dir, name, RoleOf(old.Cert), validity)
 }
 
-// Revoke adds the certificate of a holder to the authority's revocation list.
+// Revoke adds a holder's certificate to the authority's revocation list.
 func Revoke(dir, name string) error {
 	revoked, err := readPair(dir, name)
 	if err != nil {
-		return fmt.Errorf("%s can't be read: %w", name, err)
+		return fmt.Errorf("read certificate of %s: %w", name, err)
 	}
 	path := filepath.Join(dir, revokedName)
 	list, err := os.ReadFile(path)
@@ -106,7 +106,7 @@
 	return renameio.WriteFile(path, list, 0o644)
 }
 
-// List returns all certificates of an authority's folder, and its revocation list.
+// List returns all certificates in an authority's directory, and its revocation list.
 func List(dir string) (certs []*x509.Certificate, revoked RevocationList, err error) {
 	paths, err := filepath.Glob(filepath.Join(dir, "*.crt"))
 	if err != nil {
@@ -131,11 +131,11 @@
 	return parsePEM(path, text)
 }
 
-// maxRevoked bounds the entries of a revocation list.
+// maxRevoked is the maximum number of entries in a revocation list.
 const maxRevoked = 100_000
 
-// readRevoked reads a revocation list: a serial number in hexadecimal a line, with the holder's name behind it. A missing
-// file is an empty list; blank lines and those that begin with # are skipped.
+// readRevoked reads a revocation list. Each line has a serial number in hexadecimal, then a space and the holder's name.
+// Blank lines and lines that begin with # are skipped. A missing file is an empty list.
 func readRevoked(path string) (RevocationList, error) {
 	text, err := os.ReadFile(path)
 	if errors.Is(err, os.ErrNotExist) {
@@ -153,7 +153,7 @@
 		}
 		isHex := strings.Trim(serial, "0123456789abcdef") == ""
 		if !isHex || len(revoked) >= maxRevoked {
-			return nil, fmt.Errorf("%s:%d: %.40q is no serial number, or there are too many", path, number, serial)
+			return nil, fmt.Errorf("%s:%d: %.40q: invalid serial number, or too many entries", path, number, serial)
 		}
 		revoked[serial] = true
 	}
--- a/internal/pki/certificate.go
+++ b/internal/pki/certificate.go
@@ -1,8 +1,8 @@
 // Package pki is the project's certificate authority for control listeners: it issues, verifies, stores and reloads
 // certificates. A certificate names its holder and one role.
 //
-// This file is pure: it makes and verifies certificates. authority.go keeps an authority's files, keystore.go reloads the
-// files of a running program.
+// This file issues and verifies certificates and accesses no files. authority.go manages the files of an authority,
+// keystore.go loads and reloads the files of a running program.
 package pki
 
 import (
@@ -30,7 +30,7 @@
 var Roles = []string{RoleViewer, RoleOperator, RoleInstance}
 
 const (
-	// clockSkewAllowance is how long before its issue a certificate is valid: clocks of the machines may differ.
+	// clockSkewAllowance backdates the start of a certificate's validity, because the clocks of machines may differ.
 	clockSkewAllowance = 24 * time.Hour
 	authorityValidity  = 10 * 365 * 24 * time.Hour
 	minValidity        = time.Minute
@@ -38,7 +38,7 @@
 	MaxValidity = 2 * 365 * 24 * time.Hour
 
 	serialNumberBits = 120
-	maxNameLength    = 64 // bytes, as of a common name
+	maxNameLength    = 64 // bytes; the limit of an X.509 common name
 )
 
 // KeyPair is a certificate and its private key.
@@ -60,15 +60,15 @@
 	}, nil)
 }
 
-// Issue creates a certificate for a holder in a role. An error names the parameter that is invalid.
+// Issue creates a certificate with a role for the holder called name. An error names the invalid parameter.
 func (p KeyPair) Issue(name, role string, validity time.Duration, now time.Time) (KeyPair, error) {
 	switch {
-	case !isPlainName(name):
-		return KeyPair{}, fmt.Errorf("name: %q is no name of letters, figures, dots and dashes", name)
+	case !isValidName(name):
+		return KeyPair{}, fmt.Errorf("name: invalid holder name %q: want letters, digits, dots and dashes", name)
 	case !slices.Contains(Roles, role):
-		return KeyPair{}, fmt.Errorf("role: %q is none of %q", role, Roles)
+		return KeyPair{}, fmt.Errorf("role: unknown role %q: want one of %q", role, Roles)
 	case validity < minValidity || validity > MaxValidity:
-		return KeyPair{}, fmt.Errorf("valid: %s is not between a minute and %s", validity, MaxValidity)
+		return KeyPair{}, fmt.Errorf("valid: %s out of range: want 1m to %s", validity, MaxValidity)
 	}
 	side := ClientSide
 	if role == RoleInstance {
@@ -84,7 +84,7 @@
 	}, &p)
 }
 
-// sign creates a key and, from a template, a certificate for it, signed by the issuer; a nil issuer means self-signed.
+// sign creates a key and a certificate for it from a template, signed by issuer. A nil issuer makes it self-signed.
 func sign(template *x509.Certificate, issuer *KeyPair) (KeyPair, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -105,8 +105,8 @@
 	return KeyPair{cert, key}, err
 }
 
-// isPlainName reports whether a name may stand in a file name and in a certificate.
-func isPlainName(name string) bool {
+// isValidName reports whether a holder's name is safe as a file name and valid as a common name.
+func isValidName(name string) bool {
 	if name == "" || len(name) > maxNameLength || name[0] == '.' || name[0] == '-' {
 		return false
 	}
@@ -118,7 +118,7 @@
 	return true
 }
 
-// RoleOf returns the role of a certificate, "" for none.
+// RoleOf returns the role of a certificate, or "" if it has none.
 func RoleOf(c *x509.Certificate) string {
 	units := c.Subject.OrganizationalUnit
 	if len(units) != 1 || !slices.Contains(Roles, units[0]) {
@@ -133,7 +133,7 @@
 // Serial returns a certificate's serial number in hexadecimal.
 func Serial(c *x509.Certificate) string { return c.SerialNumber.Text(16) }
 
-// Side is the side of a TLS connection that a certificate is shown on.
+// Side is the side of a TLS connection that presents a certificate.
 type Side uint8
 
 // Sides of a connection. Instances are servers; all other roles are clients.
@@ -149,11 +149,11 @@
 	return x509.ExtKeyUsageClientAuth
 }
 
-// Verify checks the certificate chain that a peer has shown: issued by the authority, valid now, not revoked, and in a
-// role that belongs on the peer's side.
+// Verify checks the certificate chain that the other end of a TLS connection presented. The certificate must be issued
+// by the authority, valid at now and not revoked, and its role must belong to that end's side.
 func Verify(chain []*x509.Certificate, authority *x509.CertPool, revoked RevocationList, peer Side, now time.Time) error {
 	if len(chain) == 0 {
-		return errors.New("the peer shows no certificate")
+		return errors.New("peer presented no certificate")
 	}
 	leaf := chain[0]
 	options := x509.VerifyOptions{Roots: authority, CurrentTime: now, KeyUsages: []x509.ExtKeyUsage{peer.keyUsage()}}
@@ -164,16 +164,16 @@
 	isServer := peer == ServerSide
 	switch {
 	case revoked[Serial(leaf)]:
-		return fmt.Errorf("the certificate of %q is revoked", holder)
+		return fmt.Errorf("certificate of %q: revoked", holder)
 	case role == "":
-		return fmt.Errorf("the certificate of %q has no role", holder)
+		return fmt.Errorf("certificate of %q: no role", holder)
 	case isServer != (role == RoleInstance):
-		return fmt.Errorf("the certificate of %q has role %q, which is not for this side", holder, role)
+		return fmt.Errorf("certificate of %q: role %q is not allowed on this side of the connection", holder, role)
 	}
 	return nil
 }
 
-// encode returns certificate and key as PEM.
+// encode returns the certificate and the private key as PEM.
 func (p KeyPair) encode() (cert, key []byte, err error) {
 	der, err := x509.MarshalPKCS8PrivateKey(p.Key)
 	if err != nil {
@@ -183,7 +183,7 @@
 		pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: der}), nil
 }
 
-// parsePEM returns all certificates of a PEM text; path is for errors.
+// parsePEM returns all certificates of a PEM text. Errors name path.
 func parsePEM(path string, text []byte) (out []*x509.Certificate, err error) {
 	for {
 		var block *pem.Block
--- a/internal/pki/keystore.go
+++ b/internal/pki/keystore.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// Files names the files of a program's certificate, private key and trust anchors.
+// Files has the paths of a program's certificate, private key, trust anchors and revocation list.
 type Files struct {
 	Cert      string `toml:"cert"`
 	Key       string `toml:"key"`
@@ -18,33 +18,34 @@
 	Revoked   string `toml:"revoked"` // optional revocation list
 }
 
-// recheckInterval bounds how often the files are checked for a change.
+// recheckInterval is the minimum time between two checks of the files for changes.
 const recheckInterval = time.Second
 
-// KeyStore holds the certificate, trust anchors and revocations last read from Files. It reloads them without a restart:
-// the next handshake after a change uses the new ones. It is safe for use from several goroutines.
+// KeyStore holds the certificate, trust anchors and revocation list last read from Files. It reloads changed files
+// without a restart: a handshake at least recheckInterval after the previous check uses the new ones. It is safe for
+// concurrent use.
 type KeyStore struct {
-	files    Files
-	onFailed func(error)
+	files         Files
+	onReloadError func(error)
 
 	mu        sync.Mutex
 	checkedAt time.Time
-	stamp     string // state of the files as last loaded
+	stamp     string // fileStamp of the files as last loaded
 	cert      *tls.Certificate
 	pool      *x509.CertPool
 	revoked   RevocationList
 	lastError string // the last reload error that was reported
 }
 
-// Open reads the files. onFailed is called once for each later change that can't be loaded; the keys loaded before stay
-// in use.
-func Open(files Files, onFailed func(error)) (*KeyStore, error) {
-	k := &KeyStore{files: files, onFailed: onFailed}
+// Open reads the files. It calls onReloadError once for each later change that fails to load; the keys loaded before
+// remain in use.
+func Open(files Files, onReloadError func(error)) (*KeyStore, error) {
+	k := &KeyStore{files: files, onReloadError: onReloadError}
 	k.stamp = k.fileStamp()
 	return k, k.load()
 }
 
-// fileStamp describes the modification times and sizes of the files.
+// fileStamp returns the paths, modification times and sizes of the files as a string to compare.
 func (k *KeyStore) fileStamp() string {
 	var stamp strings.Builder
 	for _, path := range []string{k.files.Cert, k.files.Key, k.files.Authority, k.files.Revoked} {
@@ -56,14 +57,14 @@
 	return stamp.String()
 }
 
-// load reads all files; on an error nothing is replaced.
+// load reads all files. On an error it replaces nothing.
 func (k *KeyStore) load() error {
 	cert, err := tls.LoadX509KeyPair(k.files.Cert, k.files.Key)
 	if err != nil {
 		return fmt.Errorf("certificate %s: %w", k.files.Cert, err)
 	}
 	if RoleOf(cert.Leaf) == "" {
-		return fmt.Errorf("certificate %s: it has no role", k.files.Cert)
+		return fmt.Errorf("certificate %s: no role", k.files.Cert)
 	}
 	anchors, err := os.ReadFile(k.files.Authority)
 	if err != nil {
@@ -71,7 +72,7 @@
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(anchors) {
-		return fmt.Errorf("authority %s: no certificate", k.files.Authority)
+		return fmt.Errorf("authority %s: no certificate found", k.files.Authority)
 	}
 	revoked := RevocationList{}
 	if k.files.Revoked != "" {
@@ -84,7 +85,7 @@
 	return nil
 }
 
-// current returns the keys in use, after a reload where the files were last checked recheckInterval ago.
+// current returns the keys in use. It first reloads changed files if their last check is at least recheckInterval ago.
 func (k *KeyStore) current() (*tls.Certificate, *x509.CertPool, RevocationList) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -95,7 +96,7 @@
 	return k.cert, k.pool, k.revoked
 }
 
-// reloadIfChanged loads files that differ from those last loaded. mu is held.
+// reloadIfChanged loads the files if they differ from those last loaded. The caller must hold mu.
 func (k *KeyStore) reloadIfChanged() {
 	stamp := k.fileStamp()
 	if stamp == k.stamp {
@@ -107,11 +108,11 @@
 		k.stamp, k.lastError = stamp, ""
 	case err.Error() != k.lastError:
 		k.lastError = err.Error()
-		k.onFailed(fmt.Errorf("keys not reloaded: %w", err))
+		k.onReloadError(fmt.Errorf("reload TLS keys: %w", err))
 	}
 }
 
-// ServerConfig returns the TLS configuration of a listener: peers must show a certificate with a client's role.
+// ServerConfig returns the TLS configuration of a listener. Clients must present a certificate with a client role.
 func (k *KeyStore) ServerConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
@@ -121,7 +122,7 @@
 				MinVersion:             tls.VersionTLS13,
 				Certificates:           []tls.Certificate{*cert},
 				ClientAuth:             tls.RequireAnyClientCert,
-				SessionTicketsDisabled: true, // a ticket would outlive a revocation
+				SessionTicketsDisabled: true, // a resumed session would bypass a revocation
 				VerifyConnection: func(s tls.ConnectionState) error {
 					return Verify(s.PeerCertificates, pool, revoked, ClientSide, time.Now())
 				},
@@ -130,13 +131,13 @@
 	}
 }
 
-// ClientConfig returns the TLS configuration for calls to the instance of a name: it must show a certificate with the
-// instance role that is issued to this name.
+// ClientConfig returns the TLS configuration for connections to the instance called name. The instance must present a
+// certificate with the instance role that was issued to this name.
 func (k *KeyStore) ClientConfig(name string) *tls.Config {
 	return &tls.Config{
 		MinVersion:         tls.VersionTLS13,
 		ServerName:         name,
-		InsecureSkipVerify: true, //nolint:gosec // VerifyConnection verifies with the trust anchors in use now
+		InsecureSkipVerify: true, //nolint:gosec // VerifyConnection verifies with the current trust anchors
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
 			cert, _, _ := k.current()
 			return cert, nil
@@ -152,8 +153,8 @@
 	}
 }
 
-// PeerRole returns the role of an established connection's client, verified again now: "" once its certificate is
-// revoked or has expired.
+// PeerRole verifies the client certificate of an established connection again and returns its role, or "" if the
+// certificate has since been revoked or has expired.
 func (k *KeyStore) PeerRole(s *tls.ConnectionState) string {
 	_, pool, revoked := k.current()
 	err := Verify(s.PeerCertificates, pool, revoked, ClientSide, time.Now())
--- a/internal/pki/pki_test.go
+++ b/internal/pki/pki_test.go
@@ -14,8 +14,8 @@
 	"time"
 )
 
-// folder creates an authority with two instances, an operator and a viewer.
-func folder(t *testing.T) string {
+// newAuthorityDir creates an authority with two instances, an operator and a viewer.
+func newAuthorityDir(t *testing.T) string {
 	t.Helper()
 	dir := t.TempDir()
 	if err := Create(dir, "test"); err != nil {
@@ -29,11 +29,11 @@
 	return dir
 }
 
-func files(dir, name string) Files {
+func holderFiles(dir, name string) Files {
 	return Files{filepath.Join(dir, name+".crt"), filepath.Join(dir, name+".key"), filepath.Join(dir, authorityName+".crt"), filepath.Join(dir, revokedName)}
 }
 
-func open(t *testing.T, f Files) *KeyStore {
+func openKeyStore(t *testing.T, f Files) *KeyStore {
 	t.Helper()
 	k, err := Open(f, func(error) {})
 	if err != nil {
@@ -42,8 +42,8 @@
 	return k
 }
 
-// serve answers each connection with the role that it has.
-func serve(t *testing.T, k *KeyStore) string {
+// serveRoles starts a TLS server that answers each byte from a client with the client's role. It returns its address.
+func serveRoles(t *testing.T, k *KeyStore) string {
 	t.Helper()
 	l, err := tls.Listen("tcp", "127.0.0.1:0", k.ServerConfig())
 	if err != nil {
@@ -74,8 +74,8 @@
 	return l.Addr().String()
 }
 
-// call connects to a server and asks it for the client's role.
-func call(t *testing.T, addr string, cfg *tls.Config) (*tls.Conn, string, error) {
+// dialAndAskRole connects to a serveRoles server and asks it for the client's role.
+func dialAndAskRole(t *testing.T, addr string, cfg *tls.Config) (*tls.Conn, string, error) {
 	d := &net.Dialer{Timeout: 10 * time.Second}
 	c, err := tls.DialWithDialer(d, "tcp", addr, cfg)
 	if err != nil {
@@ -86,7 +86,7 @@
 	return c, role, err
 }
 
-// askRole asks the server for the role that it finds in the connection's client certificate.
+// askRole asks a serveRoles server which role it finds in the connection's client certificate.
 func askRole(c *tls.Conn) (string, error) {
 	_ = c.SetDeadline(time.Now().Add(10 * time.Second))
 	if _, err := io.WriteString(c, "?"); err != nil {
@@ -97,12 +97,12 @@
 	return strings.TrimSpace(string(buf[:n])), err
 }
 
-func TestVerify_RoleRevocationAndValidity_Decide(t *testing.T) {
-	dir, other := folder(t), folder(t)
-	addr := serve(t, open(t, files(dir, "n1")))
+func TestVerify_RoleRevocationAndExpiry_AreEnforced(t *testing.T) {
+	dir, other := newAuthorityDir(t), newAuthorityDir(t)
+	addr := serveRoles(t, openKeyStore(t, holderFiles(dir, "n1")))
 	for name, want := range map[string]string{"op": RoleOperator, "viewer": RoleViewer} {
-		if _, role, err := call(t, addr, open(t, files(dir, name)).ClientConfig("n1")); err != nil || role != want {
-			t.Errorf("%s is %q, error %v", name, role, err)
+		if _, role, err := dialAndAskRole(t, addr, openKeyStore(t, holderFiles(dir, name)).ClientConfig("n1")); err != nil || role != want {
+			t.Errorf("%s: got role %q, error %v", name, role, err)
 		}
 	}
 	if err := Revoke(dir, "viewer"); err != nil {
@@ -120,32 +120,32 @@
 	if err := p.write(filepath.Dir(expired), "late"); err != nil {
 		t.Fatal(err)
 	}
-	late := files(dir, "late")
+	late := holderFiles(dir, "late")
 	late.Cert, late.Key = expired+".crt", expired+".key"
-	foreign := files(other, "op")
-	foreign.Authority = files(dir, "op").Authority
-	server := open(t, files(dir, "n1"))
-	addr = serve(t, server)
+	foreign := holderFiles(other, "op")
+	foreign.Authority = holderFiles(dir, "op").Authority
+	server := openKeyStore(t, holderFiles(dir, "n1"))
+	addr = serveRoles(t, server)
 	for name, cfg := range map[string]*tls.Config{
-		"revoked":              open(t, files(dir, "viewer")).ClientConfig("n1"),
-		"expired":              open(t, late).ClientConfig("n1"),
-		"another authority's":  open(t, foreign).ClientConfig("n1"),
-		"an instance's":        open(t, files(dir, "n2")).ClientConfig("n1"),
-		"none":                 {InsecureSkipVerify: true},
-		"of an older protocol": {InsecureSkipVerify: true, MaxVersion: tls.VersionTLS12},
-		"for another instance": open(t, files(dir, "op")).ClientConfig("n2"),
+		"revoked":             openKeyStore(t, holderFiles(dir, "viewer")).ClientConfig("n1"),
+		"expired":             openKeyStore(t, late).ClientConfig("n1"),
+		"foreign authority":   openKeyStore(t, foreign).ClientConfig("n1"),
+		"instance role":       openKeyStore(t, holderFiles(dir, "n2")).ClientConfig("n1"),
+		"none":                {InsecureSkipVerify: true},
+		"TLS 1.2":             {InsecureSkipVerify: true, MaxVersion: tls.VersionTLS12},
+		"wrong instance name": openKeyStore(t, holderFiles(dir, "op")).ClientConfig("n2"),
 	} {
-		if _, role, err := call(t, addr, cfg); err == nil {
-			t.Errorf("a certificate that is %s is let in as %q", name, role)
+		if _, role, err := dialAndAskRole(t, addr, cfg); err == nil {
+			t.Errorf("certificate %q was accepted with role %q", name, role)
 		}
 	}
-	// A client's certificate must not serve as an instance's.
-	if _, _, err := call(t, serve(t, open(t, files(dir, "op"))), open(t, files(dir, "op")).ClientConfig("op")); err == nil {
-		t.Error("an operator's certificate answers as an instance")
+	// A server must not authenticate with a certificate that has a client role.
+	if _, _, err := dialAndAskRole(t, serveRoles(t, openKeyStore(t, holderFiles(dir, "op"))), openKeyStore(t, holderFiles(dir, "op")).ClientConfig("op")); err == nil {
+		t.Error("a server with an operator's certificate was accepted as an instance")
 	}
 }
 
-// reloadFixture is a server with the certificate of "n1", and the errors of its reloads.
+// reloadFixture is a serveRoles server with the certificate of "n1", and the errors of its reloads.
 type reloadFixture struct {
 	dir    string
 	addr   string
@@ -157,9 +157,9 @@
 
 func newReloadFixture(t *testing.T) *reloadFixture {
 	t.Helper()
-	dir := folder(t)
+	dir := newAuthorityDir(t)
 	f := &reloadFixture{dir: dir}
-	server, err := Open(files(dir, "n1"), func(err error) {
+	server, err := Open(holderFiles(dir, "n1"), func(err error) {
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		f.errors = append(f.errors, err)
@@ -167,22 +167,22 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.addr = serve(t, server)
-	f.client = open(t, files(dir, "op"))
+	f.addr = serveRoles(t, server)
+	f.client = openKeyStore(t, holderFiles(dir, "op"))
 	return f
 }
 
-// reloadErrors returns the errors so far.
+// reloadErrors returns the reload errors reported so far.
 func (f *reloadFixture) reloadErrors() []error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Clone(f.errors)
 }
 
-// serverSerial returns the serial number of the certificate that the server shows to a new connection.
+// serverSerial returns the serial number of the certificate that the server presents on a new connection.
 func (f *reloadFixture) serverSerial(t *testing.T) string {
 	t.Helper()
-	c, _, err := call(t, f.addr, f.client.ClientConfig("n1"))
+	c, _, err := dialAndAskRole(t, f.addr, f.client.ClientConfig("n1"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -194,16 +194,16 @@
 	t.Helper()
 	for start := time.Now(); !condition(); time.Sleep(50 * time.Millisecond) {
 		if time.Since(start) > 20*time.Second {
-			t.Fatalf("never: %s", what)
+			t.Fatalf("timed out waiting until %s", what)
 		}
 	}
 }
 
-// A renewed certificate is shown without a restart, one that is half written is not, and a revocation applies to
-// established connections.
+// A running server presents a renewed certificate without a restart, doesn't load a half-written one, and applies a
+// revocation to established connections.
 func TestKeyStore_FilesChange_AreReloaded(t *testing.T) {
 	f := newReloadFixture(t)
-	certPath := files(f.dir, "n1").Cert
+	certPath := holderFiles(f.dir, "n1").Cert
 	original := f.serverSerial(t)
 	complete, err := os.ReadFile(certPath)
 	if err != nil {
@@ -224,8 +224,8 @@
 	if _, err := Renew(f.dir, "n1", time.Hour); err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "the renewed certificate is shown", func() bool { return f.serverSerial(t) != original })
-	c, role, err := call(t, f.addr, f.client.ClientConfig("n1"))
+	eventually(t, "the renewed certificate is presented", func() bool { return f.serverSerial(t) != original })
+	c, role, err := dialAndAskRole(t, f.addr, f.client.ClientConfig("n1"))
 	if err != nil || role != RoleOperator {
 		t.Fatalf("role %q, error %v", role, err)
 	}
@@ -237,25 +237,25 @@
 		return err == nil && role == "" || errors.Is(err, io.EOF)
 	})
 	if reported := f.reloadErrors(); len(reported) != 1 {
-		t.Errorf("%d errors were reported: %v", len(reported), reported)
+		t.Errorf("%d reload errors, want 1: %v", len(reported), reported)
 	}
 }
 
 func TestOpen_InvalidFiles_AreNamed(t *testing.T) {
-	dir := folder(t)
-	mixed := files(dir, "n1")
-	mixed.Key = files(dir, "n2").Key
-	norole := files(dir, authorityName)
-	bad := files(dir, "n1")
+	dir := newAuthorityDir(t)
+	mismatched := holderFiles(dir, "n1")
+	mismatched.Key = holderFiles(dir, "n2").Key
+	noRole := holderFiles(dir, authorityName)
+	bad := holderFiles(dir, "n1")
 	bad.Revoked = filepath.Join(dir, "bad")
 	if err := os.WriteFile(bad.Revoked, []byte("ab\nnot a serial\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	missing := files(dir, "n1")
+	missing := holderFiles(dir, "n1")
 	missing.Authority = filepath.Join(dir, "nowhere")
-	for want, f := range map[string]Files{"n1.crt": mixed, "no role": norole, "bad:2": bad, "nowhere": missing} {
+	for want, f := range map[string]Files{"n1.crt": mismatched, "no role": noRole, "bad:2": bad, "nowhere": missing} {
 		if _, err := Open(f, nil); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%+v: %v, want %s", f, err, want)
+			t.Errorf("Open(%+v): got error %v, want one with %q", f, err, want)
 		}
 	}
 	for _, c := range []struct {
@@ -265,16 +265,16 @@
 		{"a/b", RoleViewer, time.Hour},
 		{"..", RoleViewer, time.Hour},
 		{"", RoleViewer, time.Hour},
-		{"x", "king", time.Hour},
+		{"x", "unknown", time.Hour},
 		{"x", RoleViewer, 0},
 		{"x", RoleViewer, 10 * MaxValidity},
 		{authorityName, RoleViewer, time.Hour},
 	} {
 		if _, err := Issue(dir, c.name, c.role, c.valid); err == nil {
-			t.Errorf("%+v is issued", c)
+			t.Errorf("Issue accepted %+v", c)
 		}
 	}
 	if err := Create(dir, "again"); err == nil {
-		t.Error("an authority was overwritten")
+		t.Error("Create overwrote an existing authority")
 	}
 }
--- a/internal/pki/stored_test.go
+++ b/internal/pki/stored_test.go
@@ -6,7 +6,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// The form of the list in testdata is that of the release before the names in the code changed.
+// The list in testdata was written by an earlier release, which spelled names in the code differently. The stored format
+// must remain readable.
 func TestStoredRevocations_FromEarlierRelease_AreRead(t *testing.T) {
 	got, err := readRevoked("testdata/revoked-v1")
 	if diff := cmp.Diff(RevocationList{"0a1b2c": true, "ff00": true}, got); diff != "" || err != nil {
