--- a/internal/migrate/fields.go
+++ b/internal/migrate/fields.go
@@ -2,7 +2,7 @@
 
 import "strings"
 
-// knownFields are the paths of the fields that the program reads; "[]" stands for any index of an array.
+// knownFields has the paths of the configuration fields that a node reads. "[]" stands for any array index.
 var knownFields = func() map[string]bool {
 	paths := map[string]bool{}
 	for prefix, names := range map[string]string{
--- a/internal/migrate/migrate.go
+++ b/internal/migrate/migrate.go
@@ -1,5 +1,5 @@
-// Package migrate converts a node's configuration for one deployment into its counterpart for another: the old file's
-// bytes and the shape of the new deployment in, the new file's bytes and a report on each field out. It is pure.
+// Package migrate converts a node's configuration for use in another deployment. Its input is the text of the old file
+// and the Shape of the new deployment, its output the text of the new file and a report on each field. It does no I/O.
 package migrate
 
 import (
@@ -13,16 +13,16 @@
 	"onyxstream/internal/tomlfile"
 )
 
-// What became of a field.
+// Values of ReportLine.Status.
 const (
-	Carried        = "carried"     // unchanged
-	Changed        = "changed"     // by the shape
-	Added          = "set"         // by the shape; the old file had none
-	Dropped        = "not carried" // for the reason of the line
-	CarriedUnknown = "kept"        // unchanged, and the program does not read it
+	Carried        = "carried"     // copied unchanged
+	Changed        = "changed"     // set by the shape to another value
+	Added          = "set"         // set by the shape; not in the old file
+	Dropped        = "not carried" // removed; ReportLine.Reason says why
+	CarriedUnknown = "kept"        // copied unchanged; no node reads it
 )
 
-// ReportLine tells what became of one field.
+// ReportLine reports how the migration treated one field.
 type ReportLine struct {
 	Field  string `json:"field"`
 	Status string `json:"what"`
@@ -34,43 +34,43 @@
 // migration is one conversion in progress.
 type migration struct {
 	shape       Shape
-	root        *value // of the new file
-	changes     map[string]ReportLine
-	changeOrder []string // the paths of changes, in the order in which they were made
+	root        *value                // the configuration, converted in place
+	changes     map[string]ReportLine // by path
+	changeOrder []string              // paths of the changes made by set, in order
 	dropped     []ReportLine
 }
 
-// Run converts an old configuration. A shape that does not fit it is reported as *tomlfile.FieldError, a fault of the
-// configuration as *Error. The same input gives the same bytes.
+// Run converts an old configuration. It returns a *tomlfile.FieldError if the shape doesn't match the configuration, and
+// an *Error if the configuration is invalid. The same input always gives the same output.
 func Run(old []byte, shape Shape) (out []byte, report []ReportLine, err error) {
 	root, err := parse(old)
 	if err != nil {
 		return nil, nil, err
 	}
 	if root.kind != '{' || root.get("settings") == nil {
-		return nil, nil, &Error{root.line, "settings", errors.New("missing: this is no configuration of a node")}
+		return nil, nil, &Error{root.line, "settings", errors.New("missing: not a node configuration")}
 	}
-	before, err := parse(old)
+	original, err := parse(old)
 	if err != nil {
 		return nil, nil, err
 	}
 	m := &migration{shape: shape, root: root, changes: map[string]ReportLine{}}
-	steps := []func() error{m.checkKeyCase, m.migrateLocations, m.migrateHosts, m.migrateFleet}
+	steps := []func() error{m.checkKeyCase, m.migrateZones, m.migrateHosts, m.migrateNodesAndDiscovery}
 	for _, step := range steps {
 		if err := step(); err != nil {
 			return nil, nil, err
 		}
 	}
 	m.migrateRules()
-	m.migrateTraffic()
+	m.migrateClassesAndTenants()
 	var text bytes.Buffer
 	if err := json.Indent(&text, []byte(root.text()), "", "  "); err != nil {
 		return nil, nil, err
 	}
-	return append(text.Bytes(), '\n'), m.report(before), nil
+	return append(text.Bytes(), '\n'), m.report(original), nil
 }
 
-// set sets a field to what the shape says and notes the change.
+// set sets a field to a value of the shape and records the change for the report.
 func (m *migration) set(path string, to any, reason string) {
 	before, after := m.root.get(path), newValue(to)
 	line := ReportLine{Field: path, Status: Changed, Old: before.text(), New: after.text(), Reason: reason}
@@ -85,24 +85,24 @@
 	m.changeOrder = append(m.changeOrder, path)
 }
 
-// stringList returns a field that is an array of strings.
+// stringList returns the value of a field that must be an array of strings.
 func (m *migration) stringList(path string) ([]string, error) {
 	list := m.root.get(path)
 	if list == nil || list.kind != '[' {
-		return nil, &Error{Field: path, Err: errors.New("missing, or no list of names")}
+		return nil, &Error{Field: path, Err: errors.New("missing or not an array of strings")}
 	}
 	var names []string
 	for i, item := range list.items {
 		name, ok := item.scalar.(string)
 		if !ok {
-			return nil, &Error{item.line, fmt.Sprintf("%s[%d]", path, i), errors.New("is no name")}
+			return nil, &Error{item.line, fmt.Sprintf("%s[%d]", path, i), errors.New("not a string")}
 		}
 		names = append(names, name)
 	}
 	return names, nil
 }
 
-// integer returns a field that is an integer, 0 where it is missing.
+// integer returns the value of a field that must be an integer, or 0 if it is missing.
 func (m *migration) integer(path string) (int, error) {
 	v := m.root.get(path)
 	if v == nil {
@@ -111,13 +111,13 @@
 	number, _ := v.scalar.(json.Number)
 	n, err := strconv.Atoi(number.String())
 	if err != nil {
-		return 0, &Error{v.line, path, errors.New("is no whole figure")}
+		return 0, &Error{v.line, path, errors.New("not an integer")}
 	}
 	return n, nil
 }
 
-// checkKeyCase rejects keys that differ from a known one in case alone: the program would read them, and the report would
-// call them unknown.
+// checkKeyCase rejects keys that differ from a known one only in case. A node would read them, because encoding/json
+// ignores case, but the report would call them unknown.
 func (m *migration) checkKeyCase() error {
 	return checkKeyCase("", m.root)
 }
@@ -129,7 +129,7 @@
 			at = joinPath(path, v.keys[i])
 			for known := range knownFields {
 				if known != at && strings.EqualFold(known, at) {
-					return &Error{item.line, at, fmt.Errorf("is to be written %s", known)}
+					return &Error{item.line, at, fmt.Errorf("wrong case: want %s", known)}
 				}
 			}
 		}
@@ -140,7 +140,7 @@
 	return nil
 }
 
-// shapeError reports that the shape does not fit the configuration.
+// shapeError returns the error for a shape that doesn't match the configuration.
 func shapeError(path, format string, args ...any) error {
 	return tomlfile.NewFieldError(path, format, args...)
 }
--- a/internal/migrate/migrate_test.go
+++ b/internal/migrate/migrate_test.go
@@ -11,7 +11,7 @@
 	"onyxstream/internal/tomlfile"
 )
 
-const old = `{"name":"n3","seed":"8c1f","big":12345678901234567890.10,
+const oldConfig = `{"name":"n3","seed":"8c1f","big":12345678901234567890.10,
  "known":{"revision":41,"complete":true,"members":[
   {"id":"h1","locality":"a","size":2},
   {"id":"h2","locality":"c","size":2},
@@ -41,7 +41,7 @@
 repeat = "keyed"
 `
 
-func shape(t testing.TB, text string) (s Shape) {
+func parseShape(t testing.TB, text string) (s Shape) {
 	t.Helper()
 	if err := tomlfile.Decode("shape", []byte(text), &s); err != nil {
 		t.Fatal(err)
@@ -50,7 +50,7 @@
 }
 
 func TestRun_NewShape_ReportsEachField(t *testing.T) {
-	out, report, err := Run([]byte(old), shape(t, shapeText))
+	out, report, err := Run([]byte(oldConfig), parseShape(t, shapeText))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -67,10 +67,10 @@
 		t.Errorf("the new settings are %+v", set.Settings)
 	}
 	if c := set.Classes; len(c) != 1 || c[0].IdempotencyWindow != 7*time.Millisecond || c[0].Deadline != 900*time.Millisecond || !strings.Contains(string(out), `"ours": 1`) {
-		t.Errorf("a class of the same name lost what the shape does not name: %+v", c)
+		t.Errorf("a class of the same name lost fields that the shape does not set: %+v", c)
 	}
 	if !strings.Contains(string(out), "12345678901234567890.10") || strings.Contains(string(out), `"h2"`) {
-		t.Errorf("a figure was written anew, or a host of a location that goes is there:\n%s", out)
+		t.Errorf("a number was reformatted, or a host of a removed zone was kept:\n%s", out)
 	}
 	got := map[string]string{}
 	for _, l := range report {
@@ -87,34 +87,34 @@
 			t.Errorf("%s: %q, want %q", want.field, got[want.field], want.values)
 		}
 	}
-	if _, _, err := Run(out, shape(t, shapeText)); err == nil || !strings.Contains(err.Error(), "new shape already") {
-		t.Errorf("a second time: %v", err)
+	if _, _, err := Run(out, parseShape(t, shapeText)); err == nil || !strings.Contains(err.Error(), "already has the new shape") {
+		t.Errorf("second run on the output: got error %v", err)
 	}
 }
 
 func TestRun_InvalidInput_NamesFieldAndLine(t *testing.T) {
 	for _, c := range []struct{ name, from, to, shape, want string }{
-		{"twice", `"name":"n3"`, `"name":"n3","name":"n4"`, "", `line 1: field "name"`},
-		{"no text", `"n3"`, "\"\xff\"", "", "UTF-8"},
-		{"in capitals", `"groupSize"`, `"GroupSize"`, "", "groupSize"},
-		{"a zone that is none", `"zone":1`, `"zone":3`, "", "settings.zone"},
-		{"a zone of words", `"zone":1`, `"zone":"b"`, "", "settings.zone"},
-		{"zones missing", `"zones"`, `"places"`, "", "settings.zones"},
-		{"node where it goes", `"zone":1`, `"zone":2`, "", "settings.zone"},
-		{"host nowhere", `"locality":"b"`, `"locality":"q"`, "", "known.members[2].locality"},
-		{"not mapped", "", "", strings.Replace(shapeText, `["c"]`, `[]`, 1), "settings.zones[2]"},
-		{"mapped from nowhere", "", "", strings.Replace(shapeText, `["a"]`, `["a","d"]`, 1), "location[1].from"},
+		{"duplicate key", `"name":"n3"`, `"name":"n3","name":"n4"`, "", `line 1: field "name"`},
+		{"invalid UTF-8", `"n3"`, "\"\xff\"", "", "UTF-8"},
+		{"wrong case of a key", `"groupSize"`, `"GroupSize"`, "", "groupSize"},
+		{"zone index out of range", `"zone":1`, `"zone":3`, "", "settings.zone"},
+		{"zone index is a string", `"zone":1`, `"zone":"b"`, "", "settings.zone"},
+		{"missing zones", `"zones"`, `"places"`, "", "settings.zones"},
+		{"node in a removed zone", `"zone":1`, `"zone":2`, "", "settings.zone"},
+		{"host in an unknown zone", `"locality":"b"`, `"locality":"q"`, "", "known.members[2].locality"},
+		{"zone neither mapped nor removed", "", "", strings.Replace(shapeText, `["c"]`, `[]`, 1), "settings.zones[2]"},
+		{"mapping of an unknown zone", "", "", strings.Replace(shapeText, `["a"]`, `["a","d"]`, 1), "location[1].from"},
 		{"too few nodes", "", "", strings.Replace(shapeText, "95", "1", 1), "settings.index"},
 		{"no settings", `"settings"`, `"set"`, "", "settings"},
-		{"deep", `"big":12345678901234567890.10`, `"big":` + strings.Repeat("[", 100) + strings.Repeat("]", 100), "", "levels"},
+		{"nested too deep", `"big":12345678901234567890.10`, `"big":` + strings.Repeat("[", 100) + strings.Repeat("]", 100), "", "levels"},
 	} {
-		text, s := strings.Replace(old, c.from, c.to, 1), shapeText
+		text, s := strings.Replace(oldConfig, c.from, c.to, 1), shapeText
 		if c.shape != "" {
 			s = c.shape
 		}
-		out, _, err := Run([]byte(text), shape(t, s))
+		out, _, err := Run([]byte(text), parseShape(t, s))
 		if err == nil || !strings.Contains(err.Error(), c.want) || out != nil || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: %v, want %q", c.name, err, c.want)
+			t.Errorf("%s: got error %v, want one with %q", c.name, err, c.want)
 		}
 	}
 	for _, c := range [][3]string{
@@ -125,19 +125,19 @@
 		err := tomlfile.Decode("shape", []byte(strings.Replace(shapeText, c[0], c[1], 1)), &s)
 		var at *tomlfile.Error
 		if !errors.As(err, &at) || at.Line == 0 || at.Key != c[2] {
-			t.Errorf("%s in place of %s: %v", c[1], c[0], err)
+			t.Errorf("%s in place of %s: got error %v", c[1], c[0], err)
 		}
 	}
 }
 
-// Whatever a file holds: an error or a configuration that can be read, no panic.
+// For any input, Run returns an error or valid JSON and doesn't panic.
 func FuzzRun(f *testing.F) {
-	f.Add([]byte(old))
+	f.Add([]byte(oldConfig))
 	f.Add([]byte(`{"settings":{"zones":["a"],"zone":0,"registryMode":null},"known":{"members":[1,{"locality":2}]}}`))
-	s := shape(f, shapeText)
+	s := parseShape(f, shapeText)
 	f.Fuzz(func(t *testing.T, text []byte) {
 		if out, _, err := Run(text, s); err == nil && !json.Valid(out) {
-			t.Errorf("written, and can't be read: %s", out)
+			t.Errorf("output is not valid JSON: %s", out)
 		}
 	})
 }
--- a/internal/migrate/report.go
+++ b/internal/migrate/report.go
@@ -5,7 +5,8 @@
 	"strings"
 )
 
-// report returns a line for each field of the old file in its order, then what the shape has added, then what is dropped.
+// report returns a line for each field of the old file in file order, then the fields that the shape added, then the
+// dropped ones.
 func (m *migration) report(old *value) []ReportLine {
 	w := reportWriter{migration: m, isDropped: map[string]bool{}, isReported: map[string]bool{}}
 	for _, line := range m.dropped {
@@ -20,15 +21,15 @@
 	return append(w.lines, m.dropped...)
 }
 
-// reportWriter collects the lines of the old file's fields.
+// reportWriter collects the report lines for the fields of the old file.
 type reportWriter struct {
 	*migration
 	lines      []ReportLine
 	isDropped  map[string]bool
-	isReported map[string]bool // changes that have their line
+	isReported map[string]bool // paths of changes that already have a line
 }
 
-// walk adds the lines of a value; pattern is its path with "[]" for each index, as in knownFields.
+// walk adds the lines for the value at path. pattern is the path with "[]" in place of each index, as in knownFields.
 func (w *reportWriter) walk(path, pattern string, v *value) {
 	change, isChanged := w.changes[path]
 	isElement := strings.HasSuffix(pattern, "]")
@@ -36,9 +37,9 @@
 	case isChanged:
 		w.isReported[path] = true
 		w.lines = append(w.lines, change)
-	case w.isDropped[path] && strings.HasSuffix(path, "]"): // reported at the end
+	case w.isDropped[path] && strings.HasSuffix(path, "]"): // report appends its line at the end
 	case path != "" && !knownFields[pattern] && !isElement:
-		w.lines = append(w.lines, ReportLine{Field: path, Status: CarriedUnknown, Old: v.text(), New: v.text(), Reason: "the program does not know it"})
+		w.lines = append(w.lines, ReportLine{Field: path, Status: CarriedUnknown, Old: v.text(), New: v.text(), Reason: "unknown field"})
 	case v.kind == 0 || len(v.items) == 0 || isScalarArray(v):
 		w.lines = append(w.lines, ReportLine{Field: path, Status: Carried, Old: v.text(), New: v.text()})
 	default:
@@ -52,7 +53,7 @@
 	}
 }
 
-// isScalarArray reports whether a value is an array of scalars: it is one line of the report.
+// isScalarArray reports whether a value is an array of scalars, which gets a single line in the report.
 func isScalarArray(v *value) bool {
 	if v.kind != '[' {
 		return false
--- a/internal/migrate/settings.go
+++ b/internal/migrate/settings.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// migrateFleet sets the number of nodes and how the endpoint list comes.
-func (m *migration) migrateFleet() error {
+// migrateNodesAndDiscovery sets the number of nodes, the discovery mode and the address of discovery.
+func (m *migration) migrateNodesAndDiscovery() error {
 	index, err := m.integer("settings.index")
 	if err != nil {
 		return err
@@ -14,18 +14,18 @@
 	if count := m.shape.NodeCount; count > 0 {
 		if index >= count {
 			line := m.root.get("settings.index").line
-			return &Error{line, "settings.index", fmt.Errorf("%d is none of %d nodes", index, count)}
+			return &Error{line, "settings.index", fmt.Errorf("index %d out of range: the new shape has %d nodes", index, count)}
 		}
 		m.set("settings.groupSize", count, "nodes of the new shape")
 	}
-	m.set("settings.registryMode", m.shape.ListMode, "how the list of hosts comes")
+	m.set("settings.registryMode", m.shape.DiscoveryMode, "discovery mode of the new shape")
 	if m.shape.Discovery != "" {
 		m.set("discovery", m.shape.Discovery, "discovery of the new shape")
 	}
 	return nil
 }
 
-// migrateRules sets what the shape says of rules, limits and prices.
+// migrateRules sets the rules, limits and costs that the shape gives.
 func (m *migration) migrateRules() {
 	rules := m.shape.Rules
 	for _, field := range []struct {
@@ -37,7 +37,7 @@
 		{"settings.rules.warmWithin", rules.SlowStartDuration},
 		{"settings.rules.fallMultiple", rules.CollapseMultiple},
 		{"settings.rules.overloadFor", rules.CollapseWindow},
-		{"settings.prices.crossZone", m.shape.Prices.CrossZone},
+		{"settings.prices.crossZone", m.shape.Costs.CrossZone},
 	} {
 		if field.value != nil {
 			m.set(field.path, *field.value, "rule of the new shape")
@@ -46,14 +46,14 @@
 	if maxAttempts := m.shape.Limits.MaxAttempts; maxAttempts != nil {
 		m.set("settings.limits.maxAttempts", *maxAttempts, "limit of the new shape")
 	}
-	if mayProbe := m.shape.Limits.Probes; mayProbe != nil {
-		m.set("settings.limits.probes", *mayProbe, "limit of the new shape")
+	if healthChecks := m.shape.Limits.HealthChecks; healthChecks != nil {
+		m.set("settings.limits.probes", *healthChecks, "limit of the new shape")
 	}
 }
 
-// migrateTraffic sets classes and tenants. One of the same name keeps what the shape does not name, also what the program
-// does not know; an old one without a counterpart is reported as dropped.
-func (m *migration) migrateTraffic() {
+// migrateClassesAndTenants sets classes and tenants. A class or tenant that exists under the same name keeps the fields
+// that the shape doesn't set, unknown ones included. An old one that the shape doesn't have is reported as dropped.
+func (m *migration) migrateClassesAndTenants() {
 	var classes, tenants []string
 	var messageObjectives, quotas []float64
 	for _, class := range m.shape.Classes {
@@ -80,8 +80,8 @@
 	}
 }
 
-// matchByName returns for each name its entry of an old list, or a new one of its name alone, and reports the entries of
-// the list that have none of the names.
+// matchByName returns an entry for each name: that of the old list at path, or a new one with only the name. It reports
+// the entries of the old list that have none of the names as dropped.
 func (m *migration) matchByName(path string, names []string) []*value {
 	if len(names) == 0 {
 		return nil
@@ -94,7 +94,7 @@
 			isNamed := slices.ContainsFunc(names, func(n string) bool { return newValue(n).text() == name })
 			if !isNamed {
 				field := fmt.Sprintf("%s[%d]", path, i)
-				m.dropped = append(m.dropped, ReportLine{Field: field, Status: Dropped, Old: name, Reason: "the new shape has none"})
+				m.dropped = append(m.dropped, ReportLine{Field: field, Status: Dropped, Old: name, Reason: "not in the new shape"})
 			}
 		}
 	}
--- a/internal/migrate/shape.go
+++ b/internal/migrate/shape.go
@@ -6,22 +6,22 @@
 	"onyxstream/internal/tomlfile"
 )
 
-// Shape describes the deployment that a node moves to, as far as its old configuration can't tell. What is left out stays
-// as it was. Times are in milliseconds, as in the configuration.
+// Shape describes the deployment that a node moves to, as far as the node's old configuration doesn't say. Fields that
+// are left out keep their old values. Times are in milliseconds, as in the configuration.
 type Shape struct {
-	ListMode         string     `toml:"list"`      // how the endpoint list comes: "push" or "ask" (polled)
-	Discovery        string     `toml:"discovery"` // address and port of the new discovery; "" for the old one
-	NodeCount        int        `toml:"nodes"`     // 0 for as many as before
-	RemovedLocations []string   `toml:"gone"`      // old locations without a counterpart
-	Locations        []Location `toml:"location"`
-	Rules            Rules      `toml:"rules"`
-	Limits           Limits     `toml:"limits"`
-	Prices           Prices     `toml:"prices"`
-	Classes          []Class    `toml:"class"`  // replace the old ones, where there are any
-	Tenants          []Tenant   `toml:"tenant"` // the same
+	DiscoveryMode string   `toml:"list"`      // "push" (discovery pushes the endpoint list) or "ask" (nodes poll it)
+	Discovery     string   `toml:"discovery"` // host:port of the new discovery; "" keeps the old one
+	NodeCount     int      `toml:"nodes"`     // 0 keeps the old number
+	RemovedZones  []string `toml:"gone"`      // old zones without a counterpart
+	Zones         []Zone   `toml:"location"`
+	Rules         Rules    `toml:"rules"`
+	Limits        Limits   `toml:"limits"`
+	Costs         Costs    `toml:"prices"`
+	Classes       []Class  `toml:"class"`  // if any are given, they replace the old ones
+	Tenants       []Tenant `toml:"tenant"` // if any are given, they replace the old ones
 }
 
-// Rules are the protocol's rules in the new deployment; nil leaves one as it was.
+// Rules are the rules of the protocol in the new deployment. A nil field keeps the old value.
 type Rules struct {
 	DrainGrace        *float64 `toml:"drain_grace_ms"`
 	SlowStartFraction *float64 `toml:"cold_share"`
@@ -30,21 +30,21 @@
 	CollapseWindow    *float64 `toml:"fall_window_ms"`
 }
 
-// Limits are what a node may do; nil leaves one as it was.
+// Limits restrict what a node may do. A nil field keeps the old value.
 type Limits struct {
-	MaxAttempts *int  `toml:"max_attempts"`
-	Probes      *bool `toml:"probes"`
+	MaxAttempts  *int  `toml:"max_attempts"`
+	HealthChecks *bool `toml:"probes"`
 }
 
-// Prices are costs of placement; nil leaves one as it was.
-type Prices struct {
-	CrossZone *float64 `toml:"cross_zone"` // of a request that crosses locations, as a fraction of its priority weight
+// Costs are the costs of placement. A nil field keeps the old value.
+type Costs struct {
+	CrossZone *float64 `toml:"cross_zone"` // cost of a request that crosses zones, as a fraction of its priority weight
 }
 
-// Location is a location of the new deployment.
-type Location struct {
+// Zone is a zone of the new deployment.
+type Zone struct {
 	Name string   `toml:"name"`
-	From []string `toml:"from"` // old locations that become this one, with their nodes and hosts
+	From []string `toml:"from"` // old zones that are merged into this one, with their nodes and hosts
 }
 
 // Class is a class of requests.
@@ -54,24 +54,24 @@
 	DeadlineMS         float64 `toml:"deadline_ms"`
 	MessageObjectiveMS float64 `toml:"message_ms"`
 	PriorityWeight     float64 `toml:"worth"`
-	Effect             string  `toml:"repeat"` // "safe", "keyed" or "unsafe": whether it is idempotent, or by key
+	Effect             string  `toml:"repeat"` // "safe" (idempotent), "keyed" (idempotent by key) or "unsafe" (non-idempotent)
 }
 
-// Tenant is a customer with its quota of open connections over all nodes; 0 where none is known.
+// Tenant is a tenant with its quota of open connections over all nodes. A quota of 0 means that it is unknown.
 type Tenant struct {
 	Name            string  `toml:"name"`
 	ConnectionQuota float64 `toml:"connections"`
 }
 
-// Check returns a *tomlfile.FieldError for the first field that is invalid.
+// Check returns a *tomlfile.FieldError for the first invalid field. It implements tomlfile.Checker.
 func (s *Shape) Check() error {
-	if s.ListMode != "push" && s.ListMode != "ask" {
-		return tomlfile.NewFieldError("list", "%q is neither \"push\" nor \"ask\"", s.ListMode)
+	if s.DiscoveryMode != "push" && s.DiscoveryMode != "ask" {
+		return tomlfile.NewFieldError("list", "%q is neither \"push\" nor \"ask\"", s.DiscoveryMode)
 	}
 	if s.NodeCount < 0 {
 		return tomlfile.NewFieldError("nodes", "%d is out of range", s.NodeCount)
 	}
-	for _, check := range []func() error{s.checkLocations, s.checkClasses, s.checkTenants} {
+	for _, check := range []func() error{s.checkZones, s.checkClasses, s.checkTenants} {
 		if err := check(); err != nil {
 			return err
 		}
@@ -79,26 +79,26 @@
 	return nil
 }
 
-func (s *Shape) checkLocations() error {
-	if len(s.Locations) == 0 {
-		return tomlfile.NewFieldError("location", "none is named")
+func (s *Shape) checkZones() error {
+	if len(s.Zones) == 0 {
+		return tomlfile.NewFieldError("location", "missing: at least one zone is required")
 	}
 	names, mapped := map[string]bool{}, map[string]bool{}
-	for _, old := range s.RemovedLocations {
+	for _, old := range s.RemovedZones {
 		if mapped[old] {
-			return tomlfile.NewFieldError("gone", "%q stands there twice", old)
+			return tomlfile.NewFieldError("gone", "duplicate zone %q", old)
 		}
 		mapped[old] = true
 	}
-	for i, location := range s.Locations {
+	for i, zone := range s.Zones {
 		path := fmt.Sprintf("location[%d].", i)
-		if location.Name == "" || names[location.Name] {
-			return tomlfile.NewFieldError(path+"name", "%q is empty or taken", location.Name)
+		if zone.Name == "" || names[zone.Name] {
+			return tomlfile.NewFieldError(path+"name", "empty or duplicate name %q", zone.Name)
 		}
-		names[location.Name] = true
-		for _, old := range location.From {
+		names[zone.Name] = true
+		for _, old := range zone.From {
 			if mapped[old] {
-				return tomlfile.NewFieldError(path+"from", "%q is mapped twice", old)
+				return tomlfile.NewFieldError(path+"from", "zone %q is mapped more than once, or also removed", old)
 			}
 			mapped[old] = true
 		}
@@ -114,9 +114,9 @@
 		case class.Name == "":
 			return tomlfile.NewFieldError(path+"name", "missing")
 		case !timesValid || !(class.PriorityWeight > 0):
-			return tomlfile.NewFieldError(path+"deadline_ms", "times and worth must be over 0, and the deadline no sooner than the set-up")
+			return tomlfile.NewFieldError(path+"deadline_ms", "times and worth must be positive, and deadline_ms at least setup_ms")
 		case class.Effect != "safe" && class.Effect != "keyed" && class.Effect != "unsafe":
-			return tomlfile.NewFieldError(path+"repeat", "%q is none of \"safe\", \"keyed\", \"unsafe\"", class.Effect)
+			return tomlfile.NewFieldError(path+"repeat", "unknown value %q: want \"safe\", \"keyed\" or \"unsafe\"", class.Effect)
 		}
 	}
 	return nil
@@ -125,21 +125,21 @@
 func (s *Shape) checkTenants() error {
 	for i, tenant := range s.Tenants {
 		if tenant.Name == "" || !(tenant.ConnectionQuota >= 0) {
-			return tomlfile.NewFieldError(fmt.Sprintf("tenant[%d].name", i), "a name and at least 0 connections are needed")
+			return tomlfile.NewFieldError(fmt.Sprintf("tenant[%d].name", i), "missing name or negative quota of connections")
 		}
 	}
 	return nil
 }
 
-// newLocations maps each old location to the new one, "" for one that is removed.
-func (s *Shape) newLocations() map[string]string {
+// zoneMapping maps the name of each old zone to that of the new one, or to "" if the zone is removed.
+func (s *Shape) zoneMapping() map[string]string {
 	mapping := map[string]string{}
-	for _, old := range s.RemovedLocations {
+	for _, old := range s.RemovedZones {
 		mapping[old] = ""
 	}
-	for _, location := range s.Locations {
-		for _, old := range location.From {
-			mapping[old] = location.Name
+	for _, zone := range s.Zones {
+		for _, old := range zone.From {
+			mapping[old] = zone.Name
 		}
 	}
 	return mapping
--- a/internal/migrate/value.go
+++ b/internal/migrate/value.go
@@ -13,16 +13,17 @@
 // maxDepth bounds the nesting of objects and arrays, and so the stack of the parser.
 const maxDepth = 64
 
-// value is a JSON value that keeps the order of its keys, its numbers as written, and its line.
+// value is a JSON value that preserves the order of object keys and the spelling of numbers, and records its line.
 type value struct {
 	line   int
 	kind   byte // '{', '[' or 0 for a scalar
 	scalar any  // string, json.Number, bool or nil
 	keys   []string
-	items  []*value // of an object or array
+	items  []*value // elements of an array, or values of an object in the order of keys
 }
 
-// Error is a fault of the old configuration. Line is 0 where it is not known, Field "" for the whole file.
+// Error is an error in the old configuration. Line is 0 if it is unknown, Field is "" if the error is about the whole
+// file.
 type Error struct {
 	Line  int
 	Field string
@@ -43,18 +44,18 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// jsonReader parses JSON into values.
+// jsonReader parses JSON text into values and keeps track of line numbers.
 type jsonReader struct {
-	text      []byte
-	decoder   *json.Decoder
-	countedTo int // the offset up to which lines are counted
-	line      int
+	text          []byte
+	decoder       *json.Decoder
+	countedOffset int // offset up to which line has counted the newlines
+	line          int
 }
 
-// parse parses one JSON value and nothing behind it. Errors are *Error.
+// parse parses a text that is a single JSON value. Errors are *Error.
 func parse(text []byte) (*value, error) {
-	if !utf8.Valid(text) { // invalid bytes would be written as others
-		return nil, &Error{Err: errors.New("is no UTF-8 text")}
+	if !utf8.Valid(text) { // encoding/json would replace invalid bytes
+		return nil, &Error{Err: errors.New("not valid UTF-8")}
 	}
 	r := &jsonReader{text: text, decoder: json.NewDecoder(bytes.NewReader(text)), line: 1}
 	r.decoder.UseNumber()
@@ -63,23 +64,23 @@
 		return nil, err
 	}
 	if _, err := r.decoder.Token(); !errors.Is(err, io.EOF) {
-		return nil, &Error{r.currentLine(), "", errors.New("text after the end of the configuration")}
+		return nil, &Error{r.currentLine(), "", errors.New("unexpected text after the end of the configuration")}
 	}
 	return v, nil
 }
 
-// currentLine returns the line up to which the text was read.
+// currentLine returns the number of the line that the decoder has reached.
 func (r *jsonReader) currentLine() int {
 	to := min(int(r.decoder.InputOffset()), len(r.text))
-	r.line += bytes.Count(r.text[r.countedTo:to], []byte{'\n'})
-	r.countedTo = to
+	r.line += bytes.Count(r.text[r.countedOffset:to], []byte{'\n'})
+	r.countedOffset = to
 	return r.line
 }
 
 func (r *jsonReader) readToken(path string) (json.Token, error) {
 	t, err := r.decoder.Token()
 	if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
-		return nil, &Error{1 + bytes.Count(r.text, []byte{'\n'}), path, errors.New("the file ends in the middle")}
+		return nil, &Error{1 + bytes.Count(r.text, []byte{'\n'}), path, errors.New("unexpected end of file")}
 	}
 	if err != nil {
 		return nil, &Error{r.currentLine(), path, err}
@@ -98,7 +99,7 @@
 		return v, nil
 	}
 	if depth >= maxDepth {
-		return nil, &Error{v.line, path, fmt.Errorf("more than %d levels", maxDepth)}
+		return nil, &Error{v.line, path, fmt.Errorf("nested more than %d levels deep", maxDepth)}
 	}
 	v.kind, v.scalar = byte(d), nil
 	seen := map[string]bool{}
@@ -112,7 +113,7 @@
 			key, _ := t.(string)
 			at = joinPath(path, key)
 			if seen[key] {
-				return nil, &Error{r.currentLine(), at, errors.New("stands there twice")}
+				return nil, &Error{r.currentLine(), at, errors.New("duplicate key")}
 			}
 			seen[key] = true
 			v.keys = append(v.keys, key)
@@ -134,7 +135,7 @@
 	return path + "." + key
 }
 
-// get returns the value at a path of keys, nil where there is none.
+// get returns the value at a path of object keys, or nil if there is none.
 func (v *value) get(path string) *value {
 	key, rest, more := strings.Cut(path, ".")
 	for i, k := range v.keys {
@@ -148,7 +149,7 @@
 	return nil
 }
 
-// put sets the value at a path and creates the objects on the way.
+// put sets the value at a path of object keys. It creates missing objects along the path.
 func (v *value) put(path string, to *value) {
 	key, rest, more := strings.Cut(path, ".")
 	at := -1
@@ -172,7 +173,7 @@
 	v.items[at] = to
 }
 
-// newValue converts a Go value that encoding/json can write.
+// newValue converts a Go value that encoding/json can marshal.
 func newValue(x any) *value {
 	text, err := json.Marshal(x)
 	if err != nil {
@@ -185,7 +186,7 @@
 	return v
 }
 
-// MarshalJSON writes the value in the order in which it was read.
+// MarshalJSON writes the value with its keys in their original order.
 func (v *value) MarshalJSON() ([]byte, error) {
 	if v.kind == 0 {
 		return json.Marshal(v.scalar)
@@ -209,11 +210,11 @@
 		}
 		out.Write(text)
 	}
-	out.WriteByte(v.kind + 2) // in ASCII '}' and ']' follow their opening ones by two
+	out.WriteByte(v.kind + 2) // in ASCII, '}' and ']' are two code points after '{' and '['
 	return out.Bytes(), nil
 }
 
-// text returns the value as JSON on one line, "" for nil.
+// text returns the value as JSON on one line, or "" for nil.
 func (v *value) text() string {
 	if v == nil {
 		return ""
