--- a/internal/tomlfile/decode.go
+++ b/internal/tomlfile/decode.go
@@ -1,5 +1,5 @@
-// Package tomlfile reads the project's own TOML files. It is strict: an unknown key, a value of the wrong type and a
-// value that fails the target's check are errors that name the file, the line and the key.
+// Package tomlfile reads the TOML files of onyxstream. It is strict: an unknown key, a value of the wrong type and a
+// value that fails the target's Check are errors, which give the file, the line and the key.
 package tomlfile
 
 import (
@@ -12,22 +12,22 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Checker is implemented by targets that validate themselves after decoding. Check returns a *FieldError for an invalid
-// field, or another error about the whole file.
+// Checker is implemented by targets that validate themselves after decoding. Check returns a *FieldError if a field is
+// invalid, and any other error if the file as a whole is.
 type Checker interface{ Check() error }
 
-// maxFileBytes bounds the size of a file: no configuration is as large.
+// maxFileBytes is the maximum size of a file. It is far above the size of any configuration.
 const maxFileBytes = 4 << 20
 
-// Read reads and decodes the file at path into the value that into points to, and checks it if it is a Checker. It
-// returns the file's text, also where decoding fails. Errors are *Error.
+// Read decodes the file at path into the value that into points to, and validates it if it is a Checker. It returns the
+// text of the file even if decoding fails. Errors are *Error.
 func Read(path string, into any) (text []byte, err error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return nil, &Error{File: path, Err: withoutPath(err)}
 	}
 	if info.IsDir() || info.Size() > maxFileBytes {
-		return nil, &Error{File: path, Err: fmt.Errorf("no file of at most %d bytes", maxFileBytes)}
+		return nil, &Error{File: path, Err: fmt.Errorf("not a file of at most %d bytes", maxFileBytes)}
 	}
 	text, err = os.ReadFile(path)
 	if err != nil {
@@ -36,8 +36,8 @@
 	return text, Decode(path, text, into)
 }
 
-// Decode decodes text into the value that into points to, and checks it if it is a Checker. Errors are *Error with name
-// as the file.
+// Decode decodes text into the value that into points to, and validates it if it is a Checker. Errors are *Error with
+// name as the file.
 func Decode(name string, text []byte, into any) error {
 	decoder := toml.NewDecoder(bytes.NewReader(text))
 	decoder.DisallowUnknownFields()
@@ -51,7 +51,7 @@
 	return AddLocation(name, text, checker.Check())
 }
 
-// decodeError turns an error of the TOML decoder into an *Error. Of several unknown keys it names the first.
+// decodeError converts an error of the TOML decoder into an *Error. If several keys are unknown, it reports the first.
 func decodeError(name string, err error) error {
 	var unknownKeys *toml.StrictMissingError
 	if errors.As(err, &unknownKeys) && len(unknownKeys.Errors) > 0 {
--- a/internal/tomlfile/decode_test.go
+++ b/internal/tomlfile/decode_test.go
@@ -14,7 +14,7 @@
 	errNoJobs   = errors.New("no job")
 )
 
-// jobFile is a target whose check fails for a negative share, and for a file without a job.
+// jobFile is a target whose Check fails if a share is negative or if the file has no job.
 type jobFile struct {
 	Name string
 	Jobs []struct {
@@ -64,7 +64,7 @@
 			want: Error{File: "jobs.toml", Line: 3, Key: "job.share"},
 		},
 		{
-			name: "no TOML",
+			name: "invalid TOML",
 			text: "name = \"n\"\n[[job\n",
 			want: Error{File: "jobs.toml", Line: 2},
 		},
@@ -100,7 +100,7 @@
 func TestAddLocation_WrappedErrors_ReasonIsWrapped(t *testing.T) {
 	text := []byte("a = 1\n")
 	if err := AddLocation("f.toml", text, nil); err != nil {
-		t.Errorf("nil became %v", err)
+		t.Errorf("AddLocation of a nil error: got %v", err)
 	}
 	if err := AddLocation("f.toml", text, NewFieldError("a", "%w", errNegative)); !errors.Is(err, errNegative) {
 		t.Errorf("%v does not wrap its reason", err)
@@ -123,7 +123,7 @@
 			t.Fatalf("%s: got %v", path, err)
 		}
 		if strings.Count(err.Error(), path) != 1 {
-			t.Errorf("%q does not name the file once", err)
+			t.Errorf("%q does not contain the path exactly once", err)
 		}
 	}
 }
@@ -136,7 +136,7 @@
 	if text, err := d.MarshalText(); err != nil || string(text) != "200ms" {
 		t.Errorf("got %q, error %v", text, err)
 	}
-	if err := d.UnmarshalText([]byte("soon")); err == nil || !strings.Contains(err.Error(), `"soon" is no time`) {
+	if err := d.UnmarshalText([]byte("soon")); err == nil || !strings.Contains(err.Error(), `invalid duration "soon"`) {
 		t.Errorf("got error %v", err)
 	}
 }
--- a/internal/tomlfile/duration.go
+++ b/internal/tomlfile/duration.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// Duration is a time.Duration that a file holds in Go's notation: "1.5s", "200ms".
+// Duration is a time.Duration that is written in Go's notation in a file: "1.5s", "200ms".
 type Duration time.Duration
 
-// UnmarshalText reads a duration.
+// UnmarshalText parses a duration in Go's notation.
 func (d *Duration) UnmarshalText(text []byte) error {
 	value, err := time.ParseDuration(string(text))
 	if err != nil {
-		return fmt.Errorf("%q is no time such as \"1.5s\"", text)
+		return fmt.Errorf("invalid duration %q: want one such as \"1.5s\"", text)
 	}
 	*d = Duration(value)
 	return nil
--- a/internal/tomlfile/errors.go
+++ b/internal/tomlfile/errors.go
@@ -7,8 +7,8 @@
 	"strconv"
 )
 
-// Error is a failure to read a file, with the place in the file. Line is 0 where it is not known, Key is "" where the
-// error is about the whole file.
+// Error is an error in a file, or an error in reading it. Line is 0 if it is unknown, Key is "" if the error is about the
+// whole file.
 type Error struct {
 	File string
 	Line int
@@ -16,7 +16,7 @@
 	Err  error
 }
 
-// Error returns the text "file:line: key: reason", without the parts that are not known.
+// Error returns "file:line: key: reason", without the parts that are unknown.
 func (e *Error) Error() string {
 	text := e.File
 	if e.Line > 0 {
@@ -28,26 +28,26 @@
 	return text + ": " + e.Err.Error()
 }
 
-// Unwrap returns the reason.
+// Unwrap returns the underlying error.
 func (e *Error) Unwrap() error { return e.Err }
 
-// FieldError is an invalid field that a Checker found. Path names the field, as "class[1].share". Decode turns it into
-// an Error with file and line.
+// FieldError is returned by a Checker for an invalid field. Path is the path of the field, such as "class[1].share".
+// Decode converts it into an Error with file and line.
 type FieldError struct {
 	Path string
 	Err  error
 }
 
-// Error returns the text "path: reason".
+// Error returns "path: reason".
 func (e *FieldError) Error() string { return e.Path + ": " + e.Err.Error() }
 
-// NewFieldError returns a *FieldError whose reason is formatted as by fmt.Errorf.
+// NewFieldError returns a *FieldError whose Err is made by fmt.Errorf.
 func NewFieldError(path, format string, args ...any) error {
 	return &FieldError{path, fmt.Errorf(format, args...)}
 }
 
-// AddLocation turns an error about the content of a file into an *Error: a *FieldError gets the line of its field in
-// text, any other error is about the whole file. It returns nil for nil.
+// AddLocation converts an error about the content of a file into an *Error. For a *FieldError it finds the line of the
+// field in text; any other error is about the whole file. It returns nil for nil.
 func AddLocation(name string, text []byte, err error) error {
 	if err == nil {
 		return nil
@@ -59,7 +59,7 @@
 	return &Error{File: name, Err: err}
 }
 
-// withoutPath drops the path that an error of the system repeats.
+// withoutPath strips the path from an *os.PathError, because Error already prints the file.
 func withoutPath(err error) error {
 	var pathError *os.PathError
 	if errors.As(err, &pathError) {
--- a/internal/tomlfile/line.go
+++ b/internal/tomlfile/line.go
@@ -12,13 +12,13 @@
 	arrayIndex  = regexp.MustCompile(`\[(\d+)\]`)
 )
 
-// findLine returns the line, counted from 1, that sets the field at path, or that of its table's header where no line
-// sets the field, or 0 where there is neither.
+// findLine returns the number of the line that sets the field at path, counted from 1. If no line sets the field it
+// returns the line of the table's header, and 0 if there is no such table.
 func findLine(text []byte, path string) int {
 	table, key := splitPath(path)
 	headerLine := 0
 	currentTable := ""
-	tableCounts := map[string]int{} // of each array of tables
+	tableCounts := map[string]int{} // tables seen so far of each array of tables
 	for i, line := range strings.Split(string(text), "\n") {
 		if match := tableHeader.FindStringSubmatch(line); match != nil {
 			isArray, name := match[1] == "[[", match[2]
@@ -40,8 +40,8 @@
 	return headerLine
 }
 
-// splitPath splits a field's path into that of its table, in the form of findLine, and its key. The key of a path that
-// names an entry of an array of tables is empty.
+// splitPath splits the path of a field into the path of its table, with an index as in "class[1]", and its key. If the path
+// is that of an entry in an array of tables, the key is empty.
 func splitPath(path string) (table, key string) {
 	key = path
 	if dot := strings.LastIndexByte(path, '.'); dot >= 0 {
--- a/internal/tomlfile/line_test.go
+++ b/internal/tomlfile/line_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// linesText has a field at the top, a table, an array of tables, a nested table and a quoted key.
+// linesText has a top-level field, a table, an array of tables, a nested table and a quoted key.
 const linesText = `name = "top"
 # [commented]
 [limits]
@@ -23,7 +23,7 @@
 		name, path string
 		want       int
 	}{
-		{"field at the top", "name", 1},
+		{"top-level field", "name", 1},
 		{"field of a table", "limits.sockets", 4},
 		{"field that is not set", "limits.memory", 3},
 		{"first entry of an array", "class[0].share", 7},
@@ -32,7 +32,7 @@
 		{"entry of an array", "class[1]", 8},
 		{"field of a nested table", "class.extra.wait", 12},
 		{"quoted key", "class.extra.max-age", 13},
-		{"field at the top that is not set", "other", 0},
+		{"top-level field that is not set", "other", 0},
 		{"table that is commented out", "commented.key", 0},
 		{"entry that does not exist", "class[3].share", 0},
 	} {
