--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,5 +1,5 @@
-// Command simadapter serves instances of the balancer on the simulator's wire: batches on standard input, replies on
-// standard output.
+// Command simadapter connects instances of the balancer to the simulator. It reads batches of events from standard input
+// and writes replies to standard output.
 package main
 
 import (
@@ -10,8 +10,7 @@
 	"onyxstream/internal/simadapter"
 )
 
-// gcPercent lets garbage collections be rare: the simulator counts their time as that of decisions, and the heap is
-// small.
+// gcPercent makes garbage collections rare, because the simulator counts their time as decision time. The heap is small.
 const gcPercent = 800
 
 func main() {
--- a/internal/simadapter/batch.go
+++ b/internal/simadapter/batch.go
@@ -8,13 +8,13 @@
 	"github.com/go-faster/jx"
 )
 
-// batchHeader is what comes with the groups of a batch.
+// batchHeader has the serial of a batch, and which of the required fields were present.
 type batchHeader struct {
 	serial                         int64
 	hasClock, hasSerial, hasGroups bool
 }
 
-// handleBatch handles one line and leaves the reply in a.reply.
+// handleBatch handles the batch of one line and leaves the reply in a.reply.
 func (a *adapter) handleBatch(line []byte) error {
 	a.decoder.ResetBytes(line)
 	a.reply.Reset()
@@ -32,9 +32,10 @@
 	return nil
 }
 
-// decodeBatch reads the object of a batch. Groups that come before the clock or the serial are handled after it.
+// decodeBatch reads the object of a batch and handles its groups. If the groups precede the clock or the serial in the
+// object, it defers them until it has read both.
 func (a *adapter) decodeBatch(header *batchHeader) error {
-	var early jx.Raw
+	var deferred jx.Raw
 	err := a.decoder.ObjBytes(func(d *jx.Decoder, key []byte) error {
 		var err error
 		switch string(key) {
@@ -49,7 +50,7 @@
 			if header.hasClock && header.hasSerial {
 				err = a.handleGroups(header.serial, d)
 			} else {
-				early, err = d.Raw()
+				deferred, err = d.Raw()
 			}
 		default:
 			err = d.Skip()
@@ -59,8 +60,8 @@
 	if err != nil {
 		return err
 	}
-	if early != nil && header.hasClock && header.hasSerial {
-		if err := a.handleGroups(header.serial, jx.DecodeBytes(early)); err != nil {
+	if deferred != nil && header.hasClock && header.hasSerial {
+		if err := a.handleGroups(header.serial, jx.DecodeBytes(deferred)); err != nil {
 			return err
 		}
 	}
@@ -69,7 +70,7 @@
 	}
 	rest := a.decoder.Skip()
 	if !errors.Is(rest, io.EOF) && !errors.Is(rest, io.ErrUnexpectedEOF) {
-		return errors.New("text after the batch")
+		return errors.New("unexpected text after the batch")
 	}
 	return nil
 }
@@ -86,7 +87,7 @@
 	return nil
 }
 
-// handleGroups begins the reply and handles the events of all instances.
+// handleGroups starts the reply and handles the events of all instances.
 func (a *adapter) handleGroups(serial int64, d *jx.Decoder) error {
 	a.reply.ObjStart()
 	a.reply.FieldStart("serial")
@@ -98,19 +99,20 @@
 
 // handleGroup handles the events of one instance.
 func (a *adapter) handleGroup(d *jx.Decoder) error {
-	a.acted = false
+	a.groupStarted = false
 	err := a.decodeGroup(d)
-	if a.acted {
+	if a.groupStarted {
 		a.reply.ArrEnd()
 		a.reply.ObjEnd()
 	}
 	return err
 }
 
-// decodeGroup reads the object of a group. Events that come before the instance's number are handled after it.
+// decodeGroup reads the object of a group and handles its events. If the events precede the instance's number in the
+// object, it defers them until it has read the number.
 func (a *adapter) decodeGroup(d *jx.Decoder) error {
 	instance, hasInstance := 0, false
-	var early jx.Raw
+	var deferred jx.Raw
 	handleEvents := func(d *jx.Decoder) error {
 		return d.Arr(func(d *jx.Decoder) error { return a.handleEvent(instance, d) })
 	}
@@ -124,7 +126,7 @@
 			if hasInstance {
 				err = handleEvents(d)
 			} else {
-				early, err = d.Raw()
+				deferred, err = d.Raw()
 			}
 		default:
 			err = d.Skip()
@@ -136,8 +138,8 @@
 		return err
 	case !hasInstance:
 		return inField("i", errMissing)
-	case early != nil:
-		return handleEvents(jx.DecodeBytes(early))
+	case deferred != nil:
+		return handleEvents(jx.DecodeBytes(deferred))
 	}
 	return nil
 }
--- a/internal/simadapter/decode.go
+++ b/internal/simadapter/decode.go
@@ -32,7 +32,7 @@
 	"unavailable": balancer.ListFailed,
 }
 
-// event is one event as it stands on the wire, with the fields of all kinds.
+// event is a decoded event. It has the fields of all kinds of events; present says which were set.
 type event struct {
 	present fieldSet
 
@@ -64,7 +64,7 @@
 	message    []byte
 }
 
-// eventField numbers the fields of an event. A missing one is reported in this order.
+// eventField numbers the fields of an event. If several are missing, the first in this order is reported.
 type eventField int
 
 const (
@@ -96,14 +96,14 @@
 	fieldReconnect
 )
 
-// eventCodec maps the wire's keys to the fields of event.
+// eventCodec maps the keys of the simulator's protocol to the fields of event.
 var eventCodec = newObjectCodec([]objectField[event]{
 	fieldID:         {"id", into(func(e *event) *string { return &e.id }, (*jx.Decoder).Str)},
 	fieldClass:      {"lane", into(func(e *event) *int { return &e.class }, (*jx.Decoder).Int)},
 	fieldTimeLeft:   {"remaining", into(func(e *event) *time.Duration { return &e.timeLeft }, decodeDuration)},
 	fieldServer:     {"host", intoServer(func(e *event) *balancer.ServerID { return &e.server })},
 	fieldAttempt:    {"trial", into(func(e *event) *int { return &e.attempt }, (*jx.Decoder).Int)},
-	fieldOutcome:    {"result", into(func(e *event) *balancer.Outcome { return &e.outcome }, decodeWord(outcomes))},
+	fieldOutcome:    {"result", into(func(e *event) *balancer.Outcome { return &e.outcome }, decodeEnum(outcomes))},
 	fieldTook:       {"timeTaken", into(func(e *event) *time.Duration { return &e.took }, decodeDuration)},
 	fieldReportKind: {"kind", into(func(e *event) *int { return &e.reportKind }, (*jx.Decoder).Int)},
 	fieldReport:     {"value", into(func(e *event) *float64 { return &e.report }, (*jx.Decoder).Float64)},
@@ -138,10 +138,10 @@
 	serverStartedAt
 )
 
-// serverCodec maps the wire's keys to the fields of a server.
+// serverCodec maps the keys of the simulator's protocol to the fields of a server.
 var serverCodec = newObjectCodec([]objectField[balancer.Server]{
 	serverID:        {"host", intoServer(func(s *balancer.Server) *balancer.ServerID { return &s.ID })},
-	serverState:     {"mode", into(stateOf, decodeWord(serverStates))},
+	serverState:     {"mode", into(stateOf, decodeEnum(serverStates))},
 	serverZone:      {"rackZone", into(func(s *balancer.Server) *int { return &s.Zone }, (*jx.Decoder).Int)},
 	serverCell:      {"unitGroup", into(func(s *balancer.Server) *int { return &s.Cell }, (*jx.Decoder).Int)},
 	serverWeight:    {"units", into(func(s *balancer.Server) *float64 { return &s.Weight }, (*jx.Decoder).Float64)},
@@ -151,7 +151,7 @@
 func stateOf(s *balancer.Server) *balancer.ServerState { return &s.State }
 func startOf(s *balancer.Server) *time.Duration        { return &s.StartedAt }
 
-// decodeServers reads the rows of a list.
+// decodeServers reads the servers of a list.
 func decodeServers(names serverNames, d *jx.Decoder, e *event) error {
 	return d.Arr(func(d *jx.Decoder) error {
 		server := balancer.Server{Weight: 1}
--- a/internal/simadapter/dispatch.go
+++ b/internal/simadapter/dispatch.go
@@ -12,21 +12,21 @@
 	"onyxstream/internal/settings"
 )
 
-// listCount is how many numbered lists the wire has.
+// listCount is the number of numbered server lists in the protocol.
 const listCount = 16
 
-// The kinds of reports on a connection.
+// Kinds of reports on an established connection.
 const (
-	loadReport    = 1 // work a second
+	loadReport    = 1 // work per second
 	latencyReport = 2 // milliseconds
 )
 
-// eventKind is what is done with the events of one name: either the adapter handles them, or the instance does once
-// they are translated.
+// eventKind says how to process the events of one name. Either handle is set and the adapter handles them itself, or
+// translate is set and the instance handles the translated event.
 type eventKind struct {
 	required  fieldSet
 	handle    func(a *adapter, instance int, e *event) error
-	translate func(a *adapter, e *event) (balancer.Event, error) // nil event: the balancer has no use for it
+	translate func(a *adapter, e *event) (balancer.Event, error) // returns a nil event if the balancer has no use for it
 }
 
 var eventKinds = map[string]eventKind{
@@ -57,7 +57,7 @@
 	"lapsed": {required: fields(fieldID), translate: translateClientDisconnected},
 }
 
-// handleEvent decodes one event, lets the instance decide and writes its actions.
+// handleEvent decodes an event, passes it to the instance and writes the resulting actions.
 func (a *adapter) handleEvent(instance int, d *jx.Decoder) error {
 	count := 0
 	err := d.ObjBytes(func(d *jx.Decoder, key []byte) error {
@@ -73,7 +73,7 @@
 		return nil
 	})
 	if err == nil && count != 1 {
-		err = inField("in", fmt.Errorf("an event has one name, not %d", count))
+		err = inField("in", fmt.Errorf("an event must have exactly one name, got %d", count))
 	}
 	return err
 }
@@ -91,7 +91,7 @@
 	}
 	b := a.instances[instance]
 	if b == nil {
-		return fmt.Errorf("instance %d has not been started", instance)
+		return fmt.Errorf("instance %d not started", instance)
 	}
 	translated, err := kind.translate(a, e)
 	if err != nil || translated == nil {
@@ -119,10 +119,10 @@
 	return nil
 }
 
-// defineList keeps a numbered list of servers, for all instances.
+// defineList stores a numbered list of servers for all instances.
 func (a *adapter) defineList(_ int, e *event) error {
 	if e.listNumber < 0 || e.listNumber >= listCount {
-		return inField("buffer", fmt.Errorf("%d is not a list's number", e.listNumber))
+		return inField("buffer", fmt.Errorf("list number %d out of range", e.listNumber))
 	}
 	a.lists[e.listNumber] = e.servers
 	return nil
@@ -131,14 +131,14 @@
 func (a *adapter) translateList(e *event) (balancer.Event, error) {
 	kind, known := listKinds[e.listMode]
 	if !known {
-		return nil, inField("mode", fmt.Errorf("unknown word %q", e.listMode))
+		return nil, inField("mode", fmt.Errorf("unknown value %q", e.listMode))
 	}
 	list := balancer.ListEvent{Kind: kind, Revision: e.revision}
 	if kind == balancer.ListFailed {
 		return list, nil
 	}
 	if e.present&fields(fieldListNumber) == 0 || e.listNumber < 0 || e.listNumber >= listCount {
-		return nil, inField("buffer", errors.New("not a list's number"))
+		return nil, inField("buffer", errors.New("list number missing or out of range"))
 	}
 	list.Servers = a.lists[e.listNumber]
 	return list, nil
@@ -193,7 +193,7 @@
 	return balancer.PeerMessage{From: e.peer, Data: e.message}, nil
 }
 
-// translateReport ignores kinds of reports that are newer than this code.
+// translateReport ignores unknown kinds of reports, which newer simulators may send.
 func translateReport(_ *adapter, e *event) (balancer.Event, error) {
 	id := balancer.RequestID(e.id)
 	switch e.reportKind {
@@ -209,17 +209,17 @@
 	return balancer.ClientDisconnected{ID: balancer.RequestID(e.id)}, nil
 }
 
-// ignore is for events that the balancer has no use for.
+// ignore translates events that the balancer has no use for.
 func ignore(*adapter, *event) (balancer.Event, error) { return nil, nil }
 
-// run lets an instance decide and writes its actions, or a fault where it panics.
+// run passes an event to an instance and writes its actions, or a fault if it panics.
 func (a *adapter) run(instance int, b *balancer.Balancer, e balancer.Event) {
 	actions, fault := a.decide(b, e)
 	if fault == "" && len(actions) == 0 {
 		return
 	}
-	if !a.acted {
-		a.acted = true
+	if !a.groupStarted {
+		a.groupStarted = true
 		a.reply.ObjStart()
 		a.reply.FieldStart("i")
 		a.reply.Int(instance)
--- a/internal/simadapter/encode.go
+++ b/internal/simadapter/encode.go
@@ -45,7 +45,7 @@
 	w.ObjEnd()
 }
 
-// encodeFault writes that the balancer failed, in place of its actions.
+// encodeFault writes, in place of actions, that the balancer panicked.
 func encodeFault(w *jx.Encoder, text string) {
 	w.ObjStart()
 	beginAction(w, "fault")
@@ -69,7 +69,7 @@
 	w.Str(value)
 }
 
-// writeDuration writes milliseconds.
+// writeDuration writes a duration in milliseconds.
 func writeDuration(w *jx.Encoder, key string, value time.Duration) {
 	w.FieldStart(key)
 	w.Float64(float64(value) / float64(time.Millisecond))
--- a/internal/simadapter/object.go
+++ b/internal/simadapter/object.go
@@ -12,12 +12,12 @@
 	"onyxstream/balancer"
 )
 
-// maxMilliseconds bounds a time on the wire, so that its conversion does not overflow.
+// maxMilliseconds bounds a duration in the protocol, so that its conversion to time.Duration does not overflow.
 const maxMilliseconds = 1e12
 
 var errMissing = errors.New("missing")
 
-// fieldError says which field is wrong and why.
+// fieldError is an error in a field.
 type fieldError struct {
 	field string
 	err   error
@@ -26,7 +26,7 @@
 func (e *fieldError) Error() string { return "field " + strconv.Quote(e.field) + ": " + e.err.Error() }
 func (e *fieldError) Unwrap() error { return e.err }
 
-// inField adds the name of a field to an error that has none yet.
+// inField adds the name of a field to an error, unless an inner field already added its own.
 func inField(field string, err error) error {
 	var inner *fieldError
 	if err == nil || errors.As(err, &inner) {
@@ -35,10 +35,10 @@
 	return &fieldError{field, err}
 }
 
-// serverNames holds each server's name once.
+// serverNames interns the names of servers, so that a name is allocated only once.
 type serverNames map[string]balancer.ServerID
 
-// decode reads a server's name.
+// decode reads the name of a server.
 func (n serverNames) decode(d *jx.Decoder) (balancer.ServerID, error) {
 	text, err := d.StrBytes()
 	if err != nil {
@@ -52,10 +52,10 @@
 	return name, nil
 }
 
-// fieldSet has a bit for each field of an object that was present, by the field's number.
+// fieldSet is a set of fields of an object, with one bit for each field number.
 type fieldSet uint32
 
-// fields returns a set of fields.
+// fields returns the set of the fields with these numbers.
 func fields[F ~int](numbers ...F) fieldSet {
 	var set fieldSet
 	for _, number := range numbers {
@@ -64,10 +64,10 @@
 	return set
 }
 
-// fieldDecoder reads the value of a field into a record.
+// fieldDecoder reads the value of a field and stores it in a record.
 type fieldDecoder[T any] func(names serverNames, d *jx.Decoder, record *T) error
 
-// objectField is a key of an object on the wire.
+// objectField is a field of an object in the protocol.
 type objectField[T any] struct {
 	key    string
 	decode fieldDecoder[T]
@@ -87,7 +87,7 @@
 	return c
 }
 
-// decode reads an object and returns the fields that were present. Unknown keys are skipped, null stands for absent.
+// decode reads an object and returns the fields that were present. It skips unknown keys, and treats null as absent.
 func (c *objectCodec[T]) decode(names serverNames, d *jx.Decoder, record *T) (fieldSet, error) {
 	var present fieldSet
 	err := d.ObjBytes(func(d *jx.Decoder, key []byte) error {
@@ -110,7 +110,7 @@
 	return present, err
 }
 
-// requireFields reports the first required field that is not present.
+// requireFields returns an error for the first required field that is not present.
 func (c *objectCodec[T]) requireFields(present, required fieldSet) error {
 	for number, field := range c.fields {
 		bit := fieldSet(1) << number
@@ -121,7 +121,7 @@
 	return nil
 }
 
-// into returns a decoder that stores a value in a field of the record.
+// into returns a decoder that stores the decoded value in the field of the record that target returns.
 func into[T, V any](target func(*T) *V, decode func(*jx.Decoder) (V, error)) fieldDecoder[T] {
 	return func(_ serverNames, d *jx.Decoder, record *T) error {
 		value, err := decode(d)
@@ -130,7 +130,7 @@
 	}
 }
 
-// intoServer returns a decoder that stores a server's name in a field of the record.
+// intoServer returns a decoder that stores the name of a server in the field of the record that target returns.
 func intoServer[T any](target func(*T) *balancer.ServerID) fieldDecoder[T] {
 	return func(names serverNames, d *jx.Decoder, record *T) error {
 		name, err := names.decode(d)
@@ -139,19 +139,19 @@
 	}
 }
 
-// decodeWord returns a decoder of one of a set of words.
-func decodeWord[V any](words map[string]V) func(*jx.Decoder) (V, error) {
+// decodeEnum returns a decoder of a string that must be one of the keys of values.
+func decodeEnum[V any](values map[string]V) func(*jx.Decoder) (V, error) {
 	return func(d *jx.Decoder) (V, error) {
 		text, err := d.StrBytes()
-		value, known := words[string(text)]
+		value, known := values[string(text)]
 		if err == nil && !known {
-			err = fmt.Errorf("unknown word %q", text)
+			err = fmt.Errorf("unknown value %q", text)
 		}
 		return value, err
 	}
 }
 
-// decodeDuration reads milliseconds, rounded to the microsecond.
+// decodeDuration reads a duration in milliseconds and rounds it to the microsecond.
 func decodeDuration(d *jx.Decoder) (time.Duration, error) {
 	ms, err := d.Float64()
 	if err == nil && math.Abs(ms) > maxMilliseconds {
@@ -160,7 +160,7 @@
 	return time.Duration(math.Round(ms*1000)) * time.Microsecond, err
 }
 
-// decodeSeed reads an integer of 64 bits, signed or not.
+// decodeSeed reads a signed or unsigned 64-bit integer.
 func decodeSeed(d *jx.Decoder) (uint64, error) {
 	number, err := d.Num()
 	if err != nil {
--- a/internal/simadapter/serve.go
+++ b/internal/simadapter/serve.go
@@ -1,6 +1,7 @@
-// Package simadapter serves instances of the balancer on the simulator's wire: it reads batches of events, hands
-// them to the instances and writes their actions. It decides nothing. The themed keys of that wire stand in the
-// codec tables and in encode.go alone.
+// Package simadapter connects instances of the balancer to the simulator: it reads batches of events in the
+// simulator's line protocol, passes them to the instances and writes the resulting actions. It makes no decisions. The
+// simulator names events, actions and fields differently from the balancer; its names occur only in batch.go, in the
+// tables of decode.go and dispatch.go, in encode.go, and in errors about a field.
 package simadapter
 
 import (
@@ -20,20 +21,20 @@
 	writeBufferSize = 1 << 16
 )
 
-// adapter holds the instances of one process and the numbered lists of servers.
+// adapter holds the balancer instances of the process and the numbered lists of servers that they share.
 type adapter struct {
-	instances map[int]*balancer.Balancer
-	names     serverNames
-	lists     [listCount][]balancer.Server
-	decoder   jx.Decoder
-	reply     jx.Encoder
-	now       time.Duration // of the batch in hand
-	event     event         // in hand
-	acted     bool          // the instance in hand has written an action
+	instances    map[int]*balancer.Balancer
+	names        serverNames
+	lists        [listCount][]balancer.Server
+	decoder      jx.Decoder
+	reply        jx.Encoder
+	now          time.Duration // clock of the current batch
+	event        event         // the current event
+	groupStarted bool          // the reply contains the start of the current instance's group
 }
 
-// Serve answers batches until the input ends. An error in a line names the line, its serial, the field and the
-// reason; such a line gets no reply and ends the service.
+// Serve reads one batch a line and writes one reply a line until the end of the input. An invalid line gets no reply:
+// Serve returns an error that gives the line number, the serial, the field and the reason.
 func Serve(in io.Reader, out io.Writer) error {
 	a := &adapter{
 		instances: map[int]*balancer.Balancer{},
@@ -62,7 +63,7 @@
 	}
 }
 
-// readLine appends a line of any length, with its end.
+// readLine appends the next line of r, of any length and with its newline, to line.
 func readLine(r *bufio.Reader, line []byte) ([]byte, error) {
 	for {
 		part, err := r.ReadSlice('\n')
--- a/internal/simadapter/serve_test.go
+++ b/internal/simadapter/serve_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// testSettings has an unknown key, which must be ignored.
+// testSettings has an unknown key, which the adapter must ignore.
 const testSettings = `{"groupSize":2,"index":0,"registryMode":"ask","unheardOf":{"x":[1]},"lanes":[{"aim":300.0,"deadline":1800.0,` +
 	`"semantics":"safe","group":"all","name":"a","worth":1.0,"window":5000.0}],"limits":{"cancel":true,"maxAttempts":3,` +
 	`"retryAfter":true,"maxRetryAfter":2000.0},"rules":{"askWithin":10000.0,"coldShare":0.3,"fallMultiple":4.0,` +
@@ -25,31 +25,31 @@
 	return out.String(), err
 }
 
-func TestServe_Batches_AreAnswered(t *testing.T) {
+func TestServe_ValidBatches_GetReplies(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		lines []string
-		want  []string // what the last reply holds
-		not   []string
+		name   string
+		lines  []string
+		want   []string // substrings of the last reply
+		absent []string
 	}{
 		{"an empty batch", []string{`{"t":1.5,"serial":7,"groups":[]}`}, []string{`{"serial":7,"groups":[]}`}, nil},
-		{"keys in another order", []string{`{"groups":[],"serial":8,"t":1}`}, []string{`{"serial":8,"groups":[]}`}, nil},
+		{"keys in a different order", []string{`{"groups":[],"serial":8,"t":1}`}, []string{`{"serial":8,"groups":[]}`}, nil},
 		{"groups before the clock", []string{startBatch, `{"groups":[{"in":[{"lapsed":{"id":"c:no"}}],"i":0}],"serial":3,"t":102}`},
 			[]string{`"serial":3`}, []string{"fault"}},
-		{"a start asks for timers", []string{startBatch}, []string{`"i":0`, `"arm"`, `"instant":300`}, nil},
+		{"a start sets timers", []string{startBatch}, []string{`"i":0`, `"arm"`, `"instant":300`}, nil},
 		{"an arrival is sent", []string{startBatch, arrivalBatch},
 			[]string{`{"transmit":{"id":"c:x","host":"host-a","cap":240}}`}, nil},
-		{"a reused list number counts in event order", []string{startBatch,
+		{"redefinitions of a list apply in event order", []string{startBatch,
 			`{"t":101,"serial":2,"groups":[{"i":0,"in":[` +
 				`{"defineList":{"buffer":0,"rows":[{"host":"host-b","mode":"live","units":1}]}},{"fleet":{"mode":"replace","serial":2,"buffer":0}},` +
 				`{"defineList":{"buffer":0,"rows":[{"host":"host-c","mode":"live","units":1}]}},{"fleet":{"mode":"replace","serial":3,"buffer":0}}]}]}`,
 			strings.ReplaceAll(arrivalBatch, `"serial":2`, `"serial":3`)},
 			[]string{`"host":"host-c"`}, []string{"host-b", "host-a"}},
-		{"stop and start in one batch forget all", []string{startBatch, arrivalBatch,
+		{"a stop and a start in one batch discard the state", []string{startBatch, arrivalBatch,
 			`{"t":102,"serial":3,"groups":[{"i":0,"in":[{"shutdown":{}},{"start":{"prng":6,"facts":` + testSettings + `}},` +
 				`{"settled":{"id":"c:x","timeTaken":1.0,"trial":0,"host":"host-a","result":"no_answer","last":false,"load":null}}]}]}`},
 			[]string{`"serial":3`}, []string{"c:x"}},
-		{"an event of a later kind of note", []string{startBatch,
+		{"an unknown kind of report is ignored", []string{startBatch,
 			`{"t":102,"serial":3,"groups":[{"i":0,"in":[{"heartbeat":{"id":"c:x","trial":0,"host":"host-a","kind":9,"value":1}}]}]}`},
 			[]string{`{"serial":3,"groups":[]}`}, nil},
 	} {
@@ -68,9 +68,9 @@
 					t.Errorf("reply %s lacks %s", last, w)
 				}
 			}
-			for _, w := range c.not {
+			for _, w := range c.absent {
 				if strings.Contains(last, w) {
-					t.Errorf("reply %s holds %s", last, w)
+					t.Errorf("reply %s contains %s", last, w)
 				}
 			}
 		})
@@ -85,7 +85,7 @@
 		t.Fatal(err)
 	}
 	if !strings.HasSuffix(strings.TrimSpace(out), `{"serial":4,"groups":[]}`) {
-		t.Errorf("one instance acted on a request of another: %s", out)
+		t.Errorf("an instance acted on a request of another one: %s", out)
 	}
 }
 
@@ -101,7 +101,7 @@
 		{"no serial", `{"t":1,"groups":[]}`, []string{"serial unknown", `"serial"`, "missing"}},
 		{"unknown event", one(`{"vanished":{}}`), []string{"serial 9", "vanished", "unknown event"}},
 		{"missing field", one(`{"opened":{"id":"c:x","host":"host-a","timeTaken":1}}`), []string{"serial 9", "opened", `"trial"`, "missing"}},
-		{"null where a value must be", one(`{"lapsed":{"id":null}}`), []string{"serial 9", `"id"`}},
+		{"null for a required value", one(`{"lapsed":{"id":null}}`), []string{"serial 9", `"id"`}},
 		{"wrong type", one(`{"lapsed":{"id":5}}`), []string{"serial 9", `"id"`}},
 		{"unknown outcome", one(`{"settled":{"id":"c:x","timeTaken":1,"trial":0,"host":"h","result":"odd","last":true}}`),
 			[]string{"serial 9", `"result"`, "odd"}},
@@ -110,7 +110,7 @@
 		{"row without a host", one(`{"defineList":{"buffer":1,"rows":[{"mode":"live"}]}}`), []string{"serial 9", `"host"`, "missing"}},
 		{"two events in one object", one(`{"lapsed":{"id":"a"},"shutdown":{}}`), []string{"serial 9", `"in"`}},
 		{"instance not started", `{"t":101,"serial":9,"groups":[{"i":4,"in":[{"lapsed":{"id":"c:x"}}]}]}`, []string{"serial 9", "instance 4"}},
-		{"text behind the batch", `{"t":1,"serial":9,"groups":[]} x`, []string{"serial 9"}},
+		{"text after the batch", `{"t":1,"serial":9,"groups":[]} x`, []string{"serial 9"}},
 		{"a setting of the wrong type", one(`{"start":{"prng":1,"facts":{"lanes":"none"}}}`), []string{"serial 9", "facts.lanes"}},
 		{"no classes", one(`{"start":{"prng":1,"facts":{}}}`), []string{"serial 9", "facts.lanes"}},
 		{"a share over one", one(`{"start":{"prng":1,"facts":{"lanes":[{"aim":1}],"rules":{"coldShare":1.5}}}}`),
@@ -127,7 +127,7 @@
 			}
 			for _, w := range append(c.want, "line 2") {
 				if !strings.Contains(err.Error(), w) {
-					t.Errorf("message %q lacks %q", err, w)
+					t.Errorf("error %q lacks %q", err, w)
 				}
 			}
 			if strings.Count(out, "\n") != 1 || strings.Contains(err.Error(), "goroutine") {
@@ -144,7 +144,8 @@
 	}
 }
 
-// FuzzServe feeds lines after a good start: each gets a reply or an error, never a fault.
+// FuzzServe serves arbitrary lines after a valid start. Each must get a reply or an error, and must not make the balancer
+// panic, which the reply would report as a fault.
 func FuzzServe(f *testing.F) {
 	f.Add(arrivalBatch)
 	f.Add(`{"t":1,"serial":1,"groups":[]}`)
@@ -159,7 +160,7 @@
 			t.Errorf("more replies than lines: %q", out)
 		}
 		if strings.Contains(out, `"fault"`) {
-			t.Errorf("the module failed: %s", out)
+			t.Errorf("the balancer panicked: %s", out)
 		}
 	})
 }
--- a/tools/testgate/known_failures.go
+++ b/tools/testgate/known_failures.go
@@ -6,22 +6,22 @@
 	"strings"
 )
 
-// maxKnownFailures bounds the tests that may be listed as known to fail.
+// maxKnownFailures is the maximum number of tests that may be listed as known to fail.
 const maxKnownFailures = 3
 
-// testID names a top-level test of a package.
+// testID identifies a top-level test of a package, or the package itself if Test is empty.
 type testID struct{ Package, Test string }
 
 func (id testID) String() string { return id.Package + " " + id.Test }
 
-// knownFailure is a test that is known to fail, with its cause and the issue that it belongs to.
+// knownFailure is a test that is known to fail, with the cause of the failure and its issue.
 type knownFailure struct {
 	testID
 	Cause, Issue string
 }
 
-// parseKnownFailures reads lines of the form "package test | cause | issue". Blank lines and lines that begin with #
-// are ignored. Errors name the line.
+// parseKnownFailures parses lines of the form "package test | cause | issue". It ignores blank lines and lines that begin
+// with #. Errors in a line give its number.
 func parseKnownFailures(text string) ([]knownFailure, error) {
 	var known []knownFailure
 	for i, line := range strings.Split(text, "\n") {
@@ -36,7 +36,7 @@
 		known = append(known, failure)
 	}
 	if len(known) > maxKnownFailures {
-		return nil, fmt.Errorf("%d tests are listed, %d at most", len(known), maxKnownFailures)
+		return nil, fmt.Errorf("%d tests listed, at most %d allowed", len(known), maxKnownFailures)
 	}
 	return known, nil
 }
@@ -54,7 +54,7 @@
 		return knownFailure{}, errMalformedLine
 	}
 	if strings.Contains(name[1], "/") {
-		return knownFailure{}, fmt.Errorf("%s is no top-level test", name[1])
+		return knownFailure{}, fmt.Errorf("%s is not a top-level test", name[1])
 	}
 	return knownFailure{testID{name[0], name[1]}, cause, issue}, nil
 }
--- a/tools/testgate/main.go
+++ b/tools/testgate/main.go
@@ -1,5 +1,6 @@
-// Command testgate runs "go test" with its arguments. It exits with status 1 if a test fails that KNOWN-RED.txt does
-// not list, or if a listed test does not fail; failures of listed tests are printed and accepted.
+// Command testgate runs "go test" with its arguments and a list of tests that are known to fail, KNOWN-RED.txt. It
+// accepts and prints the failures of listed tests. It exits with status 1 if any other test fails, or if a listed test
+// doesn't fail.
 package main
 
 import (
@@ -10,7 +11,7 @@
 	"os/exec"
 )
 
-// knownFailuresFile is read from the working directory. Without it no test may fail.
+// knownFailuresFile is the list of known failures, relative to the working directory. Without it no test may fail.
 const knownFailuresFile = "KNOWN-RED.txt"
 
 func main() {
@@ -20,7 +21,7 @@
 	}
 }
 
-// run runs the tests and prints their outcome. It returns an error if the run does not pass.
+// run runs the tests and prints their results. It returns an error if the run does not pass.
 func run(args []string) error {
 	known, err := readKnownFailures()
 	if err != nil {
@@ -35,7 +36,7 @@
 	}
 	problems := results.problems(known)
 	if testError != nil && len(problems) == 0 && results.failed == 0 {
-		problems = append(problems, testError.Error()) // "go test" failed without a failed test
+		problems = append(problems, testError.Error()) // "go test" failed although no test did
 	}
 	for _, problem := range problems {
 		fmt.Println("FAIL:", problem)
@@ -60,8 +61,8 @@
 	return known, nil
 }
 
-// runTests runs "go test -json" and collects its results while it prints them. testError is its exit error; err is set
-// where it could not be run or its output not be read.
+// runTests runs "go test -json", and collects and prints its results. testError is the exit error of "go test"; err is set
+// if "go test" could not be run or its output could not be read.
 func runTests(args []string) (results *testResults, testError, err error) {
 	cmd := exec.Command("go", append([]string{"test", "-json"}, args...)...)
 	cmd.Stderr = os.Stderr
--- a/tools/testgate/results.go
+++ b/tools/testgate/results.go
@@ -10,7 +10,7 @@
 	"strings"
 )
 
-// testEvent is a line of "go test -json".
+// testEvent is one line of the output of "go test -json".
 type testEvent struct {
 	Action  string
 	Package string
@@ -18,7 +18,7 @@
 	Output  string
 }
 
-// The actions of a testEvent that matter here.
+// Values of testEvent.Action that testgate handles.
 const (
 	actionBuildOutput = "build-output"
 	actionOutput      = "output"
@@ -28,14 +28,14 @@
 	actionSkip        = "skip"
 )
 
-// testResults collects what a run of the tests reports. The zero value of testID.Test stands for the package itself.
+// testResults collects the results of a test run.
 type testResults struct {
 	packages map[string]string // the last action of each package: pass, fail or skip
-	tests    map[testID]string // the last action of each test: pass, fail, skip, or run for one that did not end
+	tests    map[testID]string // the last action of each top-level test: pass, fail, skip, or run if it did not finish
 	panicked map[testID]bool
 	passed   int                 // tests and subtests
 	failed   int                 // tests and subtests
-	output   map[testID][]string // of tests and packages that have not ended
+	output   map[testID][]string // of tests and packages that have not finished
 }
 
 func newTestResults() *testResults {
@@ -53,8 +53,8 @@
 	return name
 }
 
-// readEvents records the output of "go test -json" to its end, and writes the packages' result lines and the output of
-// failed tests to out.
+// readEvents reads the output of "go test -json" to its end and records it. It writes the result lines of packages and the
+// output of failed tests to out.
 func (r *testResults) readEvents(in io.Reader, out io.Writer) error {
 	lines := bufio.NewReader(in)
 	for {
@@ -71,7 +71,7 @@
 	}
 }
 
-// readLine records one line. A line that is no JSON, as of a failed build, is copied to out.
+// readLine records one line. It copies a line that is not JSON, such as one from a failed build, to out.
 func (r *testResults) readLine(line []byte, out io.Writer) {
 	var event testEvent
 	if json.Unmarshal(line, &event) != nil {
@@ -123,8 +123,8 @@
 	delete(r.output, id)
 }
 
-// printOutput writes and forgets the output of a test or a package. Of a package that did not fail only the last line
-// is written.
+// printOutput writes the output of a test or package to out and discards it. For a package that did not fail it writes
+// only the last line.
 func (r *testResults) printOutput(id testID, out io.Writer) {
 	lines := r.output[id]
 	isPackage := id.Test == ""
@@ -137,8 +137,9 @@
 	delete(r.output, id)
 }
 
-// problems lists, in order, why the run does not pass: tests that failed and are not listed, listed tests that did not
-// fail, and packages that failed otherwise. A listed test of a package that was not run is ignored.
+// problems returns, in sorted order, the reasons why the run does not pass: tests that failed and are not listed, listed
+// tests that did not fail, tests that panicked or did not finish, and packages that failed for another reason. It ignores
+// listed tests of packages that were not run.
 func (r *testResults) problems(known []knownFailure) []string {
 	listed := map[testID]bool{}
 	for _, failure := range known {
@@ -158,7 +159,7 @@
 		}
 		if action := r.tests[failure.testID]; action != actionFail {
 			problems = append(problems, fmt.Sprintf(
-				"%s is listed as known to fail, but did not fail (%q): take it off the list", failure.testID, action))
+				"%s is listed as known to fail, but did not fail (%q): remove it from the list", failure.testID, action))
 		}
 	}
 	return problems
@@ -168,9 +169,9 @@
 	for id, action := range r.tests {
 		switch {
 		case r.panicked[id]:
-			problems = append(problems, fmt.Sprintf("%s panicked: the tests behind it did not run", id))
+			problems = append(problems, fmt.Sprintf("%s panicked: the tests after it did not run", id))
 		case action == actionRun:
-			problems = append(problems, fmt.Sprintf("%s did not end", id))
+			problems = append(problems, fmt.Sprintf("%s did not finish", id))
 		case action == actionFail && !listed[id]:
 			problems = append(problems, fmt.Sprintf("%s failed", id))
 		}
@@ -178,8 +179,8 @@
 	return problems
 }
 
-// packageProblems lists packages that failed although no listed test of theirs did, and those that panicked outside of
-// a test.
+// packageProblems returns the packages that failed although none of their listed tests did, and those that panicked
+// outside of a test.
 func (r *testResults) packageProblems(listed map[testID]bool) (problems []string) {
 	hasListedFailure := map[string]bool{}
 	for id, action := range r.tests {
--- a/tools/testgate/results_test.go
+++ b/tools/testgate/results_test.go
@@ -20,7 +20,7 @@
 {"Action":"fail","Package":"p"}
 `
 
-// problemsOf returns the problems of a run of "go test -json" with a list of known failures.
+// problemsOf returns the problems of a run, given the output of "go test -json" and a list of known failures.
 func problemsOf(t *testing.T, run, list string) []string {
 	t.Helper()
 	known, err := parseKnownFailures(list)
@@ -36,7 +36,7 @@
 
 func TestProblems_RunAndList_OnlyListedTestsMayFail(t *testing.T) {
 	panicked := strings.Replace(listedRun, `"a.go:1: wrong\n"`, `"panic: wrong\n"`, 1)
-	unended := strings.Replace(listedRun, `{"Action":"pass","Package":"p","Test":"TestB"}`+"\n", "", 1)
+	unfinished := strings.Replace(listedRun, `{"Action":"pass","Package":"p","Test":"TestB"}`+"\n", "", 1)
 	for _, test := range []struct {
 		name, run, list string
 		want            []string
@@ -44,14 +44,14 @@
 		{"a listed test fails", listedRun, "p TestA | cause | issue 1", nil},
 		{"nothing is listed", listedRun, "", []string{"p TestA failed", "package p failed"}},
 		{"a listed test passes", listedRun, "p TestA | cause | 1\np TestB | cause | 1",
-			[]string{`p TestB is listed as known to fail, but did not fail ("pass"): take it off the list`}},
-		{"a listed test is not there", listedRun, "p TestA | cause | 1\np TestC | cause | 1",
-			[]string{`p TestC is listed as known to fail, but did not fail (""): take it off the list`}},
-		{"its package was not run", listedRun, "p TestA | cause | 1\nq TestC | cause | 1", nil},
-		{"a listed test panics", panicked, "p TestA | cause | 1", []string{"p TestA panicked: the tests behind it did not run"}},
-		{"a test does not end", unended, "p TestA | cause | 1", []string{"p TestB did not end"}},
+			[]string{`p TestB is listed as known to fail, but did not fail ("pass"): remove it from the list`}},
+		{"a listed test does not exist", listedRun, "p TestA | cause | 1\np TestC | cause | 1",
+			[]string{`p TestC is listed as known to fail, but did not fail (""): remove it from the list`}},
+		{"the package of a listed test was not run", listedRun, "p TestA | cause | 1\nq TestC | cause | 1", nil},
+		{"a listed test panics", panicked, "p TestA | cause | 1", []string{"p TestA panicked: the tests after it did not run"}},
+		{"a test does not finish", unfinished, "p TestA | cause | 1", []string{"p TestB did not finish"}},
 		{"a build fails", `{"Action":"fail","Package":"p"}` + "\n", "", []string{"package p failed"}},
-		{"nothing runs", "", "", []string{"no package was tested"}},
+		{"no package runs", "", "", []string{"no package was tested"}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if diff := cmp.Diff(test.want, problemsOf(t, test.run, test.list)); diff != "" {
