--- a/internal/cli/agent.go
+++ b/internal/cli/agent.go
@@ -17,10 +17,10 @@
 	var path string
 	c := &cobra.Command{
 		Use:   "agent",
-		Short: "Run an agent, which monitors many instances and carries out operations on them",
-		Long: "agent polls the instances of an inventory file and carries out the operations that operators submit by the command\n" +
-			"line. Operations are stored on disk: an agent that was killed continues them. Commands that instances accepted stay\n" +
-			"in force without an agent. docs/agent.md describes the setup.",
+		Short: "Run an agent, which monitors instances and carries out operations on them",
+		Long: "agent monitors the instances in an inventory file and carries out the operations that operators submit on the\n" +
+			"command line. Operations are stored on disk, so that an agent continues them after a crash. Commands that instances\n" +
+			"accepted remain in force when no agent runs. docs/agent.md describes the setup.",
 		Example: "  onyxstream agent --config agent.toml",
 		Args:    cobra.NoArgs,
 		RunE:    func(c *cobra.Command, _ []string) error { return runAgent(c, path) },
@@ -34,7 +34,7 @@
 	if _, err := tomlfile.Read(path, cfg); err != nil {
 		return err
 	}
-	signal.Ignore(syscall.SIGPIPE) // a log without a reader must not end the agent
+	signal.Ignore(syscall.SIGPIPE) // a closed log pipe must not terminate the agent
 	log := zap.New(logging.NewCore(logging.New(os.Stderr), zap.InfoLevel))
 	defer func() { _ = log.Sync() }()
 	ctx, stop := untilSignal(c)
--- a/internal/cli/agentclient.go
+++ b/internal/cli/agentclient.go
@@ -18,14 +18,14 @@
 const (
 	defaultAgentSocket = "onyxstream-agent.sock"
 	agentSocketEnv     = "ONYXSTREAM_AGENT"
-	agentTimeout       = 30 * time.Second // of a call
+	agentTimeout       = 30 * time.Second // for one request to the agent
 	agentJSONIndent    = " "
 )
 
-// agentClient calls the agent. It has the flags that all commands for the agent share.
+// agentClient sends requests to the agent. Its fields are set by the flags that all commands for the agent share.
 type agentClient struct {
 	socket string
-	json   bool // print JSON
+	json   bool // print JSON instead of tables
 }
 
 func (a *agentClient) addFlags(c *cobra.Command) {
@@ -37,7 +37,7 @@
 	c.PersistentFlags().BoolVar(&a.json, "json", false, "print JSON")
 }
 
-// call makes one call to the agent.
+// call sends one request to the agent and decodes the response into out.
 func (a *agentClient) call(ctx context.Context, method, path string, in, out any) error {
 	client, err := control.Dial("unix:"+a.socket, nil)
 	if err != nil {
@@ -49,19 +49,19 @@
 	return a.explain(client.Call(ctx, method, path, in, out))
 }
 
-// instances returns all instances of the agent.
+// instances returns all instances that the agent monitors.
 func (a *agentClient) instances(ctx context.Context) (views []fleet.View, err error) {
 	err = a.call(ctx, http.MethodGet, "/v1/instances", nil, &views)
 	return views, err
 }
 
-// operation makes a call about one operation: a GET of it, or a POST of an action.
+// operation gets an operation, or posts an action on it such as "/abort", and returns its state.
 func (a *agentClient) operation(ctx context.Context, method, id, action string) (o fleet.Operation, err error) {
 	err = a.call(ctx, method, "/v1/operations/"+id+action, nil, &o)
 	return o, err
 }
 
-// explain gives the agent's errors their exit status, and says what to do if there is no agent.
+// explain sets the exit status of an error that the agent returned. If no agent runs, the error says what to do.
 func (a *agentClient) explain(err error) error {
 	var remote *control.RemoteError
 	if errors.As(err, &remote) {
--- a/internal/cli/config_migrate.go
+++ b/internal/cli/config_migrate.go
@@ -17,10 +17,10 @@
 const (
 	maxConfigBytes   = 16 << 20
 	reportJSONIndent = "  "
-	maxValueWidth    = 40 // characters of a value in a table
+	maxValueWidth    = 40 // characters of a value in the report table
 )
 
-// migration has the arguments of config migrate.
+// migration holds the arguments and flags of config migrate.
 type migration struct {
 	oldPath   string
 	shapePath string
@@ -30,14 +30,14 @@
 	json      bool
 }
 
-// migrationReport is the result of config migrate --json.
+// migrationReport is the output of config migrate --json.
 type migrationReport struct {
 	Fields  []migrate.ReportLine `json:"fields"`
 	Written bool                 `json:"written"`
 }
 
 func configCommand() *cobra.Command {
-	return group("config", "A node's configuration", "", configMigrateCommand())
+	return group("config", "Work with the configuration of a node", "", configMigrateCommand())
 }
 
 func configMigrateCommand() *cobra.Command {
@@ -45,9 +45,9 @@
 	c := &cobra.Command{
 		Use:   "migrate OLD --to SHAPE -o NEW",
 		Short: "Convert a node's configuration for another deployment",
-		Long: "migrate reads OLD, a node's JSON configuration, and SHAPE, a TOML file with what OLD does not contain\n" +
-			"(examples/shape.toml), writes the converted configuration to NEW and reports what became of each field.\n" +
-			"OLD is never changed. NEW is checked as a node would check it, and written atomically.",
+		Long: "migrate converts OLD, the JSON configuration of a node, for the deployment that SHAPE describes, a TOML file such as\n" +
+			"examples/shape.toml. It writes the result to NEW and reports what happened to each field. OLD is never changed.\n" +
+			"NEW is validated as a node would validate it, and written atomically.",
 		Example: "  onyxstream config migrate n1.json --to shape.toml --dry-run\n" +
 			"  onyxstream config migrate n1.json --to shape.toml -o n1-new.json",
 		Args: cobra.ExactArgs(1),
@@ -57,17 +57,17 @@
 		},
 	}
 	flags := c.Flags()
-	flags.StringVar(&m.shapePath, "to", "", "file of the new shape, TOML")
+	flags.StringVar(&m.shapePath, "to", "", "TOML file that describes the new deployment")
 	flags.StringVarP(&m.newPath, "output", "o", "", "file for the new configuration")
-	flags.BoolVar(&m.dryRun, "dry-run", false, "report, and write nothing")
-	flags.BoolVar(&m.force, "force", false, "overwrite NEW")
-	flags.BoolVar(&m.json, "json", false, "report as JSON")
+	flags.BoolVar(&m.dryRun, "dry-run", false, "print the report and write nothing")
+	flags.BoolVar(&m.force, "force", false, "overwrite NEW if it exists")
+	flags.BoolVar(&m.json, "json", false, "print the report as JSON")
 	return c
 }
 
 func (m *migration) run(stdout io.Writer) error {
 	if m.shapePath == "" || m.newPath == "" && !m.dryRun {
-		return usageError(errors.New("--to names the new shape and -o the new file; --dry-run needs no -o"))
+		return usageError(errors.New("--to and -o are required; with --dry-run only --to is"))
 	}
 	var shape migrate.Shape
 	shapeText, err := tomlfile.Read(m.shapePath, &shape)
@@ -86,7 +86,7 @@
 		return &tomlfile.Error{File: m.oldPath, Err: err}
 	}
 	if err := nodeconfig.Check(newText); err != nil {
-		return &tomlfile.Error{File: m.shapePath, Err: fmt.Errorf("a node would not start with the result: %w", err)}
+		return &tomlfile.Error{File: m.shapePath, Err: fmt.Errorf("the converted configuration is invalid: %w", err)}
 	}
 	if !m.dryRun {
 		if err := m.writeNew(newText, mode); err != nil {
@@ -96,7 +96,7 @@
 	return m.print(stdout, report)
 }
 
-// locate adds the file and line to an error of migrate.Run.
+// locate adds the file and the line to an error from migrate.Run.
 func (m *migration) locate(err error, shapeText []byte) error {
 	var shapeError *tomlfile.FieldError
 	if errors.As(err, &shapeError) {
@@ -109,7 +109,7 @@
 	return err
 }
 
-// readOld reads the old configuration, and returns the permissions of its file.
+// readOld returns the old configuration and the permissions of its file.
 func (m *migration) readOld() ([]byte, os.FileMode, error) {
 	file, err := os.Open(m.oldPath)
 	if err != nil {
@@ -125,12 +125,13 @@
 	}
 	text, err := io.ReadAll(io.LimitReader(file, maxConfigBytes+1))
 	if err == nil && len(text) > maxConfigBytes {
-		err = fmt.Errorf("%s: over %d bytes, not a node's configuration", m.oldPath, maxConfigBytes)
+		err = fmt.Errorf("%s: larger than %d bytes, not a node configuration", m.oldPath, maxConfigBytes)
 	}
 	return text, info.Mode().Perm(), usageError(err)
 }
 
-// writeNew writes the new configuration atomically, with the permissions of the old one, as it has the same secrets.
+// writeNew writes the new configuration atomically, with the permissions of the old one because it contains the same
+// secrets.
 func (m *migration) writeNew(text []byte, mode os.FileMode) error {
 	if err := m.checkTarget(); err != nil {
 		return err
@@ -146,14 +147,14 @@
 func (m *migration) checkTarget() error {
 	newInfo, err := os.Stat(m.newPath)
 	if err != nil {
-		return nil // the write says what is wrong with the path
+		return nil // the write reports any other problem with the path
 	}
 	oldInfo, err := os.Stat(m.oldPath)
 	if err == nil && os.SameFile(oldInfo, newInfo) {
-		return usageError(fmt.Errorf("%s is the old configuration, which must not be changed", m.newPath))
+		return usageError(fmt.Errorf("%s: is the old configuration, which must not be changed", m.newPath))
 	}
 	if !m.force {
-		return usageError(fmt.Errorf("%s exists: --force overwrites it", m.newPath))
+		return usageError(fmt.Errorf("%s: file exists; use --force to overwrite it", m.newPath))
 	}
 	return nil
 }
@@ -173,7 +174,7 @@
 	return table.Flush()
 }
 
-// truncate shortens a value for a table; --json prints it complete.
+// truncate shortens a value for the report table. With --json values are printed in full.
 func truncate(text string) string {
 	runes := []rune(text)
 	if len(runes) <= maxValueWidth {
--- a/internal/cli/config_test.go
+++ b/internal/cli/config_test.go
@@ -15,7 +15,7 @@
 "settings":{"index":1,"groupSize":3,"zone":0,"zones":["hall-cathays","hall-bute","hall-llandaff"],"registryMode":"ask",
 "lanes":[{"name":"feed","aim":300,"deadline":1800,"worth":1}]}}`
 
-// runMain runs the command line.
+// runMain runs Main and returns its exit status and output.
 func runMain(args ...string) (status int, stdout, stderr string) {
 	var out, errs bytes.Buffer
 	status = Main(args, &out, &errs)
@@ -37,7 +37,7 @@
 		return err == nil
 	}
 	if status, _, errs := runMain("config", "migrate", newPath, "--to", shape, "--dry-run"); status != ExitUsage || !strings.Contains(errs, "no such file") {
-		t.Errorf("a file that is not there: status %d, %s", status, errs)
+		t.Errorf("missing old file: status %d, %s", status, errs)
 	}
 	status, dry, errs := migrate("--dry-run", "-o", newPath)
 	if status != ExitOK || exists() || !strings.Contains(dry, "settings.registryMode") {
@@ -45,7 +45,7 @@
 	}
 	status, out, errs := migrate("-o", newPath)
 	if status != ExitOK || out+"nothing was written\n" != dry {
-		t.Fatalf("status %d, the report differs from that of the dry run:\n%s%s", status, out, errs)
+		t.Fatalf("status %d, or the report differs from that of the dry run:\n%s%s", status, out, errs)
 	}
 	first, err := os.ReadFile(newPath)
 	if err != nil {
@@ -55,7 +55,7 @@
 		t.Errorf("permissions %v, error %v", info.Mode(), err)
 	}
 	if status, _, errs := migrate("-o", newPath); status != ExitUsage || !strings.Contains(errs, "--force") {
-		t.Errorf("over an existing file: status %d, %s", status, errs)
+		t.Errorf("new file exists: status %d, %s", status, errs)
 	}
 	status, out, _ = migrate("-o", newPath, "--force", "--json")
 	var report struct {
@@ -66,10 +66,10 @@
 		t.Errorf("status %d, error %v, report %+v", status, err, report)
 	}
 	if second, err := os.ReadFile(newPath); err != nil || !bytes.Equal(second, first) {
-		t.Errorf("the second file differs, error %v", err)
+		t.Errorf("the output of the second run differs, error %v", err)
 	}
 	if status, _, _ := migrate("-o", oldPath, "--force"); status != ExitUsage {
-		t.Errorf("onto the old file: status %d", status)
+		t.Errorf("new file is the old file: status %d", status)
 	}
 	if text, _ := os.ReadFile(oldPath); string(text) != oldConfig {
 		t.Error("the old file was changed")
@@ -79,11 +79,11 @@
 func TestConfigMigrate_InvalidInput_ReportsOneLine(t *testing.T) {
 	const cold = "list = \"push\"\n[[location]]\nname = \"x\"\nfrom = [\"hall-cathays\", \"hall-bute\", \"hall-llandaff\"]\n[rules]\ncold_share = 2\n"
 	for _, c := range []struct{ name, old, shape, want string }{
-		{"cut short", oldConfig[:200], cold, "old.json:4"},
-		{"a type", strings.Replace(oldConfig, `"sockets":256`, `"sockets":"many"`, 1), cold, "limits.sockets"},
-		{"a key of the shape", oldConfig, "list = \"push\"\nlocations = 2\n", "shape.toml:2: locations"},
-		{"out of range", oldConfig, cold, "rules.coldShare"},
-		{"empty", "", cold, "old.json:1"},
+		{"truncated file", oldConfig[:200], cold, "old.json:4"},
+		{"wrong type", strings.Replace(oldConfig, `"sockets":256`, `"sockets":"many"`, 1), cold, "limits.sockets"},
+		{"unknown key in the shape", oldConfig, "list = \"push\"\nlocations = 2\n", "shape.toml:2: locations"},
+		{"value out of range", oldConfig, cold, "rules.coldShare"},
+		{"empty file", "", cold, "old.json:1"},
 	} {
 		dir := t.TempDir()
 		oldPath, newPath, shape := filepath.Join(dir, "old.json"), filepath.Join(dir, "new.json"), filepath.Join(dir, "shape.toml")
--- a/internal/cli/exit.go
+++ b/internal/cli/exit.go
@@ -7,7 +7,7 @@
 	"onyxstream/internal/tomlfile"
 )
 
-// The exit statuses.
+// Exit statuses of the program.
 const (
 	ExitOK            = 0
 	ExitFailed        = 1
@@ -39,7 +39,7 @@
 func (e *exitError) Error() string { return e.err.Error() }
 func (e *exitError) Unwrap() error { return e.err }
 
-// usageError gives an error the exit status ExitUsage; nil stays nil.
+// usageError gives an error the exit status ExitUsage. It returns nil for nil.
 func usageError(err error) error {
 	if err == nil {
 		return nil
--- a/internal/cli/hosts.go
+++ b/internal/cli/hosts.go
@@ -10,8 +10,8 @@
 func hostsCommand() *cobra.Command {
 	client := &agentClient{}
 	c := group("hosts", "Override the state of hosts on instances", "",
-		hostsOperationCommand(client, control.HostDrain, "drain", "Have instances send a host nothing new, whatever the endpoint list says"),
-		hostsOperationCommand(client, control.HostResume, "resume", "Remove that override"))
+		hostsOperationCommand(client, control.HostDrain, "drain", "Stop sending new requests to a host, whatever the endpoint list says"),
+		hostsOperationCommand(client, control.HostResume, "resume", "Remove the drain override from a host"))
 	client.addFlags(c)
 	return c
 }
--- a/internal/cli/instances.go
+++ b/internal/cli/instances.go
@@ -18,8 +18,8 @@
 		instancesListCommand(client),
 		instancesCheckCommand(client),
 		instancesWatchCommand(client),
-		instancesOperationCommand(client, control.Drain, "Have instances admit nothing new and send their clients away"),
-		instancesOperationCommand(client, control.Resume, "Have drained instances admit clients again"))
+		instancesOperationCommand(client, control.Drain, "Stop admitting requests and move clients to other instances"),
+		instancesOperationCommand(client, control.Resume, "Admit requests on drained instances again"))
 	client.addFlags(c)
 	return c
 }
@@ -42,7 +42,7 @@
 	}
 }
 
-// selectionFlags select instances.
+// selectionFlags are the flags that select instances.
 type selectionFlags struct{ fleet.Selector }
 
 func (s *selectionFlags) addFlags(c *cobra.Command) {
@@ -51,12 +51,12 @@
 	c.Flags().BoolVar(&s.All, "all", false, "all instances")
 }
 
-// isEmpty reports whether neither flags nor names select instances.
+// isEmpty reports whether no names, zones or labels are given.
 func (s *selectionFlags) isEmpty(names []string) bool {
 	return len(names)+len(s.Zones)+len(s.Labels) == 0
 }
 
-// selectNames returns the names of the instances that fit the flags and the names on the command line.
+// selectNames returns the names of the instances that match the flags and the names on the command line.
 func (s *selectionFlags) selectNames(views []fleet.View, names []string) ([]string, error) {
 	var instances []fleet.Instance
 	for _, view := range views {
@@ -84,14 +84,15 @@
 	return table.Flush()
 }
 
-// describeList says which endpoint list an instance with cold start has, from where, and how old it is.
+// describeList describes the endpoint list of an instance with cold start: its state, source and age. It returns "-" for
+// an instance without cold start.
 func describeList(view fleet.View) string {
 	list := view.Status.List
 	switch {
 	case view.Status.Incarnation == "" || list == nil:
 		return "-"
 	case list.Source == "":
-		return fmt.Sprintf("none, %d calls", list.Calls)
+		return fmt.Sprintf("none, %d list requests", list.Calls)
 	case list.AgeSeconds >= coldstart.UnknownAge.Seconds():
 		return fmt.Sprintf("%s (%s, age unknown)", list.State, list.Source)
 	}
--- a/internal/cli/instances_check.go
+++ b/internal/cli/instances_check.go
@@ -34,7 +34,7 @@
 	return c
 }
 
-// unhealthy returns those of the selected instances that don't serve.
+// unhealthy returns the selected instances that are unreachable or not serving.
 func unhealthy(views []fleet.View, selected []string) (found []fleet.View) {
 	isSelected := map[string]bool{}
 	for _, name := range selected {
@@ -55,7 +55,7 @@
 	case client.json:
 		err = printJSON(c.OutOrStdout(), found, agentJSONIndent)
 	case len(found) == 0:
-		fmt.Fprintf(c.OutOrStdout(), "%d instances serve\n", checked)
+		fmt.Fprintf(c.OutOrStdout(), "%d instances are healthy\n", checked)
 	default:
 		err = printInstances(c.OutOrStdout(), found)
 	}
--- a/internal/cli/instances_operation.go
+++ b/internal/cli/instances_operation.go
@@ -9,14 +9,14 @@
 	"onyxstream/internal/fleet"
 )
 
-// instancesOperationCommand makes the command for an operation on instances: drain or resume.
+// instancesOperationCommand returns the command for an operation on instances: drain or resume.
 func instancesOperationCommand(client *agentClient, kind control.CommandKind, short string) *cobra.Command {
 	selection, operation := &selectionFlags{}, &operationFlags{}
 	c := &cobra.Command{
 		Use:   string(kind) + " [NAME...]",
 		Short: short,
-		Long: "Instances get the command in waves of --at-once. Names may be patterns as of a shell; with --zone and --label an\n" +
-			"instance must fit all.\n\n" + exitStatusHelp,
+		Long: "The command is sent to instances in waves of --at-once. Names may be shell patterns. If names, --zone and --label are\n" +
+			"combined, an instance must match all of them.\n\n" + exitStatusHelp,
 		Example: fmt.Sprintf("  onyxstream instances %[1]s n2 --wait\n"+
 			"  onyxstream instances %[1]s --zone cardiff --at-once 2 --dry-run", kind),
 		RunE: func(c *cobra.Command, names []string) error {
--- a/internal/cli/instances_watch.go
+++ b/internal/cli/instances_watch.go
@@ -14,7 +14,7 @@
 func instancesWatchCommand(client *agentClient) *cobra.Command {
 	return &cobra.Command{
 		Use:   "watch",
-		Short: "Print instances with each change, until a signal",
+		Short: "Print all instances on each change, until SIGINT or SIGTERM",
 		Args:  cobra.NoArgs,
 		RunE:  func(c *cobra.Command, _ []string) error { return watchInstances(c, client) },
 	}
--- a/internal/cli/keys.go
+++ b/internal/cli/keys.go
@@ -14,7 +14,7 @@
 
 func keysCommand() *cobra.Command {
 	var dir string
-	c := group("keys", "A small certificate authority for instances, agents and people", "",
+	c := group("keys", "Manage a certificate authority for instances, agents and operators", "",
 		keysCreateCommand(&dir),
 		keysIssueCommand(&dir),
 		keysRenewCommand(&dir),
@@ -35,7 +35,7 @@
 			if err := pki.Create(*dir, name); err != nil {
 				return err
 			}
-			fmt.Fprintf(c.OutOrStdout(), "created an authority in %s: keep its key there, distribute its certificate\n", *dir)
+			fmt.Fprintf(c.OutOrStdout(), "created an authority in %s: keep its private key there, distribute its certificate\n", *dir)
 			return nil
 		},
 	}
@@ -49,7 +49,7 @@
 	c := &cobra.Command{
 		Use:   "issue HOLDER",
 		Short: "Issue a certificate",
-		Long:  "issue writes HOLDER.crt and HOLDER.key. Roles: instance (a node; the holder is its name), operate, look.",
+		Long:  "issue writes HOLDER.crt and HOLDER.key. Roles: instance (a node; HOLDER is its name), operate, look (read-only).",
 		Example: "  onyxstream keys issue n1 --role instance --dir keys\n" +
 			"  onyxstream keys issue agent-1 --role operate --dir keys",
 		Args: cobra.ExactArgs(1),
@@ -62,7 +62,7 @@
 			return nil
 		},
 	}
-	c.Flags().StringVar(&role, "role", pki.RoleViewer, "what the holder may do")
+	c.Flags().StringVar(&role, "role", pki.RoleViewer, "role of the holder: instance, operate or look")
 	addValidityFlag(c, &validity)
 	return c
 }
@@ -87,19 +87,19 @@
 }
 
 func addValidityFlag(c *cobra.Command, validity *time.Duration) {
-	c.Flags().DurationVar(validity, "valid", defaultValidity, "how long the certificate is valid")
+	c.Flags().DurationVar(validity, "valid", defaultValidity, "validity of the certificate")
 }
 
 func keysRevokeCommand(dir *string) *cobra.Command {
 	return &cobra.Command{
 		Use:   "revoke HOLDER",
-		Short: "Revoke a holder's certificate where the revocation list is distributed",
+		Short: "Add a holder's certificate to the revocation list",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			if err := pki.Revoke(*dir, args[0]); err != nil {
 				return err
 			}
-			fmt.Fprintf(c.OutOrStdout(), "revoked %s in %s/revoked: distribute the file\n", args[0], *dir)
+			fmt.Fprintf(c.OutOrStdout(), "revoked %s in %s/revoked: distribute this file\n", args[0], *dir)
 			return nil
 		},
 	}
@@ -108,7 +108,7 @@
 func keysListCommand(dir *string) *cobra.Command {
 	return &cobra.Command{
 		Use:   "list",
-		Short: "List the certificates of a directory",
+		Short: "List the authority's certificates",
 		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			certs, revoked, err := pki.List(*dir)
--- a/internal/cli/load.go
+++ b/internal/cli/load.go
@@ -3,8 +3,8 @@
 import "github.com/spf13/cobra"
 
 func loadCommand() *cobra.Command {
-	return group("load", "Put load on nodes and measure what clients get",
-		"load sends every request at its scheduled time, whatever became of earlier ones, and measures latencies from that\n"+
-			"time.\n\n"+exitStatusHelp,
+	return group("load", "Generate load on nodes and measure what clients get",
+		"load generates open-loop load: it sends every request at its scheduled time, whether or not earlier requests have\n"+
+			"ended, and measures latencies from that time.\n\n"+exitStatusHelp,
 		loadRunCommand(), loadReplayCommand(), loadRecordCommand(), loadCompareCommand(), loadPlotCommand(), loadStandCommand())
 }
--- a/internal/cli/load_compare.go
+++ b/internal/cli/load_compare.go
@@ -10,13 +10,13 @@
 	"onyxstream/internal/loadtest"
 )
 
-// comparison has the flags of load compare.
+// comparison holds the flags of load compare.
 type comparison struct {
-	base  []string
-	next  []string
-	json  bool
-	all   bool
-	check bool
+	base      []string
+	candidate []string
+	json      bool
+	all       bool
+	check     bool
 }
 
 func loadCompareCommand() *cobra.Command {
@@ -24,19 +24,19 @@
 	c := &cobra.Command{
 		Use:   "compare --base RESULT... --new RESULT...",
 		Short: "Compare results and show significant differences",
-		Long: "compare compares runs of the same load. Each side needs at least three runs; with fewer the figures are shown\n" +
-			"without a verdict. A difference is significant if it is over twice its standard error and no run of one side lies\n" +
-			"among the other's.\n\n" + exitStatusHelp,
+		Long: "compare compares runs of the same load. With fewer than three runs on either side it shows the figures without a\n" +
+			"verdict. A difference is significant if it is over twice its standard error and the ranges of the two sides don't\n" +
+			"overlap.\n\n" + exitStatusHelp,
 		Example: "  onyxstream load run steady.toml -o before.json --repeat 5\n" +
 			"  onyxstream load compare --base before-1.json,before-2.json,before-3.json --new after-1.json,after-2.json,after-3.json",
 		Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error { return cmp.run(c.OutOrStdout()) },
 	}
 	flags := c.Flags()
-	flags.StringSliceVar(&cmp.base, "base", nil, "results of the baseline")
-	flags.StringSliceVar(&cmp.next, "new", nil, "results to compare with it")
+	flags.StringSliceVar(&cmp.base, "base", nil, "result files of the baseline")
+	flags.StringSliceVar(&cmp.candidate, "new", nil, "result files to compare with the baseline")
 	flags.BoolVar(&cmp.json, "json", false, "print JSON")
-	flags.BoolVar(&cmp.all, "all", false, "print insignificant differences, too")
+	flags.BoolVar(&cmp.all, "all", false, "print insignificant differences as well")
 	flags.BoolVar(&cmp.check, "check", false, "exit with 5 if a figure is significantly worse")
 	return c
 }
@@ -46,11 +46,11 @@
 	if err != nil {
 		return err
 	}
-	next, err := readResults(c.next)
+	candidate, err := readResults(c.candidate)
 	if err != nil {
 		return err
 	}
-	differences, err := loadtest.Compare(base, next)
+	differences, err := loadtest.Compare(base, candidate)
 	if err != nil {
 		return usageError(err)
 	}
--- a/internal/cli/load_flags.go
+++ b/internal/cli/load_flags.go
@@ -17,7 +17,7 @@
 const (
 	maxRepeat      = 1000
 	loadJSONIndent = " "
-	clearLine      = "\r\x1b[K" // of a terminal
+	clearLine      = "\r\x1b[K" // terminal control sequence
 )
 
 // loadFlags are the flags of load run and load replay.
@@ -37,29 +37,29 @@
 
 func (f *loadFlags) addFlags(c *cobra.Command) {
 	flags := c.Flags()
-	flags.StringArrayVar(&f.targets, "target", nil, "address of a running node; may be repeated (default: the scenario's own fleet)")
+	flags.StringArrayVar(&f.targets, "target", nil, "address of a running node; may be repeated (default: start the scenario's fleet)")
 	flags.StringVarP(&f.resultPath, "out", "o", "", "file for the result as JSON")
 	flags.StringVar(&f.pagePath, "page", "", "file for the result as an HTML page")
 	flags.StringVar(&f.hdrPath, "hdr", "", "file for the latencies of served requests in HdrHistogram's text format")
 	flags.StringVar(&f.ledgerPath, "ledger", "", "file for the events that the fake servers recorded, as JSON Lines")
 	flags.StringVar(&f.nodeLogPath, "node-log", "", "file for the nodes' logs")
-	flags.StringVar(&f.tracePath, "record", "", "file for the requests as a trace; .gz is compressed")
-	flags.Uint64Var(&f.seed, "seed", 0, "seed of the load in place of the scenario's")
-	flags.IntVar(&f.repeat, "repeat", 1, "number of runs; results are numbered")
+	flags.StringVar(&f.tracePath, "record", "", "file for the requests as a trace; compressed if it ends in .gz")
+	flags.Uint64Var(&f.seed, "seed", 0, "seed of the load, instead of the scenario's")
+	flags.IntVar(&f.repeat, "repeat", 1, "number of runs; the names of result files are numbered")
 	flags.BoolVar(&f.json, "json", false, "print the result as JSON instead of a table")
 	flags.BoolVarP(&f.quiet, "quiet", "q", false, "print no progress")
 }
 
-// run runs a scenario as often as --repeat says, and writes each result.
+// run runs a scenario --repeat times and writes each result.
 func (f *loadFlags) run(c *cobra.Command, scenario *loadtest.Scenario, text []byte, options loadtest.PlayOptions) error {
 	if f.repeat < 1 || f.repeat > maxRepeat {
-		return usageError(fmt.Errorf("--repeat: %d is not between 1 and %d", f.repeat, maxRepeat))
+		return usageError(fmt.Errorf("--repeat: %d out of range: want 1 to %d", f.repeat, maxRepeat))
 	}
 	if f.seed != 0 {
 		scenario.Seed = f.seed
 	}
 	if scenario.Fleet == nil && len(f.targets) == 0 {
-		return usageError(errors.New("the scenario has no fleet: name nodes with --target"))
+		return usageError(errors.New("the scenario has no fleet: use --target to name running nodes"))
 	}
 	program, err := os.Executable()
 	if err != nil {
@@ -75,7 +75,7 @@
 	}
 	ctx, stop := untilSignal(c)
 	defer stop()
-	context.AfterFunc(ctx, stop) // a second signal ends the process at once
+	context.AfterFunc(ctx, stop) // a second signal terminates the process at once
 	if !f.quiet && isTerminal(c.ErrOrStderr()) {
 		options.OnProgress = progressPrinter(c.ErrOrStderr())
 	}
@@ -87,7 +87,7 @@
 	return nil
 }
 
-// openOutputs opens the files that a run writes to while it lasts. closeFiles must be called, also after an error.
+// openOutputs opens the files that are written during a run. The caller must call closeFiles, even after an error.
 func (f *loadFlags) openOutputs(options *loadtest.PlayOptions) (closeFiles func(), err error) {
 	var files []*os.File
 	closeFiles = func() {
@@ -130,14 +130,15 @@
 	}
 	switch {
 	case result.Partial:
-		return &exitError{ExitPartial, fmt.Errorf("the result is partial: %s", result.PartialReason)}
+		return &exitError{ExitPartial, fmt.Errorf("partial result: %s", result.PartialReason)}
 	case result.BehindReason != "":
 		return &exitError{ExitGeneratorLate, errors.New(result.BehindReason)}
 	}
 	return nil
 }
 
-// numbered returns the path for the i-th run.
+// numbered returns the path of an output file for the i-th run, counted from 0. It adds the number of the run to the path
+// if there are several runs.
 func (f *loadFlags) numbered(path string, i int) string {
 	if f.repeat == 1 {
 		return path
@@ -146,7 +147,7 @@
 	return fmt.Sprintf("%s-%d%s", strings.TrimSuffix(path, extension), i+1, extension)
 }
 
-// writeResult writes the result of the i-th run to all files that are named, and prints it.
+// writeResult writes the result of the i-th run to the files that the flags name, and prints it.
 func (f *loadFlags) writeResult(stdout io.Writer, result *loadtest.Result, i int) error {
 	var errs []error
 	if f.resultPath != "" {
@@ -166,7 +167,7 @@
 	return errors.Join(errs...)
 }
 
-// progressPrinter returns a function that prints progress on one line of a terminal.
+// progressPrinter returns a function that prints progress on a single line of a terminal, which it overwrites.
 func progressPrinter(w io.Writer) func(loadtest.Progress) {
 	return func(p loadtest.Progress) {
 		fmt.Fprintf(w, clearLine+"%4.0f s  %d requests, %d served, %d rejected, %d failed; %d open; %.2f ms late",
--- a/internal/cli/load_plot.go
+++ b/internal/cli/load_plot.go
@@ -13,7 +13,7 @@
 	var out string
 	c := &cobra.Command{
 		Use:     "plot RESULT",
-		Short:   "Draw a result as an HTML page",
+		Short:   "Plot a result as an HTML page",
 		Example: "  onyxstream load plot after.json -o after.html",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
@@ -27,6 +27,6 @@
 			return writePage(out, result)
 		},
 	}
-	c.Flags().StringVarP(&out, "out", "o", "", "file for the page (default: the result's name with .html)")
+	c.Flags().StringVarP(&out, "out", "o", "", "file for the page (default: RESULT with the extension .html)")
 	return c
 }
--- a/internal/cli/load_record.go
+++ b/internal/cli/load_record.go
@@ -13,14 +13,14 @@
 	var listen, target, out string
 	c := &cobra.Command{
 		Use:   "record",
-		Short: "Record the requests of real clients as a trace",
-		Long: "record relays clients to a node and writes a trace of their requests: when, of which class and tenant, with which\n" +
-			"key, and how long the connection lasted. It records nothing after the opening line. It ends with SIGINT or SIGTERM.",
+		Short: "Record requests of real clients as a trace",
+		Long: "record relays clients to a node and writes a trace of their requests: time, class, tenant, key, and duration of the\n" +
+			"connection. It records nothing that follows the opening line. SIGINT or SIGTERM stops it.",
 		Example: "  onyxstream load record --listen 127.0.0.1:9001 --target 127.0.0.1:8081 -o evening.csv.gz",
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			if listen == "" || target == "" || out == "" {
-				return usageError(errors.New("--listen, --target and --out must be given"))
+				return usageError(errors.New("--listen, --target and --out are required"))
 			}
 			ctx, stop := untilSignal(c)
 			defer stop()
@@ -32,8 +32,8 @@
 		},
 	}
 	flags := c.Flags()
-	flags.StringVar(&listen, "listen", "", "address that clients connect to")
-	flags.StringVar(&target, "target", "", "address of the node")
-	flags.StringVarP(&out, "out", "o", "", "file for the trace; .gz is compressed")
+	flags.StringVar(&listen, "listen", "", "address to accept clients on")
+	flags.StringVar(&target, "target", "", "address of the node to relay to")
+	flags.StringVarP(&out, "out", "o", "", "file for the trace; compressed if it ends in .gz")
 	return c
 }
--- a/internal/cli/load_result.go
+++ b/internal/cli/load_result.go
@@ -10,16 +10,17 @@
 	"onyxstream/internal/loadtest/page"
 )
 
-// The keys of a result's outcomes.
+// Keys of outcomes in a result.
 const (
 	outcomeServed   = "served"
 	outcomeRejected = "refused"
 )
 
-// The shape of HdrHistogram's text format: lines for each halving of the rest, and microseconds in a unit.
+// Parameters of HdrHistogram's text format, which prints hdrTicksPerHalfDistance lines each time the distance to 100%
+// halves. Values are recorded in microseconds and printed in milliseconds.
 const (
-	hdrTicksPerHalf = 5
-	hdrUnit         = 1000
+	hdrTicksPerHalfDistance = 5
+	hdrMicrosecondsPerUnit  = 1000
 )
 
 func writePage(path string, result *loadtest.Result) error {
@@ -54,14 +55,14 @@
 		return err
 	}
 	fmt.Fprintf(w, "#[path %s, served, ms]\n", requestPath)
-	_, err = histogram.PercentilesPrint(w, hdrTicksPerHalf, hdrUnit)
+	_, err = histogram.PercentilesPrint(w, hdrTicksPerHalfDistance, hdrMicrosecondsPerUnit)
 	return err
 }
 
-// printResult prints the main figures of a result.
+// printResult prints the main figures of a result as a table.
 func printResult(w io.Writer, result *loadtest.Result) error {
 	table := newNumberTable(w)
-	fmt.Fprintln(table, "class\tpath\trequests\tserved\trejected\tfailed\tp50 ms\tp99 ms\tmax ms\tservice p99\tbroken\tmoved\t")
+	fmt.Fprintln(table, "class\tpath\trequests\tserved\trejected\tfailed\tp50 ms\tp99 ms\tmax ms\tservice p99\tbroken\tmigrated\t")
 	for i := range result.Classes {
 		printClass(table, &result.Classes[i])
 	}
@@ -90,15 +91,15 @@
 }
 
 func printTotals(w io.Writer, result *loadtest.Result) {
-	fmt.Fprintf(w, "generator: %.3f ms late at the 99th percentile, %.3f ms at most\n", result.Lateness.P99, result.Lateness.Max)
+	fmt.Fprintf(w, "generator: %.3f ms late at the 99th percentile, at most %.3f ms\n", result.Lateness.P99, result.Lateness.Max)
 	if result.Nodes != nil {
-		fmt.Fprintf(w, "nodes: %.2f s of CPU, %.0f MB at most\n", result.Nodes.CPU.Seconds(), result.Nodes.PeakMB)
+		fmt.Fprintf(w, "nodes: %.2f s of CPU time, at most %.0f MB of memory\n", result.Nodes.CPU.Seconds(), result.Nodes.PeakMB)
 	}
 	if result.ListService != nil {
-		fmt.Fprintf(w, "list service: %d calls, %d rejected, %d within 100 ms at most\n",
+		fmt.Fprintf(w, "discovery: %d list requests, %d rejected, at most %d within 100 ms\n",
 			result.ListService.Calls, result.ListService.Rejected, result.ListService.MaxIn100ms)
 	}
 	if result.WrongReceipts > 0 {
-		fmt.Fprintf(w, "%d receipts that no host had made\n", result.WrongReceipts)
+		fmt.Fprintf(w, "%d receipts that no host issued\n", result.WrongReceipts)
 	}
 }
--- a/internal/cli/load_run.go
+++ b/internal/cli/load_run.go
@@ -11,8 +11,8 @@
 	c := &cobra.Command{
 		Use:   "run SCENARIO",
 		Short: "Run a scenario",
-		Long: "run runs a scenario file (docs/load.md describes it): on the fleet that it names, of real nodes and fake hosts on\n" +
-			"this machine, or on nodes that serve already.\n\n" + exitStatusHelp,
+		Long: "run runs a scenario file, which docs/load.md describes. It starts the scenario's fleet of real nodes and fake hosts on\n" +
+			"this machine, or sends the load to running nodes that --target names.\n\n" + exitStatusHelp,
 		Example: "  onyxstream load run examples/steady.toml --page steady.html\n" +
 			"  onyxstream load run surge.toml --target 10.0.0.4:8081 --target 10.0.0.5:8081 -o after.json --repeat 5",
 		Args: cobra.ExactArgs(1),
--- a/internal/cli/load_stand.go
+++ b/internal/cli/load_stand.go
@@ -12,9 +12,9 @@
 func loadStandCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "stand SCENARIO",
-		Short: "Start a scenario's fleet and its faults, without load",
+		Short: "Run the fleet and the faults of a scenario without load",
 		Long: "stand starts the fleet of a scenario, prints the addresses of nodes, hosts and discovery, and injects the scenario's\n" +
-			"faults until SIGINT or SIGTERM: for load from other processes, and to try nodes by hand.",
+			"faults. It stops on SIGINT or SIGTERM. Use it for load from other programs or for manual tests of nodes.",
 		Example: "  onyxstream load stand examples/steady.toml",
 		Args:    cobra.ExactArgs(1),
 		RunE:    func(c *cobra.Command, args []string) error { return runFleet(c, args[0]) },
--- a/internal/cli/node.go
+++ b/internal/cli/node.go
@@ -12,8 +12,8 @@
 	c := &cobra.Command{
 		Use:   "node",
 		Short: "Run a node",
-		Long: "node runs a node until SIGTERM. PROXY_CONFIG names its JSON configuration, which SIGHUP reloads. --config names a\n" +
-			"file of onyxstream's own settings (deploy/own.toml is an example); what it sets is off without it.",
+		Long: "node runs a node until SIGTERM. PROXY_CONFIG names its JSON configuration, which it reloads on SIGHUP. --config names\n" +
+			"a file of onyxstream's own settings, such as deploy/own.toml. Features that it doesn't configure are off.",
 		Example: "  PROXY_CONFIG=config.json onyxstream node\n" +
 			"  PROXY_CONFIG=config.json onyxstream node --config own.toml",
 		Args: cobra.NoArgs,
@@ -29,6 +29,6 @@
 			return lifecycle.Run(options)
 		},
 	}
-	c.Flags().StringVar(&path, "config", "", "file of onyxstream's own settings, TOML")
+	c.Flags().StringVar(&path, "config", "", "TOML file of onyxstream's own settings")
 	return c
 }
--- a/internal/cli/operation.go
+++ b/internal/cli/operation.go
@@ -17,10 +17,10 @@
 
 const (
 	operationPollInterval = 200 * time.Millisecond
-	randomIDLength        = 10 // of the suffix of a generated operation id
+	randomIDLength        = 10 // characters of the random suffix of a generated operation id
 )
 
-// operationFlags say how an operation is carried out.
+// operationFlags are the flags that say how to carry out an operation.
 type operationFlags struct {
 	id          string
 	options     fleet.Options
@@ -31,26 +31,27 @@
 
 func (o *operationFlags) addFlags(c *cobra.Command) {
 	flags := c.Flags()
-	flags.StringVar(&o.id, "operation", "", "id of the operation; a repeated id changes nothing (default: a new one)")
-	flags.IntVar(&o.options.WaveSize, "at-once", 1, "instances in progress at the same time")
-	flags.DurationVar(&o.options.Deadline, "deadline", time.Hour, "the operation fails if it has not ended by then")
-	flags.DurationVar(&o.options.StepTimeout, "step-within", 0, "an instance fails if it has not reached the desired state by then")
-	flags.StringVar((*string)(&o.options.OnFailure), "on-failure", string(fleet.PauseOnFailure), "pause, abort or continue if an instance fails")
-	flags.BoolVar(&o.dryRun, "dry-run", false, "show the waves and submit nothing")
-	flags.BoolVar(&o.wait, "wait", false, "wait for the end; exit with 7 if the operation did not succeed")
-	flags.DurationVar(&o.waitTimeout, "wait-within", time.Hour, "with --wait, the longest wait")
+	flags.StringVar(&o.id, "operation", "", "id of the operation; submitting the same id again changes nothing (default: a new id)")
+	flags.IntVar(&o.options.WaveSize, "at-once", 1, "number of instances in progress at the same time")
+	flags.DurationVar(&o.options.Deadline, "deadline", time.Hour, "the operation fails if it does not end within this time")
+	flags.DurationVar(&o.options.StepTimeout, "step-within", 0, "an instance fails if it does not reach the desired state within this time after it accepts the command")
+	flags.StringVar((*string)(&o.options.OnFailure), "on-failure", string(fleet.PauseOnFailure), "what to do if an instance fails: pause, abort or continue")
+	flags.BoolVar(&o.dryRun, "dry-run", false, "print the waves and submit nothing")
+	flags.BoolVar(&o.wait, "wait", false, "wait until the operation ends; exit with 7 if it did not succeed")
+	flags.DurationVar(&o.waitTimeout, "wait-within", time.Hour, "maximum time to wait with --wait")
 }
 
 func (o *operationFlags) addDrainFlags(c *cobra.Command) {
 	flags := c.Flags()
-	flags.DurationVar(&o.options.DrainTimeout, "within", 30*time.Second, "an instance closes its connections by then")
-	flags.DurationVar(&o.options.RetryAfter, "retry-after", time.Second, "delay before rejected clients may retry")
-	flags.IntVar(&o.options.MaxUnavailable, "max-unavailable", 0, "instances unavailable at the same time (default: half of all)")
-	flags.IntVar(&o.options.MaxUnavailablePerZone, "max-unavailable-zone", 0, "the same in each zone (default: all but one)")
-	flags.BoolVar(&o.options.AllowEmptyZone, "empty-zone", false, "a zone may be left with no available instance")
+	flags.DurationVar(&o.options.DrainTimeout, "within", 30*time.Second, "time within which an instance closes its connections")
+	flags.DurationVar(&o.options.RetryAfter, "retry-after", time.Second, "time after which rejected clients may retry")
+	flags.IntVar(&o.options.MaxUnavailable, "max-unavailable", 0, "maximum number of unavailable instances (default: half of all)")
+	flags.IntVar(&o.options.MaxUnavailablePerZone, "max-unavailable-zone", 0, "maximum number of unavailable instances in a zone (default: all but one)")
+	flags.BoolVar(&o.options.AllowEmptyZone, "empty-zone", false, "allow a zone without available instances")
 }
 
-// submit submits an operation to the agent, and waits for its end with --wait.
+// submit submits an operation to the agent. With --wait it waits until the operation ends; with --dry-run it only prints
+// the waves.
 func (o *operationFlags) submit(c *cobra.Command, client *agentClient, request fleet.Request) error {
 	if o.dryRun {
 		return printWaves(c.OutOrStdout(), client, fleet.Waves(request.Targets, o.options.WaveSize))
@@ -80,7 +81,7 @@
 	return nil
 }
 
-// waitForEnd polls an operation until it ends or pauses. It tolerates a restart of the agent.
+// waitForEnd checks the state of an operation periodically until it ends or pauses. It tolerates a restart of the agent.
 func (o *operationFlags) waitForEnd(c *cobra.Command, client *agentClient, id string) error {
 	ctx, stop := untilSignal(c)
 	defer stop()
@@ -94,11 +95,11 @@
 		case err == nil && (operation.State.Ended() || operation.State == fleet.Paused):
 			return reportEnd(c.OutOrStdout(), client, &operation)
 		case time.Now().After(deadline):
-			return &exitError{ExitUnhealthy, fmt.Errorf("operation %s has not ended after %s and continues", id, o.waitTimeout)}
+			return &exitError{ExitUnhealthy, fmt.Errorf("operation %s: still in progress after %s", id, o.waitTimeout)}
 		}
 		select {
 		case <-ctx.Done():
-			return &exitError{ExitUnhealthy, fmt.Errorf("operation %s continues", id)}
+			return &exitError{ExitUnhealthy, fmt.Errorf("operation %s: still in progress", id)}
 		case <-time.After(operationPollInterval):
 		}
 	}
@@ -112,7 +113,7 @@
 	if operation.State == fleet.Succeeded {
 		return nil
 	}
-	return &exitError{ExitUnhealthy, fmt.Errorf("operation %s is %s: %s", operation.ID, operation.State, operation.Reason)}
+	return &exitError{ExitUnhealthy, fmt.Errorf("operation %s: %s: %s", operation.ID, operation.State, operation.Reason)}
 }
 
 func printOperation(w io.Writer, client *agentClient, operation *fleet.Operation) error {
--- a/internal/cli/operations.go
+++ b/internal/cli/operations.go
@@ -15,7 +15,7 @@
 	c := group("operations", "List, show, abort and continue operations", "",
 		operationsListCommand(client),
 		operationsActionCommand(client, "show", "Show an operation and its instances", http.MethodGet, ""),
-		operationsActionCommand(client, "abort", "End an operation; accepted commands stay in force", http.MethodPost, "/abort"),
+		operationsActionCommand(client, "abort", "Abort an operation; accepted commands remain in force", http.MethodPost, "/abort"),
 		operationsActionCommand(client, "continue", "Continue a paused operation", http.MethodPost, "/continue"))
 	client.addFlags(c)
 	return c
@@ -24,7 +24,7 @@
 func operationsListCommand(client *agentClient) *cobra.Command {
 	return &cobra.Command{
 		Use:   "list",
-		Short: "List operations, the newest first",
+		Short: "List operations, newest first",
 		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			var operations []fleet.Operation
@@ -50,7 +50,8 @@
 	return table.Flush()
 }
 
-// operationsActionCommand makes a command that calls the agent about one operation and prints it.
+// operationsActionCommand returns a command that gets an operation from the agent, or posts an action on it, and prints
+// it.
 func operationsActionCommand(client *agentClient, verb, short, method, action string) *cobra.Command {
 	return &cobra.Command{
 		Use:   verb + " OPERATION",
--- a/internal/cli/output.go
+++ b/internal/cli/output.go
@@ -10,15 +10,15 @@
 // columnGap is the number of spaces between columns of a table.
 const columnGap = 2
 
-// newTable returns a writer of tab-separated columns that are aligned to the left. Flush must follow.
+// newTable returns a writer that aligns tab-separated columns to the left. The caller must call Flush.
 func newTable(w io.Writer) *tabwriter.Writer { return tabwriter.NewWriter(w, 0, 0, columnGap, ' ', 0) }
 
-// newNumberTable returns a writer of columns that are aligned to the right. Flush must follow.
+// newNumberTable returns a writer that aligns tab-separated columns to the right. The caller must call Flush.
 func newNumberTable(w io.Writer) *tabwriter.Writer {
 	return tabwriter.NewWriter(w, 0, 0, columnGap, ' ', tabwriter.AlignRight)
 }
 
-// printJSON prints a value with an indent for each level.
+// printJSON prints a value as JSON, indented by indent for each level.
 func printJSON(w io.Writer, v any, indent string) error {
 	encoder := json.NewEncoder(w)
 	encoder.SetIndent("", indent)
@@ -35,7 +35,7 @@
 	return err == nil && info.Mode()&os.ModeCharDevice != 0
 }
 
-// orDash returns a dash for an empty text.
+// orDash returns text, or a dash if it is empty.
 func orDash(text string) string {
 	if text == "" {
 		return "-"
--- a/internal/cli/root.go
+++ b/internal/cli/root.go
@@ -1,5 +1,5 @@
-// Package cli is the command line of onyxstream: commands of a noun and a verb, tables for people, JSON and exit statuses
-// for scripts.
+// Package cli implements the command line of onyxstream. Commands have the form "noun verb", such as "instances drain".
+// They print tables for people, and JSON and exit statuses for scripts.
 package cli
 
 import (
@@ -14,7 +14,7 @@
 	"github.com/spf13/cobra"
 )
 
-// errorWriteTimeout bounds how long a failed command waits to write its error.
+// errorWriteTimeout is how long a failed command waits for its error to be written.
 const errorWriteTimeout = time.Second
 
 // Main runs the command line and returns the exit status.
@@ -46,8 +46,8 @@
 
 func rootCommand() *cobra.Command {
 	root := group("onyxstream", "A load balancer for long-lived connections, and tools to run and test it",
-		"onyxstream is a load balancer for long-lived connections: a node on sockets, and tools to operate many nodes, to put\n"+
-			"load on them and to test them under faults.\n\n"+exitStatusHelp,
+		"onyxstream is a load balancer for long-lived connections. It runs nodes, and has tools to operate many nodes and to\n"+
+			"test them under load and faults.\n\n"+exitStatusHelp,
 		nodeCommand(), loadCommand(), agentCommand(), instancesCommand(), hostsCommand(), operationsCommand(),
 		keysCommand(), configCommand(), scaleCommand())
 	root.SilenceUsage = true
@@ -57,7 +57,7 @@
 	return root
 }
 
-// group makes a command that has only subcommands; long may be empty.
+// group returns a command that only has subcommands. long may be empty.
 func group(use, short, long string, subcommands ...*cobra.Command) *cobra.Command {
 	c := &cobra.Command{
 		Use:   use,
@@ -66,14 +66,14 @@
 		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			fmt.Fprint(c.ErrOrStderr(), c.UsageString())
-			return usageError(errors.New("a command is missing, see the usage above"))
+			return usageError(errors.New("a command is missing; see the usage above"))
 		},
 	}
 	c.AddCommand(subcommands...)
 	return c
 }
 
-// wrapArgErrors gives errors about arguments the exit status ExitUsage.
+// wrapArgErrors gives errors about the arguments of a command and its subcommands the exit status ExitUsage.
 func wrapArgErrors(c *cobra.Command) {
 	if check := c.Args; check != nil {
 		c.Args = func(c *cobra.Command, args []string) error { return usageError(check(c, args)) }
@@ -83,7 +83,8 @@
 	}
 }
 
-// untilSignal returns a context that ends with SIGINT or SIGTERM. After stop a signal ends the process.
+// untilSignal returns a context that is cancelled on SIGINT or SIGTERM. After a call of stop these signals terminate the
+// process again.
 func untilSignal(c *cobra.Command) (ctx context.Context, stop context.CancelFunc) {
 	return signal.NotifyContext(c.Context(), syscall.SIGINT, syscall.SIGTERM)
 }
--- a/internal/cli/root_test.go
+++ b/internal/cli/root_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// blockedWriter is a standard error that nobody reads.
+// blockedWriter is a writer whose writes block, as on a full pipe that nobody reads, until released is closed.
 type blockedWriter struct{ released chan struct{} }
 
 func (b blockedWriter) Write(p []byte) (int, error) {
@@ -14,7 +14,7 @@
 	return len(p), nil
 }
 
-// A failed command ends even if its error can't be written: a process that stays would look healthy.
+// A failed command must exit even if nobody reads its standard error. A process that keeps running would look healthy.
 func TestMain_StderrBlocked_Returns(t *testing.T) {
 	stderr := blockedWriter{make(chan struct{})}
 	defer close(stderr.released)
@@ -26,6 +26,6 @@
 			t.Errorf("exit status %d, want %d", code, ExitUsage)
 		}
 	case <-time.After(10 * time.Second):
-		t.Error("Main does not return")
+		t.Error("Main did not return within 10 s")
 	}
 }
--- a/internal/cli/scale.go
+++ b/internal/cli/scale.go
@@ -16,20 +16,20 @@
 const scaleJSONIndent = "  "
 
 func scaleCommand() *cobra.Command {
-	return group("scale", "Measure the cost of the endpoint list watch for fleets of many sizes",
-		"scale runs fleets of simulated nodes, many in a process and without clients, and of real processes, and estimates from\n"+
-			"the samples what a fleet costs at a target size.\n\n"+exitStatusHelp,
-		scaleRunCommand(), scaleHollowCommand())
+	return group("scale", "Measure what watching the endpoint list costs fleets of many sizes",
+		"scale runs fleets of simulated nodes, many in one process and without clients, and fleets of real node processes. From\n"+
+			"these samples it estimates the cost of a fleet of a target size.\n\n"+exitStatusHelp,
+		scaleRunCommand(), scaleSimulatedNodesCommand())
 }
 
 func scaleRunCommand() *cobra.Command {
 	var asJSON bool
 	c := &cobra.Command{
 		Use:   "run FILE",
-		Short: "Run the fleets of a file",
-		Long: "run measures the fleets of a file (examples/scale.toml): bytes and messages at the list service, processor time,\n" +
-			"memory, and the time from a change until the last node has it. A run for which the machine is too small stops with\n" +
-			"the reason, keeps its samples, and exits with 4.\n\n" + exitStatusHelp,
+		Short: "Run the fleets in a file",
+		Long: "run measures the fleets in a file such as examples/scale.toml: bytes and messages to and from discovery, CPU time,\n" +
+			"memory, and the time from a change of the list until the last node has it. If the machine is too small for a fleet,\n" +
+			"run stops, prints the reason and the samples so far, and exits with 4.\n\n" + exitStatusHelp,
 		Example: "  onyxstream scale run examples/scale.toml\n  onyxstream scale run examples/scale.toml --json > scale.json",
 		Args:    cobra.ExactArgs(1),
 		RunE:    func(c *cobra.Command, args []string) error { return runScale(c, args[0], asJSON) },
@@ -70,16 +70,16 @@
 	return nil
 }
 
-func scaleHollowCommand() *cobra.Command {
+func scaleSimulatedNodesCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:    "hollow N",
-		Short:  "Run simulated nodes, until standard input ends",
-		Hidden: true, // scale run starts it
+		Short:  "Run simulated nodes until the end of standard input",
+		Hidden: true, // started by scale run
 		Args:   cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			count, err := strconv.Atoi(args[0])
 			if err != nil || count < 1 {
-				return usageError(fmt.Errorf("%q is not a number of nodes", args[0]))
+				return usageError(fmt.Errorf("invalid number of nodes %q", args[0]))
 			}
 			cfg, err := nodeconfig.Load()
 			if err != nil {
--- a/internal/cli/scale_print.go
+++ b/internal/cli/scale_print.go
@@ -15,7 +15,7 @@
 	printDifferences(table, result.Differences)
 	printFits(table, result)
 	if result.Shortage != "" {
-		fmt.Fprintf(table, "\nnot all was measured: %s\n", result.Shortage)
+		fmt.Fprintf(table, "\nincomplete measurement: %s\n", result.Shortage)
 	}
 	return table.Flush()
 }
@@ -23,7 +23,7 @@
 func printSamples(w io.Writer, samples []scaletest.Sample) {
 	fmt.Fprintln(w, "nodes\tkind\tphase\tbytes/s\tmessages/s\tcore %\tMB\tmedian\tp99\tlast\tmissing\t")
 	for _, sample := range samples {
-		printPhase(w, &sample, "rest", sample.Idle)
+		printPhase(w, &sample, "idle", sample.Idle)
 		printPhase(w, &sample, "changes", sample.Changes)
 		printPhase(w, &sample, "restart", sample.Restart)
 	}
@@ -36,7 +36,7 @@
 }
 
 func printDifferences(w io.Writer, differences []scaletest.Difference) {
-	fmt.Fprintln(w, "\nsimulated over real\t\tbytes\tmessages\tcore\tmemory\tmedian\t")
+	fmt.Fprintln(w, "\nsimulated / real\t\tbytes\tmessages\tcore\tmemory\tmedian\t")
 	for _, d := range differences {
 		fmt.Fprintf(w, "%d\t\t%.2f\t%.2f\t%.2f\t%.2f\t%.2f\t\n", d.Nodes, d.Bytes, d.Messages, d.Cores, d.Memory, d.Median)
 	}
--- a/internal/cli/scale_test.go
+++ b/internal/cli/scale_test.go
@@ -18,10 +18,10 @@
 	}
 	status, out, errs := runMain("scale", "run", path)
 	if want := path + ":3: hosts: 1 is not from 2"; status != ExitUsage || !strings.Contains(errs, want) || out != "" {
-		t.Errorf("status %d, it says %q and prints %q; want %d and %q alone", status, errs, out, ExitUsage, want)
+		t.Errorf("status %d, stderr %q, stdout %q; want status %d, stderr with %q and no stdout", status, errs, out, ExitUsage, want)
 	}
 	if status, _, errs = runMain("scale", "hollow", "none"); status != ExitUsage {
-		t.Errorf("no number of nodes: status %d, %s", status, errs)
+		t.Errorf("invalid number of nodes: status %d, %s", status, errs)
 	}
 }
 
@@ -34,9 +34,9 @@
 	if err := printScale(&out, r); err != nil {
 		t.Fatal(err)
 	}
-	for _, want := range []string{"1088", "7ms", "0.37", "at 2600 nodes", "NO", "not all was measured: 2600 hollow nodes: short of memory"} {
+	for _, want := range []string{"1088", "7ms", "0.37", "at 2600 nodes", "NO", "incomplete measurement: 2600 hollow nodes: short of memory"} {
 		if !strings.Contains(out.String(), want) {
-			t.Errorf("%q is not in\n%s", want, out.String())
+			t.Errorf("output lacks %q:\n%s", want, out.String())
 		}
 	}
 }
