--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -10,7 +10,8 @@
 	"onyxstream/internal/simadapter"
 )
 
-// gcPercent makes garbage collections rare, because the simulator counts their time as decision time. The heap is small.
+// gcPercent makes garbage collections rare, because the simulator counts their time as decision time. They can be rare
+// because the heap is small.
 const gcPercent = 800
 
 func main() {
