--- a/internal/cli/load_result.go
+++ b/internal/cli/load_result.go
@@ -94,9 +94,9 @@
 	if result.Nodes != nil {
 		fmt.Fprintf(w, "nodes: %.2f s of CPU, %.0f MB at most\n", result.Nodes.CPU.Seconds(), result.Nodes.PeakMB)
 	}
-	if result.ListService != nil {
+	if result.Discovery != nil {
 		fmt.Fprintf(w, "list service: %d calls, %d rejected, %d within 100 ms at most\n",
-			result.ListService.Calls, result.ListService.Rejected, result.ListService.MaxIn100ms)
+			result.Discovery.Calls, result.Discovery.Rejected, result.Discovery.MaxIn100ms)
 	}
 	if result.WrongReceipts > 0 {
 		fmt.Fprintf(w, "%d receipts that no host had made\n", result.WrongReceipts)
--- a/internal/cli/scale_print.go
+++ b/internal/cli/scale_print.go
@@ -12,7 +12,7 @@
 func printScale(w io.Writer, result scaletest.Result) error {
 	table := newNumberTable(w)
 	printSamples(table, result.Samples)
-	printDifferences(table, result.Differences)
+	printDifferences(table, result.CostRatios)
 	printFits(table, result)
 	if result.Shortage != "" {
 		fmt.Fprintf(table, "\nnot all was measured: %s\n", result.Shortage)
@@ -35,7 +35,7 @@
 		toMillis(phase.Latency.Median), toMillis(phase.Latency.P99), toMillis(phase.Latency.Max), phase.Latency.Missing)
 }
 
-func printDifferences(w io.Writer, differences []scaletest.Difference) {
+func printDifferences(w io.Writer, differences []scaletest.CostRatios) {
 	fmt.Fprintln(w, "\nsimulated over real\t\tbytes\tmessages\tcore\tmemory\tmedian\t")
 	for _, d := range differences {
 		fmt.Fprintf(w, "%d\t\t%.2f\t%.2f\t%.2f\t%.2f\t%.2f\t\n", d.Nodes, d.Bytes, d.Messages, d.Cores, d.Memory, d.Median)
--- a/internal/loadtest/play.go
+++ b/internal/loadtest/play.go
@@ -146,7 +146,7 @@
 	events, lost := f.cluster.EventLog.Events()
 	result.addEvents(events, f.began)
 	list := testcluster.CountDiscoveryCalls(events)
-	result.ListService = &list
+	result.Discovery = &list
 	result.Startup = testcluster.StartSteps(events, f.cluster.LaunchedAt())
 	if lost == 0 {
 		result.WrongReceipts = f.receipts.countWrong(events)
--- a/internal/loadtest/result.go
+++ b/internal/loadtest/result.go
@@ -40,7 +40,7 @@
 	WrongReceipts int64                       `json:"wrong_receipts"`
 	Nodes         *testcluster.Usage          `json:"nodes,omitempty"`
 	Hosts         []HostCount                 `json:"hosts,omitempty"`
-	ListService   *testcluster.DiscoveryCalls `json:"list,omitempty"`  // calls to the list service
+	Discovery     *testcluster.DiscoveryCalls `json:"list,omitempty"`  // calls to the list service
 	Startup       []testcluster.StartStep     `json:"start,omitempty"` // the start of the fleet, before the first request
 	Generator     testcluster.Usage           `json:"self"`            // the generator's process, which includes the fake servers
 }
--- a/internal/scaletest/fit.go
+++ b/internal/scaletest/fit.go
@@ -75,8 +75,8 @@
 	return out
 }
 
-// Difference has the costs of a simulated node divided by those of a real one, in fleets of one size with changes.
-type Difference struct {
+// CostRatios has the costs of a simulated node divided by those of a real one, in fleets of one size with changes.
+type CostRatios struct {
 	Nodes    int     `json:"nodes"`
 	Bytes    float64 `json:"bytes"`
 	Messages float64 `json:"messages"`
@@ -86,19 +86,19 @@
 }
 
 // compareKinds compares the samples of both kinds at the sizes that both have.
-func compareKinds(samples []Sample) (out []Difference) {
+func compareKinds(samples []Sample) (out []CostRatios) {
 	for _, real := range samples {
 		for _, simulated := range samples {
 			if real.Kind == Real && simulated.Kind == Simulated && real.Nodes == simulated.Nodes {
-				out = append(out, difference(simulated, real))
+				out = append(out, costRatios(simulated, real))
 			}
 		}
 	}
 	return out
 }
 
-func difference(simulated, real Sample) Difference {
-	return Difference{
+func costRatios(simulated, real Sample) CostRatios {
+	return CostRatios{
 		Nodes:    real.Nodes,
 		Bytes:    ratio(simulated.Changes.BytesPerS, real.Changes.BytesPerS),
 		Messages: ratio(simulated.Changes.MessagesPerS, real.Changes.MessagesPerS),
--- a/internal/scaletest/result.go
+++ b/internal/scaletest/result.go
@@ -36,11 +36,11 @@
 
 // Result is the result of a run.
 type Result struct {
-	Spec        Spec         `json:"spec"`
-	Samples     []Sample     `json:"samples"`
-	Differences []Difference `json:"differences"`
-	Fits        []Fit        `json:"fits"`
-	Shortage    string       `json:"short"` // the resource that the machine lacked for larger fleets; "" for none
+	Spec       Spec         `json:"spec"`
+	Samples    []Sample     `json:"samples"`
+	CostRatios []CostRatios `json:"differences"`
+	Fits       []Fit        `json:"fits"`
+	Shortage   string       `json:"short"` // the resource that the machine lacked for larger fleets; "" for none
 }
 
 // ShortageError says that the machine lacks a resource for a fleet.
--- a/internal/scaletest/run.go
+++ b/internal/scaletest/run.go
@@ -42,7 +42,7 @@
 		}
 		result.Samples = append(result.Samples, sample)
 	}
-	result.Differences = compareKinds(result.Samples)
+	result.CostRatios = compareKinds(result.Samples)
 	result.Fits = fitMetrics(result.Samples, s.Target)
 	return result, runError
 }
--- a/internal/scaletest/scale_test.go
+++ b/internal/scaletest/scale_test.go
@@ -78,8 +78,8 @@
 			moved[s.Kind] = s.Changes.BytesPerS * s.Changes.Duration.Seconds()
 		}
 	}
-	if len(result.Differences) != 1 || math.Abs(moved[Simulated]/moved[Real]-1) > 0.2 {
-		t.Errorf("a hollow node is sent other than a real one: %v bytes, %+v", moved, result.Differences)
+	if len(result.CostRatios) != 1 || math.Abs(moved[Simulated]/moved[Real]-1) > 0.2 {
+		t.Errorf("a hollow node is sent other than a real one: %v bytes, %+v", moved, result.CostRatios)
 	}
 	if len(result.Fits) == 0 || result.Fits[0].Samples != 2 {
 		t.Errorf("the slopes are %+v", result.Fits)
