--- a/cmd/onyxstream/load_command_test.go
+++ b/cmd/onyxstream/load_command_test.go
@@ -259,8 +259,8 @@
 		{[]string{"load", "run", good, "--colour"}, "unknown flag"},
 		{[]string{"load", "replay", trace, "--target", "127.0.0.1:1"}, "t.csv:2: life_ms"},
 		{[]string{"load", "replay", trace, "--speed", "0"}, "--speed"},
-		{[]string{"load", "compare"}, "each side needs a run"},
-		{[]string{"load", "plot", good}, "no result of a run"},
+		{[]string{"load", "compare"}, "each side needs at least one run"},
+		{[]string{"load", "plot", good}, "invalid result file"},
 		{[]string{"load"}, "a command is missing"},
 		{[]string{"lode"}, "unknown command"},
 	} {
--- a/internal/loadtest/aggregate.go
+++ b/internal/loadtest/aggregate.go
@@ -2,10 +2,10 @@
 
 import "slices"
 
-// allClasses is the class of the results that Aggregate returns.
+// allClasses is the class name in the results that Aggregate returns.
 const allClasses = "all"
 
-// Aggregate adds up the classes of a path. Percentiles are those of all requests together.
+// Aggregate combines all classes of a path into one result. Its percentiles are those of all requests together.
 func (r *Result) Aggregate(path string) (ClassResult, error) {
 	all := ClassResult{
 		Path:     path,
@@ -71,7 +71,7 @@
 	return nil
 }
 
-// mergeSummaries returns the summary of both distributions together.
+// mergeSummaries returns the summary of the two distributions combined.
 func mergeSummaries(a, b Summary) (Summary, error) {
 	addend, err := b.Histogram()
 	if err != nil {
@@ -85,7 +85,7 @@
 	return summarize(sum, true), nil
 }
 
-// Paths returns the paths of a run's requests in the order of its classes.
+// Paths returns the distinct paths of the run's requests in the order of Classes.
 func (r *Result) Paths() (paths []string) {
 	for _, c := range r.Classes {
 		if !slices.Contains(paths, c.Path) {
--- a/internal/loadtest/attempt.go
+++ b/internal/loadtest/attempt.go
@@ -19,12 +19,12 @@
 )
 
 const (
-	// deadlineGrace is how long after its deadline a client still waits: the protocol allows an answer to be that late.
+	// deadlineGrace is how long a client waits after its deadline, because the protocol allows an answer to be that late.
 	deadlineGrace = 50 * time.Millisecond
-	// readBufferSize is the memory that an established connection takes for reading, in bytes.
+	// readBufferSize is the size of an established connection's read buffer, in bytes.
 	readBufferSize = 256
-	// linePrefixSize is how much is kept of a line that does not fit into the read buffer, in bytes.
-	linePrefixSize = 64
+	// truncatedLineSize is the size to which readLine cuts a line that does not fit into the read buffer, in bytes.
+	truncatedLineSize = 64
 )
 
 // Fields of the opening line that mark an attempt.
@@ -32,19 +32,19 @@
 	fieldRetry         = "r=1"
 	fieldReconnect     = "again=1"
 	fieldMidFlow       = "mid=1"
-	fieldEstablishedAt = "at=" // followed by a host
+	fieldEstablishedAt = "at=" // followed by the name of the host that has the connection already
 )
 
-// attemptResult is the outcome of one attempt, and the connection where it was served.
+// attemptResult is the outcome of one attempt. If the attempt was served, it includes the established connection.
 type attemptResult struct {
 	outcome     Outcome
 	retryAfter  time.Duration // from a rejection; 0 for none
-	localError  error         // what kept the generator from sending, of an Unsent attempt
+	localError  error         // why the generator could not send an Unsent attempt; nil for other outcomes
 	id          string
 	conn        *net.TCPConn
 	reader      *bufio.Reader
 	connection  *clientConnection
-	serviceTime time.Duration // from sending the opening line to its answer
+	serviceTime time.Duration // from the start of sending the opening line to its answer
 }
 
 func (e *engine) close(a *attemptResult) {
@@ -57,11 +57,11 @@
 
 var runID = strconv.FormatUint(rand.Uint64(), 36)
 
-// newID returns a connection id that is unique over all generators.
+// newID returns a connection id that is unique across all generators.
 func (e *engine) newID() string { return runID + "-" + strconv.FormatUint(e.dialCount.Add(1), 36) }
 
-// attempt dials, sends the opening line and waits for its answer or the deadline. Unless it was served the connection
-// is closed when attempt returns.
+// attempt connects, sends the opening line and waits for its answer or the deadline. Unless the outcome is Served, the
+// connection is closed when attempt returns.
 func (c *client) attempt(id, fields string) *attemptResult {
 	result := &attemptResult{outcome: Unreachable, id: id}
 	deadline := c.deadlines[c.request.Class]
@@ -90,13 +90,14 @@
 	}
 	_ = conn.SetDeadline(time.Time{})
 	if _, terminated := result.connection.terminatedBy(); terminated {
-		// The line above may have cleared the deadline by which terminate unblocks the reader.
+		// Clearing the deadline above may have undone the one that terminate set to unblock the reader.
 		_ = conn.SetReadDeadline(time.Now())
 	}
 	return result
 }
 
-// dial connects to the address for the request. Where conn is nil, outcome says why; localError is set with Unsent.
+// dial connects to the address for the request. If it fails, conn is nil and outcome tells why. If outcome is Unsent,
+// localError is the cause.
 func (c *client) dial(expiry time.Time) (conn *net.TCPConn, outcome Outcome, localError error) {
 	address, err := c.cfg.Address(c.request.Zone, c.request.Direct)
 	if err != nil {
@@ -120,19 +121,19 @@
 	}
 }
 
-// bindPortAtConnect delays the choice of a bound socket's port until it connects: a port that is chosen by bind has to
-// be free towards all peers, so that ports run out sooner.
+// bindPortAtConnect makes the kernel choose the port of a bound socket at connect instead of at bind. A port that is
+// chosen at bind has to be unused for all remote addresses, so that ports run out sooner.
 func bindPortAtConnect(_, _ string, c syscall.RawConn) error {
-	const bindAddressNoPort = 24 // IP_BIND_ADDRESS_NO_PORT of Linux
+	const bindAddressNoPort = 24 // IP_BIND_ADDRESS_NO_PORT on Linux
 	return c.Control(func(fd uintptr) {
 		_ = syscall.SetsockoptInt(int(fd), syscall.SOL_IP, bindAddressNoPort, 1)
 	})
 }
 
-// isLocalError reports whether the generator itself lacks descriptors, ports or memory.
+// isLocalError reports whether err means that the generator itself lacks file descriptors, ports or memory.
 func isLocalError(err error) bool { return syserr.LacksResources(err) || syserr.LacksAddress(err) }
 
-// exchangeOpening sends the opening line, reads the answer and sets the result's outcome. The answer is valid until the
+// exchangeOpening sends the opening line, reads the answer and sets the outcome of result. The answer is valid until the
 // next read.
 func (c *client) exchangeOpening(result *attemptResult, opening string) (answer []byte) {
 	begin := time.Now()
@@ -178,7 +179,7 @@
 	return b.String()
 }
 
-// parseAnswer sets the outcome from the answer to an opening line, and Retry-After from a rejection.
+// parseAnswer sets the outcome from the answer to an opening line, and retryAfter from a rejection.
 func (a *attemptResult) parseAnswer(line []byte) {
 	switch wire.ParseResponse(line) {
 	case wire.ResponseEstablished:
@@ -191,7 +192,7 @@
 	}
 }
 
-// parseRetryAfter returns the delay that a rejection asks for, at most maxRetryWait, and 0 for none.
+// parseRetryAfter returns the Retry-After delay of a rejection, at most maxRetryWait. It returns 0 if there is none.
 func parseRetryAfter(rejection []byte) time.Duration {
 	_, text, ok := bytes.Cut(rejection, []byte(" "))
 	if !ok {
@@ -204,12 +205,12 @@
 	return min(time.Duration(ms)*time.Millisecond, maxRetryWait)
 }
 
-// readLine returns the next line without its end, valid until the next read. A line that is longer than the buffer is
-// cut to its first linePrefixSize bytes.
+// readLine returns the next line without its line ending, valid until the next read. A line that is longer than the
+// buffer is cut to its first truncatedLineSize bytes.
 func readLine(r *bufio.Reader) ([]byte, error) {
 	line, err := r.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) {
-		prefix := bytes.Clone(line[:min(len(line), linePrefixSize)])
+		prefix := bytes.Clone(line[:min(len(line), truncatedLineSize)])
 		for errors.Is(err, bufio.ErrBufferFull) {
 			_, err = r.ReadSlice('\n')
 		}
--- a/internal/loadtest/client.go
+++ b/internal/loadtest/client.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// maxRetryWait bounds exponential backoff and Retry-After.
+// maxRetryWait bounds the wait before a retry, both with exponential backoff and after a Retry-After.
 const maxRetryWait = time.Minute
 
-// client plays one request: its attempts, its connection and its reconnects. It belongs to one goroutine.
+// client performs one request: its attempts, its connection and its reconnects. Only one goroutine uses it.
 type client struct {
 	*engine
 	request *Request
@@ -16,11 +16,11 @@
 	return &client{engine: e, request: r, path: pathOf(r)}
 }
 
-// updateStats calls f with the locked statistics of the client's class.
+// updateStats calls f with the statistics of the client's class while the recorder's lock is held.
 func (c *client) updateStats(f func(*classStats)) { c.recorder.updateClass(c.path, c.request.Class, f) }
 
-// run plays a request to its outcome, and its connection to its end. It calls onOutcome once or twice after the outcome
-// is recorded.
+// run performs the request and then holds its connection until it ends. It calls onOutcome once or twice after recording
+// the outcome.
 func (c *client) run(intended time.Duration, onOutcome func()) {
 	defer onOutcome()
 	result := c.requestWithRetries("")
@@ -36,7 +36,7 @@
 	}
 }
 
-// requestWithRetries makes attempts until one is served, none may follow, or the run ends.
+// requestWithRetries makes attempts until one is served, no further retry is allowed, or the run ends.
 func (c *client) requestWithRetries(fields string) *attemptResult {
 	behavior := &c.scenario.Clients
 	rng := requestRand(c.scenario.Seed^retryStream, c.request.Number)
@@ -75,7 +75,7 @@
 	return a + "," + b
 }
 
-// pause waits for d. It returns false where the run ends first.
+// pause waits for d. It returns false if the run ends first.
 func (e *engine) pause(d time.Duration) bool {
 	if e.ended.Load() {
 		return false
@@ -90,7 +90,7 @@
 	}
 }
 
-// reconnect opens a new connection after a delay. It returns nil where the client is not served.
+// reconnect establishes a new connection after a delay. It returns nil if the client is not served.
 func (c *client) reconnect(delay time.Duration) *attemptResult {
 	if !c.pause(delay) {
 		return nil
@@ -111,7 +111,7 @@
 	return result
 }
 
-// reconnectDelay draws how long the client waits before it reconnects.
+// reconnectDelay draws the delay before the client reconnects.
 func (c *client) reconnectDelay() time.Duration {
 	shortest := c.scenario.Clients.ReconnectDelay[0].AsDuration()
 	longest := c.scenario.Clients.ReconnectDelay[1].AsDuration()
--- a/internal/loadtest/client_observer.go
+++ b/internal/loadtest/client_observer.go
@@ -7,12 +7,12 @@
 	"onyxstream/internal/wire"
 )
 
-// recordedRequest is a request that passed the recorder. The recorder's lock guards it.
+// recordedRequest is a request that the recorder relayed. The recorder's lock guards it.
 type recordedRequest struct {
 	Request
 	opened time.Time
-	lines  int // sent by the client after the opening line
-	ended  bool
+	lines  int  // number of lines from the client after the opening line
+	ended  bool // the lifetime and the message interval are set
 }
 
 // complete sets the lifetime and the message interval. Only the first call has an effect.
@@ -27,15 +27,16 @@
 	}
 }
 
-// clientObserver is an io.Writer for what a client sends: it parses the opening line and counts further lines.
+// clientObserver is an io.Writer for the bytes that a client sends. It parses the opening line and counts the lines after
+// it.
 type clientObserver struct {
 	recorder    *TraceRecorder
 	opening     []byte
-	openingDone bool             // the opening line is read, or is too long
-	request     *recordedRequest // nil until the opening line is read, and where it is none
+	openingDone bool             // the opening line is complete, or is too long
+	request     *recordedRequest // nil until the opening line is complete, and if it is invalid
 }
 
-// Write observes bytes of the client. It never fails, so that a trace does not break a connection.
+// Write processes bytes from the client. It never returns an error, so that recording cannot break a connection.
 func (o *clientObserver) Write(p []byte) (int, error) {
 	n := len(p)
 	if !o.openingDone {
@@ -58,7 +59,7 @@
 	return n, nil
 }
 
-// connectionClosed completes the request.
+// connectionClosed completes the recorded request, if any.
 func (o *clientObserver) connectionClosed() {
 	if o.request == nil {
 		return
--- a/internal/loadtest/client_test.go
+++ b/internal/loadtest/client_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// Each request has exactly one outcome, whatever the server does.
+// Each request has exactly one outcome, regardless of how the server behaves.
 func TestRun_EachServerBehavior_HasItsOutcome(t *testing.T) {
 	write := func(text string) func(string, *net.TCPConn, *bufio.Reader) {
 		return func(_ string, c *net.TCPConn, _ *bufio.Reader) { _, _ = io.WriteString(c, text) }
@@ -19,14 +19,14 @@
 	for name, c := range map[string]struct {
 		script func(string, *net.TCPConn, *bufio.Reader)
 		want   Outcome
-		tries  int64 // of each request
+		tries  int64 // attempts per request
 	}{
-		"says nothing": {func(_ string, _ *net.TCPConn, r *bufio.Reader) { _, _ = r.ReadByte() }, TimedOut, 2},
-		"busy":         {write("BUSY 30\r\n"), Rejected, 2},
-		"an error":     {write("ERR\r\n"), Failed, 2},
-		"nonsense":     {write(strings.Repeat("x", 5000) + "\r\n"), Failed, 2},
+		"no answer":    {func(_ string, _ *net.TCPConn, r *bufio.Reader) { _, _ = r.ReadByte() }, TimedOut, 2},
+		"BUSY":         {write("BUSY 30\r\n"), Rejected, 2},
+		"ERR":          {write("ERR\r\n"), Failed, 2},
+		"invalid line": {write(strings.Repeat("x", 5000) + "\r\n"), Failed, 2},
 		"closes":       {write(""), Lost, 2},
-		"half a line":  {write("UP "), Lost, 2},
+		"partial line": {write("UP "), Lost, 2},
 		"serves":       {func(_ string, c *net.TCPConn, r *bufio.Reader) { establishAndEcho(c, r) }, Served, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -41,23 +41,24 @@
 					marked.Add(1)
 				}
 				if !strings.Contains(line, " c=chat,t=acme,d=250,life=") {
-					t.Errorf("sent %q", line)
+					t.Errorf("opening line %q lacks the class, tenant, deadline or lifetime", line)
 				}
 				c.script(line, conn, r)
 			})
 			r := runScenario(t, t.Context(), s, addr, nil).Classes[0]
 			if r.Outcomes[c.want.String()] != 20 || r.Attempts[c.want.String()] != 20*c.tries || marked.Load() != 20*(c.tries-1) {
-				t.Errorf("outcomes %v, tries %v, %d marked", r.Outcomes, r.Attempts, marked.Load())
+				t.Errorf("outcomes %v, attempts %v, %d of them marked as retries", r.Outcomes, r.Attempts, marked.Load())
 			}
 		})
 	}
 	s := scenario(t, "", "rate = 100", "rate = 20")
 	if r := runScenario(t, t.Context(), s, "127.0.0.1:1", nil).Classes[0]; r.Outcomes["unreachable"] != 20 {
-		t.Errorf("nobody listens: %v", r.Outcomes)
+		t.Errorf("outcomes %v without a listening server, want 20 unreachable", r.Outcomes)
 	}
 }
 
-// A retry comes no sooner than Retry-After asks, and latency is measured from the intended time of the first attempt.
+// A client waits at least for Retry-After before a retry. Latency is measured from the intended time of the first
+// attempt.
 func TestRun_RetryAfter_Honored(t *testing.T) {
 	var mu sync.Mutex
 	first := map[string]time.Time{}
@@ -72,18 +73,19 @@
 			return
 		}
 		if d := time.Since(began); d < 200*time.Millisecond {
-			t.Errorf("came again after %v, told 200 ms", d)
+			t.Errorf("retried after %v, want at least the Retry-After of 200 ms", d)
 		}
 		establishAndEcho(c, r)
 	})
 	s := scenario(t, "[clients]\nretries = 1\n", "rate = 100", "rate = 20", `life = "300ms"`, `life = "10ms"`)
 	r := runScenario(t, t.Context(), s, addr, nil).Classes[0]
 	if r.Outcomes["served"] != 20 || r.Attempts["refused"] != 20 || r.Latency["served"].P50 < 199 || r.Service.P50 > 100 {
-		t.Errorf("%v of %v; latency %g ms, of the try alone %g ms", r.Outcomes, r.Attempts, r.Latency["served"].P50, r.Service.P50)
+		t.Errorf("outcomes %v, attempts %v, latency %g ms, service time of the served attempt %g ms", r.Outcomes, r.Attempts, r.Latency["served"].P50, r.Service.P50)
 	}
 }
 
-// The server migrates, closes and breaks connections in turn.
+// The server migrates, closes and breaks connections in turn. Each end is counted under its reason, and the clients of
+// migrated and broken connections reconnect.
 func TestRun_ConnectionsEnd_CountedByReason(t *testing.T) {
 	var n, reconnects atomic.Int64
 	addr := startServer(t, func(line string, c *net.TCPConn, r *bufio.Reader) {
@@ -97,7 +99,7 @@
 	s := scenario(t, "[clients]\ncome_back = [\"1ms\", \"5ms\"]\n[limits]\nlinger = \"5s\"\n", "rate = 100", "rate = 30")
 	r := runScenario(t, t.Context(), s, addr, nil).Classes[0]
 	if r.Migrated != 10 || r.Broken != 10 || r.Completed != 30 || r.Reconnects != 20 || reconnects.Load() != 20 || r.Reconnect.Count != 20 {
-		t.Errorf("moved %d, broken %d, ended %d, came again %d, served then %d", r.Migrated, r.Broken, r.Completed, r.Reconnects, r.Reconnect.Count)
+		t.Errorf("%d migrated, %d broken, %d completed, %d reconnects of which %d were served", r.Migrated, r.Broken, r.Completed, r.Reconnects, r.Reconnect.Count)
 	}
 }
 
@@ -113,16 +115,16 @@
 		switch {
 		case strings.Contains(line, ",mid=1"):
 			if seen != 2 {
-				t.Errorf("mid-flow under a new id: %q", line)
+				t.Errorf("mid-flow request with a new id: %q", line)
 			}
 			_, _ = io.WriteString(c, "UP x\r\nBYE\r\n")
 		default:
-			_, _ = io.WriteString(c, "UP x\r\n") // and breaks
+			_, _ = io.WriteString(c, "UP x\r\n") // the connection then breaks
 		}
 	})
 	s := scenario(t, "[clients]\nmid_flow = true\n[limits]\nlinger = \"5s\"\n", "rate = 100", "rate = 20")
 	if r := runScenario(t, t.Context(), s, addr, nil).Classes[0]; r.Broken != 20 || r.Completed != 20 || r.Reconnects != 0 {
-		t.Errorf("broken %d, ended %d, came again %d", r.Broken, r.Completed, r.Reconnects)
+		t.Errorf("%d broken, %d completed, %d reconnects", r.Broken, r.Completed, r.Reconnects)
 	}
 }
 
@@ -147,11 +149,11 @@
 		}
 	}
 	if r.Dropped != want || r.Reconnects != want || reconnects.Load() != want || r.Aborted != 100 {
-		t.Errorf("%d dropped, %d came again, want %d; %d cut", r.Dropped, r.Reconnects, want, r.Aborted)
+		t.Errorf("%d dropped and %d reconnects, want %d of each; %d aborted, want 100", r.Dropped, r.Reconnects, want, r.Aborted)
 	}
 }
 
-// Lines are timed from their intended time, also where the echo is slower than the lines come.
+// The latency of a line is measured from its intended time, even if the server echoes more slowly than lines are sent.
 func TestRun_SlowEcho_LinesTimedFromIntendedTime(t *testing.T) {
 	addr := startServer(t, func(_ string, c *net.TCPConn, r *bufio.Reader) {
 		_, _ = io.WriteString(c, "UP x\r\n")
@@ -160,7 +162,7 @@
 			if err != nil {
 				return
 			}
-			time.Sleep(100 * time.Millisecond) // slower than lines come: they pile up
+			time.Sleep(100 * time.Millisecond) // longer than the interval between lines, so that they queue up
 			_, _ = io.WriteString(c, line)
 		}
 	})
@@ -168,6 +170,6 @@
 	s.Limits.Linger = 1500e6
 	r := runScenario(t, t.Context(), s, addr, nil).Classes[0]
 	if r.LinesSent < 5*19 || r.LinesAnswered < 30 || r.Message.Max < 400 {
-		t.Errorf("%d lines sent, %d answered, the slowest after %g ms: they pile up by half a second", r.LinesSent, r.LinesAnswered, r.Message.Max)
+		t.Errorf("%d lines sent, %d answered, the slowest after %g ms; want a queueing delay of about 500 ms", r.LinesSent, r.LinesAnswered, r.Message.Max)
 	}
 }
--- a/internal/loadtest/collect.go
+++ b/internal/loadtest/collect.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// result returns the result of a run that began at began. sourceError is the error by which the source ended.
+// result returns the result of a run that started at began. sourceError is the error that ended the source, or nil.
 func (e *engine) result(began time.Time, canceled bool, sourceError error) *Result {
 	stats := e.recorder
 	stats.mu.Lock()
@@ -42,12 +42,12 @@
 	return r
 }
 
-// compareClassResults puts paths in descending and their classes in ascending order.
+// compareClassResults orders by descending path, and by ascending class within a path.
 func compareClassResults(a, b ClassResult) int {
 	return strings.Compare(b.Path+" "+a.Class, a.Path+" "+b.Class)
 }
 
-// behindReason says why the generator could not send the load as intended, "" where it could.
+// behindReason returns why the generator could not send the load as intended, or "" if it could.
 func (e *engine) behindReason(r *Result, unsent int64) string {
 	allowedMS := e.scenario.Limits.MaxLateness.AsDuration().Seconds() * 1000
 	localError := e.localError.Load()
@@ -60,7 +60,7 @@
 	return ""
 }
 
-// intervals returns the timeline. The lock must be held.
+// intervals returns the timeline. The caller must hold the lock.
 func (r *statsRecorder) intervals() (out []Interval) {
 	for i, b := range r.timeline {
 		interval := Interval{
@@ -81,7 +81,7 @@
 	return out
 }
 
-// outcomeCounts returns the counters that are not 0 by outcome name.
+// outcomeCounts returns the nonzero counters by outcome name.
 func outcomeCounts(counters [outcomeCount]int64) map[string]int64 {
 	counts := map[string]int64{}
 	for i, n := range counters {
--- a/internal/loadtest/compare.go
+++ b/internal/loadtest/compare.go
@@ -9,15 +9,15 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Difference compares one metric of two builds or settings, each measured in one run or several.
+// Difference compares one metric of two builds or settings, each measured in one or more runs.
 type Difference struct {
 	Path      string     `json:"path"`
-	Class     string     `json:"class"` // or "all"
+	Class     string     `json:"class"` // class name, or "all"
 	Metric    string     `json:"figure"`
 	Base      []float64  `json:"base"`
 	Candidate []float64  `json:"new"`
 	Medians   [2]float64 `json:"medians"`
-	Noise     float64    `json:"noise"` // twice the standard error of the difference; -1 with too few runs
+	Noise     float64    `json:"noise"` // twice the standard error of the difference; -1 if there are too few runs
 	Verdict   string     `json:"verdict"`
 }
 
@@ -26,21 +26,21 @@
 	WithinNoise  = "within noise"
 	Better       = "better"
 	Worse        = "worse"
-	Differs      = "differs" // of a metric where neither more nor less is better
+	Differs      = "differs" // for a metric of which neither more nor less is better
 	NoiseUnknown = "noise unknown"
 )
 
-// minRuns is how many runs of each side are needed to estimate the noise.
+// minRuns is the number of runs on each side that are needed to estimate the noise.
 const minRuns = 3
 
-// metric is a figure of a class. Its function returns false where the class has none.
+// metric is a figure of a class. Its function returns false if the class does not have the figure.
 type metric struct {
 	name string
-	sign float64 // 1 where more is better, -1 where less is, 0 for neither
+	sign float64 // 1 if more is better, -1 if less is better, 0 if neither is
 	of   func(c *ClassResult) (float64, bool)
 }
 
-// metrics are the metrics that Compare compares, in its order.
+// metrics are the metrics that Compare compares, in the order of its output.
 var metrics = []metric{
 	{"served, share", 1, func(c *ClassResult) (float64, bool) { return c.share(Served) }},
 	{"refused, share", -1, func(c *ClassResult) (float64, bool) { return c.share(Rejected) }},
@@ -60,27 +60,27 @@
 	{"moved, share of served", 0, func(c *ClassResult) (float64, bool) { return c.perServed(c.Migrated) }},
 }
 
-// share is the share of the requests with an outcome.
+// share returns the share of the class's requests that have an outcome. It returns false if the class has no requests.
 func (c *ClassResult) share(outcome Outcome) (float64, bool) {
 	return float64(c.Outcomes[outcome.String()]) / float64(max(c.Requests, 1)), c.Requests > 0
 }
 
-// served is the latency of served requests.
+// served returns the latency of served requests.
 func (c *ClassResult) served() Summary { return c.Latency[Served.String()] }
 
-// perServed is n divided by the number of served requests.
+// perServed returns n divided by the number of served requests. It returns false if none was served.
 func (c *ClassResult) perServed(n int64) (float64, bool) {
 	served := c.Outcomes[Served.String()]
 	return float64(n) / float64(max(served, 1)), served > 0
 }
 
-// errNoRuns is returned where one side of a comparison is empty.
-var errNoRuns = errors.New("each side needs a run at least")
+// errNoRuns is returned if one side of a comparison has no runs.
+var errNoRuns = errors.New("each side needs at least one run")
 
 const runTimeFormat = "2006-01-02 15:04:05"
 
-// Compare compares runs of one load in all metrics, by path and class. Runs that are partial, or in which the generator
-// fell behind, are rejected: their figures are not the node's.
+// Compare compares runs of one load in all metrics, by path and class. It returns an error if a run is partial or if the
+// generator fell behind in it, because the figures of such a run do not describe the nodes.
 func Compare(base, candidate []*Result) ([]Difference, error) {
 	if len(base) == 0 || len(candidate) == 0 {
 		return nil, errNoRuns
@@ -103,21 +103,21 @@
 	return out, nil
 }
 
-// checkComparable returns an error where a run has no valid figures or is of another load than the reference.
+// checkComparable returns an error if a run has no valid figures, or if its load differs from that of the reference.
 func checkComparable(reference, r *Result) error {
 	switch {
 	case r.Partial:
-		return fmt.Errorf("a run of %s is partial (%s): it can't be compared", r.Began.Format(runTimeFormat), r.PartialReason)
+		return fmt.Errorf("cannot compare the run of %s: it is partial (%s)", r.Began.Format(runTimeFormat), r.PartialReason)
 	case r.BehindReason != "":
-		return fmt.Errorf("in a run of %s the generator fell behind (%s): it can't be compared",
+		return fmt.Errorf("cannot compare the run of %s: the generator fell behind (%s)",
 			r.Began.Format(runTimeFormat), r.BehindReason)
 	case r.Name != reference.Name || r.Loop != reference.Loop || r.Speed != reference.Speed:
-		return fmt.Errorf("the runs are of other loads: %q and %q", reference.Name, r.Name)
+		return fmt.Errorf("cannot compare runs of different loads: %q and %q", reference.Name, r.Name)
 	}
 	return nil
 }
 
-// classNames returns allClasses and the classes of a path.
+// classNames returns allClasses and the names of the classes of a path.
 func (r *Result) classNames(path string) []string {
 	names := []string{allClasses}
 	for _, c := range r.Classes {
@@ -147,7 +147,7 @@
 	return out, nil
 }
 
-// metricValues returns a metric of each run that has it.
+// metricValues returns the values of a metric in the runs that have it.
 func metricValues(runs []*Result, path, class string, of func(*ClassResult) (float64, bool)) (out []float64, err error) {
 	for _, r := range runs {
 		c, found, err := r.class(path, class)
@@ -161,7 +161,7 @@
 	return out, nil
 }
 
-// class returns the result of a class, or of all classes together.
+// class returns the result of a class. For allClasses, it returns the result of all classes combined.
 func (r *Result) class(path, class string) (c ClassResult, found bool, err error) {
 	if class == allClasses {
 		if c, err = r.Aggregate(path); err != nil {
@@ -177,8 +177,8 @@
 	return c, found, nil
 }
 
-// setVerdict decides whether the difference exceeds the noise. It has to be over twice the standard error of the
-// difference, and the two sides must not overlap, since a few runs say little about the variance.
+// setVerdict decides whether the difference exceeds the noise. For that, the difference must exceed twice its standard
+// error, and the values of the two sides must not overlap, because a few runs give a poor estimate of the variance.
 func (d *Difference) setVerdict(sign float64) {
 	d.Medians = [2]float64{median(d.Base), median(d.Candidate)}
 	d.Noise = -1
--- a/internal/loadtest/compare_test.go
+++ b/internal/loadtest/compare_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// resultsWithP99 writes and rereads a result for each latency, of 1,000 requests of which 20 have that latency in ms.
+// resultsWithP99 writes and rereads one result per latency. Each has 1,000 requests, 20 of them with that latency in ms.
 func resultsWithP99(t *testing.T, latencies ...float64) (out []*Result) {
 	t.Helper()
 	for _, latency := range latencies {
@@ -34,7 +34,7 @@
 	return out
 }
 
-// p99Verdict compares runs by the 99th percentile of all classes.
+// p99Verdict compares runs and returns the verdict on the 99th percentile latency of all classes.
 func p99Verdict(t *testing.T, base, candidate []*Result) string {
 	t.Helper()
 	differences, err := Compare(base, candidate)
@@ -62,17 +62,17 @@
 		{resultsWithP99(t, 40, 41), NoiseUnknown},
 	} {
 		if got := p99Verdict(t, base, c.candidate); got != c.want {
-			t.Errorf("p99 from about 11 to %v: %s, want %s", c.candidate[0].Classes[0].Latency["served"].P99, got, c.want)
+			t.Errorf("change of p99 from about 11 ms to %v ms: %s, want %s", c.candidate[0].Classes[0].Latency["served"].P99, got, c.want)
 		}
 	}
 	partial := resultsWithP99(t, 10)
 	partial[0].Partial = true
 	if _, err := Compare(base, partial); err == nil {
-		t.Error("a partial run is compared")
+		t.Error("no error for a partial run")
 	}
 	behind := resultsWithP99(t, 10)
 	behind[0].BehindReason = "late"
 	if _, err := Compare(behind, base); err == nil {
-		t.Error("a run in which the generator fell behind is compared")
+		t.Error("no error for a run in which the generator fell behind")
 	}
 }
--- a/internal/loadtest/connection.go
+++ b/internal/loadtest/connection.go
@@ -10,31 +10,31 @@
 type endReason uint8
 
 const (
-	endCompleted endReason = iota // the host closed it, or its lifetime was over
+	endCompleted endReason = iota // the host closed it, or its lifetime had passed
 	endMigrated                   // the host asked the client to migrate
-	endBroken                     // it failed without either
+	endBroken                     // it broke before either happened
 	endDropped                    // the client dropped it in a reconnect surge
 	endAborted                    // the run ended
 )
 
-// clientConnection is an open connection that a reconnect surge or the end of the run can terminate from outside the
-// goroutine that reads it.
+// clientConnection is an open connection. A reconnect surge or the end of the run can terminate it from another goroutine
+// than the one that reads it.
 type clientConnection struct {
 	request        int64 // number of the request
 	conn           *net.TCPConn
-	endReason      atomic.Int32 // reason of terminate plus one; 0 while the connection is not terminated
-	reconnectDelay atomic.Int64 // nanoseconds until a dropped client reconnects
+	endReason      atomic.Int32 // endReason given to terminate, plus one; 0 while the connection is not terminated
+	reconnectDelay atomic.Int64 // delay before the client reconnects after endDropped, in nanoseconds
 	established    atomic.Bool
 }
 
-// terminate unblocks the reader of the connection. Only the first reason is kept.
+// terminate unblocks the reader of the connection. Only the reason of the first call is kept.
 func (c *clientConnection) terminate(reason endReason) {
 	if c.endReason.CompareAndSwap(0, int32(reason)+1) {
 		_ = c.conn.SetReadDeadline(time.Now())
 	}
 }
 
-// terminatedBy returns the reason given to terminate; ok is false where it was not called.
+// terminatedBy returns the reason given to terminate. ok is false if terminate was not called.
 func (c *clientConnection) terminatedBy() (reason endReason, ok bool) {
 	stored := c.endReason.Load()
 	return endReason(stored - 1), stored != 0
@@ -69,7 +69,7 @@
 	}
 }
 
-// terminateAll ends the run: it terminates all connections, dials and pauses.
+// terminateAll ends the run: it terminates all connections, connection attempts and pauses.
 func (e *engine) terminateAll() {
 	e.connectionsMu.Lock()
 	defer e.connectionsMu.Unlock()
--- a/internal/loadtest/engine.go
+++ b/internal/loadtest/engine.go
@@ -14,18 +14,19 @@
 type Config struct {
 	Scenario *Scenario // deadlines, client behavior, surges and limits
 	Source   Source
-	Length   time.Duration // intended time of the last request at least; bounds the timeline and a closed loop
-	// Address returns where a client of a zone connects now. It is called from many goroutines.
+	Length   time.Duration // at least the intended time of the last request; bounds the timeline and a closed loop
+	// Address returns the address that a client of a zone connects to at this moment: that of a host if direct is set, or
+	// else that of a node. It is called from many goroutines.
 	Address func(zone string, direct bool) (string, error)
-	// Hosts are the names of the hosts that the scenario's initial connections are spread over.
+	// Hosts are the names of the hosts over which the scenario's initial connections are spread.
 	Hosts []string
 	// OnProgress is called once a second.
 	OnProgress func(Progress)
-	// OnRequest is called with every request in order, as it is sent. It must not block.
+	// OnRequest is called with each request in order, just before it is sent. It must not block.
 	OnRequest func(Request)
-	// OnReceipt is called with the receipt of each connection that is established. It is called from many goroutines.
+	// OnReceipt is called with the id and the receipt of each established connection. It is called from many goroutines.
 	OnReceipt func(id, receipt string)
-	// OnStart is called when the initial connections are established, just before the first request.
+	// OnStart is called after the initial connections are established, just before the first request.
 	OnStart func()
 }
 
@@ -37,8 +38,8 @@
 	begin     time.Time
 	deadlines map[string]time.Duration // by class
 	clients   sync.WaitGroup
-	open      atomic.Int64 // connections that are established or being opened
-	started   atomic.Int64 // requests
+	open      atomic.Int64 // connections that are established or being set up
+	started   atomic.Int64 // requests, including unsent ones
 	dialCount atomic.Uint64
 
 	requestsBegin chan struct{}   // closed when the first request may be sent
@@ -49,14 +50,14 @@
 
 	connectionsMu   sync.Mutex
 	connections     map[*clientConnection]struct{}
-	sourceAddresses []net.Addr // connections are bound to them in turn; nil for the system's choice
+	sourceAddresses []net.Addr // connections are bound to them in turn; if nil, the system chooses
 
 	localErrorOnce sync.Once
-	localError     atomic.Pointer[error] // the first reason for which the generator could not send a request
+	localError     atomic.Pointer[error] // why the generator could not send the first of the unsent requests
 }
 
-// Run plays a run to its end, or until ctx ends, and returns its result. An error beside a result means that the source
-// could not be read to its end; the result is then marked partial.
+// Run sends the requests of the source until its end or until ctx ends, and returns the result. If the source cannot be
+// read to its end, Run returns both an error and a result that is marked partial.
 func Run(ctx context.Context, cfg Config) (*Result, error) {
 	e := newEngine(cfg)
 	defer e.cancelDials()
@@ -106,7 +107,7 @@
 	return e
 }
 
-// startBackground starts the samplers and the reconnect surges. They end with ctx.
+// startBackground starts the samplers and the reconnect surges. They stop when ctx ends.
 func (e *engine) startBackground(ctx context.Context, background *sync.WaitGroup) {
 	background.Go(func() { e.sampleTimeline(ctx) })
 	background.Go(func() { e.sampleWakeups(ctx) })
@@ -119,18 +120,19 @@
 	}
 }
 
-// now is the time since the start of the run.
+// now returns the time since the start of the run.
 func (e *engine) now() time.Duration { return time.Since(e.begin) }
 
-// sleepUntil waits until a time of the run. It returns false where ctx ends first.
+// sleepUntil waits until a time that is given from the start of the run. It returns false if ctx ends first.
 func (e *engine) sleepUntil(ctx context.Context, at time.Duration) bool {
 	return ctxtime.Sleep(ctx, at-e.now())
 }
 
-// outcomePollInterval is the time between two checks of whether all requests have an outcome.
+// outcomePollInterval is the interval at which awaitOutcomes checks whether all requests have an outcome.
 const outcomePollInterval = 10 * time.Millisecond
 
-// awaitOutcomes waits until all requests have an outcome, and then for Limits.Linger or the last connection's end.
+// awaitOutcomes waits until all requests have an outcome, and then until no connection is open. It does not wait for open
+// connections once Limits.Linger has passed since the call.
 func (e *engine) awaitOutcomes(ctx context.Context) {
 	lingerEnd := time.Now().Add(e.scenario.Limits.Linger.AsDuration())
 	for ctx.Err() == nil {
--- a/internal/loadtest/engine_test.go
+++ b/internal/loadtest/engine_test.go
@@ -18,8 +18,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// The server stalls for 2 s of 4 s, so that half of the requests are affected. A closed loop sends few requests meanwhile,
-// and hides the stall by coordinated omission.
+// The server stalls for 2 s of 4 s, which affects half of the requests. A closed loop sends few requests during the stall
+// and hides it by coordinated omission.
 func TestRun_ServerStalls_OnlyOpenLoopSeesIt(t *testing.T) {
 	measure := func(loop string) *Result {
 		var stall sync.RWMutex
@@ -44,23 +44,25 @@
 	}
 	open, closed := measure("open"), measure("closed")
 	if n := open.Classes[0].Requests; n != 400 {
-		t.Errorf("the open loop sent %d of 400", n)
+		t.Errorf("the open loop sent %d requests, want 400", n)
 	}
 	if share := slowShare(t, open, 100*time.Millisecond); share < 0.4 {
-		t.Errorf("the open loop shows the stall to %g of requests, half met it", share)
+		t.Errorf("the open loop shows the stall for a share of %g of the requests, want about 0.5", share)
 	}
 	if share := slowShare(t, closed, 100*time.Millisecond); share > 0.1 {
-		t.Errorf("the closed loop shows the stall to %g of requests: it is not the client that hides it", share)
+		t.Errorf("the closed loop shows the stall for a share of %g of the requests, want it hidden", share)
 	}
-	// What the served try took alone is right in the open loop as well, and is what a closed loop would report.
+	// The open loop's latencies include the stall. Its service time, that of the served attempt alone, is measured
+	// correctly too, and is what a closed loop would report.
 	if open.Classes[0].Latency["served"].Max < 1500 {
-		t.Errorf("the slowest took %g ms", open.Classes[0].Latency["served"].Max)
+		t.Errorf("the slowest request of the open loop took %g ms, want at least 1500 ms", open.Classes[0].Latency["served"].Max)
 	}
 }
 
-// The reported percentiles lie within the bounds that the server observed, whatever the machine adds to the known delays.
+// The reported percentiles lie within the bounds that the server observes. This holds regardless of the delays that a
+// busy machine adds to the known ones.
 func TestRun_KnownDelays_ReportsTheirPercentiles(t *testing.T) {
-	unit := func(line string) float64 { // of the key, evenly from 0 to 1
+	unit := func(line string) float64 { // maps the key to a number that is uniform in [0, 1)
 		h := fnv.New64a()
 		_, _ = io.WriteString(h, strings.Fields(line)[2])
 		return float64(h.Sum64()*0x9e3779b97f4a7c15>>11) / (1 << 53)
@@ -110,21 +112,21 @@
 				share, got float64
 			}{{0.5, got.P50}, {0.9, got.P90}, {0.99, got.P99}} {
 				i := int(math.Ceil(q.share*float64(len(want)))) - 1
-				low := lower[i] * 0.998 // the histogram has three digits
+				low := lower[i] * 0.998 // the histogram has three significant digits
 				high := upper[i] * 1.002
 				if q.got < low || q.got > high {
-					t.Errorf("percentile %g is reported as %g ms, is from %g to %g ms", 100*q.share, q.got, low, high)
+					t.Errorf("percentile %g is reported as %g ms, want %g to %g ms", 100*q.share, q.got, low, high)
 				}
 				delay := want[i].Seconds() * 1000
 				if q.got < delay*0.998 {
-					t.Errorf("percentile %g is reported as %g ms, the delay alone is %g ms", 100*q.share, q.got, delay)
+					t.Errorf("percentile %g is reported as %g ms, but the delay of the server alone is %g ms", 100*q.share, q.got, delay)
 				}
 			}
 		})
 	}
 }
 
-// A canceled run ends at once with a complete result that is marked partial.
+// A canceled run ends promptly. Its result is marked partial and has an outcome for each request.
 func TestRun_Canceled_PartialResult(t *testing.T) {
 	addr := startServer(t, func(_ string, _ *net.TCPConn, r *bufio.Reader) { _, _ = r.ReadByte() })
 	s := scenario(t, "", `for = "1s"`, `for = "1h"`, `deadline = "2s"`, `deadline = "10m"`)
@@ -134,21 +136,21 @@
 	})
 	c := r.Classes[0]
 	if !r.Partial || r.PartialReason == "" || c.Outcomes["cut"] == 0 || c.Outcomes["cut"] != c.Requests {
-		t.Errorf("partial %v, outcomes %v of %d", r.Partial, c.Outcomes, c.Requests)
+		t.Errorf("partial %v, outcomes %v of %d requests; want a partial result with all requests cut", r.Partial, c.Outcomes, c.Requests)
 	}
 }
 
-// Limits of the generator are reported as its own and not as the node's.
+// If a limit of the generator is reached, the result names it, so that the figures are not attributed to the node.
 func TestRun_GeneratorFallsBehind_ResultSaysWhy(t *testing.T) {
 	addr := startServer(t, func(_ string, c *net.TCPConn, r *bufio.Reader) { establishAndEcho(c, r) })
 	s := scenario(t, "[limits]\nopen = 10\n", `life = "300ms"`, "life = \"1h\"\nspread = \"fixed\"")
 	r := runScenario(t, t.Context(), s, addr, nil)
 	c := r.Classes[0]
 	if !strings.Contains(r.BehindReason, "limits.open") || c.Outcomes["unsent"] != 90 || c.Outcomes["served"] != 10 {
-		t.Errorf("behind %q, outcomes %v", r.BehindReason, c.Outcomes)
+		t.Errorf("reason %q, outcomes %v; want limits.open as the reason, 90 unsent and 10 served", r.BehindReason, c.Outcomes)
 	}
 	s = scenario(t, "[limits]\nlateness = \"1us\"\n", `life = "300ms"`, `life = "10ms"`)
 	if r := runScenario(t, t.Context(), s, addr, nil); !strings.Contains(r.BehindReason, "late at the 99th percentile") {
-		t.Errorf("behind %q with a microsecond allowed", r.BehindReason)
+		t.Errorf("reason %q with a limit of 1 us, want the lateness", r.BehindReason)
 	}
 }
--- a/internal/loadtest/established.go
+++ b/internal/loadtest/established.go
@@ -10,14 +10,14 @@
 	"onyxstream/internal/wire"
 )
 
-// lifetimeGrace is how long after a connection's lifetime the client waits for the host to close it.
+// lifetimeGrace is how long the client waits after a connection's lifetime for the host to close it.
 const lifetimeGrace = time.Second
 
-// linePrefix starts a line that a client sends to be echoed; its intended time follows, in base 36.
-const linePrefix = "M "
+// messagePrefix starts a line that the host is to echo. The line's intended time follows, as nanoseconds in base 36.
+const messagePrefix = "M "
 
-// holdConnection keeps an established connection until it ends, and reconnects where it is migrated, broken or dropped,
-// at most MaxReconnects times.
+// holdConnection keeps an established connection until it ends. It reconnects at most MaxReconnects times, whenever the
+// connection is migrated, broken or dropped.
 func (c *client) holdConnection(result *attemptResult) {
 	for reconnects := 0; ; {
 		established := time.Now()
@@ -58,8 +58,8 @@
 	}
 }
 
-// readUntilEnd reads an established connection until it ends. It returns the reason and, where the client is to
-// reconnect, the delay.
+// readUntilEnd reads an established connection until it ends. It returns the reason and, if the client is to reconnect,
+// the delay before that.
 func (c *client) readUntilEnd(result *attemptResult) (reason endReason, delay time.Duration) {
 	c.addEstablished(1)
 	defer c.addEstablished(-1)
@@ -90,7 +90,7 @@
 	}
 }
 
-// endOf is the reason for which reading a connection failed, with the delay before the client reconnects.
+// endOf returns why reading a connection failed, and the delay before the client reconnects.
 func (c *client) endOf(connection *clientConnection) (endReason, time.Duration) {
 	reason, terminated := connection.terminatedBy()
 	switch {
@@ -109,9 +109,9 @@
 	e.recorder.established += delta
 }
 
-// intendedSendTime parses the intended time out of an echoed line.
+// intendedSendTime parses the intended time in an echoed line.
 func intendedSendTime(line []byte) (time.Duration, bool) {
-	text, ok := bytes.CutPrefix(line, []byte(linePrefix))
+	text, ok := bytes.CutPrefix(line, []byte(messagePrefix))
 	if !ok {
 		return 0, false
 	}
@@ -119,10 +119,10 @@
 	return time.Duration(n), err == nil
 }
 
-// sendLines sends lines at their intended times until the returned function is called. A line that is due while the
-// one before is still being written is sent late, and carries its intended time.
+// sendLines sends lines at their intended times until stop is called. A line that falls due while the previous one is
+// still being written is sent late, but contains its intended time.
 func (c *client) sendLines(result *attemptResult) (stop func()) {
-	conn := result.conn // close clears the field, and a line may be due at that moment
+	conn := result.conn // a copy, as close may clear the field while a line is being sent
 	interval := c.request.MessageInterval
 	phase := requestRand(c.scenario.Seed^messageStream, c.request.Number).Float64()
 	due := c.now() + time.Duration(phase*float64(interval))
@@ -133,13 +133,13 @@
 			return
 		}
 		c.updateStats(func(s *classStats) { s.linesSent++ })
-		if _, err := io.WriteString(conn, linePrefix+strconv.FormatInt(int64(due), 36)+"\r\n"); err != nil {
+		if _, err := io.WriteString(conn, messagePrefix+strconv.FormatInt(int64(due), 36)+"\r\n"); err != nil {
 			return
 		}
 		due += interval
 		timer.Load().Reset(max(due-c.now(), 0))
 	}
-	t := time.AfterFunc(time.Hour, send) // not due before the pointer is stored
+	t := time.AfterFunc(time.Hour, send) // must not fire before the pointer is stored
 	timer.Store(t)
 	t.Reset(max(due-c.now(), 0))
 	return func() {
--- a/internal/loadtest/helpers_test.go
+++ b/internal/loadtest/helpers_test.go
@@ -20,7 +20,7 @@
 	}
 	var wg sync.WaitGroup
 	var mu sync.Mutex
-	conns := map[net.Conn]bool{} // a dial that was withdrawn at its end leaves one that only keep-alive would notice
+	conns := map[net.Conn]bool{} // a dial canceled as it completes can leave one whose end only keep-alive would detect
 	t.Cleanup(func() {
 		_ = l.Close()
 		mu.Lock()
@@ -56,13 +56,13 @@
 	return l.Addr().String()
 }
 
-// establishAndEcho answers UP and echoes what the client sends.
+// establishAndEcho answers UP and echoes all lines of the client.
 func establishAndEcho(c *net.TCPConn, r *bufio.Reader) {
 	_, _ = io.WriteString(c, "UP x\r\n")
 	_, _ = io.Copy(c, r)
 }
 
-// runScenario runs a scenario against an address and checks that the counters add up.
+// runScenario runs a scenario against an address and checks that the counters are consistent.
 func runScenario(t *testing.T, ctx context.Context, s *Scenario, addr string, change func(*Config)) *Result {
 	t.Helper()
 	cfg := Config{Scenario: s, Source: NewSchedule(s), Length: s.Length(), Address: roundRobin([]string{addr})}
@@ -80,16 +80,16 @@
 			total += n
 		}
 		if total != c.Requests {
-			t.Errorf("%d asked, %d have an outcome: %v", c.Requests, total, c.Outcomes)
+			t.Errorf("%d requests, but %d outcomes: %v", c.Requests, total, c.Outcomes)
 		}
 		if ends := c.Completed + c.Migrated + c.Broken + c.Dropped + c.Aborted; ends < c.Outcomes["served"] {
-			t.Errorf("%d served, %d ended", c.Outcomes["served"], ends)
+			t.Errorf("%d requests served, but only %d connection ends", c.Outcomes["served"], ends)
 		}
 	}
 	return r
 }
 
-// slowShare is the share of the served requests with a latency over d.
+// slowShare returns the share of the served requests with a latency above d.
 func slowShare(t *testing.T, r *Result, d time.Duration) float64 {
 	t.Helper()
 	s := r.Classes[0].Latency["served"]
@@ -106,7 +106,7 @@
 	return float64(n) / float64(h.TotalCount())
 }
 
-// eventually waits for a condition with a timeout that a busy machine does not exceed.
+// eventually waits for a condition. Its timeout is long enough for a busy machine.
 func eventually(t *testing.T, what string, done func() bool) {
 	t.Helper()
 	for begin := time.Now(); !done(); time.Sleep(5 * time.Millisecond) {
--- a/internal/loadtest/initial.go
+++ b/internal/loadtest/initial.go
@@ -8,15 +8,15 @@
 )
 
 const (
-	// initialConnectionsTimeout bounds how long the initial connections take to be established.
+	// initialConnectionsTimeout bounds the time in which all initial connections are established.
 	initialConnectionsTimeout = 20 * time.Second
 	initialConnectionRetry    = 200 * time.Millisecond
-	// maxInitialDials bounds how many initial connections are being opened at one time.
+	// maxInitialDials bounds the concurrent setups of initial connections.
 	maxInitialDials = 64
 )
 
-// openInitialConnections establishes the connections that existed at the hosts before the run. It returns an error where
-// one of them could not be established in time; all others are then closed.
+// openInitialConnections establishes the connections that the hosts have from before the run. If one of them cannot be
+// established in time, it closes all others and returns an error.
 func (e *engine) openInitialConnections(ctx context.Context) error {
 	n := e.scenario.InitialConnections.Count
 	if n == 0 || len(e.cfg.Hosts) == 0 {
@@ -50,7 +50,8 @@
 	return nil
 }
 
-// runInitialConnection establishes one connection, reports it, and holds it once the requests begin.
+// runInitialConnection establishes one connection, reports that to established, waits for the requests to begin, and then
+// holds the connection.
 func (e *engine) runInitialConnection(ctx context.Context, c *client, established chan<- error, releaseSlot func()) {
 	for {
 		result := c.attempt(e.newID(), fieldEstablishedAt+c.request.Host)
--- a/internal/loadtest/latency_bounds_test.go
+++ b/internal/loadtest/latency_bounds_test.go
@@ -8,18 +8,18 @@
 	"time"
 )
 
-// latencyBounds bounds each request's latency from outside the generator: the server writes the answer after the lower and
-// sees the client close after the upper bound. Both are measured from the intended time.
+// latencyBounds bounds the latency of each request from outside the generator. The lower bound ends just before the
+// server writes the answer, the upper bound when it sees the client close. Both are measured from the intended time.
 type latencyBounds struct {
 	mu            sync.Mutex
-	intendedByKey map[string]time.Duration // intended, by key
-	earliestStart time.Time                // the run began no sooner than this,
-	latestStart   time.Time                // and no later than this
-	lower         []observation            // a lower bound each
-	upper         []observation            // an upper one
+	intendedByKey map[string]time.Duration // intended times by key
+	earliestStart time.Time                // the run did not start before this time
+	latestStart   time.Time                // the run did not start after this time
+	lower         []observation            // ends of the lower bounds
+	upper         []observation            // ends of the upper bounds
 }
 
-// observation is the time of an event of the request with a key.
+// observation is the time at which the server observed an event of the request with a key.
 type observation struct {
 	key string
 	t   time.Time
@@ -32,7 +32,7 @@
 	*list = append(*list, observation{strings.Fields(line)[2], now})
 }
 
-// requestSent records a request, which is never sent before its intended time.
+// requestSent records a request. As no request is sent before its intended time, it also bounds the start of the run.
 func (b *latencyBounds) requestSent(r Request) {
 	began := time.Now().Add(-r.IntendedAt)
 	b.mu.Lock()
@@ -43,7 +43,7 @@
 	}
 }
 
-// sortedMilliseconds returns the bounds in ascending order. The run began at about began.
+// sortedMilliseconds returns the latency bounds in ascending order, for a run that started at began.
 func (b *latencyBounds) sortedMilliseconds(list []observation, began time.Time) (ms []float64) {
 	for _, m := range list {
 		ms = append(ms, (m.t.Sub(began)-b.intendedByKey[m.key]).Seconds()*1000)
--- a/internal/loadtest/pacer.go
+++ b/internal/loadtest/pacer.go
@@ -16,21 +16,21 @@
 	loopClosed = "closed"
 )
 
-// Values of Result's paths.
+// Values of ClassResult.Path.
 const (
 	pathNode   = "node"
 	pathDirect = "direct"
 )
 
 const (
-	// maxPacerSleep bounds how long the pacer takes to notice that the run is canceled.
+	// maxPacerSleep bounds the time until the pacer notices that the run is canceled.
 	maxPacerSleep = 50 * time.Millisecond
-	// spinThreshold is how late timers of the runtime may be: for shorter waits the pacer yields in a loop. A sleep would
-	// also delay the goroutines that it has just started on its processor.
+	// spinThreshold is how late a timer of the Go runtime may fire. For waits that are shorter the pacer yields in a
+	// loop. A sleep would also delay the goroutines that the pacer has just started on its processor.
 	spinThreshold = 1200 * time.Microsecond
 )
 
-// sendRequests sends all requests of the source. The error says that the source could not be read.
+// sendRequests sends all requests of the source. It returns an error if the source cannot be read.
 func (e *engine) sendRequests(ctx context.Context) error {
 	if e.scenario.Requests.Loop == loopClosed {
 		return e.runClosedLoop(ctx)
@@ -38,7 +38,7 @@
 	return e.runOpenLoop(ctx)
 }
 
-// runOpenLoop sends each request at its intended time, whatever became of those before.
+// runOpenLoop sends each request at its intended time, regardless of the outcomes of earlier requests.
 func (e *engine) runOpenLoop(ctx context.Context) error {
 	for {
 		r, err := e.cfg.Source.Next()
@@ -74,16 +74,16 @@
 	return err
 }
 
-// send starts a client for a request, or records the request as unsent where too many connections are open.
+// send starts a client for a request, or records the request as unsent if too many connections are open.
 func (e *engine) send(r Request) {
 	if e.cfg.OnRequest != nil {
 		e.cfg.OnRequest(r)
 	}
 	path := pathOf(&r)
-	e.started.Add(1) // before the client starts, as awaitOutcomes must count it
+	e.started.Add(1) // before the client starts, so that awaitOutcomes counts the request as in flight
 	if e.open.Load() >= int64(e.scenario.Limits.MaxOpen) {
 		e.recorder.requestStarted(&r, path, e.now()-r.IntendedAt)
-		e.recordUnsent(&r, path, fmt.Errorf("%d connections are open, as many as limits.open allows", e.scenario.Limits.MaxOpen))
+		e.recordUnsent(&r, path, fmt.Errorf("%d connections are open, the maximum set by limits.open", e.scenario.Limits.MaxOpen))
 		return
 	}
 	e.open.Add(1)
@@ -101,14 +101,14 @@
 	return pathNode
 }
 
-// recordUnsent records a request that the generator itself could not send.
+// recordUnsent records a request that the generator could not send for a reason of its own, such as a lack of resources.
 func (e *engine) recordUnsent(r *Request, path string, reason error) {
 	e.localErrorOnce.Do(func() { e.localError.Store(&reason) })
 	e.recorder.requestFinished(r, path, Unsent, e.now()-r.IntendedAt, e.deadlines[r.Class])
 }
 
-// runClosedLoop sends each worker's next request only after the outcome of the one before, with latencies from the time
-// of sending. It suffers from coordinated omission and serves as a comparison for the open loop.
+// runClosedLoop sends each worker's next request only after the outcome of the worker's previous one, and measures
+// latency from the time of sending. It suffers from coordinated omission and exists for comparison with the open loop.
 func (e *engine) runClosedLoop(ctx context.Context) error {
 	var mu sync.Mutex
 	var sourceError error
@@ -137,7 +137,7 @@
 	return sourceError
 }
 
-// sendAndWait sends a request now and returns when it has its outcome; its connection may stay established.
+// sendAndWait sends a request now and returns when its outcome is known. The connection may stay established.
 func (e *engine) sendAndWait(r Request) {
 	r.IntendedAt = e.now()
 	finished := make(chan struct{})
--- a/internal/loadtest/page/plots.go
+++ b/internal/loadtest/page/plots.go
@@ -18,11 +18,11 @@
 }
 
 const (
-	// headroom is the factor by which the y axis exceeds the lines, to leave space for the legend.
+	// headroom is the factor by which the y axis extends above the lines, to leave space for the legend.
 	headroom = 1.45
-	// logHeadroom is the same on a logarithmic axis.
+	// logHeadroom is the corresponding factor for a logarithmic y axis.
 	logHeadroom = 4
-	// maxEventLines bounds the fleet events that a plot shows; the table has all.
+	// maxEventLines bounds the number of fleet events that a plot shows. The table lists all of them.
 	maxEventLines = 40
 
 	lineWidth      = 1.4 // in points
@@ -77,8 +77,8 @@
 	return nil
 }
 
-// plotPercentiles plots the latency distribution of each class, and as a thin line the distribution of the served
-// attempts alone. The x axis is -log10(1-percentile), which stretches the tail.
+// plotPercentiles plots the latency distribution of each class, and as a thin line the service time distribution of its
+// served attempts. The x axis is -log10(1-percentile/100), which stretches the tail.
 func plotPercentiles(r *loadtest.Result) (*plot.Plot, error) {
 	p := newPlot("percentile", "ms")
 	p.Y.Scale = plot.LogScale{}
@@ -111,7 +111,8 @@
 	return p, nil
 }
 
-// percentilePoints returns a distribution up to the percentile that its count supports, in milliseconds.
+// percentilePoints returns the points of a distribution, in milliseconds, up to the highest percentile that its sample
+// count supports.
 func percentilePoints(s loadtest.Summary) (points plotter.XYs, err error) {
 	const maxX, step, minMS = 4.0, 0.02, 0.001
 	h, err := s.Histogram()
@@ -129,7 +130,8 @@
 	return points, nil
 }
 
-// timelinePoints returns a figure over time, up to the last interval in which anything happened.
+// timelinePoints returns the points of a figure over time, up to the last interval with any requests, reconnects or
+// connections.
 func timelinePoints(r *loadtest.Result, figure func(*loadtest.Interval) float64) (points plotter.XYs) {
 	end := len(r.Timeline)
 	for end > 0 && r.Timeline[end-1].Intended+r.Timeline[end-1].Reconnects+r.Timeline[end-1].Open == 0 {
@@ -196,17 +198,17 @@
 	return p, addEvents(p, r)
 }
 
-// plotStartup plots the load on the list service and the hosts from the launch of the fleet.
+// plotStartup plots the load on discovery and on the hosts since the launch of the fleet.
 func plotStartup(r *loadtest.Result) (*plot.Plot, error) {
 	p := newPlot("s", "per 100 ms")
 	for i, line := range []struct {
 		name   string
 		figure func(s *testcluster.StartStep) int
 	}{
-		{"calls to the list service", func(s *testcluster.StartStep) int { return s.Calls }},
-		{"rejected calls", func(s *testcluster.StartStep) int { return s.Rejected }},
-		{"set-ups at all hosts", func(s *testcluster.StartStep) int { return s.Setups }},
-		{"set-ups at the busiest host", func(s *testcluster.StartStep) int { return s.MaxSetupsPerHost }},
+		{"list requests to discovery", func(s *testcluster.StartStep) int { return s.Calls }},
+		{"rejected list requests", func(s *testcluster.StartStep) int { return s.Rejected }},
+		{"setups at all hosts", func(s *testcluster.StartStep) int { return s.Setups }},
+		{"setups at the busiest host", func(s *testcluster.StartStep) int { return s.MaxSetupsPerHost }},
 	} {
 		var points plotter.XYs
 		for k := range r.Startup {
@@ -221,7 +223,7 @@
 	return p, nil
 }
 
-// addEvents adds the fleet events as vertical lines, and sets the range of the y axis.
+// addEvents draws the fleet events as vertical lines, and sets the range of the y axis.
 func addEvents(p *plot.Plot, r *loadtest.Result) error {
 	top := p.Y.Max
 	p.Y.Min = 0
--- a/internal/loadtest/play.go
+++ b/internal/loadtest/play.go
@@ -14,18 +14,18 @@
 
 // PlayOptions are the options of Play. All are optional unless noted.
 type PlayOptions struct {
-	Program    string    // the node's program; required for a scenario with a fleet
-	Targets    []string  // addresses of nodes; with them no fleet is started
-	NodeLog    io.Writer // log of the fleet's nodes
-	Record     string    // file that the requests are written to as a trace
-	Ledger     io.Writer // events of the fake servers as JSON Lines
+	Program    string    // path of the node's executable; required for a scenario with a fleet
+	Targets    []string  // addresses of running nodes; if there are any, no fleet is started
+	NodeLog    io.Writer // receives the logs of the fleet's nodes
+	Record     string    // path of a trace file that the requests are recorded in
+	Ledger     io.Writer // receives the events of the fake servers as JSON Lines
 	OnProgress func(Progress)
-	Trace      string  // trace that is replayed instead of the scenario's schedule
-	Speed      float64 // of the replay; required with Trace
+	Trace      string  // path of a trace that is replayed instead of the scenario's schedule
+	Speed      float64 // speed of the replay; required with Trace
 }
 
-// Play starts the fleet of a scenario, runs its load and stops the fleet. text is the scenario's text for the result.
-// Where the run had begun a result is returned beside an error too.
+// Play starts the fleet of a scenario, runs its load and stops the fleet. text is the scenario's text, which becomes part
+// of the result. If an error occurs once the run has started, Play returns a result as well.
 func Play(ctx context.Context, s *Scenario, text []byte, o PlayOptions) (result *Result, err error) {
 	cfg := Config{Scenario: s, Source: NewSchedule(s), Length: s.Length(), OnProgress: o.OnProgress}
 	if o.Trace != "" {
@@ -40,7 +40,7 @@
 	case len(o.Targets) > 0:
 		cfg.Address = roundRobin(o.Targets)
 	case s.Fleet == nil:
-		return nil, errors.New("the scenario has no fleet, and no target is given")
+		return nil, errors.New("scenario has no fleet, and no targets are given")
 	default:
 		cluster, err := s.Start(ctx, o)
 		if err != nil {
@@ -73,7 +73,7 @@
 	return result, err
 }
 
-// useTrace makes a run replay the options' trace. The caller closes it.
+// useTrace configures a run to replay the trace in the options. The caller must close the returned reader.
 func useTrace(cfg *Config, o PlayOptions) (*TraceReader, error) {
 	summary, err := CheckTrace(o.Trace)
 	if err != nil {
@@ -92,7 +92,7 @@
 	return trace, nil
 }
 
-// Start starts the scenario's fleet.
+// Start starts the scenario's fleet. The caller must close the returned cluster.
 func (s *Scenario) Start(ctx context.Context, o PlayOptions) (*testcluster.Cluster, error) {
 	return testcluster.Start(ctx, *s.Fleet, testcluster.Options{
 		Program: o.Program,
@@ -103,7 +103,7 @@
 	})
 }
 
-// roundRobin returns an address function that yields the targets in turn.
+// roundRobin returns a function for Config.Address that returns the targets in turn.
 func roundRobin(targets []string) func(string, bool) (string, error) {
 	var mu sync.Mutex
 	n := 0
@@ -115,15 +115,15 @@
 	}
 }
 
-// playedFleet is the fleet of a run.
+// playedFleet is the fleet that Play has started, with the data it collects for the result.
 type playedFleet struct {
 	cluster     *testcluster.Cluster
 	receipts    receipts
-	began       time.Duration // start of the first request, by the fleet's clock
-	usageBefore testcluster.Usage
+	began       time.Duration     // time just before the first request, by the fleet's clock
+	usageBefore testcluster.Usage // resources that the nodes had used at that time
 }
 
-// configure makes a run send its requests to the fleet, and play the scenario's faults.
+// configure configures a run to send its requests to the fleet and to inject the scenario's faults.
 func (f *playedFleet) configure(ctx context.Context, cfg *Config) {
 	cfg.Address = f.cluster.ClientAddress
 	cfg.OnReceipt = f.receipts.add
@@ -137,7 +137,7 @@
 	}
 }
 
-// addTo adds the fleet's figures to a result, and writes the fake servers' events to ledger unless it is nil.
+// addTo adds the fleet's figures to the result, and writes the fake servers' events to ledger unless ledger is nil.
 func (f *playedFleet) addTo(result *Result, ledger io.Writer) error {
 	err := f.cluster.Err()
 	usage := f.cluster.Usage()
--- a/internal/loadtest/progress.go
+++ b/internal/loadtest/progress.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// Progress is a snapshot of a run.
+// Progress is a snapshot of the counters of a run.
 type Progress struct {
 	Elapsed                  time.Duration
 	Started, Finished        int64         // requests
 	Open                     int64         // established connections
-	Served, Rejected, Failed int64         // requests by outcome; Failed counts all other outcomes
+	Served, Rejected, Failed int64         // requests by outcome; Failed counts all outcomes other than Served and Rejected
 	Lateness                 time.Duration // of the generator, 99th percentile
 }
 
@@ -19,7 +19,7 @@
 	wakeupSampleInterval   = 10 * time.Millisecond
 )
 
-// sampleTimeline records the established connections once a second, and reports the progress.
+// sampleTimeline records the number of established connections once a second, and reports the progress.
 func (e *engine) sampleTimeline(ctx context.Context) {
 	for i := time.Duration(1); e.sleepUntil(ctx, i*timelineSampleInterval); i++ {
 		e.recorder.updateBucket(e.now()-timelineSampleInterval/2, func(b *bucket) { b.established = e.recorder.established })
@@ -45,7 +45,8 @@
 	return p
 }
 
-// sampleWakeups measures how late sleeping goroutines of this process are woken: a part of every measured latency.
+// sampleWakeups measures how late sleeping goroutines of this process wake up. Every measured latency includes this
+// delay.
 func (e *engine) sampleWakeups(ctx context.Context) {
 	for ctx.Err() == nil {
 		begin := time.Now()
--- a/internal/loadtest/receipts.go
+++ b/internal/loadtest/receipts.go
@@ -11,7 +11,7 @@
 // maxReceipts bounds how many receipts are kept.
 const maxReceipts = 1 << 20
 
-// receipts are the receipts that clients got by connection id. They are verified against the hosts' events.
+// receipts holds the receipts that clients received, by connection id. They are verified against the hosts' events.
 type receipts struct {
 	mu   sync.Mutex
 	byID map[string]string
@@ -25,7 +25,7 @@
 	}
 }
 
-// countWrong counts the receipts that no host issued for their connection.
+// countWrong returns the number of receipts that no host issued for their connection.
 func (r *receipts) countWrong(events []fakeserver.Event) (n int64) {
 	issued := map[string]bool{}
 	for _, event := range events {
@@ -43,10 +43,11 @@
 	return n
 }
 
-// hostPrefix starts the names of hosts in events.
+// hostPrefix is the prefix of host names in events.
 const hostPrefix = "h"
 
-// addEvents adds the faults and the changes of nodes' health since began, and the hosts' numbers of events.
+// addEvents adds to the result the faults and node health changes since began, and the number of events of each host by
+// kind.
 func (r *Result) addEvents(events []fakeserver.Event, began time.Duration) {
 	indexes := map[string]int{}
 	for _, event := range events {
@@ -74,9 +75,9 @@
 func describe(event fakeserver.Event) string {
 	switch event.Kind {
 	case fakeserver.EventNodeHealthy:
-		return strings.TrimSpace(event.Detail + " is dealt clients")
+		return strings.TrimSpace(event.Detail + " is healthy")
 	case fakeserver.EventNodeUnhealthy:
-		return strings.TrimSpace(event.Detail + " is dealt none")
+		return strings.TrimSpace(event.Detail + " is unhealthy")
 	}
 	return strings.TrimSpace(event.Detail)
 }
--- a/internal/loadtest/replay.go
+++ b/internal/loadtest/replay.go
@@ -9,7 +9,8 @@
 	"onyxstream/internal/tomlfile"
 )
 
-// adoptTrace adds the tenants of a trace to the scenario. Its classes must be in the scenario, as a trace has no deadlines.
+// adoptTrace adds the tenants of a trace to the scenario. It returns an error if the trace has a class that is not in the
+// scenario, because the trace does not contain the deadlines.
 func (s *Scenario) adoptTrace(trace TraceSummary) error {
 	known := map[string]bool{}
 	for _, class := range s.Classes {
@@ -17,7 +18,7 @@
 	}
 	for _, class := range trace.Classes {
 		if !known[class] {
-			return fmt.Errorf("class %q of the trace is not in the scenario, so its deadline is not known", class)
+			return fmt.Errorf("class %q of the trace is missing in the scenario, which sets its deadline", class)
 		}
 	}
 	known = map[string]bool{}
@@ -32,10 +33,11 @@
 	return nil
 }
 
-// replayLifetime is the lifetime of a class in ReplayScenario. Requests of a trace have their own.
+// replayLifetime is the lifetime of the classes in ReplayScenario. It has no effect, as each request of a trace has its
+// own lifetime.
 const replayLifetime = time.Minute
 
-// ReplayScenario returns a scenario for the replay of a trace without a scenario file. All classes have one deadline.
+// ReplayScenario returns a scenario for replaying a trace without a scenario file. All classes have the same deadline.
 func ReplayScenario(path string, deadline time.Duration) (*Scenario, error) {
 	summary, err := CheckTrace(path)
 	if err != nil {
@@ -60,11 +62,11 @@
 	return s, s.Check()
 }
 
-// recordQueueSize is how many requests may wait for the disk before one is lost.
+// recordQueueSize is the number of requests that can wait to be written to disk. Requests beyond it are not recorded.
 const recordQueueSize = 1 << 16
 
-// recordTo has the requests of a run written to a trace by a goroutine of its own, since OnRequest must not block. finish
-// ends the trace once the run has ended, and returns an error where requests are missing.
+// recordTo records the requests of a run in a trace. A separate goroutine writes the trace, because OnRequest must not
+// block. finish completes the trace after the run and returns an error if requests are missing in it.
 func recordTo(cfg *Config, path string) (finish func() error, err error) {
 	w, err := CreateTrace(path)
 	if err != nil {
@@ -92,7 +94,7 @@
 		close(queue)
 		writer.Wait()
 		if lost > 0 {
-			writeError = errors.Join(writeError, fmt.Errorf("%s: %d requests are missing: the disk was too slow", path, lost))
+			writeError = errors.Join(writeError, fmt.Errorf("%s: %d requests not recorded: the disk was too slow", path, lost))
 		}
 		return errors.Join(writeError, w.Close())
 	}, nil
--- a/internal/loadtest/result.go
+++ b/internal/loadtest/result.go
@@ -13,36 +13,37 @@
 	"onyxstream/internal/testcluster"
 )
 
-// Result is the result of a run, with all that it takes to repeat the run and to compare it with others.
+// Result is the result of a run, with everything needed to repeat the run and to compare it with others.
 type Result struct {
 	Format   int       `json:"format"`
 	Tool     string    `json:"tool"`
 	Go       string    `json:"go"`
 	Name     string    `json:"name"`
 	Seed     uint64    `json:"seed"`
-	Scenario string    `json:"scenario,omitempty"` // the text of the scenario file
+	Scenario string    `json:"scenario,omitempty"` // text of the scenario file
 	Trace    string    `json:"trace,omitempty"`
 	Speed    float64   `json:"speed,omitempty"`
 	Loop     string    `json:"loop"`
 	Began    time.Time `json:"began"`
 	Seconds  float64   `json:"seconds"` // from the first request to the end
 	Partial  bool      `json:"partial"` // the run was canceled, or its source failed
-	// BehindReason says why the generator fell behind, which makes the figures invalid; "" where it did not.
+	// BehindReason is why the generator fell behind, which makes the figures invalid; "" if it did not.
 	BehindReason  string `json:"behind,omitempty"`
 	PartialReason string `json:"why,omitempty"` // "" unless Partial
 
-	Lateness    Summary       `json:"lateness"` // of the generator: from the intended time to the dial
-	WakeupDelay Summary       `json:"wake"`     // of the generator's goroutines: a part of every latency
+	Lateness    Summary       `json:"lateness"` // of the generator: from a request's intended time to its first connect
+	WakeupDelay Summary       `json:"wake"`     // of the generator's sleeping goroutines; every latency includes it
 	Classes     []ClassResult `json:"classes"`
 	Timeline    []Interval    `json:"line"`
 	FleetEvents []FleetEvent  `json:"marks,omitempty"`
-	// WrongReceipts counts receipts that no host issued for their connection: above 0 only by a fault.
+	// WrongReceipts is the number of receipts that no host issued for their connection. It is above 0 only if something
+	// between client and host is faulty.
 	WrongReceipts int64                       `json:"wrong_receipts"`
 	Nodes         *testcluster.Usage          `json:"nodes,omitempty"`
 	Hosts         []HostCount                 `json:"hosts,omitempty"`
-	Discovery     *testcluster.DiscoveryCalls `json:"list,omitempty"`  // calls to the list service
-	Startup       []testcluster.StartStep     `json:"start,omitempty"` // the start of the fleet, before the first request
-	Generator     testcluster.Usage           `json:"self"`            // the generator's process, which includes the fake servers
+	Discovery     *testcluster.DiscoveryCalls `json:"list,omitempty"`  // list requests to discovery
+	Startup       []testcluster.StartStep     `json:"start,omitempty"` // startup of the fleet, before the first request
+	Generator     testcluster.Usage           `json:"self"`            // of the generator's process, fake servers included
 }
 
 // ownUsage returns the resources that this process has used so far.
@@ -55,32 +56,33 @@
 	return u
 }
 
-// resultFormat is the version of the file format. It grows with changes that older readers can't read.
+// resultFormat is the version of the file format. It increases with each change that older readers cannot read.
 const resultFormat = 1
 
-// ClassResult has the figures of one class on one path: "node", or "direct" for requests sent to hosts.
+// ClassResult has the figures of one class on one path: "node" for requests sent to nodes, or "direct" for requests sent
+// to hosts.
 type ClassResult struct {
 	Path          string             `json:"path"`
 	Class         string             `json:"class"`
 	Requests      int64              `json:"asked"`
-	Outcomes      map[string]int64   `json:"outcomes"` // of requests, by name
-	Attempts      map[string]int64   `json:"tries"`
-	Late          int64              `json:"late"`    // served after the deadline, measured from the intended time
-	Latency       map[string]Summary `json:"latency"` // by outcome, from the intended time
-	Service       Summary            `json:"service"` // of the served attempt alone
-	Reconnect     Summary            `json:"back"`    // from the intended reconnect until served
+	Outcomes      map[string]int64   `json:"outcomes"` // requests by outcome name
+	Attempts      map[string]int64   `json:"tries"`    // attempts by outcome name
+	Late          int64              `json:"late"`     // requests served later than the deadline after their intended time
+	Latency       map[string]Summary `json:"latency"`  // by outcome name, from the intended time
+	Service       Summary            `json:"service"`  // service time of the served attempt alone
+	Reconnect     Summary            `json:"back"`     // from the intended reconnect until it is served
 	Message       Summary            `json:"message"`
 	LinesSent     int64              `json:"lines_sent"`
 	LinesAnswered int64              `json:"lines_answered"`
-	Completed     int64              `json:"ended"` // established connections that lasted to their end
+	Completed     int64              `json:"ended"` // established connections that ended as intended
 	Migrated      int64              `json:"moved"`
 	Broken        int64              `json:"broken"`
-	Dropped       int64              `json:"dropped"` // in a reconnect surge
-	Aborted       int64              `json:"cut"`     // open when the run ended
+	Dropped       int64              `json:"dropped"` // dropped by the client in a reconnect surge
+	Aborted       int64              `json:"cut"`     // still open when the run ended
 	Reconnects    int64              `json:"returns"`
 }
 
-// Interval is a part of the timeline. Requests are assigned by their intended time.
+// Interval is one interval of the timeline. Requests are assigned by their intended time.
 type Interval struct {
 	At         float64          `json:"at_s"`
 	Width      float64          `json:"width_s"`
@@ -92,20 +94,20 @@
 	P99        float64          `json:"p99_ms"`
 }
 
-// FleetEvent is a fault, or a change of a node's health.
+// FleetEvent is a fault, or a change of a node's health as the front sees it.
 type FleetEvent struct {
 	At          float64 `json:"at_s"`
 	Subject     string  `json:"who"`
 	Description string  `json:"what"`
 }
 
-// HostCount has the numbers of a fake host's events by kind.
+// HostCount has the number of a fake host's events by kind.
 type HostCount struct {
 	ID      string           `json:"id"`
 	Records map[string]int64 `json:"records"`
 }
 
-// Version names the build, with its revision where that is known.
+// Version returns the program's name with the revision it was built from, if known.
 func Version() string {
 	version := "onyxstream"
 	if b, ok := debug.ReadBuildInfo(); ok {
@@ -138,10 +140,10 @@
 	}
 	r := &Result{}
 	if err := json.Unmarshal(text, r); err != nil {
-		return nil, fmt.Errorf("%s: no result of a run: %w", path, err)
+		return nil, fmt.Errorf("%s: invalid result file: %w", path, err)
 	}
 	if r.Format != resultFormat {
-		return nil, fmt.Errorf("%s: format is %d, this program reads %d", path, r.Format, resultFormat)
+		return nil, fmt.Errorf("%s: unsupported result format %d, want %d", path, r.Format, resultFormat)
 	}
 	return r, nil
 }
--- a/internal/loadtest/scenario.go
+++ b/internal/loadtest/scenario.go
@@ -1,7 +1,7 @@
 // Package loadtest is an open-loop load generator for long-lived connections. The requests and their intended times are a
 // pure function of a scenario and a seed, or come from a trace. The engine sends each request at its intended time,
-// whatever became of those before, and measures latencies from the intended time, so that the figures do not suffer from
-// coordinated omission.
+// regardless of the outcomes of earlier requests, and measures latencies from the intended time. The results are
+// therefore free of coordinated omission.
 package loadtest
 
 import (
@@ -11,7 +11,7 @@
 	"onyxstream/internal/tomlfile"
 )
 
-// Scenario describes a load and, optionally, the fleet that is started for it. It is the content of a scenario file.
+// Scenario describes a load and, optionally, the fleet to start for it. It is the decoded form of a scenario file.
 type Scenario struct {
 	Name               string                  `toml:"name"`
 	Seed               uint64                  `toml:"seed"`
@@ -34,8 +34,8 @@
 type Requests struct {
 	Arrivals string  `toml:"arrivals"` // arrivalsPoisson or arrivalsEven
 	Loop     string  `toml:"loop"`     // loopOpen, or loopClosed for comparison
-	Workers  int     `toml:"workers"`  // of a closed loop
-	Direct   float64 `toml:"direct"`   // share of the requests that are sent to hosts, as a baseline
+	Workers  int     `toml:"workers"`  // number of workers of a closed loop
+	Direct   float64 `toml:"direct"`   // share of the requests that bypass the nodes and go to hosts, as a baseline
 }
 
 // Values of Requests.Arrivals.
@@ -61,34 +61,34 @@
 	lifetimePareto      = "pareto"
 )
 
-// Values of ClientBehavior.Backoff. Exponential backoff doubles the wait before each further retry.
+// Values of ClientBehavior.Backoff. Exponential backoff doubles the wait after each retry.
 const (
 	backoffFixed       = "fixed"
 	backoffExponential = "exponential"
 )
 
-// Phase is a time with one shape of the rate. Rates are in requests per second.
+// Phase is a part of the run in which the request rate follows one shape. Rates are in requests per second.
 type Phase struct {
 	Shape         string            `toml:"shape"` // one of the shape constants
 	Duration      tomlfile.Duration `toml:"for"`
 	Rate          float64           `toml:"rate"`
-	EndRate       float64           `toml:"to"`     // ramp and step: at the end; onoff: while off
+	EndRate       float64           `toml:"to"`     // ramp and step: rate at the end; onoff: rate while off
 	Steps         int               `toml:"steps"`  // step: number of steps
-	BurstRequests float64           `toml:"burst"`  // burst: requests of one burst, in addition to the rate
-	BurstDuration tomlfile.Duration `toml:"within"` // burst: of one burst
-	Period        tomlfile.Duration `toml:"every"`  // burst and onoff: from one start to the next
-	DutyCycle     float64           `toml:"duty"`   // onoff: share of the period that is on
+	BurstRequests float64           `toml:"burst"`  // burst: requests per burst, in addition to Rate
+	BurstDuration tomlfile.Duration `toml:"within"` // burst: duration of one burst
+	Period        tomlfile.Duration `toml:"every"`  // burst and onoff: from the start of one period to the next
+	DutyCycle     float64           `toml:"duty"`   // onoff: share of each period that is on
 }
 
 // Class is a class of requests.
 type Class struct {
 	Name                 string            `toml:"name"`
 	Share                float64           `toml:"share"`
-	Deadline             tomlfile.Duration `toml:"deadline"` // of the answer to the opening line
-	Lifetime             tomlfile.Duration `toml:"life"`     // mean, of established connections
+	Deadline             tomlfile.Duration `toml:"deadline"` // for the final answer to the opening line
+	Lifetime             tomlfile.Duration `toml:"life"`     // mean lifetime of an established connection
 	LifetimeDistribution string            `toml:"spread"`   // one of the lifetime constants
-	MessageInterval      tomlfile.Duration `toml:"message"`  // between two lines of a client; 0 for no lines
-	Load                 float64           `toml:"load"`     // of a connection, in mean loads of its host; 0 for 1
+	MessageInterval      tomlfile.Duration `toml:"message"`  // between two lines from the client; 0 if it sends none
+	Load                 float64           `toml:"load"`     // of one connection, as a multiple of the host's mean; 0 means 1
 }
 
 // WeightedName is a tenant or zone with its share of the requests.
@@ -97,42 +97,42 @@
 	Share float64 `toml:"share"`
 }
 
-// Distribution describes how keys or groups are drawn.
+// Distribution describes how keys or groups are drawn at random.
 type Distribution struct {
-	Count int     `toml:"count"` // of distinct values; 0 for unique keys, or no groups
-	Zipf  float64 `toml:"zipf"`  // exponent above 1; 0 for a uniform distribution
+	Count int     `toml:"count"` // number of distinct values; 0 means unique keys or no groups
+	Zipf  float64 `toml:"zipf"`  // exponent of a Zipf distribution, above 1; 0 for a uniform distribution
 }
 
 // ClientBehavior describes retries and reconnects.
 type ClientBehavior struct {
-	Retries         int                 `toml:"retries"`   // of one request at most
+	Retries         int                 `toml:"retries"`   // maximum per request
 	RetryWait       tomlfile.Duration   `toml:"wait"`      // mean wait before a retry without Retry-After
 	Backoff         string              `toml:"backoff"`   // backoffFixed or backoffExponential, both with jitter
-	HonorRetryAfter *bool               `toml:"honour"`    // of a rejection; nil for true
-	MarkRetries     bool                `toml:"marks"`     // in the opening line
-	MidFlow         bool                `toml:"mid_flow"`  // a broken connection is first resumed by another node
+	HonorRetryAfter *bool               `toml:"honour"`    // wait for the Retry-After of a rejection; nil means true
+	MarkRetries     bool                `toml:"marks"`     // mark each retry in its opening line
+	MidFlow         bool                `toml:"mid_flow"`  // try to resume a broken connection mid-flow first
 	ReconnectDelay  []tomlfile.Duration `toml:"come_back"` // shortest and longest, after a migration or a broken connection
-	MaxReconnects   int                 `toml:"returns"`   // of one client
+	MaxReconnects   int                 `toml:"returns"`   // maximum per client
 }
 
-// ReconnectSurge makes a share of the clients with established connections drop them at once and reconnect.
+// ReconnectSurge makes a share of the connected clients drop their connections simultaneously and reconnect.
 type ReconnectSurge struct {
 	At     tomlfile.Duration `toml:"at"`
 	Share  float64           `toml:"share"`
-	Within tomlfile.Duration `toml:"within"` // over which the reconnects are spread
+	Within tomlfile.Duration `toml:"within"` // interval over which the reconnects are spread
 }
 
-// InitialConnections are connections that are established at the fleet's hosts before the first request.
+// InitialConnections are connections that exist at the fleet's hosts before the first request.
 type InitialConnections struct {
 	Count int `toml:"count"`
 }
 
-// Limits bound the generator and define a valid run.
+// Limits bound the resources of the generator, and the lateness up to which a run is valid.
 type Limits struct {
-	MaxLateness     tomlfile.Duration `toml:"lateness"` // at the 99th percentile; beyond it the generator fell behind
-	MaxOpen         int               `toml:"open"`     // connections at one time; requests beyond it are recorded as unsent
-	SourceAddresses int               `toml:"sources"`  // loopback addresses, each with its own range of ports
-	Linger          tomlfile.Duration `toml:"linger"`   // after the last outcome, for connections that are still established
+	MaxLateness     tomlfile.Duration `toml:"lateness"` // at the 99th percentile; the run is invalid if the generator is later
+	MaxOpen         int               `toml:"open"`     // concurrent connections; requests beyond it are recorded as unsent
+	SourceAddresses int               `toml:"sources"`  // number of loopback addresses, each with its own port range
+	Linger          tomlfile.Duration `toml:"linger"`   // how long established connections are kept after the last outcome
 }
 
 // Defaults and bounds of a scenario.
@@ -143,29 +143,29 @@
 	defaultMinReconnectDelay = 50 * time.Millisecond
 	defaultMaxReconnectDelay = time.Second
 
-	minSeconds         = 0.001 // of most durations
+	minSeconds         = 0.001 // minimum of most durations, in seconds
 	maxLength          = 24 * time.Hour
-	maxWait            = 10 * time.Minute // of deadlines and of the wait before a retry
+	maxWait            = 10 * time.Minute // maximum of deadlines and of the wait before a retry
 	maxReconnectDelay  = time.Hour
 	maxRate            = 1e6
 	maxSteps           = 1000
 	maxPeriods         = 1000
 	maxWorkers         = 10000
 	maxRetries         = 100
-	maxMaxReconnects   = 1000
+	maxReconnects      = 1000
 	maxConnections     = 1e6
 	maxNames           = 4096
 	maxSourceAddresses = 250
 )
 
-// ReadScenario reads and checks a scenario file. It also returns its text. Errors are *tomlfile.Error.
+// ReadScenario reads and validates a scenario file. It also returns the text of the file. Errors are *tomlfile.Error.
 func ReadScenario(path string) (*Scenario, []byte, error) {
 	s := &Scenario{}
 	text, err := tomlfile.Read(path, s)
 	return s, text, err
 }
 
-// Length is the total duration of the phases.
+// Length returns the total duration of the phases.
 func (s *Scenario) Length() (d time.Duration) {
 	for _, p := range s.Phases {
 		d += p.Duration.AsDuration()
--- a/internal/loadtest/scenario_check.go
+++ b/internal/loadtest/scenario_check.go
@@ -8,7 +8,7 @@
 	"onyxstream/internal/tomlfile"
 )
 
-// Check sets defaults and validates the scenario. Errors are *tomlfile.FieldError.
+// Check applies defaults and validates the scenario. Errors are *tomlfile.FieldError.
 func (s *Scenario) Check() error {
 	for _, check := range []func() error{s.checkRequests, s.checkPhases, s.checkNames, s.checkClients, s.checkLimits} {
 		if err := check(); err != nil {
@@ -17,7 +17,7 @@
 	}
 	if s.Fleet == nil {
 		if len(s.Faults) > 0 {
-			return tomlfile.NewFieldError("fault[0].what", "a scenario without a fleet has nothing to break")
+			return tomlfile.NewFieldError("fault[0].what", "faults require a fleet in the scenario")
 		}
 		return nil
 	}
@@ -41,7 +41,7 @@
 	return out
 }
 
-// checkOneOf returns the value, or the default for "", and an error where it is not among the known values.
+// checkOneOf returns the value, or the default if it is empty. It returns an error if the value is not a known one.
 func checkOneOf(path, value, defaultValue string, known ...string) (string, error) {
 	if value == "" {
 		return defaultValue, nil
@@ -51,10 +51,10 @@
 			return value, nil
 		}
 	}
-	return value, tomlfile.NewFieldError(path, "%q is none of %q", value, known)
+	return value, tomlfile.NewFieldError(path, "unknown value %q; must be one of %q", value, known)
 }
 
-// checkRange returns an error where the value is not a number from low to high.
+// checkRange returns an error unless the value is a number from low to high. NaN is out of range.
 func checkRange(path string, value, low, high float64) error {
 	if !(value >= low && value <= high) {
 		return tomlfile.NewFieldError(path, "%g is not between %g and %g", value, low, high)
@@ -62,7 +62,7 @@
 	return nil
 }
 
-// checkSeconds returns an error where a duration is not from low to high seconds.
+// checkSeconds returns an error unless the duration is from low to high seconds.
 func checkSeconds(path string, value tomlfile.Duration, low, high float64) error {
 	return checkRange(path, value.AsDuration().Seconds(), low, high)
 }
@@ -76,8 +76,8 @@
 	return nil
 }
 
-// arrayPath is the path of a table in an array of tables, up to its fields.
-func arrayPath(table string, i int) string { return fmt.Sprintf("%s[%d].", table, i) }
+// fieldPrefix returns the path of table i in an array of tables, with the dot before a field name.
+func fieldPrefix(table string, i int) string { return fmt.Sprintf("%s[%d].", table, i) }
 
 func (s *Scenario) checkRequests() (err error) {
 	r := &s.Requests
@@ -99,42 +99,42 @@
 
 func (s *Scenario) checkPhases() error {
 	if len(s.Phases) == 0 {
-		return tomlfile.NewFieldError("phase", "there is none")
+		return tomlfile.NewFieldError("phase", "at least one is required")
 	}
 	for i := range s.Phases {
-		if err := s.Phases[i].check(arrayPath("phase", i)); err != nil {
+		if err := s.Phases[i].check(fieldPrefix("phase", i)); err != nil {
 			return err
 		}
 	}
 	return checkRange("phase[0].for", s.Length().Seconds(), minSeconds, maxLength.Seconds())
 }
 
-func (p *Phase) check(at string) (err error) {
-	p.Shape, err = checkOneOf(at+"shape", p.Shape, shapeConstant, shapeConstant, shapeRamp, shapeStep, shapeBurst, shapeOnOff)
+func (p *Phase) check(prefix string) (err error) {
+	p.Shape, err = checkOneOf(prefix+"shape", p.Shape, shapeConstant, shapeConstant, shapeRamp, shapeStep, shapeBurst, shapeOnOff)
 	if err != nil {
 		return err
 	}
 	err = firstError(
-		checkSeconds(at+"for", p.Duration, minSeconds, maxLength.Seconds()),
-		checkRange(at+"rate", p.Rate, 0, maxRate),
-		checkRange(at+"to", p.EndRate, 0, maxRate),
-		checkRange(at+"burst", p.BurstRequests, 0, maxRate),
-		checkRange(at+"duty", p.DutyCycle, 0, 1))
+		checkSeconds(prefix+"for", p.Duration, minSeconds, maxLength.Seconds()),
+		checkRange(prefix+"rate", p.Rate, 0, maxRate),
+		checkRange(prefix+"to", p.EndRate, 0, maxRate),
+		checkRange(prefix+"burst", p.BurstRequests, 0, maxRate),
+		checkRange(prefix+"duty", p.DutyCycle, 0, 1))
 	if err != nil {
 		return err
 	}
 	minPeriod := p.Duration.AsDuration().Seconds() / maxPeriods
 	switch p.Shape {
 	case shapeStep:
-		return checkRange(at+"steps", float64(p.Steps), 1, maxSteps)
+		return checkRange(prefix+"steps", float64(p.Steps), 1, maxSteps)
 	case shapeBurst:
 		return firstError(
-			checkSeconds(at+"within", p.BurstDuration, minSeconds, p.Duration.AsDuration().Seconds()),
-			checkSeconds(at+"every", p.Period, max(p.BurstDuration.AsDuration().Seconds(), minPeriod), maxLength.Seconds()))
+			checkSeconds(prefix+"within", p.BurstDuration, minSeconds, p.Duration.AsDuration().Seconds()),
+			checkSeconds(prefix+"every", p.Period, max(p.BurstDuration.AsDuration().Seconds(), minPeriod), maxLength.Seconds()))
 	case shapeOnOff:
 		return firstError(
-			checkSeconds(at+"every", p.Period, max(minSeconds, minPeriod), maxLength.Seconds()),
-			checkRange(at+"duty", p.DutyCycle, 0.001, 1))
+			checkSeconds(prefix+"every", p.Period, max(minSeconds, minPeriod), maxLength.Seconds()),
+			checkRange(prefix+"duty", p.DutyCycle, 0.001, 1))
 	}
 	return nil
 }
@@ -156,17 +156,17 @@
 		}
 	}
 	if !isDelayRange(c.ReconnectDelay) {
-		return tomlfile.NewFieldError("clients.come_back", "it is two times, the first no longer than the second")
+		return tomlfile.NewFieldError("clients.come_back", "must be the shortest and the longest delay, in this order")
 	}
 	if c.MaxReconnects == 0 {
 		c.MaxReconnects = defaultMaxReconnects
 	}
 	for i, surge := range s.Surges {
-		at := arrayPath("wave", i)
+		prefix := fieldPrefix("wave", i)
 		err := firstError(
-			checkSeconds(at+"at", surge.At, 0, maxLength.Seconds()),
-			checkRange(at+"share", surge.Share, 0, 1),
-			checkSeconds(at+"within", surge.Within, 0, maxReconnectDelay.Seconds()))
+			checkSeconds(prefix+"at", surge.At, 0, maxLength.Seconds()),
+			checkRange(prefix+"share", surge.Share, 0, 1),
+			checkSeconds(prefix+"within", surge.Within, 0, maxReconnectDelay.Seconds()))
 		if err != nil {
 			return err
 		}
@@ -174,11 +174,11 @@
 	return firstError(
 		checkRange("clients.retries", float64(c.Retries), 0, maxRetries),
 		checkSeconds("clients.wait", c.RetryWait, 0, maxWait.Seconds()),
-		checkRange("clients.returns", float64(c.MaxReconnects), 0, maxMaxReconnects),
+		checkRange("clients.returns", float64(c.MaxReconnects), 0, maxReconnects),
 		checkRange("standing.count", float64(s.InitialConnections.Count), 0, maxConnections))
 }
 
-// isDelayRange reports whether the delays are a shortest and a longest one.
+// isDelayRange reports whether delays has exactly two elements, a shortest and a longest delay, within the bounds.
 func isDelayRange(delays []tomlfile.Duration) bool {
 	if len(delays) != 2 {
 		return false
@@ -199,10 +199,10 @@
 		l.SourceAddresses = 1
 	}
 	if s.InitialConnections.Count > 0 && s.Fleet == nil {
-		return tomlfile.NewFieldError("standing.count", "only a fleet of the scenario's own can have held connections before")
+		return tomlfile.NewFieldError("standing.count", "initial connections require a fleet in the scenario")
 	}
 	if s.Requests.Direct > 0 && s.Fleet == nil {
-		return tomlfile.NewFieldError("requests.direct", "only a fleet of the scenario's own has hosts that are known here")
+		return tomlfile.NewFieldError("requests.direct", "direct requests require a fleet in the scenario, whose hosts are known")
 	}
 	return firstError(
 		checkSeconds("limits.lateness", l.MaxLateness, 1e-6, time.Minute.Seconds()),
--- a/internal/loadtest/scenario_names.go
+++ b/internal/loadtest/scenario_names.go
@@ -7,13 +7,13 @@
 	maxShare      = 1e9
 	maxDistinct   = 1e9 // keys or groups
 	maxZipf       = 20
-	maxLoad       = 1000 // in mean loads of a host
+	maxLoad       = 1000 // as a multiple of the host's mean load per connection
 )
 
-// checkNames checks what requests are drawn from: classes, tenants, zones, keys and groups.
+// checkNames validates the classes, tenants, zones, keys and groups that requests are drawn from.
 func (s *Scenario) checkNames() error {
 	if len(s.Classes) == 0 {
-		return tomlfile.NewFieldError("class", "there is none")
+		return tomlfile.NewFieldError("class", "at least one is required")
 	}
 	if err := s.checkClasses(); err != nil {
 		return err
@@ -25,7 +25,7 @@
 		return err
 	}
 	if len(s.Tenants) == 0 {
-		return tomlfile.NewFieldError("tenant", "there is none")
+		return tomlfile.NewFieldError("tenant", "at least one is required")
 	}
 	return firstError(s.Keys.check("keys"), s.Groups.check("groups"), s.checkShares())
 }
@@ -34,43 +34,43 @@
 	seen := map[string]bool{}
 	for i := range s.Classes {
 		c := &s.Classes[i]
-		at := arrayPath("class", i)
-		if err := checkName(at+"name", c.Name, seen); err != nil {
+		prefix := fieldPrefix("class", i)
+		if err := checkName(prefix+"name", c.Name, seen); err != nil {
 			return err
 		}
 		if len(s.Classes) == 1 && c.Share == 0 {
 			c.Share = 1
 		}
-		if err := c.check(at); err != nil {
+		if err := c.check(prefix); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (c *Class) check(at string) (err error) {
-	c.LifetimeDistribution, err = checkOneOf(at+"spread", c.LifetimeDistribution, lifetimeExponential,
+func (c *Class) check(prefix string) (err error) {
+	c.LifetimeDistribution, err = checkOneOf(prefix+"spread", c.LifetimeDistribution, lifetimeExponential,
 		lifetimeExponential, lifetimeFixed, lifetimeUniform, lifetimePareto)
 	if err != nil {
 		return err
 	}
 	return firstError(
-		checkRange(at+"share", c.Share, 0, maxShare),
-		checkSeconds(at+"deadline", c.Deadline, minSeconds, maxWait.Seconds()),
-		checkSeconds(at+"life", c.Lifetime, minSeconds, maxLength.Seconds()),
-		checkSeconds(at+"message", c.MessageInterval, 0, maxLength.Seconds()),
-		checkRange(at+"load", c.Load, 0, maxLoad))
+		checkRange(prefix+"share", c.Share, 0, maxShare),
+		checkSeconds(prefix+"deadline", c.Deadline, minSeconds, maxWait.Seconds()),
+		checkSeconds(prefix+"life", c.Lifetime, minSeconds, maxLength.Seconds()),
+		checkSeconds(prefix+"message", c.MessageInterval, 0, maxLength.Seconds()),
+		checkRange(prefix+"load", c.Load, 0, maxLoad))
 }
 
 func checkWeightedNames(table string, list []WeightedName) error {
 	seen := map[string]bool{}
 	for i := range list {
 		n := &list[i]
-		at := arrayPath(table, i)
+		prefix := fieldPrefix(table, i)
 		if len(list) == 1 && n.Share == 0 {
 			n.Share = 1
 		}
-		if err := firstError(checkName(at+"name", n.Name, seen), checkRange(at+"share", n.Share, 0, maxShare)); err != nil {
+		if err := firstError(checkName(prefix+"name", n.Name, seen), checkRange(prefix+"share", n.Share, 0, maxShare)); err != nil {
 			return err
 		}
 	}
@@ -82,12 +82,12 @@
 		return err
 	}
 	if d.Zipf != 0 && !(d.Zipf > 1 && d.Zipf <= maxZipf) {
-		return tomlfile.NewFieldError(table+".zipf", "%g is not above 1 and up to %d", d.Zipf, maxZipf)
+		return tomlfile.NewFieldError(table+".zipf", "exponent %g must be 0, or above 1 and at most %d", d.Zipf, maxZipf)
 	}
 	return nil
 }
 
-// checkShares checks that not all shares of one kind are 0.
+// checkShares returns an error if all classes, all tenants or all zones have a share of 0.
 func (s *Scenario) checkShares() error {
 	total := 0.0
 	for _, c := range s.Classes {
@@ -110,21 +110,21 @@
 	return nil
 }
 
-// checkName checks a name that is sent in the opening line, and adds it to those seen.
-func checkName(at, name string, seen map[string]bool) error {
+// checkName validates a name that the opening line contains, and adds it to the names seen so far.
+func checkName(path, name string, seen map[string]bool) error {
 	if name == "" || len(name) > maxNameLength {
-		return tomlfile.NewFieldError(at, "a name has 1 to %d bytes", maxNameLength)
+		return tomlfile.NewFieldError(path, "name must have 1 to %d bytes", maxNameLength)
 	}
 	for _, b := range []byte(name) {
 		if b <= ' ' || b >= 0x7f || b == ',' || b == '=' {
-			return tomlfile.NewFieldError(at, "%q has a character that a name can't have", name)
+			return tomlfile.NewFieldError(path, "invalid character in name %q", name)
 		}
 	}
 	if seen[name] {
-		return tomlfile.NewFieldError(at, "%q is given twice", name)
+		return tomlfile.NewFieldError(path, "duplicate name %q", name)
 	}
 	if len(seen) >= maxNames {
-		return tomlfile.NewFieldError(at, "there are over %d", maxNames)
+		return tomlfile.NewFieldError(path, "more than %d names", maxNames)
 	}
 	seen[name] = true
 	return nil
--- a/internal/loadtest/schedule.go
+++ b/internal/loadtest/schedule.go
@@ -8,25 +8,25 @@
 	"time"
 )
 
-// Request is one connection that a client is to open.
+// Request is a request of one client to establish a connection.
 type Request struct {
 	Number              int64
 	IntendedAt          time.Duration // intended arrival, from the start of the run
 	Class, Tenant, Zone string
 	Key, Group          string        // Group is "" for none
 	Lifetime            time.Duration // of the established connection
-	MessageInterval     time.Duration // from one line of the client to the next; 0 for none
-	Load                float64       // in mean loads of a host; 0 for one
+	MessageInterval     time.Duration // between two lines from the client; 0 if it sends none
+	Load                float64       // as a multiple of the host's mean load per connection; 0 means 1
 	Direct              bool          // sent to a host rather than a node
-	Host                string        // of a connection that was established before the run; "" for all others
+	Host                string        // host of a connection that existed before the run; "" for all others
 }
 
-// Source yields requests in order of their intended time, and io.EOF after the last.
+// Source yields requests in order of their intended times, and io.EOF after the last one.
 type Source interface {
 	Next() (Request, error)
 }
 
-// Seeds of the independent random streams, which are combined with the scenario's seed.
+// Constants that are combined with the scenario's seed to get independent random streams.
 const (
 	arrivalStream   = 0x6172726976616c73
 	retryStream     = 0x7472696573
@@ -35,33 +35,33 @@
 	surgeStream     = 0x77617665
 )
 
-// Schedule yields the requests of a scenario: a pure function of the scenario and its seed.
+// Schedule generates the requests of a scenario. They are a pure function of the scenario and its seed.
 type Schedule struct {
 	scenario *Scenario
-	rng      *rand.Rand // of the arrivals; each request has a generator of its own
+	rng      *rand.Rand // for the arrivals; each request has a generator of its own
 	segments []segment
 
 	segment        int           // index of the current segment
-	segmentStart   time.Duration // of the current segment
-	expectedBefore float64       // requests expected before the current segment
-	nextArrival    float64       // of the next request, measured in requests expected since the start
-	count          int64         // of requests yielded
+	segmentStart   time.Duration // from the start of the run to the start of the current segment
+	expectedBefore float64       // expected number of requests before the current segment
+	nextArrival    float64       // position of the next request, as the expected number of requests since the start
+	count          int64         // number of requests generated
 
 	classes, tenants, zones weightedPicker
 }
 
-// segment is a time over which the rate changes linearly, in requests per second.
+// segment is a time span over which the rate changes linearly. Rates are in requests per second.
 type segment struct {
 	length             time.Duration
 	startRate, endRate float64
 }
 
-// expectedRequests is the mean number of requests in a segment.
+// expectedRequests returns the expected number of requests in the segment.
 func (g segment) expectedRequests() float64 {
 	return (g.startRate + g.endRate) / 2 * g.length.Seconds()
 }
 
-// NewSchedule returns the schedule of a checked scenario.
+// NewSchedule returns the schedule of a scenario that Check has accepted.
 func NewSchedule(s *Scenario) *Schedule {
 	c := &Schedule{scenario: s, rng: rand.New(rand.NewPCG(s.Seed, arrivalStream))}
 	for _, phase := range s.Phases {
@@ -83,7 +83,8 @@
 	return c
 }
 
-// interarrival is the distance to the next request, in requests expected: 1, or exponentially distributed with mean 1.
+// interarrival returns the distance to the next request as an expected number of requests: 1 for even arrivals, or a draw
+// from the exponential distribution with mean 1.
 func (c *Schedule) interarrival() float64 {
 	if c.scenario.Requests.Arrivals == arrivalsEven {
 		return 1
@@ -91,7 +92,7 @@
 	return c.rng.ExpFloat64()
 }
 
-// segments divides a phase into segments.
+// segments returns the segments that a phase consists of.
 func (p *Phase) segments() []segment {
 	length := p.Duration.AsDuration()
 	switch p.Shape {
@@ -120,7 +121,8 @@
 	return out
 }
 
-// alternate returns the segments of a phase in which each period begins with the on rate and goes on with the off rate.
+// alternate returns the segments of a phase in which each period starts at onRate for the duration on and continues at
+// offRate.
 func (p *Phase) alternate(on time.Duration, onRate, offRate float64) (out []segment) {
 	length := p.Duration.AsDuration()
 	for at := time.Duration(0); at < length; at += p.Period.AsDuration() {
@@ -134,7 +136,7 @@
 	return out
 }
 
-// Next returns the next request, or io.EOF.
+// Next returns the next request, or io.EOF after the last one.
 func (c *Schedule) Next() (Request, error) {
 	for c.segment < len(c.segments) {
 		g := c.segments[c.segment]
@@ -155,19 +157,19 @@
 	return Request{}, io.EOF
 }
 
-// arrivalOffset is the time into the segment by which n requests are expected: the root t of
+// arrivalOffset returns the time into the segment by which n requests are expected. It is the root t of
 // startRate*t + slope*t*t/2 = n.
 func (g segment) arrivalOffset(n float64) time.Duration {
 	slope := (g.endRate - g.startRate) / g.length.Seconds()
 	t := n / max(g.startRate, 1e-300)
-	if slope != 0 { // in the form of the root that is precise for small slopes
+	if slope != 0 { // this form of the root stays precise for small slopes
 		t = 2 * n / (g.startRate + math.Sqrt(max(g.startRate*g.startRate+2*slope*n, 0)))
 	}
 	return min(time.Duration(t*float64(time.Second)), g.length)
 }
 
-// drawRequest draws request n but for its intended time. It depends on the seed and n alone, so that scenarios of other
-// rates or shapes have the same clients.
+// drawRequest draws all of request n except its intended time. The draw depends only on the seed and n, so that scenarios
+// that differ in rates or shapes have the same clients.
 func (c *Schedule) drawRequest(n int64) Request {
 	rng := requestRand(c.scenario.Seed, n)
 	class := &c.scenario.Classes[c.classes.pick(rng.Float64())]
@@ -199,13 +201,13 @@
 }
 
 const (
-	// paretoShape is the exponent of the heavy-tailed distribution of lifetimes.
+	// paretoShape is the shape parameter of the heavy-tailed distribution of lifetimes.
 	paretoShape = 1.5
-	// maxParetoFactor bounds its factor.
+	// maxParetoFactor bounds the factor that lifetimeFactor draws from that distribution.
 	maxParetoFactor = 1000
 )
 
-// lifetimeFactor draws a factor with mean 1 from a distribution.
+// lifetimeFactor draws a factor with mean 1 from a lifetime distribution.
 func lifetimeFactor(distribution string, rng *rand.Rand) float64 {
 	switch distribution {
 	case lifetimeFixed:
@@ -218,7 +220,7 @@
 	return rng.ExpFloat64()
 }
 
-// draw returns an index below Count.
+// draw returns a random index below Count.
 func (d Distribution) draw(rng *rand.Rand) int {
 	if d.Zipf > 1 {
 		return int(rand.NewZipf(rng, d.Zipf, 1, uint64(d.Count-1)).Uint64())
@@ -229,7 +231,7 @@
 // weightedPicker picks indexes in proportion to its weights.
 type weightedPicker []float64
 
-// pick returns the index for x, which is uniform in [0, 1).
+// pick returns the index for x, a uniform random number in [0, 1).
 func (p weightedPicker) pick(x float64) int {
 	total := 0.0
 	for _, weight := range p {
@@ -245,7 +247,7 @@
 	return len(p) - 1
 }
 
-// DropsInSurge reports whether the client of request n drops its connection in a surge, and its delay until it
+// DropsInSurge reports whether the client of request n drops its connection in a reconnect surge, and the delay until it
 // reconnects.
 func (s *Scenario) DropsInSurge(surge int, n int64) (drops bool, delay time.Duration) {
 	rng := requestRand(s.Seed^surgeStream, n*1009+int64(surge))
--- a/internal/loadtest/schedule_test.go
+++ b/internal/loadtest/schedule_test.go
@@ -15,7 +15,7 @@
 	"onyxstream/internal/tomlfile"
 )
 
-// Tests are deterministic unless -rapid.seed is set.
+// Property tests are deterministic unless -rapid.seed is set.
 func init() { _ = flag.Set("rapid.seed", "1") }
 
 const baseScenario = `
@@ -34,7 +34,7 @@
 name = "acme"
 `
 
-// scenario decodes baseScenario with replacements, old and new in turn, and with more appended.
+// scenario decodes baseScenario after replacing text by changes, which alternate old and new strings, and appending more.
 func scenario(t *testing.T, more string, changes ...string) *Scenario {
 	t.Helper()
 	s := &Scenario{}
@@ -60,7 +60,7 @@
 func TestSchedule_EachShape_HasItsRate(t *testing.T) {
 	for name, c := range map[string]struct {
 		phase string
-		want  map[[2]time.Duration]int // from and to: how many
+		want  map[[2]time.Duration]int // expected number of requests in each interval of start and end
 	}{
 		"constant": {`rate = 100`, map[[2]time.Duration]int{{0, 10 * time.Second}: 1000, {2 * time.Second, 3 * time.Second}: 100}},
 		"ramp": {"rate = 0\nto = 200\nshape = \"ramp\"", map[[2]time.Duration]int{{0, 10 * time.Second}: 1000,
@@ -89,7 +89,7 @@
 
 func TestSchedule_PoissonArrivals_GapsExponential(t *testing.T) {
 	got := readAll(t, NewSchedule(scenario(t, "", `"even"`, `"poisson"`, `for = "1s"`, `for = "100s"`)))
-	if d := math.Abs(float64(len(got)) - 10000); d > 400 { // four standard deviations
+	if d := math.Abs(float64(len(got)) - 10000); d > 400 { // 400 is four standard deviations
 		t.Errorf("%d requests, want about 10000", len(got))
 	}
 	var sum, squares float64
@@ -99,12 +99,12 @@
 	}
 	mean := sum / float64(len(got)-1)
 	if cv := math.Sqrt(squares/float64(len(got)-1)-mean*mean) / mean; cv < 0.95 || cv > 1.05 {
-		t.Errorf("gaps spread by %g of their mean, want 1", cv)
+		t.Errorf("coefficient of variation of the gaps is %g, want about 1", cv)
 	}
 }
 
-// Intended times ascend and stay within the length, the same seed yields the same requests, and another rate yields the
-// same clients at other times.
+// Intended times ascend and stay within the length. The same seed yields the same requests. Another rate yields the same
+// clients at other times.
 func TestSchedule_SameScenarioAndSeed_SameRequests(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		second := tomlfile.Duration(time.Second)
@@ -146,12 +146,12 @@
 		}
 		one := read(s)
 		if !reflect.DeepEqual(one, read(s)) {
-			t.Fatal("the same scenario gave other requests")
+			t.Fatal("two schedules of the same scenario differ")
 		}
 		last := time.Duration(0)
 		for i, r := range one {
 			if r.IntendedAt < last || r.IntendedAt > s.Length() || r.Number != int64(i) || r.Lifetime < 0 {
-				t.Fatalf("request %d is %+v after %v of %v", i, r, last, s.Length())
+				t.Fatalf("request %d is %+v; the previous one is at %v, the run takes %v", i, r, last, s.Length())
 			}
 			last = r.IntendedAt
 		}
@@ -163,7 +163,7 @@
 			a, b := one[i], other[i]
 			a.IntendedAt, b.IntendedAt = 0, 0
 			if a != b {
-				t.Fatalf("at another rate client %d is %+v, was %+v", i, b, a)
+				t.Fatalf("at another rate request %d is %+v, was %+v", i, b, a)
 			}
 		}
 	})
@@ -187,13 +187,13 @@
 	}
 	n := float64(len(got))
 	if share := float64(tenants["b"]) / n; math.Abs(share-0.25) > 0.02 {
-		t.Errorf("tenant b has %g", share)
+		t.Errorf("tenant b has a share of %g, want 0.25", share)
 	}
 	if share := float64(dropped) / n; math.Abs(share-0.4) > 0.02 || maxDelay > 2*time.Second || maxDelay < 1900*time.Millisecond {
-		t.Errorf("%g drop, the last reconnects after %v", share, maxDelay)
+		t.Errorf("a share of %g drops, want 0.4; the longest delay is %v, want about 2s", share, maxDelay)
 	}
 	if groups["g0"] < 3*groups["g4"] || len(groups) < 50 {
-		t.Errorf("the first of %d groups has %d, the fifth %d", len(groups), groups["g0"], groups["g4"])
+		t.Errorf("of %d groups the first has %d requests and the fifth %d, want a Zipf distribution", len(groups), groups["g0"], groups["g4"])
 	}
 }
 
@@ -209,11 +209,11 @@
 		{`"even"`, `"odd"`, "", "t.toml:5: requests.arrivals"},
 		{`deadline = "2s"`, "", "", "t.toml:9: class[0].deadline"},
 		{`name = "chat"`, `name = "a,b"`, "", "t.toml:10: class[0].name"},
-		{"", "", "[[tenant]]\nname = \"acme\"\n", "t.toml:16: tenant[1].name: \"acme\" is given twice"},
+		{"", "", "[[tenant]]\nname = \"acme\"\n", "t.toml:16: tenant[1].name: duplicate name \"acme\""},
 		{"", "", "[[wave]]\nshare = 2.0\n", "t.toml:16: wave[0].share"},
 		{"", "", "[keys]\ncount = 3\nzipf = 0.5\n", "t.toml:17: keys.zipf"},
 		{"", "", "[clients]\ncome_back = [\"2s\", \"1s\"]\n", "t.toml:16: clients.come_back"},
-		{"", "", "[[fault]]\nwhat = \"hang\"\non = \"h1\"\n", "t.toml:16: fault[0].what: a scenario without a fleet"},
+		{"", "", "[[fault]]\nwhat = \"hang\"\non = \"h1\"\n", "t.toml:16: fault[0].what: faults require a fleet"},
 		{"", "", fleet + "mode = \"odd\"\n", "t.toml:19: fleet.mode"},
 		{"", "", fleet + "[fleet.host]\nspeed = -2.0\n", "t.toml:20: fleet.host.speed: -2"},
 		{"", "", fleet + "[[fault]]\non = \"h3\"\nwhat = \"hang\"\n", "t.toml:20: fault[0].on: there is no h3"},
--- a/internal/loadtest/stats.go
+++ b/internal/loadtest/stats.go
@@ -8,23 +8,23 @@
 	hdr "github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Outcome is the outcome of one attempt, or of a request with all its attempts.
+// Outcome is the outcome of one attempt, or of a request after its last attempt.
 type Outcome uint8
 
 // The outcomes.
 const (
 	Served      Outcome = iota // answered with UP
 	Rejected                   // answered with BUSY
-	Failed                     // answered with ERR or what is not in the protocol
+	Failed                     // answered with ERR, or with a line that is not in the protocol
 	Lost                       // the connection ended without an answer
 	TimedOut                   // no answer by the deadline
-	Unreachable                // no connection could be opened
-	Unsent                     // the generator lacked resources to send it
+	Unreachable                // no TCP connection could be opened
+	Unsent                     // the generator lacked the resources to send it
 	Aborted                    // the run ended before the answer
 	outcomeCount
 )
 
-// outcomeNames are the values in results.
+// outcomeNames are the names of the outcomes in result files.
 var outcomeNames = [outcomeCount]string{
 	Served:      "served",
 	Rejected:    "refused",
@@ -38,21 +38,21 @@
 
 func (o Outcome) String() string { return outcomeNames[o] }
 
-// OutcomeNames returns the names of all outcomes in their order.
+// OutcomeNames returns the names of all outcomes in the order of their values.
 func OutcomeNames() []string { return slices.Clone(outcomeNames[:]) }
 
 // classStats are the counters and histograms of one class on one path.
 type classStats struct {
 	requests  int64
-	late      int64 // requests that were served after the deadline, measured from their intended time
+	late      int64 // requests served later than the deadline after their intended time
 	outcomes  [outcomeCount]int64
 	attempts  [outcomeCount]int64
 	latency   [outcomeCount]*hdr.Histogram // from the intended time to the outcome
-	service   *hdr.Histogram               // of the served attempt alone
+	service   *hdr.Histogram               // service time of the served attempt alone
 	reconnect *hdr.Histogram               // from the intended reconnect until it is served
 	message   *hdr.Histogram               // from a line's intended time to its echo
 
-	completed, migrated, broken, dropped, aborted int64 // established connections by end
+	completed, migrated, broken, dropped, aborted int64 // established connections by endReason
 
 	reconnects               int64
 	linesSent, linesAnswered int64
@@ -70,14 +70,14 @@
 	return s
 }
 
-// bucket is an interval of the timeline, by intended time.
+// bucket has the counters of one interval of the timeline. Requests are assigned by their intended time.
 type bucket struct {
 	intended, established, reconnects int64
 	outcomes                          [outcomeCount]int64
 	latency                           *hdr.Histogram // of served requests; nil for none
 }
 
-// maxBuckets bounds the timeline: longer runs have wider buckets.
+// maxBuckets bounds the number of buckets: longer runs have wider ones.
 const maxBuckets = 600
 
 // statsRecorder collects the statistics of a run. Its methods may be called from any goroutine.
@@ -85,12 +85,12 @@
 	mu          sync.Mutex
 	classes     map[classKey]*classStats
 	lateness    *hdr.Histogram // of the generator: from the intended time to the start of the dial
-	wakeupDelay *hdr.Histogram // of sleeping goroutines
+	wakeupDelay *hdr.Histogram // how late sleeping goroutines wake up
 	bucketWidth time.Duration
 	timeline    []bucket
-	established int64 // connections now
+	established int64 // connections at present
 	started     int64 // requests
-	finished    int64 // requests
+	finished    int64 // requests with an outcome
 }
 
 type classKey struct{ path, class string }
@@ -108,7 +108,7 @@
 	}
 }
 
-// updateClass calls f with the statistics of a class while the lock is held.
+// updateClass calls f with the statistics of a class while holding the lock.
 func (r *statsRecorder) updateClass(path, class string, f func(*classStats)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -121,7 +121,7 @@
 	f(stats)
 }
 
-// bucketAt returns the bucket of a time, nil outside the timeline. The lock must be held.
+// bucketAt returns the bucket of a time, or nil if the time is outside the timeline. The caller must hold the lock.
 func (r *statsRecorder) bucketAt(d time.Duration) *bucket {
 	i := int(d / r.bucketWidth)
 	if d < 0 || i > maxBuckets {
@@ -133,7 +133,7 @@
 	return &r.timeline[i]
 }
 
-// updateBucket calls f with the bucket of a time while the lock is held, unless the time is outside the timeline.
+// updateBucket calls f with the bucket of a time while holding the lock, unless the time is outside the timeline.
 func (r *statsRecorder) updateBucket(d time.Duration, f func(*bucket)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -142,7 +142,7 @@
 	}
 }
 
-// requestStarted records a request whose first attempt starts now, with its lateness.
+// requestStarted records a request whose first attempt starts now, and how much later than intended it starts.
 func (r *statsRecorder) requestStarted(request *Request, path string, lateness time.Duration) {
 	r.updateClass(path, request.Class, func(stats *classStats) {
 		stats.requests++
@@ -154,7 +154,7 @@
 	})
 }
 
-// requestFinished records the outcome of a request, with its latency from the intended time.
+// requestFinished records the outcome of a request and its latency from the intended time.
 func (r *statsRecorder) requestFinished(request *Request, path string, outcome Outcome, latency, deadline time.Duration) {
 	r.updateClass(path, request.Class, func(stats *classStats) {
 		r.finished++
--- a/internal/loadtest/stored_test.go
+++ b/internal/loadtest/stored_test.go
@@ -11,10 +11,10 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// The files in testdata were written by an earlier release, the result with a value in every field. Results are compared
-// with those of earlier releases, and traces are replayed.
+// An earlier release wrote the files in testdata. The result file has a value in every field. Both formats must stay
+// readable: users compare results with those of earlier releases, and replay stored traces.
 
-func TestStoredResult_FromEarlierRelease_IsReadAndWrittenAlike(t *testing.T) {
+func TestStoredResult_FromEarlierRelease_RoundTripsUnchanged(t *testing.T) {
 	r, err := ReadResult("testdata/result-v1.json")
 	if err != nil {
 		t.Fatal(err)
@@ -29,11 +29,11 @@
 	}
 	got, err := os.ReadFile(path)
 	if diff := cmp.Diff(string(want), string(got)); diff != "" || err != nil {
-		t.Errorf("%v, a key is lost or has another name: %s", err, diff)
+		t.Errorf("error %v; keys of the result file changed: %s", err, diff)
 	}
 }
 
-func TestStoredTrace_FromEarlierRelease_IsReadAndWrittenAlike(t *testing.T) {
+func TestStoredTrace_FromEarlierRelease_RoundTripsUnchanged(t *testing.T) {
 	trace, err := OpenTrace("testdata/trace-v1.csv", 1)
 	if err != nil {
 		t.Fatal(err)
@@ -57,7 +57,7 @@
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Error(diff)
 	}
-	want[1].Key = "" // a row without a key is read with one of its own
+	want[1].Key = "" // on reading, a row without a key gets one that is derived from its id
 	path := filepath.Join(t.TempDir(), "again.csv")
 	w, err := CreateTrace(path)
 	if err != nil {
@@ -77,6 +77,6 @@
 	}
 	gotText, err := os.ReadFile(path)
 	if diff := cmp.Diff(string(wantText), string(gotText)); diff != "" || err != nil {
-		t.Errorf("%v, %s", err, diff)
+		t.Errorf("error %v; the trace file changed: %s", err, diff)
 	}
 }
--- a/internal/loadtest/summary.go
+++ b/internal/loadtest/summary.go
@@ -7,21 +7,21 @@
 	hdr "github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Histograms count microseconds.
+// Histograms record times in microseconds.
 const (
 	maxMicros       = int64(10 * time.Minute / time.Microsecond)
 	histogramDigits = 3 // significant decimal digits
-	bucketDigits    = 2 // of the timeline's histograms, which are many
+	bucketDigits    = 2 // the same in the timeline, which has many histograms
 )
 
 func newHistogram(digits int) *hdr.Histogram { return hdr.New(1, maxMicros, digits) }
 
-// record adds a time to a histogram; times out of its range count as the nearest bound.
+// record adds a time to a histogram. A time outside the histogram's range counts as the nearest bound.
 func record(h *hdr.Histogram, d time.Duration) {
 	_ = h.RecordValue(min(max(d.Microseconds(), 1), maxMicros))
 }
 
-// Summary is a distribution of times, in milliseconds.
+// Summary summarizes a distribution of times, in milliseconds.
 type Summary struct {
 	Count            int64   `json:"count"`
 	Mean             float64 `json:"mean_ms"`
@@ -30,10 +30,10 @@
 	P99              float64 `json:"p99_ms"`
 	P999             float64 `json:"p999_ms"`
 	Max              float64 `json:"max_ms"`
-	EncodedHistogram string  `json:"hdr,omitempty"` // HdrHistogram's V2 form in base64, in microseconds
+	EncodedHistogram string  `json:"hdr,omitempty"` // in HdrHistogram's V2 encoding, as base64; in microseconds
 }
 
-// summarize returns the summary of a histogram, with the histogram itself if withHistogram is set.
+// summarize returns the summary of a histogram, with the encoded histogram itself if withHistogram is set.
 func summarize(h *hdr.Histogram, withHistogram bool) Summary {
 	s := Summary{Count: h.TotalCount()}
 	if s.Count == 0 {
@@ -56,7 +56,7 @@
 
 func milliseconds(micros int64) float64 { return float64(micros) / 1000 }
 
-// Histogram decodes the histogram, which is in microseconds. Without one it is empty.
+// Histogram decodes the histogram, which is in microseconds. It returns an empty one if the summary has none.
 func (s *Summary) Histogram() (*hdr.Histogram, error) {
 	if s.Count == 0 || s.EncodedHistogram == "" {
 		return newHistogram(histogramDigits), nil
--- a/internal/loadtest/trace_check.go
+++ b/internal/loadtest/trace_check.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// TraceSummary describes a whole trace.
+// TraceSummary summarizes a trace.
 type TraceSummary struct {
 	Rows             int64
-	Duration         time.Duration // until the last intended time, at speed 1
+	Duration         time.Duration // last intended time, at speed 1
 	Classes, Tenants []string      // in order of appearance
 }
 
-// CheckTrace reads a trace to its end, so that errors are found before a replay begins.
+// CheckTrace reads a trace to its end, so that errors are found before a replay starts.
 func CheckTrace(path string) (summary TraceSummary, err error) {
 	t, err := OpenTrace(path, 1)
 	if err != nil {
@@ -33,20 +33,20 @@
 		summary.Rows++
 		summary.Duration = r.IntendedAt
 		if !classes.add(r.Class) || !tenants.add(r.Tenant) {
-			return summary, t.errorAt("", fmt.Errorf("there are over %d classes or tenants", maxNames))
+			return summary, t.errorAt("", fmt.Errorf("more than %d classes or tenants", maxNames))
 		}
 		summary.Classes = classes.names
 		summary.Tenants = tenants.names
 	}
 }
 
-// nameSet is a set of at most maxNames names in order of insertion.
+// nameSet is a set of at most maxNames names that keeps their order of insertion.
 type nameSet struct {
 	names []string
 	seen  map[string]bool
 }
 
-// add returns false where the set is full.
+// add adds a name. It returns false if the name is new and the set is full.
 func (s *nameSet) add(name string) bool {
 	if s.seen[name] {
 		return true
--- a/internal/loadtest/trace_reader.go
+++ b/internal/loadtest/trace_reader.go
@@ -14,17 +14,18 @@
 	"time"
 )
 
-// A trace is a list of requests, one per line, in order of time. It is CSV with a header of column names, or JSON Lines
-// with the same names, and may be compressed with gzip. The columns zone, key, group, message_ms and load are optional.
+// columns are the columns of a trace. A trace is a list of requests, one per line, in order of time. It is CSV with a
+// header of column names, or JSON Lines with the same names, and may be compressed with gzip. The columns zone, key,
+// group, message_ms and load are optional.
 var columns = []string{"id", "at_ms", "class", "tenant", "zone", "key", "group", "life_ms", "message_ms", "load"}
 
 var requiredColumns = []string{"id", "at_ms", "class", "tenant", "life_ms"}
 
 const (
-	// traceWindow is how many rows are sorted at one time, and within which a repeated id is noticed. It bounds the
-	// memory that reading a trace of any length takes.
+	// traceWindow is the number of rows within which rows are sorted and duplicate ids are detected. It bounds the memory
+	// needed to read a trace of any length.
 	traceWindow = 4096
-	maxRow      = 4 << 10 // in bytes
+	maxRow      = 4 << 10 // length of a row in bytes, line ending included
 
 	traceBufferSize = 64 << 10
 	maxReplaySpeed  = 1000
@@ -32,11 +33,11 @@
 
 var gzipMagic = []byte{0x1f, 0x8b}
 
-// TraceError is an error at a line of a trace.
+// TraceError is an error with its location in a trace.
 type TraceError struct {
 	File  string
 	Line  int
-	Field string // "" where the error is not in one field
+	Field string // "" if the error does not concern a single field
 	Err   error
 }
 
@@ -48,10 +49,10 @@
 	return text + e.Err.Error()
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the underlying error.
 func (e *TraceError) Unwrap() error { return e.Err }
 
-// TraceReader reads a trace as a Source, in bounded memory. It sorts rows that are slightly out of order.
+// TraceReader is a Source that reads a trace in bounded memory. It sorts rows that are slightly out of order.
 type TraceReader struct {
 	name   string
 	input  *bufio.Reader
@@ -61,19 +62,19 @@
 	speed  float64
 
 	window    rowHeap
-	linesByID map[string]int // of the last traceWindow rows
+	linesByID map[string]int // line numbers of the last traceWindow rows
 	recentIDs []string       // ring buffer of the keys of linesByID
-	ringIndex int
-	lastTime  time.Duration // of the last row yielded
+	ringIndex int            // of the oldest id in recentIDs
+	lastTime  time.Duration  // intended time of the last row returned, at speed 1
 	atEnd     bool
-	count     int64 // of rows yielded
+	count     int64 // number of rows returned
 }
 
-// OpenTrace opens a trace for a replay at a speed: at 3 the intended times of an hour take 20 minutes. Lifetimes are not
-// scaled.
+// OpenTrace opens a trace for replay at a speed. At speed 3, an hour of intended times takes 20 minutes. Lifetimes are
+// not scaled.
 func OpenTrace(path string, speed float64) (*TraceReader, error) {
 	if !(speed > 0 && speed <= maxReplaySpeed) {
-		return nil, fmt.Errorf("a speed of %g is not above 0 and up to %d", speed, maxReplaySpeed)
+		return nil, fmt.Errorf("invalid speed %g: must be above 0 and at most %d", speed, maxReplaySpeed)
 	}
 	f, err := os.Open(path)
 	if err != nil {
@@ -106,7 +107,7 @@
 	}
 	first, err := t.input.Peek(1)
 	if err != nil {
-		return nil, t.errorAt("", errors.New("there is nothing in it"))
+		return nil, t.errorAt("", errors.New("empty trace"))
 	}
 	if first[0] == '{' {
 		return t, nil
@@ -126,16 +127,16 @@
 	seen := map[string]bool{}
 	for _, column := range t.header {
 		if !slices.Contains(columns, column) {
-			return t.errorAt(column, fmt.Errorf("no such column; there are %s", strings.Join(columns, ", ")))
+			return t.errorAt(column, fmt.Errorf("unknown column; known columns are %s", strings.Join(columns, ", ")))
 		}
 		if seen[column] {
-			return t.errorAt(column, errors.New("the column is there twice"))
+			return t.errorAt(column, errors.New("duplicate column"))
 		}
 		seen[column] = true
 	}
 	for _, column := range requiredColumns {
 		if !seen[column] {
-			return t.errorAt(column, errors.New("the column is missing"))
+			return t.errorAt(column, errors.New("missing column"))
 		}
 	}
 	return nil
@@ -144,16 +145,16 @@
 // Close closes the file.
 func (t *TraceReader) Close() error { return t.close() }
 
-// errorAt returns an error at the current line.
+// errorAt returns a *TraceError for the current line.
 func (t *TraceReader) errorAt(field string, err error) error {
 	return &TraceError{t.name, max(t.line, 1), field, err}
 }
 
 func (t *TraceReader) truncated(err error) error {
-	return t.errorAt("", fmt.Errorf("the trace is cut off here: %w", err))
+	return t.errorAt("", fmt.Errorf("truncated trace: %w", err))
 }
 
-// readLine returns the next line without its end, valid until the next call, and io.EOF after the last.
+// readLine returns the next line without its line ending, valid until the next call, or io.EOF after the last line.
 func (t *TraceReader) readLine() ([]byte, error) {
 	t.line++
 	line, err := t.input.ReadSlice('\n')
@@ -161,16 +162,16 @@
 	case err == nil && len(line) <= maxRow:
 		return bytes.TrimRight(line, "\r\n"), nil
 	case err == nil || errors.Is(err, bufio.ErrBufferFull):
-		return nil, t.errorAt("", fmt.Errorf("the line is longer than %d bytes", maxRow))
+		return nil, t.errorAt("", fmt.Errorf("line exceeds %d bytes", maxRow))
 	case errors.Is(err, io.EOF) && len(line) == 0:
 		return nil, io.EOF
 	case errors.Is(err, io.EOF):
-		return nil, t.truncated(errors.New("the last line has no end"))
+		return nil, t.truncated(errors.New("missing newline after the last line"))
 	}
 	return nil, t.truncated(err)
 }
 
-// Next returns the next request in order of time, and io.EOF after the last. Other errors are *TraceError.
+// Next returns the next request in order of time, or io.EOF after the last one. Other errors are *TraceError.
 func (t *TraceReader) Next() (Request, error) {
 	if err := t.fillWindow(); err != nil {
 		return Request{}, err
@@ -207,7 +208,7 @@
 	return nil
 }
 
-// addRow parses and checks a row, and puts it into the window.
+// addRow parses and validates a row, and adds it to the window.
 func (t *TraceReader) addRow(line []byte) error {
 	r, field, err := t.parseRow(line)
 	if err != nil {
@@ -215,10 +216,10 @@
 	}
 	r.line = t.line
 	if earlier, ok := t.linesByID[r.id]; ok {
-		return t.errorAt("id", fmt.Errorf("%q stands in line %d already", r.id, earlier))
+		return t.errorAt("id", fmt.Errorf("duplicate id %q, first used in line %d", r.id, earlier))
 	}
 	if r.IntendedAt < t.lastTime {
-		return t.errorAt("at_ms", fmt.Errorf("it goes back by more than %d rows can be put in order: sort the trace", traceWindow))
+		return t.errorAt("at_ms", fmt.Errorf("row is out of order by more than %d rows; sort the trace", traceWindow))
 	}
 	delete(t.linesByID, t.recentIDs[t.ringIndex])
 	t.recentIDs[t.ringIndex] = r.id
@@ -228,7 +229,7 @@
 	return nil
 }
 
-// rowHeap is a heap of rows by time, and by line for equal times.
+// rowHeap is a heap of rows in order of time, and of line for equal times.
 type rowHeap []traceRow
 
 func (h rowHeap) Len() int { return len(h) }
@@ -237,10 +238,10 @@
 }
 func (h rowHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 
-// Push appends a row, for package heap.
+// Push implements heap.Interface.
 func (h *rowHeap) Push(x any) { *h = append(*h, x.(traceRow)) }
 
-// Pop removes the last row, for package heap.
+// Pop implements heap.Interface.
 func (h *rowHeap) Pop() any {
 	old := *h
 	last := old[len(old)-1]
--- a/internal/loadtest/trace_recorder.go
+++ b/internal/loadtest/trace_recorder.go
@@ -14,14 +14,15 @@
 	"onyxstream/internal/wire"
 )
 
-// TraceRecorder relays clients to a node and records their requests as a trace: arrival, class, key and lifetime.
+// TraceRecorder relays the connections of clients to a node, and records their requests with arrival time, class, key and
+// lifetime as a trace.
 type TraceRecorder struct {
 	target string
 	out    *TraceWriter
 
 	mu          sync.Mutex
-	begin       time.Time          // of the first request
-	pending     []*recordedRequest // in order of time; written once all before them are complete
+	begin       time.Time          // arrival of the first request
+	pending     []*recordedRequest // in order of time; each is written once it and all earlier ones are complete
 	writeError  error
 	connections map[net.Conn]bool
 	closed      bool
@@ -30,20 +31,20 @@
 }
 
 const (
-	// maxPendingRequests bounds how many requests wait for the end of an earlier one. Beyond it the earlier one is written
-	// with its lifetime so far.
+	// maxPendingRequests bounds the number of requests that wait for an earlier request to complete. If there are more,
+	// the earlier request is written with its lifetime so far.
 	maxPendingRequests = 1 << 18
 
 	acceptRetryWait = 5 * time.Millisecond
 )
 
-// NewTraceRecorder returns a recorder in front of target that writes to out.
+// NewTraceRecorder returns a recorder that relays connections to target and writes the trace to out.
 func NewTraceRecorder(target string, out *TraceWriter) *TraceRecorder {
 	return &TraceRecorder{target: target, out: out, connections: map[net.Conn]bool{}}
 }
 
-// RecordLive listens, relays clients to target and records their requests in the file path, until ctx ends. It calls ready
-// with the listening address, and returns the number of requests recorded.
+// RecordLive listens on an address, relays the connections of clients to target and records their requests in a file,
+// until ctx ends. It calls ready with the address it listens on, and returns the number of recorded requests.
 func RecordLive(ctx context.Context, listen, target, path string, ready func(addr string)) (int64, error) {
 	l, err := net.Listen("tcp", listen)
 	if err != nil {
@@ -62,8 +63,8 @@
 	return n, nil
 }
 
-// Serve relays clients until ctx ends. It then closes all connections and completes the trace. It returns the number of
-// requests recorded.
+// Serve relays clients until ctx ends. It then closes all connections, completes the trace and returns the number of
+// recorded requests.
 func (t *TraceRecorder) Serve(ctx context.Context, l net.Listener) (int64, error) {
 	g, ctx := errgroup.WithContext(ctx)
 	g.Go(func() error {
@@ -83,7 +84,7 @@
 	return t.out.rows, errors.Join(err, t.writeError, t.out.Close())
 }
 
-// acceptClients relays clients until the listener or the recorder is closed.
+// acceptClients accepts and relays clients until the listener or the recorder is closed.
 func (t *TraceRecorder) acceptClients(l net.Listener) {
 	for {
 		client, err := l.Accept()
@@ -144,7 +145,8 @@
 	observer.connectionClosed()
 }
 
-// copyStream copies from source to destination and to observer, and passes on the end: a FIN or a reset.
+// copyStream copies from source to destination and to observer. When source ends, it ends destination in the same way,
+// with a FIN or a reset.
 func copyStream(destination, source net.Conn, observer io.Writer) {
 	_, err := io.Copy(destination, io.TeeReader(source, observer))
 	if err != nil {
@@ -155,7 +157,7 @@
 	_ = destination.(*net.TCPConn).CloseWrite()
 }
 
-// recordOpening records the request of an opening line. It returns nil where the line is none.
+// recordOpening records the request of an opening line. It returns nil if the line is not a valid opening line.
 func (t *TraceRecorder) recordOpening(line []byte) *recordedRequest {
 	_, o, err := wire.ParseOpening(line)
 	if err != nil || o.ID == "" || o.Class == "" || o.Tenant == "" {
@@ -170,15 +172,15 @@
 	if t.begin.IsZero() {
 		t.begin = request.opened
 	}
-	request.opened = time.Now() // under the lock, so that rows are in order
+	request.opened = time.Now() // read while holding the lock, so that rows are in order of time
 	request.IntendedAt = max(request.opened.Sub(t.begin), 0).Round(time.Microsecond)
 	t.pending = append(t.pending, request)
 	t.flush(maxPendingRequests)
 	return request
 }
 
-// flush writes the complete requests at the front, and incomplete ones while more than maxPending are pending. The lock
-// must be held.
+// flush writes pending requests from the first on, up to the first incomplete one. While more than maxPending are
+// pending, it completes and writes incomplete ones too. The caller must hold the lock.
 func (t *TraceRecorder) flush(maxPending int) {
 	written := 0
 	for written < len(t.pending) && (t.pending[written].ended || len(t.pending)-written > maxPending) {
--- a/internal/loadtest/trace_recorder_test.go
+++ b/internal/loadtest/trace_recorder_test.go
@@ -24,9 +24,9 @@
 	want := readAll(t, NewSchedule(s))
 	recorderAddress := <-ready
 	if n := runScenario(t, t.Context(), s, recorderAddress, nil).Classes[0].Outcomes["served"]; n != int64(len(want)) {
-		t.Errorf("%d served through the recorder", n)
+		t.Errorf("%d requests served through the recorder, want all of them", n)
 	}
-	if c, err := net.Dial("tcp", recorderAddress); err == nil { // PING is relayed, not recorded
+	if c, err := net.Dial("tcp", recorderAddress); err == nil { // PING is relayed but not recorded
 		_, _ = io.WriteString(c, "PING\r\n")
 		_ = c.Close()
 	}
@@ -41,7 +41,7 @@
 	defer tr.Close()
 	got := readAll(t, tr)
 	if len(got) != len(want) {
-		t.Fatalf("%d rows, want %d", len(got), len(want))
+		t.Fatalf("%d requests recorded, want %d", len(got), len(want))
 	}
 	byKey := map[string]Request{}
 	for _, r := range want {
@@ -50,7 +50,7 @@
 	for _, r := range got {
 		w := byKey[r.Key]
 		if r.Class != w.Class || r.Group != w.Group || r.Tenant != w.Tenant || r.Lifetime < 200*time.Millisecond || r.MessageInterval <= 0 {
-			t.Errorf("recorded %+v, was %+v", r, w)
+			t.Errorf("request recorded as %+v, sent as %+v", r, w)
 		}
 	}
 }
--- a/internal/loadtest/trace_test.go
+++ b/internal/loadtest/trace_test.go
@@ -25,7 +25,7 @@
 const csvHeader = "id,at_ms,class,tenant,life_ms\n"
 
 func TestTraceReader_Invalid_ErrorNamesLineAndField(t *testing.T) {
-	var far strings.Builder // a row that comes more than the window too late
+	var far strings.Builder // more rows than the window, so that a row at 1 ms after them is too late to be sorted
 	for i := range traceWindow + 10 {
 		fmt.Fprintf(&far, "%d,%d,a,b,1\n", i, 1000+i)
 	}
@@ -34,26 +34,26 @@
 	_, _ = io.WriteString(z, csvHeader+far.String())
 	_ = z.Close()
 	for _, c := range []struct{ text, want string }{
-		{"", "t.csv:1: there is nothing in it"},
-		{"id,at_ms\n", "t.csv:1: class: the column is missing"},
-		{"id,at_ms,class,tenant,life_ms,colour\n", "t.csv:1: colour: no such column"},
-		{"id,id,class,tenant,life_ms\n", "t.csv:1: id: the column is there twice"},
-		{csvHeader + "1,0,a,b,5\n2,soon,a,b,5\n", `t.csv:3: at_ms: "soon" is no time`},
+		{"", "t.csv:1: empty trace"},
+		{"id,at_ms\n", "t.csv:1: class: missing column"},
+		{"id,at_ms,class,tenant,life_ms,colour\n", "t.csv:1: colour: unknown column"},
+		{"id,id,class,tenant,life_ms\n", "t.csv:1: id: duplicate column"},
+		{csvHeader + "1,0,a,b,5\n2,soon,a,b,5\n", `t.csv:3: at_ms: "soon" is not a number of milliseconds`},
 		{csvHeader + "1,-4,a,b,5\n", "t.csv:2: at_ms"},
 		{csvHeader + "1,NaN,a,b,5\n", "t.csv:2: at_ms"},
-		{csvHeader + "1,0,a,b\n", "t.csv:2: 4 fields, the first line names 5"},
-		{csvHeader + "1,0,,b,5\n", "t.csv:2: class: it is missing"},
-		{csvHeader + "1,0,a b,b,5\n", `t.csv:2: class: "a b" is no name`},
-		{csvHeader + "1,0,a,b,5\n1,2,a,b,5\n", `t.csv:3: id: "1" stands in line 2 already`},
-		{csvHeader + "1,0,a,b,5\n2,1,a,b,12", "t.csv:3: the trace is cut off here: the last line has no end"},
-		{csvHeader + far.String() + "x,1,a,b,5\n", fmt.Sprintf("t.csv:%d: at_ms: it goes back", traceWindow+12)},
-		{csvHeader + "1,0,a,b," + strings.Repeat("5", 10000) + "\n", "t.csv:2: the line is longer"},
-		{csvHeader + "1,0,a,b," + strings.Repeat("5", 100000) + "\n", "t.csv:2: the line is longer"},
-		{`{"id":"1","at_ms":0,"class":"a","tenant":"b","life_ms":5,"x":1}` + "\n", "t.csv:1: x: no such field"},
+		{csvHeader + "1,0,a,b\n", "t.csv:2: 4 fields, but the header has 5"},
+		{csvHeader + "1,0,,b,5\n", "t.csv:2: class: missing value"},
+		{csvHeader + "1,0,a b,b,5\n", `t.csv:2: class: invalid name "a b"`},
+		{csvHeader + "1,0,a,b,5\n1,2,a,b,5\n", `t.csv:3: id: duplicate id "1", first used in line 2`},
+		{csvHeader + "1,0,a,b,5\n2,1,a,b,12", "t.csv:3: truncated trace: missing newline after the last line"},
+		{csvHeader + far.String() + "x,1,a,b,5\n", fmt.Sprintf("t.csv:%d: at_ms: row is out of order", traceWindow+12)},
+		{csvHeader + "1,0,a,b," + strings.Repeat("5", 10000) + "\n", "t.csv:2: line exceeds 4096 bytes"},
+		{csvHeader + "1,0,a,b," + strings.Repeat("5", 100000) + "\n", "t.csv:2: line exceeds 4096 bytes"},
+		{`{"id":"1","at_ms":0,"class":"a","tenant":"b","life_ms":5,"x":1}` + "\n", "t.csv:1: x: unknown field"},
 		{`{"id":"1","at_ms":[],"class":"a","tenant":"b","life_ms":5}` + "\n", "t.csv:1: at_ms"},
-		{`{"id":` + "\n", "t.csv:1: no object of JSON"},
-		{string(packed.Bytes()[:packed.Len()/2]), "cut off here: unexpected EOF"},
-		{"\x1f\x8b\x00", "t.csv:1: the trace is cut off here"},
+		{`{"id":` + "\n", "t.csv:1: invalid JSON object"},
+		{string(packed.Bytes()[:packed.Len()/2]), "truncated trace: unexpected EOF"},
+		{"\x1f\x8b\x00", "t.csv:1: truncated trace"},
 	} {
 		tr, err := newTraceReader("t.csv", strings.NewReader(c.text), 1)
 		for err == nil {
@@ -66,7 +66,8 @@
 	}
 }
 
-// Rows that are slightly out of order are sorted, CSV and JSON Lines are equivalent, and the speed scales all intended times.
+// Rows that are slightly out of order are sorted, CSV and JSON Lines are equivalent, and the speed scales all intended
+// times.
 func TestTraceReader_Speed_KeepsOrderAndSpacing(t *testing.T) {
 	rows := readAll(t, newTestTrace(t, csvHeader+"a,30,x,t,5\nb,0,x,t,6\nc,30,y,t,7\nd,15,x,t,8\n", 1))
 	text := ""
@@ -74,22 +75,22 @@
 		text += fmt.Sprint(r.IntendedAt, " ", r.Key, "; ")
 	}
 	if text != "0s kb; 15ms kd; 30ms ka; 30ms kc; " {
-		t.Errorf("read as %s", text)
+		t.Errorf("CSV read as %s", text)
 	}
 	lines := `{"id":"b","at_ms":0,"class":"x","tenant":"t","life_ms":6}
 {"id":"d","at_ms":"15","class":"x","tenant":"t","life_ms":8}
 `
 	if got := readAll(t, newTestTrace(t, lines, 1)); len(got) != 2 || got[1] != rows[1] {
-		t.Errorf("as JSON Lines %+v", got)
+		t.Errorf("JSON Lines read as %+v", got)
 	}
 	for i, r := range readAll(t, newTestTrace(t, csvHeader+"a,30,x,t,5\nb,0,x,t,6\nc,30,y,t,7\nd,15,x,t,8\n", 3)) {
 		if r.IntendedAt != rows[i].IntendedAt/3 || r.Lifetime != rows[i].Lifetime || r.Key != rows[i].Key {
-			t.Errorf("at three times the speed %+v, was %+v", r, rows[i])
+			t.Errorf("at speed 3 read as %+v, at speed 1 as %+v", r, rows[i])
 		}
 	}
 }
 
-// generatedTrace is a reader of a trace of n rows, which it generates as they are read.
+// generatedTrace is an io.Reader of a trace of n rows, which it generates while being read.
 type generatedTrace struct {
 	n, at int
 	rest  []byte
@@ -124,11 +125,11 @@
 			t.Fatal(err)
 		}
 		if len(tr.window) > traceWindow || len(tr.linesByID) > traceWindow+1 {
-			t.Fatalf("%d rows and %d ids are held", len(tr.window), len(tr.linesByID))
+			t.Fatalf("%d rows and %d ids are in memory, want at most one window", len(tr.window), len(tr.linesByID))
 		}
 	}
 	if n != 100_000 {
-		t.Errorf("%d rows", n)
+		t.Errorf("%d rows read, want 100000", n)
 	}
 }
 
@@ -157,19 +158,19 @@
 		_ = tr.Close()
 		for i := range want {
 			if d := got[i].IntendedAt - want[i].IntendedAt; d > time.Microsecond || d < -time.Microsecond {
-				t.Fatalf("row %d is at %v, was %v", i, got[i].IntendedAt, want[i].IntendedAt)
+				t.Fatalf("row %d is read at %v, was written at %v", i, got[i].IntendedAt, want[i].IntendedAt)
 			}
 			got[i].IntendedAt, got[i].Lifetime = want[i].IntendedAt, want[i].Lifetime
 			if got[i] != want[i] {
-				t.Fatalf("row %d is %+v, was %+v", i, got[i], want[i])
+				t.Fatalf("row %d is read as %+v, was written as %+v", i, got[i], want[i])
 			}
 		}
 		if sum, err := CheckTrace(path); err != nil || sum.Rows != int64(len(want)) || len(sum.Classes) != 1 {
-			t.Errorf("checked as %+v, error %v", sum, err)
+			t.Errorf("CheckTrace returns %+v, error %v", sum, err)
 		}
 	}
 	if _, err := OpenTrace(filepath.Join(t.TempDir(), "none"), 1); !errors.Is(err, os.ErrNotExist) {
-		t.Errorf("a file that is not there: %v", err)
+		t.Errorf("opening a missing file: error %v, want os.ErrNotExist", err)
 	}
 }
 
@@ -188,7 +189,7 @@
 				return
 			}
 			if r.IntendedAt < last || r.Lifetime < 0 || r.Class == "" {
-				t.Fatalf("%+v after %v", r, last)
+				t.Fatalf("invalid request %+v after one at %v", r, last)
 			}
 			last = r.IntendedAt
 		}
--- a/internal/loadtest/trace_writer.go
+++ b/internal/loadtest/trace_writer.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// TraceWriter writes a trace as CSV, compressed where its file name ends in .gz.
+// TraceWriter writes a trace as CSV. It compresses the trace if the file name ends in .gz.
 type TraceWriter struct {
 	file   io.WriteCloser
 	gzip   *gzip.Writer // nil without compression
@@ -35,7 +35,7 @@
 	return t, err
 }
 
-// Write appends a request. Requests have to be in order of time.
+// Write appends a request. Requests have to be written in order of their intended times.
 func (t *TraceWriter) Write(r Request) error {
 	t.rows++
 	_, err := fmt.Fprintf(t.buffer, "%d,%s,%s,%s,%s,%s,%s,%s,%s,%s\n",
