--- a/internal/cli/scale_print.go
+++ b/internal/cli/scale_print.go
@@ -12,7 +12,7 @@
 func printScale(w io.Writer, result scaletest.Result) error {
 	table := newNumberTable(w)
 	printSamples(table, result.Samples)
-	printDifferences(table, result.CostRatios)
+	printDifferences(table, result.Ratios)
 	printFits(table, result)
 	if result.Shortage != "" {
 		fmt.Fprintf(table, "\nnot all was measured: %s\n", result.Shortage)
--- a/internal/cli/scale_test.go
+++ b/internal/cli/scale_test.go
@@ -27,9 +27,9 @@
 
 func TestPrintScale_Result_HasAllTables(t *testing.T) {
 	r := scaletest.Result{Spec: scaletest.Spec{Target: scaletest.Target{Nodes: 2600}}, Shortage: "2600 hollow nodes: short of memory",
-		Samples:    []scaletest.Sample{{Kind: scaletest.Real, Nodes: 3, Changes: scaletest.Phase{BytesPerS: 1088, Latency: scaletest.Latency{Max: 7 * time.Millisecond}}}},
-		CostRatios: []scaletest.CostRatios{{Nodes: 3, Bytes: 1, Memory: 0.37}},
-		Fits:       []scaletest.Fit{{Metric: "nodes, memory, MB", AtTarget: 200, Budget: 100}, {Metric: "service, at rest, bytes/s", AtTarget: 31200, WithinBudget: true}}}
+		Samples: []scaletest.Sample{{Kind: scaletest.Real, Nodes: 3, Changes: scaletest.Phase{BytesPerS: 1088, Latency: scaletest.Latency{Max: 7 * time.Millisecond}}}},
+		Ratios:  []scaletest.CostRatios{{Nodes: 3, Bytes: 1, Memory: 0.37}},
+		Fits:    []scaletest.Fit{{Metric: "nodes, memory, MB", AtTarget: 200, Budget: 100}, {Metric: "service, at rest, bytes/s", AtTarget: 31200, WithinBudget: true}}}
 	var out bytes.Buffer
 	if err := printScale(&out, r); err != nil {
 		t.Fatal(err)
--- a/internal/scaletest/fit.go
+++ b/internal/scaletest/fit.go
@@ -6,22 +6,22 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Fit is a linear fit of a metric over the number of nodes: Intercept + Slope * nodes.
+// Fit is a linear fit of a metric to the number of nodes: Intercept + Slope * nodes.
 type Fit struct {
 	Metric       string  `json:"what"`
 	Intercept    float64 `json:"base"`
 	Slope        float64 `json:"slope"`
 	R2           float64 `json:"r2"` // coefficient of determination: 1 for an exact fit
 	Samples      int     `json:"samples"`
-	SizeRatio    float64 `json:"spread"`    // largest size over smallest
+	SizeRatio    float64 `json:"spread"`    // largest fleet size divided by the smallest
 	AtTarget     float64 `json:"at_target"` // extrapolated to the target size
-	Budget       float64 `json:"budget"`    // 0 for none
+	Budget       float64 `json:"budget"`    // at the target size; 0 for none
 	WithinBudget bool    `json:"fits"`
 }
 
-var errTooFewSizes = errors.New("a slope needs two sizes")
+var errTooFewSizes = errors.New("a linear fit requires two different fleet sizes")
 
-// fitLine fits a line to values by size, which ascend, and extrapolates it to the target.
+// fitLine fits a line to the values at the sizes, and extrapolates it to the target size. The sizes must ascend.
 func fitLine(metric string, sizes, values []float64, target int, budget float64) (Fit, error) {
 	if len(sizes) < 2 || sizes[0] == sizes[len(sizes)-1] {
 		return Fit{Metric: metric}, errTooFewSizes
@@ -34,7 +34,7 @@
 	return f, nil
 }
 
-// fleetMetric is a metric of a whole fleet, with its budget at the target size; 0 for none.
+// fleetMetric is a metric of a whole fleet. Its budget is for a fleet of the target size, 0 for none.
 type fleetMetric struct {
 	name   string
 	budget float64
@@ -58,7 +58,7 @@
 	}
 }
 
-// fitMetrics fits the metrics of the fleets of simulated nodes.
+// fitMetrics fits all metrics to the samples of simulated fleets. It omits metrics with fewer than two sizes.
 func fitMetrics(samples []Sample, target Target) (out []Fit) {
 	for _, metric := range fleetMetrics(target) {
 		var sizes, values []float64
@@ -75,17 +75,18 @@
 	return out
 }
 
-// CostRatios has the costs of a simulated node divided by those of a real one, in fleets of one size with changes.
+// CostRatios has the costs of a simulated node divided by those of a real node. Both fleets have the same size and were
+// measured in the phase with changes.
 type CostRatios struct {
 	Nodes    int     `json:"nodes"`
 	Bytes    float64 `json:"bytes"`
 	Messages float64 `json:"messages"`
 	Cores    float64 `json:"cores"`
 	Memory   float64 `json:"memory"`
-	Median   float64 `json:"median"` // of the propagation latency
+	Median   float64 `json:"median"` // median propagation latency
 }
 
-// compareKinds compares the samples of both kinds at the sizes that both have.
+// compareKinds compares simulated with real nodes at each size that was measured with both.
 func compareKinds(samples []Sample) (out []CostRatios) {
 	for _, real := range samples {
 		for _, simulated := range samples {
@@ -108,7 +109,7 @@
 	}
 }
 
-// ratio is a over b, 0 where b is 0.
+// ratio returns a/b, or 0 if b is 0.
 func ratio(a, b float64) float64 {
 	if b == 0 {
 		return 0
--- a/internal/scaletest/fleet.go
+++ b/internal/scaletest/fleet.go
@@ -12,13 +12,13 @@
 
 // measuredFleet is a running fleet of real or simulated nodes.
 type measuredFleet interface {
-	usage() testcluster.Usage // of all its processes; the peak memory is that of the largest
-	memoryMB() float64        // of one node
-	restart(n int) error      // restarts n nodes at once
+	usage() testcluster.Usage // usage of all processes; the peak memory is that of the largest process
+	memoryMB() float64        // peak memory of one node
+	restart(n int) error      // restarts n nodes simultaneously
 	close()
 }
 
-// fleetFor returns the configuration of a fleet of n nodes. No requests are sent to its hosts.
+// fleetFor returns the configuration of a fleet of n nodes whose hosts get no requests.
 func fleetFor(s Spec, n int) (testcluster.Config, testcluster.Options, error) {
 	fleet := testcluster.Config{Nodes: n, Hosts: s.Hosts, Discovery: testcluster.DiscoveryConfig{Push: true}}
 	options := testcluster.Options{
@@ -30,7 +30,8 @@
 	return fleet, options, fleet.Check(options.Classes, options.Tenants)
 }
 
-// startFleet starts a fleet of n nodes. What was started is returned beside an error too, and has to be closed.
+// startFleet starts a fleet of n nodes. The caller must close both the cluster and the fleet unless they are nil, also
+// after an error.
 func startFleet(s Spec, kind Kind, n int, opt Options, log io.Writer) (*testcluster.Cluster, measuredFleet, error) {
 	configured := n
 	if kind == Simulated {
@@ -56,7 +57,7 @@
 	return cluster, &realFleet{cluster}, cluster.Launch()
 }
 
-// realFleet is a fleet of real nodes, which the cluster starts and stops.
+// realFleet is a fleet of real nodes. The cluster starts and stops them.
 type realFleet struct {
 	cluster *testcluster.Cluster
 }
@@ -78,5 +79,5 @@
 	return errors.Join(errs...)
 }
 
-// nodeEnvironment is the environment of a process of simulated nodes.
+// nodeEnvironment returns the environment of a process that runs simulated nodes.
 func nodeEnvironment(config string) []string { return append(os.Environ(), "PROXY_CONFIG="+config) }
--- a/internal/scaletest/line_writer.go
+++ b/internal/scaletest/line_writer.go
@@ -5,16 +5,17 @@
 	"io"
 )
 
-// maxPartialLine bounds the incomplete line that a lineWriter keeps, in bytes.
+// maxPartialLine bounds the length of the incomplete line that a lineWriter buffers, in bytes.
 const maxPartialLine = 64 << 10
 
-// lineWriter passes on the output of one process in complete lines: a pipe may be read in the middle of a line.
+// lineWriter forwards the output of one process in complete lines, because a read from a pipe can end in the middle of a
+// line.
 type lineWriter struct {
 	out     io.Writer
 	partial []byte
 }
 
-// Write passes on complete lines and keeps the rest. A line that is too long is dropped.
+// Write forwards complete lines and buffers the rest. If the rest reaches maxPartialLine, it is dropped.
 func (w *lineWriter) Write(text []byte) (int, error) {
 	w.partial = append(w.partial, text...)
 	end := bytes.LastIndexByte(w.partial, '\n') + 1
--- a/internal/scaletest/measurement.go
+++ b/internal/scaletest/measurement.go
@@ -15,7 +15,7 @@
 	propagationTimeout = 10 * time.Second
 	pollInterval       = 10 * time.Millisecond
 
-	// firstRevision is that of the endpoint list that nodes start with.
+	// firstRevision is the revision of the endpoint list that nodes start with.
 	firstRevision = 1
 )
 
@@ -26,12 +26,12 @@
 	fleet       measuredFleet
 	nodes       int
 	propagation *propagationRecorder
-	nextHost    int   // index of the next change's host, not reduced to the number of hosts
-	revision    int64 // of the last change; 0 before the first
+	nextHost    int   // number of changes so far; modulo the number of hosts, the index of the next one's host
+	revision    int64 // revision of the last change; 0 before the first
 }
 
-// measureFleet starts a fleet, measures its phases and stops it. It returns a *ShortageError where the machine lacks a
-// resource.
+// measureFleet starts a fleet, measures its phases and stops it. It returns a *ShortageError if the machine lacks a
+// resource for the fleet.
 func measureFleet(ctx context.Context, s Spec, kind Kind, n int, opt Options) (sample Sample, err error) {
 	descriptors, err := opt.descriptorLimit()
 	if err != nil {
@@ -62,7 +62,7 @@
 		if err := ctx.Err(); err != nil {
 			return sample, err
 		}
-		resource := fmt.Sprintf("processor: %d follow the list after %v", m.cluster.Discovery.OpenCalls(), startupTimeout)
+		resource := fmt.Sprintf("processor: only %d nodes watch the endpoint list after %v", m.cluster.Discovery.OpenCalls(), startupTimeout)
 		return sample, &ShortageError{kind, m.nodes, resource}
 	}
 	sample.StartupTime = time.Since(begin)
@@ -73,13 +73,13 @@
 	sample.MemoryMB = m.fleet.memoryMB()
 	used := sample.MemoryMB * float64(m.nodes)
 	if used > float64(m.spec.MaxMemoryMB) {
-		resource := fmt.Sprintf("memory: %.0f MB are taken, %d may be", used, m.spec.MaxMemoryMB)
+		resource := fmt.Sprintf("memory: %.0f MB used, %d MB allowed", used, m.spec.MaxMemoryMB)
 		return sample, &ShortageError{kind, m.nodes, resource}
 	}
 	return sample, errors.Join(restartError, ctx.Err())
 }
 
-// restartNodes restarts the spec's share of the nodes, with changes meanwhile.
+// restartNodes restarts the spec's share of the nodes and makes changes while they restart.
 func (m *measurement) restartNodes(ctx context.Context) error {
 	if err := m.fleet.restart(int(float64(m.nodes) * m.spec.RestartShare)); err != nil {
 		return err
@@ -89,7 +89,7 @@
 	return nil
 }
 
-// awaitWatches waits until all nodes watch the endpoint list. It returns false on a timeout or the end of ctx.
+// awaitWatches waits until all nodes watch the endpoint list. It returns false after a timeout or if ctx ends.
 func (m *measurement) awaitWatches(ctx context.Context, timeout time.Duration) bool {
 	deadline := time.Now().Add(timeout)
 	for ; time.Now().Before(deadline) && ctx.Err() == nil; sleep(ctx, pollInterval) {
@@ -100,7 +100,7 @@
 	return false
 }
 
-// measurePhase measures the fleet while f runs.
+// measurePhase runs f and measures the fleet meanwhile.
 func (m *measurement) measurePhase(f func()) Phase {
 	begin := time.Now()
 	trafficBefore := m.cluster.Discovery.Traffic()
@@ -118,8 +118,8 @@
 	}
 }
 
-// applyChanges makes n changes of the endpoint list, one host each, at the spec's rate, and waits until all nodes have
-// them or a timeout has passed.
+// applyChanges makes n changes to the endpoint list at the spec's rate, each to one host. It then waits until all nodes
+// have received them, or until a timeout.
 func (m *measurement) applyChanges(ctx context.Context, n int) {
 	ticker := time.NewTicker(m.spec.changeInterval())
 	defer ticker.Stop()
@@ -137,7 +137,7 @@
 	}
 }
 
-// applyChange makes the next host drain, or serve again once all hosts have been drained.
+// applyChange marks the next host as draining. Once all hosts drain, it marks them as serving again, one per call.
 func (m *measurement) applyChange() {
 	hosts := m.cluster.Hosts()
 	phase := wire.Draining
--- a/internal/scaletest/propagation.go
+++ b/internal/scaletest/propagation.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// propagationRecorder measures how long changes of the endpoint list take to reach the nodes, from the nodes' log lines.
-// It is an io.Writer for the complete lines of many processes; see lineWriter.
+// propagationRecorder measures how long changes of the endpoint list take to reach the nodes, based on the nodes' log
+// lines. It is an io.Writer that accepts complete lines of several processes; see lineWriter.
 type propagationRecorder struct {
 	mu        sync.Mutex
 	changedAt map[int64]time.Time                // by revision
@@ -21,13 +21,13 @@
 	return &propagationRecorder{changedAt: map[int64]time.Time{}, latencies: map[int64]map[string]time.Duration{}}
 }
 
-// watchEventLine matches the line that a node logs for a revision that it got: time, node and revision.
+// watchEventLine matches the line that a node logs when it receives a revision. The groups are time, node and revision.
 var watchEventLine = regexp.MustCompile(`^(\S+)\tdebug\tendpoint list received\t.*"node": "([^"]+)", "revision": (\d+)`)
 
-// logTimeFormat is the format of times in log lines.
+// logTimeFormat is the time format of log lines.
 const logTimeFormat = "2006-01-02T15:04:05.000Z0700"
 
-// Write reads log lines.
+// Write processes complete log lines.
 func (r *propagationRecorder) Write(text []byte) (int, error) {
 	for line := range bytes.Lines(text) {
 		match := watchEventLine.FindSubmatch(line)
@@ -43,7 +43,8 @@
 	return len(text), nil
 }
 
-// recordReceived records that a node has a revision, and with it all earlier ones.
+// recordReceived records that a node has received a revision, and with it all earlier ones. It ignores a time from before
+// the change, such as that of an earlier line.
 func (r *propagationRecorder) recordReceived(node string, revision int64, at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -57,7 +58,7 @@
 	}
 }
 
-// recordChange records that a revision is made now.
+// recordChange records that a revision is created now.
 func (r *propagationRecorder) recordChange(revision int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -65,7 +66,7 @@
 	r.latencies[revision] = map[string]time.Duration{}
 }
 
-// isComplete reports whether all revisions have reached so many nodes.
+// isComplete reports whether each revision has reached the given number of nodes.
 func (r *propagationRecorder) isComplete(nodes int) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -77,16 +78,16 @@
 	return true
 }
 
-// Latency is the distribution of times from a change of the endpoint list until a node has it.
+// Latency is the distribution of the times from a change of the endpoint list until a node receives it.
 type Latency struct {
 	Median   time.Duration `json:"median_ns"`
 	P99      time.Duration `json:"p99_ns"`
 	Max      time.Duration `json:"last_ns"`
-	Received int           `json:"received"` // pairs of a node and a change
-	Missing  int           `json:"missing"`  // pairs of a node and a change that did not reach it
+	Received int           `json:"received"` // number of pairs of a node and a change that reached it
+	Missing  int           `json:"missing"`  // number of pairs of a node and a change that did not reach it
 }
 
-// takeLatency returns the distribution for so many nodes, and resets the recorder.
+// takeLatency returns the distribution for the given number of nodes, and resets the recorder.
 func (r *propagationRecorder) takeLatency(nodes int) (l Latency) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/scaletest/run.go
+++ b/internal/scaletest/run.go
@@ -10,19 +10,19 @@
 
 // Options are the options of a run.
 type Options struct {
-	Program     string       // the executable, which runs nodes and simulated nodes
-	Progress    func(string) // called before each fleet; nil for none
-	Descriptors uint64       // that a process may open; 0 for the system's limit
+	Program     string       // path of the executable that runs real and simulated nodes
+	Progress    func(string) // called with a description of each fleet before its start; may be nil
+	Descriptors uint64       // file descriptors that a process may open; 0 for the system's limit
 }
 
-// fleetSize is a fleet to be measured.
+// fleetSize identifies a fleet to measure.
 type fleetSize struct {
 	kind  Kind
 	nodes int
 }
 
-// Run measures all fleets of a spec in order of size. Where the machine lacks a resource the result says which, and has
-// the samples until then. Beside another error it has them too.
+// Run measures all fleets of a spec in order of size. If the machine lacks a resource for a fleet, Run stops there and
+// names the resource in the result. In this case and after an error, the result has the samples taken until then.
 func Run(ctx context.Context, s Spec, opt Options) (Result, error) {
 	result := Result{Spec: s}
 	var runError error
@@ -42,13 +42,13 @@
 		}
 		result.Samples = append(result.Samples, sample)
 	}
-	result.CostRatios = compareKinds(result.Samples)
+	result.Ratios = compareKinds(result.Samples)
 	result.Fits = fitMetrics(result.Samples, s.Target)
 	return result, runError
 }
 
-// fleetSizes returns the fleets in ascending order, real ones first. Each size of a real fleet is measured with simulated
-// nodes too.
+// fleetSizes returns the fleets in ascending order of size, with the real one of each size first. Each size of a real
+// fleet is measured with simulated nodes too.
 func (s *Spec) fleetSizes() (sizes []fleetSize) {
 	for _, n := range s.RealSizes {
 		sizes = append(sizes, fleetSize{Real, n})
@@ -64,23 +64,24 @@
 }
 
 const (
-	// descriptorsPerNode are those of a simulated node: a watch, and another while it is being reopened. As many are open
-	// in the process of discovery.
+	// descriptorsPerNode is the number of file descriptors of a simulated node: one for its watch, and another while the
+	// watch is being reopened. The process that runs discovery needs the same number.
 	descriptorsPerNode = 2
-	// baseDescriptors are all others of such a process.
+	// baseDescriptors is the number of all other file descriptors of such a process.
 	baseDescriptors = 200
 )
 
-// missingResource says what a fleet lacks in processes with so many descriptors, "" for nothing.
+// missingResource returns the resource that a fleet lacks if each process may open the given number of file descriptors,
+// or "" if it lacks none.
 func missingResource(kind Kind, nodes int, descriptors uint64) string {
 	needed := uint64(nodes*descriptorsPerNode + baseDescriptors)
 	if kind == Simulated && needed > descriptors {
-		return fmt.Sprintf("descriptors: %d are needed, a process has %d", needed, descriptors)
+		return fmt.Sprintf("descriptors: %d needed, %d available per process", needed, descriptors)
 	}
 	return ""
 }
 
-// descriptorLimit returns how many descriptors a process may open.
+// descriptorLimit returns the number of file descriptors that a process may open.
 func (o *Options) descriptorLimit() (uint64, error) {
 	if o.Descriptors != 0 {
 		return o.Descriptors, nil
--- a/internal/scaletest/scale_test.go
+++ b/internal/scaletest/scale_test.go
@@ -23,7 +23,7 @@
 	os.Exit(code)
 }
 
-// buildProgram builds the program once, and returns its path.
+// buildProgram builds the program on its first call, and returns its path on every call.
 var buildProgram = sync.OnceValues(func() (string, error) {
 	dir, err := os.MkdirTemp("", "onyxstream-scale")
 	if err != nil {
@@ -42,9 +42,9 @@
 		Changes: 5, ChangesPerDay: 1600, Speedup: 720, RestartShare: 0.1, MaxMemoryMB: 4000, Target: Target{Nodes: 2600, BytesPerS: 2000}}
 }
 
-// Each change reaches each simulated and each real node, also those that restart meanwhile, and discovery sends a simulated
-// node as many bytes as a real one.
-func TestRun_SmallFleets_EveryNodeHasEveryChange(t *testing.T) {
+// Each change reaches every simulated and every real node, including those that restart during the changes. Discovery
+// sends about as many bytes to a simulated node as to a real one.
+func TestRun_SmallFleets_EveryNodeReceivesEveryChange(t *testing.T) {
 	path, err := buildProgram()
 	if err != nil {
 		t.Fatal(err)
@@ -52,10 +52,10 @@
 	spec := smallSpec()
 	result, err := Run(t.Context(), spec, Options{Program: path})
 	if err != nil || result.Shortage != "" {
-		t.Fatalf("%v, short of %q", err, result.Shortage)
+		t.Fatalf("error %v, shortage %q", err, result.Shortage)
 	}
 	if len(result.Samples) != 3 {
-		t.Fatalf("%d samples, want 3 real, 3 hollow and 50 hollow nodes", len(result.Samples))
+		t.Fatalf("%d samples, want 3: 3 real, 3 simulated and 50 simulated nodes", len(result.Samples))
 	}
 	for _, s := range result.Samples {
 		if s.Changes.Latency.Missing != 0 || s.Restart.Latency.Missing != 0 {
@@ -63,35 +63,35 @@
 				s.Changes.Latency.Missing, s.Restart.Latency.Missing)
 		}
 		if l := s.Changes.Latency; l.Received != spec.Changes*s.Nodes || l.Max < l.P99 || l.P99 < l.Median {
-			t.Errorf("%d %s nodes: %+v of %d changes", s.Nodes, s.Kind, l, spec.Changes)
+			t.Errorf("%d %s nodes: latency %+v for %d changes", s.Nodes, s.Kind, l, spec.Changes)
 		}
 		if l := s.Restart.Latency; l.Received != s.Nodes {
-			t.Errorf("%d %s nodes, some restarting: %+v of one change", s.Nodes, s.Kind, l)
+			t.Errorf("%d %s nodes, some restarting: latency %+v, want one change received by each", s.Nodes, s.Kind, l)
 		}
 		if s.Changes.BytesPerS <= s.Idle.BytesPerS || s.MemoryMB <= 0 {
-			t.Errorf("%d %s nodes: %.0f bytes a second with changes, %.0f at rest, %.1f MB", s.Nodes, s.Kind, s.Changes.BytesPerS, s.Idle.BytesPerS, s.MemoryMB)
+			t.Errorf("%d %s nodes: %.0f bytes/s with changes, %.0f bytes/s at rest, %.1f MB of memory", s.Nodes, s.Kind, s.Changes.BytesPerS, s.Idle.BytesPerS, s.MemoryMB)
 		}
 	}
 	moved := map[Kind]float64{}
 	for _, s := range result.Samples {
-		if s.Nodes == 3 { // in all, as how long it took depends on the machine
+		if s.Nodes == 3 { // total bytes, because the duration depends on the machine
 			moved[s.Kind] = s.Changes.BytesPerS * s.Changes.Duration.Seconds()
 		}
 	}
-	if len(result.CostRatios) != 1 || math.Abs(moved[Simulated]/moved[Real]-1) > 0.2 {
-		t.Errorf("a hollow node is sent other than a real one: %v bytes, %+v", moved, result.CostRatios)
+	if len(result.Ratios) != 1 || math.Abs(moved[Simulated]/moved[Real]-1) > 0.2 {
+		t.Errorf("simulated and real nodes differ by over 20 %% in traffic: %v bytes, ratios %+v", moved, result.Ratios)
 	}
 	if len(result.Fits) == 0 || result.Fits[0].Samples != 2 {
-		t.Errorf("the slopes are %+v", result.Fits)
+		t.Errorf("fits are %+v, want each from 2 samples", result.Fits)
 	}
 }
 
-func TestRun_MachineTooSmall_KeepsSamplesAndSaysWhat(t *testing.T) {
+func TestRun_InsufficientDescriptors_KeepsSamplesAndNamesResource(t *testing.T) {
 	if what := missingResource(Simulated, 2600, 1024); !strings.Contains(what, "descriptors") {
-		t.Errorf("2,600 nodes with 1,024 descriptors lack %q", what)
+		t.Errorf("2,600 nodes with 1,024 descriptors: missing resource is %q, want descriptors", what)
 	}
 	if what := missingResource(Simulated, 2600, 20_000); what != "" {
-		t.Errorf("2,600 nodes with 20,000 descriptors lack %q", what)
+		t.Errorf("2,600 nodes with 20,000 descriptors: missing resource is %q, want none", what)
 	}
 	path, err := buildProgram()
 	if err != nil {
@@ -104,11 +104,11 @@
 		t.Fatal(err)
 	}
 	if len(result.Samples) != 1 || !strings.Contains(result.Shortage, "1000 hollow nodes: short of descriptors") {
-		t.Errorf("%d samples, short of %q", len(result.Samples), result.Shortage)
+		t.Errorf("%d samples, shortage %q; want 1 sample and a shortage of descriptors", len(result.Samples), result.Shortage)
 	}
 }
 
-func TestRun_Cancelled_EndsSoon(t *testing.T) {
+func TestRun_Canceled_ReturnsContextError(t *testing.T) {
 	path, err := buildProgram()
 	if err != nil {
 		t.Fatal(err)
@@ -117,27 +117,27 @@
 	cancel()
 	result, err := Run(ctx, smallSpec(), Options{Program: path})
 	if !errors.Is(err, context.Canceled) || len(result.Samples) != 0 {
-		t.Errorf("%v, %d samples", err, len(result.Samples))
+		t.Errorf("error %v, %d samples; want context.Canceled and none", err, len(result.Samples))
 	}
 }
 
-func TestSpec_BadFile_FileLineAndField(t *testing.T) {
+func TestSpec_InvalidFile_ErrorNamesLineAndField(t *testing.T) {
 	good, err := os.ReadFile("../../examples/scale.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
 	if err := tomlfile.Decode("scale.toml", good, &Spec{}); err != nil {
-		t.Fatalf("the example: %v", err)
+		t.Fatalf("examples/scale.toml: %v", err)
 	}
 	for _, c := range []struct{ old, new, want string }{
 		{"hollow = [3, 10, 20, 100, 400, 1300, 2600]", "hollow = [3]", "scale.toml:7: hollow: 1 sizes"},
-		{"hollow = [3, 10, 20, 100, 400, 1300, 2600]", "hollow = [30, 10]", "scale.toml:7: hollow: sizes are to grow"},
-		{"real = [3, 10, 20]", "real = [300]", "scale.toml:8: real: sizes are to grow"},
+		{"hollow = [3, 10, 20, 100, 400, 1300, 2600]", "hollow = [30, 10]", "scale.toml:7: hollow: sizes must ascend"},
+		{"real = [3, 10, 20]", "real = [300]", "scale.toml:8: real: sizes must ascend"},
 		{"hosts = 100", "hosts = 1", "scale.toml:9: hosts: 1 is not from"},
 		{`rest = "5s"`, `rest = "5ms"`, "scale.toml:10: rest:"},
 		{"changes = 30", "changes = 0", "scale.toml:11: changes:"},
 		{"per_day = 1600", "per_day = -1", "scale.toml:12: per_day:"},
-		{"factor = 360", "factor = 1e9", "scale.toml:13: factor: changes would come"},
+		{"factor = 360", "factor = 1e9", "scale.toml:13: factor: interval between changes would be"},
 		{"restart = 0.1", "restart = 1.5", "scale.toml:14: restart:"},
 		{"memory_mb = 8000", "memory_mb = 0", "scale.toml:15: memory_mb:"},
 		{"nodes = 2600", "nodes = 0", "scale.toml:18: target.nodes:"},
@@ -156,15 +156,16 @@
 		t.Fatal(err)
 	}
 	if math.Abs(f.Intercept-5) > 1e-6 || math.Abs(f.Slope-2) > 1e-9 || math.Abs(f.R2-1) > 1e-9 || math.Abs(f.AtTarget-5205) > 1e-6 || f.WithinBudget || f.SizeRatio != 100 {
-		t.Errorf("5 and 2 for each make %+v", f)
+		t.Errorf("fit of 5 + 2 * nodes is %+v", f)
 	}
 	if _, err := fitLine("bytes", []float64{10}, []float64{25}, 2600, 0); !errors.Is(err, errTooFewSizes) {
-		t.Errorf("one size has a slope: %v", err)
+		t.Errorf("one size: error %v, want errTooFewSizes", err)
 	}
 }
 
-// A revision that a node logs counts for all earlier ones. An incomplete line, or one from before the change, does not count.
-func TestPropagationRecorder_RevisionsAndLateLines_Counted(t *testing.T) {
+// A revision that a node logs counts for all earlier ones too. An incomplete line and a line from before the change do
+// not count.
+func TestPropagationRecorder_LaterRevision_CountsForEarlierOnes(t *testing.T) {
 	r := newPropagationRecorder()
 	line := func(at time.Time, node, revision string) string {
 		return at.Format(logTimeFormat) + "\tdebug\tendpoint list received\t{\"node\": \"" + node + "\", \"revision\": " + revision + ", \"endpoints\": 1}\n"
@@ -176,19 +177,19 @@
 	at := time.Now().Add(20 * time.Millisecond)
 	_, _ = r.Write([]byte(line(at, "n1", "3") + line(at, "n2", "2") + line(at, "n3", "3")[:40]))
 	if r.isComplete(2) {
-		t.Error("n2 has not had revision 3")
+		t.Error("isComplete is true although n2 has not received revision 3")
 	}
 	l := r.takeLatency(2)
 	if l.Missing != 1 || l.Max < 10*time.Millisecond || l.Max > time.Second {
-		t.Errorf("%+v, want one missing and the last after some 20ms", l)
+		t.Errorf("latency is %+v, want one missing and a maximum of about 20ms", l)
 	}
 	if l = r.takeLatency(2); l.Max != 0 || l.Missing != 0 {
-		t.Errorf("after it was summed up there is still %+v", l)
+		t.Errorf("second takeLatency returns %+v, want it empty", l)
 	}
 }
 
-// The output of a process is read in parts that end anywhere in a line.
-func TestLineWriter_CutAnywhere_EachLineOnce(t *testing.T) {
+// A read of a process's output can end anywhere in a line. Each line must still be forwarded once, and whole.
+func TestLineWriter_SplitAnywhere_ForwardsWholeLines(t *testing.T) {
 	r := newPropagationRecorder()
 	r.recordChange(2)
 	text := ""
@@ -201,7 +202,7 @@
 		_, _ = w.Write([]byte(text[:cut]))
 		_, _ = w.Write([]byte(text[cut:]))
 		if !r.isComplete(3) {
-			t.Fatalf("cut at %d: %v", cut, r.latencies)
+			t.Fatalf("split at byte %d: latencies %v", cut, r.latencies)
 		}
 	}
 	w := &lineWriter{out: r}
@@ -209,6 +210,6 @@
 		_, _ = w.Write(make([]byte, 1<<10))
 	}
 	if len(w.partial) > maxPartialLine {
-		t.Errorf("%d bytes without an end are held back", len(w.partial))
+		t.Errorf("%d bytes of an incomplete line are buffered", len(w.partial))
 	}
 }
--- a/internal/scaletest/simulated_fleet.go
+++ b/internal/scaletest/simulated_fleet.go
@@ -11,21 +11,21 @@
 	"onyxstream/internal/testcluster"
 )
 
-// simulatedFleet is a process that runs simulated nodes.
+// simulatedFleet is a fleet of simulated nodes that run in one process.
 type simulatedFleet struct {
 	cmd      *exec.Cmd
 	commands io.WriteCloser
 	nodes    int
 }
 
-// processExitTimeout is how long such a process may take to exit.
+// processExitTimeout is the time after which a process that has not exited is killed.
 const processExitTimeout = 10 * time.Second
 
 func startSimulatedFleet(program, config string, nodes int, log io.Writer) (*simulatedFleet, error) {
 	cmd := exec.Command(program, "scale", "hollow", strconv.Itoa(nodes))
 	cmd.Env = nodeEnvironment(config)
 	cmd.Stderr = &lineWriter{out: log}
-	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // it must not outlive this process
+	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // the child must not outlive this process
 	commands, err := cmd.StdinPipe()
 	if err != nil {
 		return nil, err
@@ -47,10 +47,10 @@
 	return err
 }
 
-// close ends the process by the end of its input, and kills it after a timeout.
+// close closes the standard input of the process, which makes it exit, and kills the process after a timeout.
 func (f *simulatedFleet) close() {
 	_ = f.commands.Close()
 	kill := time.AfterFunc(processExitTimeout, func() { _ = f.cmd.Process.Kill() })
 	defer kill.Stop()
-	_ = f.cmd.Wait() // its usage has been read before
+	_ = f.cmd.Wait() // the usage of the process is read before close
 }
--- a/internal/scaletest/simulated_node.go
+++ b/internal/scaletest/simulated_node.go
@@ -18,24 +18,24 @@
 	"onyxstream/internal/nodeconfig"
 )
 
-// restartCommand is a command on the standard input of a process of simulated nodes. Its argument is how many of them
-// restart at once.
+// restartCommand is a command on the standard input of a process that runs simulated nodes. Its argument is the number of
+// nodes that restart simultaneously.
 const restartCommand = "restart"
 
-// discoverySockets connects a simulated node's event loop to discovery, and to nothing else.
+// discoverySockets connects a simulated node's event loop to discovery only.
 type discoverySockets struct{ *discovery.Watcher }
 
-// Ping sends no ping.
+// Ping sends no ping and returns false.
 func (discoverySockets) Ping(balancer.ServerID, string) bool { return false }
 
-// simulatedNode is one run of a simulated node.
+// simulatedNode is a simulated node from one start to its stop.
 type simulatedNode struct {
 	cancel context.CancelFunc
 	done   chan struct{} // closed when the node has stopped
 }
 
-// RunSimulatedNodes runs n simulated nodes until ctx or the commands end. They share a configuration but for their index
-// and seed. Log lines are those of real nodes.
+// RunSimulatedNodes runs n simulated nodes until ctx or the commands end. Their configurations differ only in index and
+// seed. They log the same lines as real nodes.
 func RunSimulatedNodes(ctx context.Context, cfg nodeconfig.Config, n int, commands io.Reader, log io.Writer) error {
 	logger := zap.New(logging.NewCore(zapcore.Lock(zapcore.AddSync(log)), zap.DebugLevel))
 	nodes := make([]*simulatedNode, n)
@@ -61,16 +61,16 @@
 	return lines.Err()
 }
 
-// parseRestart returns the argument of a restart command.
+// parseRestart parses a restart command and returns its argument.
 func parseRestart(line string) (count int, err error) {
 	command, argument, _ := strings.Cut(line, " ")
 	if _, err := fmt.Sscan(argument, &count); command != restartCommand || err != nil {
-		return 0, fmt.Errorf("the command %q is not known", line)
+		return 0, fmt.Errorf("unknown command %q", line)
 	}
 	return count, nil
 }
 
-// startSimulatedNode starts the node with an index among count.
+// startSimulatedNode starts the node with the given index out of count nodes.
 func startSimulatedNode(ctx context.Context, cfg nodeconfig.Config, index, count int, logger *zap.Logger) *simulatedNode {
 	settings := cfg.Settings
 	settings.NodeIndex = index
@@ -87,7 +87,7 @@
 	g.Go(func() error { return watcher.Run(ctx) })
 	go func() {
 		defer close(n.done)
-		_ = g.Wait() // only the end of the context
+		_ = g.Wait() // its only error is that the context ended
 	}()
 	return n
 }
