--- a/internal/loadtest/connection.go
+++ b/internal/loadtest/connection.go
@@ -56,7 +56,7 @@
 	delete(e.connections, c)
 }
 
-// dropForSurge drops the surge's share of the established connections at once.
+// dropForSurge terminates the surge's share of the established connections simultaneously.
 func (e *engine) dropForSurge(surge int) {
 	e.connectionsMu.Lock()
 	defer e.connectionsMu.Unlock()
--- a/internal/loadtest/result.go
+++ b/internal/loadtest/result.go
@@ -67,7 +67,7 @@
 	Requests      int64              `json:"asked"`
 	Outcomes      map[string]int64   `json:"outcomes"` // requests by outcome name
 	Attempts      map[string]int64   `json:"tries"`    // attempts by outcome name
-	Late          int64              `json:"late"`     // requests served later than the deadline after their intended time
+	Late          int64              `json:"late"`     // served requests whose latency exceeded the deadline
 	Latency       map[string]Summary `json:"latency"`  // by outcome name, from the intended time
 	Service       Summary            `json:"service"`  // service time of the served attempt alone
 	Reconnect     Summary            `json:"back"`     // from the intended reconnect until it is served
--- a/internal/loadtest/scenario.go
+++ b/internal/loadtest/scenario.go
@@ -132,7 +132,7 @@
 	MaxLateness     tomlfile.Duration `toml:"lateness"` // at the 99th percentile; the run is invalid if the generator is later
 	MaxOpen         int               `toml:"open"`     // concurrent connections; requests beyond it are recorded as unsent
 	SourceAddresses int               `toml:"sources"`  // number of loopback addresses, each with its own port range
-	Linger          tomlfile.Duration `toml:"linger"`   // how long established connections are kept after the last outcome
+	Linger          tomlfile.Duration `toml:"linger"`   // how long established connections are kept once all requests are sent
 }
 
 // Defaults and bounds of a scenario.
--- a/internal/loadtest/stats.go
+++ b/internal/loadtest/stats.go
@@ -44,7 +44,7 @@
 // classStats are the counters and histograms of one class on one path.
 type classStats struct {
 	requests  int64
-	late      int64 // requests served later than the deadline after their intended time
+	late      int64 // served requests whose latency from the intended time exceeded the deadline
 	outcomes  [outcomeCount]int64
 	attempts  [outcomeCount]int64
 	latency   [outcomeCount]*hdr.Histogram // from the intended time to the outcome
