--- a/internal/cli/load_result.go
+++ b/internal/cli/load_result.go
@@ -95,9 +95,9 @@
 	if result.Nodes != nil {
 		fmt.Fprintf(w, "nodes: %.2f s of CPU time, at most %.0f MB of memory\n", result.Nodes.CPU.Seconds(), result.Nodes.PeakMB)
 	}
-	if result.ListService != nil {
+	if result.Discovery != nil {
 		fmt.Fprintf(w, "discovery: %d list requests, %d rejected, at most %d within 100 ms\n",
-			result.ListService.Calls, result.ListService.Rejected, result.ListService.MaxIn100ms)
+			result.Discovery.Calls, result.Discovery.Rejected, result.Discovery.MaxIn100ms)
 	}
 	if result.WrongReceipts > 0 {
 		fmt.Fprintf(w, "%d receipts that no host issued\n", result.WrongReceipts)
