--- a/cmd/onyxstream/agent_cluster_test.go
+++ b/cmd/onyxstream/agent_cluster_test.go
@@ -14,7 +14,8 @@
 	"onyxstream/internal/wire"
 )
 
-// agentCluster is an agent with three real nodes. Each node has one fake host, whose ledger records what the node sent.
+// agentCluster is an agent with three node processes. Each node has one fake host, whose ledger records the requests
+// that the node sent to it.
 type agentCluster struct {
 	dir         string
 	agentSocket string
@@ -27,7 +28,7 @@
 
 const clusterSize = 3
 
-// newAgentCluster starts the nodes and the agent, and waits until all nodes serve.
+// newAgentCluster starts the nodes and the agent, and waits until the agent reports that all nodes serve.
 func newAgentCluster(t *testing.T) *agentCluster {
 	t.Helper()
 	cluster := &agentCluster{dir: t.TempDir(), clock: fakeserver.NewClock(), agentLog: &syncBuffer{}}
@@ -51,10 +52,11 @@
 	return cluster
 }
 
-// path returns the path of a file of the cluster.
+// path returns the path of a file in the cluster's directory.
 func (c *agentCluster) path(name string) string { return filepath.Join(c.dir, name) }
 
-// startNode starts the node with this number and its host, and returns its entry of the agent's inventory.
+// startNode starts the node with this number and the node's host. It returns the node's entry for the agent's
+// inventory.
 func (c *agentCluster) startNode(t *testing.T, number int) (inventoryEntry string) {
 	t.Helper()
 	ledger := fakeserver.NewEventLog(c.clock)
@@ -82,7 +84,7 @@
 	return fmt.Sprintf("[[instance]]\nname = %q\naddr = %q\nzone = \"a\"\n", name, "unix:"+c.path(name))
 }
 
-// setNodeName replaces the name in a configuration that writeConfig wrote.
+// setNodeName replaces the node's name in a configuration file written by writeConfig.
 func setNodeName(t *testing.T, configPath, name string) {
 	t.Helper()
 	text, err := os.ReadFile(configPath)
@@ -108,27 +110,27 @@
 		_ = agent.Process.Kill()
 		_ = agent.Wait()
 		if t.Failed() {
-			t.Logf("the agent's log:\n%s", c.agentLog)
+			t.Logf("log of the agent:\n%s", c.agentLog)
 		}
 		if strings.Contains(c.agentLog.String(), "DATA RACE") {
-			t.Errorf("a data race in the agent:\n%s", c.agentLog)
+			t.Errorf("data race in the agent:\n%s", c.agentLog)
 		}
 	})
 }
 
-// killAgent ends the agent as a crash would.
+// killAgent kills the agent with SIGKILL, as in a crash.
 func (c *agentCluster) killAgent() {
 	_ = c.agent.Process.Kill()
 	_ = c.agent.Wait()
 }
 
-// runCommand runs a command of the program against the agent.
+// runCommand runs the program with args, directed at the agent, until it exits.
 func (c *agentCluster) runCommand(t *testing.T, args ...string) (status int, stdout, stderr string) {
 	t.Helper()
 	return runProgram(t, append(args, "--agent", c.agentSocket)...)
 }
 
-// mustRun runs a command against the agent that must exit with status 0.
+// mustRun is like runCommand, but the command must exit with status 0.
 func (c *agentCluster) mustRun(t *testing.T, args ...string) {
 	t.Helper()
 	status, stdout, stderr := c.runCommand(t, args...)
@@ -137,7 +139,8 @@
 	}
 }
 
-// appliedAt returns when a node has applied commands of an operation, by its log, on the clock of the ledgers.
+// appliedAt returns the times at which a node applied commands of an operation. The times come from the node's log and
+// are converted to the clock of the ledgers.
 func (c *agentCluster) appliedAt(t *testing.T, nodeIndex int, operation string) (times []time.Duration) {
 	t.Helper()
 	for line := range strings.Lines(c.nodes[nodeIndex].log.String()) {
@@ -153,8 +156,9 @@
 	return times
 }
 
-// lastOpened returns when the host of a node last received a new request, and how many it has received.
-func (c *agentCluster) lastOpened(nodeIndex int) (last time.Duration, count int) {
+// lastNewRequest returns the time of the last new request that the node's host received, and the number of new
+// requests.
+func (c *agentCluster) lastNewRequest(nodeIndex int) (last time.Duration, count int) {
 	records, _ := c.ledgers[nodeIndex].Events()
 	for _, record := range records {
 		if record.Kind == fakeserver.EventOpened {
@@ -165,15 +169,16 @@
 	return last, count
 }
 
-// openedCounts returns how many new requests each node's host has received.
-func (c *agentCluster) openedCounts() (counts [clusterSize]int) {
+// newRequestCounts returns the number of new requests that each node's host has received.
+func (c *agentCluster) newRequestCounts() (counts [clusterSize]int) {
 	for i := range counts {
-		_, counts[i] = c.lastOpened(i)
+		_, counts[i] = c.lastNewRequest(i)
 	}
 	return counts
 }
 
-// startLoad runs the load generator on all nodes until stop is called, and fails the test if it printed anything.
+// startLoad runs the load generator against all nodes until stop is called. The test fails if the load generator
+// printed anything, because it prints only when a run ends or fails.
 func (c *agentCluster) startLoad(t *testing.T) (stop func()) {
 	t.Helper()
 	scenario := strings.NewReplacer(
@@ -195,7 +200,7 @@
 		_ = cmd.Process.Kill()
 		_ = cmd.Wait()
 		if text := output.String(); text != "" {
-			t.Errorf("the load generator ended by itself: %s", text)
+			t.Errorf("load generator exited early: %s", text)
 		}
 	}
 }
--- a/cmd/onyxstream/agent_test.go
+++ b/cmd/onyxstream/agent_test.go
@@ -11,14 +11,15 @@
 	"time"
 )
 
-// admissionGrace is how long a node may send new requests to its hosts after a drain begins, by the settings of the
-// tests, plus the resolution of a log line's time.
-const admissionGrace = 400*time.Millisecond + time.Millisecond
+// drainGrace is the time for which a node may send new requests to its hosts after it applied a drain: 400 ms by the
+// tests' settings, plus 1 ms for the resolution of the timestamps in the log.
+const drainGrace = 400*time.Millisecond + time.Millisecond
 
-// A drain of three nodes under load: each node sends its last new request within the grace after it applied the
-// command. The same command again has no effect. Once resumed, all nodes serve again.
+// Three nodes are drained under load. Each node must send its last new request within the drain grace after it applied
+// the command. Repeating the command must have no effect. After a resume, all nodes must serve again.
 //
-// ONYXSTREAM_DRAINS=50 repeats it and prints the spread of the last new requests.
+// With ONYXSTREAM_DRAINS=50 in the environment the test repeats this 50 times. It logs the minimum, median and maximum
+// delay between a drain and the last new request.
 func TestAgentDrain_ThreeNodesUnderLoad_StopsNewWork(t *testing.T) {
 	t.Parallel()
 	cluster := newAgentCluster(t)
@@ -39,41 +40,41 @@
 			"--operation", operation,
 		}
 		cluster.mustRun(t, drain...)
-		counts := cluster.openedCounts()
+		counts := cluster.newRequestCounts()
 		delays = append(delays, cluster.drainDelays(t, operation)...)
-		cluster.mustRun(t, drain...) // the same command again, under load
+		cluster.mustRun(t, drain...) // repeat the command under load
 		time.Sleep(300 * time.Millisecond)
 		for i := range clusterSize {
-			_, n := cluster.lastOpened(i)
+			_, n := cluster.lastNewRequest(i)
 			if n != counts[i] || len(cluster.appliedAt(t, i, operation)) != 1 {
-				t.Errorf("n%d: the same command again had an effect", i+1)
+				t.Errorf("n%d: the repeated command had an effect", i+1)
 			}
 		}
 		if status, _, _ := cluster.runCommand(t, "instances", "check"); status != 7 {
-			t.Errorf("a check of drained instances exits with status %d", status)
+			t.Errorf("check of drained instances: exit status %d, want 7", status)
 		}
 		cluster.mustRun(t, "instances", "resume", "--all", "--at-once", "3", "--wait")
 	}
 	slices.Sort(delays)
-	t.Logf("last new request after a node's drain, %d drains: min %v, median %v, max %v",
+	t.Logf("delay between drain and last new request, %d drains: min %v, median %v, max %v",
 		len(delays), delays[0], delays[len(delays)/2], delays[len(delays)-1])
 }
 
 // waitForNewRequests waits until each node's host has received more than 20 further requests.
 func (c *agentCluster) waitForNewRequests(t *testing.T) {
 	t.Helper()
-	before := c.openedCounts()
+	before := c.newRequestCounts()
 	eventually(t, "all hosts receive new requests", func() bool {
 		all := true
-		for i, n := range c.openedCounts() {
+		for i, n := range c.newRequestCounts() {
 			all = all && n > before[i]+20
 		}
 		return all
 	})
 }
 
-// drainDelays returns, for each node that kept to the grace, how long after it applied a drain it sent its last new
-// request. A node that did not, or that applied the command more than once, fails the test.
+// drainDelays returns for each node the time between its applying a drain and its last new request. The test fails if a
+// node exceeded the drain grace, which leaves it out of the result, or did not apply the command exactly once.
 func (c *agentCluster) drainDelays(t *testing.T, operation string) (delays []time.Duration) {
 	t.Helper()
 	for i := range clusterSize {
@@ -81,9 +82,9 @@
 		if len(applied) != 1 {
 			t.Fatalf("n%d applied the command %d times", i+1, len(applied))
 		}
-		last, _ := c.lastOpened(i)
-		if delay := last - applied[0]; delay > admissionGrace {
-			t.Errorf("n%d sent a new request %v after its drain began", i+1, delay)
+		last, _ := c.lastNewRequest(i)
+		if delay := last - applied[0]; delay > drainGrace {
+			t.Errorf("n%d sent a new request %v after it applied the drain", i+1, delay)
 		} else {
 			delays = append(delays, delay)
 		}
@@ -91,14 +92,14 @@
 	return delays
 }
 
-// The agent is killed halfway through a drain. Nodes that have applied the command stay drained, the others serve. Once
-// the agent is back it completes the operation.
+// The agent is killed halfway through a drain of all nodes. Nodes that have applied the command must stay drained, the
+// others must keep serving. After a restart, the agent must complete the operation.
 func TestAgentDrain_AgentKilled_ResumesOperation(t *testing.T) {
 	t.Parallel()
 	cluster := newAgentCluster(t)
 	stopLoad := cluster.startLoad(t)
 	defer stopLoad()
-	cluster.nodes[0].establish(t, 60, "UP ") // open until they are migrated, so that the first drain takes its whole time
+	cluster.nodes[0].establish(t, 60, "UP ") // stay open until migrated, so that the first drain takes all of its 4 s
 	cluster.mustRun(t, "instances", "drain", "--all",
 		"--empty-zone",
 		"--max-unavailable", "3",
@@ -108,15 +109,15 @@
 	cluster.killAgent()
 	applied := cluster.appliedAt(t, 0, "halfway")[0]
 	eventually(t, "the grace is over", func() bool { return cluster.clock.Now() > applied+2*time.Second })
-	if last, _ := cluster.lastOpened(0); last > applied+admissionGrace {
-		t.Errorf("without an agent n1 sent a new request %v after its drain began", last-applied)
+	if last, _ := cluster.lastNewRequest(0); last > applied+drainGrace {
+		t.Errorf("n1 sent a new request %v after it applied the drain, while no agent ran", last-applied)
 	}
 	if n := len(cluster.appliedAt(t, 2, "halfway")); n != 0 {
-		t.Fatal("all nodes had applied the drain before the agent was killed: the test shows nothing")
+		t.Fatal("test is inconclusive: all nodes had applied the drain before the agent was killed")
 	}
-	_, before := cluster.lastOpened(2)
+	_, before := cluster.lastNewRequest(2)
 	eventually(t, "the third node goes on serving", func() bool {
-		_, n := cluster.lastOpened(2)
+		_, n := cluster.lastNewRequest(2)
 		return n > before+10
 	})
 	cluster.startAgent(t)
@@ -135,7 +136,8 @@
 func TestAgentCommands_HostsAndOperations_ReportOutcome(t *testing.T) {
 	t.Parallel()
 	cluster := newAgentCluster(t)
-	// An override drains the only host of n2, whatever the list says: n2 has no host left.
+	// A host override takes precedence over the endpoint list. It drains the only host of n2, which leaves n2 without
+	// one.
 	cluster.mustRun(t, "hosts", "drain", "h2", "--wait", "--operation", "word")
 	eventually(t, "n2 sends nothing to h2", func() bool {
 		return strings.HasPrefix(cluster.nodes[1].openRequest(t, "").expectLine(""), "BUSY")
@@ -164,29 +166,29 @@
 	} {
 		status, stdout, stderr := cluster.runCommand(t, strings.Fields(test.args)...)
 		if status != test.status || !strings.Contains(stdout+stderr, test.want) {
-			t.Errorf("%s: exit status %d, printed %q and %q, want %d and %q",
+			t.Errorf("%s: exit status %d, stdout %q, stderr %q; want status %d and output %q",
 				test.args, status, stdout, stderr, test.status, test.want)
 		}
 	}
 	status, _, stderr := runProgram(t, "instances", "list", "--agent", cluster.path("nobody"))
 	if status != 1 || !strings.Contains(stderr, "no agent answers") {
-		t.Errorf("without an agent: exit status %d: %s", status, stderr)
+		t.Errorf("no agent running: exit status %d: %s", status, stderr)
 	}
 }
 
-// A draining node accepts nothing new, but a mid-flow request, of a connection that was open before, still reaches its
-// host, also after the grace.
+// A draining node rejects new requests. A mid-flow request, which reopens a connection that was established earlier,
+// must still reach its host, even after the drain grace.
 func TestAgentDrain_MidFlowRequest_ReachesItsHost(t *testing.T) {
 	t.Parallel()
 	cluster := newAgentCluster(t)
 	cluster.mustRun(t, "instances", "drain", "n1", "--wait", "--operation", "mid")
 	applied := cluster.appliedAt(t, 0, "mid")[0]
-	eventually(t, "the grace is over", func() bool { return cluster.clock.Now() > applied+2*admissionGrace })
+	eventually(t, "the grace is over", func() bool { return cluster.clock.Now() > applied+2*drainGrace })
 	cluster.nodes[0].openRequest(t, "").expectLine("BUSY ")
-	_, before := cluster.lastOpened(0)
+	_, before := cluster.lastNewRequest(0)
 	cluster.nodes[0].openRequest(t, ",mid=1")
 	eventually(t, "the host receives the request", func() bool {
-		_, n := cluster.lastOpened(0)
+		_, n := cluster.lastNewRequest(0)
 		return n == before+1
 	})
 }
--- a/cmd/onyxstream/configuration_test.go
+++ b/cmd/onyxstream/configuration_test.go
@@ -34,25 +34,25 @@
 	} {
 		text := strings.Replace(string(valid), test.from, test.to, 1)
 		if text == string(valid) {
-			t.Fatalf("nothing to replace: %s", test.from)
+			t.Fatalf("configuration does not contain %s", test.from)
 		}
 		status, out := runNodeWithConfig(writeFile(t, "config.json", text))
 		if status != 1 || !strings.Contains(out, test.want) || strings.Contains(out, "goroutine") {
-			t.Errorf("%s: exit status %d, printed %q, want %s", test.to, status, out, test.want)
+			t.Errorf("%s: exit status %d, output %q; want status 1 and %s", test.to, status, out, test.want)
 		}
 	}
 	status, out := runNodeWithConfig("")
 	if status != 1 || !strings.Contains(out, "PROXY_CONFIG") {
-		t.Errorf("without a configuration: exit status %d, printed %q", status, out)
+		t.Errorf("without PROXY_CONFIG: exit status %d, output %q", status, out)
 	}
 	cmd := exec.Command(programPath)
 	usage, _ := cmd.CombinedOutput()
 	if cmd.ProcessState.ExitCode() != 2 || !strings.Contains(string(usage), "usage") {
-		t.Errorf("without a command: %q", usage)
+		t.Errorf("without arguments: output %q, want usage and exit status 2", usage)
 	}
 }
 
-// runNodeWithConfig runs a node that is expected to exit by itself, and returns its exit status and its output.
+// runNodeWithConfig runs a node that must exit because of its configuration, and returns its exit status and output.
 func runNodeWithConfig(path string) (status int, output string) {
 	cmd := exec.Command(programPath, "node")
 	cmd.Env = append(os.Environ(), "PROXY_CONFIG="+path)
--- a/cmd/onyxstream/connection_load_test.go
+++ b/cmd/onyxstream/connection_load_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// connectionLoad opens a request every 3 ms, each on a connection of its own, until it is stopped.
+// connectionLoad opens a request every 3 ms, each on a new connection, until it is stopped.
 type connectionLoad struct {
 	addr string
 	stop chan struct{}
@@ -16,7 +16,7 @@
 
 	mu    sync.Mutex
 	total int
-	lost  []string // what each request that was not served by hb received
+	lost  []string // one entry for each request that host hb did not serve: its id, the line received, the error
 }
 
 func startConnectionLoad(addr string) *connectionLoad {
@@ -57,7 +57,7 @@
 	}
 }
 
-// stopAndWait ends the load and waits for the requests that are open.
+// stopAndWait stops opening requests and waits until those in flight have ended.
 func (l *connectionLoad) stopAndWait() {
 	close(l.stop)
 	<-l.done
--- a/cmd/onyxstream/connection_surge_test.go
+++ b/cmd/onyxstream/connection_surge_test.go
@@ -8,12 +8,12 @@
 	"onyxstream/internal/wire"
 )
 
-// idleClients are connections on which nothing is sent.
+// idleClients holds connections of clients that send nothing.
 type idleClients struct {
 	connections []net.Conn
 }
 
-// connect opens up to count connections; those that fail are left out.
+// connect tries to open count connections, and keeps those that succeed.
 func (c *idleClients) connect(count int, addr string) {
 	for range count {
 		conn, err := net.Dial("tcp", addr)
@@ -29,7 +29,8 @@
 	}
 }
 
-// reconnectUntil connects, sends a bad opening line and waits for its rejection, again and again until stop is closed.
+// reconnectUntil repeats the following until stop is closed: connect, send a bad opening line, read until the node
+// closes the connection.
 func reconnectUntil(stop <-chan bool, addr string) {
 	for {
 		select {
@@ -46,8 +47,8 @@
 	}
 }
 
-// Hundreds of clients that connect and send nothing, and others that reconnect as soon as they are rejected, keep no
-// regular client from being served, and the node stays within its descriptor limit.
+// Hundreds of clients connect and send nothing, and others reconnect as soon as they are rejected. Regular clients must
+// be served all the same, and the node must stay within its descriptor limit.
 func TestConnectionSurge_RegularClients_Served(t *testing.T) {
 	t.Parallel()
 	host := newFakeHost(t, "h1")
@@ -65,14 +66,15 @@
 		client := node.openRequest(t, "")
 		client.expectLine("UP ")
 		if n := node.openDescriptors(t); n > socketLimit {
-			t.Errorf("%d descriptors are open, %d allowed", n, socketLimit)
+			t.Errorf("%d descriptors open, limit %d", n, socketLimit)
 		}
 		_ = client.conn.Close()
 	}
 }
 
-// Idle clients take every descriptor they can get, up to the system's limit, while discovery is down. Requests are
-// served all the same, a reload takes effect, and the list is followed as soon as discovery is back.
+// While discovery is unavailable, idle clients take all descriptors that the node may open, up to its ulimit. Requests
+// must still be served, a reload must take effect, and the node must follow the endpoint list as soon as discovery is
+// available again.
 func TestConnectionSurge_DiscoveryDown_RequestsServed(t *testing.T) {
 	t.Parallel()
 	const socketLimit = 96
@@ -101,6 +103,6 @@
 	idle.connect(3*socketLimit, node.addr)
 	node.openRequest(t, "").expectLine("UP from-hb")
 	if n := node.openDescriptors(t); n > socketLimit {
-		t.Errorf("%d descriptors are open, %d allowed", n, socketLimit)
+		t.Errorf("%d descriptors open, limit %d", n, socketLimit)
 	}
 }
--- a/cmd/onyxstream/discovery_test.go
+++ b/cmd/onyxstream/discovery_test.go
@@ -20,21 +20,22 @@
 	})
 	eventually(t, "the node opens its watch", func() bool { return len(discovery.requestPaths()) > 0 })
 	discovery.sendEvent(endpointListJSON(2, false, hostA.endpoint(wire.Draining)))
-	// After the grace none may arrive. How soon the watch event takes effect is not checked.
+	// After the drain grace the host must receive no new request. The test does not check how soon the node applies the
+	// watch event.
 	eventually(t, "a run of connections with none on ha", func() bool {
-		before := len(hostA.openings())
+		before := len(hostA.openingLines())
 		for range 8 {
 			node.openRequest(t, "").expectLine("UP ")
 		}
 		time.Sleep(500 * time.Millisecond)
-		return len(hostA.openings()) == before
+		return len(hostA.openingLines()) == before
 	})
-	before := len(hostA.openings())
+	before := len(hostA.openingLines())
 	for range 20 {
 		node.openRequest(t, "").expectLine("UP from-hb")
 	}
-	if len(hostA.openings()) != before {
-		t.Error("the draining host received a new request")
+	if len(hostA.openingLines()) != before {
+		t.Error("draining host received a new request")
 	}
 	established.send("M still here\r\n")
 	established.expectLine("M still here")
@@ -47,7 +48,7 @@
 	node := startNode(t, nodeOptions{initialList: endpointListJSON(4, true, hostA.endpoint(wire.Serving))}, discovery.addr)
 	eventually(t, "the first watch request", func() bool { return len(discovery.requestPaths()) == 1 })
 	if path := discovery.requestPaths()[0]; path != "/catalog/members?watch=1&after=4" {
-		t.Errorf("requested %q", path)
+		t.Errorf("got watch request %q", path)
 	}
 	discovery.setUnavailable(true)
 	eventually(t, "requests that fail", func() bool { return len(discovery.requestPaths()) >= 3 })
@@ -65,7 +66,8 @@
 	node.openRequest(t, "").expectLine("UP ")
 }
 
-// A watch whose connection is open but that sends nothing, not even a heartbeat, counts as lost.
+// A watch counts as lost if it sends nothing, not even a heartbeat, although its connection is open. The node must open
+// a new one.
 func TestWatch_Silent_Resumed(t *testing.T) {
 	t.Parallel()
 	host := newFakeHost(t, "h1")
@@ -76,7 +78,7 @@
 	node.openRequest(t, "").expectLine("UP ")
 }
 
-// A large fleet is served, and an event that replaces half of it is applied.
+// A node must serve with an endpoint list of 1024 hosts, and apply a watch event that replaces half of them.
 func TestEndpointList_ThousandHosts_Followed(t *testing.T) {
 	t.Parallel()
 	hostA, hostB := newFakeHost(t, "ha"), newFakeHost(t, "hb")
@@ -98,6 +100,6 @@
 		return strings.HasPrefix(line, "UP from-hb")
 	})
 	if strings.Contains(node.log.String(), "exceeds memory limit") {
-		t.Error("the list is too large")
+		t.Error("endpoint list exceeds the memory limit")
 	}
 }
--- a/cmd/onyxstream/drain_test.go
+++ b/cmd/onyxstream/drain_test.go
@@ -5,28 +5,30 @@
 	"time"
 )
 
-// drainNoticeDuration is longer than a draining node accepts new requests from a front end that has not noticed.
+// drainNoticeDuration is longer than the time for which a draining node still accepts new requests because the front
+// may not have noticed the drain yet.
 const drainNoticeDuration = 1200 * time.Millisecond
 
-// A draining node answers the front end's PING with BUSY, also on a connection that the front end keeps open, serves
-// new requests for a while, and in pass mode keeps its connections. It runs on, and resumes on command.
+// A draining node answers the front's PING with BUSY, even on a connection that the front opened before the drain. For
+// a while it still serves new requests. In pass-through mode it keeps its established connections. The process keeps
+// running, and serves again after a resume.
 func TestDrain_PassMode_KeepsConnectionsAndResumes(t *testing.T) {
 	t.Parallel()
 	host := newFakeHost(t, "ha")
 	node, _ := startNodeWithHosts(t, nodeOptions{managementAddr: freeAddr(t)}, host)
-	frontend := node.dial(t)
+	front := node.dial(t)
 	for range 8 {
-		frontend.send("PING\r\n")
-		frontend.expectLine("PONG")
-		time.Sleep(30 * time.Millisecond) // PINGs in quicker succession count as a flood
+		front.send("PING\r\n")
+		front.expectLine("PONG")
+		time.Sleep(30 * time.Millisecond) // the node treats PINGs in quicker succession as a flood
 	}
 	established := node.openRequest(t, "")
 	established.expectLine("UP")
-	node.mustSucceed(t, "resume") // without a drain before it
+	node.mustSucceed(t, "resume") // succeeds although the node is not draining
 	node.mustSucceed(t, "drain")
-	frontend.send("PING\r\n")
-	frontend.expectLine("BUSY")
-	node.openRequest(t, "").expectLine("UP") // the front end has not noticed yet
+	front.send("PING\r\n")
+	front.expectLine("BUSY")
+	node.openRequest(t, "").expectLine("UP") // accepted, because the front may not have noticed the drain yet
 	node.mustSucceed(t, "drain")
 	time.Sleep(drainNoticeDuration)
 	node.openRequest(t, "").expectLine("BUSY")
@@ -34,16 +36,16 @@
 	established.send("M 1\r\n")
 	established.expectLine("M 1")
 	node.mustSucceed(t, "resume")
-	frontend.send("PING\r\n")
-	frontend.expectLine("PONG")
+	front.send("PING\r\n")
+	front.expectLine("PONG")
 	node.openRequest(t, "").expectLine("UP")
 	node.mustSucceed(t, "drain")
-	node.terminate(t) // a shutdown takes effect during a drain too
+	node.terminate(t) // a shutdown takes effect even during a drain
 	node.waitForLog(t, "shutting down gracefully")
 }
 
-// In proxy mode a drain migrates all established connections and resets none. Once resumed, the node migrates no
-// further connection.
+// In proxy mode a drain migrates all established connections and resets none of them. After a resume, the node migrates
+// no further connections.
 func TestDrain_ProxyMode_MigratesConnections(t *testing.T) {
 	t.Parallel()
 	host := newFakeHost(t, "ha")
@@ -55,8 +57,8 @@
 	remaining := node.stats(t)["concurrent"]
 	time.Sleep(time.Second)
 	now := node.stats(t)["concurrent"]
-	if now < remaining-1 || now == 0 { // one migration may have been under way
-		t.Errorf("%d were established when the node resumed, %d a second later", remaining, now)
+	if now < remaining-1 || now == 0 { // one migration may have been in progress at the resume
+		t.Errorf("%d connections established at the resume, %d one second later", remaining, now)
 	}
 	node.mustSucceed(t, "drain")
 	for _, client := range clients {
--- a/cmd/onyxstream/endpoint_memory_test.go
+++ b/cmd/onyxstream/endpoint_memory_test.go
@@ -16,7 +16,8 @@
 // maxHosts is the size of the largest endpoint list that a node must hold, whatever its memory limit.
 const maxHosts = 3200
 
-// buildWithoutRaceDetector builds the program without the race detector, whose own memory would be measured too.
+// buildWithoutRaceDetector builds the program without the race detector, whose memory use would be part of the
+// measurement.
 var buildWithoutRaceDetector = sync.OnceValues(func() (string, error) {
 	path := filepath.Join(filepath.Dir(programPath), "onyxstream-plain")
 	out, err := exec.Command("go", "build", "-o", path, ".").CombinedOutput()
@@ -26,7 +27,7 @@
 	return path, nil
 })
 
-// peakResidentKB returns the highest resident memory of a process so far.
+// peakResidentKB returns the peak resident memory of a process in KB.
 func peakResidentKB(t testing.TB, pid int) int {
 	t.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
@@ -41,8 +42,8 @@
 	return kb
 }
 
-// peakMemoryWithHosts starts a node with a list of hostCount hosts, sends it events that replace one host of twenty
-// each, and returns its peak memory in KB.
+// peakMemoryWithHosts starts a node with an endpoint list of hostCount hosts, sends it watch events that each replace
+// one host in twenty, and returns the node's peak resident memory in KB.
 func peakMemoryWithHosts(t *testing.T, path string, hostCount int) int {
 	t.Helper()
 	host := newFakeHost(t, "ha")
@@ -64,13 +65,13 @@
 		node.openRequest(t, "").expectLine("UP from-ha")
 	}
 	if strings.Contains(node.log.String(), "exceeds memory limit") {
-		t.Errorf("a list of %d hosts is too large", hostCount)
+		t.Errorf("endpoint list of %d hosts exceeds the memory limit", hostCount)
 	}
 	return peakResidentKB(t, node.cmd.Process.Pid)
 }
 
-// A node with the smallest memory limit holds the largest list. Its peak memory is at most one and a half times that
-// with a list of usual size, plus 8 MB, plus 4 MB per thousand hosts.
+// A node with the smallest memory limit must hold the largest endpoint list. Its peak memory may be at most 1.5 times
+// the peak with a list of usual size, plus 8 MB, plus 4 MB per thousand hosts.
 func TestEndpointList_LargestSize_FitsInSmallMemory(t *testing.T) {
 	path, err := buildWithoutRaceDetector()
 	if err != nil {
@@ -80,9 +81,9 @@
 	for _, n := range []int{maxHosts / 2, maxHosts} {
 		peak := peakMemoryWithHosts(t, path, n)
 		allowed := baseline*3/2 + 8<<10 + n*(4<<10)/1000
-		t.Logf("peak memory with %d hosts: %d KB; with %d hosts: %d KB, %d KB allowed", maxHosts/16, baseline, n, peak, allowed)
+		t.Logf("peak memory with %d hosts: %d KB; with %d hosts: %d KB, limit %d KB", maxHosts/16, baseline, n, peak, allowed)
 		if peak > allowed {
-			t.Errorf("a list of %d hosts takes %d KB, %d KB are allowed", n, peak, allowed)
+			t.Errorf("peak memory with %d hosts: %d KB, limit %d KB", n, peak, allowed)
 		}
 	}
 }
--- a/cmd/onyxstream/fake_discovery_test.go
+++ b/cmd/onyxstream/fake_discovery_test.go
@@ -8,13 +8,14 @@
 	"onyxstream/internal/wire"
 )
 
-// fakeDiscovery is a discovery service that returns the text that a test sets, unchanged.
+// fakeDiscovery is a fake discovery service. It sends the text that the test sets, even if that is no valid endpoint
+// list.
 type fakeDiscovery struct {
 	*fakeserver.Discovery
 	addr string
 }
 
-// newFakeDiscovery starts a discovery service whose first answer is list. It is closed when the test ends.
+// newFakeDiscovery starts a fake discovery service that returns list. It is closed when the test ends.
 func newFakeDiscovery(t testing.TB, list string) *fakeDiscovery {
 	t.Helper()
 	discovery, err := fakeserver.NewDiscovery("", fakeClock, nil, 0)
@@ -29,7 +30,7 @@
 // sendEvent sends text to each open watch.
 func (d *fakeDiscovery) sendEvent(text string) { d.SendRaw(text) }
 
-// setUnavailable makes the service answer 503, or answer as usual again.
+// setUnavailable makes the service respond with status 503, or ends that.
 func (d *fakeDiscovery) setUnavailable(unavailable bool) {
 	mode := fakeserver.ModeNormal
 	if unavailable {
@@ -38,10 +39,11 @@
 	d.SetMode(mode)
 }
 
-// requestPaths returns the paths, with their queries, of the requests received so far.
+// requestPaths returns the path and query of each request received so far, watches included.
 func (d *fakeDiscovery) requestPaths() []string { return d.Requests() }
 
-// endpointListJSON returns an endpoint list, or with complete false a watch event, in the form of the wire.
+// endpointListJSON returns an endpoint list as JSON, as discovery sends it: a snapshot if complete is true, otherwise a
+// delta, which a watch event holds.
 func endpointListJSON(revision int64, complete bool, endpoints ...wire.Endpoint) string {
 	if endpoints == nil {
 		endpoints = []wire.Endpoint{}
--- a/cmd/onyxstream/fake_host_test.go
+++ b/cmd/onyxstream/fake_host_test.go
@@ -10,23 +10,23 @@
 	"onyxstream/internal/wire"
 )
 
-// fakeClock is the time base of all fake hosts and fake discovery services.
+// fakeClock is the clock of all fake hosts and fake discovery services.
 var fakeClock = fakeserver.NewClock()
 
-// fakeHost is a host that answers each OPEN with a scripted reply, by default UP. After an UP it echoes each line, and
-// carries out lines that begin with DO.
+// fakeHost is a fake host that sends a configurable response to each opening line, by default UP. On an established
+// connection it echoes each line, except that it executes a line that begins with DO as a test command.
 type fakeHost struct {
 	*fakeserver.Host
 	id       string
 	mu       sync.Mutex
-	reply    string
+	response string
 	received []string
 }
 
 // newFakeHost starts a host in zone a. It is closed when the test ends.
 func newFakeHost(t testing.TB, id string) *fakeHost {
 	t.Helper()
-	host := &fakeHost{id: id, reply: "UP from-" + id + "\r\n"}
+	host := &fakeHost{id: id, response: "UP from-" + id + "\r\n"}
 	config := fakeserver.HostConfig{ID: id, Zone: "a", Spec: capacity.Spec{Cores: 1, Speed: 1}, ObeysTestCommands: true}
 	var err error
 	host.Host, err = fakeserver.NewHost(config, fakeClock, nil)
@@ -38,37 +38,37 @@
 		host.mu.Lock()
 		defer host.mu.Unlock()
 		host.received = append(host.received, line)
-		return host.reply
+		return host.response
 	})
 	return host
 }
 
-// setReply sets the answer to each OPEN from now on. With "" the host never answers.
-func (h *fakeHost) setReply(reply string) {
+// setResponse sets the response to each further opening line. With "" the host never responds.
+func (h *fakeHost) setResponse(response string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.reply = reply
+	h.response = response
 }
 
-// openings returns the OPEN lines received so far.
-func (h *fakeHost) openings() []string {
+// openingLines returns the opening lines received so far.
+func (h *fakeHost) openingLines() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return append([]string(nil), h.received...)
 }
 
-// openConnections returns the number of connections that the host has open.
+// openConnections returns the number of the host's open connections.
 func (h *fakeHost) openConnections() int { return h.State().Connections }
 
-// kill stops the host as a crash would.
+// kill ends the host as in a crash: its connections are reset, and further connection attempts are refused.
 func (h *fakeHost) kill() { h.Crash() }
 
-// endpoint returns the host's entry of an endpoint list.
+// endpoint returns the host's entry in an endpoint list.
 func (h *fakeHost) endpoint(phase wire.Phase) wire.Endpoint {
 	return wire.Endpoint{ID: h.id, Addr: h.Addr(), Zone: "a", Phase: phase, Size: 1}
 }
 
-// endpointsOf returns the entries of hosts that all serve.
+// endpointsOf returns the hosts' entries in an endpoint list, all in phase serving.
 func endpointsOf(hosts ...*fakeHost) []wire.Endpoint {
 	var endpoints []wire.Endpoint
 	for _, host := range hosts {
@@ -77,7 +77,7 @@
 	return endpoints
 }
 
-// endpointsAt returns count entries with different ids and the same address.
+// endpointsAt returns count endpoints with distinct ids, all with the address addr.
 func endpointsAt(count int, addr string) []wire.Endpoint {
 	var endpoints []wire.Endpoint
 	for i := range count {
--- a/cmd/onyxstream/final_answers_test.go
+++ b/cmd/onyxstream/final_answers_test.go
@@ -11,17 +11,17 @@
 	"time"
 )
 
-// Each admitted request gets exactly one complete answer in time, whatever the client, the node's machine or other
-// clients do meanwhile.
+// The tests in this file check that each admitted request gets exactly one complete final answer within its deadline,
+// whatever its client, the node's machine and other clients do.
 
-// A client that closes its sending side after the opening line can still read.
+// A client that half-closes its connection after the opening line can still read, so it must get a final answer.
 func TestRequest_ClientHalfCloses_IsAnswered(t *testing.T) {
 	t.Parallel()
 	host := newFakeHost(t, "h1")
-	host.setReply("")
+	host.setResponse("")
 	node, _ := startNodeWithHosts(t, nodeOptions{}, host)
 	client := node.openRequest(t, "")
-	eventually(t, "the host has received the request", func() bool { return len(host.openings()) == 1 })
+	eventually(t, "the host has received the request", func() bool { return len(host.openingLines()) == 1 })
 	if err := client.conn.CloseWrite(); err != nil {
 		t.Fatal(err)
 	}
@@ -30,13 +30,14 @@
 	eventually(t, "the host's connection is closed", func() bool { return host.openConnections() == 0 })
 }
 
-// A client's deadline runs from the last byte of its line, not from the moment at which a node that was stopped reads
-// it. The deadline that the node sends to the host shows which of the two applied, however slow the machine is. The
-// balancer answers at the end of that time; the answer slack keeps the node's own fallback timer from answering first.
+// A request's deadline runs from the arrival of the last byte of its opening line, not from the moment at which the
+// node reads the line. The two differ if the node is stopped in between. The deadline that the node sends to the host
+// shows which of them the node used, however slow the machine is. The balancer rejects the request at its deadline; the
+// long answer slack keeps the node's fallback timer from answering first.
 func TestDeadline_NodeStopped_CountsUnreadTime(t *testing.T) {
 	t.Parallel()
 	host := newFakeHost(t, "h1")
-	host.setReply("")
+	host.setResponse("")
 	node, _ := startNodeWithHosts(t, nodeOptions{latencyObjectiveMS: 9000, answerSlackMS: 5000}, host)
 	node.sendSignal(t, syscall.SIGSTOP)
 	eventually(t, "all of its threads are stopped", func() bool { return node.allThreadsStopped(t) })
@@ -49,40 +50,41 @@
 	remaining := advertisedDeadlineMS(t, host)
 	const maxRemaining = deadlineMS - unreadMS + clockTickMS
 	if remaining > maxRemaining {
-		t.Errorf("the host received a deadline of %d ms; %d of %d ms had passed, so at most %d",
+		t.Errorf("host received a deadline of %d ms; %d of %d ms had passed, want at most %d ms",
 			remaining, unreadMS, deadlineMS, maxRemaining)
 	}
 }
 
-// clockTickMS bounds the error of the system's receive timestamps, which count in ticks.
+// clockTickMS is the largest error of the kernel's receive timestamps, whose resolution is a clock tick.
 const clockTickMS = 20
 
-// advertisedDeadlineMS returns the deadline in the one opening line that a host has received.
+// advertisedDeadlineMS returns the deadline in the opening line that the host received. It must have received only one.
 func advertisedDeadlineMS(t *testing.T, host *fakeHost) int {
 	t.Helper()
-	lines := host.openings()
+	lines := host.openingLines()
 	if len(lines) != 1 {
-		t.Fatalf("the host received %q; want one line", lines)
+		t.Fatalf("host received opening lines %q; want one", lines)
 	}
 	_, rest, _ := strings.Cut(lines[0], ",d=")
 	value, _, _ := strings.Cut(rest, ",")
 	milliseconds, err := strconv.Atoi(value)
 	if err != nil {
-		t.Fatalf("the host received %q: %v", lines[0], err)
+		t.Fatalf("host received opening line %q: %v", lines[0], err)
 	}
 	return milliseconds
 }
 
-// When a node evicts clients for new connections, those that have had their final answer go first. A client that is
-// evicted in the middle of its opening line is rejected with an answer.
+// When a node evicts clients to make room for new connections, it first evicts those that have had their final answer.
+// A client that is evicted after it sent a part of its opening line must get a rejection.
 func TestEviction_PartialOpening_ServedOrRejected(t *testing.T) {
 	t.Parallel()
 	host := newFakeHost(t, "h1")
 	node, _ := startNodeWithHosts(t, nodeOptions{socketLimit: 128}, host)
 	first := node.dial(t)
 	first.send("OPEN half key c=chat,")
-	time.Sleep(100 * time.Millisecond) // the node has read it
-	for range 60 {                     // more than can be pending at one time; they stay connected after their answer
+	time.Sleep(100 * time.Millisecond) // the node reads it
+	// More clients than can be pending at one time connect, and stay connected after their answer.
+	for range 60 {
 		client := node.dial(t)
 		client.send("nonsense\r\n")
 		client.expectLine("ERR")
--- a/cmd/onyxstream/handoff_races_test.go
+++ b/cmd/onyxstream/handoff_races_test.go
@@ -11,10 +11,10 @@
 	"testing"
 )
 
-// These tests stop one of two processes of a node with a signal, or begin its shutdown, while connections pass from the
-// one to the other. The order of events is forced by stopping the process that must act second.
+// The tests in this file stop one of a node's two processes with a signal, or begin its shutdown, during a hand-off of
+// connections between them. They force the order of events by stopping the process that must act second.
 
-// offerPending reports whether a directory holds an offer of connections.
+// offerPending reports whether dir holds an offer of connections that has been neither accepted nor withdrawn.
 func offerPending(t testing.TB, dir string) bool {
 	t.Helper()
 	names, err := filepath.Glob(dir + "/*.offer")
@@ -24,17 +24,18 @@
 	return len(names) > 0
 }
 
-// pendingHandoff is a node whose first process has offered connections that its successor has not accepted. Both
+// pendingHandoff is a node whose predecessor process has offered connections that the successor has not accepted. Both
 // processes are stopped by SIGSTOP.
 type pendingHandoff struct {
-	dir       string // where the offer is
+	dir       string // holds the offer
 	node      *nodeProcess
 	successor *nodeProcess
 	clients   []*testClient
 }
 
-// stopDuringOffer establishes connections, starts a successor, begins the first process's shutdown and stops both. An
-// offer that was withdrawn before its process could be stopped leads to another attempt with new processes.
+// stopDuringOffer establishes connections, starts a successor, begins the predecessor's shutdown, and stops both
+// processes while an offer is pending. If the predecessor withdraws its offer before it can be stopped, stopDuringOffer
+// tries again with new processes.
 func stopDuringOffer(t testing.TB, host *fakeHost, mode string, connections int) pendingHandoff {
 	t.Helper()
 	const maxAttempts = 5
@@ -54,16 +55,17 @@
 		node.sendSignal(t, syscall.SIGCONT)
 		successor.sendSignal(t, syscall.SIGCONT)
 	}
-	t.Fatal("no process could be stopped within the time of its offer")
+	t.Fatal("could not stop a process while its offer was pending")
 	return pendingHandoff{}
 }
 
-// A successor begins its shutdown when it has accepted only a part of the connections of a process that shuts down too.
-// Neither may hand connections to the other any more: each connection is handed off at most once and then migrated.
+// A successor begins its shutdown after it has accepted only some connections of a predecessor that is shutting down.
+// From then on neither process may hand off connections to the other. Each connection is handed off at most once, and
+// then migrated.
 func TestHandoff_BothProcessesStop_EachHandedOffOnce(t *testing.T) {
 	t.Parallel()
 	host := newFakeHost(t, "ha")
-	handoff := stopDuringOffer(t, host, "proxy", 20) // more than one offer
+	handoff := stopDuringOffer(t, host, "proxy", 20) // more connections than fit in one offer
 	node, successor, clients := handoff.node, handoff.successor, handoff.clients
 	successor.sendSignal(t, syscall.SIGCONT)
 	eventually(t, "the offer is accepted", func() bool { return !offerPending(t, handoff.dir) })
@@ -76,7 +78,7 @@
 			rest, end := io.ReadAll(client.reader)
 			migrated.Add(1)
 			if line != "MOVE\r\n" || err != nil || len(rest) > 0 || end != nil {
-				t.Errorf("received %q, %v, then %q, %v; want MOVE and the end", line, err, rest, end)
+				t.Errorf("received %q, error %v, then %q, error %v; want MOVE, then EOF", line, err, rest, end)
 			}
 		})
 	}
@@ -89,13 +91,13 @@
 	successor.waitForCleanExit(t)
 	eventually(t, "the host's connections are closed", func() bool { return host.openConnections() == 0 })
 	if n := node.connectionsHandedOff(t) + successor.connectionsHandedOff(t); n > len(clients) {
-		t.Errorf("%d connections were handed off %d times", len(clients), n)
+		t.Errorf("%d connections handed off %d times in total", len(clients), n)
 	}
 }
 
 var handedOffField = regexp.MustCompile(`"handed_off": (\d+)`)
 
-// connectionsHandedOff returns the number of connections that a process has handed off, by its log.
+// connectionsHandedOff returns the number of connections that the process has handed off according to its log.
 func (p *nodeProcess) connectionsHandedOff(t testing.TB) (sum int) {
 	t.Helper()
 	for _, match := range handedOffField.FindAllStringSubmatch(p.log.String(), -1) {
@@ -108,15 +110,15 @@
 	return sum
 }
 
-// The process that offers connections is stopped while they are accepted, for longer than an offer is valid. When it
-// continues, the connections belong to the successor and it leaves them alone.
+// The predecessor is stopped while the successor accepts its offer, for longer than an offer is valid. When the
+// predecessor continues, it must not touch the connections, which then belong to the successor.
 func TestHandoff_OfferingProcessStopped_OfferAccepted(t *testing.T) {
 	t.Parallel()
 	host := newFakeHost(t, "ha")
 	handoff := stopDuringOffer(t, host, "pass", 5)
 	node, successor, clients := handoff.node, handoff.successor, handoff.clients
 	successor.sendSignal(t, syscall.SIGCONT)
-	for _, client := range clients { // only the successor can relay it
+	for _, client := range clients { // the predecessor is stopped, so the successor relays the line
 		client.send("M 1\r\n")
 		client.expectLine("M 1")
 	}
--- a/cmd/onyxstream/upgrade_bench_test.go
+++ b/cmd/onyxstream/hot_restart_bench_test.go
@@ -9,32 +9,37 @@
 	"time"
 )
 
-// BenchmarkUpgrade measures what clients notice of an upgrade: with connections that are handed off ("handed") and, as
-// the baseline in the same run, with connections that are migrated because offers cannot be written ("moved"). Each
-// client sends a line, waits for its echo, and pauses for 50 ms. calm-ms is the longest wait for an echo before the
-// upgrade, longest-ms during it, away the share of clients whose connection ended, ends-ms the time from SIGTERM to the
-// exit of the older process.
+// BenchmarkHotRestart measures the effect of a hot restart on clients. In the variant "handed" the predecessor hands
+// off its connections. The variant "moved" is the baseline: offers cannot be written, so that the predecessor migrates
+// its connections. Each client repeatedly sends a line, waits for its echo, and pauses for 50 ms. The metrics are:
 //
-//	go test ./cmd/onyxstream -run '^$' -bench Upgrade -benchtime 1x -count 5
-func BenchmarkUpgrade(b *testing.B) {
+//   - calm-ms: the longest wait for an echo before the hot restart
+//   - longest-ms: the longest wait for an echo during the hot restart
+//   - away: the share of clients whose connection ended
+//   - ends-ms: the time from SIGTERM to the exit of the predecessor
+//
+// Run it with:
+//
+//	go test ./cmd/onyxstream -run '^$' -bench HotRestart -benchtime 1x -count 5
+func BenchmarkHotRestart(b *testing.B) {
 	for _, n := range []int{50, 200, 800} {
-		for _, way := range []string{"handed", "moved"} {
-			b.Run(fmt.Sprintf("%s-%d", way, n), func(b *testing.B) {
+		for _, variant := range []string{"handed", "moved"} {
+			b.Run(fmt.Sprintf("%s-%d", variant, n), func(b *testing.B) {
 				for range b.N {
-					measureUpgrade(b, n, way == "moved")
+					measureHotRestart(b, n, variant == "moved")
 				}
 			})
 		}
 	}
 }
 
-// echoLoad sends lines on established connections and records how long their echoes take.
+// echoLoad sends lines on established connections and records the longest waits for an echo.
 type echoLoad struct {
 	stop    chan struct{}
 	clients sync.WaitGroup
 
 	mu            sync.Mutex
-	upgrading     bool
+	restarting    bool
 	longestBefore time.Duration
 	longestDuring time.Duration
 	disconnected  int
@@ -61,14 +66,15 @@
 	}
 }
 
-// record adds the time of an echo, or counts a connection that ended, and returns echoed.
+// record records the wait for an echo if echoed is true, and otherwise counts a connection that ended. It returns
+// echoed.
 func (l *echoLoad) record(took time.Duration, echoed bool) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch {
 	case !echoed:
 		l.disconnected++
-	case l.upgrading:
+	case l.restarting:
 		l.longestDuring = max(l.longestDuring, took)
 	default:
 		l.longestBefore = max(l.longestBefore, took)
@@ -76,14 +82,15 @@
 	return echoed
 }
 
-// beginUpgrade counts echoes from now on as during the upgrade.
-func (l *echoLoad) beginUpgrade() {
+// beginRestart makes record count all further echoes as echoes during the hot restart.
+func (l *echoLoad) beginRestart() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.upgrading = true
+	l.restarting = true
 }
 
-func measureUpgrade(b *testing.B, connections int, migrated bool) {
+// measureHotRestart hot-restarts a node with established connections and reports the metrics of BenchmarkHotRestart.
+func measureHotRestart(b *testing.B, connections int, migrated bool) {
 	host := newFakeHost(b, "ha")
 	options, discovery := inheritedSocketOptions(b, host)
 	node := startNode(b, options, discovery.addr)
@@ -98,7 +105,7 @@
 		presenceFiles, _ := filepath.Glob(options.sharedDir() + "/*.alive")
 		blockOffers(b, presenceFiles[0])
 	}
-	load.beginUpgrade()
+	load.beginRestart()
 	startSuccessor(b, options, discovery.addr)
 	signalledAt := time.Now()
 	node.terminate(b)
--- a/cmd/onyxstream/upgrade_test.go
+++ b/cmd/onyxstream/hot_restart_test.go
@@ -13,8 +13,8 @@
 	"onyxstream/internal/faultinject"
 )
 
-// handoffFaults are failures of the system calls that a handoff needs: opening and renaming files, and socket reads and
-// writes.
+// handoffFaults returns the system calls that a hand-off needs, and rules that make some of them fail: opening and
+// renaming files, and reads and writes on sockets.
 func handoffFaults() (calls []faultinject.Call, rules []faultinject.Rule) {
 	calls = []faultinject.Call{faultinject.OpenAt, faultinject.Rename, faultinject.Read, faultinject.Write}
 	rules = []faultinject.Rule{
@@ -44,16 +44,16 @@
 	return calls, rules
 }
 
-// While system calls fail briefly in both processes of an upgrade, no new request is lost, and each established
-// connection is served on or migrated.
-func TestUpgrade_SystemCallsFail_NoClientLost(t *testing.T) {
+// While some system calls fail in both processes of a hot restart, each new request must get a final answer, and each
+// established connection must either stay established or be migrated.
+func TestHotRestart_SystemCallsFail_NoClientLost(t *testing.T) {
 	t.Parallel()
 	host := newFakeHost(t, "h1")
 	options, discovery := inheritedSocketOptions(t, host)
 	calls, rules := handoffFaults()
 	options.faults = &faultinject.Options{Calls: calls, Seed: 1}
 	node := startNode(t, options, discovery.addr)
-	established := node.establish(t, 40, "UP ") // more than one offer
+	established := node.establish(t, 40, "UP ") // more connections than fit in one offer
 	options.faults = &faultinject.Options{Calls: calls, Seed: 2}
 	successor := startSuccessor(t, options, discovery.addr)
 	node.faults.Fail(rules...)
@@ -62,13 +62,14 @@
 	answers, missing := successor.runLoad(4, 2*time.Second)
 	node.waitForCleanExit(t)
 	successor.faults.Fail()
-	expectNoneMissing(t, missing)
+	expectAllAnswered(t, missing)
 	served, migrated := expectServedOrMigrated(t, established)
-	t.Logf("answers %v; of %d established connections %d are served on, %d were migrated",
+	t.Logf("answers %v; of %d established connections %d stayed established, %d were migrated",
 		answers, len(established), served, migrated)
 }
 
-// expectServedOrMigrated sends a line on each connection, wants it echoed or the connection migrated, and counts both.
+// expectServedOrMigrated sends a line on each connection. Either the line must be echoed or the connection must be
+// migrated. It returns the number of connections of each kind.
 func expectServedOrMigrated(t *testing.T, established []*testClient) (served, migrated int) {
 	t.Helper()
 	for i, client := range established {
@@ -80,22 +81,22 @@
 		case strings.HasPrefix(line, "MOVE"):
 			migrated++
 		default:
-			t.Errorf("established client %d: received %q, error %v", i, line, err)
+			t.Errorf("established connection %d: received %q, error %v; want an echo or MOVE", i, line, err)
 		}
 	}
 	return served, migrated
 }
 
-// While clients connect all the time, the node is upgraded twice. No request is lost, an override of a host's state
-// holds in each process, and its removal too.
-func TestUpgrade_UnderLoad_NoClientLost(t *testing.T) {
+// The node is hot-restarted twice while clients keep connecting. No request may be lost. A host override, and later its
+// removal, must apply in each process.
+func TestHotRestart_UnderLoad_NoClientLost(t *testing.T) {
 	t.Parallel()
 	hostA, hostB := newFakeHost(t, "ha"), newFakeHost(t, "hb")
 	options, discovery := inheritedSocketOptions(t, hostA, hostB)
 	node := startNode(t, options, discovery.addr)
 	node.mustSucceed(t, "disable-server ha")
-	before := len(hostA.openings())
-	established := node.establish(t, 40, "UP from-hb") // more than one offer
+	before := len(hostA.openingLines())
+	established := node.establish(t, 40, "UP from-hb") // more connections than fit in one offer
 	load := startConnectionLoad(options.addr)
 	for range 2 {
 		time.Sleep(200 * time.Millisecond)
@@ -106,24 +107,24 @@
 		node = successor
 	}
 	load.stopAndWait()
-	for _, client := range established { // handed off twice, without a change that their host could notice
+	for _, client := range established { // handed off twice, on unchanged connections to their host
 		client.send("M 1\r\n")
 		client.expectLine("M 1")
 		client.send("DO end\r\n")
 	}
 	if len(load.lost) > 0 || load.total < 300 {
-		t.Errorf("of %d requests %d were lost: %.500s", load.total, len(load.lost), strings.Join(load.lost, "; "))
+		t.Errorf("%d requests, want at least 300; %d lost: %.500s", load.total, len(load.lost), strings.Join(load.lost, "; "))
 	}
-	if got := len(hostA.openings()) - before; got > 0 {
-		t.Errorf("the disabled host received %d opening lines", got)
+	if got := len(hostA.openingLines()) - before; got > 0 {
+		t.Errorf("disabled host received %d opening lines", got)
 	}
 	node.mustSucceed(t, "enable-server ha")
 	node.waitUntilUsed(t, hostA, before)
 }
 
-// A successor that exits during its startup changes nothing for the running process. If that one shuts down before a
-// successor is ready, it goes on accepting clients until the front end has noticed.
-func TestUpgrade_SuccessorFails_OldProcessServes(t *testing.T) {
+// A successor that exits during its startup must not affect the running process. If the running process then shuts down
+// without a successor, it must keep accepting clients until the front has noticed.
+func TestHotRestart_SuccessorFails_PredecessorServes(t *testing.T) {
 	t.Parallel()
 	host := newFakeHost(t, "ha")
 	options, discovery := inheritedSocketOptions(t, host)
@@ -132,7 +133,7 @@
 	invalid.initialList = `{"members":[{"id":""}]}`
 	successor := startProcessWith(t, writeConfig(t, options.addr, discovery.addr, invalid), invalid)
 	if err := <-successor.exited; err == nil {
-		t.Error("the process with an invalid configuration exited with status 0")
+		t.Error("successor with an invalid configuration exited with status 0")
 	}
 	node.openRequest(t, "").expectLine("UP")
 	node.terminate(t)
@@ -141,18 +142,19 @@
 	node.waitForCleanExit(t)
 }
 
-// blockOffers keeps the process with this presence file from writing an offer.
+// blockOffers keeps the process that owns presenceFile from writing an offer, by creating directories under the names
+// of its offer files.
 func blockOffers(t testing.TB, presenceFile string) {
 	t.Helper()
 	prefix := strings.TrimSuffix(presenceFile, ".alive")
-	for i := 1; i <= 2; i++ { // the process gives up after the second attempt
+	for i := 1; i <= 2; i++ { // the process makes two attempts
 		if err := os.Mkdir(fmt.Sprintf("%s-%d.offer", prefix, i), 0o700); err != nil {
 			t.Fatal(err)
 		}
 	}
 }
 
-// Where connections cannot be handed off, their clients are migrated before the older process exits.
+// If a hand-off fails, the predecessor must migrate its clients before it exits.
 func TestHandoff_OffersBlocked_ClientsMigrated(t *testing.T) {
 	t.Parallel()
 	host := newFakeHost(t, "ha")
@@ -161,7 +163,7 @@
 	clients := node.establish(t, 5, "UP")
 	presenceFiles, err := filepath.Glob(options.sharedDir() + "/*.alive")
 	if err != nil || len(presenceFiles) != 1 {
-		t.Fatalf("presence files %v, error %v", presenceFiles, err)
+		t.Fatalf("found presence files %v, error %v; want one file", presenceFiles, err)
 	}
 	blockOffers(t, presenceFiles[0])
 	startSuccessor(t, options, discovery.addr)
--- a/cmd/onyxstream/load_command_test.go
+++ b/cmd/onyxstream/load_command_test.go
@@ -18,7 +18,7 @@
 	"onyxstream/internal/loadtest"
 )
 
-// loadScenario is a scenario for load commands, without a fleet of its own.
+// loadScenario is a scenario for the load commands that starts no nodes or hosts.
 const loadScenario = `
 name = "t"
 seed = 5
@@ -40,7 +40,7 @@
 linger = "5s"
 `
 
-// loadFleetConfig makes the load command start nodes and hosts of its own.
+// loadFleetConfig is the part of a scenario that makes the load command start its own nodes and fake hosts.
 const loadFleetConfig = `
 [fleet]
 nodes = 2
@@ -51,8 +51,8 @@
 setup = "2ms"
 `
 
-// A run with nodes and hosts of its own, one of which crashes and returns, writes its result in each form, and the
-// other commands read it.
+// A run starts its own nodes and hosts, and one of the hosts crashes and restarts. The run must write its result in
+// each format, and the other load commands must read it.
 func TestLoadRun_OwnFleet_WritesAllResults(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
@@ -69,7 +69,7 @@
 		t.Fatalf("exit status %d: %s", status, stderr)
 	}
 	if stderr != "" || !strings.Contains(stdout, "chat") {
-		t.Errorf("printed %q and, without a terminal, %q", stdout, stderr)
+		t.Errorf("stdout %q, stderr %q; want no progress on stderr, which is not a terminal", stdout, stderr)
 	}
 	result, err := loadtest.ReadResult(file("r.json"))
 	if err != nil {
@@ -80,13 +80,13 @@
 		t.Errorf("too few requests were served: %+v", class)
 	}
 	if result.WrongReceipts != 0 || len(result.FleetEvents) == 0 || result.Nodes.CPU <= 0 || result.Partial {
-		t.Errorf("result %+v, marks %v, usage %+v", class, result.FleetEvents, result.Nodes)
+		t.Errorf("result %+v, fleet events %v, node usage %+v", class, result.FleetEvents, result.Nodes)
 	}
 	expectLedgerMatches(t, file("ledger"), class.Attempts["served"])
 	expectResultFiles(t, file)
 }
 
-// expectLedgerMatches wants the hosts' ledger to hold an UP for each UP that a client received, and no more.
+// expectLedgerMatches checks that the hosts' ledger records exactly as many UPs as the clients received.
 func expectLedgerMatches(t *testing.T, path string, served int64) {
 	t.Helper()
 	accepted := int64(0)
@@ -96,18 +96,18 @@
 		}
 	}
 	if accepted != served {
-		t.Errorf("hosts answered UP %d times, clients received it %d times", accepted, served)
+		t.Errorf("hosts sent UP %d times, clients received it %d times", accepted, served)
 	}
 }
 
-// expectResultFiles wants each file of a run to hold what it should, and the plot and compare commands to read the
+// expectResultFiles checks the content of each file that a run wrote, and that the plot and compare commands read the
 // result.
 func expectResultFiles(t *testing.T, file func(name string) string) {
 	t.Helper()
 	for name, want := range map[string]string{"r.html": "<svg", "r.hgrm": "Percentile", "log": "started"} {
 		text, err := os.ReadFile(file(name))
 		if err != nil || !strings.Contains(string(text), want) {
-			t.Errorf("%s lacks %q, error %v", name, want, err)
+			t.Errorf("%s does not contain %q, error %v", name, want, err)
 		}
 	}
 	status, _, stderr := runProgram(t, "load", "plot", file("r.json"), "-o", file("again.html"))
@@ -120,7 +120,7 @@
 	}
 }
 
-// readLedger returns the records of a ledger file, which follow a header.
+// readLedger returns the records of a ledger file. It skips the header before them.
 func readLedger(t *testing.T, path string) (records []fakeserver.Event) {
 	t.Helper()
 	file, err := os.Open(path)
@@ -166,8 +166,8 @@
 	}
 }
 
-// A run of rising load and bursts is recorded, then replayed at three times its speed: the requests have the same order
-// and a third of the spacing.
+// A run with a load ramp and bursts is recorded as a trace and replayed at triple speed. The requests must have the
+// same order and a third of the spacing.
 func TestLoadReplay_TripleSpeed_KeepsOrderAndSpacing(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
@@ -191,13 +191,13 @@
 	}
 	recorded, replayed := readTrace(t, first), readTrace(t, second)
 	if len(recorded) < 100 || len(recorded) != len(replayed) {
-		t.Fatalf("%d recorded, %d replayed", len(recorded), len(replayed))
+		t.Fatalf("recorded %d requests, replayed %d", len(recorded), len(replayed))
 	}
 	for i, want := range recorded {
 		got := replayed[i]
 		timeError := math.Abs(float64(want.IntendedAt)/3 - float64(got.IntendedAt))
 		if timeError > 1000 || want.Key != got.Key || want.Lifetime != got.Lifetime {
-			t.Fatalf("row %d is replayed as %+v, was %+v", i, got, want)
+			t.Fatalf("request %d: replayed %+v, recorded %+v", i, got, want)
 		}
 	}
 	result, err := loadtest.ReadResult(resultPath)
@@ -206,7 +206,7 @@
 	}
 }
 
-// A signal ends the run at once. The result file is complete and marked as partial.
+// A signal must end the run at once. The result file must be complete, and its result marked as partial.
 func TestLoadRun_Signalled_WritesPartialResult(t *testing.T) {
 	t.Parallel()
 	for _, signal := range []syscall.Signal{syscall.SIGINT, syscall.SIGTERM} {
@@ -224,7 +224,7 @@
 	}
 }
 
-// A load generator without free descriptors reports that it could not send, with an exit status of its own.
+// A load generator that runs out of descriptors must report that it could not send, and exit with status 3.
 func TestLoadRun_DescriptorsExhausted_ExitsWithStatus3(t *testing.T) {
 	t.Parallel()
 	host := newFakeHost(t, "h1")
@@ -266,11 +266,11 @@
 	} {
 		status, _, stderr := runProgram(t, test.args...)
 		if status != 2 || !strings.Contains(stderr, test.want) {
-			t.Errorf("%v: exit status %d, printed %q, want %q", test.args, status, stderr, test.want)
+			t.Errorf("%v: exit status %d, stderr %q; want status 2 and %q", test.args, status, stderr, test.want)
 		}
 	}
 	status, stdout, _ := runProgram(t, "completion", "bash")
 	if status != 0 || !strings.Contains(stdout, "onyxstream") {
-		t.Errorf("completion: exit status %d", status)
+		t.Errorf("completion bash: exit status %d, want 0 and a script", status)
 	}
 }
--- a/cmd/onyxstream/load_faults_test.go
+++ b/cmd/onyxstream/load_faults_test.go
@@ -9,15 +9,15 @@
 	"onyxstream/internal/loadtest"
 )
 
-// scheduledFault is a fault of a scenario: what happens to a target, and when.
+// scheduledFault is a fault in a scenario.
 type scheduledFault struct {
 	atMS   int
 	target string
 	what   string
-	fields string // further lines of the fault's table
+	fields string // further lines of the fault's TOML table
 }
 
-// everyFault holds each kind of fault that a scenario can have.
+// everyFault holds at least one fault of each kind that a scenario can have.
 var everyFault = []scheduledFault{
 	{100, "h1", "slow", "by = 5.0\nfor = \"300ms\""},
 	{200, "store", "slow", "by = 8.0\nfor = \"500ms\""},
@@ -43,8 +43,8 @@
 	{4200, "h4", "die", "for = \"300ms\""},
 }
 
-// everyFaultScenario returns a scenario with every fault on a fleet of its own, with connections that are established
-// before the first fault.
+// everyFaultScenario returns a scenario that starts its own nodes and hosts, establishes connections, and then injects
+// everyFault.
 func everyFaultScenario() string {
 	scenario := strings.NewReplacer(
 		`for = "2s"`, `for = "5s"`,
@@ -60,7 +60,7 @@
 	return scenario
 }
 
-// With every fault on one fleet, each fault takes place and each request has exactly one outcome.
+// While all kinds of faults are injected into one fleet, each fault must occur and each request must have one outcome.
 func TestLoadRun_EveryFault_OneOutcomePerRequest(t *testing.T) {
 	t.Parallel()
 	resultPath := filepath.Join(t.TempDir(), "r.json")
@@ -82,6 +82,6 @@
 		t.Errorf("%d requests, outcomes %v, %d wrong receipts", class.Requests, class.Outcomes, result.WrongReceipts)
 	}
 	if len(result.FleetEvents) < len(everyFault) {
-		t.Errorf("%d marks of %d faults: %v", len(result.FleetEvents), len(everyFault), result.FleetEvents)
+		t.Errorf("%d fleet events for %d faults: %v", len(result.FleetEvents), len(everyFault), result.FleetEvents)
 	}
 }
--- a/cmd/onyxstream/log_test.go
+++ b/cmd/onyxstream/log_test.go
@@ -7,7 +7,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// logPipe returns a pipe for a node's log with a buffer of one page. Nobody reads it.
+// logPipe returns a pipe for a node's log. Its buffer is one page, so that it fills up if the test does not read it.
 func logPipe(t *testing.T) (read, write *os.File) {
 	t.Helper()
 	read, write, err := os.Pipe()
@@ -21,7 +21,8 @@
 	return read, write
 }
 
-// serveAndShutDown wants each of several requests to be served, and the node to exit when it is terminated.
+// serveAndShutDown opens one request per client, each of which must be served, and terminates the node, which must
+// exit.
 func (p *nodeProcess) serveAndShutDown(t *testing.T, clients int) {
 	t.Helper()
 	p.establish(t, clients, "UP ")
@@ -29,8 +30,8 @@
 	p.waitForCleanExit(t)
 }
 
-// A log that nobody reads must not block the node: a write to a full pipe would block every goroutine that logs, the
-// event loop among them.
+// A log that nobody reads must not block the node. A write to a full pipe would block every goroutine that logs,
+// including the event loop.
 func TestLog_ReaderBlocked_RequestsAreAnswered(t *testing.T) {
 	t.Parallel()
 	host := newFakeHost(t, "h1")
@@ -39,7 +40,7 @@
 	node.serveAndShutDown(t, 60)
 }
 
-// A log whose reader is gone must not end the node: a write to it raises SIGPIPE.
+// A log whose reader has closed its end of the pipe must not end the node. A write to such a pipe raises SIGPIPE.
 func TestLog_ReaderGone_NodeKeepsServing(t *testing.T) {
 	t.Parallel()
 	host := newFakeHost(t, "h1")
--- a/cmd/onyxstream/main.go
+++ b/cmd/onyxstream/main.go
@@ -1,5 +1,6 @@
-// Command onyxstream runs a node of the load balancer, the agent that operates several nodes, and tools such as the load
-// generator. A node reads its configuration from the file that PROXY_CONFIG names; see the README.
+// Command onyxstream is the program of the load balancer. Its subcommands run a node, run the agent that operates
+// several nodes, act on nodes through the agent, and run tools such as the load generator. A node reads its
+// configuration from the file that the environment variable PROXY_CONFIG names. The README describes each command.
 package main
 
 import (
--- a/cmd/onyxstream/main_test.go
+++ b/cmd/onyxstream/main_test.go
@@ -17,10 +17,10 @@
 	"onyxstream/internal/faultinject"
 )
 
-// The tests of this package build the program, start it and use it over sockets on loopback, with fake hosts and a fake
-// discovery service.
+// The tests of this package build the program, start it as a separate process and use it over loopback sockets. Fake
+// hosts and a fake discovery service run in the test process.
 
-// programPath is the path of the program that TestMain builds.
+// programPath is the path of the executable that TestMain builds.
 var programPath string
 
 func TestMain(m *testing.M) {
@@ -32,7 +32,7 @@
 	programPath = filepath.Join(dir, "onyxstream")
 	build := []string{"build", "-race", "-o", programPath, "."}
 	flag.Parse()
-	if flag.Lookup("test.bench").Value.String() != "" { // benchmarks would measure the race detector
+	if flag.Lookup("test.bench").Value.String() != "" { // with the race detector, benchmarks would measure its overhead
 		build = []string{"build", "-o", programPath, "."}
 	}
 	if out, err := exec.Command("go", build...).CombinedOutput(); err != nil {
@@ -44,20 +44,21 @@
 	os.Exit(code)
 }
 
-// waitLimit is how long a test waits for something that must happen. No test measures time with it.
+// waitLimit is the time after which a test gives up waiting for an event. It is generous: no test uses it to check how
+// long something takes.
 const waitLimit = 20 * time.Second
 
-// eventually waits until the condition holds.
+// eventually waits until condition returns true, and fails the test after waitLimit. what describes the condition.
 func eventually(t testing.TB, what string, condition func() bool) {
 	t.Helper()
 	for start := time.Now(); !condition(); time.Sleep(10 * time.Millisecond) {
 		if time.Since(start) > waitLimit {
-			t.Fatalf("never: %s", what)
+			t.Fatalf("timed out waiting for condition: %s", what)
 		}
 	}
 }
 
-// syncBuffer is a buffer that a process writes to while a test reads it.
+// syncBuffer is a buffer that is safe for concurrent use: a process writes its output to it while the test reads it.
 type syncBuffer struct {
 	mu     sync.Mutex
 	buffer bytes.Buffer
@@ -81,7 +82,7 @@
 	n int
 }
 
-// nextID returns a number that no other call has returned.
+// nextID returns a number that is unique within the test process.
 func nextID() int {
 	idCounter.Lock()
 	defer idCounter.Unlock()
@@ -89,8 +90,8 @@
 	return idCounter.n
 }
 
-// freeAddr returns an address that nothing listens on. Each call takes another loopback address, so that no other test
-// can be given the same port meanwhile.
+// freeAddr returns an address on which nothing listens. Consecutive calls use different loopback IP addresses, so that
+// the system does not give the same port to another test before the caller listens on it.
 func freeAddr(t testing.TB) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", fmt.Sprintf("127.77.%d.%d:0", os.Getpid()%250, 1+nextID()%250))
@@ -111,13 +112,13 @@
 	return path
 }
 
-// runProgram runs the program to its end and returns its exit status and its output.
+// runProgram runs the program until it exits, and returns its exit status and its output.
 func runProgram(t *testing.T, args ...string) (status int, stdout, stderr string) {
 	t.Helper()
 	return runToExit(t, exec.Command(programPath, args...), func(*exec.Cmd) {})
 }
 
-// runToExit starts a command, calls started, waits for the command's end and returns its exit status and its output. A
+// runToExit starts cmd, calls started, waits until the process exits, and returns its exit status and its output. A
 // data race in the program fails the test.
 func runToExit(t *testing.T, cmd *exec.Cmd, started func(*exec.Cmd)) (status int, stdout, stderr string) {
 	t.Helper()
@@ -133,7 +134,7 @@
 		t.Fatal(err)
 	}
 	if strings.Contains(errOut.String(), "DATA RACE") {
-		t.Errorf("a data race: %s", errOut.String())
+		t.Errorf("data race in the program:\n%s", errOut.String())
 	}
 	return cmd.ProcessState.ExitCode(), out.String(), errOut.String()
 }
--- a/cmd/onyxstream/management_test.go
+++ b/cmd/onyxstream/management_test.go
@@ -11,8 +11,8 @@
 	"onyxstream/internal/wire"
 )
 
-// managementCall sends a command to the management listener and returns the whole answer.
-func (p *nodeProcess) managementCall(t testing.TB, command string) string {
+// managementCall makes a management call on a new connection and returns the whole reply.
+func (p *nodeProcess) managementCall(t testing.TB, call string) string {
 	t.Helper()
 	conn, err := net.Dial("tcp", p.managementAddr)
 	if err != nil {
@@ -20,51 +20,51 @@
 	}
 	defer conn.Close()
 	_ = conn.SetDeadline(time.Now().Add(waitLimit))
-	_, _ = io.WriteString(conn, command+"\r\n")
-	answer, err := io.ReadAll(conn)
+	_, _ = io.WriteString(conn, call+"\r\n")
+	reply, err := io.ReadAll(conn)
 	if err != nil {
-		t.Fatalf("%s: %q, %v", command, answer, err)
+		t.Fatalf("management call %s: reply %q, error %v", call, reply, err)
 	}
-	return string(answer)
+	return string(reply)
 }
 
-// mustSucceed sends a management command that must succeed.
-func (p *nodeProcess) mustSucceed(t testing.TB, command string) {
+// mustSucceed makes a management call that must succeed.
+func (p *nodeProcess) mustSucceed(t testing.TB, call string) {
 	t.Helper()
-	if got := p.managementCall(t, command); !strings.HasPrefix(got, "YES") {
-		t.Fatalf("%s: %q", command, got)
+	if got := p.managementCall(t, call); !strings.HasPrefix(got, "YES") {
+		t.Fatalf("management call %s: reply %q, want YES", call, got)
 	}
 }
 
-// mustFail sends a management command that must be refused.
-func (p *nodeProcess) mustFail(t testing.TB, command string) {
+// mustFail makes a management call that must fail.
+func (p *nodeProcess) mustFail(t testing.TB, call string) {
 	t.Helper()
-	if got := p.managementCall(t, command); !strings.HasPrefix(got, "NO ") {
-		t.Fatalf("%s: %q", command, got)
+	if got := p.managementCall(t, call); !strings.HasPrefix(got, "NO ") {
+		t.Fatalf("management call %s: reply %q, want NO", call, got)
 	}
 }
 
-// stats returns the node's statistics by name, without the prefix "svc.".
+// stats returns the node's statistics by name. The names lack the prefix "svc." of the management call's reply.
 func (p *nodeProcess) stats(t testing.TB) map[string]int {
 	t.Helper()
 	stats := map[string]int{}
 	lines := strings.Split(strings.TrimSuffix(p.managementCall(t, "show-stat"), "\r\n"), "\r\n")
 	if lines[0] != "YES" || lines[len(lines)-1] != "END" {
-		t.Fatalf("the statistics are %q", lines)
+		t.Fatalf("invalid reply to show-stat: %q", lines)
 	}
 	for _, line := range lines[1 : len(lines)-1] {
 		name, value, _ := strings.Cut(line, "=")
 		n, err := strconv.Atoi(value)
 		if err != nil {
-			t.Fatalf("a statistic is %q", line)
+			t.Fatalf("invalid line in the reply to show-stat: %q", line)
 		}
 		stats[strings.TrimPrefix(name, "svc.")] = n
 	}
 	return stats
 }
 
-// A disabled host receives no new request from the answer on, whatever the endpoint list says, and is used again once
-// it is enabled.
+// Once the node has replied to the call that disables a host, the host must receive no new request, whatever the
+// endpoint list says. It must be used again once it is enabled.
 func TestHostOverride_Disabled_IgnoresListUntilEnabled(t *testing.T) {
 	t.Parallel()
 	hostA, hostB := newFakeHost(t, "ha"), newFakeHost(t, "hb")
@@ -74,7 +74,7 @@
 	node.mustFail(t, "enable-server nobody")
 	node.mustSucceed(t, "disable-server ha")
 	node.mustSucceed(t, "disable-server ha")
-	before := len(hostA.openings())
+	before := len(hostA.openingLines())
 	restarted := hostA.endpoint(wire.Serving)
 	restarted.StartedAtMS = time.Now().UnixMilli()
 	for _, event := range []string{
@@ -86,8 +86,8 @@
 		discovery.sendEvent(event)
 		node.establish(t, 8, "UP from-hb")
 	}
-	if got := len(hostA.openings()) - before; got > 0 {
-		t.Errorf("the disabled host received %d opening lines", got)
+	if got := len(hostA.openingLines()) - before; got > 0 {
+		t.Errorf("disabled host received %d opening lines", got)
 	}
 	eventually(t, "the statistics show the disabled host", func() bool {
 		stats := node.stats(t)
@@ -100,58 +100,60 @@
 	node.waitUntilUsed(t, hostA, before)
 }
 
-// answerCounter opens requests and counts their answers by the first word, "nothing" where there is none.
-type answerCounter struct {
-	node *nodeProcess
-	seen map[string]int
+// finalAnswerCounter opens requests and counts their final answers by the first word. A request without an answer
+// counts under "nothing".
+type finalAnswerCounter struct {
+	node   *nodeProcess
+	counts map[string]int
 }
 
-func (c *answerCounter) open(t *testing.T, count int) {
+func (c *finalAnswerCounter) open(t *testing.T, count int) {
 	t.Helper()
 	for range count {
 		line, _ := c.node.openRequest(t, "").reader.ReadString('\n')
-		c.seen[strings.Fields(line + "nothing")[0]]++
+		c.counts[strings.Fields(line + "nothing")[0]]++
 	}
 }
 
-// The statistics match what clients and hosts have seen, over every way in which a set-up can end.
-func TestStats_MixedOutcomes_MatchPeers(t *testing.T) {
+// For every outcome of a connection setup, the node's statistics must match what clients and hosts have received.
+func TestStats_MixedOutcomes_MatchClientsAndHosts(t *testing.T) {
 	t.Parallel()
 	hostA, hostB := newFakeHost(t, "ha"), newFakeHost(t, "hb")
 	node, _ := startNodeWithHosts(t, nodeOptions{managementAddr: freeAddr(t), socketLimit: 128}, hostA, hostB)
-	answers := &answerCounter{node: node, seen: map[string]int{}}
+	answers := &finalAnswerCounter{node: node, counts: map[string]int{}}
 	answers.open(t, 9)
-	hostA.setReply("BUSY\r\n") // the other host serves them
+	hostA.setResponse("BUSY\r\n") // the other host serves the requests
 	answers.open(t, 6)
-	hostA.setReply("ERR\r\n")
-	hostB.setReply("ERR\r\n")
+	hostA.setResponse("ERR\r\n")
+	hostB.setResponse("ERR\r\n")
 	answers.open(t, 3)
-	hostA.setReply("UP r\r\n")
-	hostB.setReply("UP r\r\n")
-	time.Sleep(2 * time.Second) // both are avoided for a while
-	answers.open(t, 40)         // more than there are descriptors for
+	hostA.setResponse("UP r\r\n")
+	hostB.setResponse("UP r\r\n")
+	time.Sleep(2 * time.Second) // after their errors the balancer avoids both hosts for a while
+	answers.open(t, 40)         // more than the node has descriptors for
 	invalid := node.dial(t)
 	invalid.send("OPEN x y c=nonsense,t=acme,d=2000\r\n")
 	invalid.expectLine("ERR")
-	seen, stats := answers.seen, node.stats(t)
-	repliesMatch := stats["replies.chat.success"] == seen["UP"] &&
-		stats["replies.chat.overload"] == seen["BUSY"] &&
-		stats["replies.chat.error"] == seen["ERR"]
+	counts, stats := answers.counts, node.stats(t)
+	repliesMatch := stats["replies.chat.success"] == counts["UP"] &&
+		stats["replies.chat.overload"] == counts["BUSY"] &&
+		stats["replies.chat.error"] == counts["ERR"]
 	if !repliesMatch {
-		t.Errorf("clients received %v, the statistics are %v", seen, stats)
+		t.Errorf("clients received answers %v, statistics %v", counts, stats)
 	}
-	if seen["UP"] < 20 || seen["BUSY"] == 0 {
-		t.Errorf("too few kinds of answers for a comparison: %v", seen)
+	if counts["UP"] < 20 || counts["BUSY"] == 0 {
+		t.Errorf("test is inconclusive: too few UP or BUSY answers: %v", counts)
 	}
-	if openings := len(hostA.openings()) + len(hostB.openings()); stats["dispatches"] != openings {
-		t.Errorf("hosts received %d opening lines, the statistics count %d", openings, stats["dispatches"])
+	if openingLines := len(hostA.openingLines()) + len(hostB.openingLines()); stats["dispatches"] != openingLines {
+		t.Errorf("hosts received %d opening lines, statistics count %d", openingLines, stats["dispatches"])
 	}
-	if stats["concurrent"] != seen["UP"] {
-		t.Errorf("%d connections are established, the statistics count %d", seen["UP"], stats["concurrent"])
+	if stats["concurrent"] != counts["UP"] {
+		t.Errorf("%d connections established, statistics count %d", counts["UP"], stats["concurrent"])
 	}
 }
 
-// Connections that send nothing or half a command do not block the listener, and a reload does not change its address.
+// Connections that send nothing or an incomplete call must not block the management listener. A reload must not change
+// the listener's address.
 func TestManagement_SilentConnections_StillAnswers(t *testing.T) {
 	t.Parallel()
 	host := newFakeHost(t, "ha")
@@ -168,7 +170,7 @@
 	node.reload(t, node.managementAddr, freeAddr(t))
 	node.waitForLog(t, "ignored until the next start")
 	if !strings.Contains(node.log.String(), `"field": "management"`) {
-		t.Error("the log does not name the field")
+		t.Error("log does not name the field management")
 	}
 	node.mustSucceed(t, "ready")
 	node.mustSucceed(t, "disable-server ha")
--- a/cmd/onyxstream/node_options_test.go
+++ b/cmd/onyxstream/node_options_test.go
@@ -12,22 +12,22 @@
 	"onyxstream/internal/faultinject"
 )
 
-// nodeOptions are the parts of a node's configuration and environment that tests vary. Zero values stand for the
-// defaults of writeConfig and startProcessWith.
+// nodeOptions holds the parts of a node's configuration and environment that differ between tests. The zero value of a
+// field stands for the default in writeConfig or startProcessWith.
 type nodeOptions struct {
 	mode               string // "pass" or "proxy"
 	socketLimit        int    // the configured limit on sockets
-	addr               string // the address of listener
-	latencyObjectiveMS int    // for a connection set-up
-	answerSlackMS      int    // how long after a deadline an answer still counts as in time
-	descriptorLimit    int    // ulimit -n of the process, 0 for the system's
-	initialList        string // the endpoint list that the configuration holds
+	addr               string // the address of listener, where that is set
+	latencyObjectiveMS int    // latency objective of a connection setup
+	answerSlackMS      int    // how long after the deadline a final answer still counts as in time
+	descriptorLimit    int    // ulimit -n of the process, 0 for the inherited limit
+	initialList        string // the endpoint list in the configuration, as JSON
 	managementAddr     string
 	env                []string
 	programPath        string   // "" for the build with the race detector
-	memoryMB           int      // the configured memory limit, 0 for 256
-	listener           *os.File // the clients' listening socket, inherited as descriptor 3
-	stderr             *os.File // where the node's log goes, nil for nodeProcess.log
+	memoryMB           int      // the configured memory limit in MB, 0 for 256
+	listener           *os.File // listening socket for clients, which the process inherits as descriptor 3
+	stderr             *os.File // receives the process's output instead of nodeProcess.log, unless nil
 	faults             *faultinject.Options
 }
 
@@ -40,12 +40,12 @@
 
 const (
 	defaultSocketLimit        = 256
-	defaultLatencyObjectiveMS = 2000 // a host that is slow on a busy machine is not left for another
+	defaultLatencyObjectiveMS = 2000 // high, so that a host that is slow on a busy machine is not given up for another
 	defaultAnswerSlackMS      = 16
 	defaultMemoryMB           = 256
 )
 
-// writeConfig writes a node's configuration into a temporary directory and returns its path.
+// writeConfig writes a node's configuration file to a temporary directory and returns its path.
 func writeConfig(t testing.TB, addr, discoveryAddr string, options nodeOptions) string {
 	t.Helper()
 	settings := fmt.Sprintf(settingsTemplate,
@@ -70,7 +70,7 @@
 	return path
 }
 
-// listeningSocket opens a listening socket for clients, as the platform passes one to a node.
+// listeningSocket opens a listening socket for clients that a node can inherit.
 func listeningSocket(t testing.TB) (addr string, file *os.File) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -87,7 +87,7 @@
 }
 
 // inheritedSocketOptions returns the options of a node that inherits its listening socket, shares a directory with its
-// successor and has hosts in its list, and the discovery service of that list.
+// successor and has the hosts in its endpoint list. It also returns a fake discovery service with the same list.
 func inheritedSocketOptions(t testing.TB, hosts ...*fakeHost) (nodeOptions, *fakeDiscovery) {
 	t.Helper()
 	options := nodeOptions{
@@ -100,5 +100,5 @@
 	return options, newFakeDiscovery(t, options.initialList)
 }
 
-// sharedDir returns the directory that the processes of a node share.
+// sharedDir returns the directory that the node's processes share. The options must come from inheritedSocketOptions.
 func (o nodeOptions) sharedDir() string { return strings.TrimPrefix(o.env[0], "TMPDIR=") }
--- a/cmd/onyxstream/node_process_test.go
+++ b/cmd/onyxstream/node_process_test.go
@@ -17,25 +17,26 @@
 	"onyxstream/internal/faultinject"
 )
 
-// nodeProcess is a process of the program's node command.
+// nodeProcess is a running process of the command "onyxstream node".
 type nodeProcess struct {
-	addr           string // for clients
+	addr           string // where clients connect
 	managementAddr string
 	configPath     string
 	cmd            *exec.Cmd
 	log            *syncBuffer
-	exited         chan error           // receives the result of Wait once
-	faults         *faultinject.Process // nil without nodeOptions.faults
+	exited         chan error           // receives the result of cmd.Wait, once
+	faults         *faultinject.Process // nil if nodeOptions.faults is nil
 }
 
-// startProcess starts a node with the configuration at path.
+// startProcess starts a node with the configuration file at path and default options.
 func startProcess(t testing.TB, path string, args ...string) *nodeProcess {
 	t.Helper()
 	return startProcessWith(t, path, nodeOptions{}, args...)
 }
 
-// startProcessWith starts a node with the configuration at path; of the options those that are not part of the
-// configuration apply. The process is killed when the test ends, and a data race in it fails the test.
+// startProcessWith starts a node with the configuration file at path. It applies only those options that concern the
+// process; the configuration file holds the others. The process is killed when the test ends, and a data race in it
+// fails the test.
 func startProcessWith(t testing.TB, path string, options nodeOptions, args ...string) *nodeProcess {
 	t.Helper()
 	cmd := exec.Command(cmp.Or(options.programPath, programPath), append([]string{"node"}, args...)...)
@@ -72,10 +73,10 @@
 	t.Helper()
 	_ = p.cmd.Process.Kill()
 	if t.Failed() {
-		t.Logf("the node's log:\n%s", p.log)
+		t.Logf("log of the node:\n%s", p.log)
 	}
 	if strings.Contains(p.log.String(), "DATA RACE") {
-		t.Errorf("a data race in the node:\n%s", p.log)
+		t.Errorf("data race in the node:\n%s", p.log)
 	}
 }
 
@@ -101,11 +102,12 @@
 			return node
 		}
 	}
-	t.Fatalf("the node does not answer PING; its log:\n%s", node.log)
+	t.Fatalf("node did not answer PING; its log:\n%s", node.log)
 	return nil
 }
 
-// startNodeWithHosts starts a node and its discovery service, both with a list of hosts that serve.
+// startNodeWithHosts starts a fake discovery service and a node. The service's endpoint list, and the list in the
+// node's configuration, hold the hosts in phase serving.
 func startNodeWithHosts(t testing.TB, options nodeOptions, hosts ...*fakeHost) (*nodeProcess, *fakeDiscovery) {
 	t.Helper()
 	options.initialList = endpointListJSON(1, true, endpointsOf(hosts...)...)
@@ -113,8 +115,8 @@
 	return startNode(t, options, discovery.addr), discovery
 }
 
-// startSuccessor starts a second process beside a running one, with a management address of its own, and waits until it
-// reports that it is ready.
+// startSuccessor starts the successor of a running node process, with a management address of its own, and waits until
+// it reports that it is ready.
 func startSuccessor(t testing.TB, options nodeOptions, discoveryAddr string) *nodeProcess {
 	t.Helper()
 	options.managementAddr = freeAddr(t)
@@ -145,7 +147,8 @@
 	p.sendSignal(t, syscall.SIGTERM)
 }
 
-// reload replaces strings in the configuration file, given as pairs of old and new, and sends SIGHUP.
+// reload edits the configuration file and sends SIGHUP. replacements are pairs of an old and a new string. The file is
+// replaced by a rename, so that the node never reads a part of it.
 func (p *nodeProcess) reload(t *testing.T, replacements ...string) {
 	t.Helper()
 	text, err := os.ReadFile(p.configPath)
@@ -168,29 +171,30 @@
 	eventually(t, "the log contains "+text, func() bool { return strings.Contains(p.log.String(), text) })
 }
 
-// waitForCleanExit waits until the process has exited, with status 0.
+// waitForCleanExit waits until the process has exited, and fails the test unless its exit status is 0.
 func (p *nodeProcess) waitForCleanExit(t testing.TB) {
 	t.Helper()
 	select {
 	case err := <-p.exited:
 		if err != nil {
-			t.Errorf("the process exited with %v", err)
+			t.Errorf("process exited: %v", err)
 		}
 	case <-time.After(waitLimit):
-		t.Fatal("the process does not exit")
+		t.Fatal("process did not exit in time")
 	}
 }
 
-// allThreadsStopped reports whether a signal has stopped every thread of the node. Each thread stops on its own.
+// allThreadsStopped reports whether SIGSTOP has stopped every thread of the node. The threads do not all stop at the
+// same moment.
 func (p *nodeProcess) allThreadsStopped(t testing.TB) bool {
 	t.Helper()
 	tasks, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/stat", p.cmd.Process.Pid))
 	if err != nil || len(tasks) == 0 {
-		t.Fatalf("no threads are found: %v", err)
+		t.Fatalf("no threads found in /proc: %v", err)
 	}
 	for _, task := range tasks {
 		text, err := os.ReadFile(task)
-		_, state, _ := strings.Cut(string(text), ") ") // the state follows the name
+		_, state, _ := strings.Cut(string(text), ") ") // the thread state follows the command name, which is in parentheses
 		if err != nil || !strings.HasPrefix(state, "T") {
 			return false
 		}
@@ -198,12 +202,12 @@
 	return true
 }
 
-// openDescriptors counts the descriptors that the process has open.
+// openDescriptors returns the number of open file descriptors of the process.
 func (p *nodeProcess) openDescriptors(t testing.TB) int {
 	t.Helper()
 	names, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.cmd.Process.Pid))
 	if err != nil {
-		t.Skip("no /proc here")
+		t.Skip("/proc is not available")
 	}
 	return len(names)
 }
--- a/cmd/onyxstream/protocol_violations_test.go
+++ b/cmd/onyxstream/protocol_violations_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// badOpenings are inputs that are not an opening line of the protocol, among them one with the id of an open request.
-func badOpenings() []string {
+// invalidOpeningLines returns inputs that the node must reject as an opening line. One has the id of an open request.
+func invalidOpeningLines() []string {
 	return []string{
 		"GET / HTTP/1.1\r\n\r\n",
 		"\r\n",
@@ -37,7 +37,7 @@
 	}
 }
 
-// A client with a bad opening line gets an error, and no host receives anything of it.
+// A client that sends a bad opening line must get an error, and no host may receive any part of the line.
 func TestProtocolViolation_BadOpening_RejectedByNode(t *testing.T) {
 	t.Parallel()
 	host := newFakeHost(t, "h1")
@@ -45,7 +45,7 @@
 	established := node.dial(t)
 	established.send("OPEN held key c=chat,t=acme,d=2000\r\n")
 	established.expectLine("UP ")
-	for _, text := range badOpenings() {
+	for _, text := range invalidOpeningLines() {
 		client := node.dial(t)
 		_, _ = io.WriteString(client.conn, text)
 		if strings.HasPrefix(text, "PING") {
@@ -54,30 +54,31 @@
 		client.expectLine("ERR")
 		_ = client.conn.Close()
 	}
-	if n := len(host.openings()); n != 1 {
-		t.Errorf("the host received %d opening lines, want that of the first client", n)
+	if n := len(host.openingLines()); n != 1 {
+		t.Errorf("host received %d opening lines, want only that of the first client", n)
 	}
 	established.send("M 1\r\n")
 	established.expectLine("M 1")
 	node.openRequest(t, "").expectLine("UP ")
 }
 
-// A client that sends more before its answer is rejected, even where its opening line was forwarded already.
+// A client that sends more data before its final answer must get an error, even if the node has already forwarded its
+// opening line.
 func TestProtocolViolation_ClientSpeaksEarly_Closed(t *testing.T) {
 	t.Parallel()
 	host := newFakeHost(t, "h1")
-	host.setReply("")
+	host.setResponse("")
 	node, _ := startNodeWithHosts(t, nodeOptions{}, host)
 	client := node.openRequest(t, "")
-	eventually(t, "the host has received the opening line", func() bool { return len(host.openings()) == 1 })
+	eventually(t, "the host has received the opening line", func() bool { return len(host.openingLines()) == 1 })
 	client.send("OPEN more key c=chat,t=acme,d=2000\r\n")
 	client.expectLine("ERR")
 	client.expectClose(false)
 	eventually(t, "the host's connection is closed", func() bool { return host.openConnections() == 0 })
 }
 
-// sendEndlessly connects and sends text again and again, with a pause after each. The result receives whether the node
-// ended the connection within the client's deadline.
+// sendEndlessly connects and repeatedly sends text, with a pause after each time. The channel that it returns receives
+// whether the node closed the connection within the client's read deadline, waitLimit.
 func sendEndlessly(t *testing.T, node *nodeProcess, text string, pause time.Duration) (closed chan bool) {
 	t.Helper()
 	client := node.dial(t)
@@ -98,8 +99,8 @@
 	return closed
 }
 
-// An endless flood, a trickle of bytes, half a line, pings in quick succession: the node ends each with an error or a
-// close.
+// The node must close the connection of a client that sends an endless line, a trickle of bytes, an incomplete line, or
+// PINGs in quick succession.
 func TestProtocolViolation_EndlessInput_Closed(t *testing.T) {
 	t.Parallel()
 	host := newFakeHost(t, "h1")
@@ -114,28 +115,28 @@
 		"pings":     sendEndlessly(t, node, "PING\r\n", time.Millisecond),
 	} {
 		if !<-closed {
-			t.Errorf("the node does not end %s", name)
+			t.Errorf("node did not close the connection with %s", name)
 		}
 	}
 	half.expectClose(false)
 	halfClosed.expectClose(false)
-	if n := len(host.openings()); n != 0 {
-		t.Errorf("the host received %d opening lines", n)
+	if n := len(host.openingLines()); n != 0 {
+		t.Errorf("host received %d opening lines, want none", n)
 	}
 }
 
-// A client that uses the id of another client's open request gets an error. The first request is not affected, even
-// where the second client disconnects at once.
+// A client that uses the id of another client's open request must get an error. The first request must not be affected,
+// even if the second client disconnects at once.
 func TestDuplicateRequestID_SecondRejected_FirstUnaffected(t *testing.T) {
 	t.Parallel()
 	host := newFakeHost(t, "h1")
-	host.setReply("")
+	host.setResponse("")
 	node, _ := startNodeWithHosts(t, nodeOptions{}, host)
 	for i := range 2 {
 		line := fmt.Sprintf("OPEN same%d key c=chat,t=acme,d=900\r\n", i)
 		first := node.dial(t)
 		first.send(line)
-		eventually(t, "the host has received the first request", func() bool { return len(host.openings()) == i+1 })
+		eventually(t, "the host has received the first request", func() bool { return len(host.openingLines()) == i+1 })
 		for range 5 {
 			second, disconnecting := node.dial(t), node.dial(t)
 			disconnecting.send(line)
@@ -143,9 +144,9 @@
 			second.send(line)
 			second.expectLine("ERR")
 		}
-		first.expectLine("BUSY") // the host never answers: the balancer rejects at the deadline
+		first.expectLine("BUSY") // the host never responds, so the balancer rejects the request at its deadline
 	}
 	if strings.Contains(node.log.String(), "request deadline exceeded") {
-		t.Error("a first request was lost: the node's fallback timer answered it")
+		t.Error("balancer lost a request: the node's fallback timer answered it")
 	}
 }
--- a/cmd/onyxstream/relay_test.go
+++ b/cmd/onyxstream/relay_test.go
@@ -16,16 +16,16 @@
 	node, _ := startNodeWithHosts(t, nodeOptions{}, host)
 	client := node.openRequest(t, ",new=7")
 	if up := client.expectLine("UP "); up != "UP from-h1\r\n" {
-		t.Errorf("relayed %q", up)
+		t.Errorf("client received %q", up)
 	}
-	line := host.openings()[0]
+	line := host.openingLines()[0]
 	hasKnownFields := strings.Contains(line, " c=chat,t=acme,d=")
 	keepsUnknownField := strings.HasSuffix(line, ",new=7")
 	keepsDeadline := strings.Contains(line, "d=2500,")
 	if !hasKnownFields || !keepsUnknownField || keepsDeadline {
-		t.Errorf("the host received %q", line)
+		t.Errorf("host received opening line %q", line)
 	}
-	// Lines are relayed unchanged, whether they come in parts or several at once.
+	// The node relays lines unchanged, even if a line arrives in parts or several lines arrive at once.
 	client.send("M 1 \x00\xff one")
 	client.send("\r\nLOAD 5\r\nM 3\n")
 	client.expectLine("M 1 \x00\xff one\r\n")
@@ -36,7 +36,7 @@
 	client.expectClose(false)
 }
 
-func TestRelay_PeerCloses_OtherSideClosesAlike(t *testing.T) {
+func TestRelay_OneSideCloses_OtherSideClosesAlike(t *testing.T) {
 	t.Parallel()
 	host := newFakeHost(t, "h1")
 	node, _ := startNodeWithHosts(t, nodeOptions{}, host)
@@ -74,13 +74,13 @@
 	node, _ := startNodeWithHosts(t, nodeOptions{}, host)
 	client := node.openRequest(t, "")
 	client.expectLine("UP ")
-	client.send("DO half\r\n") // the host sends half a line and then nothing more
+	client.send("DO half\r\n") // the host sends an incomplete line and then nothing
 	client.expectLine("MOVE\r\n")
 	client.expectClose(false)
 	eventually(t, "the host's connection is closed", func() bool { return host.openConnections() == 0 })
 }
 
-// A client that reads slowly slows the writer down through backpressure; no line is lost.
+// A client that reads slowly must slow down the sender through backpressure. No line may be lost.
 func TestRelay_SlowReader_LosesNothing(t *testing.T) {
 	t.Parallel()
 	host := newFakeHost(t, "h1")
@@ -103,7 +103,7 @@
 	}
 }
 
-// sendFlood writes all lines of a flood.
+// sendFlood writes fakeserver.FloodLines lines to conn.
 func sendFlood(conn io.Writer) {
 	writer := bufio.NewWriter(conn)
 	for i := range fakeserver.FloodLines {
@@ -112,7 +112,8 @@
 	_ = writer.Flush()
 }
 
-// A mid-flow client may send lines before its answer. They are buffered and reach the host after the opening line.
+// A mid-flow client may send lines before its final answer. The node must buffer them and send them to the host after
+// the opening line.
 func TestOpening_MidFlowEarlyLines_FollowOpening(t *testing.T) {
 	t.Parallel()
 	host := newFakeHost(t, "h1")
--- a/cmd/onyxstream/reload_test.go
+++ b/cmd/onyxstream/reload_test.go
@@ -12,8 +12,8 @@
 	"onyxstream/internal/wire"
 )
 
-// On SIGHUP the node follows the discovery service that the file names: with its complete list, whatever revision the
-// old one had reached, and without a change to established connections.
+// On SIGHUP the node must switch to the discovery service named in the configuration file. It must start from a
+// snapshot of the new service, even if the old service had a higher revision, and keep established connections.
 func TestReload_DiscoveryChanged_NewListFollowed(t *testing.T) {
 	t.Parallel()
 	hostA, hostB := newFakeHost(t, "ha"), newFakeHost(t, "hb")
@@ -37,10 +37,10 @@
 	eventually(t, "the new watch request", func() bool { return len(discovery.requestPaths()) >= 2 })
 	paths := discovery.requestPaths()
 	if paths[0] != "/catalog/members" || paths[1] != "/catalog/members?watch=1&after=3" {
-		t.Errorf("requested %q", paths)
+		t.Errorf("new discovery received requests %q", paths)
 	}
 	if n := len(oldDiscovery.requestPaths()); n != 1 {
-		t.Errorf("the old discovery received %d requests", n)
+		t.Errorf("old discovery received %d requests, want 1", n)
 	}
 	discovery.sendEvent(endpointListJSON(4, false, hostA.endpoint(wire.Serving), hostB.endpoint(wire.Draining)))
 	eventually(t, "changes are followed", func() bool {
@@ -50,7 +50,8 @@
 	established.expectLine("M still here")
 }
 
-// While the new discovery service is unavailable the old list stays in use, and the request is repeated.
+// While the new discovery service is unavailable, the node must keep using the old endpoint list and repeat its list
+// request.
 func TestReload_NewDiscoveryDown_OldListRetained(t *testing.T) {
 	t.Parallel()
 	hostA, hostB := newFakeHost(t, "ha"), newFakeHost(t, "hb")
@@ -69,12 +70,13 @@
 	})
 	for _, path := range discovery.requestPaths() {
 		if strings.Contains(path, "after=41") {
-			t.Errorf("the new discovery received a revision of the old one: %q", path)
+			t.Errorf("new discovery received a revision of the old discovery: %q", path)
 		}
 	}
 }
 
-// A file that is not valid changes nothing. A field that cannot change while the node runs is named in the log.
+// A reload of an invalid file must have no effect. If the file changes fields that are fixed while the node runs, the
+// log must name them.
 func TestReload_InvalidOrFixedFields_Ignored(t *testing.T) {
 	t.Parallel()
 	host := newFakeHost(t, "h1")
@@ -99,13 +101,13 @@
 	node.waitForLog(t, `"field": "listen"`)
 	node.waitForLog(t, `"field": "limits.sockets"`)
 	if strings.Contains(node.log.String(), `"field": "settings"`) {
-		t.Error("settings that are the same are named as ignored")
+		t.Error("log reports the unchanged settings as ignored")
 	}
 	established.send("M\r\n")
 	established.expectLine("M")
 	node.openRequest(t, "").expectLine("UP ")
 	if n := len(discovery.requestPaths()); n != 1 {
-		t.Errorf("discovery received %d requests, though its address is the same", n)
+		t.Errorf("discovery received %d requests, want 1 because its address is unchanged", n)
 	}
 }
 
@@ -132,12 +134,13 @@
 	established.expectLine("MOVE\r\n")
 	established.expectClose(false)
 	if err := <-node.exited; err != nil {
-		t.Errorf("the node exited with %v", err)
+		t.Errorf("node exited: %v", err)
 	}
 }
 
-// The watch at the old discovery goes on while the new one fails, and brings events after that failure; then it ends.
-// The new one is still polled: events of the old watch do not count as a watch at the new one.
+// After a reload the node keeps its watch at the old discovery service as long as list requests to the new one fail.
+// The old watch delivers events after such a failure and then ends. The node must still repeat its list request to the
+// new service: it must not mistake events of the old watch for a working watch at the new service.
 func TestReload_OldWatchEventAfterNewFails_NewStillPolled(t *testing.T) {
 	t.Parallel()
 	hostA, hostB, hostC := newFakeHost(t, "ha"), newFakeHost(t, "hb"), newFakeHost(t, "hc")
@@ -145,13 +148,13 @@
 	oldDiscovery := newFakeDiscovery(t, oldList)
 	node := startNode(t, nodeOptions{initialList: oldList, env: []string{"PROXY_DEBUG=1"}}, oldDiscovery.addr)
 	eventually(t, "the first watch request", func() bool { return oldDiscovery.OpenCalls() == 1 })
-	node.waitForLog(t, "endpoint list received") // a watch without a list would be closed by the reload
+	node.waitForLog(t, "endpoint list received") // the reload would close a watch that has not yet received a list
 	discovery := newFakeDiscovery(t, endpointListJSON(3, true, hostC.endpoint(wire.Serving)))
 	discovery.setUnavailable(true)
 	node.reload(t, oldDiscovery.addr, discovery.addr)
 	eventually(t, "the new discovery receives a request", func() bool { return len(discovery.requestPaths()) > 0 })
 	node.waitForLog(t, "discovery answered 503")
-	for i := int64(0); i < 4; i += 2 { // one of them arrives while no request to the new one is open
+	for i := int64(0); i < 4; i += 2 { // one of the events arrives while no request to the new service is open
 		oldDiscovery.sendEvent(endpointListJSON(42+i, false, hostB.endpoint(wire.Serving), hostA.endpoint(wire.Draining)))
 		node.waitUntilServedBy(t, hostB.id)
 		oldDiscovery.sendEvent(endpointListJSON(43+i, false, hostA.endpoint(wire.Serving), hostB.endpoint(wire.Draining)))
@@ -163,7 +166,7 @@
 	node.waitUntilServedBy(t, hostC.id)
 }
 
-// A reload is repeated until the file can be read.
+// If the configuration file cannot be opened, the node must retry the reload until it succeeds.
 func TestReload_FileUnreadableBriefly_Retried(t *testing.T) {
 	t.Parallel()
 	hostA, hostB := newFakeHost(t, "ha"), newFakeHost(t, "hb")
@@ -178,7 +181,8 @@
 	node.waitUntilServedBy(t, "hb")
 }
 
-// A file that is still being written when the signal arrives is read again once it is complete.
+// If the configuration file is incomplete when SIGHUP arrives, the node must retry the reload until the file is
+// complete.
 func TestReload_FileHalfWritten_ReadOnceComplete(t *testing.T) {
 	t.Parallel()
 	hostA, hostB := newFakeHost(t, "ha"), newFakeHost(t, "hb")
--- a/cmd/onyxstream/request_test.go
+++ b/cmd/onyxstream/request_test.go
@@ -11,13 +11,13 @@
 func TestRequest_OnlyHostBusy_RejectedWithoutRetry(t *testing.T) {
 	t.Parallel()
 	host := newFakeHost(t, "h1")
-	host.setReply("BUSY\r\n")
+	host.setResponse("BUSY\r\n")
 	node, _ := startNodeWithHosts(t, nodeOptions{}, host)
 	client := node.openRequest(t, "")
 	client.expectLine("BUSY ")
 	client.expectClose(false)
-	if n := len(host.openings()); n != 1 {
-		t.Errorf("%d attempts went to the host", n)
+	if n := len(host.openingLines()); n != 1 {
+		t.Errorf("host received %d attempts, want 1", n)
 	}
 }
 
@@ -27,34 +27,35 @@
 	for i := range 3 {
 		hosts = append(hosts, newFakeHost(t, fmt.Sprint("h", i)))
 	}
-	hosts[0].setReply("ERR\r\n")
+	hosts[0].setResponse("ERR\r\n")
 	hosts[1].kill()
 	node, _ := startNodeWithHosts(t, nodeOptions{}, hosts...)
 	served := 0
 	for range 12 {
-		// Where set-ups fail at several hosts the balancer may pace them, and reject what would wait too long.
+		// If connection setups fail at several hosts, the balancer may pace further setups. It then rejects requests
+		// that would wait too long.
 		line := node.openRequest(t, "").expectLine("")
 		switch {
 		case line == "UP from-h2\r\n":
 			served++
 		case !strings.HasPrefix(line, "BUSY"):
-			t.Errorf("answered %q", line)
+			t.Errorf("got answer %q", line)
 		}
 	}
 	if served == 0 {
-		t.Error("no request was served")
+		t.Error("no request was served by h2")
 	}
 	expectDistinctRequests(t, hosts[0])
 }
 
-// expectDistinctRequests wants each opening line of a host to have an id of its own.
+// expectDistinctRequests checks that all opening lines that a host received have distinct request ids.
 func expectDistinctRequests(t *testing.T, host *fakeHost) {
 	t.Helper()
 	seen := map[string]bool{}
-	for _, line := range host.openings() {
+	for _, line := range host.openingLines() {
 		id := strings.Fields(line)[1]
 		if seen[id] {
-			t.Errorf("request %s was sent twice to one host", id)
+			t.Errorf("request %s was sent to the same host twice", id)
 		}
 		seen[id] = true
 	}
@@ -65,9 +66,9 @@
 	hostA, hostB := newFakeHost(t, "ha"), newFakeHost(t, "hb")
 	node, _ := startNodeWithHosts(t, nodeOptions{}, hostA, hostB)
 	node.openRequest(t, ",mid=1").expectLine("UP ")
-	lines := append(hostA.openings(), hostB.openings()...)
+	lines := append(hostA.openingLines(), hostB.openingLines()...)
 	if len(lines) != 1 || !strings.HasSuffix(lines[0], ",mid=1") {
-		t.Errorf("the hosts received %q", lines)
+		t.Errorf("hosts received opening lines %q", lines)
 	}
 	for _, host := range []*fakeHost{hostA, hostB, hostA, hostB} {
 		client := node.openRequest(t, ",at="+host.id)
@@ -81,15 +82,15 @@
 	t.Parallel()
 	host := newFakeHost(t, "late")
 	discovery := newFakeDiscovery(t, endpointListJSON(1, true, host.endpoint(wire.Serving)))
-	node := startNode(t, nodeOptions{}, discovery.addr) // its initial list lacks the host: the watch adds it
+	node := startNode(t, nodeOptions{}, discovery.addr) // the host is not in the initial list; the watch adds it
 	node.openRequest(t, ",at=late").expectLine("UP from-late")
 }
 
-// A client whose host never answers gets one answer by its deadline, and nothing after it.
+// If the host never responds, the client must get one final answer by its deadline, and nothing after it.
 func TestRequest_HostHangs_RejectedOnce(t *testing.T) {
 	t.Parallel()
 	host := newFakeHost(t, "h1")
-	host.setReply("")
+	host.setResponse("")
 	node, _ := startNodeWithHosts(t, nodeOptions{latencyObjectiveMS: 100}, host)
 	client := node.openRequest(t, "")
 	client.expectLine("BUSY")
@@ -116,7 +117,7 @@
 	for range clientCount {
 		line := <-answers
 		if !strings.HasPrefix(line, "UP ") && !strings.HasPrefix(line, "BUSY") {
-			t.Errorf("answered %q", line)
+			t.Errorf("got answer %q", line)
 		}
 	}
 }
--- a/cmd/onyxstream/resource_limits_test.go
+++ b/cmd/onyxstream/resource_limits_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// serves opens a request that stays open if it is served, and reports whether it is.
+// serves opens a request and reports whether it is served. A connection that is established stays open.
 func (p *nodeProcess) serves(t testing.TB) bool {
 	t.Helper()
 	return strings.HasPrefix(p.openRequest(t, "").expectLine(""), "UP ")
@@ -26,10 +26,10 @@
 		clients = append(clients, client)
 	}
 	if len(clients) == 0 || len(clients) == attempts {
-		t.Fatalf("%d of %d were served within %d descriptors", len(clients), attempts, socketLimit)
+		t.Fatalf("%d of %d requests served, socket limit %d; want some rejected", len(clients), attempts, socketLimit)
 	}
 	if n := node.openDescriptors(t); n > socketLimit {
-		t.Errorf("%d descriptors are open, %d allowed", n, socketLimit)
+		t.Errorf("%d descriptors open, limit %d", n, socketLimit)
 	}
 	for _, client := range clients {
 		client.send("M\r\n")
@@ -39,7 +39,7 @@
 	eventually(t, "there is capacity again", func() bool { return node.serves(t) })
 }
 
-// At the system's limit on descriptors accept fails. That must pause the listener, not close it.
+// When the process has reached its descriptor limit, accept fails. The node must pause the listener and not close it.
 func TestListener_AcceptFails_KeepsAccepting(t *testing.T) {
 	t.Parallel()
 	host := newFakeHost(t, "h1")
@@ -58,11 +58,11 @@
 func TestDescriptors_ConnectionsEnd_AllReleased(t *testing.T) {
 	t.Parallel()
 	hostA, hostB := newFakeHost(t, "ha"), newFakeHost(t, "hb")
-	hostB.setReply("ERR\r\n")
+	hostB.setResponse("ERR\r\n")
 	node, discovery := startNodeWithHosts(t, nodeOptions{}, hostA, hostB)
 	eventually(t, "the watch is open", func() bool { return len(discovery.requestPaths()) == 1 })
 	eventually(t, "one request is served and stays open", func() bool { return node.serves(t) })
-	time.Sleep(time.Second) // descriptors that only the startup needs are closed
+	time.Sleep(time.Second) // the node closes descriptors that it needs only during startup
 	before := node.openDescriptors(t)
 	for i := range 60 {
 		openAndDisconnect(t, node, i%5)
@@ -73,16 +73,16 @@
 	})
 }
 
-// openAndDisconnect opens a request and ends it in one of five ways.
-func openAndDisconnect(t *testing.T, node *nodeProcess, way int) {
+// openAndDisconnect opens a request and ends it in one of five variants, numbered from 0.
+func openAndDisconnect(t *testing.T, node *nodeProcess, variant int) {
 	t.Helper()
 	client := node.openRequest(t, "")
-	if way == 0 { // disconnects before the answer
+	if variant == 0 { // disconnect before the final answer
 		_ = client.conn.Close()
 		return
 	}
 	if strings.HasPrefix(client.expectLine(""), "UP ") {
-		switch way {
+		switch variant {
 		case 1:
 			_ = client.conn.SetLinger(0)
 		case 2:
--- a/cmd/onyxstream/shared_state_test.go
+++ b/cmd/onyxstream/shared_state_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// While two processes of a node run, an override of a host's state that one is given applies to both, and a drain too.
+// While two processes of a node run, a host override or a drain that one of them is given must apply to both.
 func TestHostOverride_TwoProcesses_AppliesToBoth(t *testing.T) {
 	t.Parallel()
 	hostA, hostB := newFakeHost(t, "ha"), newFakeHost(t, "hb")
@@ -25,7 +25,7 @@
 	waitForDisabledHosts(successor, 1)
 	successor.mustSucceed(t, "disable-server hb")
 	waitForDisabledHosts(node, 2)
-	node.openRequest(t, "").expectLine("BUSY") // whichever process accepts it
+	node.openRequest(t, "").expectLine("BUSY") // from either process
 	successor.mustSucceed(t, "enable-server ha")
 	waitForDisabledHosts(node, 1)
 	node.mustSucceed(t, "enable-server hb")
@@ -36,15 +36,15 @@
 	node.waitForPingAnswer(t, "PONG\r\n")
 }
 
-// startNodeSharing starts a node whose shared directory is dir, and its discovery service, with one host.
+// startNodeSharing starts a node with one host and its discovery service. dir is the shared directory of its processes.
 func startNodeSharing(t *testing.T, dir string, host *fakeHost) *nodeProcess {
 	t.Helper()
 	node, _ := startNodeWithHosts(t, nodeOptions{managementAddr: freeAddr(t), env: []string{"TMPDIR=" + dir}}, host)
 	return node
 }
 
-// A node without a usable shared directory starts, serves and logs the reason. Overrides hold in the process that is
-// given them.
+// A node without a usable shared directory must start, serve and log the reason. A host override then applies only to
+// the process that is given it.
 func TestSharedState_DirectoryUnusable_NodeServes(t *testing.T) {
 	t.Parallel()
 	host := newFakeHost(t, "ha")
@@ -62,7 +62,7 @@
 	}
 }
 
-// overrideFiles returns the paths of the files in dir that hold overrides.
+// overrideFiles returns the paths of the files in dir that hold host overrides.
 func overrideFiles(t *testing.T, dir string) []string {
 	t.Helper()
 	entries, err := os.ReadDir(dir)
@@ -78,8 +78,8 @@
 	return paths
 }
 
-// damage overwrites files with text that is no document.
-func damage(t *testing.T, paths []string) {
+// corruptFiles overwrites files with text that is not a valid document.
+func corruptFiles(t *testing.T, paths []string) {
 	t.Helper()
 	for _, path := range paths {
 		if err := os.WriteFile(path, []byte("no document"), 0o600); err != nil {
@@ -88,8 +88,9 @@
 	}
 }
 
-// replaceByDirectories replaces files by directories that are not empty, so that they can be neither read nor written.
-func replaceByDirectories(t *testing.T, paths []string) {
+// replaceWithDirectories replaces files with non-empty directories, so that the node can neither read nor overwrite
+// them.
+func replaceWithDirectories(t *testing.T, paths []string) {
 	t.Helper()
 	for _, path := range paths {
 		_ = os.Remove(path)
@@ -99,8 +100,8 @@
 	}
 }
 
-// A node whose file of overrides is damaged, or cannot be written, keeps the overrides that it was given, and starts
-// with none where the file is damaged.
+// A node whose file of host overrides is corrupt or cannot be written must keep the overrides that it was given. A node
+// that starts with a corrupt file must serve without overrides.
 func TestSharedState_FileDamaged_NodeServes(t *testing.T) {
 	t.Parallel()
 	host := newFakeHost(t, "ha")
@@ -108,10 +109,10 @@
 	node := startNodeSharing(t, dir, host)
 	node.mustSucceed(t, "disable-server ha")
 	files := overrideFiles(t, dir)
-	damage(t, files)
+	corruptFiles(t, files)
 	node.waitForLog(t, "file is of an unknown format")
-	node.openRequest(t, "").expectLine("BUSY") // the override still holds
-	replaceByDirectories(t, files)
+	node.openRequest(t, "").expectLine("BUSY") // the override still applies
+	replaceWithDirectories(t, files)
 	node.mustSucceed(t, "enable-server ha")
 	node.waitForLog(t, "shared state unavailable")
 	eventually(t, "the host is used again", func() bool {
@@ -123,7 +124,7 @@
 	for _, path := range files {
 		_ = os.RemoveAll(path)
 	}
-	damage(t, files)
+	corruptFiles(t, files)
 	_ = node.cmd.Process.Signal(syscall.SIGKILL)
 	<-node.exited
 	successor := startNodeSharing(t, dir, host)
--- a/cmd/onyxstream/shutdown_test.go
+++ b/cmd/onyxstream/shutdown_test.go
@@ -13,16 +13,17 @@
 	established := node.openRequest(t, "")
 	established.expectLine("UP ")
 	node.terminate(t)
-	late := node.openRequest(t, "") // the front end has not noticed yet
+	late := node.openRequest(t, "") // accepted, because the front may not have noticed the shutdown yet
 	late.expectLine("UP ")
-	// Open connections are served until the time is up: other nodes take them over only from a process that has exited.
+	// The node serves established connections until its shutdown ends, because other nodes take them over only once the
+	// process has exited.
 	for range 10 {
 		time.Sleep(200 * time.Millisecond)
 		established.send("M\r\n")
 		established.expectLine("M")
 	}
 	if err := <-node.exited; err != nil {
-		t.Errorf("the node exited with %v", err)
+		t.Errorf("node exited: %v", err)
 	}
 	line, err := established.reader.ReadString('\n')
 	if line != "" || err == nil {
@@ -30,28 +31,28 @@
 	}
 }
 
-// A client that connects in the last moment in which the front end still sends clients may have a deadline after the
-// node's exit. Where its host hangs it gets an answer before the node exits, instead of a closed connection.
+// A client that connects just before the front notices the shutdown may have a deadline later than the node's exit. If
+// its host hangs, it must get a final answer before the node exits, and not only a closed connection.
 func TestShutdown_HostHangs_WaitingClientsAnswered(t *testing.T) {
 	t.Parallel()
 	for _, mode := range []string{"pass", "proxy"} {
 		t.Run(mode, func(t *testing.T) {
 			t.Parallel()
 			host := newFakeHost(t, "h1")
-			host.setReply("")
+			host.setResponse("")
 			node, _ := startNodeWithHosts(t, nodeOptions{mode: mode, latencyObjectiveMS: 9000}, host)
 			var waiting []*testClient
 			for _, when := range []string{"before", "after"} {
 				client := node.dial(t)
 				client.send("OPEN " + when + " key c=chat,t=acme,d=9000\r\n")
 				waiting = append(waiting, client)
-				eventually(t, "the host has received the request", func() bool { return len(host.openings()) == len(waiting) })
+				eventually(t, "the host has received the request", func() bool { return len(host.openingLines()) == len(waiting) })
 				if when == "before" {
 					node.terminate(t)
 					node.waitForLog(t, "shutting down gracefully")
 				}
 			}
-			partial := node.dial(t) // its line arrives in two parts
+			partial := node.dial(t) // its opening line arrives in two parts
 			partial.send("OPEN half key c=ch")
 			time.Sleep(1200 * time.Millisecond)
 			partial.send("at,t=acme,d=9000\r\n")
@@ -60,7 +61,7 @@
 				client.expectClose(false)
 			}
 			if err := <-node.exited; err != nil {
-				t.Errorf("the node exited with %v", err)
+				t.Errorf("node exited: %v", err)
 			}
 		})
 	}
@@ -72,10 +73,10 @@
 	node := startNode(t, nodeOptions{}, discovery.addr)
 	node.terminate(t)
 	if err := <-node.exited; err != nil {
-		t.Errorf("the node exited with %v", err)
+		t.Errorf("node exited: %v", err)
 	}
 	if !strings.Contains(node.log.String(), "stopped") {
-		t.Error("the node did not shut down gracefully")
+		t.Error("log lacks the message of a completed graceful shutdown")
 	}
 }
 
@@ -92,6 +93,6 @@
 		client.expectClose(false)
 	}
 	if err := <-node.exited; err != nil {
-		t.Errorf("the node exited with %v", err)
+		t.Errorf("node exited: %v", err)
 	}
 }
--- a/cmd/onyxstream/startup_test.go
+++ b/cmd/onyxstream/startup_test.go
@@ -15,8 +15,8 @@
 	"onyxstream/internal/wire"
 )
 
-// A node that is terminated before it has started exits with status 0. The configuration is a pipe, so that the signal
-// arrives while the node reads it.
+// A node that receives SIGTERM during its startup must exit with status 0. The configuration file is a named pipe, so
+// that the signal arrives while the node reads it.
 func TestShutdown_DuringStartup_ExitsCleanly(t *testing.T) {
 	t.Parallel()
 	discovery := newFakeDiscovery(t, endpointListJSON(1, true))
@@ -31,7 +31,7 @@
 	}
 	for _, signals := range []int{1, 2} {
 		node := startProcess(t, pipe)
-		writer, err := os.OpenFile(pipe, os.O_WRONLY, 0) // returns once the node reads
+		writer, err := os.OpenFile(pipe, os.O_WRONLY, 0) // blocks until the node opens the pipe
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -43,12 +43,12 @@
 		}
 		_ = writer.Close()
 		if err := <-node.exited; err != nil {
-			t.Errorf("after SIGTERM %d times the node exited with %v", signals, err)
+			t.Errorf("node exited after %d SIGTERMs: %v", signals, err)
 		}
 	}
 }
 
-// A node that cannot open its listening socket tries again, and starts once it can.
+// A node that cannot open its listening socket must retry, and start once that succeeds.
 func TestStartup_SocketFailsBriefly_NodeStarts(t *testing.T) {
 	t.Parallel()
 	host := newFakeHost(t, "h1")
@@ -76,7 +76,7 @@
 	eventually(t, "the node serves", func() bool {
 		select {
 		case err := <-node.exited:
-			t.Fatalf("the node exited: %v", err)
+			t.Fatalf("node exited: %v", err)
 		default:
 		}
 		answer, _ := node.request(nextID())
@@ -116,11 +116,11 @@
 			env:      []string{"PROXY_ACCEPT_FD=" + test.value},
 		})
 		if err := <-node.exited; err == nil {
-			t.Errorf("%s: the node starts", test.value)
+			t.Errorf("PROXY_ACCEPT_FD=%s: node exited with status 0, want an error", test.value)
 		}
 		text := node.log.String()
 		if !strings.Contains(text, "PROXY_ACCEPT_FD") || !strings.Contains(text, test.wantInLog) {
-			t.Errorf("%s: the log is %q", test.value, text)
+			t.Errorf("PROXY_ACCEPT_FD=%s: unexpected log %q", test.value, text)
 		}
 	}
 }
--- a/cmd/onyxstream/system_faults_test.go
+++ b/cmd/onyxstream/system_faults_test.go
@@ -11,14 +11,14 @@
 	"onyxstream/internal/wire"
 )
 
-// systemFaultCase is a set of system calls that fail for some of their calls.
+// systemFaultCase is a named set of rules that make some system calls fail.
 type systemFaultCase struct {
 	name  string
 	rules []faultinject.Rule
 }
 
 func systemFaultCases() []systemFaultCase {
-	const share = 0.3 // of the calls, where most connections survive a failure
+	const probability = 0.3 // of a failure, for system calls where most connections survive one
 	acceptErrors := []unix.Errno{
 		unix.ECONNABORTED, unix.ENFILE, unix.EMFILE, unix.ENOBUFS, unix.ENOMEM, unix.EPROTO, unix.EPERM, unix.EINTR,
 	}
@@ -30,18 +30,18 @@
 	outOfMemory := []unix.Errno{unix.ENOBUFS, unix.ENOMEM}
 	return []systemFaultCase{
 		{"accept", []faultinject.Rule{
-			{Call: faultinject.Accept, Probability: share, Errors: acceptErrors},
+			{Call: faultinject.Accept, Probability: probability, Errors: acceptErrors},
 		}},
 		{"dial", []faultinject.Rule{
-			{Call: faultinject.Socket, Probability: share, Errors: socketErrors},
-			{Call: faultinject.Connect, Probability: share, Errors: connectErrors},
+			{Call: faultinject.Socket, Probability: probability, Errors: socketErrors},
+			{Call: faultinject.Connect, Probability: probability, Errors: connectErrors},
 		}},
 		{"wait", []faultinject.Rule{
-			{Call: faultinject.Wait, Probability: share, Errors: interrupted},
+			{Call: faultinject.Wait, Probability: probability, Errors: interrupted},
 		}},
 		{"interrupted", []faultinject.Rule{
-			{Call: faultinject.Read, Probability: share, Errors: interrupted, OnSockets: true},
-			{Call: faultinject.Write, Probability: share, Errors: interrupted, OnSockets: true},
+			{Call: faultinject.Read, Probability: probability, Errors: interrupted, OnSockets: true},
+			{Call: faultinject.Write, Probability: probability, Errors: interrupted, OnSockets: true},
 		}},
 		{"short", []faultinject.Rule{
 			{Call: faultinject.Read, Probability: 0.7, MaxBytes: 3},
@@ -56,8 +56,8 @@
 	}
 }
 
-// System calls that fail briefly lose no request: each gets its final answer while they fail, and requests are served
-// afterwards.
+// While some system calls fail, each request must still get its final answer. Once they succeed again, requests must be
+// served.
 func TestSystemCalls_FailBriefly_RequestsAreAnswered(t *testing.T) {
 	for _, test := range systemFaultCases() {
 		t.Run(test.name, func(t *testing.T) {
@@ -67,8 +67,8 @@
 	}
 }
 
-// expectAnswersDuringFaults runs load on a node while the rules apply, and wants each request answered, each call to
-// have failed, and requests to be served afterwards.
+// expectAnswersDuringFaults runs load on a node while the rules apply. It checks that each request gets a final answer
+// and that requests are served afterwards. A rule that made no call fail also fails the test.
 func expectAnswersDuringFaults(t *testing.T, rules []faultinject.Rule) {
 	t.Helper()
 	hosts := []*fakeHost{newFakeHost(t, "h1"), newFakeHost(t, "h2")}
@@ -81,11 +81,11 @@
 	const clients = 8
 	answers, missing := node.runLoad(clients, time.Second)
 	node.faults.Fail()
-	t.Logf("while calls fail: %v", answers)
-	expectNoneMissing(t, missing)
+	t.Logf("answers during faults: %v", answers)
+	expectAllAnswered(t, missing)
 	for _, rule := range rules {
 		if node.faults.Injected(rule.Call) == 0 {
-			t.Errorf("no call %d has failed: the test shows nothing", rule.Call)
+			t.Errorf("test is inconclusive: no failure injected into system call %d", rule.Call)
 		}
 	}
 	eventually(t, "requests are served again", func() bool {
@@ -94,17 +94,18 @@
 	})
 }
 
-// clockSteps are the offsets to which the wall clock is stepped in turn, one every clockStepInterval.
+// clockSteps lists offsets of the wall clock. The test sets them one after another, every clockStepInterval.
 var clockSteps = []time.Duration{time.Hour, -time.Hour, 0, 5 * time.Second, -5 * time.Second, 24 * time.Hour, 0}
 
 const clockStepInterval = 300 * time.Millisecond
 
-// A wall clock that is stepped forward and back, by seconds or by hours, affects no deadline, grace or timer: each
-// request is answered in time, even where its host hangs, and a draining host receives nothing new after its grace.
+// Forward and backward steps of the wall clock, by seconds or by hours, must not affect deadlines, the drain grace or
+// timers. Each request must get its final answer in time, even if its host hangs, and a draining host must receive no
+// new request after the drain grace.
 func TestWallClock_Stepped_DurationsUnaffected(t *testing.T) {
 	t.Parallel()
 	healthy, draining, hanging := newFakeHost(t, "h1"), newFakeHost(t, "h2"), newFakeHost(t, "h3")
-	hanging.setReply("")
+	hanging.setResponse("")
 	options := nodeOptions{latencyObjectiveMS: 300, faults: &faultinject.Options{StepsClock: true}}
 	node, discovery := startNodeWithHosts(t, options, healthy, draining, hanging)
 	eventually(t, "the node opens its watch", func() bool { return len(discovery.requestPaths()) > 0 })
@@ -122,19 +123,19 @@
 	stepping.Wait()
 	t.Logf("answers %v", answers)
 	if answers["UP"] == 0 || answers[""] > 0 {
-		t.Errorf("answers: %v", answers)
+		t.Errorf("unexpected answers: %v", answers)
 	}
-	before := len(draining.openings())
+	before := len(draining.openingLines())
 	for range 20 {
 		node.request(nextID())
 	}
-	if after := len(draining.openings()); after > before {
-		t.Errorf("%d requests went to the draining host", after-before)
+	if after := len(draining.openingLines()); after > before {
+		t.Errorf("draining host received %d new requests", after-before)
 	}
 }
 
-// requestAndCheckTimes sends requests from six clients for the duration, wants each answered within its deadline and
-// some slack, and counts the answers.
+// requestAndCheckTimes sends requests from six concurrent clients for the duration and returns the number of requests
+// per final answer. Each answer must arrive within the request's deadline plus some slack.
 func requestAndCheckTimes(t *testing.T, node *nodeProcess, duration time.Duration) map[string]int {
 	t.Helper()
 	const clients, deadline, slack = 6, 2500 * time.Millisecond, 500 * time.Millisecond
@@ -149,7 +150,7 @@
 				answer, missing := node.request(nextID())
 				took := time.Since(start)
 				if missing != nil || took > deadline+slack {
-					t.Errorf("answered %q after %v, missing %+v", answer, took, missing)
+					t.Errorf("got answer %q after %v, missing answer %+v", answer, took, missing)
 				}
 				mu.Lock()
 				answers[answer]++
--- a/cmd/onyxstream/test_client_test.go
+++ b/cmd/onyxstream/test_client_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// testClient is a client's connection to a node.
+// testClient is a connection of a client to a node.
 type testClient struct {
 	t      testing.TB
 	conn   *net.TCPConn
@@ -30,7 +30,8 @@
 	return &testClient{t, conn.(*net.TCPConn), bufio.NewReader(conn)}
 }
 
-// openRequest connects and sends an OPEN with a fresh id and key; extraFields follow the usual ones.
+// openRequest connects and sends an opening line with a new request id and idempotency key. extraFields is appended to
+// the line.
 func (p *nodeProcess) openRequest(t testing.TB, extraFields string) *testClient {
 	t.Helper()
 	n, client := nextID(), p.dial(t)
@@ -38,7 +39,7 @@
 	return client
 }
 
-// establish opens count requests, one after the other, and wants each answer to begin with answer.
+// establish opens count requests, one after another. Each final answer must begin with answer.
 func (p *nodeProcess) establish(t testing.TB, count int, answer string) []*testClient {
 	t.Helper()
 	var clients []*testClient
@@ -58,7 +59,7 @@
 	}
 }
 
-// expectLine reads a line, wants it to begin with prefix and returns it.
+// expectLine reads a line, which must begin with prefix, and returns it.
 func (c *testClient) expectLine(prefix string) string {
 	c.t.Helper()
 	line, err := c.reader.ReadString('\n')
@@ -68,28 +69,28 @@
 	return line
 }
 
-// expectClose wants the node to close the connection without a further byte, by FIN or by a reset.
+// expectClose checks that the node closes the connection without sending another byte, by a reset or else by a FIN.
 func (c *testClient) expectClose(byReset bool) {
 	c.t.Helper()
 	rest, err := io.ReadAll(c.reader)
 	if len(rest) > 0 || byReset != (err != nil) {
-		c.t.Errorf("closed after %q, error %v; want a reset: %v", rest, err, byReset)
+		c.t.Errorf("connection closed after %q, error %v; want reset: %v", rest, err, byReset)
 	}
 }
 
-// waitUntilUsed opens requests until a host has received more openings than before.
+// waitUntilUsed opens requests until the host has received more than before opening lines.
 func (p *nodeProcess) waitUntilUsed(t testing.TB, host *fakeHost, before int) {
 	t.Helper()
 	eventually(t, "the host is used again", func() bool {
 		client := p.openRequest(t, "")
 		client.expectLine("UP")
 		_ = client.conn.Close()
-		return len(host.openings()) > before
+		return len(host.openingLines()) > before
 	})
 }
 
-// waitUntilServedBy opens requests until the host with this id serves one. Each client disconnects at once, so that
-// they do not fill the node.
+// waitUntilServedBy opens requests until the host with this id serves one. Each client disconnects at once, so that the
+// connections do not use up the node's sockets.
 func (p *nodeProcess) waitUntilServedBy(t testing.TB, hostID string) {
 	t.Helper()
 	eventually(t, "requests go to "+hostID, func() bool {
@@ -99,8 +100,8 @@
 	})
 }
 
-// waitForPingAnswer waits until eight PINGs in a row get the wanted answer: with two processes behind an address either
-// may accept a connection.
+// waitForPingAnswer waits until eight consecutive PINGs, each on a new connection, get the answer want. One is not
+// enough: where two processes share the listening socket, either of them may accept a connection.
 func (p *nodeProcess) waitForPingAnswer(t testing.TB, want string) {
 	t.Helper()
 	eventually(t, "PING is answered "+want, func() bool {
@@ -117,15 +118,15 @@
 	})
 }
 
-// missingAnswer is a request without an answer, or with one that the protocol does not know.
+// missingAnswer describes a request that got no final answer, or one that the protocol does not define.
 type missingAnswer struct {
 	request  int
 	received string
 	err      error
 }
 
-// request sends one request and returns the first word of its answer, or that it got none. A connection that the system
-// did not accept counts as neither.
+// request sends one request and returns the first word of its final answer, or a missingAnswer if there is none. If the
+// connection cannot be established it returns neither, because the node has not received the request.
 func (p *nodeProcess) request(id int) (answer string, missing *missingAnswer) {
 	conn, err := net.DialTimeout("tcp", p.addr, waitLimit)
 	if err != nil {
@@ -145,8 +146,8 @@
 	return word, nil
 }
 
-// runLoad sends requests from several clients at once for the duration, and returns how many got which answer and those
-// that got none.
+// runLoad sends requests from several concurrent clients for the duration. It returns the number of requests per final
+// answer, and the requests without one. Requests without an answer and failed connection attempts count under "".
 func (p *nodeProcess) runLoad(clients int, duration time.Duration) (answers map[string]int, missing []missingAnswer) {
 	answers = map[string]int{}
 	var mu sync.Mutex
@@ -155,11 +156,11 @@
 	for range clients {
 		running.Go(func() {
 			for time.Now().Before(end) {
-				answer, none := p.request(nextID())
+				answer, noAnswer := p.request(nextID())
 				mu.Lock()
 				answers[answer]++
-				if none != nil {
-					missing = append(missing, *none)
+				if noAnswer != nil {
+					missing = append(missing, *noAnswer)
 				}
 				mu.Unlock()
 				time.Sleep(5 * time.Millisecond)
@@ -170,10 +171,10 @@
 	return answers, missing
 }
 
-// expectNoneMissing fails the test for each request without an answer.
-func expectNoneMissing(t testing.TB, missing []missingAnswer) {
+// expectAllAnswered fails the test if a request got no final answer.
+func expectAllAnswered(t testing.TB, missing []missingAnswer) {
 	t.Helper()
 	for _, m := range missing {
-		t.Errorf("request r%d has no answer: received %q, error %v", m.request, m.received, m.err)
+		t.Errorf("request r%d got no final answer: received %q, error %v", m.request, m.received, m.err)
 	}
 }
