--- a/cmd/onyxstream/load_command_test.go
+++ b/cmd/onyxstream/load_command_test.go
@@ -69,7 +69,7 @@
 		t.Fatalf("exit status %d: %s", status, stderr)
 	}
 	if stderr != "" || !strings.Contains(stdout, "chat") {
-		t.Errorf("stdout %q, stderr %q; want no progress on stderr, which is not a terminal", stdout, stderr)
+		t.Errorf("stdout %q, stderr %q; want class chat on stdout and no progress on stderr", stdout, stderr)
 	}
 	result, err := loadtest.ReadResult(file("r.json"))
 	if err != nil {
