--- a/internal/cli/load_result.go
+++ b/internal/cli/load_result.go
@@ -96,7 +96,7 @@
 	}
 	if result.ListService != nil {
 		fmt.Fprintf(w, "list service: %d calls, %d rejected, %d within 100 ms at most\n",
-			result.ListService.Calls, result.ListService.Rejected, result.ListService.MaxIn100ms)
+			result.ListService.Requests, result.ListService.Rejected, result.ListService.MaxIn100ms)
 	}
 	if result.WrongReceipts > 0 {
 		fmt.Fprintf(w, "%d receipts that no host had made\n", result.WrongReceipts)
--- a/internal/cli/load_stand.go
+++ b/internal/cli/load_stand.go
@@ -43,7 +43,7 @@
 	for _, address := range cluster.Listeners() {
 		fmt.Fprintf(c.OutOrStdout(), "%s %s %s\n", address.Kind, address.Name, address.Addr)
 	}
-	cluster.PlayFaults(ctx, scenario.Faults)
+	cluster.ScheduleFaults(ctx, scenario.Faults)
 	<-ctx.Done()
 	return cluster.Err()
 }
--- a/internal/loadtest/page/plots.go
+++ b/internal/loadtest/page/plots.go
@@ -203,7 +203,7 @@
 		name   string
 		figure func(s *testcluster.StartStep) int
 	}{
-		{"calls to the list service", func(s *testcluster.StartStep) int { return s.Calls }},
+		{"calls to the list service", func(s *testcluster.StartStep) int { return s.Requests }},
 		{"rejected calls", func(s *testcluster.StartStep) int { return s.Rejected }},
 		{"set-ups at all hosts", func(s *testcluster.StartStep) int { return s.Setups }},
 		{"set-ups at the busiest host", func(s *testcluster.StartStep) int { return s.MaxSetupsPerHost }},
--- a/internal/loadtest/play.go
+++ b/internal/loadtest/play.go
@@ -133,7 +133,7 @@
 	cfg.OnStart = func() {
 		f.began = f.cluster.Clock.Now()
 		f.usageBefore = f.cluster.Usage()
-		f.cluster.PlayFaults(ctx, cfg.Scenario.Faults)
+		f.cluster.ScheduleFaults(ctx, cfg.Scenario.Faults)
 	}
 }
 
@@ -145,7 +145,7 @@
 	result.Nodes = &usage
 	events, lost := f.cluster.EventLog.Events()
 	result.addEvents(events, f.began)
-	list := testcluster.CountDiscoveryCalls(events)
+	list := testcluster.CountDiscoveryRequests(events)
 	result.ListService = &list
 	result.Startup = testcluster.StartSteps(events, f.cluster.LaunchedAt())
 	if lost == 0 {
--- a/internal/loadtest/result.go
+++ b/internal/loadtest/result.go
@@ -37,12 +37,12 @@
 	Timeline    []Interval    `json:"line"`
 	FleetEvents []FleetEvent  `json:"marks,omitempty"`
 	// WrongReceipts counts receipts that no host issued for their connection: above 0 only by a fault.
-	WrongReceipts int64                       `json:"wrong_receipts"`
-	Nodes         *testcluster.Usage          `json:"nodes,omitempty"`
-	Hosts         []HostCount                 `json:"hosts,omitempty"`
-	ListService   *testcluster.DiscoveryCalls `json:"list,omitempty"`  // calls to the list service
-	Startup       []testcluster.StartStep     `json:"start,omitempty"` // the start of the fleet, before the first request
-	Generator     testcluster.Usage           `json:"self"`            // the generator's process, which includes the fake servers
+	WrongReceipts int64                          `json:"wrong_receipts"`
+	Nodes         *testcluster.Usage             `json:"nodes,omitempty"`
+	Hosts         []HostCount                    `json:"hosts,omitempty"`
+	ListService   *testcluster.DiscoveryRequests `json:"list,omitempty"`  // calls to the list service
+	Startup       []testcluster.StartStep        `json:"start,omitempty"` // the start of the fleet, before the first request
+	Generator     testcluster.Usage              `json:"self"`            // the generator's process, which includes the fake servers
 }
 
 // ownUsage returns the resources that this process has used so far.
--- a/internal/soaktest/run.go
+++ b/internal/soaktest/run.go
@@ -40,7 +40,7 @@
 // classes are the classes of a run's clients.
 var classes = []testcluster.ClassConfig{
 	{Name: "chat", Deadline: 2 * time.Second},
-	{Name: "feed", Deadline: 1200 * time.Millisecond, Semantics: "keyed", DeduplicationWindow: 800 * time.Millisecond},
+	{Name: "feed", Deadline: 1200 * time.Millisecond, Semantics: "keyed", IdempotencyWindow: 800 * time.Millisecond},
 	{Name: "order", Deadline: 1500 * time.Millisecond, Semantics: "unsafe"},
 	{Name: "stream", Deadline: 4800 * time.Millisecond}, // longer than the shutdown of a node
 }
@@ -67,13 +67,13 @@
 			CollapseMultiple:  4,
 			CollapseAfter:     tomlfile.Duration(time.Second),
 		},
-		TenantQuota:   float64(o.Nodes * 20),
-		FrontendDelay: tomlfile.Duration(300 * time.Millisecond),
+		TenantQuota:     float64(o.Nodes * 20),
+		FrontEjectDelay: tomlfile.Duration(300 * time.Millisecond),
 		Discovery: testcluster.DiscoveryConfig{
-			CallDuration: tomlfile.Duration(time.Millisecond),
-			Push:         p.Push,
-			NodeLinks:    true,
-			PollInterval: tomlfile.Duration(3 * time.Second),
+			RequestDuration: tomlfile.Duration(time.Millisecond),
+			Push:            p.Push,
+			NodeLinks:       true,
+			PollInterval:    tomlfile.Duration(3 * time.Second),
 		},
 	}
 }
@@ -104,7 +104,7 @@
 	}
 	defer cluster.Close()
 	r := &runner{plan: p, cluster: cluster, ctx: ctx, startedAt: cluster.Clock.Now()}
-	cluster.PlayFaults(ctx, p.Faults)
+	cluster.ScheduleFaults(ctx, p.Faults)
 	r.startReloads()
 	r.startIdleClients()
 	r.startCallFaults(nodes)
--- a/internal/soaktest/runner.go
+++ b/internal/soaktest/runner.go
@@ -123,7 +123,7 @@
 func (r *runner) pickNode() (node fakeserver.Node, ok bool) {
 	at := r.cluster.Clock.Now() - r.startedAt
 	for range maxPicks {
-		node, ok = r.cluster.Frontend.Pick("")
+		node, ok = r.cluster.Front.Pick("")
 		if !ok || !r.plan.isStopping(node.Name, at) {
 			return node, ok
 		}
--- a/internal/testcluster/cluster.go
+++ b/internal/testcluster/cluster.go
@@ -35,7 +35,7 @@
 	Clock     *fakeserver.Clock
 	EventLog  *fakeserver.EventLog
 	Discovery *fakeserver.Discovery
-	Frontend  *fakeserver.FrontendBalancer // nil before the launch
+	Front     *fakeserver.FrontendBalancer // nil before the launch
 
 	number       int // among the clusters of this process
 	launchedAt   time.Duration
@@ -138,7 +138,7 @@
 		return nil, err
 	}
 	c.Discovery.SetLimits(fakeserver.DiscoveryLimits{
-		CallDuration: c.config.Discovery.CallDuration.AsDuration(),
+		CallDuration: c.config.Discovery.RequestDuration.AsDuration(),
 		MaxWait:      c.config.Discovery.MaxWait.AsDuration(),
 		MaxQueue:     c.config.Discovery.MaxQueue,
 		RetryAfter:   c.config.Discovery.RetryAfter,
@@ -198,7 +198,7 @@
 	for _, p := range c.nodes {
 		nodes = append(nodes, fakeserver.Node{Name: p.name, Addr: p.addr, Zone: p.zone})
 	}
-	c.Frontend = fakeserver.NewFrontendBalancer(c.EventLog, c.config.FrontendDelay.AsDuration(), nodes...)
+	c.Front = fakeserver.NewFrontendBalancer(c.EventLog, c.config.FrontEjectDelay.AsDuration(), nodes...)
 	return errors.Join(errs...)
 }
 
@@ -209,7 +209,7 @@
 func (c *Cluster) Ready(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
-	if err := c.Frontend.Ready(ctx); err != nil {
+	if err := c.Front.Ready(ctx); err != nil {
 		return fmt.Errorf("the nodes are not ready: %w", errors.Join(err, c.unexpectedExits()))
 	}
 	return nil
@@ -248,8 +248,8 @@
 		return
 	}
 	c.timeline.stop()
-	if c.Frontend != nil {
-		c.Frontend.Close()
+	if c.Front != nil {
+		c.Front.Close()
 	}
 	var wg sync.WaitGroup
 	for _, p := range c.processes() {
--- a/internal/testcluster/coldstart_figures_test.go
+++ b/internal/testcluster/coldstart_figures_test.go
@@ -56,7 +56,7 @@
 	events, _ := cluster.EventLog.Events()
 	calls := EventTimes(events, fakeserver.SourceDiscovery, fakeserver.EventRequested)
 	t.Logf("%d nodes launched in %v: calls %+v, in the first second %d, while down %d", n, launched-start,
-		CountDiscoveryCalls(events), CountBetween(calls, start, start+time.Second), CountBetween(calls, start, start+down))
+		CountDiscoveryRequests(events), CountBetween(calls, start, start+time.Second), CountBetween(calls, start, start+down))
 	logProbes(t, probes, servedAfter)
 	usage := cluster.Usage()
 	t.Logf("usage %+v; CPU of a node %v", usage, usage.CPU/time.Duration(n))
--- a/internal/testcluster/config.go
+++ b/internal/testcluster/config.go
@@ -9,38 +9,38 @@
 
 // Config describes a cluster. Its TOML form is the table "fleet" of a scenario file.
 type Config struct {
-	Nodes          int               `toml:"nodes"` // 0 for hosts alone, to which clients then connect directly
-	Hosts          int               `toml:"hosts"`
-	Zones          []string          `toml:"zones"` // assigned to nodes and to hosts round-robin
-	Mode           string            `toml:"mode"`  // modePass or modeProxy
-	HealthChecks   bool              `toml:"probes"`
-	ReportsLoad    bool              `toml:"loads"`        // hosts report the load of connections
-	HostLinks      bool              `toml:"links"`        // nodes reach each host over a link with faults
-	DiscoveryDelay tomlfile.Duration `toml:"notice"`       // until discovery lists a crash or restart of a host
-	FrontendDelay  tomlfile.Duration `toml:"front_notice"` // until the frontend balancer ejects a failed node
-	ResumeTimeout  tomlfile.Duration `toml:"park"`         // how long hosts keep connections that a node reset
-	Cores          float64           `toml:"cores"`        // of a node
-	MemoryMB       int               `toml:"memory_mb"`    // of a node
-	Sockets        int               `toml:"sockets"`      // of a node
-	Host           HostConfig        `toml:"host"`
-	Store          StoreConfig       `toml:"store"`
-	Discovery      DiscoveryConfig   `toml:"list"`
-	ColdStart      *ColdStartConfig  `toml:"coldstart"` // nil for nodes without cold start
-	TenantQuota    float64           `toml:"quota"`     // open connections of each tenant over all nodes; 0 for not set
-	Agents         int               `toml:"agents"`    // each with all nodes in its inventory, over links of its own
+	Nodes           int               `toml:"nodes"` // 0 for hosts alone, to which clients then connect directly
+	Hosts           int               `toml:"hosts"`
+	Zones           []string          `toml:"zones"` // assigned to nodes and to hosts round-robin
+	Mode            string            `toml:"mode"`  // modePass or modeProxy
+	HealthChecks    bool              `toml:"probes"`
+	ReportsLoad     bool              `toml:"loads"`        // hosts report the load of connections
+	HostLinks       bool              `toml:"links"`        // nodes reach each host over a link with faults
+	DiscoveryDelay  tomlfile.Duration `toml:"notice"`       // until discovery lists a crash or restart of a host
+	FrontEjectDelay tomlfile.Duration `toml:"front_notice"` // until the frontend balancer ejects a failed node
+	ResumeTimeout   tomlfile.Duration `toml:"park"`         // how long hosts keep connections that a node reset
+	Cores           float64           `toml:"cores"`        // of a node
+	MemoryMB        int               `toml:"memory_mb"`    // of a node
+	Sockets         int               `toml:"sockets"`      // of a node
+	Host            HostConfig        `toml:"host"`
+	Store           StoreConfig       `toml:"store"`
+	Discovery       DiscoveryConfig   `toml:"list"`
+	ColdStart       *ColdStartConfig  `toml:"coldstart"` // nil for nodes without cold start
+	TenantQuota     float64           `toml:"quota"`     // open connections of each tenant over all nodes; 0 for not set
+	Agents          int               `toml:"agents"`    // each with all nodes in its inventory, over links of its own
 }
 
 // DiscoveryConfig describes the discovery service, and what nodes know of the endpoint list when they start.
 type DiscoveryConfig struct {
-	CallDuration  tomlfile.Duration `toml:"cost"`  // calls are served one by one
-	MaxWait       tomlfile.Duration `toml:"wait"`  // a call that would wait longer is rejected; 0 for no limit
-	MaxQueue      int               `toml:"queue"` // 0 for no limit
-	RetryAfter    string            `toml:"retry_after"`
-	Push          bool              `toml:"push"`       // the settings say that updates are pushed
-	StartsUnknown bool              `toml:"unknown"`    // nodes start without a list
-	NodeLinks     bool              `toml:"links"`      // each node reaches the service over a link with faults
-	PollInterval  tomlfile.Duration `toml:"ask_within"` // of the nodes
-	DownAtStart   tomlfile.Duration `toml:"down"`       // calls are reset for this long after the launch
+	RequestDuration tomlfile.Duration `toml:"cost"`  // calls are served one by one
+	MaxWait         tomlfile.Duration `toml:"wait"`  // a call that would wait longer is rejected; 0 for no limit
+	MaxQueue        int               `toml:"queue"` // 0 for no limit
+	RetryAfter      string            `toml:"retry_after"`
+	Push            bool              `toml:"push"`       // the settings say that updates are pushed
+	StartsUnknown   bool              `toml:"unknown"`    // nodes start without a list
+	NodeLinks       bool              `toml:"links"`      // each node reaches the service over a link with faults
+	PollInterval    tomlfile.Duration `toml:"ask_within"` // of the nodes
+	DownAtStart     tomlfile.Duration `toml:"down"`       // calls are reset for this long after the launch
 }
 
 // ColdStartConfig describes the table "coldstart" of the nodes' own configuration.
@@ -77,10 +77,10 @@
 
 // ClassConfig describes a request class in the nodes' settings.
 type ClassConfig struct {
-	Name                string
-	Deadline            time.Duration
-	Semantics           string        // "safe", "keyed" or "unsafe", as in the settings; "" for safe
-	DeduplicationWindow time.Duration // of a keyed class; 0 for defaultDeduplicationWindow
+	Name              string
+	Deadline          time.Duration
+	Semantics         string        // "safe", "keyed" or "unsafe", as in the settings; "" for safe
+	IdempotencyWindow time.Duration // of a keyed class; 0 for defaultIdempotencyWindow
 }
 
 // usesTLS reports whether peers talk over TLS.
--- a/internal/testcluster/helpers_test.go
+++ b/internal/testcluster/helpers_test.go
@@ -42,10 +42,10 @@
 			SetupWork:      tomlfile.Duration(time.Millisecond),
 		},
 		Discovery: DiscoveryConfig{
-			CallDuration:  tomlfile.Duration(10 * time.Millisecond),
-			MaxWait:       tomlfile.Duration(time.Second),
-			StartsUnknown: true,
-			NodeLinks:     true,
+			RequestDuration: tomlfile.Duration(10 * time.Millisecond),
+			MaxWait:         tomlfile.Duration(time.Second),
+			StartsUnknown:   true,
+			NodeLinks:       true,
 		},
 		ColdStart: &ColdStartConfig{Peers: 4},
 	}
@@ -202,7 +202,7 @@
 			callers[node]++
 		}
 	}
-	return CountDiscoveryCalls(events).Calls, callers
+	return CountDiscoveryRequests(events).Requests, callers
 }
 
 // setupsByHost returns how many openings each host received from a time on.
--- a/internal/testcluster/hosts.go
+++ b/internal/testcluster/hosts.go
@@ -75,7 +75,7 @@
 		c.directPicks++
 		return hosts[c.directPicks%len(hosts)].Addr(), nil
 	}
-	node, ok := c.Frontend.Pick(zone)
+	node, ok := c.Front.Pick(zone)
 	if !ok {
 		return "", ErrNoNode
 	}
--- a/internal/testcluster/judge.go
+++ b/internal/testcluster/judge.go
@@ -44,22 +44,22 @@
 	return count
 }
 
-// callWindow is the window of DiscoveryCalls.MaxIn100ms.
+// callWindow is the window of DiscoveryRequests.MaxIn100ms.
 const callWindow = 100 * time.Millisecond
 
-// DiscoveryCalls is what the discovery service saw.
-type DiscoveryCalls struct {
-	Calls      int `json:"calls"`
+// DiscoveryRequests is what the discovery service saw.
+type DiscoveryRequests struct {
+	Requests   int `json:"calls"`
 	ListsSent  int `json:"told"`   // lists and updates, those of open watches included
 	Rejected   int `json:"turned"` // calls
 	MaxIn100ms int `json:"most"`   // calls within 100 ms
 }
 
-// CountDiscoveryCalls counts the calls to the discovery service.
-func CountDiscoveryCalls(events []fakeserver.Event) DiscoveryCalls {
+// CountDiscoveryRequests counts the calls to the discovery service.
+func CountDiscoveryRequests(events []fakeserver.Event) DiscoveryRequests {
 	calls := EventTimes(events, fakeserver.SourceDiscovery, fakeserver.EventRequested)
-	return DiscoveryCalls{
-		Calls:      len(calls),
+	return DiscoveryRequests{
+		Requests:   len(calls),
 		ListsSent:  len(EventTimes(events, fakeserver.SourceDiscovery, fakeserver.EventListSent)),
 		Rejected:   len(EventTimes(events, fakeserver.SourceDiscovery, fakeserver.EventCallRejected)),
 		MaxIn100ms: MaxInWindow(calls, callWindow),
@@ -69,7 +69,7 @@
 // StartStep is what discovery and the hosts saw in one step of a start.
 type StartStep struct {
 	At               float64 `json:"at_s"` // begin of the step, since the launch
-	Calls            int     `json:"calls"`
+	Requests         int     `json:"calls"`
 	Rejected         int     `json:"turned"`  // calls
 	Setups           int     `json:"set_ups"` // at all hosts
 	MaxSetupsPerHost int     `json:"most"`
@@ -95,7 +95,7 @@
 		step := &steps[index]
 		switch event.Kind {
 		case fakeserver.EventRequested:
-			step.Calls++
+			step.Requests++
 		case fakeserver.EventCallRejected:
 			step.Rejected++
 		default:
--- a/internal/testcluster/judge_test.go
+++ b/internal/testcluster/judge_test.go
@@ -28,14 +28,14 @@
 	if n, _ := MaxSetupBurst(events, []string{"h1"}, 100*ms); n != 2 {
 		t.Errorf("the burst at h1 is %d", n)
 	}
-	if calls := CountDiscoveryCalls(events); calls != (DiscoveryCalls{Calls: 3, Rejected: 1, MaxIn100ms: 2}) {
+	if calls := CountDiscoveryRequests(events); calls != (DiscoveryRequests{Requests: 3, Rejected: 1, MaxIn100ms: 2}) {
 		t.Errorf("the calls to discovery are counted as %+v", calls)
 	}
 	if n := CountBetween(EventTimes(events, "h10", fakeserver.EventOpened), 20*ms, 100*ms); n != 2 {
 		t.Errorf("%d openings between the times", n)
 	}
 	want := []StartStep{
-		{At: 0, Calls: 2, Setups: 3, MaxSetupsPerHost: 3},
+		{At: 0, Requests: 2, Setups: 3, MaxSetupsPerHost: 3},
 		{At: 0.1, Rejected: 1, Setups: 1, MaxSetupsPerHost: 1},
 	}
 	if steps := StartSteps(events, 50*ms); !slices.Equal(steps, want) {
--- a/internal/testcluster/node_settings.go
+++ b/internal/testcluster/node_settings.go
@@ -12,8 +12,8 @@
 	"onyxstream/internal/wire"
 )
 
-// defaultDeduplicationWindow is how long repeats of a keyed class are dropped if its configuration does not say.
-const defaultDeduplicationWindow = 5 * time.Second
+// defaultIdempotencyWindow is how long repeats of a keyed class are dropped if its configuration does not say.
+const defaultIdempotencyWindow = 5 * time.Second
 
 // The figures of the settings that all clusters share.
 const (
@@ -59,13 +59,13 @@
 
 // classSettings has its durations in milliseconds.
 type classSettings struct {
-	Name                string  `json:"name"`
-	LatencyObjective    float64 `json:"aim"`
-	Deadline            float64 `json:"deadline"`
-	Semantics           string  `json:"semantics"`
-	Group               string  `json:"group"`
-	PriorityWeight      int     `json:"worth"`
-	DeduplicationWindow int64   `json:"window"`
+	Name              string  `json:"name"`
+	LatencyObjective  float64 `json:"aim"`
+	Deadline          float64 `json:"deadline"`
+	Semantics         string  `json:"semantics"`
+	Group             string  `json:"group"`
+	PriorityWeight    int     `json:"worth"`
+	IdempotencyWindow int64   `json:"window"`
 }
 
 type tenantSettings struct {
@@ -134,13 +134,13 @@
 	for _, class := range c.options.Classes {
 		deadline := milliseconds(class.Deadline)
 		classes = append(classes, classSettings{
-			Name:                class.Name,
-			LatencyObjective:    deadline / objectiveDivisor,
-			Deadline:            deadline,
-			Semantics:           cmp.Or(class.Semantics, "safe"),
-			Group:               "all",
-			PriorityWeight:      1,
-			DeduplicationWindow: cmp.Or(class.DeduplicationWindow, defaultDeduplicationWindow).Milliseconds(),
+			Name:              class.Name,
+			LatencyObjective:  deadline / objectiveDivisor,
+			Deadline:          deadline,
+			Semantics:         cmp.Or(class.Semantics, "safe"),
+			Group:             "all",
+			PriorityWeight:    1,
+			IdempotencyWindow: cmp.Or(class.IdempotencyWindow, defaultIdempotencyWindow).Milliseconds(),
 		})
 	}
 	return classes
--- a/internal/testcluster/rolling_restart.go
+++ b/internal/testcluster/rolling_restart.go
@@ -67,7 +67,7 @@
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	var wg sync.WaitGroup
-	c.PlayFaults(ctx, c.drawHostFaults(rng, plan.Length))
+	c.ScheduleFaults(ctx, c.drawHostFaults(rng, plan.Length))
 	order := rng.Perm(len(c.nodes))
 	wg.Go(func() { c.restartInBatches(ctx, cancel, &wg, picker, order, plan) })
 	start := time.Now()
--- a/internal/testcluster/timeline.go
+++ b/internal/testcluster/timeline.go
@@ -37,9 +37,9 @@
 	}
 }
 
-// PlayFaults starts a timeline of faults now. Faults at the same time start in the order given; added hosts must be in
+// ScheduleFaults starts a timeline of faults now. Faults at the same time start in the order given; added hosts must be in
 // the order of that time.
-func (c *Cluster) PlayFaults(ctx context.Context, faults []FaultSpec) {
+func (c *Cluster) ScheduleFaults(ctx context.Context, faults []FaultSpec) {
 	ctx, c.timeline.cancel = context.WithCancel(ctx)
 	faults = slices.Clone(faults)
 	slices.SortStableFunc(faults, func(a, b FaultSpec) int { return int(a.At - b.At) })
