--- a/internal/soaktest/behavior.go
+++ b/internal/soaktest/behavior.go
@@ -42,12 +42,12 @@
 	behaviorFloodMidFlow: 2,
 }
 
-func drawBehavior(draw *rand.Rand) behavior {
+func drawBehavior(rng *rand.Rand) behavior {
 	total := 0
 	for _, weight := range behaviorWeights {
 		total += weight
 	}
-	at := draw.IntN(total)
+	at := rng.IntN(total)
 	for b, weight := range behaviorWeights {
 		at -= weight
 		if at < 0 {
--- a/internal/soaktest/client.go
+++ b/internal/soaktest/client.go
@@ -18,12 +18,12 @@
 
 // client describes one client of a run.
 type client struct {
-	id, class string
-	behavior  behavior
-	deadline  time.Duration // of its answer
-	holdTime  time.Duration // of its established connection
-	pause     time.Duration // before it continues, disconnects or completes the opening line
-	reconnect bool          // it says that it had a connection before
+	id, class    string
+	behavior     behavior
+	deadline     time.Duration // of its answer
+	connectedFor time.Duration // of its established connection
+	pause        time.Duration // before it continues, disconnects or completes the opening line
+	reconnect    bool          // it says that it had a connection before
 }
 
 const (
@@ -172,7 +172,7 @@
 // hold sends lines on an established connection for the client's hold time. It reports whether the connection was broken
 // other than by an orderly close.
 func (c *connection) hold(ctx context.Context, reader *bufio.Reader) (broken bool) {
-	until := time.Now().Add(c.holdTime)
+	until := time.Now().Add(c.connectedFor)
 	for ctx.Err() == nil && time.Now().Before(until) {
 		_ = c.SetDeadline(time.Now().Add(lineInterval))
 		c.send("M a line\r\n")
--- a/internal/soaktest/plan.go
+++ b/internal/soaktest/plan.go
@@ -18,20 +18,20 @@
 
 // Plan is the set of faults of a run. Times are from the start of the plan.
 type Plan struct {
-	Seed        uint64
-	Mode        string // modePass or modeProxy
-	Push        bool   // discovery pushes the endpoint list
-	Duration    time.Duration
-	Faults      []testcluster.FaultSpec
-	Reloads     []Reload
-	IdleClients []IdleClients
-	CallFaults  []CallFault
+	Seed          uint64
+	Mode          string // modePassThrough or modeProxy
+	Push          bool   // discovery pushes the endpoint list
+	Duration      time.Duration
+	Faults        []testcluster.FaultSpec
+	Reloads       []Reload
+	IdleClients   []IdleClients
+	SyscallFaults []SyscallFault
 }
 
 // Values of Plan.Mode, as in the node's settings.
 const (
-	modePass  = "pass"
-	modeProxy = "proxy"
+	modePassThrough = "pass"
+	modeProxy       = "proxy"
 )
 
 // Reload makes a node reload its configuration.
@@ -52,29 +52,29 @@
 const (
 	// faultSpread is the time over which the faults of one moment begin.
 	faultSpread = 300 * time.Millisecond
-	// meanMomentInterval is the mean time between two moments at which faults begin.
-	meanMomentInterval = 1200 * time.Millisecond
+	// meanBurstInterval is the mean time between two moments at which faults begin.
+	meanBurstInterval = 1200 * time.Millisecond
 )
 
 // planStream is combined with the seed of a plan for its random numbers.
 const planStream = 0x736f616b
 
-// Draw draws the plan of a seed. The same seed and options give the same plan.
-func Draw(seed uint64, options PlanOptions) Plan {
+// GeneratePlan draws the plan of a seed. The same seed and options give the same plan.
+func GeneratePlan(seed uint64, options PlanOptions) Plan {
 	plan := Plan{Seed: seed, Duration: options.Duration}
-	d := &planDrawer{
-		Rand:      rand.New(rand.NewPCG(seed, planStream)),
-		options:   options,
-		plan:      &plan,
-		busyUntil: map[string]time.Duration{},
+	g := &planGenerator{
+		Rand:          rand.New(rand.NewPCG(seed, planStream)),
+		options:       options,
+		plan:          &plan,
+		reservedUntil: map[string]time.Duration{},
 	}
-	plan.Mode = []string{modePass, modeProxy}[d.IntN(2)]
-	plan.Push = d.IntN(2) == 0
-	kinds := d.faultKinds()
-	for at := meanMomentInterval / 2; at < options.Duration; at += d.momentInterval() {
-		for range 2 + d.IntN(2) {
-			draw := kinds[d.IntN(len(kinds))]
-			draw(at + d.duration(0, faultSpread))
+	plan.Mode = []string{modePassThrough, modeProxy}[g.IntN(2)]
+	plan.Push = g.IntN(2) == 0
+	kinds := g.faultKinds()
+	for at := meanBurstInterval / 2; at < options.Duration; at += g.burstInterval() {
+		for range 2 + g.IntN(2) {
+			draw := kinds[g.IntN(len(kinds))]
+			draw(at + g.duration(0, faultSpread))
 		}
 	}
 	return plan
--- a/internal/soaktest/plan_faults.go
+++ b/internal/soaktest/plan_faults.go
@@ -19,124 +19,124 @@
 )
 
 // drawRestarts stops one to three nodes at once, as in a rolling restart.
-func (d *planDrawer) drawRestarts(at time.Duration) {
-	for range 1 + d.IntN(3) {
-		if _, name, ok := d.reserveNode(at, at+restartReservation); ok {
-			d.addFault(at, d.duration(time.Second, 3*time.Second), "stop", name, 0)
+func (g *planGenerator) drawRestarts(at time.Duration) {
+	for range 1 + g.IntN(3) {
+		if _, name, ok := g.reserveNode(at, at+restartReservation); ok {
+			g.addFault(at, g.duration(time.Second, 3*time.Second), "stop", name, 0)
 		}
 	}
 }
 
 // drawRestartsWithHangs stops three nodes while a third of the hosts hang throughout their shutdown.
-func (d *planDrawer) drawRestartsWithHangs(at time.Duration) {
-	for range d.options.Hosts / 3 {
-		if name, ok := d.reserveHost(at, at+shutdownTime); ok {
-			d.addFault(at, shutdownTime, "hang", name, 0)
+func (g *planGenerator) drawRestartsWithHangs(at time.Duration) {
+	for range g.options.Hosts / 3 {
+		if name, ok := g.reserveHost(at, at+shutdownTime); ok {
+			g.addFault(at, shutdownTime, "hang", name, 0)
 		}
 	}
 	for range 3 {
-		if _, name, ok := d.reserveNode(at, at+restartReservation); ok {
-			stopAt := at + d.duration(100*time.Millisecond, time.Second)
-			d.addFault(stopAt, d.duration(time.Second, 3*time.Second), "stop", name, 0)
+		if _, name, ok := g.reserveNode(at, at+restartReservation); ok {
+			stopAt := at + g.duration(100*time.Millisecond, time.Second)
+			g.addFault(stopAt, g.duration(time.Second, 3*time.Second), "stop", name, 0)
 		}
 	}
 }
 
-func (d *planDrawer) drawKill(at time.Duration) {
-	if _, name, ok := d.reserveNode(at, at+restartReservation); ok {
-		d.addFault(at, d.duration(200*time.Millisecond, 2*time.Second), "kill", name, 0)
+func (g *planGenerator) drawKill(at time.Duration) {
+	if _, name, ok := g.reserveNode(at, at+restartReservation); ok {
+		g.addFault(at, g.duration(200*time.Millisecond, 2*time.Second), "kill", name, 0)
 	}
 }
 
 // drawStalls stalls one to four nodes.
-func (d *planDrawer) drawStalls(at time.Duration) {
-	for range 1 + d.IntN(4) {
-		if _, name, ok := d.reserveNode(at, at+briefReservation); ok {
-			d.addFault(at, d.duration(20*time.Millisecond, maxStall), "stall", name, 0)
+func (g *planGenerator) drawStalls(at time.Duration) {
+	for range 1 + g.IntN(4) {
+		if _, name, ok := g.reserveNode(at, at+briefReservation); ok {
+			g.addFault(at, g.duration(20*time.Millisecond, maxStall), "stall", name, 0)
 		}
 	}
 }
 
 // drawReloads makes one to four nodes reload their configuration.
-func (d *planDrawer) drawReloads(at time.Duration) {
-	for range 1 + d.IntN(4) {
-		if i, _, ok := d.reserveNode(at, at+briefReservation); ok {
-			invalid := d.IntN(3) == 0
-			d.plan.Reloads = append(d.plan.Reloads, Reload{At: at, Node: i, Invalid: invalid, Repeats: d.IntN(4)})
+func (g *planGenerator) drawReloads(at time.Duration) {
+	for range 1 + g.IntN(4) {
+		if i, _, ok := g.reserveNode(at, at+briefReservation); ok {
+			invalid := g.IntN(3) == 0
+			g.plan.Reloads = append(g.plan.Reloads, Reload{At: at, Node: i, Invalid: invalid, Repeats: g.IntN(4)})
 		}
 	}
 }
 
-func (d *planDrawer) drawDiscoveryFault(at time.Duration) {
-	length := d.duration(300*time.Millisecond, 2500*time.Millisecond)
-	if d.busyUntil[discoveryTarget] > at {
+func (g *planGenerator) drawDiscoveryFault(at time.Duration) {
+	length := g.duration(300*time.Millisecond, 2500*time.Millisecond)
+	if g.reservedUntil[discoveryTarget] > at {
 		return
 	}
-	d.busyUntil[discoveryTarget] = at + length
-	what := []string{"reset", "busy", "mute", "lag"}[d.IntN(4)]
+	g.reservedUntil[discoveryTarget] = at + length
+	what := []string{"reset", "busy", "mute", "lag"}[g.IntN(4)]
 	over := time.Duration(0)
 	if what == "lag" {
-		over = d.duration(100*time.Millisecond, 2*time.Second)
+		over = g.duration(100*time.Millisecond, 2*time.Second)
 	}
-	d.addFault(at, length, what, discoveryTarget, over)
+	g.addFault(at, length, what, discoveryTarget, over)
 }
 
 // drawDiscoveryLinkFault breaks the link between a node and discovery.
-func (d *planDrawer) drawDiscoveryLinkFault(at time.Duration) {
-	length := d.duration(300*time.Millisecond, 2500*time.Millisecond)
-	if _, name, ok := d.reserve(nodeLinkPrefix, d.options.Nodes, at, at+length); ok {
-		d.addFault(at, length, []string{"silence", "reset", "stall", "refuse"}[d.IntN(4)], name, 0)
+func (g *planGenerator) drawDiscoveryLinkFault(at time.Duration) {
+	length := g.duration(300*time.Millisecond, 2500*time.Millisecond)
+	if _, name, ok := g.reserve(nodeLinkPrefix, g.options.Nodes, at, at+length); ok {
+		g.addFault(at, length, []string{"silence", "reset", "stall", "refuse"}[g.IntN(4)], name, 0)
 	}
 }
 
-func (d *planDrawer) drawHang(at time.Duration) {
-	length := d.duration(500*time.Millisecond, 4*time.Second)
-	if name, ok := d.reserveHost(at, at+length); ok {
-		d.addFault(at, length, "hang", name, 0)
+func (g *planGenerator) drawHang(at time.Duration) {
+	length := g.duration(500*time.Millisecond, 4*time.Second)
+	if name, ok := g.reserveHost(at, at+length); ok {
+		g.addFault(at, length, "hang", name, 0)
 	}
 }
 
-// drawRelease replaces a host: one is added, another drains for good.
-func (d *planDrawer) drawRelease(at time.Duration) {
+// drawHostReplacement replaces a host: one is added, another drains for good.
+func (g *planGenerator) drawHostReplacement(at time.Duration) {
 	const forever = time.Hour
-	if d.addedHosts >= d.options.Hosts/2 {
+	if g.addedHosts >= g.options.Hosts/2 {
 		return
 	}
-	if name, ok := d.reserveHost(at, forever); ok {
-		d.addedHosts++
-		d.addFault(at, 0, "add", fmt.Sprint(hostPrefix, d.options.Hosts+d.addedHosts), 0)
-		d.addFault(at, 0, "drain", name, d.duration(100*time.Millisecond, time.Second))
+	if name, ok := g.reserveHost(at, forever); ok {
+		g.addedHosts++
+		g.addFault(at, 0, "add", fmt.Sprint(hostPrefix, g.options.Hosts+g.addedHosts), 0)
+		g.addFault(at, 0, "drain", name, g.duration(100*time.Millisecond, time.Second))
 	}
 }
 
-func (d *planDrawer) drawHostCrash(at time.Duration) {
-	length := d.duration(500*time.Millisecond, 3*time.Second)
-	if name, ok := d.reserveHost(at, at+length+time.Second); ok {
-		d.addFault(at, length, "die", name, 0)
+func (g *planGenerator) drawHostCrash(at time.Duration) {
+	length := g.duration(500*time.Millisecond, 3*time.Second)
+	if name, ok := g.reserveHost(at, at+length+time.Second); ok {
+		g.addFault(at, length, "die", name, 0)
 	}
 }
 
 // drawHostLinkFault breaks or delays the links to a host.
-func (d *planDrawer) drawHostLinkFault(at time.Duration) {
-	length := d.duration(200*time.Millisecond, 2*time.Second)
-	_, name, ok := d.reserve(hostLinkPrefix, d.options.Hosts, at, at+length)
+func (g *planGenerator) drawHostLinkFault(at time.Duration) {
+	length := g.duration(200*time.Millisecond, 2*time.Second)
+	_, name, ok := g.reserve(hostLinkPrefix, g.options.Hosts, at, at+length)
 	if !ok {
 		return
 	}
 	over := time.Duration(0)
-	what := []string{"reset", "delay", "refuse", "silence", "stall"}[d.IntN(5)]
+	what := []string{"reset", "delay", "refuse", "silence", "stall"}[g.IntN(5)]
 	switch what {
 	case "reset":
 		length = 0 // happens once
 	case "delay":
-		over = d.duration(50*time.Millisecond, 700*time.Millisecond)
+		over = g.duration(50*time.Millisecond, 700*time.Millisecond)
 	}
-	d.addFault(at, length, what, name, over)
+	g.addFault(at, length, what, name, over)
 }
 
-func (d *planDrawer) drawIdleClients(at time.Duration) {
-	length := d.duration(500*time.Millisecond, 3*time.Second)
-	if i, _, ok := d.reserve(idleClientsPrefix+nodePrefix, d.options.Nodes, at, at+length); ok {
-		d.plan.IdleClients = append(d.plan.IdleClients, IdleClients{At: at, Duration: length, Node: i, Count: idleClientCount})
+func (g *planGenerator) drawIdleClients(at time.Duration) {
+	length := g.duration(500*time.Millisecond, 3*time.Second)
+	if i, _, ok := g.reserve(idleClientsPrefix+nodePrefix, g.options.Nodes, at, at+length); ok {
+		g.plan.IdleClients = append(g.plan.IdleClients, IdleClients{At: at, Duration: length, Node: i, Count: idleClientCount})
 	}
 }
--- a/internal/soaktest/judge.go
+++ b/internal/soaktest/rule_checker.go
@@ -39,7 +39,7 @@
 const clientPrefix = "c-"
 
 // judge checks the events of a run against the rules.
-type judge struct {
+type checker struct {
 	verdict    Verdict
 	events     []fakeserver.Event
 	limits     Limits
@@ -62,45 +62,45 @@
 }
 
 // Judge checks the events of a run against the rules.
-func Judge(events []fakeserver.Event, limits Limits, conditions Conditions) Verdict {
-	j := &judge{
+func CheckRules(events []fakeserver.Event, limits Limits, conditions Conditions) Verdict {
+	c := &checker{
 		events:     events,
 		limits:     limits,
 		conditions: conditions,
 		receipts:   map[string]bool{},
 		kills:      map[string][]time.Duration{},
 	}
-	j.groupEvents()
-	for _, r := range j.requests {
-		j.judgeAnswer(r)
+	c.groupEvents()
+	for _, r := range c.requests {
+		c.checkAnswer(r)
 	}
-	j.judgeDisconnects()
-	j.judgeOverloads()
-	j.judgeDrains()
-	j.judgeRetries()
-	return j.verdict
+	c.checkDisconnects()
+	c.checkOverloads()
+	c.checkDrains()
+	c.checkRetries()
+	return c.verdict
 }
 
-func (j *judge) addViolation(format string, args ...any) {
-	j.verdict.RuleViolations = append(j.verdict.RuleViolations, fmt.Sprintf(format, args...))
+func (c *checker) addViolation(format string, args ...any) {
+	c.verdict.RuleViolations = append(c.verdict.RuleViolations, fmt.Sprintf(format, args...))
 }
 
 // groupEvents collects the requests of clients, the receipts of hosts and the kills of nodes.
-func (j *judge) groupEvents() {
+func (c *checker) groupEvents() {
 	open := map[string]*request{} // by the key of the connection
-	for _, event := range j.events {
+	for _, event := range c.events {
 		node, isClient := strings.CutPrefix(event.Source, clientPrefix)
 		switch {
 		case event.Kind == fakeserver.EventFault && (event.Detail == "kill" || event.Detail == "lose"):
-			j.kills[event.Source] = append(j.kills[event.Source], event.At)
+			c.kills[event.Source] = append(c.kills[event.Source], event.At)
 		case !isClient && event.Kind == fakeserver.EventEstablished:
-			j.receipts[event.ID+" "+event.Detail] = true
+			c.receipts[event.ID+" "+event.Detail] = true
 		case !isClient:
 		case event.Kind == fakeserver.EventRequested:
 			deadline, _ := time.ParseDuration(event.Detail)
 			r := &request{id: event.ID, node: node, sentAt: event.At, deadline: deadline}
 			open[event.Key] = r
-			j.requests = append(j.requests, r)
+			c.requests = append(c.requests, r)
 		case open[event.Key] != nil:
 			open[event.Key].addEvent(event)
 		}
@@ -122,116 +122,116 @@
 	}
 }
 
-// judgeAnswer checks that a request whose opening line was sent completely got one complete answer in time.
-func (j *judge) judgeAnswer(r *request) {
-	j.verdict.Requests++
-	latest := r.sentAt + r.deadline + j.limits.AnswerGrace + j.limits.RecordDelay
+// checkAnswer checks that a request whose opening line was sent completely got one complete answer in time.
+func (c *checker) checkAnswer(r *request) {
+	c.verdict.Requests++
+	latest := r.sentAt + r.deadline + c.limits.AnswerGrace + c.limits.RecordDelay
 	if len(r.answers) == 0 {
-		j.judgeMissingAnswer(r, latest)
+		c.checkMissingAnswer(r, latest)
 		return
 	}
 	if r.answeredAt > latest {
-		j.addViolation("%s at %s, sent at %v with a deadline of %v: %q only at %v",
+		c.addViolation("%s at %s, sent at %v with a deadline of %v: %q only at %v",
 			r.id, r.node, r.sentAt, r.deadline, r.answers[0], r.answeredAt)
 	}
 	word, receipt, _ := strings.Cut(r.answers[0], " ")
 	switch word {
 	case "UP":
-		j.verdict.Served++
-		if !j.receipts[r.id+" "+receipt] {
-			j.addViolation("%s: %q was issued by no host", r.id, r.answers[0])
+		c.verdict.Served++
+		if !c.receipts[r.id+" "+receipt] {
+			c.addViolation("%s: %q was issued by no host", r.id, r.answers[0])
 		}
 		return // what follows are lines of the host
 	case "BUSY":
-		j.verdict.Rejected++
+		c.verdict.Rejected++
 	default:
-		j.verdict.Failed++
+		c.verdict.Failed++
 	}
 	if len(r.answers) > 1 {
-		j.addViolation("%s: more than one answer: %q", r.id, r.answers)
+		c.addViolation("%s: more than one answer: %q", r.id, r.answers)
 	}
 }
 
-// judgeMissingAnswer decides whether a request may have no answer.
-func (j *judge) judgeMissingAnswer(r *request, latest time.Duration) {
+// checkMissingAnswer decides whether a request may have no answer.
+func (c *checker) checkMissingAnswer(r *request, latest time.Duration) {
 	inFlight := Interval{r.sentAt - time.Second, latest}
-	killed := slices.ContainsFunc(j.kills[r.node], inFlight.contains)
+	killed := slices.ContainsFunc(c.kills[r.node], inFlight.contains)
 	coversRequest := func(i Interval) bool { return i.contains(r.sentAt) }
-	exhausted := slices.ContainsFunc(j.conditions.DescriptorsExhausted[r.node], coversRequest)
+	exhausted := slices.ContainsFunc(c.conditions.DescriptorsExhausted[r.node], coversRequest)
 	switch {
 	case r.disconnectedAt > 0:
 	case killed, exhausted && r.brokenAt > 0:
-		j.verdict.Exempt++
+		c.verdict.Exempt++
 	default:
-		j.addViolation("%s at %s, sent at %v with a deadline of %v: no complete answer, broken at %v",
+		c.addViolation("%s at %s, sent at %v with a deadline of %v: no complete answer, broken at %v",
 			r.id, r.node, r.sentAt, r.deadline, r.brokenAt)
 	}
 }
 
-// judgeDisconnects checks that hosts are not connected to for clients that have disconnected. A later request with the
+// checkDisconnects checks that hosts are not connected to for clients that have disconnected. A later request with the
 // same id is another one.
-func (j *judge) judgeDisconnects() {
+func (c *checker) checkDisconnects() {
 	disconnected := map[string]time.Duration{} // by id, of clients without an answer
 	lastSent := map[string]time.Duration{}     // by id
-	for _, r := range j.requests {
+	for _, r := range c.requests {
 		lastSent[r.id] = max(lastSent[r.id], r.sentAt)
 		if r.disconnectedAt > 0 && len(r.answers) == 0 {
 			disconnected[r.id] = r.disconnectedAt
 		}
 	}
-	for _, event := range j.events {
+	for _, event := range c.events {
 		at, ok := disconnected[event.ID]
-		if event.Kind != fakeserver.EventOpened || !ok || j.conditions.DelayedHosts[event.Source] || at <= lastSent[event.ID] {
+		if event.Kind != fakeserver.EventOpened || !ok || c.conditions.DelayedHosts[event.Source] || at <= lastSent[event.ID] {
 			continue
 		}
-		if event.At > at+j.limits.DisconnectNotice+j.limits.RecordDelay {
-			j.addViolation("%s: connected to %s at %v, its client disconnected at %v", event.ID, event.Source, event.At, at)
+		if event.At > at+c.limits.DisconnectNotice+c.limits.RecordDelay {
+			c.addViolation("%s: connected to %s at %v, its client disconnected at %v", event.ID, event.Source, event.At, at)
 		}
 	}
 }
 
-// judgeOverloads checks that the nodes together do not overload hosts in slow start.
-func (j *judge) judgeOverloads() {
-	for _, event := range j.events {
+// checkOverloads checks that the nodes together do not overload hosts in slow start.
+func (c *checker) checkOverloads() {
+	for _, event := range c.events {
 		if event.Kind == fakeserver.EventFault && event.Detail == fakeserver.DetailCollapse {
-			j.addViolation("%s: overloaded at %v", event.Source, event.At)
+			c.addViolation("%s: overloaded at %v", event.Source, event.At)
 		}
 	}
 }
 
-// judgeDrains checks that draining hosts are not connected to once all nodes know, after the grace.
-func (j *judge) judgeDrains() {
+// checkDrains checks that draining hosts are not connected to once all nodes know, after the grace.
+func (c *checker) checkDrains() {
 	knownAt := map[string]time.Duration{} // by host
-	for _, event := range j.events {
+	for _, event := range c.events {
 		if event.Kind == fakeserver.EventFault && event.Detail == fakeserver.DetailDrain {
-			knownAt[event.Source] = PropagatedBy(event.At, j.limits.Propagation, j.conditions.DiscoveryUnreachable)
+			knownAt[event.Source] = PropagatedBy(event.At, c.limits.Propagation, c.conditions.DiscoveryUnreachable)
 			continue
 		}
 		at, draining := knownAt[event.Source]
-		if event.Kind != fakeserver.EventOpened || !draining || j.conditions.DelayedHosts[event.Source] {
+		if event.Kind != fakeserver.EventOpened || !draining || c.conditions.DelayedHosts[event.Source] {
 			continue
 		}
-		if event.At > at+j.limits.DrainGrace+j.limits.RecordDelay {
-			j.addViolation("%s: connected to %s at %v, which drains, propagated by %v",
+		if event.At > at+c.limits.DrainGrace+c.limits.RecordDelay {
+			c.addViolation("%s: connected to %s at %v, which drains, propagated by %v",
 				event.ID, event.Source, event.At, at)
 		}
 	}
 }
 
-// judgeRetries checks that requests that are not idempotent are retried only where the earlier host rejected them.
-func (j *judge) judgeRetries() {
+// checkRetries checks that requests that are not idempotent are retried only where the earlier host rejected them.
+func (c *checker) checkRetries() {
 	type attempt struct{ host, id string }
 	lastHost := map[string]string{} // by id
 	rejected := map[attempt]bool{}
-	for _, event := range j.events {
+	for _, event := range c.events {
 		switch {
-		case strings.HasPrefix(event.Source, clientPrefix) || !j.conditions.NonIdempotent[event.Class]:
+		case strings.HasPrefix(event.Source, clientPrefix) || !c.conditions.NonIdempotent[event.Class]:
 		case event.Kind == fakeserver.EventRejected:
 			rejected[attempt{event.Source, event.ID}] = true
 		case event.Kind == fakeserver.EventOpened && !strings.Contains(event.Detail, "mid"):
 			earlier, isRetry := lastHost[event.ID]
 			if isRetry && !rejected[attempt{earlier, event.ID}] {
-				j.addViolation("%s: sent to %s, may have run, and retried at %s", event.ID, earlier, event.Source)
+				c.addViolation("%s: sent to %s, may have run, and retried at %s", event.ID, earlier, event.Source)
 			}
 			lastHost[event.ID] = event.Source
 		}
--- a/internal/soaktest/judge_test.go
+++ b/internal/soaktest/rule_checker_test.go
@@ -30,8 +30,8 @@
 	exhausted          = Conditions{DescriptorsExhausted: map[string][]Interval{"n1": {{0, time.Second}}}}
 )
 
-// judgeCases are short ledgers with the rule violation in each, "" for none.
-var judgeCases = []struct {
+// checkerCases are short ledgers with the rule violation in each, "" for none.
+var checkerCases = []struct {
 	name       string
 	conditions Conditions
 	write      func(b *testLedger)
@@ -108,11 +108,11 @@
 }
 
 // Each rule's violation is found, and what the rules allow is not reported.
-func TestJudge_EachRule_FindsViolation(t *testing.T) {
-	for _, c := range judgeCases {
+func TestCheckRules_EachRule_FindsViolation(t *testing.T) {
+	for _, c := range checkerCases {
 		var b testLedger
 		c.write(&b)
-		got := Judge(b, DefaultLimits, c.conditions).RuleViolations
+		got := CheckRules(b, DefaultLimits, c.conditions).RuleViolations
 		if (c.want == "") != (len(got) == 0) || c.want != "" && (len(got) != 1 || !strings.Contains(got[0], c.want)) {
 			t.Errorf("%s: %q, want %q", c.name, got, c.want)
 		}
--- a/internal/soaktest/run.go
+++ b/internal/soaktest/run.go
@@ -26,10 +26,10 @@
 	Verdict
 	InvariantViolations []string // log lines of the nodes' invariant checks
 	Crashes             []string // log lines of panics and data races
-	CallsFailed         int      // system calls that failed by the plan, in the nodes' last processes
+	FailedSyscalls      int      // system calls that failed by the plan, in the nodes' last processes
 	ClockSteps          int      // that nodes have noticed
 	Log                 []byte   // of all nodes
-	Records             []fakeserver.Event
+	RecordedEvents      []fakeserver.Event
 }
 
 // Failures returns all violations and crashes.
@@ -48,8 +48,8 @@
 // tenants are the tenants of a run's clients.
 var tenants = []string{"acme"}
 
-// fleetFor returns the fleet that a plan is played on.
-func fleetFor(p Plan, o PlanOptions) testcluster.Config {
+// clusterConfig returns the fleet that a plan is played on.
+func clusterConfig(p Plan, o PlanOptions) testcluster.Config {
 	return testcluster.Config{
 		Nodes:         o.Nodes,
 		Hosts:         o.Hosts,
@@ -70,27 +70,27 @@
 		TenantQuota:     float64(o.Nodes * 20),
 		FrontEjectDelay: tomlfile.Duration(300 * time.Millisecond),
 		Discovery: testcluster.DiscoveryConfig{
-			RequestDuration: tomlfile.Duration(time.Millisecond),
-			Push:            p.Push,
-			NodeLinks:       true,
-			PollInterval:    tomlfile.Duration(3 * time.Second),
+			CallDuration: tomlfile.Duration(time.Millisecond),
+			Push:         p.Push,
+			NodeLinks:    true,
+			PollInterval: tomlfile.Duration(3 * time.Second),
 		},
 	}
 }
 
-// Play plays a plan and judges the run. An error beside a report says that a node exited by itself or that the plan could
+// RunPlan runs a plan and checks the run. An error beside a report says that a node exited by itself or that the plan could
 // not be played completely; an error without one that the run failed.
-func Play(ctx context.Context, p Plan, o PlanOptions, cfg Config) (*Report, error) {
-	fleet := fleetFor(p, o)
-	if err := fleet.Check(classes, tenants); err != nil {
+func RunPlan(ctx context.Context, p Plan, o PlanOptions, cfg Config) (*Report, error) {
+	config := clusterConfig(p, o)
+	if err := config.Check(classes, tenants); err != nil {
 		return nil, err
 	}
-	if err := fleet.CheckFaults(p.Faults); err != nil {
+	if err := config.CheckFaults(p.Faults); err != nil {
 		return nil, fmt.Errorf("seed %d: %w", p.Seed, err)
 	}
 	log := &logBuffer{}
 	nodes := &processes{seed: p.Seed, byNode: map[string]*faultinject.Process{}}
-	cluster, err := testcluster.Start(ctx, fleet, testcluster.Options{
+	cluster, err := testcluster.Start(ctx, config, testcluster.Options{
 		Program: cfg.Program,
 		Log:     log,
 		Debug:   cfg.Debug,
@@ -107,7 +107,7 @@
 	cluster.ScheduleFaults(ctx, p.Faults)
 	r.startReloads()
 	r.startIdleClients()
-	r.startCallFaults(nodes)
+	r.startSyscallFaults(nodes)
 	r.startClients(cfg.Rate)
 	r.wg.Wait()
 	events, lost := cluster.EventLog.Events()
@@ -115,9 +115,9 @@
 		return nil, fmt.Errorf("%d records are lost", lost)
 	}
 	conditions := p.conditions(r.startedAt, cluster.Clock.Now())
-	report := &Report{Verdict: Judge(events, DefaultLimits, conditions), Log: log.bytes(), Records: events}
+	report := &Report{Verdict: CheckRules(events, DefaultLimits, conditions), Log: log.bytes(), RecordedEvents: events}
 	report.ClockSteps = bytes.Count(report.Log, []byte(clockStepMessage))
-	report.CallsFailed = nodes.injectedCount()
+	report.FailedSyscalls = nodes.failedSyscallCount()
 	report.InvariantViolations, report.Crashes = findErrors(report.Log)
 	return report, errors.Join(r.err(), cluster.Err())
 }
--- a/internal/soaktest/runner.go
+++ b/internal/soaktest/runner.go
@@ -112,8 +112,8 @@
 }
 
 const (
-	// frontNoticeDelay is how long the front still sends clients to a node that is stopping.
-	frontNoticeDelay = 400 * time.Millisecond
+	// frontEjectDelay is how long the front still sends clients to a node that is stopping.
+	frontEjectDelay = 400 * time.Millisecond
 	// maxPicks bounds how often another node is picked while many of them are stopping.
 	maxPicks = 64
 )
@@ -137,7 +137,7 @@
 		if fault.Target != node || fault.Kind != "stop" {
 			continue
 		}
-		if at > fault.At.AsDuration()+frontNoticeDelay && at < fault.At.AsDuration()+restartReservation/2 {
+		if at > fault.At.AsDuration()+frontEjectDelay && at < fault.At.AsDuration()+restartReservation/2 {
 			return true
 		}
 	}
@@ -149,7 +149,7 @@
 
 // startClients starts clients by a Poisson process with a rate per second, and returns after the plan's duration.
 func (r *runner) startClients(rate float64) {
-	draw := rand.New(rand.NewPCG(r.plan.Seed, clientStream))
+	rng := rand.New(rand.NewPCG(r.plan.Seed, clientStream))
 	var connections atomic.Int64
 	newKey := func() string { return fmt.Sprint("k", connections.Add(1)) }
 	begin := time.Now()
@@ -158,28 +158,28 @@
 		if !ctxtime.Sleep(r.ctx, time.Until(begin.Add(at))) {
 			return
 		}
-		s := &session{client: r.drawClient(draw, n), cluster: r.cluster, pickNode: r.pickNode, newKey: newKey}
-		r.wg.Go(func() { s.run(r.ctx, r.plan.Mode == modePass) })
-		at += time.Duration(draw.ExpFloat64() / rate * float64(time.Second))
+		s := &session{client: r.drawClient(rng, n), cluster: r.cluster, pickNode: r.pickNode, newKey: newKey}
+		r.wg.Go(func() { s.run(r.ctx, r.plan.Mode == modePassThrough) })
+		at += time.Duration(rng.ExpFloat64() / rate * float64(time.Second))
 	}
 }
 
 const (
-	maxHoldTime = 3 * time.Second
-	maxPause    = 1500 * time.Millisecond
+	maxConnectedFor = 3 * time.Second
+	maxPause        = 1500 * time.Millisecond
 )
 
 // drawClient draws client n.
-func (r *runner) drawClient(draw *rand.Rand, n int) client {
-	class := classes[draw.IntN(len(classes))]
+func (r *runner) drawClient(rng *rand.Rand, n int) client {
+	class := classes[rng.IntN(len(classes))]
 	c := client{
-		id:        fmt.Sprintf("s%d-%d", r.plan.Seed, n),
-		class:     class.Name,
-		behavior:  drawBehavior(draw),
-		deadline:  time.Duration((0.2 + 0.8*draw.Float64()) * float64(class.Deadline)),
-		holdTime:  time.Duration(draw.Float64() * float64(maxHoldTime)),
-		pause:     time.Duration(draw.Float64() * float64(maxPause)),
-		reconnect: draw.IntN(4) == 0,
+		id:           fmt.Sprintf("s%d-%d", r.plan.Seed, n),
+		class:        class.Name,
+		behavior:     drawBehavior(rng),
+		deadline:     time.Duration((0.2 + 0.8*rng.Float64()) * float64(class.Deadline)),
+		connectedFor: time.Duration(rng.Float64() * float64(maxConnectedFor)),
+		pause:        time.Duration(rng.Float64() * float64(maxPause)),
+		reconnect:    rng.IntN(4) == 0,
 	}
 	if c.behavior == behaviorDisconnect || c.behavior == behaviorReset {
 		c.pause /= 5
--- a/internal/soaktest/soak_test.go
+++ b/internal/soaktest/soak_test.go
@@ -60,19 +60,19 @@
 	first := environmentInt("ONYXSTREAM_SEED", 1)
 	for seed := first; seed < first+environmentInt("ONYXSTREAM_SOAK", 2); seed++ {
 		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) {
-			plan := Draw(uint64(seed), options)
+			plan := GeneratePlan(uint64(seed), options)
 			logs := os.Getenv("ONYXSTREAM_SOAK_LOGS")
-			report, err := Play(t.Context(), plan, options, Config{Program: program, Rate: 150, Debug: logs != ""})
+			report, err := RunPlan(t.Context(), plan, options, Config{Program: program, Rate: 150, Debug: logs != ""})
 			if err != nil {
 				t.Errorf("seed %d: %v", seed, err)
 			}
 			if report == nil {
 				return
 			}
-			faults := len(plan.Faults) + len(plan.Reloads) + len(plan.IdleClients) + len(plan.CallFaults)
+			faults := len(plan.Faults) + len(plan.Reloads) + len(plan.IdleClients) + len(plan.SyscallFaults)
 			t.Logf("seed %d, %s: %d faults, %d system calls failed, %d clock steps seen, "+
 				"%d requests, %d served, %d rejected, %d failed, %d exempt",
-				seed, plan.Mode, faults, report.CallsFailed, report.ClockSteps,
+				seed, plan.Mode, faults, report.FailedSyscalls, report.ClockSteps,
 				report.Requests, report.Served, report.Rejected, report.Failed, report.Exempt)
 			for _, line := range report.Failures() {
 				t.Errorf("seed %d: %s", seed, line)
@@ -91,14 +91,14 @@
 func saveRun(t *testing.T, folder string, seed int, plan Plan, report *Report) {
 	t.Helper()
 	var ledger strings.Builder
-	if err := fakeserver.WriteEvents(&ledger, fakeserver.NewClock(), report.Records, 0); err != nil {
+	if err := fakeserver.WriteEvents(&ledger, fakeserver.NewClock(), report.RecordedEvents, 0); err != nil {
 		t.Fatal(err)
 	}
 	var planText strings.Builder
 	for _, x := range plan.Faults {
 		fmt.Fprintf(&planText, "%v for %v: %s on %s by %g over %v\n", x.At.AsDuration(), x.Duration.AsDuration(), x.Kind, x.Target, x.Amount, x.Period.AsDuration())
 	}
-	fmt.Fprintf(&planText, "reloads %+v\nidle clients %+v\ncall faults %+v\n", plan.Reloads, plan.IdleClients, plan.CallFaults)
+	fmt.Fprintf(&planText, "reloads %+v\nidle clients %+v\ncall faults %+v\n", plan.Reloads, plan.IdleClients, plan.SyscallFaults)
 	for name, text := range map[string]string{"log": string(report.Log), "ledger": ledger.String(), "plan": planText.String()} {
 		if err := os.WriteFile(filepath.Join(folder, fmt.Sprintf("seed%d.%s", seed, name)), []byte(text), 0o600); err != nil {
 			t.Fatal(err)
@@ -107,17 +107,17 @@
 }
 
 // A seed always gives the same plan, other seeds give others, and faults overlap in each plan.
-func TestDraw_SameSeed_SamePlan(t *testing.T) {
+func TestGeneratePlan_SameSeed_SamePlan(t *testing.T) {
 	options := PlanOptions{Nodes: 24, Hosts: 12, Duration: 20 * time.Second}
 	for seed := range uint64(50) {
-		plan := Draw(seed, options)
-		if diff := cmp.Diff(plan, Draw(seed, options)); diff != "" {
+		plan := GeneratePlan(seed, options)
+		if diff := cmp.Diff(plan, GeneratePlan(seed, options)); diff != "" {
 			t.Fatalf("seed %d: %s", seed, diff)
 		}
-		if cmp.Equal(plan.Faults, Draw(seed+1, options).Faults) {
+		if cmp.Equal(plan.Faults, GeneratePlan(seed+1, options).Faults) {
 			t.Errorf("seed %d and the next one give the same faults", seed)
 		}
-		f := fleetFor(plan, options)
+		f := clusterConfig(plan, options)
 		if err := f.Check(classes, tenants); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/soaktest/call_faults.go
+++ b/internal/soaktest/syscall_faults.go
@@ -12,16 +12,16 @@
 	"onyxstream/internal/faultinject"
 )
 
-// CallFault makes system calls of a node fail for a time, or steps its wall clock.
-type CallFault struct {
+// SyscallFault makes system calls of a node fail for a time, or steps its wall clock.
+type SyscallFault struct {
 	At, Duration time.Duration
 	Node         string
 	Rules        []faultinject.Rule // nil for a step of the clock
 	ClockStep    time.Duration      // offset of the wall clock from now on
 }
 
-// callFaultRules are failures of system calls that may occur in service.
-var callFaultRules = [][]faultinject.Rule{
+// syscallFaultRules are failures of system calls that may occur in service.
+var syscallFaultRules = [][]faultinject.Rule{
 	{{
 		Call:        faultinject.Accept,
 		Probability: 0.5,
@@ -45,39 +45,39 @@
 // clockSteps are the offsets of a node's wall clock from the machine's.
 var clockSteps = []time.Duration{time.Hour, -time.Hour, 5 * time.Second, -5 * time.Second, 0}
 
-// tracedCalls are the system calls that nodes are started to be traced for.
-var tracedCalls = []faultinject.Call{
+// tracedSyscalls are the system calls that nodes are started to be traced for.
+var tracedSyscalls = []faultinject.Call{
 	faultinject.Accept, faultinject.Socket, faultinject.Connect, faultinject.Read, faultinject.Write,
 }
 
-// drawCallFaults makes system calls of one to three nodes fail for a time.
-func (d *planDrawer) drawCallFaults(at time.Duration) {
-	for range 1 + d.IntN(3) {
-		length := d.duration(100*time.Millisecond, time.Second)
-		_, name, ok := d.reserve(callFaultPrefix+nodePrefix, d.options.Nodes, at, at+length)
+// drawSyscallFaults makes system calls of one to three nodes fail for a time.
+func (g *planGenerator) drawSyscallFaults(at time.Duration) {
+	for range 1 + g.IntN(3) {
+		length := g.duration(100*time.Millisecond, time.Second)
+		_, name, ok := g.reserve(syscallFaultPrefix+nodePrefix, g.options.Nodes, at, at+length)
 		if !ok {
 			continue
 		}
-		d.plan.CallFaults = append(d.plan.CallFaults, CallFault{
+		g.plan.SyscallFaults = append(g.plan.SyscallFaults, SyscallFault{
 			At:       at,
 			Duration: length,
-			Node:     strings.TrimPrefix(name, callFaultPrefix),
-			Rules:    callFaultRules[d.IntN(len(callFaultRules))],
+			Node:     strings.TrimPrefix(name, syscallFaultPrefix),
+			Rules:    syscallFaultRules[g.IntN(len(syscallFaultRules))],
 		})
 	}
 }
 
 // drawClockSteps steps the wall clocks of one to three nodes.
-func (d *planDrawer) drawClockSteps(at time.Duration) {
-	for range 1 + d.IntN(3) {
-		_, name, ok := d.reserve(clockPrefix+nodePrefix, d.options.Nodes, at, at)
+func (g *planGenerator) drawClockSteps(at time.Duration) {
+	for range 1 + g.IntN(3) {
+		_, name, ok := g.reserve(clockPrefix+nodePrefix, g.options.Nodes, at, at)
 		if !ok {
 			continue
 		}
-		d.plan.CallFaults = append(d.plan.CallFaults, CallFault{
+		g.plan.SyscallFaults = append(g.plan.SyscallFaults, SyscallFault{
 			At:        at,
 			Node:      strings.TrimPrefix(name, clockPrefix),
-			ClockStep: clockSteps[d.IntN(len(clockSteps))],
+			ClockStep: clockSteps[g.IntN(len(clockSteps))],
 		})
 	}
 }
@@ -91,7 +91,7 @@
 }
 
 func (p *processes) start(name string, cmd *exec.Cmd) error {
-	process, err := faultinject.Start(cmd, faultinject.Options{Calls: tracedCalls, StepsClock: true, Seed: p.seed})
+	process, err := faultinject.Start(cmd, faultinject.Options{Calls: tracedSyscalls, StepsClock: true, Seed: p.seed})
 	if err != nil {
 		return err
 	}
@@ -107,21 +107,21 @@
 	return p.byNode[name]
 }
 
-// injectedCount counts the calls that have failed in the current processes.
-func (p *processes) injectedCount() (n int) {
+// failedSyscallCount counts the calls that have failed in the current processes.
+func (p *processes) failedSyscallCount() (n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, process := range p.byNode {
-		for _, call := range tracedCalls {
+		for _, call := range tracedSyscalls {
 			n += process.Injected(call)
 		}
 	}
 	return n
 }
 
-// startCallFaults plays the plan's call faults. A node that restarts meanwhile has none.
-func (r *runner) startCallFaults(p *processes) {
-	for _, fault := range r.plan.CallFaults {
+// startSyscallFaults plays the plan's call faults. A node that restarts meanwhile has none.
+func (r *runner) startSyscallFaults(p *processes) {
+	for _, fault := range r.plan.SyscallFaults {
 		r.wg.Go(func() {
 			if !ctxtime.Sleep(r.ctx, fault.At) {
 				return
--- a/internal/testcluster/admission_probe.go
+++ b/internal/testcluster/admission_probe.go
@@ -36,10 +36,10 @@
 }
 
 // ProbeAdmission runs clients against one node, started evenly over spread. Each retries until it is served or its
-// patience is over; deadline is that of one request. Answers are recorded with the client's name as the source. It
+// timeout is over; deadline is that of one request. Answers are recorded with the client's name as the source. It
 // returns when all clients have ended.
 func (c *Cluster) ProbeAdmission(
-	ctx context.Context, node, clients int, spread, deadline, patience time.Duration,
+	ctx context.Context, node, clients int, spread, deadline, timeout time.Duration,
 ) []AdmissionProbe {
 	probes := make([]AdmissionProbe, clients)
 	done := make(chan struct{})
@@ -50,7 +50,7 @@
 			if !ctxtime.Sleep(ctx, spread*time.Duration(i)/time.Duration(clients)) {
 				return
 			}
-			ctx, cancel := context.WithTimeout(ctx, patience)
+			ctx, cancel := context.WithTimeout(ctx, timeout)
 			defer cancel()
 			client := &probeClient{
 				cluster:  c,
--- a/internal/testcluster/cluster.go
+++ b/internal/testcluster/cluster.go
@@ -37,17 +37,17 @@
 	Discovery *fakeserver.Discovery
 	Front     *fakeserver.FrontendBalancer // nil before the launch
 
-	number       int // among the clusters of this process
-	launchedAt   time.Duration
-	config       Config
-	options      Options
-	store        *fakeserver.SharedSessionStore
-	dir          string // the processes' files
-	nodes        []*process
-	agents       []*process
-	listLinks    []*fakeserver.Link // by node
-	controlLinks []*fakeserver.Link // from a process to a node's control listener, named "n1>n2" or "a1>n2"
-	timeline     timeline
+	number         int // among the clusters of this process
+	launchedAt     time.Duration
+	config         Config
+	options        Options
+	store          *fakeserver.SharedSessionStore
+	dir            string // the processes' files
+	nodes          []*process
+	agents         []*process
+	discoveryLinks []*fakeserver.Link // by node
+	controlLinks   []*fakeserver.Link // from a process to a node's control listener, named "n1>n2" or "a1>n2"
+	timeline       timeline
 
 	mu          sync.Mutex
 	hosts       []*fakeserver.Host
@@ -138,7 +138,7 @@
 		return nil, err
 	}
 	c.Discovery.SetLimits(fakeserver.DiscoveryLimits{
-		CallDuration: c.config.Discovery.RequestDuration.AsDuration(),
+		CallDuration: c.config.Discovery.CallDuration.AsDuration(),
 		MaxWait:      c.config.Discovery.MaxWait.AsDuration(),
 		MaxQueue:     c.config.Discovery.MaxQueue,
 		RetryAfter:   c.config.Discovery.RetryAfter,
@@ -154,7 +154,7 @@
 	if err := pki.Create(c.keyFolder(), authorityName); err != nil {
 		return err
 	}
-	_, err := pki.Issue(c.keyFolder(), listReader, pki.RoleViewer, certificateLifetime)
+	_, err := pki.Issue(c.keyFolder(), listReaderName, pki.RoleViewer, certificateLifetime)
 	return err
 }
 
@@ -256,7 +256,7 @@
 		wg.Go(p.kill)
 	}
 	wg.Wait()
-	for _, link := range slices.Concat(c.hostLinks, c.listLinks, c.controlLinks) {
+	for _, link := range slices.Concat(c.hostLinks, c.discoveryLinks, c.controlLinks) {
 		wg.Go(link.Close)
 	}
 	wg.Wait()
--- a/internal/testcluster/coldstart_discovery_test.go
+++ b/internal/testcluster/coldstart_discovery_test.go
@@ -21,8 +21,8 @@
 			startFault(t, cluster, FaultSpec{Kind: kind, Target: "link-n1..n6"})
 			launch(t, cluster)
 			expectAllServed(t, cluster, startNodeCount, 2)
-			if n, callers := discoveryCalls(cluster); n > startNodeCount || len(callers) > startNodeCount {
-				t.Errorf("%d calls by %v", n, callers)
+			if n, dialsByNode := discoveryRequests(cluster); n > startNodeCount || len(dialsByNode) > startNodeCount {
+				t.Errorf("%d calls by %v", n, dialsByNode)
 			}
 		})
 	}
@@ -49,7 +49,7 @@
 			launch(t, cluster)
 			recoverDiscoveryAfter(cluster, 3*time.Second)
 			expectAllServed(t, cluster, startNodeCount, 1)
-			if n, _ := discoveryCalls(cluster); n > 4*startNodeCount {
+			if n, _ := discoveryRequests(cluster); n > 4*startNodeCount {
 				t.Errorf("%d calls of %d nodes while discovery rejected them", n, startNodeCount)
 			}
 		})
--- a/internal/testcluster/coldstart_peers_test.go
+++ b/internal/testcluster/coldstart_peers_test.go
@@ -19,8 +19,8 @@
 	startFault(t, cluster, FaultSpec{Kind: faultRejectConnections, Target: "peers-n9"})
 	launch(t, cluster)
 	expectAllServed(t, cluster, startNodeCount, 1)
-	if _, callers := discoveryCalls(cluster); callers["n9"] == 0 {
-		t.Errorf("n9 has no list from peers and did not poll discovery: %v", callers)
+	if _, dialsByNode := discoveryRequests(cluster); dialsByNode["n9"] == 0 {
+		t.Errorf("n9 has no list from peers and did not poll discovery: %v", dialsByNode)
 	}
 }
 
@@ -98,10 +98,10 @@
 	startFault(t, cluster, FaultSpec{Kind: faultRejectConnections, Target: "link-n5..n6"})
 	launch(t, cluster)
 	expectAllServed(t, cluster, 6, 1)
-	if _, callers := discoveryCalls(cluster); callers["n1"]+callers["n2"]+callers["n3"]+callers["n4"] == 0 {
-		t.Errorf("no node with a link to discovery called it: %v", callers)
+	if _, dialsByNode := discoveryRequests(cluster); dialsByNode["n1"]+dialsByNode["n2"]+dialsByNode["n3"]+dialsByNode["n4"] == 0 {
+		t.Errorf("no node with a link to discovery called it: %v", dialsByNode)
 	}
-	if err := pki.Revoke(cluster.keyFolder(), listReader); err != nil {
+	if err := pki.Revoke(cluster.keyFolder(), listReaderName); err != nil {
 		t.Fatal(err)
 	}
 	waitUntil(t, "n5's list is old once the certificate is revoked", func() bool {
@@ -122,8 +122,8 @@
 	}))
 	launch(t, cluster)
 	waitUntil(t, "each node has called", func() bool {
-		_, callers := discoveryCalls(cluster)
-		return len(callers) == nodes
+		_, dialsByNode := discoveryRequests(cluster)
+		return len(dialsByNode) == nodes
 	})
 	expectAllServed(t, cluster, nodes, 1)
 	waitUntil(t, "the agent lists all nodes", func() bool {
--- a/internal/testcluster/config.go
+++ b/internal/testcluster/config.go
@@ -12,7 +12,7 @@
 	Nodes           int               `toml:"nodes"` // 0 for hosts alone, to which clients then connect directly
 	Hosts           int               `toml:"hosts"`
 	Zones           []string          `toml:"zones"` // assigned to nodes and to hosts round-robin
-	Mode            string            `toml:"mode"`  // modePass or modeProxy
+	Mode            string            `toml:"mode"`  // modePassThrough or modeProxy
 	HealthChecks    bool              `toml:"probes"`
 	ReportsLoad     bool              `toml:"loads"`        // hosts report the load of connections
 	HostLinks       bool              `toml:"links"`        // nodes reach each host over a link with faults
@@ -32,15 +32,15 @@
 
 // DiscoveryConfig describes the discovery service, and what nodes know of the endpoint list when they start.
 type DiscoveryConfig struct {
-	RequestDuration tomlfile.Duration `toml:"cost"`  // calls are served one by one
-	MaxWait         tomlfile.Duration `toml:"wait"`  // a call that would wait longer is rejected; 0 for no limit
-	MaxQueue        int               `toml:"queue"` // 0 for no limit
-	RetryAfter      string            `toml:"retry_after"`
-	Push            bool              `toml:"push"`       // the settings say that updates are pushed
-	StartsUnknown   bool              `toml:"unknown"`    // nodes start without a list
-	NodeLinks       bool              `toml:"links"`      // each node reaches the service over a link with faults
-	PollInterval    tomlfile.Duration `toml:"ask_within"` // of the nodes
-	DownAtStart     tomlfile.Duration `toml:"down"`       // calls are reset for this long after the launch
+	CallDuration  tomlfile.Duration `toml:"cost"`  // calls are served one by one
+	MaxWait       tomlfile.Duration `toml:"wait"`  // a call that would wait longer is rejected; 0 for no limit
+	MaxQueue      int               `toml:"queue"` // 0 for no limit
+	RetryAfter    string            `toml:"retry_after"`
+	Push          bool              `toml:"push"`       // the settings say that updates are pushed
+	StartsUnknown bool              `toml:"unknown"`    // nodes start without a list
+	NodeLinks     bool              `toml:"links"`      // each node reaches the service over a link with faults
+	PollInterval  tomlfile.Duration `toml:"ask_within"` // of the nodes
+	DownAtStart   tomlfile.Duration `toml:"down"`       // calls are reset for this long after the launch
 }
 
 // ColdStartConfig describes the table "coldstart" of the nodes' own configuration.
--- a/internal/testcluster/config_check.go
+++ b/internal/testcluster/config_check.go
@@ -9,8 +9,8 @@
 
 // The modes of the nodes, as in the settings.
 const (
-	modePass  = "pass"
-	modeProxy = "proxy"
+	modePassThrough = "pass"
+	modeProxy       = "proxy"
 )
 
 const (
@@ -35,7 +35,7 @@
 // Check sets defaults and validates the configuration. Its errors are *tomlfile.FieldError.
 func (c *Config) Check(classes []ClassConfig, tenants []string) error {
 	c.setDefaults()
-	if c.Mode != modePass && c.Mode != modeProxy {
+	if c.Mode != modePassThrough && c.Mode != modeProxy {
 		return tomlfile.NewFieldError("fleet.mode", `%q is neither "pass" nor "proxy"`, c.Mode)
 	}
 	if err := c.checkPeers(); err != nil {
@@ -108,7 +108,7 @@
 		{"store.latency", c.Store.Latency.AsDuration().Seconds(), 0, 600},
 		{"store.rate", c.Store.CallsPerSecond, 0, 1e9},
 		{"agents", float64(c.Agents), 0, maxAgents},
-		{"list.cost", c.Discovery.RequestDuration.AsDuration().Seconds(), 0, 60},
+		{"list.cost", c.Discovery.CallDuration.AsDuration().Seconds(), 0, 60},
 		{"list.wait", c.Discovery.MaxWait.AsDuration().Seconds(), 0, 600},
 		{"list.queue", float64(c.Discovery.MaxQueue), 0, 1e6},
 		{"list.down", c.Discovery.DownAtStart.AsDuration().Seconds(), 0, 600},
--- a/internal/testcluster/judge.go
+++ b/internal/testcluster/event_counts.go
@@ -44,8 +44,8 @@
 	return count
 }
 
-// callWindow is the window of DiscoveryRequests.MaxIn100ms.
-const callWindow = 100 * time.Millisecond
+// requestWindow is the window of DiscoveryRequests.MaxIn100ms.
+const requestWindow = 100 * time.Millisecond
 
 // DiscoveryRequests is what the discovery service saw.
 type DiscoveryRequests struct {
@@ -62,7 +62,7 @@
 		Requests:   len(calls),
 		ListsSent:  len(EventTimes(events, fakeserver.SourceDiscovery, fakeserver.EventListSent)),
 		Rejected:   len(EventTimes(events, fakeserver.SourceDiscovery, fakeserver.EventCallRejected)),
-		MaxIn100ms: MaxInWindow(calls, callWindow),
+		MaxIn100ms: MaxInWindow(calls, requestWindow),
 	}
 }
 
--- a/internal/testcluster/judge_test.go
+++ b/internal/testcluster/event_counts_test.go
@@ -9,7 +9,7 @@
 )
 
 // Each judge is given events that it must count and events that it must not.
-func TestJudges_KnownEvents_CountsMatch(t *testing.T) {
+func TestEventCounts_KnownEvents_CountsMatch(t *testing.T) {
 	const ms = time.Millisecond
 	at := func(source, kind string, times ...time.Duration) (out []fakeserver.Event) {
 		for _, when := range times {
--- a/internal/testcluster/fault_spec.go
+++ b/internal/testcluster/fault_spec.go
@@ -30,7 +30,7 @@
 	faultLose              = "lose" // kill, and loss of the folder
 	faultLag               = "lag"
 	faultFreeze            = "freeze"
-	faultRejectCalls       = "busy"
+	faultRejectRequests    = "busy"
 	faultReset             = "reset"
 	faultMute              = "mute" // of a link: what is sent to the target is dropped
 	faultRestart           = "restart"
@@ -59,12 +59,12 @@
 	targetNode:  processFaults,
 	targetAgent: processFaults,
 	targetDiscovery: {
-		faultLag:         {period: true},
-		faultFreeze:      {},
-		faultRejectCalls: {},
-		faultReset:       {},
-		faultMute:        {},
-		faultRestart:     {},
+		faultLag:            {period: true},
+		faultFreeze:         {},
+		faultRejectRequests: {},
+		faultReset:          {},
+		faultMute:           {},
+		faultRestart:        {},
 	},
 	targetStore: {faultSlow: {amount: true}},
 	targetLink: {
--- a/internal/testcluster/faults.go
+++ b/internal/testcluster/faults.go
@@ -166,7 +166,7 @@
 
 // discoveryModes are the modes of discovery under faults.
 var discoveryModes = map[string]fakeserver.DiscoveryMode{
-	faultRejectCalls: fakeserver.ModeUnavailable,
-	faultReset:       fakeserver.ModeReset,
-	faultMute:        fakeserver.ModeSilent,
+	faultRejectRequests: fakeserver.ModeUnavailable,
+	faultReset:          fakeserver.ModeReset,
+	faultMute:           fakeserver.ModeSilent,
 }
--- a/internal/testcluster/helpers_test.go
+++ b/internal/testcluster/helpers_test.go
@@ -42,10 +42,10 @@
 			SetupWork:      tomlfile.Duration(time.Millisecond),
 		},
 		Discovery: DiscoveryConfig{
-			RequestDuration: tomlfile.Duration(10 * time.Millisecond),
-			MaxWait:         tomlfile.Duration(time.Second),
-			StartsUnknown:   true,
-			NodeLinks:       true,
+			CallDuration:  tomlfile.Duration(10 * time.Millisecond),
+			MaxWait:       tomlfile.Duration(time.Second),
+			StartsUnknown: true,
+			NodeLinks:     true,
 		},
 		ColdStart: &ColdStartConfig{Peers: 4},
 	}
@@ -159,13 +159,13 @@
 
 // probeAllNodes runs admission probes against all nodes concurrently.
 func probeAllNodes(
-	ctx context.Context, cluster *Cluster, nodes, clients int, spread, patience time.Duration,
+	ctx context.Context, cluster *Cluster, nodes, clients int, spread, timeout time.Duration,
 ) (all []AdmissionProbe) {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	for i := range nodes {
 		wg.Go(func() {
-			probes := cluster.ProbeAdmission(ctx, i, clients, spread, time.Second, patience)
+			probes := cluster.ProbeAdmission(ctx, i, clients, spread, time.Second, timeout)
 			mu.Lock()
 			defer mu.Unlock()
 			all = append(all, probes...)
@@ -193,16 +193,16 @@
 	return all
 }
 
-// discoveryCalls returns the number of calls to discovery so far, and of connections by node.
-func discoveryCalls(cluster *Cluster) (n int, callers map[string]int) {
+// discoveryRequests returns the number of calls to discovery so far, and of connections by node.
+func discoveryRequests(cluster *Cluster) (n int, dialsByNode map[string]int) {
 	events, _ := cluster.EventLog.Events()
-	callers = map[string]int{}
+	dialsByNode = map[string]int{}
 	for _, event := range events {
 		if node, ok := strings.CutSuffix(event.Source, ">list"); ok && event.Kind == fakeserver.EventDialed {
-			callers[node]++
+			dialsByNode[node]++
 		}
 	}
-	return CountDiscoveryRequests(events).Requests, callers
+	return CountDiscoveryRequests(events).Requests, dialsByNode
 }
 
 // setupsByHost returns how many openings each host received from a time on.
--- a/internal/testcluster/link_faults.go
+++ b/internal/testcluster/link_faults.go
@@ -14,7 +14,7 @@
 	case linkOfHost:
 		return c.hostLinks[t.index : t.index+1]
 	case linkOfNode:
-		return c.listLinks[t.index : t.index+1]
+		return c.discoveryLinks[t.index : t.index+1]
 	case notALink, linkOfAgent, linkOfPeers:
 	}
 	owner := strings.TrimPrefix(strings.TrimPrefix(t.name, "peers-"), "link-")
--- a/internal/testcluster/node_settings.go
+++ b/internal/testcluster/node_settings.go
@@ -197,7 +197,7 @@
 	p := c.nodes[index]
 	discovery := c.Discovery.Addr()
 	if c.config.Discovery.NodeLinks {
-		discovery = c.listLinks[index].Addr()
+		discovery = c.discoveryLinks[index].Addr()
 	}
 	if known.Endpoints == nil {
 		known.Endpoints, known.Revision = []wire.Endpoint{}, 0
--- a/internal/testcluster/nodes.go
+++ b/internal/testcluster/nodes.go
@@ -17,8 +17,8 @@
 	nodeCommand   = "node"
 	agentCommand  = "agent"
 	serviceName   = "rig" // of the cold start configuration
-	// listReader is the holder of the certificate under which nodes read each other's endpoint lists.
-	listReader = "looker"
+	// listReaderName is the holder of the certificate under which nodes read each other's endpoint lists.
+	listReaderName = "looker"
 )
 
 // newNode makes a node's process, its link to discovery and its files.
@@ -51,12 +51,12 @@
 		if err != nil {
 			return err
 		}
-		c.listLinks = append(c.listLinks, link)
+		c.discoveryLinks = append(c.discoveryLinks, link)
 	}
 	if c.config.ColdStart == nil && c.config.Agents == 0 {
 		return nil
 	}
-	p.args = append(p.args, "--config", c.ownConfigPath(p))
+	p.args = append(p.args, "--config", c.processConfigPath(p))
 	if c.config.ColdStart != nil && c.config.ColdStart.CacheFolder {
 		p.folder = filepath.Join(c.dir, p.name)
 		if err := os.Mkdir(p.folder, privateFolder); err != nil {
@@ -92,8 +92,8 @@
 	return listener.Addr().String(), nil
 }
 
-// ownConfigPath is the path of a process's own configuration, beside the platform's.
-func (c *Cluster) ownConfigPath(p *process) string { return filepath.Join(c.dir, p.name+".toml") }
+// processConfigPath is the path of a process's own configuration, beside the platform's.
+func (c *Cluster) processConfigPath(p *process) string { return filepath.Join(c.dir, p.name+".toml") }
 
 // controlSocketPath is the path of the control socket of a node or agent.
 func (c *Cluster) controlSocketPath(name string) string { return filepath.Join(c.dir, name+".s") }
@@ -120,11 +120,11 @@
 	if c.config.ColdStart != nil {
 		text += fmt.Sprintf("[coldstart]\nservice = %q\nfolder = %q\n", serviceName, p.folder)
 		if p.control != "" {
-			text += "[coldstart.keys]\n" + c.keyFileFields(listReader)
+			text += "[coldstart.keys]\n" + c.keyFileFields(listReaderName)
 		}
 		text += peers
 	}
-	return os.WriteFile(c.ownConfigPath(p), []byte(text), privateFile)
+	return os.WriteFile(c.processConfigPath(p), []byte(text), privateFile)
 }
 
 // configurePeers sets a node's peers: the nodes at square steps around a ring, so that gossip reaches all nodes in few
@@ -176,7 +176,7 @@
 		addr:    c.controlSocketPath(name),
 		folder:  filepath.Join(c.dir, name),
 	}
-	p.args = []string{agentCommand, "--config", c.ownConfigPath(p)}
+	p.args = []string{agentCommand, "--config", c.processConfigPath(p)}
 	c.agents = append(c.agents, p)
 	inventory := ""
 	for _, node := range c.nodes {
@@ -194,7 +194,7 @@
 		return err
 	}
 	text := fmt.Sprintf("inventory = %q\nstore = %q\nsocket = %q\n", inventoryPath, filepath.Join(p.folder, "store"), p.addr)
-	return os.WriteFile(c.ownConfigPath(p), []byte(text), privateFile)
+	return os.WriteFile(c.processConfigPath(p), []byte(text), privateFile)
 }
 
 // AgentSocket returns the path of an agent's control socket.
--- a/internal/testcluster/request_outcomes.go
+++ b/internal/testcluster/request_outcomes.go
@@ -41,16 +41,16 @@
 // receiptKey is a receipt that a host gave for a request.
 type receiptKey struct{ id, receipt string }
 
-// JudgeRequests checks that every request got one complete answer in time, and that an established one has a host's
+// CheckRequests checks that every request got one complete answer in time, and that an established one has a host's
 // receipt. If resetIsViolation is set, an established connection that its node ended without MOVE is a violation.
 //
 // The events of a client carry the ID of its request: EventRequested with the timeout as the detail, EventReceived with
 // each complete line, and at the end one of EventDisconnected, EventMigrated and EventReset.
-func JudgeRequests(events []fakeserver.Event, resetIsViolation bool) RequestOutcomes {
+func CheckRequests(events []fakeserver.Event, resetIsViolation bool) RequestOutcomes {
 	log := groupByRequest(events)
 	outcomes := RequestOutcomes{Requests: len(log.order)}
 	for _, id := range log.order {
-		outcomes.judge(log.requests[id], log.receipts, resetIsViolation)
+		outcomes.check(log.requests[id], log.receipts, resetIsViolation)
 	}
 	return outcomes
 }
@@ -91,8 +91,8 @@
 	}
 }
 
-// judge adds the outcome of one request.
-func (o *RequestOutcomes) judge(request *requestEvents, receipts map[receiptKey]bool, resetIsViolation bool) {
+// check adds the outcome of one request.
+func (o *RequestOutcomes) check(request *requestEvents, receipts map[receiptKey]bool, resetIsViolation bool) {
 	if len(request.answers) == 0 {
 		o.addViolation(request, "no whole answer")
 		return
--- a/internal/testcluster/request_outcomes_test.go
+++ b/internal/testcluster/request_outcomes_test.go
@@ -8,7 +8,7 @@
 )
 
 // Each kind of violation is distinguished from valid outcomes.
-func TestJudgeRequests_EachOutcome_Classified(t *testing.T) {
+func TestCheckRequests_EachOutcome_Classified(t *testing.T) {
 	const ms = time.Millisecond
 	var events []fakeserver.Event
 	add := func(at time.Duration, source, kind, id, detail string) {
@@ -30,11 +30,11 @@
 	add(20*ms, "c-n1", fakeserver.EventReset, "cut", "EOF")
 	add(20*ms, "c-n1", fakeserver.EventMigrated, "moved", "")
 	add(1000*ms+answerGrace+ms, "c-n1", fakeserver.EventReceived, "late", "BUSY")
-	got := JudgeRequests(events, true)
+	got := CheckRequests(events, true)
 	if got.Requests != 8 || got.Served != 4 || got.Rejected != 3 || len(got.Violations) != 5 {
 		t.Errorf("judged as %+v", got)
 	}
-	if got := JudgeRequests(events, false); len(got.Violations) != 4 {
+	if got := CheckRequests(events, false); len(got.Violations) != 4 {
 		t.Errorf("in pass mode, judged as %+v", got)
 	}
 }
--- a/internal/testcluster/rolling_restart_test.go
+++ b/internal/testcluster/rolling_restart_test.go
@@ -18,7 +18,7 @@
 	config.Mode = mode
 	config.Hosts = 12
 	config.TenantQuota = float64(nodes) // so that a node has too few connections to judge hosts by, as in a large cluster
-	config.Discovery.RequestDuration = tomlfile.Duration(time.Millisecond)
+	config.Discovery.CallDuration = tomlfile.Duration(time.Millisecond)
 	config.Discovery.PollInterval = tomlfile.Duration(3 * time.Second)
 	cluster := prepare(t, config)
 	launch(t, cluster)
@@ -32,7 +32,7 @@
 	if dropped > 0 {
 		t.Fatalf("%d events were dropped", dropped)
 	}
-	outcomes := JudgeRequests(events, mode == modeProxy)
+	outcomes := CheckRequests(events, mode == modeProxy)
 	t.Logf("seed %d, %s, %d nodes: %d requests, %d served, %d rejected, %d failed, %d violations", plan.Seed, mode, nodes,
 		outcomes.Requests, outcomes.Served, outcomes.Rejected, outcomes.Failed, len(outcomes.Violations))
 	return outcomes
@@ -46,7 +46,7 @@
 		nodes, rate = n, 400
 	}
 	first, _ := strconv.ParseUint(os.Getenv("ONYXSTREAM_SEED"), 10, 64)
-	for i, mode := range []string{modePass, modeProxy} {
+	for i, mode := range []string{modePassThrough, modeProxy} {
 		t.Run(mode, func(t *testing.T) {
 			t.Parallel()
 			seed := first + uint64(i)
@@ -64,7 +64,7 @@
 // Nodes that are killed lose requests, which the judge must report.
 func TestRollingRestart_NodesKilled_LossesReported(t *testing.T) {
 	plan := RollingRestart{Seed: 1, Length: 4 * time.Second, Rate: 200, Kill: true}
-	if got := runRollingRestart(t, 10, modePass, plan); len(got.Violations) == 0 {
+	if got := runRollingRestart(t, 10, modePassThrough, plan); len(got.Violations) == 0 {
 		t.Error("no violation is reported")
 	}
 }
