--- a/internal/testcluster/admission_probe.go
+++ b/internal/testcluster/admission_probe.go
@@ -14,30 +14,30 @@
 )
 
 const (
-	// probeRetryInterval is the pause of a probe whose node is unreachable or that got no Retry-After.
+	// probeRetryInterval is the pause before a retry if the node is unreachable or the final answer has no Retry-After.
 	probeRetryInterval = 50 * time.Millisecond
 	dialTimeout        = time.Second
-	// probeReadGrace is how long after the deadline of a request a probe waits for the answer.
+	// probeReadGrace is how long after the deadline of a request a probe still waits for the final answer.
 	probeReadGrace = time.Second
 	probeBuffer    = 256
 )
 
-// AdmissionProbe is the result of one client that retried at one node until it was served. Times are of the cluster's
-// clock.
+// AdmissionProbe is the result of one client that sent requests to one node until the node established its connection.
+// Times are those of the cluster's clock.
 type AdmissionProbe struct {
 	Node              int           // index
-	FirstSentAt       time.Duration // of the first request
-	ServedAt          time.Duration // 0 for never
-	Rejected          int           // answers BUSY
-	WithoutRetryAfter int           // answers BUSY that had no Retry-After
-	Failed            int           // answers ERR, and connections that ended without an answer
-	MaxLatency        time.Duration // of one answer
-	LastAnswer        string        // and the error of its connection
+	FirstSentAt       time.Duration // when the first request was sent
+	ServedAt          time.Duration // when the connection was established; 0 for never
+	Rejected          int           // BUSY answers
+	WithoutRetryAfter int           // BUSY answers without a Retry-After
+	Failed            int           // ERR answers, and connections that ended without a final answer
+	MaxLatency        time.Duration // the longest time from a request to its final answer
+	LastAnswer        string        // the last line received, followed by the read error if there was one
 }
 
-// ProbeAdmission runs clients against one node, started evenly over spread. Each retries until it is served or its
-// timeout is over; deadline is that of one request. Answers are recorded with the client's name as the source. It
-// returns when all clients have ended.
+// ProbeAdmission runs clients against one node and returns when all of them have ended. Their starts are spaced evenly
+// over spread. Each client retries until its connection is established or its timeout has passed; deadline is the
+// deadline of one request. Final answers are recorded with the client's name as the source.
 func (c *Cluster) ProbeAdmission(
 	ctx context.Context, node, clients int, spread, deadline, timeout time.Duration,
 ) []AdmissionProbe {
@@ -67,7 +67,7 @@
 	return probes
 }
 
-// probeClient is a client of ProbeAdmission.
+// probeClient is one client of ProbeAdmission.
 type probeClient struct {
 	cluster  *Cluster
 	result   *AdmissionProbe
@@ -75,7 +75,7 @@
 	deadline time.Duration
 }
 
-// run sends requests until one is served or the context ends.
+// run sends requests until a connection is established or the context ends.
 func (p *probeClient) run(ctx context.Context) {
 	retryField := ""
 	addr := p.cluster.nodes[p.result.Node].addr
@@ -88,7 +88,7 @@
 		answer, err := p.request(connection, attempt, retryField)
 		served, wait := p.handleAnswer(ctx, answer, err)
 		if served {
-			// A served client stays connected for a while.
+			// The client holds the established connection for the length of its deadline.
 			ctxtime.Sleep(ctx, p.deadline)
 			_ = connection.Close()
 			return
@@ -99,7 +99,7 @@
 	}
 }
 
-// request sends a request and returns the first line of the answer, without its end.
+// request sends a request and returns the first line that the node sends, without its line end.
 func (p *probeClient) request(connection net.Conn, attempt int, retryField string) (answer string, err error) {
 	clock := p.cluster.Clock
 	start := clock.Now()
@@ -115,8 +115,8 @@
 	return strings.TrimRight(line, "\r\n"), err
 }
 
-// handleAnswer records an answer, or the error that came in its place. It reports whether the client is served, or
-// else how long to wait before the retry.
+// handleAnswer records a final answer, or the read error if there is none. It reports whether the connection is
+// established, and if not, how long to wait before the retry.
 func (p *probeClient) handleAnswer(ctx context.Context, answer string, err error) (served bool, wait time.Duration) {
 	p.record(fakeserver.EventReceived, answer)
 	p.result.LastAnswer = answer
--- a/internal/testcluster/bench_test.go
+++ b/internal/testcluster/bench_test.go
@@ -13,8 +13,8 @@
 	"time"
 )
 
-// BenchmarkRelay measures echoed lines through one node and directly at the same host, in turns, over 16 connections with
-// 64 lines in flight each. The ratio is comparable between machines, the rates are not.
+// BenchmarkRelay measures the rates of lines that a host echoes through a node and directly, in turns, over 16
+// connections with 64 lines in flight each. The ratio is comparable between machines, the rates are not.
 //
 //	go test -run '^$' -bench Relay ./internal/testcluster
 func BenchmarkRelay(b *testing.B) {
@@ -53,7 +53,7 @@
 	b.ReportMetric(node/direct, "ratio")
 }
 
-// echo sends lines over 16 connections and reads them back; it returns the lines per second.
+// echo sends lines over 16 connections and reads them back. It returns the rate in lines per second.
 func echo(b *testing.B, addr string, lines int) float64 {
 	const connections, linesInFlight = 16, 64
 	line := strings.Repeat("x", 62) + "\r\n"
@@ -70,7 +70,7 @@
 			reader := bufio.NewReaderSize(connection, 8<<10)
 			fmt.Fprintf(connection, "OPEN b%d-%d key%d c=chat,t=acme,d=3000\r\n", start.UnixNano(), i, i)
 			if up, err := reader.ReadString('\n'); err != nil || !strings.HasPrefix(up, "UP ") {
-				done <- fmt.Errorf("answered %q, error %v", up, err)
+				done <- fmt.Errorf("open connection: answer %q, error %v", up, err)
 				return
 			}
 			block := []byte(strings.Repeat(line, linesInFlight))
--- a/internal/testcluster/cluster.go
+++ b/internal/testcluster/cluster.go
@@ -18,7 +18,7 @@
 	"onyxstream/internal/wire"
 )
 
-// Options are what the caller of a cluster provides.
+// Options are the parameters of a cluster that are not part of its Config.
 type Options struct {
 	Program string    // path of the onyxstream program
 	Log     io.Writer // receives the logs of all processes; nil for none
@@ -26,27 +26,27 @@
 	Seed    uint64
 	Classes []ClassConfig
 	Tenants []string
-	// Starter starts a node's process in place of cmd.Start, at each start of the node; nil for cmd.Start.
+	// Starter starts a node's process at each start of the node; nil for cmd.Start.
 	Starter func(name string, cmd *exec.Cmd) error
 }
 
-// Cluster is a running cluster. Its methods are safe for concurrent use once it is launched, but for Close.
+// Cluster is a test cluster. After Launch its methods are safe for concurrent use, except for Close.
 type Cluster struct {
 	Clock     *fakeserver.Clock
 	EventLog  *fakeserver.EventLog
 	Discovery *fakeserver.Discovery
 	Front     *fakeserver.FrontendBalancer // nil before the launch
 
-	number         int // among the clusters of this process
-	launchedAt     time.Duration
+	number         int           // among the clusters of this process, from 1
+	launchedAt     time.Duration // by Clock
 	config         Config
 	options        Options
 	store          *fakeserver.SharedSessionStore
-	dir            string // the processes' files
+	dir            string // the files of the processes
 	nodes          []*process
 	agents         []*process
 	discoveryLinks []*fakeserver.Link // by node
-	controlLinks   []*fakeserver.Link // from a process to a node's control listener, named "n1>n2" or "a1>n2"
+	controlLinks   []*fakeserver.Link // from a node or agent to a node's control listener, named "n1>n2" or "a1>n2"
 	timeline       timeline
 
 	mu          sync.Mutex
@@ -56,19 +56,20 @@
 	closed      bool
 }
 
-// clusterCount numbers the clusters of this process, whose nodes must not share an address.
+// clusterCount is the number of clusters that this process has made. Each has its own number, so that the addresses of
+// its nodes are its own.
 var clusterCount atomic.Int64
 
 const (
-	// readyTimeout is how long nodes may take until they pass their health checks.
+	// readyTimeout bounds the time until nodes pass their health checks.
 	readyTimeout = 30 * time.Second
-	// certificateLifetime bounds the length of a run.
+	// certificateLifetime also limits how long a cluster with TLS can run.
 	certificateLifetime = time.Hour
 	authorityName       = "rig"
 	temporaryPrefix     = "onyxstream-rig"
 )
 
-// Start runs a cluster and waits until all of its nodes serve. On an error it ends what it has started.
+// Start starts a cluster and waits until all of its nodes pass their health checks. On an error it closes the cluster.
 func Start(ctx context.Context, config Config, options Options) (*Cluster, error) {
 	c, err := Prepare(config, options)
 	if err != nil {
@@ -84,8 +85,8 @@
 	return c, nil
 }
 
-// Prepare starts the fake servers and links and writes the files of the processes, but does not start these, so that
-// faults can begin before. On an error it ends what it has started.
+// Prepare starts the fake servers and links and writes the files of the processes, but does not start the processes, so
+// that faults can begin before the processes start. On an error it closes the cluster.
 func Prepare(config Config, options Options) (*Cluster, error) {
 	clock := fakeserver.NewClock()
 	store := capacity.SessionStore{Latency: config.Store.Latency.AsDuration(), Rate: config.Store.CallsPerSecond}
@@ -124,7 +125,7 @@
 	return c.SetKnownEndpoints(1, endpoints...)
 }
 
-// startServers starts the hosts and the discovery service, and returns its list.
+// startServers starts the hosts and the discovery service, and returns the endpoint list.
 func (c *Cluster) startServers() (endpoints []wire.Endpoint, err error) {
 	for range c.config.Hosts {
 		host, err := c.addHost(c.config.Host.StartsCold)
@@ -146,7 +147,7 @@
 	return endpoints, nil
 }
 
-// createKeys makes the certificate authority of a cluster that uses TLS.
+// createKeys creates the certificate authority of a cluster that uses TLS, and the certificate for peer lists.
 func (c *Cluster) createKeys() error {
 	if !c.config.usesTLS() {
 		return nil
@@ -158,7 +159,7 @@
 	return err
 }
 
-// createProcesses makes the nodes and agents, their files and links, without starting them.
+// createProcesses creates the nodes and agents, their files and their links, without starting them.
 func (c *Cluster) createProcesses() error {
 	for i := range c.config.Nodes {
 		if err := c.newNode(i); err != nil {
@@ -180,7 +181,7 @@
 	return nil
 }
 
-// Launch starts all processes concurrently, and the frontend balancer.
+// Launch starts all processes concurrently, and then the front.
 func (c *Cluster) Launch() error {
 	processes := c.processes()
 	errs := make([]error, len(processes))
@@ -205,12 +206,12 @@
 // LaunchedAt returns when the processes were started, by the cluster's clock.
 func (c *Cluster) LaunchedAt() time.Duration { return c.launchedAt }
 
-// Ready waits until all nodes serve.
+// Ready waits until all nodes pass their health checks.
 func (c *Cluster) Ready(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	if err := c.Front.Ready(ctx); err != nil {
-		return fmt.Errorf("the nodes are not ready: %w", errors.Join(err, c.unexpectedExits()))
+		return fmt.Errorf("wait for nodes to become ready: %w", errors.Join(err, c.unexpectedExits()))
 	}
 	return nil
 }
@@ -218,7 +219,7 @@
 // processes returns the nodes and agents.
 func (c *Cluster) processes() []*process { return slices.Concat(c.nodes, c.agents) }
 
-// unexpectedExits returns an error for the processes that ended without being stopped.
+// unexpectedExits returns an error that names the processes that exited without being stopped, or nil.
 func (c *Cluster) unexpectedExits() (err error) {
 	for _, p := range c.processes() {
 		err = errors.Join(err, p.unexpectedExit())
@@ -226,7 +227,7 @@
 	return err
 }
 
-// runAfter runs a function after a delay, unless the cluster is closed by then.
+// runAfter runs a function after a delay, unless the cluster has been closed.
 func (c *Cluster) runAfter(delay time.Duration, f func()) {
 	time.AfterFunc(delay, func() {
 		c.mu.Lock()
@@ -238,7 +239,7 @@
 	})
 }
 
-// Close kills the processes, ends the fake servers and links, and removes all files.
+// Close kills the processes, closes the fake servers and links, and removes all files. Further calls do nothing.
 func (c *Cluster) Close() {
 	c.mu.Lock()
 	wasClosed := c.closed
--- a/internal/testcluster/coldstart_discovery_test.go
+++ b/internal/testcluster/coldstart_discovery_test.go
@@ -12,7 +12,8 @@
 
 const startNodeCount = 12
 
-// Half of the nodes can't reach discovery, by each fault of a link. They get the list from their peers.
+// Half of the nodes can't reach discovery, because of one kind of link fault in each case. They get the endpoint list
+// from their peers.
 func TestColdStart_HalfCutOffFromDiscovery_AllServed(t *testing.T) {
 	for _, kind := range []string{faultRejectConnections, faultBlackhole, faultDeaf, faultMute, faultStall} {
 		t.Run(kind, func(t *testing.T) {
@@ -22,15 +23,15 @@
 			launch(t, cluster)
 			expectAllServed(t, cluster, startNodeCount, 2)
 			if n, dialsByNode := discoveryRequests(cluster); n > startNodeCount || len(dialsByNode) > startNodeCount {
-				t.Errorf("%d calls by %v", n, dialsByNode)
+				t.Errorf("%d requests to discovery, connections by node: %v", n, dialsByNode)
 			}
 		})
 	}
 }
 
-// Discovery rejects all calls, with a Retry-After that is absent, long, a date or invalid. Nodes make few calls
-// meanwhile, and all get the list soon after it recovers.
-func TestColdStart_DiscoveryRejectsWithRetryAfter_CallsStayFew(t *testing.T) {
+// Discovery rejects all requests, with a Retry-After that is absent, long, a date or invalid. Nodes send few requests
+// meanwhile, and all of them get the endpoint list soon after discovery recovers.
+func TestColdStart_DiscoveryRejectsWithRetryAfter_FewRequests(t *testing.T) {
 	for name, retryAfter := range map[string]string{
 		"none":        "",
 		"at once":     "0",
@@ -50,15 +51,15 @@
 			recoverDiscoveryAfter(cluster, 3*time.Second)
 			expectAllServed(t, cluster, startNodeCount, 1)
 			if n, _ := discoveryRequests(cluster); n > 4*startNodeCount {
-				t.Errorf("%d calls of %d nodes while discovery rejected them", n, startNodeCount)
+				t.Errorf("%d requests by %d nodes while discovery rejected them", n, startNodeCount)
 			}
 		})
 	}
 }
 
-// While discovery is down a third of the nodes is killed and the others stall. When all resume at once, all are served,
-// and their calls are spread.
-func TestColdStart_NodesKilledAndStalled_CallsSpread(t *testing.T) {
+// While discovery is down, a third of the nodes is killed and the others stall. When discovery recovers and all nodes
+// resume at once, they spread their requests to discovery over time, and all clients are served.
+func TestColdStart_NodesKilledAndStalled_RequestsSpread(t *testing.T) {
 	t.Parallel()
 	cluster := prepare(t, startConfig(startNodeCount, nil))
 	cluster.Discovery.SetMode(fakeserver.ModeReset)
@@ -75,12 +76,13 @@
 	events, _ := cluster.EventLog.Events()
 	calls := EventTimes(events, fakeserver.SourceDiscovery, fakeserver.EventRequested)
 	if early := CountBetween(calls, start, start+100*time.Millisecond); early > startNodeCount/2 {
-		t.Errorf("%d calls of %d nodes in the first 100 ms after they resume", early, startNodeCount)
+		t.Errorf("%d requests by %d nodes in the first 100 ms after they resume", early, startNodeCount)
 	}
 }
 
-// Discovery is restored with an older list that is shorter or empty. Nodes follow it, whatever their peers gossip: hosts
-// that it does not list get no clients. When the complete list is back, all clients are served.
+// Discovery is restored with an older endpoint list that is shorter or empty. Nodes use that list even if peers gossip
+// the newer one: hosts that discovery does not list get no clients. When the complete list is back, all clients are
+// served.
 func TestColdStart_DiscoveryRestoredWithOlderList_Followed(t *testing.T) {
 	for name, listed := range map[string]int{"shorter": 2, "empty": 0} {
 		t.Run(name, func(t *testing.T) {
@@ -100,25 +102,25 @@
 			for _, endpoint := range all[:listed] {
 				isListed[endpoint.ID] = true
 			}
-			// Nodes that got the list from peers poll discovery once nobody confirms it.
+			// Nodes that got the list from peers send a list request to discovery once no peer confirms the list any more.
 			time.Sleep(8 * time.Second)
 			from := cluster.Clock.Now()
 			if listed > 0 {
 				expectAllServed(t, cluster, 6, 2)
 				for id := range setupsByHost(cluster, from) {
 					if !isListed[id] {
-						t.Errorf("%s was sent clients, discovery lists %v", id, isListed)
+						t.Errorf("%s got clients, but discovery lists only %v", id, isListed)
 					}
 				}
 			} else {
 				for _, probe := range probeAllNodes(t.Context(), cluster, 6, 2, 0, 2*time.Second) {
 					rejectedFast := probe.WithoutRetryAfter == 0 && probe.Failed == 0 && probe.MaxLatency <= 500*time.Millisecond
 					if probe.ServedAt > 0 || !rejectedFast {
-						t.Errorf("with no host: %+v", probe)
+						t.Errorf("client with an empty endpoint list: %+v", probe)
 					}
 				}
 				if got := setupsByHost(cluster, from); len(got) > 0 {
-					t.Errorf("hosts that are not listed were sent %v", got)
+					t.Errorf("hosts that are not listed got clients: %v", got)
 				}
 			}
 			cluster.Discovery.Restore(3, all...)
@@ -127,9 +129,9 @@
 	}
 }
 
-// A reload sets another discovery service soon after the start. Nodes follow its list and no longer gossip the old one,
-// and their calls to it are spread.
-func TestColdStart_DiscoveryAddressChanges_CallsSpread(t *testing.T) {
+// Soon after the start a reload sets the address of another discovery service. Nodes use its endpoint list, no longer
+// gossip the old one, and spread their list requests to the new service over time.
+func TestColdStart_DiscoveryAddressChanges_RequestsSpread(t *testing.T) {
 	t.Parallel()
 	const nodes = 40
 	cluster := prepare(t, startConfig(nodes, func(config *Config) { config.Discovery.NodeLinks = false }))
@@ -155,20 +157,21 @@
 		return len(got) == 1 && got[onlyHost.ID()] > 0
 	})
 	events, _ := eventLog.Events()
-	var listCalls []time.Duration // one a node: each gets the complete list and then opens its watch
+	var listRequests []time.Duration // one per node, which gets the complete list and then opens a watch
 	for _, event := range events {
-		isListCall := event.Kind == fakeserver.EventRequested && !strings.Contains(event.Detail, "watch")
-		if isListCall && event.At >= start {
-			listCalls = append(listCalls, event.At)
+		isListRequest := event.Kind == fakeserver.EventRequested && !strings.Contains(event.Detail, "watch")
+		if isListRequest && event.At >= start {
+			listRequests = append(listRequests, event.At)
 		}
 	}
-	if burst := MaxInWindow(listCalls, 200*time.Millisecond); len(listCalls) == 0 || burst > nodes/3 {
-		t.Errorf("%d of %d nodes call the new service within 200 ms; %d calls in all", burst, nodes, len(listCalls))
+	if burst := MaxInWindow(listRequests, 200*time.Millisecond); len(listRequests) == 0 || burst > nodes/3 {
+		t.Errorf("%d of %d nodes send list requests to the new service within 200 ms; %d list requests in total",
+			burst, nodes, len(listRequests))
 	}
 }
 
-// Two hundred clients connect to a node that has no list. Each is rejected with a Retry-After, and served once it has
-// one.
+// Two hundred clients connect to a node that has no endpoint list. Each is rejected with a Retry-After, and served once
+// the node has a list.
 func TestColdStart_ManyClientsNoList_RejectedThenServed(t *testing.T) {
 	t.Parallel()
 	cluster := prepare(t, startConfig(3, func(config *Config) { config.ColdStart.Peers = 2 }))
--- a/internal/testcluster/coldstart_figures_test.go
+++ b/internal/testcluster/coldstart_figures_test.go
@@ -12,9 +12,10 @@
 	"onyxstream/internal/fakeserver"
 )
 
-// Prints figures of one cold start with the number of nodes in ONYXSTREAM_COLDSTART, as 300. ONYXSTREAM_DOWN is how long
-// discovery is down, ONYXSTREAM_MODE "off" or "alone" runs without cold start or peers, ONYXSTREAM_COLD with cold hosts.
-func TestColdStart_Measured_FiguresPrinted(t *testing.T) {
+// Logs measurements of one cold start. ONYXSTREAM_COLDSTART is the number of nodes, for example 300; without it the test
+// is skipped. ONYXSTREAM_DOWN is how long discovery is down. ONYXSTREAM_MODE is "off" for nodes without cold start and
+// "alone" for nodes without peers. If ONYXSTREAM_COLD is set, hosts are in slow start.
+func TestColdStart_Measured_ResultsLogged(t *testing.T) {
 	n, _ := strconv.Atoi(os.Getenv("ONYXSTREAM_COLDSTART"))
 	if n == 0 {
 		t.Skip("ONYXSTREAM_COLDSTART is not set")
@@ -55,14 +56,14 @@
 	}
 	events, _ := cluster.EventLog.Events()
 	calls := EventTimes(events, fakeserver.SourceDiscovery, fakeserver.EventRequested)
-	t.Logf("%d nodes launched in %v: calls %+v, in the first second %d, while down %d", n, launched-start,
+	t.Logf("%d nodes launched in %v: requests to discovery %+v, in the first second %d, while down %d", n, launched-start,
 		CountDiscoveryRequests(events), CountBetween(calls, start, start+time.Second), CountBetween(calls, start, start+down))
 	logProbes(t, probes, servedAfter)
 	usage := cluster.Usage()
-	t.Logf("usage %+v; CPU of a node %v", usage, usage.CPU/time.Duration(n))
+	t.Logf("usage %+v; CPU time per node %v", usage, usage.CPU/time.Duration(n))
 }
 
-// servedTimes returns the sorted times from a start until clients were served.
+// servedTimes returns the times from start until each client was served, in ascending order.
 func servedTimes(probes []AdmissionProbe, start time.Duration) (times []time.Duration) {
 	for _, probe := range probes {
 		if probe.ServedAt > 0 {
@@ -73,7 +74,8 @@
 	return times
 }
 
-// logColdHosts logs collapses and set-ups of hosts, and the clients served within 10 s of the recovery of discovery.
+// logColdHosts logs how many hosts collapsed, the rates of connection setups at hosts, and how many clients were served
+// within 10 s after discovery recovered.
 func logColdHosts(t *testing.T, cluster *Cluster, servedAfter []time.Duration, down time.Duration, clients int) {
 	t.Helper()
 	events, _ := cluster.EventLog.Events()
@@ -91,11 +93,11 @@
 		}
 	}
 	within, _ := slices.BinarySearch(servedAfter, down+10*time.Second)
-	t.Logf("cold hosts: %d collapsed; set-ups of a host in 100 ms: at most %d, mean %.2f; served within 10 s %d of %d",
+	t.Logf("cold hosts: %d collapsed; connection setups per host in 100 ms: max %d, mean %.2f; served in 10 s: %d of %d",
 		collapsed, burst, meanPer100ms, within, clients)
 }
 
-// logProbes logs what became of all clients.
+// logProbes logs the totals of all clients.
 func logProbes(t *testing.T, probes []AdmissionProbe, servedAfter []time.Duration) {
 	t.Helper()
 	var total AdmissionProbe
--- a/internal/testcluster/coldstart_hosts_test.go
+++ b/internal/testcluster/coldstart_hosts_test.go
@@ -13,7 +13,8 @@
 	"onyxstream/internal/wire"
 )
 
-// Cached lists survive a kill. Those that are truncated, of another service or from the future are ignored.
+// Nodes use their cached list after a kill. A cached list that is truncated, of another service or dated in the future
+// is ignored.
 func TestColdStart_CacheFolderDamaged_Ignored(t *testing.T) {
 	t.Parallel()
 	cluster := prepare(t, startConfig(5, func(config *Config) {
@@ -58,7 +59,7 @@
 	for node, isServed := range []bool{true, false, false, true, false} {
 		for _, probe := range cluster.ProbeAdmission(t.Context(), node, 2, 0, time.Second, 2*time.Second) {
 			if (probe.ServedAt > 0) != isServed || probe.WithoutRetryAfter > 0 {
-				t.Errorf("n%d, while discovery is down: %+v, want it served: %v", node+1, probe, isServed)
+				t.Errorf("client of n%d while discovery is down: %+v, want served: %v", node+1, probe, isServed)
 			}
 		}
 	}
@@ -66,8 +67,8 @@
 	expectAllServed(t, cluster, 5, 1)
 }
 
-// After a power cut all hosts are in slow start, which the old list of all nodes does not show. The nodes together must
-// not make a host collapse, while discovery is down and after, and most clients are served.
+// After a power cut all hosts are in slow start, but the old endpoint list of the nodes does not show that. The nodes
+// together must not make a host collapse, neither while discovery is down nor afterwards, and most clients are served.
 func TestColdStart_AllHostsColdOldList_NoneCollapses(t *testing.T) {
 	t.Parallel()
 	cluster := prepare(t, startConfig(startNodeCount, func(config *Config) {
@@ -102,11 +103,12 @@
 		}
 	}
 	if served < len(all)*9/10 {
-		t.Errorf("%d of %d were served", served, len(all))
+		t.Errorf("%d of %d clients were served, want at least 90%%", served, len(all))
 	}
 }
 
-// A third of the hosts in an old list is gone, and discovery is down. Nodes gossip failed dials, so that few are made.
+// A third of the hosts in an old endpoint list no longer exists, and discovery is down. Nodes gossip failed connection
+// attempts, so that together they dial these hosts only a few times.
 func TestColdStart_DeadHostsInOldList_FewDials(t *testing.T) {
 	t.Parallel()
 	const nodes = 24
@@ -118,7 +120,7 @@
 	cluster.Discovery.SetMode(fakeserver.ModeReset)
 	startFault(t, cluster, FaultSpec{Kind: faultRejectConnections, Target: "link-h5..h6"})
 	launch(t, cluster)
-	time.Sleep(time.Second) // all nodes are up and watch their peers
+	time.Sleep(time.Second) // for all nodes to start and to watch their peers
 	from := cluster.Clock.Now()
 	all := probeAllNodes(t.Context(), cluster, nodes, 30, 3*time.Second, 10*time.Second)
 	for _, probe := range all {
@@ -128,10 +130,10 @@
 	}
 	events, _ := cluster.EventLog.Events()
 	for _, link := range []string{"link-h5", "link-h6"} {
-		// Without gossip each node dials three times or more; on a busy machine some dial before it reaches them.
+		// Without gossip each node dials three times or more. On a busy machine some nodes dial before gossip reaches them.
 		dials := EventTimes(events, link, fakeserver.EventDialed)
 		if n := CountBetween(dials, from, cluster.Clock.Now()); n == 0 || n > nodes {
-			t.Errorf("%s, which is gone, was dialed %d times by %d nodes, at %v", link, n, nodes, dials)
+			t.Errorf("%s to a host that no longer exists: dialed %d times by %d nodes, at %v", link, n, nodes, dials)
 		}
 	}
 }
--- a/internal/testcluster/coldstart_peers_test.go
+++ b/internal/testcluster/coldstart_peers_test.go
@@ -12,20 +12,21 @@
 	"onyxstream/internal/wire"
 )
 
-// No link between one node and its peers works. It polls discovery itself; the others still gossip the list.
-func TestColdStart_NodeUnreachableByPeers_PollsDiscovery(t *testing.T) {
+// No link between one node and its peers works. This node sends its own list requests to discovery; the other nodes
+// still gossip the list.
+func TestColdStart_NodeUnreachableByPeers_SendsListRequest(t *testing.T) {
 	t.Parallel()
 	cluster := prepare(t, startConfig(startNodeCount, nil))
 	startFault(t, cluster, FaultSpec{Kind: faultRejectConnections, Target: "peers-n9"})
 	launch(t, cluster)
 	expectAllServed(t, cluster, startNodeCount, 1)
 	if _, dialsByNode := discoveryRequests(cluster); dialsByNode["n9"] == 0 {
-		t.Errorf("n9 has no list from peers and did not poll discovery: %v", dialsByNode)
+		t.Errorf("n9 gets no list from peers but did not connect to discovery; connections by node: %v", dialsByNode)
 	}
 }
 
-// One node is cut off from discovery with an old list, which it gossips. Nodes with a newer list keep that, and send no
-// clients to the host that was removed since.
+// One node can't reach discovery, and gossips the old endpoint list with which it started. Nodes with a newer list keep
+// theirs, and send no clients to the host that has been removed since.
 func TestColdStart_PeerGossipsOldList_NewerListKept(t *testing.T) {
 	t.Parallel()
 	cluster := prepare(t, startConfig(startNodeCount, func(config *Config) { config.ColdStart.Peers = 8 }))
@@ -42,15 +43,16 @@
 	startFault(t, cluster, FaultSpec{Kind: faultRejectConnections, Target: "link-n1"})
 	launch(t, cluster)
 	expectAllServed(t, cluster, startNodeCount, 2)
-	time.Sleep(time.Second) // n1 gets the new list from its peers
+	time.Sleep(time.Second) // for n1 to get the new list from its peers
 	from := cluster.Clock.Now()
 	expectAllServed(t, cluster, startNodeCount, 4)
 	if n := setupsByHost(cluster, from)[removed.ID]; n > 0 {
-		t.Errorf("%s, which discovery has removed, was sent %d clients", removed.ID, n)
+		t.Errorf("removed host %s got %d clients", removed.ID, n)
 	}
 }
 
-// A node knows that a host is draining. It sends it no clients when a peer's list, of a later revision, has it serving.
+// A node knows that a host is draining. It sends this host no clients even after it gets a peer's list of a later
+// revision in which the host is serving.
 func TestColdStart_PeerListSaysServing_DrainKept(t *testing.T) {
 	t.Parallel()
 	cluster := prepare(t, startConfig(2, func(config *Config) { config.ColdStart.Peers = 1 }))
@@ -61,7 +63,7 @@
 	for _, host := range hosts[1:] {
 		rest = append(rest, cluster.HostEndpoint(host, wire.Serving))
 	}
-	// n1 knows of the drain; n2 has a list of a later revision in which the host serves; neither reaches discovery.
+	// n1 knows of the drain. n2 has a list of a later revision in which the host is serving. Neither can reach discovery.
 	if err := cluster.SetKnownEndpointsOf(0, 5, append(rest, draining)...); err != nil {
 		t.Fatal(err)
 	}
@@ -78,9 +80,9 @@
 		}
 	}
 	if n := setupsByHost(cluster, from)[hosts[0].ID()]; n > 0 {
-		t.Errorf("the draining host was sent %d clients", n)
+		t.Errorf("the draining host got %d clients", n)
 	}
-	// Discovery itself lists the host as serving, with the revision that n1 has already: this ends the drain.
+	// Discovery lists the host as serving, with the revision that n1 already has. This ends the drain.
 	cluster.Discovery.Restore(6, append(rest, serving)...)
 	restoreLinks()
 	waitUntil(t, "n1 uses the host again", func() bool {
@@ -90,8 +92,8 @@
 	})
 }
 
-// Nodes gossip lists over TLS as over Unix sockets, until the certificate is revoked; then the lists of nodes that
-// don't reach discovery become old.
+// Nodes gossip endpoint lists over TLS as they do over Unix sockets. When the certificate is revoked, the lists of nodes
+// that can't reach discovery become old.
 func TestColdStart_PeersOverTLS_ListsGossiped(t *testing.T) {
 	t.Parallel()
 	cluster := prepare(t, startConfig(6, func(config *Config) { config.ColdStart.TLS = true }))
@@ -99,7 +101,7 @@
 	launch(t, cluster)
 	expectAllServed(t, cluster, 6, 1)
 	if _, dialsByNode := discoveryRequests(cluster); dialsByNode["n1"]+dialsByNode["n2"]+dialsByNode["n3"]+dialsByNode["n4"] == 0 {
-		t.Errorf("no node with a link to discovery called it: %v", dialsByNode)
+		t.Errorf("no node with a working link connected to discovery; connections by node: %v", dialsByNode)
 	}
 	if err := pki.Revoke(cluster.keyFolder(), listReaderName); err != nil {
 		t.Fatal(err)
@@ -110,8 +112,9 @@
 	})
 }
 
-// Nodes without the table "coldstart" each poll discovery at once, and neither gossip nor cache the list.
-func TestStart_ColdStartNotConfigured_EachPollsDiscovery(t *testing.T) {
+// Nodes whose configuration has no table "coldstart" each send a list request to discovery at once, and neither gossip
+// nor cache the list.
+func TestStart_ColdStartNotConfigured_EachSendsListRequest(t *testing.T) {
 	t.Parallel()
 	const nodes = 8
 	cluster := prepare(t, startConfig(nodes, func(config *Config) {
@@ -130,7 +133,7 @@
 		return strings.Count(cluster.command(t, "instances", "list"), "serving") == nodes
 	})
 	if out := cluster.command(t, "instances", "list"); strings.Contains(out, "current") {
-		t.Errorf("a cold start state is shown without a cold start:\n%s", out)
+		t.Errorf("list state shown without a cold start configuration:\n%s", out)
 	}
 	client, err := control.Dial("unix:"+cluster.ControlSocket(0), nil)
 	if err != nil {
@@ -139,11 +142,11 @@
 	defer client.Close()
 	var rejected *control.RemoteError
 	if _, _, err := client.List(t.Context(), serviceName, -1, 0, 0, nil); !errors.As(err, &rejected) {
-		t.Errorf("the list request was not rejected, error %v", err)
+		t.Errorf("request for the peer list was not rejected: error %v", err)
 	}
 }
 
-// The agent's list of instances shows the state of the endpoint list: none, current or old.
+// The output of "instances list" shows the state of each instance's endpoint list: none, current or old.
 func TestInstancesList_ColdStart_StateShown(t *testing.T) {
 	t.Parallel()
 	cluster := prepare(t, startConfig(3, func(config *Config) { config.ColdStart.Peers, config.Agents = 2, 1 }))
@@ -155,7 +158,7 @@
 	waitUntil(t, "three nodes without a list", shows("none, "))
 	cluster.Discovery.SetMode(fakeserver.ModeNormal)
 	waitUntil(t, "three nodes with a current list", shows("current ("))
-	// Cut off from discovery and from each other the nodes' lists become old; the agent still reaches the nodes.
+	// The nodes can reach neither discovery nor each other, so their lists become old. The agent still reaches the nodes.
 	end := startFault(t, cluster, FaultSpec{Kind: faultRejectConnections, Target: "link-n1..n3"})
 	waitUntil(t, "three nodes with an old list", shows("old ("))
 	end()
--- a/internal/testcluster/config.go
+++ b/internal/testcluster/config.go
@@ -7,18 +7,18 @@
 	"onyxstream/internal/tomlfile"
 )
 
-// Config describes a cluster. Its TOML form is the table "fleet" of a scenario file.
+// Config describes a test cluster. Its TOML form is the table "fleet" of a scenario file.
 type Config struct {
-	Nodes           int               `toml:"nodes"` // 0 for hosts alone, to which clients then connect directly
+	Nodes           int               `toml:"nodes"` // 0 for hosts only, to which clients connect directly
 	Hosts           int               `toml:"hosts"`
 	Zones           []string          `toml:"zones"` // assigned to nodes and to hosts round-robin
 	Mode            string            `toml:"mode"`  // modePassThrough or modeProxy
 	HealthChecks    bool              `toml:"probes"`
 	ReportsLoad     bool              `toml:"loads"`        // hosts report the load of connections
-	HostLinks       bool              `toml:"links"`        // nodes reach each host over a link with faults
-	DiscoveryDelay  tomlfile.Duration `toml:"notice"`       // until discovery lists a crash or restart of a host
-	FrontEjectDelay tomlfile.Duration `toml:"front_notice"` // until the frontend balancer ejects a failed node
-	ResumeTimeout   tomlfile.Duration `toml:"park"`         // how long hosts keep connections that a node reset
+	HostLinks       bool              `toml:"links"`        // nodes connect to each host over a link that can have faults
+	DiscoveryDelay  tomlfile.Duration `toml:"notice"`       // until discovery lists the crash or restart of a host
+	FrontEjectDelay tomlfile.Duration `toml:"front_notice"` // until the front ejects a failed node
+	ResumeTimeout   tomlfile.Duration `toml:"park"`         // for how long a connection that its node reset can be resumed
 	Cores           float64           `toml:"cores"`        // of a node
 	MemoryMB        int               `toml:"memory_mb"`    // of a node
 	Sockets         int               `toml:"sockets"`      // of a node
@@ -26,31 +26,32 @@
 	Store           StoreConfig       `toml:"store"`
 	Discovery       DiscoveryConfig   `toml:"list"`
 	ColdStart       *ColdStartConfig  `toml:"coldstart"` // nil for nodes without cold start
-	TenantQuota     float64           `toml:"quota"`     // open connections of each tenant over all nodes; 0 for not set
-	Agents          int               `toml:"agents"`    // each with all nodes in its inventory, over links of its own
+	TenantQuota     float64           `toml:"quota"`     // of open connections of each tenant, over all nodes; 0 for none
+	Agents          int               `toml:"agents"`    // each has all nodes in its inventory, and its own links to them
 }
 
-// DiscoveryConfig describes the discovery service, and what nodes know of the endpoint list when they start.
+// DiscoveryConfig describes the discovery service, how nodes use it, and what they know of the endpoint list when they
+// start.
 type DiscoveryConfig struct {
-	CallDuration  tomlfile.Duration `toml:"cost"`  // calls are served one by one
-	MaxWait       tomlfile.Duration `toml:"wait"`  // a call that would wait longer is rejected; 0 for no limit
-	MaxQueue      int               `toml:"queue"` // 0 for no limit
-	RetryAfter    string            `toml:"retry_after"`
-	Push          bool              `toml:"push"`       // the settings say that updates are pushed
-	StartsUnknown bool              `toml:"unknown"`    // nodes start without a list
-	NodeLinks     bool              `toml:"links"`      // each node reaches the service over a link with faults
-	PollInterval  tomlfile.Duration `toml:"ask_within"` // of the nodes
-	DownAtStart   tomlfile.Duration `toml:"down"`       // calls are reset for this long after the launch
+	CallDuration  tomlfile.Duration `toml:"cost"`        // time to serve a request; requests are served one by one
+	MaxWait       tomlfile.Duration `toml:"wait"`        // a request that would wait longer is rejected; 0 for no limit
+	MaxQueue      int               `toml:"queue"`       // waiting requests; 0 for no limit
+	RetryAfter    string            `toml:"retry_after"` // the header of rejections; "" for none
+	Push          bool              `toml:"push"`        // the nodes' settings say that discovery pushes updates
+	StartsUnknown bool              `toml:"unknown"`     // nodes start without an endpoint list
+	NodeLinks     bool              `toml:"links"`       // each node connects to discovery over a link that can have faults
+	PollInterval  tomlfile.Duration `toml:"ask_within"`  // of the nodes
+	DownAtStart   tomlfile.Duration `toml:"down"`        // how long after the launch requests are reset
 }
 
-// ColdStartConfig describes the table "coldstart" of the nodes' own configuration.
+// ColdStartConfig describes the table "coldstart" of the nodes' configuration files.
 type ColdStartConfig struct {
-	CacheFolder bool `toml:"folder"` // each node has a folder that outlasts restarts
-	Peers       int  `toml:"peers"`  // of each node, over links with faults
-	TLS         bool `toml:"keys"`   // peers talk over TLS, with certificates of the cluster's authority; else Unix sockets
+	CacheFolder bool `toml:"folder"` // each node caches the endpoint list in a folder that outlasts restarts
+	Peers       int  `toml:"peers"`  // of each node, over links that can have faults
+	TLS         bool `toml:"keys"`   // peers connect over TLS, with certificates of the cluster; else over Unix sockets
 }
 
-// HostConfig describes the capacity of every host, see capacity.Spec.
+// HostConfig describes the capacity of every host; capacity.Spec explains the fields of the same name.
 type HostConfig struct {
 	Cores             float64           `toml:"cores"`
 	Speed             float64           `toml:"speed"`
@@ -66,10 +67,10 @@
 	SlowStartDuration tomlfile.Duration `toml:"warm"`
 	CollapseMultiple  float64           `toml:"fall"`
 	CollapseAfter     tomlfile.Duration `toml:"fall_in"`
-	StartsCold        bool              `toml:"fresh"` // all hosts are in slow start when the cluster starts
+	StartsCold        bool              `toml:"fresh"` // all hosts begin with a slow start when the cluster starts
 }
 
-// StoreConfig describes the session store that all hosts call at each set-up.
+// StoreConfig describes the session store, which all hosts call at each connection setup.
 type StoreConfig struct {
 	Latency        tomlfile.Duration `toml:"latency"`
 	CallsPerSecond float64           `toml:"rate"`
@@ -77,22 +78,23 @@
 
 // ClassConfig describes a request class in the nodes' settings.
 type ClassConfig struct {
-	Name              string
-	Deadline          time.Duration
-	Semantics         string        // "safe", "keyed" or "unsafe", as in the settings; "" for safe
-	IdempotencyWindow time.Duration // of a keyed class; 0 for defaultIdempotencyWindow
+	Name     string
+	Deadline time.Duration
+	// Semantics is "safe" (idempotent), "keyed" (idempotent by key) or "unsafe" (non-idempotent); "" for "safe".
+	Semantics         string
+	IdempotencyWindow time.Duration // of a class that is idempotent by key; 0 for defaultIdempotencyWindow
 }
 
-// usesTLS reports whether peers talk over TLS.
+// usesTLS reports whether peers connect over TLS.
 func (c *Config) usesTLS() bool { return c.ColdStart != nil && c.ColdStart.TLS }
 
 // hasPeers reports whether nodes have peers to gossip the endpoint list with.
 func (c *Config) hasPeers() bool { return c.ColdStart != nil && c.ColdStart.Peers > 0 }
 
-// zone returns the zone of the host or node with an index.
+// zone returns the zone of the host or node with the index.
 func (c *Config) zone(index int) string { return c.Zones[index%len(c.Zones)] }
 
-// hostSpec returns the capacity of the host with an index.
+// hostSpec returns the capacity of the host with the index.
 func (c *Config) hostSpec(index int) capacity.Spec {
 	host := c.Host
 	speed := host.Speed
--- a/internal/testcluster/config_check.go
+++ b/internal/testcluster/config_check.go
@@ -7,17 +7,17 @@
 	"onyxstream/internal/tomlfile"
 )
 
-// The modes of the nodes, as in the settings.
+// Values of Config.Mode, as in the nodes' settings.
 const (
 	modePassThrough = "pass"
 	modeProxy       = "proxy"
 )
 
 const (
-	maxNodes  = 1250 // each has a loopback address of its own
+	maxNodes  = 1250 // each has its own loopback address
 	maxHosts  = 4096
 	maxAgents = 1024
-	maxPeers  = 1024 // of a node: each takes a link, and with it descriptors of this process
+	maxPeers  = 1024 // of a node; each needs a link, which uses descriptors of this process
 )
 
 // Defaults of Config.
@@ -69,7 +69,7 @@
 	setDefault(&c.Discovery.PollInterval, defaultPollInterval)
 }
 
-// setDefault replaces a zero value.
+// setDefault replaces a zero value by a default.
 func setDefault[T comparable](field *T, value T) {
 	var zero T
 	if *field == zero {
@@ -88,7 +88,7 @@
 	return nil
 }
 
-// checkRanges validates the figures, durations in seconds.
+// checkRanges validates the ranges of numbers and durations, the latter in seconds.
 func (c *Config) checkRanges() error {
 	for _, field := range []struct {
 		key             string
--- a/internal/testcluster/event_counts.go
+++ b/internal/testcluster/event_counts.go
@@ -7,10 +7,10 @@
 	"onyxstream/internal/fakeserver"
 )
 
-// The judges of this file count what fake servers and links saw, by the cluster's clock. They use nothing that the
-// processes report of themselves.
+// The functions of this file count events that fake servers and links recorded, by the cluster's clock. They use nothing
+// that nodes and agents report themselves.
 
-// EventTimes returns the sorted times of a source's events of a kind.
+// EventTimes returns the times of the events of one kind from one source, in ascending order.
 func EventTimes(events []fakeserver.Event, source, kind string) []time.Duration {
 	var times []time.Duration
 	for _, event := range events {
@@ -22,7 +22,7 @@
 	return times
 }
 
-// MaxInWindow returns the largest number of times within any window of a length. The times must be sorted.
+// MaxInWindow returns the largest number of times within any window of the given length. The times must be sorted.
 func MaxInWindow(times []time.Duration, window time.Duration) (largest int) {
 	first := 0
 	for i, at := range times {
@@ -34,7 +34,7 @@
 	return largest
 }
 
-// CountBetween returns the number of times from one moment, included, to another, excluded.
+// CountBetween returns the number of times in the interval from (inclusive) to (exclusive).
 func CountBetween(times []time.Duration, from, to time.Duration) (count int) {
 	for _, at := range times {
 		if at >= from && at < to {
@@ -47,15 +47,15 @@
 // requestWindow is the window of DiscoveryRequests.MaxIn100ms.
 const requestWindow = 100 * time.Millisecond
 
-// DiscoveryRequests is what the discovery service saw.
+// DiscoveryRequests counts the requests to the discovery service and what it sent.
 type DiscoveryRequests struct {
 	Requests   int `json:"calls"`
-	ListsSent  int `json:"told"`   // lists and updates, those of open watches included
-	Rejected   int `json:"turned"` // calls
-	MaxIn100ms int `json:"most"`   // calls within 100 ms
+	ListsSent  int `json:"told"`   // lists and updates, including those on open watches
+	Rejected   int `json:"turned"` // rejected requests
+	MaxIn100ms int `json:"most"`   // largest number of requests within 100 ms
 }
 
-// CountDiscoveryRequests counts the calls to the discovery service.
+// CountDiscoveryRequests counts the recorded requests to the discovery service.
 func CountDiscoveryRequests(events []fakeserver.Event) DiscoveryRequests {
 	calls := EventTimes(events, fakeserver.SourceDiscovery, fakeserver.EventRequested)
 	return DiscoveryRequests{
@@ -66,13 +66,13 @@
 	}
 }
 
-// StartStep is what discovery and the hosts saw in one step of a start.
+// StartStep counts the requests to discovery and the connection setups at hosts in one time step after a launch.
 type StartStep struct {
-	At               float64 `json:"at_s"` // begin of the step, since the launch
+	At               float64 `json:"at_s"` // start of the step, in seconds since the launch
 	Requests         int     `json:"calls"`
-	Rejected         int     `json:"turned"`  // calls
-	Setups           int     `json:"set_ups"` // at all hosts
-	MaxSetupsPerHost int     `json:"most"`
+	Rejected         int     `json:"turned"`  // rejected requests
+	Setups           int     `json:"set_ups"` // connection setups at all hosts
+	MaxSetupsPerHost int     `json:"most"`    // connection setups at the host with the most
 }
 
 const (
@@ -80,7 +80,7 @@
 	maxSteps  = 3000
 )
 
-// StartSteps counts the events since a launch step by step, to the last step that has any.
+// StartSteps counts the events after a launch by time step, up to the last step with an event or to maxSteps.
 func StartSteps(events []fakeserver.Event, launched time.Duration) []StartStep {
 	var steps []StartStep
 	setupsByHost := map[int]map[string]int{} // by step
@@ -121,7 +121,7 @@
 	return false
 }
 
-// MaxSetupBurst returns the largest number of set-ups at one host within a window, and the ID of that host.
+// MaxSetupBurst returns the largest number of connection setups at one host within a window, and the ID of that host.
 func MaxSetupBurst(events []fakeserver.Event, hosts []string, window time.Duration) (largest int, host string) {
 	for _, id := range hosts {
 		if n := MaxInWindow(EventTimes(events, id, fakeserver.EventOpened), window); n > largest {
--- a/internal/testcluster/event_counts_test.go
+++ b/internal/testcluster/event_counts_test.go
@@ -8,7 +8,7 @@
 	"onyxstream/internal/fakeserver"
 )
 
-// Each judge is given events that it must count and events that it must not.
+// Each function gets events that it must count and events that it must ignore.
 func TestEventCounts_KnownEvents_CountsMatch(t *testing.T) {
 	const ms = time.Millisecond
 	at := func(source, kind string, times ...time.Duration) (out []fakeserver.Event) {
@@ -23,22 +23,22 @@
 	events = append(events, at(fakeserver.SourceDiscovery, fakeserver.EventRequested, 0, 99*ms, 100*ms)...)
 	events = append(events, at(fakeserver.SourceDiscovery, fakeserver.EventCallRejected, 150*ms)...)
 	if n, host := MaxSetupBurst(events, []string{"h1", "h10"}, 100*ms); n != 5 || host != "h10" {
-		t.Errorf("the burst is %d at %s", n, host)
+		t.Errorf("largest burst: %d at %s, want 5 at h10", n, host)
 	}
 	if n, _ := MaxSetupBurst(events, []string{"h1"}, 100*ms); n != 2 {
-		t.Errorf("the burst at h1 is %d", n)
+		t.Errorf("largest burst at h1: %d, want 2", n)
 	}
 	if calls := CountDiscoveryRequests(events); calls != (DiscoveryRequests{Requests: 3, Rejected: 1, MaxIn100ms: 2}) {
-		t.Errorf("the calls to discovery are counted as %+v", calls)
+		t.Errorf("requests to discovery: %+v, want 3, 1 rejected, at most 2 in 100 ms", calls)
 	}
 	if n := CountBetween(EventTimes(events, "h10", fakeserver.EventOpened), 20*ms, 100*ms); n != 2 {
-		t.Errorf("%d openings between the times", n)
+		t.Errorf("%d openings from 20 ms to 100 ms, want 2", n)
 	}
 	want := []StartStep{
 		{At: 0, Requests: 2, Setups: 3, MaxSetupsPerHost: 3},
 		{At: 0.1, Rejected: 1, Setups: 1, MaxSetupsPerHost: 1},
 	}
 	if steps := StartSteps(events, 50*ms); !slices.Equal(steps, want) {
-		t.Errorf("the steps are %+v, want %+v", steps, want)
+		t.Errorf("steps: %+v, want %+v", steps, want)
 	}
 }
--- a/internal/testcluster/fault_spec.go
+++ b/internal/testcluster/fault_spec.go
@@ -8,45 +8,45 @@
 
 // FaultSpec is one fault on a timeline.
 type FaultSpec struct {
-	At       tomlfile.Duration `toml:"at"`   // from the start of the load
+	At       tomlfile.Duration `toml:"at"`   // since the start of the timeline, which is the start of the load
 	Kind     string            `toml:"what"` // see faultKinds
-	Target   string            `toml:"on"`   // "h1", "n1", "discovery", "store", "link-h1", or several as in "n3..n40"
+	Target   string            `toml:"on"`   // "h1", "n1", "discovery", "store", "link-h1", or a range such as "n3..n40"
 	Duration tomlfile.Duration `toml:"for"`  // 0 for a fault that does not end
 	Amount   float64           `toml:"by"`   // a factor, a fraction, or bytes per second
-	Period   tomlfile.Duration `toml:"over"` // of a drain, over which MOVE is sent; of a lag or delay, the delay
+	Period   tomlfile.Duration `toml:"over"` // drain: time over which MOVE is sent; lag and delay: the delay
 }
 
 // The kinds of faults, as in scenario files.
 const (
 	faultHang              = "hang"
 	faultSlow              = "slow"
-	faultSteal             = "steal"
+	faultSteal             = "steal" // a fraction of the host's CPU time is lost
 	faultDrain             = "drain"
 	faultCrash             = "die"
-	faultAdd               = "add"
+	faultAdd               = "add" // a host is added
 	faultKill              = "kill"
-	faultStop              = "stop" // graceful shutdown
-	faultStall             = "stall"
-	faultLose              = "lose" // kill, and loss of the folder
-	faultLag               = "lag"
-	faultFreeze            = "freeze"
-	faultRejectRequests    = "busy"
-	faultReset             = "reset"
-	faultMute              = "mute" // of a link: what is sent to the target is dropped
-	faultRestart           = "restart"
-	faultBlackhole         = "silence"
+	faultStop              = "stop"    // graceful shutdown
+	faultStall             = "stall"   // process: SIGSTOP; link: no bytes are forwarded
+	faultLose              = "lose"    // kill, and loss of the folder
+	faultLag               = "lag"     // discovery publishes changes late
+	faultFreeze            = "freeze"  // discovery publishes no changes
+	faultRejectRequests    = "busy"    // discovery answers with status 503
+	faultReset             = "reset"   // connections are reset
+	faultMute              = "mute"    // link: bytes to the target are dropped; discovery: sends nothing
+	faultRestart           = "restart" // of discovery
+	faultBlackhole         = "silence" // link: bytes in both directions are dropped
 	faultDelay             = "delay"
-	faultRate              = "limit"
-	faultDeaf              = "deaf" // of a link: what the target sends is dropped
+	faultRate              = "limit" // of bytes per second
+	faultDeaf              = "deaf"  // link: bytes from the target are dropped
 	faultRejectConnections = "refuse"
 )
 
-// faultParameters are the fields of a FaultSpec that a kind of fault uses.
+// faultParameters tells which optional fields of a FaultSpec a kind of fault uses.
 type faultParameters struct{ amount, period bool }
 
 var processFaults = map[string]faultParameters{faultKill: {}, faultStop: {}, faultStall: {}, faultLose: {}}
 
-// faultKinds lists the faults of each kind of target.
+// faultKinds are the faults of each kind of target.
 var faultKinds = map[targetKind]map[string]faultParameters{
 	targetHost: {
 		faultHang:  {},
@@ -100,7 +100,7 @@
 	return nil
 }
 
-// checkFault validates a fault on one target; key is the prefix of its keys.
+// checkFault validates a fault on one target; key is the prefix of the fault's keys in errors.
 func (c *Config) checkFault(key string, fault FaultSpec, t target) error {
 	parameters, known := faultKinds[t.kind][fault.Kind]
 	isProcess := t.kind == targetNode || t.kind == targetAgent
@@ -123,7 +123,7 @@
 	return nil
 }
 
-// missingLinkKey returns the key that is to be set for the links of an owner to exist; "" if they do.
+// missingLinkKey returns the key that must be set for the links of an owner to exist; "" if the links exist.
 func (c *Config) missingLinkKey(owner linkOwner) string {
 	switch {
 	case owner == linkOfHost && !c.HostLinks:
@@ -136,7 +136,7 @@
 	return ""
 }
 
-// checkHostExists checks that a host exists when a fault hits it, and counts those that are added.
+// checkHostExists checks that a host exists when its fault starts. It adds hosts that faults add to the count.
 func checkHostExists(key string, fault FaultSpec, t target, hosts *int) error {
 	switch {
 	case t.kind != targetHost:
--- a/internal/testcluster/faults.go
+++ b/internal/testcluster/faults.go
@@ -9,10 +9,10 @@
 	"onyxstream/internal/wire"
 )
 
-// stopTimeout is when a stopped process that has not ended is killed.
+// stopTimeout is how long a graceful shutdown may take before the process is killed.
 const stopTimeout = 4 * time.Second
 
-// startFaultOn starts a fault on one target and returns a function that ends it; nil where nothing does.
+// startFaultOn starts a fault on one target and returns a function that ends it; nil for a fault that can't be ended.
 func (c *Cluster) startFaultOn(fault FaultSpec, t target) (end func() error, err error) {
 	switch t.kind {
 	case targetHost:
@@ -28,7 +28,7 @@
 	case targetStore:
 		return c.startStoreFault(fault), nil
 	}
-	return nil, fmt.Errorf("%q is no kind of target", t.kind)
+	return nil, fmt.Errorf("unknown kind of target %q", t.kind)
 }
 
 func (c *Cluster) startStoreFault(fault FaultSpec) (end func() error) {
@@ -62,7 +62,7 @@
 	return c.crashHost(host), nil
 }
 
-// noError makes the end of a fault from a function that can't fail.
+// noError turns a function that can't fail into one that returns a nil error.
 func noError(f func()) func() error {
 	return func() error {
 		f()
@@ -70,7 +70,7 @@
 	}
 }
 
-// addColdHost adds a host in slow start and lists it at once.
+// addColdHost adds a host in slow start, and adds it to the endpoint list at once.
 func (c *Cluster) addColdHost() error {
 	host, err := c.addHost(true)
 	if err != nil {
@@ -81,12 +81,13 @@
 	return nil
 }
 
-// listHost changes a host's phase in the endpoint list.
+// listHost sets a host's phase in the endpoint list of discovery.
 func (c *Cluster) listHost(host *fakeserver.Host, phase wire.Phase) {
 	c.Discovery.Set(c.HostEndpoint(host, phase))
 }
 
-// drainHost drains a host and returns what cancels that; a period of 0 keeps its connections.
+// drainHost drains a host and returns a function that cancels the drain. The host sends MOVE to its connections over the
+// period; with a period of 0 it keeps them.
 func (c *Cluster) drainHost(host *fakeserver.Host, period time.Duration) (cancel func()) {
 	c.listHost(host, wire.Draining)
 	if period == 0 {
@@ -94,7 +95,7 @@
 	}
 	host.Drain(period)
 	return func() {
-		if host.State().Crashed { // it serves again when it restarts
+		if host.State().Crashed { // the restart ends the drain
 			return
 		}
 		host.CancelDrain()
@@ -102,7 +103,8 @@
 	}
 }
 
-// crashHost crashes a host and returns what restarts it. The endpoint list follows either after a delay.
+// crashHost crashes a host and returns a function that restarts it. Discovery lists the crash and the restart after
+// Config.DiscoveryDelay each.
 func (c *Cluster) crashHost(host *fakeserver.Host) (restart func() error) {
 	host.Crash()
 	c.runAfter(c.config.DiscoveryDelay.AsDuration(), func() { c.listHost(host, wire.Removed) })
@@ -164,7 +166,7 @@
 	return noError(func() { discovery.SetMode(fakeserver.ModeNormal) })
 }
 
-// discoveryModes are the modes of discovery under faults.
+// discoveryModes are the modes of the fake discovery service by kind of fault.
 var discoveryModes = map[string]fakeserver.DiscoveryMode{
 	faultRejectRequests: fakeserver.ModeUnavailable,
 	faultReset:          fakeserver.ModeReset,
--- a/internal/testcluster/helpers_test.go
+++ b/internal/testcluster/helpers_test.go
@@ -16,7 +16,7 @@
 	"onyxstream/internal/tomlfile"
 )
 
-// buildProgram builds the onyxstream program once and returns its path.
+// buildProgram builds the onyxstream program on the first call and returns its path.
 var buildProgram = sync.OnceValues(func() (string, error) {
 	dir, err := os.MkdirTemp("", "onyxstream-built")
 	if err != nil {
@@ -30,8 +30,8 @@
 	return path, err
 })
 
-// coldStartConfig returns a cluster with cold start, whose discovery serves one call in 10 ms and rejects those that wait
-// for 1 s.
+// coldStartConfig returns the configuration of a cluster with cold start. Its discovery takes 10 ms for each request and
+// rejects requests that would wait longer than 1 s.
 func coldStartConfig(nodes int) Config {
 	return Config{
 		Nodes: nodes,
@@ -51,7 +51,7 @@
 	}
 }
 
-// startConfig returns a small cluster with cold start, after a change.
+// startConfig returns the configuration of a cluster with cold start and few hosts, modified by change unless it is nil.
 func startConfig(nodes int, change func(*Config)) Config {
 	config := coldStartConfig(nodes)
 	config.Hosts = 4
@@ -62,7 +62,8 @@
 	return config
 }
 
-// coldHostConfig returns hosts in slow start that can collapse. One does 15 set-ups a second when cold, 50 when warm.
+// coldHostConfig returns the configuration of hosts in slow start that can collapse. A host has a capacity of 15
+// connection setups per second at the start of its slow start, and of 50 afterwards.
 func coldHostConfig() HostConfig {
 	return HostConfig{
 		Cores:             1,
@@ -76,8 +77,8 @@
 	}
 }
 
-// prepare prepares a cluster with one class and tenant, and closes it after the test. ONYXSTREAM_LOG names a file for the
-// logs of its processes.
+// prepare prepares a cluster with one class and one tenant, and closes it after the test. ONYXSTREAM_LOG is the path of
+// a file for the logs of its processes.
 func prepare(t *testing.T, config Config) *Cluster {
 	t.Helper()
 	program, err := buildProgram()
@@ -106,7 +107,7 @@
 	return cluster
 }
 
-// launch starts the processes.
+// launch starts the processes of a cluster.
 func launch(t *testing.T, cluster *Cluster) {
 	t.Helper()
 	if err := cluster.Launch(); err != nil {
@@ -114,7 +115,7 @@
 	}
 }
 
-// startFault starts a fault and returns what ends it.
+// startFault starts a fault and returns a function that ends it.
 func startFault(t *testing.T, cluster *Cluster, fault FaultSpec) (end func()) {
 	t.Helper()
 	endFault, err := cluster.StartFault(fault)
@@ -129,7 +130,7 @@
 	}
 }
 
-// recoverDiscoveryAfter has discovery answer normally after a delay.
+// recoverDiscoveryAfter makes discovery answer normally after a delay.
 func recoverDiscoveryAfter(cluster *Cluster, delay time.Duration) {
 	go func() {
 		time.Sleep(delay)
@@ -137,7 +138,7 @@
 	}()
 }
 
-// status returns a node's status; it is empty while the node is not running.
+// status returns a node's status; it is empty if the status request fails.
 func (c *Cluster) status(t *testing.T, node int) control.Status {
 	t.Helper()
 	client, err := control.Dial("unix:"+c.ControlSocket(node), nil)
@@ -149,7 +150,7 @@
 	return status
 }
 
-// command runs a command of the program with the first agent and returns its output.
+// command runs a command of the program against the first agent and returns its output.
 func (c *Cluster) command(t *testing.T, args ...string) string {
 	t.Helper()
 	args = append(args, "--agent", c.AgentSocket(0))
@@ -175,7 +176,8 @@
 	return all
 }
 
-// expectAllServed runs admission probes against all nodes. All must be served, and be rejected only with Retry-After.
+// expectAllServed runs admission probes against all nodes. All clients must be served, and rejections must have a
+// Retry-After.
 func expectAllServed(t *testing.T, cluster *Cluster, nodes, clients int) []AdmissionProbe {
 	t.Helper()
 	all := probeAllNodes(t.Context(), cluster, nodes, clients, 200*time.Millisecond, 40*time.Second)
@@ -185,15 +187,15 @@
 	for _, probe := range all {
 		switch {
 		case probe.ServedAt == 0:
-			t.Errorf("a client of n%d is never served: %+v", probe.Node+1, probe)
+			t.Errorf("client of n%d was never served: %+v", probe.Node+1, probe)
 		case probe.WithoutRetryAfter > 0:
-			t.Errorf("a client of n%d was rejected without Retry-After: %+v", probe.Node+1, probe)
+			t.Errorf("client of n%d was rejected without Retry-After: %+v", probe.Node+1, probe)
 		}
 	}
 	return all
 }
 
-// discoveryRequests returns the number of calls to discovery so far, and of connections by node.
+// discoveryRequests returns the number of requests to discovery so far, and the number of connections to it by node.
 func discoveryRequests(cluster *Cluster) (n int, dialsByNode map[string]int) {
 	events, _ := cluster.EventLog.Events()
 	dialsByNode = map[string]int{}
@@ -205,7 +207,7 @@
 	return CountDiscoveryRequests(events).Requests, dialsByNode
 }
 
-// setupsByHost returns how many openings each host received from a time on.
+// setupsByHost returns how many opening lines each host has received since a time.
 func setupsByHost(cluster *Cluster, from time.Duration) map[string]int {
 	events, _ := cluster.EventLog.Events()
 	setups := map[string]int{}
@@ -217,7 +219,7 @@
 	return setups
 }
 
-// expectCachedLists waits until nodes have cached their lists.
+// expectCachedLists waits until the nodes have cached their endpoint lists.
 func expectCachedLists(t *testing.T, cluster *Cluster, nodes ...int) {
 	t.Helper()
 	for _, node := range nodes {
@@ -228,12 +230,12 @@
 	}
 }
 
-// waitUntil waits for a condition for at most 30 s.
+// waitUntil waits until a condition holds, and fails the test after 30 s.
 func waitUntil(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	for begin := time.Now(); !condition(); time.Sleep(20 * time.Millisecond) {
 		if time.Since(begin) > 30*time.Second {
-			t.Fatalf("never: %s", what)
+			t.Fatalf("timed out waiting for: %s", what)
 		}
 	}
 }
--- a/internal/testcluster/hosts.go
+++ b/internal/testcluster/hosts.go
@@ -11,8 +11,8 @@
 
 const anyLoopbackPort = "127.0.0.1:0"
 
-// ErrNoNode reports that the frontend balancer has no healthy node.
-var ErrNoNode = errors.New("the front knows no node that serves")
+// ErrNoNode reports that the front, the load balancer before the nodes, has no healthy node.
+var ErrNoNode = errors.New("no healthy node")
 
 // Hosts returns the hosts in the order in which they were added.
 func (c *Cluster) Hosts() []*fakeserver.Host {
@@ -21,7 +21,7 @@
 	return slices.Clone(c.hosts)
 }
 
-// addHost starts a host, and its link if the cluster has them.
+// addHost starts a host, and its link if the cluster has host links.
 func (c *Cluster) addHost(cold bool) (*fakeserver.Host, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -52,7 +52,7 @@
 	return host, nil
 }
 
-// HostEndpoint returns a host's entry in the endpoint list, with the address of its link if it has one.
+// HostEndpoint returns a host's endpoint with the given phase. Its address is that of the host's link if there is one.
 func (c *Cluster) HostEndpoint(host *fakeserver.Host, phase wire.Phase) wire.Endpoint {
 	endpoint := host.Endpoint(phase)
 	c.mu.Lock()
@@ -65,8 +65,8 @@
 	return endpoint
 }
 
-// ClientAddress returns where the next client of a zone connects: a node that the frontend balancer picks, or a host
-// if direct is set or the cluster has no nodes. It fails with ErrNoNode.
+// ClientAddress returns the address for the next client of a zone: a node that the front picks, or a host if direct is
+// set or the cluster has no nodes. It returns ErrNoNode if the front has no healthy node.
 func (c *Cluster) ClientAddress(zone string, direct bool) (string, error) {
 	if direct || c.config.Nodes == 0 {
 		hosts := c.Hosts()
@@ -82,10 +82,10 @@
 	return node.Addr, nil
 }
 
-// Listener is the address of one part of a cluster.
+// Listener is the listen address of the discovery service, a host or a node.
 type Listener struct{ Kind, Name, Addr string }
 
-// Listeners returns the addresses of the discovery service, the hosts and the nodes.
+// Listeners returns the listen addresses of the discovery service, the hosts and the nodes.
 func (c *Cluster) Listeners() []Listener {
 	listeners := []Listener{{Kind: "discovery", Name: "discovery", Addr: c.Discovery.Addr()}}
 	for _, host := range c.Hosts() {
--- a/internal/testcluster/node_settings.go
+++ b/internal/testcluster/node_settings.go
@@ -12,22 +12,22 @@
 	"onyxstream/internal/wire"
 )
 
-// defaultIdempotencyWindow is how long repeats of a keyed class are dropped if its configuration does not say.
+// defaultIdempotencyWindow is how long repeats are dropped in a class that is idempotent by key and sets no window.
 const defaultIdempotencyWindow = 5 * time.Second
 
-// The figures of the settings that all clusters share.
+// Settings that are the same in all clusters.
 const (
-	objectiveDivisor           = 4 // the latency objective is this fraction of the deadline
+	objectiveDivisor           = 4 // the latency objective is the deadline divided by this
 	messageObjectiveMS         = 1000
 	connectTimeoutMS           = 250
 	maxAttempts                = 5
 	maxRetryAfterMS            = 2000
 	answerSlackMS              = 16
 	stopSendingWithinMS        = 400
-	nodeSeedStep        uint64 = 0x9e3779b97f4a7c15 // spreads the nodes' seeds over all bits
+	nodeSeedStep        uint64 = 0x9e3779b97f4a7c15 // multiplied by the node's index, so that seeds differ in all bits
 )
 
-// platformConfig is the configuration that the platform would give a node, in its JSON form.
+// platformConfig is the JSON configuration that a node gets from the platform, the environment that starts it.
 type platformConfig struct {
 	Name      string            `json:"name"`
 	Listen    string            `json:"listen"`
@@ -100,10 +100,10 @@
 	SlowStartDuration float64 `json:"warmWithin"`
 }
 
-// milliseconds returns a duration in whole milliseconds.
+// milliseconds returns a duration as a whole number of milliseconds.
 func milliseconds(d time.Duration) float64 { return float64(d.Milliseconds()) }
 
-// settings returns the settings of the node with an index.
+// settings returns the settings of the node with the index.
 func (c *Cluster) settings(index int) nodeSettings {
 	registryMode := "ask"
 	if c.config.Discovery.Push {
@@ -177,7 +177,7 @@
 	}
 }
 
-// SetKnownEndpoints sets the endpoint list that all nodes know at their next start.
+// SetKnownEndpoints sets the endpoint list with which all nodes start the next time.
 func (c *Cluster) SetKnownEndpoints(revision int64, known ...wire.Endpoint) error {
 	for i := range c.nodes {
 		if err := c.SetKnownEndpointsOf(i, revision, known...); err != nil {
@@ -187,12 +187,12 @@
 	return nil
 }
 
-// SetKnownEndpointsOf sets the endpoint list that one node knows at its next start.
+// SetKnownEndpointsOf sets the endpoint list with which one node starts the next time.
 func (c *Cluster) SetKnownEndpointsOf(node int, revision int64, known ...wire.Endpoint) error {
 	return c.writePlatformConfig(node, wire.EndpointList{Revision: revision, Complete: true, Endpoints: known})
 }
 
-// writePlatformConfig writes the platform's configuration of the node with an index.
+// writePlatformConfig writes the platform's configuration of the node with the index.
 func (c *Cluster) writePlatformConfig(index int, known wire.EndpointList) error {
 	p := c.nodes[index]
 	discovery := c.Discovery.Addr()
@@ -221,7 +221,7 @@
 	return os.WriteFile(p.config, text, privateFile)
 }
 
-// SwitchDiscovery sets another address of the discovery service in a node's configuration and reloads it.
+// SwitchDiscovery replaces the address of the discovery service in a node's configuration and makes the node reload it.
 func (c *Cluster) SwitchDiscovery(node int, addr string) error {
 	p := c.nodes[node]
 	text, err := os.ReadFile(p.config)
@@ -245,5 +245,5 @@
 	return nil
 }
 
-// Reload has a node read its configuration again.
+// Reload makes a node reload its configuration.
 func (c *Cluster) Reload(node int) { c.nodes[node].signal(syscall.SIGHUP) }
--- a/internal/testcluster/nodes.go
+++ b/internal/testcluster/nodes.go
@@ -16,12 +16,12 @@
 	privateFolder = 0o700
 	nodeCommand   = "node"
 	agentCommand  = "agent"
-	serviceName   = "rig" // of the cold start configuration
-	// listReaderName is the holder of the certificate under which nodes read each other's endpoint lists.
+	serviceName   = "rig" // in the cold start configuration
+	// listReaderName is the subject of the certificate with which nodes read each other's endpoint lists.
 	listReaderName = "looker"
 )
 
-// newNode makes a node's process, its link to discovery and its files.
+// newNode creates a node's process, its link to discovery and its files.
 func (c *Cluster) newNode(index int) error {
 	p := &process{
 		name:    fmt.Sprint("n", index+1),
@@ -66,8 +66,8 @@
 	return c.writeNodeConfig(p, "")
 }
 
-// freeNodeAddress returns an address for a node. Its IP address is unique among the nodes of this machine, so that
-// neither another cluster nor an outgoing connection takes the port while the node restarts.
+// freeNodeAddress returns an address for a node. Each node of this machine has its own IP address, so that neither
+// another cluster nor an outgoing connection takes the port while the node restarts.
 func (c *Cluster) freeNodeAddress(index int) (string, error) {
 	const (
 		firstNetwork     = 64 // 127.64.0.0 to 127.127.0.0
@@ -82,7 +82,7 @@
 	return freeAddress(fmt.Sprintf("127.%d.%d.%d", network, subnet, index%nodesPerSubnet+1))
 }
 
-// freeAddress returns an address with a free port of an IP address.
+// freeAddress returns an IP address with a free port.
 func freeAddress(ip string) (string, error) {
 	listener, err := net.Listen("tcp", ip+":0")
 	if err != nil {
@@ -92,23 +92,24 @@
 	return listener.Addr().String(), nil
 }
 
-// processConfigPath is the path of a process's own configuration, beside the platform's.
+// processConfigPath returns the path of a process's configuration file, which it reads besides the platform's.
 func (c *Cluster) processConfigPath(p *process) string { return filepath.Join(c.dir, p.name+".toml") }
 
-// controlSocketPath is the path of the control socket of a node or agent.
+// controlSocketPath returns the path of the control socket of a node or agent.
 func (c *Cluster) controlSocketPath(name string) string { return filepath.Join(c.dir, name+".s") }
 
-// keyFolder is the folder of the cluster's certificate authority.
+// keyFolder returns the folder of the cluster's certificate authority.
 func (c *Cluster) keyFolder() string { return filepath.Join(c.dir, "keys") }
 
-// keyFileFields returns the fields of a TOML table that name the files of a certificate's holder.
+// keyFileFields returns the fields of a TOML table that name the certificate, the key and the authority's files of a
+// certificate holder.
 func (c *Cluster) keyFileFields(holder string) string {
 	path := func(name string) string { return filepath.Join(c.keyFolder(), name) }
 	return fmt.Sprintf("cert = %q\nkey = %q\nauthority = %q\nrevoked = %q\n",
 		path(holder+".crt"), path(holder+".key"), path("authority.crt"), path("revoked"))
 }
 
-// writeNodeConfig writes a node's own configuration; peers is the TOML text of its peer tables.
+// writeNodeConfig writes a node's configuration file; peers is the TOML text of its peer tables.
 func (c *Cluster) writeNodeConfig(p *process, peers string) error {
 	text := fmt.Sprintf("[control]\nsocket = %q\n", c.controlSocketPath(p.name))
 	if p.control != "" {
@@ -127,10 +128,10 @@
 	return os.WriteFile(c.processConfigPath(p), []byte(text), privateFile)
 }
 
-// configurePeers sets a node's peers: the nodes at square steps around a ring, so that gossip reaches all nodes in few
-// hops. They are the same in each run.
+// configurePeers sets a node's peers. The nodes form a ring, and the distances to the peers grow with the square of the
+// peer's number, so that gossip reaches all nodes in few hops. The peers are the same in each run.
 func (c *Cluster) configurePeers(index int) error {
-	const stepFactor = 7919 // a prime, so that the steps spread over rings of any size
+	const stepFactor = 7919 // a prime, so that the distances spread over rings of any size
 	count := len(c.nodes)
 	peers := ""
 	chosen := map[int]bool{index: true}
@@ -149,8 +150,8 @@
 	return c.writeNodeConfig(c.nodes[index], peers)
 }
 
-// newControlLink makes the link from a process to a node's control listener and returns its address. Agents use the
-// Unix socket even where nodes use TLS.
+// newControlLink creates the link from a process to a node's control listener and returns its address. Agents use the
+// Unix socket even if peers connect over TLS.
 func (c *Cluster) newControlLink(from, to *process) (addr string, err error) {
 	name := from.name + ">" + to.name
 	listen := "unix:" + filepath.Join(c.dir, from.name+"-"+to.name+".l")
@@ -166,7 +167,7 @@
 	return link.Addr(), nil
 }
 
-// newAgent makes an agent's process and its files, with all nodes in its inventory.
+// newAgent creates an agent's process and its files, with all nodes in its inventory.
 func (c *Cluster) newAgent(index int) error {
 	name := fmt.Sprint("a", index+1)
 	p := &process{
@@ -200,7 +201,7 @@
 // AgentSocket returns the path of an agent's control socket.
 func (c *Cluster) AgentSocket(agent int) string { return c.agents[agent].addr }
 
-// ControlSocket returns the path of a node's control socket, which no link is in front of.
+// ControlSocket returns the path of a node's control socket, which is reached without a link.
 func (c *Cluster) ControlSocket(node int) string { return c.controlSocketPath(c.nodes[node].name) }
 
 // NodeConfig returns the path of a node's configuration from the platform.
@@ -209,5 +210,5 @@
 // NodeAddress returns the address at which a node accepts clients, whether it is healthy or not.
 func (c *Cluster) NodeAddress(node int) string { return c.nodes[node].addr }
 
-// CacheFolder returns the folder of a node that outlasts its restarts; "" for none.
+// CacheFolder returns the folder in which a node caches the endpoint list over restarts; "" for none.
 func (c *Cluster) CacheFolder(node int) string { return c.nodes[node].folder }
--- a/internal/testcluster/process.go
+++ b/internal/testcluster/process.go
@@ -10,24 +10,24 @@
 	"time"
 )
 
-// processKillTimeout is how long a killed process may take to end.
+// processKillTimeout is how long kill waits before it sends SIGKILL a second time.
 const processKillTimeout = 10 * time.Second
 
-// process is a node or an agent over all its starts. Its methods are safe for concurrent use.
+// process is a node or an agent, through all of its starts. Its methods are safe for concurrent use.
 type process struct {
 	name, zone, addr string
 	config           string // path of the platform's configuration; "" for an agent
 	program          string
 	args             []string // the command and its flags
-	env              []string // in addition to the configuration
+	env              []string // in addition to PROXY_CONFIG
 	control          string   // TLS address of the control listener; "" for none
-	folder           string   // files that outlast a restart; "" for none
+	folder           string   // for files that outlast a restart; "" for none
 	log              io.Writer
-	starter          func(name string, cmd *exec.Cmd) error // replaces cmd.Start; may be nil
+	starter          func(name string, cmd *exec.Cmd) error // called instead of cmd.Start; may be nil
 
 	mu            sync.Mutex
 	cmd           *exec.Cmd
-	done          chan struct{} // closed when cmd has ended
+	done          chan struct{} // closed when cmd has exited
 	stopRequested bool
 	exitErr       error
 	pastUsage     Usage // of earlier starts
@@ -40,7 +40,7 @@
 	cmd := exec.Command(p.program, p.args...)
 	cmd.Env = append(append(os.Environ(), "PROXY_CONFIG="+p.config), p.env...)
 	cmd.Stdout, cmd.Stderr = p.log, p.log
-	// The process must not outlive this one, however that ends.
+	// The kernel kills the process when this one ends for any reason.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := p.startCommand(cmd); err != nil {
 		return fmt.Errorf("%s %s: %w", p.args[0], p.name, err)
@@ -58,7 +58,7 @@
 	return cmd.Start()
 }
 
-// wait waits until a started command ends and adds up its usage.
+// wait waits until a started command exits, and adds its usage to that of earlier starts.
 func (p *process) wait(cmd *exec.Cmd, done chan struct{}) {
 	err := cmd.Wait()
 	p.mu.Lock()
@@ -70,7 +70,7 @@
 		}
 	}
 	if !p.stopRequested {
-		p.exitErr = fmt.Errorf("%s %s ended by itself: %v", p.args[0], p.name, err)
+		p.exitErr = fmt.Errorf("%s %s exited unexpectedly: %v", p.args[0], p.name, err)
 	}
 	close(done)
 }
@@ -88,7 +88,7 @@
 	_ = p.cmd.Process.Signal(signal)
 }
 
-// stop sends a signal and waits for the end of the process, which it kills after the timeout.
+// stop sends a signal and waits until the process has exited. After the timeout it kills the process.
 func (p *process) stop(signal syscall.Signal, timeout time.Duration) {
 	p.signal(signal)
 	p.mu.Lock()
@@ -105,7 +105,7 @@
 	}
 }
 
-// kill kills the process and waits for its end.
+// kill kills the process and waits until it has exited.
 func (p *process) kill() { p.stop(syscall.SIGKILL, processKillTimeout) }
 
 // clearFolder empties the folder of a process that is not running.
@@ -119,14 +119,14 @@
 	return os.Mkdir(p.folder, privateFolder)
 }
 
-// unexpectedExit returns an error if the process ended without being stopped.
+// unexpectedExit returns an error if the process exited without being stopped.
 func (p *process) unexpectedExit() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.exitErr
 }
 
-// usage returns the resources that all starts have used.
+// usage returns the resources that the process has used in all of its starts.
 func (p *process) usage() Usage {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/testcluster/request_outcomes.go
+++ b/internal/testcluster/request_outcomes.go
@@ -8,21 +8,21 @@
 	"onyxstream/internal/fakeserver"
 )
 
-// RequestOutcomes is what became of the requests that clients wrote completely to nodes, judged by the events of
-// clients and hosts alone.
+// RequestOutcomes counts the outcomes of the requests that clients sent completely to nodes, as the events of clients
+// and hosts show them.
 type RequestOutcomes struct {
 	Requests int `json:"asked"`
 	Served   int `json:"served"`
 	Rejected int `json:"refused"`
 	Failed   int `json:"failed"`
-	// Violations describes each request that did not get exactly one complete answer in time.
+	// Violations describes each request that did not get exactly one complete final answer in time.
 	Violations []string `json:"wrong"`
 }
 
-// answerGrace is how long after its timeout a request may still be answered.
+// answerGrace is how long after the timeout of a request its final answer may arrive.
 const answerGrace = 500 * time.Millisecond
 
-// requestEvents is what a client recorded of one request.
+// requestEvents are the events that a client recorded for one request.
 type requestEvents struct {
 	id                 string
 	sentAt, answeredAt time.Duration
@@ -31,21 +31,22 @@
 	resetByNode        bool
 }
 
-// requestLog is the events of a run by request.
+// requestLog holds the events of a run by request.
 type requestLog struct {
 	requests map[string]*requestEvents // by ID
 	order    []string                  // IDs in the order sent
 	receipts map[receiptKey]bool
 }
 
-// receiptKey is a receipt that a host gave for a request.
+// receiptKey identifies a receipt that a host issued for a request.
 type receiptKey struct{ id, receipt string }
 
-// CheckRequests checks that every request got one complete answer in time, and that an established one has a host's
-// receipt. If resetIsViolation is set, an established connection that its node ended without MOVE is a violation.
+// CheckRequests checks that every request got one complete final answer in time, and that the answer to an established
+// request holds a receipt that a host issued. If resetIsViolation is set, an established connection that its node ended
+// without MOVE is a violation.
 //
-// The events of a client carry the ID of its request: EventRequested with the timeout as the detail, EventReceived with
-// each complete line, and at the end one of EventDisconnected, EventMigrated and EventReset.
+// A client's events have the ID of its request: EventRequested with the timeout as the detail, EventReceived with each
+// complete line, and at the end one of EventDisconnected, EventMigrated and EventReset.
 func CheckRequests(events []fakeserver.Event, resetIsViolation bool) RequestOutcomes {
 	log := groupByRequest(events)
 	outcomes := RequestOutcomes{Requests: len(log.order)}
@@ -78,7 +79,7 @@
 	return log
 }
 
-// add takes a client's event after the request was sent.
+// add adds an event that the client recorded after it sent the request.
 func (r *requestEvents) add(event fakeserver.Event) {
 	switch event.Kind {
 	case fakeserver.EventReceived:
@@ -91,7 +92,7 @@
 	}
 }
 
-// check adds the outcome of one request.
+// check counts one request by its final answer, and adds its violations.
 func (o *RequestOutcomes) check(request *requestEvents, receipts map[receiptKey]bool, resetIsViolation bool) {
 	if len(request.answers) == 0 {
 		o.addViolation(request, "no whole answer")
@@ -111,7 +112,7 @@
 		if resetIsViolation && request.resetByNode {
 			o.addViolation(request, "cut off while it stood")
 		}
-		return // further lines are the connection's
+		return // further lines belong to the established connection
 	case "BUSY":
 		o.Rejected++
 	default:
--- a/internal/testcluster/request_outcomes_test.go
+++ b/internal/testcluster/request_outcomes_test.go
@@ -7,7 +7,7 @@
 	"onyxstream/internal/fakeserver"
 )
 
-// Each kind of violation is distinguished from valid outcomes.
+// Each kind of violation is told apart from the valid outcomes.
 func TestCheckRequests_EachOutcome_Classified(t *testing.T) {
 	const ms = time.Millisecond
 	var events []fakeserver.Event
@@ -32,9 +32,9 @@
 	add(1000*ms+answerGrace+ms, "c-n1", fakeserver.EventReceived, "late", "BUSY")
 	got := CheckRequests(events, true)
 	if got.Requests != 8 || got.Served != 4 || got.Rejected != 3 || len(got.Violations) != 5 {
-		t.Errorf("judged as %+v", got)
+		t.Errorf("in proxy mode: outcomes %+v", got)
 	}
 	if got := CheckRequests(events, false); len(got.Violations) != 4 {
-		t.Errorf("in pass mode, judged as %+v", got)
+		t.Errorf("in pass-through mode: outcomes %+v", got)
 	}
 }
--- a/internal/testcluster/rolling_client.go
+++ b/internal/testcluster/rolling_client.go
@@ -17,25 +17,25 @@
 )
 
 const (
-	// clientPrefix begins the source of a client's events.
+	// clientPrefix is the prefix of the source of a client's events.
 	clientPrefix    = "c-"
 	maxConnectedFor = 2 * time.Second
 )
 
-// clientTimeouts are the timeouts that clients draw from: some shorter than the hang of a host, some longer than the
-// graceful shutdown of a node.
+// clientTimeouts are the possible timeouts of a client's request. Some are shorter than the hang of a host, others are
+// longer than the graceful shutdown of a node.
 var clientTimeouts = [...]time.Duration{700 * time.Millisecond, 1500 * time.Millisecond, 3 * time.Second, 5 * time.Second}
 
 // rollingClient is one client of a rolling restart.
 type rollingClient struct {
 	id           string
 	timeout      time.Duration // of its request
-	connectedFor time.Duration // once established
+	connectedFor time.Duration // how long it keeps an established connection
 	splitOpening bool          // the opening line is sent in two parts
-	retry        bool          // the opening is marked as a retry
+	retry        bool          // the opening line is marked as a retry
 }
 
-// drawClient draws a client.
+// drawClient returns a client with random properties.
 func drawClient(rng *rand.Rand) rollingClient {
 	var client rollingClient
 	client.timeout = clientTimeouts[rng.IntN(len(clientTimeouts))]
@@ -46,8 +46,8 @@
 	return client
 }
 
-// runRollingClient sends a client's request to a node and records each complete line until the connection ends. A
-// request that could not be written completely is not recorded.
+// runRollingClient sends a client's request to a node and records each complete line that it receives until the
+// connection ends. A request that could not be sent completely is not recorded.
 func (c *Cluster) runRollingClient(ctx context.Context, node int, client rollingClient) {
 	connection, err := (&net.Dialer{Timeout: dialTimeout}).DialContext(ctx, "tcp", c.nodes[node].addr)
 	if err != nil {
@@ -64,7 +64,7 @@
 	client.readAnswers(connection, record)
 }
 
-// writeOpening writes the opening line; false if it was not written completely.
+// writeOpening sends the opening line and reports whether it was sent completely.
 func (c *Cluster) writeOpening(ctx context.Context, connection net.Conn, client rollingClient) bool {
 	line := fmt.Sprintf("OPEN %s key%s c=%s,t=%s,d=%d",
 		client.id, client.id, c.options.Classes[0].Name, c.options.Tenants[0], client.timeout.Milliseconds())
@@ -86,8 +86,8 @@
 	return err == nil
 }
 
-// readAnswers records each complete line, and how the connection ends: by MOVE, by the client after its time, or else
-// by the node.
+// readAnswers records each complete line, and how the connection ends: by MOVE, by the client when its time is up, or by
+// the node.
 func (client rollingClient) readAnswers(connection net.Conn, record func(kind, detail string)) {
 	reader := bufio.NewReader(connection)
 	_ = connection.SetReadDeadline(time.Now().Add(client.timeout + 2*answerGrace))
--- a/internal/testcluster/rolling_restart.go
+++ b/internal/testcluster/rolling_restart.go
@@ -14,25 +14,27 @@
 	"onyxstream/internal/tomlfile"
 )
 
-// RollingRestart is a rolling restart under load, drawn from its seed: all nodes are stopped, a tenth at a time, and
-// started again, while hosts hang and are replaced.
+// RollingRestart describes a rolling restart under load: all nodes are stopped and started again, a tenth of them at a
+// time, while hosts hang and are replaced. Order, faults and clients are drawn from the seed.
 type RollingRestart struct {
 	Seed   uint64
 	Length time.Duration // of the load
 	Rate   float64       // new clients per second, over all nodes
-	Kill   bool          // nodes are killed without a graceful shutdown, so that requests are lost
+	Kill   bool          // nodes are killed instead of stopped gracefully, so that requests are lost
 }
 
 const (
-	// pickableAfterStop is how long clients still go to a stopped node: the longest such time that the platform names.
+	// pickableAfterStop is how long clients still connect to a node that is stopping: the longest time that the platform's
+	// front takes to notice.
 	pickableAfterStop = 400 * time.Millisecond
-	// nodeKillTimeout is when a stopped node is killed: the longest deadline, 3 s at most, and 0.7 s.
+	// nodeKillTimeout is how long a graceful shutdown may take before the node is killed: the longest deadline, capped at
+	// 3 s, plus 0.7 s.
 	nodeKillTimeout = 3700 * time.Millisecond
 	// restartPollInterval is the pause between health checks of a restarted node.
 	restartPollInterval = 20 * time.Millisecond
 	pingTimeout         = time.Second
 	rollingStream       = 0x726f6c6c
-	// batchDivisor sets how many nodes restart at a time.
+	// batchDivisor sets how many nodes restart at a time: the number of all nodes divided by it.
 	batchDivisor = 10
 )
 
@@ -48,7 +50,7 @@
 	p.excluded[node] = excluded
 }
 
-// pick returns the first node from a start index on, around all nodes, that is not excluded.
+// pick returns the first node that is not excluded, in the order of the indexes from start on, with wraparound.
 func (p *nodePicker) pick(start, nodes int) (node int, ok bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -91,8 +93,8 @@
 	return time.Duration(rng.ExpFloat64() / rate * float64(time.Second))
 }
 
-// restartInBatches restarts the nodes in an order, batch by batch, over two thirds of the load. It cancels the run
-// when a node can't be restarted.
+// restartInBatches restarts the nodes batch by batch in the given order, over two thirds of the duration of the load. It
+// cancels the run if a node can't be restarted.
 func (c *Cluster) restartInBatches(
 	ctx context.Context, cancel context.CancelCauseFunc, wg *sync.WaitGroup,
 	picker *nodePicker, order []int, plan RollingRestart,
@@ -111,7 +113,7 @@
 	}
 }
 
-// drawHostFaults draws the faults of hosts: a third of them hang, and half of the hosts are drained and replaced.
+// drawHostFaults draws the faults of hosts: a third of the hosts hang, and another half are drained and replaced.
 func (c *Cluster) drawHostFaults(rng *rand.Rand, length time.Duration) (faults []FaultSpec) {
 	hosts := len(c.Hosts())
 	order := rng.Perm(hosts)
@@ -138,7 +140,7 @@
 	return faults
 }
 
-// restartNode stops a node, as the platform does, or kills it, and starts it again.
+// restartNode stops a node with SIGTERM, as the platform does, or kills it, and then starts it again.
 func (c *Cluster) restartNode(ctx context.Context, picker *nodePicker, node int, kill bool) error {
 	p := c.nodes[node]
 	c.recordFault(p.name, faultStop)
@@ -158,7 +160,7 @@
 	defer cancel()
 	for fakeserver.Ping(ctx, p.addr, pingTimeout) != nil {
 		if !ctxtime.Sleep(ctx, restartPollInterval) {
-			return fmt.Errorf("%s does not come back: %w", p.name, ctx.Err())
+			return fmt.Errorf("wait for restarted node %s: %w", p.name, ctx.Err())
 		}
 	}
 	picker.setExcluded(node, false)
--- a/internal/testcluster/rolling_restart_test.go
+++ b/internal/testcluster/rolling_restart_test.go
@@ -9,7 +9,7 @@
 	"onyxstream/internal/tomlfile"
 )
 
-// runRollingRestart runs a rolling restart and judges its requests.
+// runRollingRestart runs a rolling restart on a new cluster and checks its requests.
 func runRollingRestart(t *testing.T, nodes int, mode string, plan RollingRestart) RequestOutcomes {
 	t.Helper()
 	config := coldStartConfig(nodes)
@@ -17,7 +17,7 @@
 	config.Discovery.StartsUnknown = false
 	config.Mode = mode
 	config.Hosts = 12
-	config.TenantQuota = float64(nodes) // so that a node has too few connections to judge hosts by, as in a large cluster
+	config.TenantQuota = float64(nodes) // as in a large cluster, a node has too few connections to find outliers by
 	config.Discovery.CallDuration = tomlfile.Duration(time.Millisecond)
 	config.Discovery.PollInterval = tomlfile.Duration(3 * time.Second)
 	cluster := prepare(t, config)
@@ -38,8 +38,9 @@
 	return outcomes
 }
 
-// During a rolling restart in which hosts hang and are replaced, every request that was written completely to a node gets
-// one complete answer in time. ONYXSTREAM_ROLLING sets the number of nodes, as 350, and ONYXSTREAM_SEED the first seed.
+// During a rolling restart in which hosts hang and are replaced, every request that was sent completely to a node gets
+// one complete final answer in time. ONYXSTREAM_ROLLING sets the number of nodes, for example 350, and ONYXSTREAM_SEED
+// the first seed.
 func TestRollingRestart_HostsHang_NoRequestLost(t *testing.T) {
 	nodes, rate := 24, 120.0
 	if n, _ := strconv.Atoi(os.Getenv("ONYXSTREAM_ROLLING")); n > 0 {
@@ -52,7 +53,7 @@
 			seed := first + uint64(i)
 			got := runRollingRestart(t, nodes, mode, RollingRestart{Seed: seed, Length: 8 * time.Second, Rate: rate})
 			if got.Served < got.Requests/2 {
-				t.Errorf("seed %d: %d of %d are served", seed, got.Served, got.Requests)
+				t.Errorf("seed %d: %d of %d requests served, want at least half", seed, got.Served, got.Requests)
 			}
 			for _, violation := range got.Violations {
 				t.Errorf("seed %d: %s", seed, violation)
@@ -61,10 +62,10 @@
 	}
 }
 
-// Nodes that are killed lose requests, which the judge must report.
+// Nodes that are killed lose requests, and CheckRequests must report that.
 func TestRollingRestart_NodesKilled_LossesReported(t *testing.T) {
 	plan := RollingRestart{Seed: 1, Length: 4 * time.Second, Rate: 200, Kill: true}
 	if got := runRollingRestart(t, 10, modePassThrough, plan); len(got.Violations) == 0 {
-		t.Error("no violation is reported")
+		t.Error("no violation reported for killed nodes")
 	}
 }
--- a/internal/testcluster/target.go
+++ b/internal/testcluster/target.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// targetKind is what a fault can hit.
+// targetKind is a kind of target of faults.
 type targetKind string
 
 // The kinds of targets.
@@ -18,7 +18,7 @@
 	targetStore     targetKind = "store"
 )
 
-// linkOwner is what a link leads to or comes from.
+// linkOwner tells which links a link target names.
 type linkOwner uint8
 
 // The owners of links.
@@ -30,11 +30,11 @@
 	linkOfPeers           // between a node and its peers, in both directions
 )
 
-// target is one thing that a fault hits.
+// target is one target of a fault.
 type target struct {
 	name   string
 	kind   targetKind
-	linkOf linkOwner // of a link
+	linkOf linkOwner // notALink unless the kind is targetLink
 	index  int       // of the host, node or agent
 }
 
@@ -67,7 +67,7 @@
 		"peers-n1 and so on, \"discovery\" nor \"store\"", name, c.Hosts, c.Nodes)
 }
 
-// parseNumbered returns the number in a name that is a prefix and a decimal number without leading zeros.
+// parseNumbered returns the number in a name that consists of a prefix and a decimal number without leading zeros.
 func parseNumbered(name, prefix string) (number int, ok bool) {
 	rest, ok := strings.CutPrefix(name, prefix)
 	if !ok {
@@ -79,7 +79,7 @@
 	return number, name == fmt.Sprint(prefix, number)
 }
 
-// parseTargets parses the name of a target, or a range as in "n3..n40", which a fault hits at once.
+// parseTargets parses the name of a target, or a range of targets such as "n3..n40".
 func (c *Config) parseTargets(name string) (targets []target, err error) {
 	firstName, lastName, isRange := strings.Cut(name, "..")
 	first, err := c.parseTarget(firstName)
@@ -95,7 +95,7 @@
 		return nil, err
 	}
 	if last.index < first.index || string(first.kind) == first.name {
-		return nil, fmt.Errorf("%q are not several", name)
+		return nil, fmt.Errorf("invalid range %q", name)
 	}
 	for i := first.index; i <= last.index; i++ {
 		targets = append(targets, target{name: fmt.Sprint(prefix, i+1), kind: first.kind, linkOf: first.linkOf, index: i})
--- a/internal/testcluster/timeline.go
+++ b/internal/testcluster/timeline.go
@@ -17,10 +17,10 @@
 	cancel context.CancelFunc // nil before the first run
 	wg     sync.WaitGroup
 	mu     sync.Mutex
-	err    error // the first one
+	err    error // the first error of a fault
 }
 
-// stop ends a timeline and waits for its goroutines.
+// stop cancels the remaining faults and waits for the goroutines of the timeline.
 func (t *timeline) stop() {
 	if t.cancel != nil {
 		t.cancel()
@@ -37,8 +37,8 @@
 	}
 }
 
-// ScheduleFaults starts a timeline of faults now. Faults at the same time start in the order given; added hosts must be in
-// the order of that time.
+// ScheduleFaults starts a timeline of faults now, in a goroutine. Faults with the same time start in the given order.
+// Added hosts must have ascending numbers in the order in which their faults start.
 func (c *Cluster) ScheduleFaults(ctx context.Context, faults []FaultSpec) {
 	ctx, c.timeline.cancel = context.WithCancel(ctx)
 	faults = slices.Clone(faults)
@@ -62,7 +62,7 @@
 	})
 }
 
-// endFaultAt ends a fault at a time, unless the context ends before.
+// endFaultAt ends a fault at a time, unless the context ends earlier.
 func (c *Cluster) endFaultAt(ctx context.Context, at time.Time, end func() error) {
 	if !ctxtime.Sleep(ctx, time.Until(at)) {
 		return
@@ -72,7 +72,8 @@
 	}
 }
 
-// Err returns the first fault that could not be started or ended, or else the processes that ended by themselves.
+// Err returns the error of the first fault of the timeline that could not be started or ended, or else an error that
+// names the processes that exited unexpectedly, or nil.
 func (c *Cluster) Err() error {
 	c.timeline.mu.Lock()
 	defer c.timeline.mu.Unlock()
@@ -83,7 +84,7 @@
 }
 
 // StartFault starts a fault now, concurrently on all of its targets, and returns a function that ends it. The fault's At
-// and Duration are ignored. The error says on which targets it could not be started.
+// and Duration are ignored. The error names the targets on which it could not be started.
 func (c *Cluster) StartFault(fault FaultSpec) (end func() error, err error) {
 	targets, err := c.config.parseTargets(fault.Target)
 	if err != nil {
@@ -106,11 +107,11 @@
 type activeFault struct {
 	fault   FaultSpec
 	targets []target
-	ends    []func() error // by target; nil where nothing ends the fault
-	errs    []error        // by target, the last one
+	ends    []func() error // by target; nil for a fault that can't be ended
+	errs    []error        // by target, the last error
 }
 
-// end ends the fault on all targets. Its error includes those of the start.
+// end ends the fault on all targets. Its error includes the errors of the start.
 func (a *activeFault) end() error {
 	return a.forEach(func(i int) error {
 		if a.ends[i] == nil {
@@ -134,7 +135,7 @@
 	return errors.Join(a.errs...)
 }
 
-// The details of fault events that are not the kind of a fault.
+// Details of fault events other than the kinds of faults.
 const (
 	detailSlow  = "slow"
 	detailEnd   = "well" // the fault has ended
@@ -142,7 +143,7 @@
 	detailStart = "starts" // of a process
 )
 
-// recordFault adds an event of a fault that began or ended.
+// recordFault records that a fault began or ended.
 func (c *Cluster) recordFault(source, detail string) {
 	c.EventLog.Add(fakeserver.Event{Source: source, Kind: fakeserver.EventFault, Detail: detail})
 }
--- a/internal/testcluster/usage.go
+++ b/internal/testcluster/usage.go
@@ -9,21 +9,22 @@
 )
 
 const (
-	// userHZ is the unit of CPU times in /proc on Linux, whatever the kernel's own tick.
+	// userHZ is the number of clock ticks per second in the CPU times of /proc. It is 100 on Linux whatever the frequency
+	// of the kernel's own timer.
 	userHZ         = 100
 	kilobytesPerMB = 1024
-	// utimeField is the index of utime, which stime follows, among the fields of /proc/PID/stat after the name.
+	// utimeField is the index of utime among the fields of /proc/PID/stat after the process name; stime follows it.
 	utimeField = 11
 )
 
-// Usage is the resources that a process, or several, have used.
+// Usage is the resource usage of one or more processes.
 type Usage struct {
 	CPU         time.Duration `json:"cpu_ns"`
-	PeakMB      float64       `json:"peak_mb"`     // resident memory, of the largest process
-	Descriptors int           `json:"descriptors"` // open now, of the process with the most
+	PeakMB      float64       `json:"peak_mb"`     // peak resident memory of the largest process
+	Descriptors int           `json:"descriptors"` // open file descriptors of the process with the most
 }
 
-// Usage returns the usage of all nodes so far, past starts included.
+// Usage returns the usage of all nodes so far, including earlier starts.
 func (c *Cluster) Usage() (total Usage) {
 	for _, p := range c.nodes {
 		usage := p.usage()
@@ -34,7 +35,7 @@
 	return total
 }
 
-// ProcessUsage returns the usage of a running process of this machine; what can't be read is 0.
+// ProcessUsage returns the usage of a running process of this machine; values that can't be read are 0.
 func ProcessUsage(pid int) Usage {
 	proc := fmt.Sprintf("/proc/%d/", pid)
 	usage := Usage{CPU: readCPUTime(proc + "stat"), PeakMB: readPeakMB(proc + "status")}
@@ -50,7 +51,7 @@
 	if err != nil {
 		return 0
 	}
-	// The name may hold spaces and parentheses; the last one ends it.
+	// The process name is in parentheses and may itself contain spaces and parentheses; the last ")" ends it.
 	fields := bytes.Fields(text[bytes.LastIndexByte(text, ')')+1:])
 	if len(fields) <= utimeField+1 {
 		return 0
