--- a/internal/soaktest/behavior.go
+++ b/internal/soaktest/behavior.go
@@ -11,20 +11,20 @@
 	"onyxstream/internal/fakeserver"
 )
 
-// behavior is how a client opens its connection.
+// behavior is how a client opens its connection, and whether it follows the protocol.
 type behavior uint8
 
 const (
-	behaviorNormal       behavior = iota // waits for its answer, holds the connection and sends lines
+	behaviorNormal       behavior = iota // waits for the final answer, holds the connection and sends lines
 	behaviorSplitOpening                 // sends the opening line in two parts
 	behaviorPing                         // sends PING, and pauses before the opening line
-	behaviorDisconnect                   // disconnects, possibly before its answer
-	behaviorReset                        // the same by a reset
+	behaviorDisconnect                   // disconnects, possibly before the final answer
+	behaviorReset                        // resets the connection, possibly before the final answer
 	behaviorHalfOpening                  // sends half of the opening line and stays connected
 	behaviorIdle                         // sends nothing
-	behaviorFlood                        // sends much data with the opening line and disconnects
+	behaviorFlood                        // sends floodSize bytes after the opening line and disconnects
 	behaviorPipeline                     // sends two opening lines at once
-	behaviorFloodMidFlow                 // resumes mid-flow, sends much data and disconnects
+	behaviorFloodMidFlow                 // opens as mid-flow, sends floodSize bytes and disconnects
 	behaviorCount
 )
 
@@ -64,13 +64,14 @@
 	floodLine          = "M of a client that goes\r\n"
 )
 
-// send writes a text. It returns false where the connection is broken.
+// send writes a text. It returns false if the connection is broken.
 func (c *connection) send(text string) bool {
 	_, err := io.WriteString(c, text)
 	return err == nil
 }
 
-// sendOpening sends the opening line by the client's behavior. It returns false where no answer is to be awaited.
+// sendOpening sends the opening line according to the client's behavior. It returns false if the client does not wait
+// for a final answer.
 func (c *connection) sendOpening(ctx context.Context, line string) bool {
 	half := len(line) / 2
 	switch c.behavior {
@@ -99,7 +100,7 @@
 	return true
 }
 
-// misbehave plays a behavior for which the protocol requires no answer.
+// misbehave follows a behavior for which the protocol requires no final answer.
 func (c *connection) misbehave(ctx context.Context, line string) {
 	switch c.behavior {
 	case behaviorIdle:
@@ -121,5 +122,5 @@
 	}
 }
 
-// recordRequest records that the opening line is sent, with the client's deadline.
+// recordRequest records that the opening line has been sent, with the client's deadline as the detail.
 func (c *connection) recordRequest() { c.record(fakeserver.EventRequested, c.deadline.String()) }
--- a/internal/soaktest/client.go
+++ b/internal/soaktest/client.go
@@ -20,10 +20,10 @@
 type client struct {
 	id, class    string
 	behavior     behavior
-	deadline     time.Duration // of its answer
-	connectedFor time.Duration // of its established connection
+	deadline     time.Duration // of its request
+	connectedFor time.Duration // how long it holds an established connection
 	pause        time.Duration // before it continues, disconnects or completes the opening line
-	reconnect    bool          // it says that it had a connection before
+	reconnect    bool          // the opening line is marked as a reconnect
 }
 
 const (
@@ -32,23 +32,24 @@
 	lineInterval = 300 * time.Millisecond
 	// closedCheckTime is how long a client reads to learn whether the node has closed the connection.
 	closedCheckTime = time.Millisecond
-	// maxMidFlowReconnects bounds how often a client resumes mid-flow at another node.
+	// maxMidFlowReconnects limits how often a client resumes mid-flow at another node.
 	maxMidFlowReconnects = 3
-	// finCrossingTime is how long after a request is sent the client may read a FIN that was sent before the node got it.
+	// finCrossingTime is how long after it sends a request a client may read a FIN that the node sent before the request
+	// arrived.
 	finCrossingTime = 5 * time.Millisecond
 )
 
-// session is a client with its successive connections. It belongs to one goroutine.
+// session is a client with its successive connections. It is used by one goroutine.
 type session struct {
 	client
 	cluster  *testcluster.Cluster
-	pickNode func() (fakeserver.Node, bool) // false where the front has no node
-	newKey   func() string                  // returns a unique name of a connection
+	pickNode func() (fakeserver.Node, bool) // false if the front has no healthy node
+	newKey   func() string                  // returns a unique key for a connection
 }
 
-// run plays a client to its end. In pass mode the client resumes mid-flow at another node where its node breaks the
-// connection.
-func (s *session) run(ctx context.Context, passMode bool) {
+// run runs a client to its end. In pass-through mode, when the node breaks the connection, the client resumes mid-flow
+// at another node.
+func (s *session) run(ctx context.Context, passThrough bool) {
 	midFlow := false
 	for range maxMidFlowReconnects + 1 {
 		node, ok := s.pickNode()
@@ -56,7 +57,7 @@
 			return
 		}
 		broken := s.connect(ctx, node, midFlow)
-		if !broken || !passMode || ctx.Err() != nil {
+		if !broken || !passThrough || ctx.Err() != nil {
 			return
 		}
 		midFlow = true
@@ -71,18 +72,18 @@
 }
 
 // record adds an event of the client.
-func (c *connection) record(what, text string) {
+func (c *connection) record(kind, detail string) {
 	c.cluster.EventLog.Add(fakeserver.Event{
 		Source: clientPrefix + c.node,
-		Kind:   what,
+		Kind:   kind,
 		ID:     c.id,
 		Key:    c.key,
 		Class:  c.class,
-		Detail: text,
+		Detail: detail,
 	})
 }
 
-// connect plays one connection. It reports whether it was established and then broken by the node's side.
+// connect opens and runs one connection. It reports whether the connection was established and then broken by the node.
 func (s *session) connect(ctx context.Context, node fakeserver.Node, midFlow bool) (broken bool) {
 	conn, err := (&net.Dialer{Timeout: dialTimeout}).DialContext(ctx, "tcp", node.Addr)
 	if err != nil {
@@ -113,7 +114,7 @@
 	return line + "\r\n"
 }
 
-// disconnect closes the connection, and records it afterwards.
+// disconnect closes the connection and then records that.
 func (c *connection) disconnect() {
 	if t, ok := c.Conn.(*net.TCPConn); ok && c.behavior == behaviorReset {
 		_ = t.SetLinger(0)
@@ -144,8 +145,8 @@
 	_, _ = io.Copy(io.Discard, c)
 }
 
-// awaitAnswer reads the answer, and holds the connection where it is established. It reports whether the connection was
-// established and then broken.
+// awaitAnswer reads the final answer, and holds the connection if it is established. It reports whether the connection
+// was established and then broken.
 func (c *connection) awaitAnswer(ctx context.Context) (broken bool) {
 	reader := bufio.NewReader(c)
 	sentAt := time.Now()
@@ -154,7 +155,7 @@
 	switch {
 	case err == nil:
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return false // Judge finds the missing answer
+		return false // CheckRules reports the missing answer
 	case c.behavior == behaviorPing && errors.Is(err, io.EOF) && time.Since(sentAt) < finCrossingTime:
 		c.record(fakeserver.EventDisconnected, "the node had ended it")
 		return false
@@ -169,8 +170,8 @@
 	return c.hold(ctx, reader)
 }
 
-// hold sends lines on an established connection for the client's hold time. It reports whether the connection was broken
-// other than by an orderly close.
+// hold sends lines on an established connection until connectedFor has passed. It reports whether the connection was
+// broken other than by an orderly close.
 func (c *connection) hold(ctx context.Context, reader *bufio.Reader) (broken bool) {
 	until := time.Now().Add(c.connectedFor)
 	for ctx.Err() == nil && time.Now().Before(until) {
--- a/internal/soaktest/conditions.go
+++ b/internal/soaktest/conditions.go
@@ -7,30 +7,30 @@
 	"time"
 )
 
-// Conditions are what a plan did to the fleet that changes what the rules allow. Times are those of the events.
+// Conditions are the effects of a plan on the cluster that change what the rules allow. Times are those of the events.
 type Conditions struct {
-	NonIdempotent map[string]bool // classes
-	// DiscoveryUnreachable are the times in which discovery was unreachable for at least one node.
+	NonIdempotent map[string]bool // by class
+	// DiscoveryUnreachable are the intervals in which at least one node could not reach discovery.
 	DiscoveryUnreachable []Interval
-	// DelayedHosts are hosts whose events may be recorded late: they hung, or their link delayed bytes.
+	// DelayedHosts are the hosts whose events may be recorded late, because the host hung or its link delayed bytes.
 	DelayedHosts map[string]bool
-	// DescriptorsExhausted are the times in which idle clients took a node's descriptors, by node. The node may then close
-	// new connections unread.
+	// DescriptorsExhausted are the intervals, by node, in which idle clients used up the node's file descriptors. The node
+	// may then close new connections without reading from them.
 	DescriptorsExhausted map[string][]Interval
 }
 
-// Interval is a time from one moment to another, both included.
+// Interval is the time between two moments, both included.
 type Interval struct{ From, To time.Duration }
 
 func (i Interval) contains(at time.Duration) bool { return i.From <= at && at <= i.To }
 
-// exhaustionMargin is how long before and after idle clients a node may lack descriptors.
+// exhaustionMargin is how long before and after the times of idle clients a node may lack descriptors.
 const exhaustionMargin = time.Second
 
-// startupTime is how long a node that was restarted takes to reach discovery.
+// startupTime is how long a restarted node takes to reach discovery.
 const startupTime = time.Second
 
-// conditions returns the conditions of a plan that began at begin. Faults without a duration last until end.
+// conditions returns the conditions of a plan that started at begin. Faults without a duration last until end.
 func (p Plan) conditions(begin, end time.Duration) Conditions {
 	c := Conditions{
 		NonIdempotent:        map[string]bool{"order": true},
@@ -62,8 +62,8 @@
 	return c
 }
 
-// PropagatedBy returns when all nodes count as notified of a change: at the end of the first time of the given length
-// since the change in which discovery was reachable throughout.
+// PropagatedBy returns when a change counts as known to all nodes: at the end of the first interval of the given length
+// after the change in which discovery was reachable throughout.
 func PropagatedBy(change, length time.Duration, unreachable []Interval) time.Duration {
 	from := change
 	intervals := slices.Clone(unreachable)
--- a/internal/soaktest/node_log.go
+++ b/internal/soaktest/node_log.go
@@ -9,10 +9,10 @@
 	"onyxstream/internal/invariant"
 )
 
-// clockStepMessage is the message that a node logs when it notices a step of its wall clock.
+// clockStepMessage is the log message of a node that detects a step of its wall clock.
 const clockStepMessage = "wall clock stepped"
 
-// crashPatterns are in the log lines of panics, data races and the like.
+// crashPatterns are texts in the log lines of panics, data races and other crashes.
 var crashPatterns = []string{"panic", "failed badly", "could not be handled", "DATA RACE", "fatal error"}
 
 // logBuffer collects the logs of all nodes.
@@ -21,7 +21,7 @@
 	buf bytes.Buffer
 }
 
-// Write appends a part of a log.
+// Write appends a part of a log. It is safe for concurrent use.
 func (l *logBuffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -34,7 +34,8 @@
 	return bytes.Clone(l.buf.Bytes())
 }
 
-// findErrors returns the lines of a log that report invariant violations, and of the others those that report crashes.
+// findErrors returns the lines of a log that report invariant violations, and those of the other lines that report
+// crashes.
 func findErrors(log []byte) (violations, crashes []string) {
 	for line := range strings.Lines(string(log)) {
 		line = strings.TrimRight(line, "\n")
--- a/internal/soaktest/plan.go
+++ b/internal/soaktest/plan.go
@@ -1,6 +1,7 @@
-// Package soaktest plays faults that are drawn from a seed on a fleet of real processes, two or three at a time. It judges
-// from the events of clients, hosts and discovery, and from the nodes' own invariant checks, whether the rules held. Plans
-// and judgement are pure functions; the runner starts processes and opens connections by package testcluster.
+// Package soaktest runs a test cluster of real processes under random faults, two or three at a time, which it draws
+// from a seed. From the events of clients, hosts and discovery, and from the nodes' own invariant checks, it determines
+// whether the nodes kept the rules. Plans are generated and events are checked by pure functions; the runner starts
+// processes and opens connections with package testcluster.
 package soaktest
 
 import (
@@ -10,13 +11,13 @@
 	"onyxstream/internal/testcluster"
 )
 
-// PlanOptions are what a plan is drawn for.
+// PlanOptions are the size of the cluster and the duration of a plan.
 type PlanOptions struct {
 	Nodes, Hosts int
-	Duration     time.Duration // in which clients connect and faults begin
+	Duration     time.Duration // how long clients connect and faults begin
 }
 
-// Plan is the set of faults of a run. Times are from the start of the plan.
+// Plan is the set of faults of a run. Times are relative to the start of the plan.
 type Plan struct {
 	Seed          uint64
 	Mode          string // modePassThrough or modeProxy
@@ -28,7 +29,7 @@
 	SyscallFaults []SyscallFault
 }
 
-// Values of Plan.Mode, as in the node's settings.
+// Values of Plan.Mode, as in the nodes' settings.
 const (
 	modePassThrough = "pass"
 	modeProxy       = "proxy"
@@ -38,11 +39,11 @@
 type Reload struct {
 	At      time.Duration
 	Node    int  // index
-	Invalid bool // the file is invalid for a moment, and valid again for a last reload
-	Repeats int  // further signals in quick succession
+	Invalid bool // the file is invalid for invalidConfigTime, then valid again for a last reload
+	Repeats int  // further reload signals in quick succession
 }
 
-// IdleClients are clients that connect to a node and send nothing, to exhaust its descriptors.
+// IdleClients are clients that connect to a node and send nothing, to exhaust its file descriptors.
 type IdleClients struct {
 	At, Duration time.Duration
 	Node         int // index
@@ -50,16 +51,16 @@
 }
 
 const (
-	// faultSpread is the time over which the faults of one moment begin.
+	// faultSpread is the time within which the faults of one burst begin.
 	faultSpread = 300 * time.Millisecond
-	// meanBurstInterval is the mean time between two moments at which faults begin.
+	// meanBurstInterval is the mean time between two bursts of faults.
 	meanBurstInterval = 1200 * time.Millisecond
 )
 
-// planStream is combined with the seed of a plan for its random numbers.
+// planStream is the second half of the random seed of a plan's faults; the first half is the seed of the plan.
 const planStream = 0x736f616b
 
-// GeneratePlan draws the plan of a seed. The same seed and options give the same plan.
+// GeneratePlan draws a plan from a seed. The same seed and options give the same plan.
 func GeneratePlan(seed uint64, options PlanOptions) Plan {
 	plan := Plan{Seed: seed, Duration: options.Duration}
 	g := &planGenerator{
--- a/internal/soaktest/plan_faults.go
+++ b/internal/soaktest/plan_faults.go
@@ -6,19 +6,19 @@
 )
 
 const (
-	// restartReservation is how long a node that is stopped is reserved: until it has started again.
+	// restartReservation is how long a node that is stopped is reserved; it has started again by the end.
 	restartReservation = 8 * time.Second
 	// shutdownTime is the longest graceful shutdown of a node.
 	shutdownTime = 4 * time.Second
-	// maxStall is the longest stall of a process that must not have an effect.
+	// maxStall is the longest stall of a process. Stalls up to this length must not violate a rule.
 	maxStall = 150 * time.Millisecond
 	// briefReservation is how long a node is reserved for a stall or a reload.
 	briefReservation = time.Second
-	// idleClientCount is how many idle clients exhaust a node's descriptors.
+	// idleClientCount is the number of idle clients that exhaust a node's file descriptors.
 	idleClientCount = 200
 )
 
-// drawRestarts stops one to three nodes at once, as in a rolling restart.
+// drawRestarts stops one to three nodes at once and starts them again, as in a rolling restart.
 func (g *planGenerator) drawRestarts(at time.Duration) {
 	for range 1 + g.IntN(3) {
 		if _, name, ok := g.reserveNode(at, at+restartReservation); ok {
@@ -27,7 +27,7 @@
 	}
 }
 
-// drawRestartsWithHangs stops three nodes while a third of the hosts hang throughout their shutdown.
+// drawRestartsWithHangs restarts three nodes while a third of the hosts hang throughout the nodes' shutdown.
 func (g *planGenerator) drawRestartsWithHangs(at time.Duration) {
 	for range g.options.Hosts / 3 {
 		if name, ok := g.reserveHost(at, at+shutdownTime); ok {
@@ -73,15 +73,15 @@
 		return
 	}
 	g.reservedUntil[discoveryTarget] = at + length
-	what := []string{"reset", "busy", "mute", "lag"}[g.IntN(4)]
-	over := time.Duration(0)
-	if what == "lag" {
-		over = g.duration(100*time.Millisecond, 2*time.Second)
+	kind := []string{"reset", "busy", "mute", "lag"}[g.IntN(4)]
+	period := time.Duration(0)
+	if kind == "lag" {
+		period = g.duration(100*time.Millisecond, 2*time.Second)
 	}
-	g.addFault(at, length, what, discoveryTarget, over)
+	g.addFault(at, length, kind, discoveryTarget, period)
 }
 
-// drawDiscoveryLinkFault breaks the link between a node and discovery.
+// drawDiscoveryLinkFault disrupts the link between a node and discovery.
 func (g *planGenerator) drawDiscoveryLinkFault(at time.Duration) {
 	length := g.duration(300*time.Millisecond, 2500*time.Millisecond)
 	if _, name, ok := g.reserve(nodeLinkPrefix, g.options.Nodes, at, at+length); ok {
@@ -96,7 +96,7 @@
 	}
 }
 
-// drawHostReplacement replaces a host: one is added, another drains for good.
+// drawHostReplacement replaces a host: one host is added, and another drains and is not used again.
 func (g *planGenerator) drawHostReplacement(at time.Duration) {
 	const forever = time.Hour
 	if g.addedHosts >= g.options.Hosts/2 {
@@ -116,22 +116,22 @@
 	}
 }
 
-// drawHostLinkFault breaks or delays the links to a host.
+// drawHostLinkFault disrupts or delays the link to a host.
 func (g *planGenerator) drawHostLinkFault(at time.Duration) {
 	length := g.duration(200*time.Millisecond, 2*time.Second)
 	_, name, ok := g.reserve(hostLinkPrefix, g.options.Hosts, at, at+length)
 	if !ok {
 		return
 	}
-	over := time.Duration(0)
-	what := []string{"reset", "delay", "refuse", "silence", "stall"}[g.IntN(5)]
-	switch what {
+	period := time.Duration(0)
+	kind := []string{"reset", "delay", "refuse", "silence", "stall"}[g.IntN(5)]
+	switch kind {
 	case "reset":
-		length = 0 // happens once
+		length = 0 // a reset happens once
 	case "delay":
-		over = g.duration(50*time.Millisecond, 700*time.Millisecond)
+		period = g.duration(50*time.Millisecond, 700*time.Millisecond)
 	}
-	g.addFault(at, length, what, name, over)
+	g.addFault(at, length, kind, name, period)
 }
 
 func (g *planGenerator) drawIdleClients(at time.Duration) {
--- a/internal/soaktest/plan_generator.go
+++ b/internal/soaktest/plan_generator.go
@@ -9,7 +9,8 @@
 	"onyxstream/internal/tomlfile"
 )
 
-// Names of targets are a prefix and a number from 1.
+// Prefixes of the names of targets; a number from 1 follows. The targets of syscallFaultPrefix, clockPrefix and
+// idleClientsPrefix exist only for reservations.
 const (
 	nodePrefix         = "n"
 	hostPrefix         = "h"
@@ -21,7 +22,7 @@
 	discoveryTarget    = "discovery"
 )
 
-// planGenerator draws the faults of a plan. A target is not drawn again while a fault of the same kind of target lasts.
+// planGenerator draws the faults of a plan. It does not draw a target again while the target is reserved for a fault.
 type planGenerator struct {
 	*rand.Rand
 	options       PlanOptions
@@ -30,7 +31,7 @@
 	addedHosts    int
 }
 
-// faultKinds returns the functions that draw a fault; repeated ones are drawn more often.
+// faultKinds returns the functions that draw faults. Functions that are listed twice are drawn twice as often.
 func (g *planGenerator) faultKinds() []func(at time.Duration) {
 	return []func(at time.Duration){
 		g.drawRestarts, g.drawRestarts, g.drawRestartsWithHangs, g.drawKill, g.drawStalls,
@@ -42,7 +43,7 @@
 	}
 }
 
-// burstInterval draws the time until faults begin again.
+// burstInterval draws the time until the next burst of faults.
 func (g *planGenerator) burstInterval() time.Duration {
 	return time.Duration((0.5 + g.Float64()) * float64(meanBurstInterval))
 }
@@ -52,7 +53,8 @@
 	return shortest + time.Duration(g.Float64()*float64(longest-shortest))
 }
 
-// reserve draws a target among n that is free at a time, and reserves it until another. ok is false where none is free.
+// reserve draws one of the n targets of a prefix that is not reserved at the time at, and reserves it until the time
+// until. ok is false if all targets are reserved.
 func (g *planGenerator) reserve(prefix string, n int, at, until time.Duration) (index int, name string, ok bool) {
 	first := g.IntN(n)
 	for k := range n {
@@ -75,13 +77,13 @@
 	return name, ok
 }
 
-// addFault adds a fault. A length of 0 is for ever; over is the time or delay of the fault's kind.
-func (g *planGenerator) addFault(at, length time.Duration, what, on string, over time.Duration) {
+// addFault adds a fault. A length of 0 is for a fault that does not end; period becomes FaultSpec.Period.
+func (g *planGenerator) addFault(at, length time.Duration, kind, target string, period time.Duration) {
 	g.plan.Faults = append(g.plan.Faults, testcluster.FaultSpec{
 		At:       tomlfile.Duration(at),
 		Duration: tomlfile.Duration(length),
-		Kind:     what,
-		Target:   on,
-		Period:   tomlfile.Duration(over),
+		Kind:     kind,
+		Target:   target,
+		Period:   tomlfile.Duration(period),
 	})
 }
--- a/internal/soaktest/rule_checker.go
+++ b/internal/soaktest/rule_checker.go
@@ -9,16 +9,16 @@
 	"onyxstream/internal/fakeserver"
 )
 
-// Limits are the times of the rules, and the tolerances of their measurement.
+// Limits are the time limits of the rules, and the tolerances of their measurement.
 type Limits struct {
-	AnswerGrace      time.Duration // after the client's deadline, for its answer
-	DrainGrace       time.Duration // after all nodes know that a host drains, for new connections to it
-	Propagation      time.Duration // for a change of the endpoint list to reach all nodes, while discovery is reachable
-	DisconnectNotice time.Duration // after a client has disconnected, for a connection to a host on its behalf
-	RecordDelay      time.Duration // from an event to its record, on a busy machine
+	AnswerGrace      time.Duration // how long after the client's deadline the final answer may arrive
+	DrainGrace       time.Duration // how long nodes that know that a host is draining may still connect to it
+	Propagation      time.Duration // how long a change of the list takes to reach all nodes while discovery is reachable
+	DisconnectNotice time.Duration // how long after a client has disconnected a node may connect to a host for it
+	RecordDelay      time.Duration // how late an event may be recorded on a busy machine
 }
 
-// DefaultLimits are the limits of the operators' rules.
+// DefaultLimits are the limits that operators require.
 var DefaultLimits = Limits{
 	AnswerGrace:      500 * time.Millisecond,
 	DrainGrace:       450 * time.Millisecond,
@@ -27,18 +27,18 @@
 	RecordDelay:      250 * time.Millisecond,
 }
 
-// Verdict is the result of Judge.
+// Verdict is the result of CheckRules.
 type Verdict struct {
 	Requests, Served, Rejected, Failed int
-	// Exempt counts requests without an answer that no rule covers: their node was killed, or had no descriptors left.
+	// Exempt counts requests that needed no final answer, because their node was killed or had no descriptors left.
 	Exempt         int
 	RuleViolations []string // one line each
 }
 
-// clientPrefix starts the source of clients' events; the node that they connected to follows.
+// clientPrefix is the prefix of the source of a client's events; the name of the client's node follows.
 const clientPrefix = "c-"
 
-// judge checks the events of a run against the rules.
+// checker checks the events of a run against the rules.
 type checker struct {
 	verdict    Verdict
 	events     []fakeserver.Event
@@ -46,11 +46,11 @@
 	conditions Conditions
 
 	requests []*request
-	receipts map[string]bool            // of hosts, as "id receipt"
-	kills    map[string][]time.Duration // by node
+	receipts map[string]bool            // issued by hosts, as "id receipt"
+	kills    map[string][]time.Duration // times of kills by node
 }
 
-// request is one request, on a connection to one node.
+// request is one request on a connection to one node.
 type request struct {
 	id, node       string
 	sentAt         time.Duration
@@ -61,7 +61,7 @@
 	brokenAt       time.Duration // 0 for never
 }
 
-// Judge checks the events of a run against the rules.
+// CheckRules checks the events of a run against the rules.
 func CheckRules(events []fakeserver.Event, limits Limits, conditions Conditions) Verdict {
 	c := &checker{
 		events:     events,
@@ -85,7 +85,7 @@
 	c.verdict.RuleViolations = append(c.verdict.RuleViolations, fmt.Sprintf(format, args...))
 }
 
-// groupEvents collects the requests of clients, the receipts of hosts and the kills of nodes.
+// groupEvents collects the requests of clients, the receipts of hosts and the kills of nodes from the events.
 func (c *checker) groupEvents() {
 	open := map[string]*request{} // by the key of the connection
 	for _, event := range c.events {
@@ -107,7 +107,7 @@
 	}
 }
 
-// addEvent adds an event of the client after its request.
+// addEvent adds an event that the client recorded after it sent the request.
 func (r *request) addEvent(event fakeserver.Event) {
 	switch event.Kind {
 	case fakeserver.EventReceived:
@@ -122,7 +122,7 @@
 	}
 }
 
-// checkAnswer checks that a request whose opening line was sent completely got one complete answer in time.
+// checkAnswer checks that a request whose opening line was sent completely got one complete final answer in time.
 func (c *checker) checkAnswer(r *request) {
 	c.verdict.Requests++
 	latest := r.sentAt + r.deadline + c.limits.AnswerGrace + c.limits.RecordDelay
@@ -141,7 +141,7 @@
 		if !c.receipts[r.id+" "+receipt] {
 			c.addViolation("%s: %q was issued by no host", r.id, r.answers[0])
 		}
-		return // what follows are lines of the host
+		return // further lines are sent by the host
 	case "BUSY":
 		c.verdict.Rejected++
 	default:
@@ -152,7 +152,7 @@
 	}
 }
 
-// checkMissingAnswer decides whether a request may have no answer.
+// checkMissingAnswer checks whether a request without a final answer is exempt or a rule violation.
 func (c *checker) checkMissingAnswer(r *request, latest time.Duration) {
 	inFlight := Interval{r.sentAt - time.Second, latest}
 	killed := slices.ContainsFunc(c.kills[r.node], inFlight.contains)
@@ -168,10 +168,10 @@
 	}
 }
 
-// checkDisconnects checks that hosts are not connected to for clients that have disconnected. A later request with the
-// same id is another one.
+// checkDisconnects checks that nodes do not connect to hosts for clients that have disconnected. It leaves out clients
+// that have sent a later request with the same ID.
 func (c *checker) checkDisconnects() {
-	disconnected := map[string]time.Duration{} // by id, of clients without an answer
+	disconnected := map[string]time.Duration{} // by id, of clients without a final answer
 	lastSent := map[string]time.Duration{}     // by id
 	for _, r := range c.requests {
 		lastSent[r.id] = max(lastSent[r.id], r.sentAt)
@@ -190,7 +190,7 @@
 	}
 }
 
-// checkOverloads checks that the nodes together do not overload hosts in slow start.
+// checkOverloads checks that the nodes together do not overload hosts in slow start, which makes them collapse.
 func (c *checker) checkOverloads() {
 	for _, event := range c.events {
 		if event.Kind == fakeserver.EventFault && event.Detail == fakeserver.DetailCollapse {
@@ -199,7 +199,8 @@
 	}
 }
 
-// checkDrains checks that draining hosts are not connected to once all nodes know, after the grace.
+// checkDrains checks that nodes do not connect to a draining host later than the drain grace after all nodes know of the
+// drain.
 func (c *checker) checkDrains() {
 	knownAt := map[string]time.Duration{} // by host
 	for _, event := range c.events {
@@ -218,7 +219,7 @@
 	}
 }
 
-// checkRetries checks that requests that are not idempotent are retried only where the earlier host rejected them.
+// checkRetries checks that a non-idempotent request is retried only if the previous host rejected it.
 func (c *checker) checkRetries() {
 	type attempt struct{ host, id string }
 	lastHost := map[string]string{} // by id
--- a/internal/soaktest/rule_checker_test.go
+++ b/internal/soaktest/rule_checker_test.go
@@ -10,19 +10,19 @@
 
 const ms = time.Millisecond
 
-// testLedger is a list of events under construction.
+// testLedger collects the events of a test case.
 type testLedger []fakeserver.Event
 
-func (b *testLedger) add(at time.Duration, who, what, id, note string) {
-	*b = append(*b, fakeserver.Event{At: at, Source: who, Kind: what, ID: id, Key: id, Class: "order", Detail: note})
+func (b *testLedger) add(at time.Duration, source, kind, id, detail string) {
+	*b = append(*b, fakeserver.Event{At: at, Source: source, Kind: kind, ID: id, Key: id, Class: "order", Detail: detail})
 }
 
 func (b *testLedger) request(id string) { b.add(0, "c-n1", fakeserver.EventRequested, id, "1s") }
 
-// lateAnswer is just after the latest time of an answer to a request with a deadline of 1 s.
+// lateAnswer is just after the latest time of a final answer to a request with a deadline of 1 s.
 var lateAnswer = time.Second + DefaultLimits.AnswerGrace + DefaultLimits.RecordDelay + ms
 
-// drainedLate is just after the latest time of a connection to a host that drains from 0 on.
+// drainedLate is just after the latest time at which nodes may connect to a host that drains from time 0 on.
 var drainedLate = DefaultLimits.Propagation + DefaultLimits.DrainGrace + DefaultLimits.RecordDelay + ms
 
 var (
@@ -30,12 +30,12 @@
 	exhausted          = Conditions{DescriptorsExhausted: map[string][]Interval{"n1": {{0, time.Second}}}}
 )
 
-// checkerCases are short ledgers with the rule violation in each, "" for none.
+// checkerCases are short ledgers, each with at most one rule violation.
 var checkerCases = []struct {
 	name       string
 	conditions Conditions
 	write      func(b *testLedger)
-	want       string // in the only line of the verdict
+	want       string // part of the only violation; "" for none
 }{
 	{"served", Conditions{}, func(b *testLedger) {
 		b.request("a")
@@ -107,30 +107,30 @@
 	}, ""},
 }
 
-// Each rule's violation is found, and what the rules allow is not reported.
+// CheckRules reports a violation of each rule, and does not report what the rules allow.
 func TestCheckRules_EachRule_FindsViolation(t *testing.T) {
 	for _, c := range checkerCases {
 		var b testLedger
 		c.write(&b)
 		got := CheckRules(b, DefaultLimits, c.conditions).RuleViolations
 		if (c.want == "") != (len(got) == 0) || c.want != "" && (len(got) != 1 || !strings.Contains(got[0], c.want)) {
-			t.Errorf("%s: %q, want %q", c.name, got, c.want)
+			t.Errorf("%s: violations %q, want %q", c.name, got, c.want)
 		}
 	}
 }
 
 func TestPropagatedBy_DiscoveryUnreachable_Later(t *testing.T) {
-	const within = 6 * time.Second
+	const length = 6 * time.Second
 	s := func(from, to time.Duration) Interval { return Interval{from * time.Second, to * time.Second} }
 	for _, c := range []struct {
-		spans []Interval
-		want  time.Duration
+		unreachable []Interval
+		want        time.Duration
 	}{
 		{nil, 7}, {[]Interval{s(8, 9)}, 7}, {[]Interval{s(0, 1)}, 7}, {[]Interval{s(0, 3)}, 9}, {[]Interval{s(2, 3)}, 9},
 		{[]Interval{s(8, 10), s(2, 3)}, 16}, {[]Interval{s(2, 3), s(9, 10)}, 9},
 	} {
-		if got := PropagatedBy(time.Second, within, c.spans); got != c.want*time.Second {
-			t.Errorf("%v: told by %v, want %v", c.spans, got, c.want*time.Second)
+		if got := PropagatedBy(time.Second, length, c.unreachable); got != c.want*time.Second {
+			t.Errorf("%v: propagated by %v, want %v", c.unreachable, got, c.want*time.Second)
 		}
 	}
 }
--- a/internal/soaktest/run.go
+++ b/internal/soaktest/run.go
@@ -14,11 +14,11 @@
 	"onyxstream/internal/tomlfile"
 )
 
-// Config says how a plan is played.
+// Config describes how a plan is run.
 type Config struct {
-	Program string  // the node's
+	Program string  // path of the onyxstream program
 	Rate    float64 // clients per second
-	Debug   bool    // nodes log each connection
+	Debug   bool    // nodes log every connection and every change of the endpoint list
 }
 
 // Report is the result of a run.
@@ -26,29 +26,29 @@
 	Verdict
 	InvariantViolations []string // log lines of the nodes' invariant checks
 	Crashes             []string // log lines of panics and data races
-	FailedSyscalls      int      // system calls that failed by the plan, in the nodes' last processes
-	ClockSteps          int      // that nodes have noticed
-	Log                 []byte   // of all nodes
+	FailedSyscalls      int      // system calls that fault injection made fail, in the last process of each node
+	ClockSteps          int      // steps of the wall clock that nodes logged
+	Log                 []byte   // the logs of all nodes
 	RecordedEvents      []fakeserver.Event
 }
 
-// Failures returns all violations and crashes.
+// Failures returns all rule violations, invariant violations and crashes.
 func (r *Report) Failures() []string {
 	return slices.Concat(r.RuleViolations, r.InvariantViolations, r.Crashes)
 }
 
-// classes are the classes of a run's clients.
+// classes are the request classes of a run's clients.
 var classes = []testcluster.ClassConfig{
 	{Name: "chat", Deadline: 2 * time.Second},
 	{Name: "feed", Deadline: 1200 * time.Millisecond, Semantics: "keyed", IdempotencyWindow: 800 * time.Millisecond},
 	{Name: "order", Deadline: 1500 * time.Millisecond, Semantics: "unsafe"},
-	{Name: "stream", Deadline: 4800 * time.Millisecond}, // longer than the shutdown of a node
+	{Name: "stream", Deadline: 4800 * time.Millisecond}, // longer than the graceful shutdown of a node
 }
 
 // tenants are the tenants of a run's clients.
 var tenants = []string{"acme"}
 
-// clusterConfig returns the fleet that a plan is played on.
+// clusterConfig returns the configuration of the test cluster for a plan.
 func clusterConfig(p Plan, o PlanOptions) testcluster.Config {
 	return testcluster.Config{
 		Nodes:         o.Nodes,
@@ -78,8 +78,8 @@
 	}
 }
 
-// RunPlan runs a plan and checks the run. An error beside a report says that a node exited by itself or that the plan could
-// not be played completely; an error without one that the run failed.
+// RunPlan runs a plan and checks its events against the rules. If it returns both a report and an error, a node exited
+// unexpectedly or a part of the plan could not be carried out. If it returns only an error, the run failed.
 func RunPlan(ctx context.Context, p Plan, o PlanOptions, cfg Config) (*Report, error) {
 	config := clusterConfig(p, o)
 	if err := config.Check(classes, tenants); err != nil {
@@ -110,9 +110,9 @@
 	r.startSyscallFaults(nodes)
 	r.startClients(cfg.Rate)
 	r.wg.Wait()
-	events, lost := cluster.EventLog.Events()
-	if lost > 0 {
-		return nil, fmt.Errorf("%d records are lost", lost)
+	events, dropped := cluster.EventLog.Events()
+	if dropped > 0 {
+		return nil, fmt.Errorf("event log dropped %d events", dropped)
 	}
 	conditions := p.conditions(r.startedAt, cluster.Clock.Now())
 	report := &Report{Verdict: CheckRules(events, DefaultLimits, conditions), Log: log.bytes(), RecordedEvents: events}
--- a/internal/soaktest/runner.go
+++ b/internal/soaktest/runner.go
@@ -16,13 +16,13 @@
 	"onyxstream/internal/testcluster"
 )
 
-// runner plays a plan. Its goroutines are waited for by wg.
+// runner runs a plan.
 type runner struct {
 	plan      Plan
 	cluster   *testcluster.Cluster
 	ctx       context.Context
-	startedAt time.Duration // by the cluster's clock
-	wg        sync.WaitGroup
+	startedAt time.Duration  // by the cluster's clock
+	wg        sync.WaitGroup // of all goroutines of the plan
 
 	mu   sync.Mutex
 	errs error
@@ -43,9 +43,9 @@
 // invalidConfigTime is how long a configuration file stays invalid.
 const invalidConfigTime = 60 * time.Millisecond
 
-// startReloads plays the plan's reloads.
+// startReloads starts the plan's reloads.
 func (r *runner) startReloads() {
-	var filesMu sync.Mutex // held while a file is invalid
+	var filesMu sync.Mutex // held while a configuration file is invalid
 	for _, reload := range r.plan.Reloads {
 		r.wg.Go(func() {
 			if !ctxtime.Sleep(r.ctx, reload.At) {
@@ -88,7 +88,7 @@
 	}, nil
 }
 
-// startIdleClients plays the plan's idle clients.
+// startIdleClients starts the plan's idle clients.
 func (r *runner) startIdleClients() {
 	for _, idle := range r.plan.IdleClients {
 		r.wg.Go(func() {
@@ -112,14 +112,14 @@
 }
 
 const (
-	// frontEjectDelay is how long the front still sends clients to a node that is stopping.
+	// frontEjectDelay is how long the platform's front still sends clients to a node that is stopping.
 	frontEjectDelay = 400 * time.Millisecond
-	// maxPicks bounds how often another node is picked while many of them are stopping.
+	// maxPicks limits how often another node is picked when the picked node is stopping.
 	maxPicks = 64
 )
 
-// pickNode picks a node for a client as the platform's front would, which notices a stopping node sooner than the fake
-// front does.
+// pickNode picks a node for a client as the platform's front does, the load balancer before the nodes. It ejects a
+// stopping node sooner than the fake front does.
 func (r *runner) pickNode() (node fakeserver.Node, ok bool) {
 	at := r.cluster.Clock.Now() - r.startedAt
 	for range maxPicks {
@@ -131,7 +131,8 @@
 	return node, false
 }
 
-// isStopping reports whether a node is stopping at a time, for long enough that the front has noticed.
+// isStopping reports whether at is in the time after a stop of the node in which the platform's front sends it no
+// clients: from frontEjectDelay to half of restartReservation after the stop.
 func (p Plan) isStopping(node string, at time.Duration) bool {
 	for _, fault := range p.Faults {
 		if fault.Target != node || fault.Kind != "stop" {
@@ -144,10 +145,10 @@
 	return false
 }
 
-// clientStream is combined with the seed of a plan for the random numbers of its clients.
+// clientStream is the second half of the random seed of a plan's clients; the first half is the seed of the plan.
 const clientStream = 0x636c69656e74
 
-// startClients starts clients by a Poisson process with a rate per second, and returns after the plan's duration.
+// startClients starts clients as a Poisson process with a rate per second, and returns after the plan's duration.
 func (r *runner) startClients(rate float64) {
 	rng := rand.New(rand.NewPCG(r.plan.Seed, clientStream))
 	var connections atomic.Int64
@@ -169,7 +170,7 @@
 	maxPause        = 1500 * time.Millisecond
 )
 
-// drawClient draws client n.
+// drawClient returns client number n with random properties.
 func (r *runner) drawClient(rng *rand.Rand, n int) client {
 	class := classes[rng.IntN(len(classes))]
 	c := client{
--- a/internal/soaktest/soak_test.go
+++ b/internal/soaktest/soak_test.go
@@ -28,7 +28,8 @@
 		return "", err
 	}
 	path := filepath.Join(dir, "onyxstream")
-	// Linked against the C library, like the deployment's: a static program ignores the library that hides the vDSO.
+	// The program is linked against the C library, like the deployed one. A static program does not load the preloaded
+	// library that hides the vDSO, and then clock steps have no effect.
 	out, err := exec.Command("go", "build", "-ldflags=-linkmode=external", "-o", path, "onyxstream/cmd/onyxstream").CombinedOutput()
 	if err != nil {
 		return "", fmt.Errorf("%w: %s", err, out)
@@ -44,9 +45,9 @@
 	return defaultValue
 }
 
-// Overlapping faults on a fleet of real processes break no rule. ONYXSTREAM_SOAK is the number of seeds, ONYXSTREAM_SEED the
-// first one, ONYXSTREAM_NODES the number of nodes, and ONYXSTREAM_SOAK_SECONDS the duration of each plan.
-// ONYXSTREAM_SOAK_LOGS is a folder for the logs of runs that fail.
+// A cluster of real processes violates no rule under overlapping faults. ONYXSTREAM_SOAK is the number of seeds,
+// ONYXSTREAM_SEED the first seed, ONYXSTREAM_NODES the number of nodes, and ONYXSTREAM_SOAK_SECONDS the duration of each
+// plan in seconds. ONYXSTREAM_SOAK_LOGS is a folder for the logs of failed runs.
 func TestSoak_OverlappingFaults_RulesHold(t *testing.T) {
 	program, err := buildProgram()
 	if err != nil {
@@ -78,7 +79,7 @@
 				t.Errorf("seed %d: %s", seed, line)
 			}
 			if report.Served < report.Requests/5 {
-				t.Errorf("seed %d: %d of %d are served", seed, report.Served, report.Requests)
+				t.Errorf("seed %d: %d of %d requests served, want at least a fifth", seed, report.Served, report.Requests)
 			}
 			if logs != "" && t.Failed() {
 				saveRun(t, logs, seed, plan, report)
@@ -87,7 +88,7 @@
 	}
 }
 
-// saveRun writes the log, the events and the plan of a failed run to a folder.
+// saveRun writes the logs, the events and the plan of a failed run to a folder.
 func saveRun(t *testing.T, folder string, seed int, plan Plan, report *Report) {
 	t.Helper()
 	var ledger strings.Builder
@@ -95,8 +96,8 @@
 		t.Fatal(err)
 	}
 	var planText strings.Builder
-	for _, x := range plan.Faults {
-		fmt.Fprintf(&planText, "%v for %v: %s on %s by %g over %v\n", x.At.AsDuration(), x.Duration.AsDuration(), x.Kind, x.Target, x.Amount, x.Period.AsDuration())
+	for _, fault := range plan.Faults {
+		fmt.Fprintf(&planText, "%v for %v: %s on %s by %g over %v\n", fault.At.AsDuration(), fault.Duration.AsDuration(), fault.Kind, fault.Target, fault.Amount, fault.Period.AsDuration())
 	}
 	fmt.Fprintf(&planText, "reloads %+v\nidle clients %+v\ncall faults %+v\n", plan.Reloads, plan.IdleClients, plan.SyscallFaults)
 	for name, text := range map[string]string{"log": string(report.Log), "ledger": ledger.String(), "plan": planText.String()} {
@@ -106,7 +107,7 @@
 	}
 }
 
-// A seed always gives the same plan, other seeds give others, and faults overlap in each plan.
+// The same seed always gives the same plan, another seed gives another plan, and faults overlap in each plan.
 func TestGeneratePlan_SameSeed_SamePlan(t *testing.T) {
 	options := PlanOptions{Nodes: 24, Hosts: 12, Duration: 20 * time.Second}
 	for seed := range uint64(50) {
@@ -115,7 +116,7 @@
 			t.Fatalf("seed %d: %s", seed, diff)
 		}
 		if cmp.Equal(plan.Faults, GeneratePlan(seed+1, options).Faults) {
-			t.Errorf("seed %d and the next one give the same faults", seed)
+			t.Errorf("seed %d and the next seed give the same faults", seed)
 		}
 		f := clusterConfig(plan, options)
 		if err := f.Check(classes, tenants); err != nil {
@@ -125,16 +126,16 @@
 			t.Errorf("seed %d: %v", seed, err)
 		}
 		if n := countOverlapping(plan); n < 5 {
-			t.Errorf("seed %d: faults overlap only %d times", seed, n)
+			t.Errorf("seed %d: %d pairs of overlapping faults, want at least 5", seed, n)
 		}
 	}
 }
 
-// countOverlapping counts the pairs of faults that begin within faultSpread.
+// countOverlapping counts the pairs of faults that begin within faultSpread of each other.
 func countOverlapping(p Plan) (n int) {
 	var at []time.Duration
-	for _, x := range p.Faults {
-		at = append(at, x.At.AsDuration())
+	for _, fault := range p.Faults {
+		at = append(at, fault.At.AsDuration())
 	}
 	for i, a := range at {
 		for _, b := range at[:i] {
--- a/internal/soaktest/syscall_faults.go
+++ b/internal/soaktest/syscall_faults.go
@@ -12,15 +12,15 @@
 	"onyxstream/internal/faultinject"
 )
 
-// SyscallFault makes system calls of a node fail for a time, or steps its wall clock.
+// SyscallFault makes system calls of a node fail for Duration, or steps its wall clock.
 type SyscallFault struct {
 	At, Duration time.Duration
 	Node         string
 	Rules        []faultinject.Rule // nil for a step of the clock
-	ClockStep    time.Duration      // offset of the wall clock from now on
+	ClockStep    time.Duration      // offset of the node's wall clock from the machine's, from At on
 }
 
-// syscallFaultRules are failures of system calls that may occur in service.
+// syscallFaultRules are failures of system calls that can occur in production. A fault uses the rules of one element.
 var syscallFaultRules = [][]faultinject.Rule{
 	{{
 		Call:        faultinject.Accept,
@@ -42,15 +42,15 @@
 // socketErrors are failures of reads and writes on sockets.
 var socketErrors = []unix.Errno{unix.ENOMEM, unix.ENOBUFS, unix.EINTR}
 
-// clockSteps are the offsets of a node's wall clock from the machine's.
+// clockSteps are the possible offsets of a node's wall clock from the machine's.
 var clockSteps = []time.Duration{time.Hour, -time.Hour, 5 * time.Second, -5 * time.Second, 0}
 
-// tracedSyscalls are the system calls that nodes are started to be traced for.
+// tracedSyscalls are the system calls that are traced in the processes of all nodes, so that rules can make them fail.
 var tracedSyscalls = []faultinject.Call{
 	faultinject.Accept, faultinject.Socket, faultinject.Connect, faultinject.Read, faultinject.Write,
 }
 
-// drawSyscallFaults makes system calls of one to three nodes fail for a time.
+// drawSyscallFaults makes system calls of one to three nodes fail for 100 ms to 1 s.
 func (g *planGenerator) drawSyscallFaults(at time.Duration) {
 	for range 1 + g.IntN(3) {
 		length := g.duration(100*time.Millisecond, time.Second)
@@ -82,7 +82,7 @@
 	}
 }
 
-// processes starts nodes under fault injection, and keeps each node's current process.
+// processes starts nodes under fault injection, and holds each node's current process.
 type processes struct {
 	seed uint64
 
@@ -107,7 +107,7 @@
 	return p.byNode[name]
 }
 
-// failedSyscallCount counts the calls that have failed in the current processes.
+// failedSyscallCount returns the number of system calls that fault injection made fail in the current processes.
 func (p *processes) failedSyscallCount() (n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -119,7 +119,7 @@
 	return n
 }
 
-// startSyscallFaults plays the plan's call faults. A node that restarts meanwhile has none.
+// startSyscallFaults starts the plan's system call faults. A node that restarts during a fault loses the fault.
 func (r *runner) startSyscallFaults(p *processes) {
 	for _, fault := range r.plan.SyscallFaults {
 		r.wg.Go(func() {
