--- a/internal/testcluster/coldstart_discovery_test.go
+++ b/internal/testcluster/coldstart_discovery_test.go
@@ -150,7 +150,7 @@
 			t.Fatal(err)
 		}
 	}
-	waitUntil(t, "all nodes follow the new list", func() bool {
+	waitUntil(t, "all nodes use the new list", func() bool {
 		from := cluster.Clock.Now()
 		expectAllServed(t, cluster, nodes, 1)
 		got := setupsByHost(cluster, from)
--- a/internal/testcluster/coldstart_peers_test.go
+++ b/internal/testcluster/coldstart_peers_test.go
@@ -124,7 +124,7 @@
 		config.Discovery.StartsUnknown = false
 	}))
 	launch(t, cluster)
-	waitUntil(t, "each node has called", func() bool {
+	waitUntil(t, "each node has connected to discovery", func() bool {
 		_, dialsByNode := discoveryRequests(cluster)
 		return len(dialsByNode) == nodes
 	})
--- a/internal/testcluster/config_check.go
+++ b/internal/testcluster/config_check.go
@@ -46,7 +46,7 @@
 	}
 	for i, zone := range c.Zones {
 		if zone == "" || strings.ContainsAny(zone, " ,=\"\\") {
-			return tomlfile.NewFieldError("fleet.zones", "%q is no name (number %d)", zone, i+1)
+			return tomlfile.NewFieldError("fleet.zones", "invalid zone name %q (number %d)", zone, i+1)
 		}
 	}
 	if field, err := c.hostSpec(0).Check(); err != nil {
@@ -83,7 +83,7 @@
 	}
 	peers := c.ColdStart.Peers
 	if peers < 0 || peers > maxPeers || peers >= max(c.Nodes, 1) {
-		return tomlfile.NewFieldError("fleet.coldstart.peers", "%d is not between 0 and %d, and under the nodes", peers, maxPeers)
+		return tomlfile.NewFieldError("fleet.coldstart.peers", "%d is not between 0 and %d, or not less than the number of nodes", peers, maxPeers)
 	}
 	return nil
 }
--- a/internal/testcluster/fault_spec.go
+++ b/internal/testcluster/fault_spec.go
@@ -106,19 +106,19 @@
 	isProcess := t.kind == targetNode || t.kind == targetAgent
 	switch {
 	case !known:
-		return tomlfile.NewFieldError(key+"what", "%q can't happen to a %s", fault.Kind, t.kind)
+		return tomlfile.NewFieldError(key+"what", "fault %q does not apply to a %s", fault.Kind, t.kind)
 	case fault.At < 0:
 		return tomlfile.NewFieldError(key+"at", "%s is negative", fault.At.AsDuration())
 	case fault.Duration < 0:
 		return tomlfile.NewFieldError(key+"for", "%s is negative", fault.Duration.AsDuration())
 	case parameters.amount && fault.Amount <= 0:
-		return tomlfile.NewFieldError(key+"by", "%s needs a figure above 0", fault.Kind)
+		return tomlfile.NewFieldError(key+"by", "%s needs a number greater than 0", fault.Kind)
 	case fault.Period < 0:
 		return tomlfile.NewFieldError(key+"over", "%s is negative", fault.Period.AsDuration())
 	case t.kind == targetLink && c.missingLinkKey(t.linkOf) != "":
-		return tomlfile.NewFieldError(key+"on", "%s is off, so there is no link", c.missingLinkKey(t.linkOf))
+		return tomlfile.NewFieldError(key+"on", "%s is off: no such link", c.missingLinkKey(t.linkOf))
 	case fault.Kind == faultStall && isProcess && fault.Duration == 0:
-		return tomlfile.NewFieldError(key+"for", "a process that stalls for ever is killed, not stalled")
+		return tomlfile.NewFieldError(key+"for", "missing duration of a stall; use kill for a process that does not resume")
 	}
 	return nil
 }
@@ -141,11 +141,11 @@
 	switch {
 	case t.kind != targetHost:
 	case fault.Kind == faultAdd && t.index != *hosts:
-		return tomlfile.NewFieldError(key+"on", "the next host to add is h%d", *hosts+1)
+		return tomlfile.NewFieldError(key+"on", "the next host that can be added is h%d", *hosts+1)
 	case fault.Kind == faultAdd:
 		*hosts++
 	case t.index >= *hosts:
-		return tomlfile.NewFieldError(key+"on", "there is no h%d by then", t.index+1)
+		return tomlfile.NewFieldError(key+"on", "there is no h%d at that time", t.index+1)
 	}
 	return nil
 }
--- a/internal/testcluster/request_outcomes.go
+++ b/internal/testcluster/request_outcomes.go
@@ -95,7 +95,7 @@
 // check counts one request by its final answer, and adds its violations.
 func (o *RequestOutcomes) check(request *requestEvents, receipts map[receiptKey]bool, resetIsViolation bool) {
 	if len(request.answers) == 0 {
-		o.addViolation(request, "no whole answer")
+		o.addViolation(request, "no complete final answer")
 		return
 	}
 	answer := request.answers[0]
@@ -107,10 +107,10 @@
 	case "UP":
 		o.Served++
 		if !receipts[receiptKey{request.id, receipt}] {
-			o.addViolation(request, "%q is no host's answer", answer)
+			o.addViolation(request, "no host issued the receipt in %q", answer)
 		}
 		if resetIsViolation && request.resetByNode {
-			o.addViolation(request, "cut off while it stood")
+			o.addViolation(request, "established connection ended by node without MOVE")
 		}
 		return // further lines belong to the established connection
 	case "BUSY":
@@ -119,11 +119,11 @@
 		o.Failed++
 	}
 	if len(request.answers) > 1 {
-		o.addViolation(request, "more answers than one: %q", request.answers)
+		o.addViolation(request, "more than one final answer: %q", request.answers)
 	}
 }
 
 func (o *RequestOutcomes) addViolation(request *requestEvents, format string, args ...any) {
-	prefix := fmt.Sprintf("%s, asked at %v for %v: ", request.id, request.sentAt, request.timeout)
+	prefix := fmt.Sprintf("%s, sent at %v with a timeout of %v: ", request.id, request.sentAt, request.timeout)
 	o.Violations = append(o.Violations, prefix+fmt.Sprintf(format, args...))
 }
--- a/internal/testcluster/target.go
+++ b/internal/testcluster/target.go
@@ -63,8 +63,8 @@
 			return target{name: name, kind: form.kind, linkOf: form.linkOf, index: number - 1}, nil
 		}
 	}
-	return t, fmt.Errorf("%q is neither a host h1 to h%d, a node n1 to n%d, an agent, link-h1, link-n1, link-a1, "+
-		"peers-n1 and so on, \"discovery\" nor \"store\"", name, c.Hosts, c.Nodes)
+	return t, fmt.Errorf("unknown target %q: want a host h1 to h%d, a node n1 to n%d, an agent (a1), links (link-h1, link-n1, "+
+		"link-a1, peers-n1), \"discovery\" or \"store\"", name, c.Hosts, c.Nodes)
 }
 
 // parseNumbered returns the number in a name that consists of a prefix and a decimal number without leading zeros.
