--- a/internal/soaktest/plan.go
+++ b/internal/soaktest/plan.go
@@ -14,7 +14,7 @@
 // PlanOptions are the size of the cluster and the duration of a plan.
 type PlanOptions struct {
 	Nodes, Hosts int
-	Duration     time.Duration // how long clients connect and faults begin
+	Duration     time.Duration // the time in which clients connect and faults begin
 }
 
 // Plan is the set of faults of a run. Times are relative to the start of the plan.
--- a/internal/testcluster/cluster.go
+++ b/internal/testcluster/cluster.go
@@ -147,7 +147,8 @@
 	return endpoints, nil
 }
 
-// createKeys creates the certificate authority of a cluster that uses TLS, and the certificate for peer lists.
+// createKeys creates the certificate authority of a cluster that uses TLS, and the certificate with which nodes read
+// each other's endpoint lists.
 func (c *Cluster) createKeys() error {
 	if !c.config.usesTLS() {
 		return nil
--- a/internal/testcluster/nodes.go
+++ b/internal/testcluster/nodes.go
@@ -128,8 +128,8 @@
 	return os.WriteFile(c.processConfigPath(p), []byte(text), privateFile)
 }
 
-// configurePeers sets a node's peers. The nodes form a ring, and the distances to the peers grow with the square of the
-// peer's number, so that gossip reaches all nodes in few hops. The peers are the same in each run.
+// configurePeers sets a node's peers. The nodes form a ring, and the distance to a peer is proportional to the square of
+// the peer's number, modulo the ring, so that gossip reaches all nodes in few hops. The peers are the same in each run.
 func (c *Cluster) configurePeers(index int) error {
 	const stepFactor = 7919 // a prime, so that the distances spread over rings of any size
 	count := len(c.nodes)
--- a/internal/testcluster/request_outcomes_test.go
+++ b/internal/testcluster/request_outcomes_test.go
@@ -7,7 +7,7 @@
 	"onyxstream/internal/fakeserver"
 )
 
-// Each kind of violation is told apart from the valid outcomes.
+// CheckRequests reports each kind of violation, and no violation for valid outcomes.
 func TestCheckRequests_EachOutcome_Classified(t *testing.T) {
 	const ms = time.Millisecond
 	var events []fakeserver.Event
