--- a/internal/cli/load_result.go
+++ b/internal/cli/load_result.go
@@ -97,7 +97,7 @@
 	}
 	if result.Discovery != nil {
 		fmt.Fprintf(w, "discovery: %d list requests, %d rejected, at most %d within 100 ms\n",
-			result.Discovery.Calls, result.Discovery.Rejected, result.Discovery.MaxIn100ms)
+			result.Discovery.Requests, result.Discovery.Rejected, result.Discovery.MaxIn100ms)
 	}
 	if result.WrongReceipts > 0 {
 		fmt.Fprintf(w, "%d receipts that no host issued\n", result.WrongReceipts)
--- a/internal/loadtest/page/plots.go
+++ b/internal/loadtest/page/plots.go
@@ -205,7 +205,7 @@
 		name   string
 		figure func(s *testcluster.StartStep) int
 	}{
-		{"list requests to discovery", func(s *testcluster.StartStep) int { return s.Calls }},
+		{"list requests to discovery", func(s *testcluster.StartStep) int { return s.Requests }},
 		{"rejected list requests", func(s *testcluster.StartStep) int { return s.Rejected }},
 		{"setups at all hosts", func(s *testcluster.StartStep) int { return s.Setups }},
 		{"setups at the busiest host", func(s *testcluster.StartStep) int { return s.MaxSetupsPerHost }},
--- a/internal/loadtest/result.go
+++ b/internal/loadtest/result.go
@@ -38,12 +38,12 @@
 	FleetEvents []FleetEvent  `json:"marks,omitempty"`
 	// WrongReceipts is the number of receipts that no host issued for their connection. It is above 0 only if something
 	// between client and host is faulty.
-	WrongReceipts int64                       `json:"wrong_receipts"`
-	Nodes         *testcluster.Usage          `json:"nodes,omitempty"`
-	Hosts         []HostCount                 `json:"hosts,omitempty"`
-	Discovery     *testcluster.DiscoveryCalls `json:"list,omitempty"`  // list requests to discovery
-	Startup       []testcluster.StartStep     `json:"start,omitempty"` // startup of the fleet, before the first request
-	Generator     testcluster.Usage           `json:"self"`            // of the generator's process, fake servers included
+	WrongReceipts int64                          `json:"wrong_receipts"`
+	Nodes         *testcluster.Usage             `json:"nodes,omitempty"`
+	Hosts         []HostCount                    `json:"hosts,omitempty"`
+	Discovery     *testcluster.DiscoveryRequests `json:"list,omitempty"`  // list requests to discovery
+	Startup       []testcluster.StartStep        `json:"start,omitempty"` // startup of the fleet, before the first request
+	Generator     testcluster.Usage              `json:"self"`            // of the generator's process, fake servers included
 }
 
 // ownUsage returns the resources that this process has used so far.
--- a/internal/testcluster/config_check.go
+++ b/internal/testcluster/config_check.go
@@ -7,17 +7,17 @@
 	"onyxstream/internal/tomlfile"
 )
 
-// The modes of the nodes, as in the settings.
+// Values of Config.Mode, as in the nodes' settings.
 const (
-	modePass  = "pass"
-	modeProxy = "proxy"
+	modePassThrough = "pass"
+	modeProxy       = "proxy"
 )
 
 const (
-	maxNodes  = 1250 // each has a loopback address of its own
+	maxNodes  = 1250 // each has its own loopback address
 	maxHosts  = 4096
 	maxAgents = 1024
-	maxPeers  = 1024 // of a node: each takes a link, and with it descriptors of this process
+	maxPeers  = 1024 // of a node; each needs a link, which uses descriptors of this process
 )
 
 // Defaults of Config.
@@ -35,7 +35,7 @@
 // Check sets defaults and validates the configuration. Its errors are *tomlfile.FieldError.
 func (c *Config) Check(classes []ClassConfig, tenants []string) error {
 	c.setDefaults()
-	if c.Mode != modePass && c.Mode != modeProxy {
+	if c.Mode != modePassThrough && c.Mode != modeProxy {
 		return tomlfile.NewFieldError("fleet.mode", `%q is neither "pass" nor "proxy"`, c.Mode)
 	}
 	if err := c.checkPeers(); err != nil {
@@ -46,7 +46,7 @@
 	}
 	for i, zone := range c.Zones {
 		if zone == "" || strings.ContainsAny(zone, " ,=\"\\") {
-			return tomlfile.NewFieldError("fleet.zones", "%q is no name (number %d)", zone, i+1)
+			return tomlfile.NewFieldError("fleet.zones", "invalid zone name %q (number %d)", zone, i+1)
 		}
 	}
 	if field, err := c.hostSpec(0).Check(); err != nil {
@@ -69,7 +69,7 @@
 	setDefault(&c.Discovery.PollInterval, defaultPollInterval)
 }
 
-// setDefault replaces a zero value.
+// setDefault replaces a zero value by a default.
 func setDefault[T comparable](field *T, value T) {
 	var zero T
 	if *field == zero {
@@ -83,12 +83,12 @@
 	}
 	peers := c.ColdStart.Peers
 	if peers < 0 || peers > maxPeers || peers >= max(c.Nodes, 1) {
-		return tomlfile.NewFieldError("fleet.coldstart.peers", "%d is not between 0 and %d, and under the nodes", peers, maxPeers)
+		return tomlfile.NewFieldError("fleet.coldstart.peers", "%d is not between 0 and %d, or not less than the number of nodes", peers, maxPeers)
 	}
 	return nil
 }
 
-// checkRanges validates the figures, durations in seconds.
+// checkRanges validates the ranges of numbers and durations, the latter in seconds.
 func (c *Config) checkRanges() error {
 	for _, field := range []struct {
 		key             string
@@ -101,7 +101,7 @@
 		{"memory_mb", float64(c.MemoryMB), 16, 1 << 20},
 		{"sockets", float64(c.Sockets), 64, 1 << 20},
 		{"notice", c.DiscoveryDelay.AsDuration().Seconds(), 0, 600},
-		{"front_notice", c.FrontendDelay.AsDuration().Seconds(), 0, 600},
+		{"front_notice", c.FrontEjectDelay.AsDuration().Seconds(), 0, 600},
 		{"park", c.ResumeTimeout.AsDuration().Seconds(), 0, 600},
 		{"quota", c.TenantQuota, 0, 1e9},
 		{"host.uneven", c.Host.SpeedSpread, 0, 0.99},
