--- a/internal/lifecycle/management.go
+++ b/internal/lifecycle/management.go
@@ -47,12 +47,12 @@
 		Dispatches: m.proxy.Dispatches(),
 		Concurrent: m.proxy.OpenClients(),
 	}
-	for _, replies := range m.proxy.Replies() {
+	for _, answers := range m.proxy.FinalAnswers() {
 		stats.FinalAnswers = append(stats.FinalAnswers, management.FinalAnswers{
-			Class:    replies.Class,
-			Success:  replies.Success,
-			Overload: replies.Rejected,
-			Error:    replies.Error,
+			Class:    answers.Class,
+			Success:  answers.Success,
+			Overload: answers.Rejected,
+			Error:    answers.Error,
 		})
 	}
 	stats.Targets, stats.Disabled = m.node.HostCounts()
--- a/internal/management/stats.go
+++ b/internal/management/stats.go
@@ -26,11 +26,11 @@
 		text = strconv.AppendUint(text, value, 10)
 		text = append(text, "\r\n"...)
 	}
-	for _, replies := range s.FinalAnswers {
-		prefix := "replies." + replies.Class
-		add(prefix+".success", replies.Success)
-		add(prefix+".overload", replies.Overload)
-		add(prefix+".error", replies.Error)
+	for _, answers := range s.FinalAnswers {
+		prefix := "replies." + answers.Class
+		add(prefix+".success", answers.Success)
+		add(prefix+".overload", answers.Overload)
+		add(prefix+".error", answers.Error)
 	}
 	add("dispatches", s.Dispatches)
 	add("concurrent", uint64(max(s.Concurrent, 0)))
--- a/internal/proxy/metrics.go
+++ b/internal/proxy/metrics.go
@@ -7,13 +7,13 @@
 	"onyxstream/internal/wire"
 )
 
-// Replies counts the final answers to clients of one class.
-type Replies struct {
+// FinalAnswers counts the final answers to clients of one class.
+type FinalAnswers struct {
 	Class                    string
 	Success, Rejected, Error uint64
 }
 
-// answerCounters are the counters behind Replies. countAnswer counts each client once.
+// answerCounters are the counters behind FinalAnswers. countAnswer counts each client once.
 type answerCounters struct{ success, rejected, errored atomic.Uint64 }
 
 // metrics holds counters since the start of the process. It is safe for concurrent use.
@@ -32,12 +32,12 @@
 	return m
 }
 
-// Replies returns the counts of final answers for each class, in the order of the settings.
-func (p *Proxy) Replies() []Replies {
-	all := make([]Replies, 0, len(p.metrics.classes))
+// FinalAnswers returns the counts of final answers for each class, in the order of the settings.
+func (p *Proxy) FinalAnswers() []FinalAnswers {
+	all := make([]FinalAnswers, 0, len(p.metrics.classes))
 	for _, class := range p.metrics.classes {
 		counters := p.metrics.answers[class]
-		all = append(all, Replies{
+		all = append(all, FinalAnswers{
 			Class:    class,
 			Success:  counters.success.Load(),
 			Rejected: counters.rejected.Load(),
--- a/internal/proxy/quiesce_test.go
+++ b/internal/proxy/quiesce_test.go
@@ -75,9 +75,9 @@
 	expectLine(t, in, "half a line\r\n")
 	_, _ = io.WriteString(c, "M 1\r\n")
 	expectLine(t, in, "M 1\r\n")
-	if next.node.EstablishedConnections() != 1 || next.proxy.OpenClients() != 1 || next.proxy.Replies()[0].Success != 0 {
+	if next.node.EstablishedConnections() != 1 || next.proxy.OpenClients() != 1 || next.proxy.FinalAnswers()[0].Success != 0 {
 		t.Errorf("new process: %d established, %d open, answers %+v; want 1, 1 and no success",
-			next.node.EstablishedConnections(), next.proxy.OpenClients(), next.proxy.Replies())
+			next.node.EstablishedConnections(), next.proxy.OpenClients(), next.proxy.FinalAnswers())
 	}
 	next.node.MigrateAll(time.Now())
 	expectLine(t, in, "MOVE\r\n")
