--- a/internal/hotrestart/accept.go
+++ b/internal/hotrestart/accept.go
@@ -18,7 +18,7 @@
 // AcceptedConn is a connection accepted from another process, with this process's copies of its two sockets.
 type AcceptedConn struct {
 	OfferedConn
-	ClientConn, PeerConn *net.TCPConn // to the client, and to the host
+	ClientConn, HostConn *net.TCPConn // to the client, and to the host
 }
 
 // InvalidOfferError is returned for an offer file that is damaged, or that no process of this node can have written.
@@ -127,19 +127,19 @@
 	if err != nil {
 		return AcceptedConn{}, err
 	}
-	peer, err := copySocket(pidfd, offered.Peer)
+	host, err := copySocket(pidfd, offered.HostSocket)
 	if err != nil {
 		_ = client.Close()
 		return AcceptedConn{}, err
 	}
-	return AcceptedConn{OfferedConn: offered, ClientConn: client, PeerConn: peer}, nil
+	return AcceptedConn{OfferedConn: offered, ClientConn: client, HostConn: host}, nil
 }
 
 // closeAll closes this process's copies of the sockets. The connections stay with the process that offered them.
 func closeAll(connections []AcceptedConn) {
 	for _, connection := range connections {
 		_ = connection.ClientConn.Close()
-		_ = connection.PeerConn.Close()
+		_ = connection.HostConn.Close()
 	}
 }
 
--- a/internal/hotrestart/offer.go
+++ b/internal/hotrestart/offer.go
@@ -43,14 +43,15 @@
 // ErrNotAccepted is returned by Offer if no process accepted the offer in time.
 var ErrNotAccepted = errors.New("no process accepted the offered connections")
 
-// OfferedConn is an established connection in an offer. Client is its socket to the client, and Peer that to the host.
+// OfferedConn is an established connection in an offer. Client is its socket to the client, and HostSocket that to the
+// host.
 type OfferedConn struct {
-	Line    string  `json:"line"` // the client's opening line
-	Host    string  `json:"host"`
-	Client  Socket  `json:"client"`
-	Peer    Socket  `json:"peer"`
-	Partial []byte  `json:"partial,omitempty"` // an incomplete line that the host has sent
-	Load    float64 `json:"load,omitempty"`    // the host's last load report, 0 for none
+	Line       string  `json:"line"` // the client's opening line
+	Host       string  `json:"host"`
+	Client     Socket  `json:"client"`
+	HostSocket Socket  `json:"peer"`
+	Partial    []byte  `json:"partial,omitempty"` // an incomplete line that the host has sent
+	Load       float64 `json:"load,omitempty"`    // the host's last load report, 0 for none
 }
 
 // PingBaseline is the shortest ping of a host. A successor can't measure it again while the host is under load.
--- a/internal/multiprocess/handoff.go
+++ b/internal/multiprocess/handoff.go
@@ -78,14 +78,14 @@
 func offeredConns(connections []proxy.EstablishedConn) (offered []hotrestart.OfferedConn) {
 	for _, connection := range connections {
 		client, _ := hotrestart.SocketOf(connection.Client)
-		peer, _ := hotrestart.SocketOf(connection.Peer)
+		host, _ := hotrestart.SocketOf(connection.HostConn)
 		offered = append(offered, hotrestart.OfferedConn{
-			Line:    connection.Line,
-			Host:    connection.Host,
-			Client:  client,
-			Peer:    peer,
-			Partial: connection.Partial,
-			Load:    connection.Load,
+			Line:       connection.Line,
+			Host:       connection.Host,
+			Client:     client,
+			HostSocket: host,
+			Partial:    connection.Partial,
+			Load:       connection.Load,
 		})
 	}
 	return offered
@@ -135,12 +135,12 @@
 func (c *Coordinator) resumeConnections(connections []hotrestart.AcceptedConn) {
 	for _, connection := range connections {
 		err := c.proxy.Adopt(proxy.EstablishedConn{
-			Line:    connection.Line,
-			Host:    connection.Host,
-			Client:  connection.ClientConn,
-			Peer:    connection.PeerConn,
-			Partial: connection.Partial,
-			Load:    connection.Load,
+			Line:     connection.Line,
+			Host:     connection.Host,
+			Client:   connection.ClientConn,
+			HostConn: connection.HostConn,
+			Partial:  connection.Partial,
+			Load:     connection.Load,
 		})
 		if err != nil {
 			c.log.Error("accepted connection could not be resumed, client migrated", zap.Error(err))
--- a/internal/proxy/adopt.go
+++ b/internal/proxy/adopt.go
@@ -21,7 +21,7 @@
 	err := p.adopt(handedOff)
 	if err != nil {
 		closeWithLine(handedOff.Client, wire.Migration)
-		_ = handedOff.Peer.Close()
+		_ = handedOff.HostConn.Close()
 	}
 	return err
 }
@@ -36,7 +36,7 @@
 	c.opening = opening
 	c.requestID = balancer.RequestID(opening.ID)
 	c.hostID = handedOff.Host
-	c.host = handedOff.Peer
+	c.host = handedOff.HostConn
 	c.answerCounted.Store(true) // the process that established the connection counted it
 	close(c.established)
 	p.mu.Lock()
@@ -78,6 +78,6 @@
 	host.Advance(copy(host.Space(), handedOff.Partial))
 	defer client.Release()
 	c.whileReadingClient(&client, func() {
-		c.relay(handedOff.Peer, &host, nil, 0, start)
+		c.relay(handedOff.HostConn, &host, nil, 0, start)
 	})
 }
--- a/internal/proxy/quiesce.go
+++ b/internal/proxy/quiesce.go
@@ -14,11 +14,11 @@
 
 // EstablishedConn is a quiesced connection, with all that another process needs to resume it.
 type EstablishedConn struct {
-	Line         string       // the client's opening line
-	Host         string       // the host's id
-	Client, Peer *net.TCPConn // the connections to the client and to the host
-	Partial      []byte       // the incomplete line that the host has sent
-	Load         float64      // load in the host's last load report; 0 if there was none
+	Line             string       // the client's opening line
+	Host             string       // the host's id
+	Client, HostConn *net.TCPConn // the connections to the client and to the host
+	Partial          []byte       // the incomplete line that the host has sent
+	Load             float64      // load in the host's last load report; 0 if there was none
 }
 
 const (
@@ -132,12 +132,12 @@
 
 func (q *quiescence) establishedConn() EstablishedConn {
 	return EstablishedConn{
-		Line:    q.conn.opening.Line(),
-		Host:    q.conn.hostID,
-		Client:  q.conn.client,
-		Peer:    q.host,
-		Partial: q.partial,
-		Load:    q.load,
+		Line:     q.conn.opening.Line(),
+		Host:     q.conn.hostID,
+		Client:   q.conn.client,
+		HostConn: q.host,
+		Partial:  q.partial,
+		Load:     q.load,
 	}
 }
 
--- a/internal/proxy/quiesce_test.go
+++ b/internal/proxy/quiesce_test.go
@@ -55,7 +55,7 @@
 			t.Errorf("quiesced connection %+v, want host h0, load 3 and the opening line", handedOff)
 		}
 		handedOff.Client = duplicateSocket(t, handedOff.Client)
-		handedOff.Peer = duplicateSocket(t, handedOff.Peer)
+		handedOff.HostConn = duplicateSocket(t, handedOff.HostConn)
 		if err := next.proxy.Adopt(handedOff); err != nil {
 			t.Fatal(err)
 		}
@@ -126,16 +126,16 @@
 	expectLine(t, in, establishedLine)
 	pair := func() (*net.TCPConn, *net.TCPConn) {
 		client, _ := r.open(t, "")
-		peer, _ := r.open(t, "")
-		return client.(*net.TCPConn), peer.(*net.TCPConn)
+		hostConn, _ := r.open(t, "")
+		return client.(*net.TCPConn), hostConn.(*net.TCPConn)
 	}
-	client, peer := pair()
+	client, hostConn := pair()
 	for _, line := range []string{"", "PING", "OPEN"} {
-		if err := r.proxy.Adopt(EstablishedConn{Line: line, Client: client, Peer: peer}); err == nil {
+		if err := r.proxy.Adopt(EstablishedConn{Line: line, Client: client, HostConn: hostConn}); err == nil {
 			t.Errorf("Adopt with opening line %q succeeded, want an error", line)
 		}
 	}
-	if err := r.proxy.Adopt(EstablishedConn{Line: "OPEN a key c=chat", Host: "h0", Client: client, Peer: peer}); err != nil {
+	if err := r.proxy.Adopt(EstablishedConn{Line: "OPEN a key c=chat", Host: "h0", Client: client, HostConn: hostConn}); err != nil {
 		t.Error(err)
 	}
 	netiotest.Eventually(t, "the second connection ends", func() bool { return r.proxy.OpenClients() == 1 })
@@ -148,8 +148,8 @@
 	r := startNode(t, zap.NewNop(), true)
 	r.stop()
 	client, accepted := connect(t)
-	host, peer := connect(t)
-	err := r.proxy.Adopt(EstablishedConn{Line: openRequest, Host: "h0", Client: accepted, Peer: peer})
+	host, hostConn := connect(t)
+	err := r.proxy.Adopt(EstablishedConn{Line: openRequest, Host: "h0", Client: accepted, HostConn: hostConn})
 	if err == nil {
 		t.Fatal("Adopt after the shutdown succeeded, want an error")
 	}
