--- a/internal/coldstart/cachedlist.go
+++ b/internal/coldstart/cachedlist.go
@@ -13,9 +13,9 @@
 
 // CachedList is an endpoint list as stored in a node's data folder.
 type CachedList struct {
-	Service   string            `json:"service"`
-	Confirmed int64             `json:"confirmed_ms"` // Unix time when discovery last sent or confirmed the list
-	List      wire.EndpointList `json:"list"`
+	DiscoveryName string            `json:"service"`
+	Confirmed     int64             `json:"confirmed_ms"` // Unix time when discovery last sent or confirmed the list
+	List          wire.EndpointList `json:"list"`
 }
 
 const (
@@ -49,7 +49,9 @@
 // Decode reads a document that must have come from the given discovery service. It returns the list and the time since
 // discovery last confirmed it. If the confirmation lies in the future, because the clock was stepped, the age is
 // UnknownAge.
-func Decode(document []byte, service string, now time.Time) (list wire.EndpointList, age time.Duration, err error) {
+func Decode(
+	document []byte, discoveryName string, now time.Time,
+) (list wire.EndpointList, age time.Duration, err error) {
 	body, err := checkedBody(document)
 	if err != nil {
 		return list, 0, err
@@ -58,8 +60,8 @@
 	if err := json.Unmarshal(body, &cached); err != nil {
 		return list, 0, fmt.Errorf("%w: %w", ErrFormat, err)
 	}
-	if cached.Service != service {
-		return list, 0, fmt.Errorf("%w: got %q, want %q", ErrOtherDiscovery, cached.Service, service)
+	if cached.DiscoveryName != discoveryName {
+		return list, 0, fmt.Errorf("%w: got %q, want %q", ErrOtherDiscovery, cached.DiscoveryName, discoveryName)
 	}
 	if err := cached.List.Check(); err != nil {
 		return list, 0, err
--- a/internal/coldstart/coldstart.go
+++ b/internal/coldstart/coldstart.go
@@ -158,9 +158,9 @@
 	return watchActive
 }
 
-// SetService switches to another discovery service, which does not know the revisions of the previous one.
-func (s *Scheduler) SetService(service string) {
-	s.cfg.Service = service
+// SetDiscoveryName switches to another discovery service, which does not know the revisions of the previous one.
+func (s *Scheduler) SetDiscoveryName(name string) {
+	s.cfg.DiscoveryName = name
 	s.revision = -1
 	s.requestInFlight = false
 	s.listReceived = false
--- a/internal/coldstart/coldstart_test.go
+++ b/internal/coldstart/coldstart_test.go
@@ -80,11 +80,11 @@
 	}
 }
 
-// Whatever the order, age and service of the offered lists: the held revision never decreases, its age is never
+// Whatever the order, age and discovery name of the offered lists: the held revision never decreases, its age is never
 // understated, and no offer replaces a list that a watch keeps current.
 func TestPeerList_AnyOffers_RevisionNeverDecreases(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		cfg := Config{NodeCount: 3, PollInterval: pollInterval, Peers: true, Service: "s"}
+		cfg := Config{NodeCount: 3, PollInterval: pollInterval, Peers: true, DiscoveryName: "s"}
 		s := New(cfg, rand.New(rand.NewPCG(1, 2)), 0, NoSource, Offer{})
 		now := time.Duration(0)
 		held := int64(-1)
@@ -96,7 +96,7 @@
 			case 0:
 				watching = watching || s.ListRequestDue(now)
 				if watching {
-					held = int64(rapid.IntRange(0, 9).Draw(t, "service revision")) // the revision of discovery may decrease
+					held = int64(rapid.IntRange(0, 9).Draw(t, "discovery revision")) // the revision of discovery may decrease
 					confirmedAt = now
 					s.ListReceived(now, held, 3)
 				}
@@ -107,14 +107,14 @@
 				}
 			default:
 				offer := Offer{
-					Service:  rapid.SampledFrom([]string{"s", "s", "s", "other"}).Draw(t, "service"),
-					Revision: int64(rapid.IntRange(0, 9).Draw(t, "revision")),
-					Hosts:    rapid.IntRange(0, 3).Draw(t, "hosts"),
-					Age:      time.Duration(rapid.IntRange(0, 30000).Draw(t, "age")) * ms,
+					DiscoveryName: rapid.SampledFrom([]string{"s", "s", "s", "other"}).Draw(t, "discovery name"),
+					Revision:      int64(rapid.IntRange(0, 9).Draw(t, "revision")),
+					Hosts:         rapid.IntRange(0, 3).Draw(t, "hosts"),
+					Age:           time.Duration(rapid.IntRange(0, 30000).Draw(t, "age")) * ms,
 				}
 				verdict, reason := s.ConsiderPeerList(now, offer)
 				offeredAt := now - offer.Age
-				usable := offer.Service == "s" && offer.Hosts > 0 && !watching
+				usable := offer.DiscoveryName == "s" && offer.Hosts > 0 && !watching
 				switch {
 				case verdict == Adopt && (!usable || offer.Revision <= held),
 					verdict == Confirm && (!usable || offer.Revision != held || offeredAt <= confirmedAt):
@@ -152,11 +152,11 @@
 // A node refreshes a peer list with a list request of its own before the list is too old, unless a peer confirms it
 // again.
 func TestListRequestDue_PeerListAges_NodeRequests(t *testing.T) {
-	cfg := Config{NodeCount: 10, Index: 9, PollInterval: pollInterval, Peers: true, Service: "s"}
+	cfg := Config{NodeCount: 10, Index: 9, PollInterval: pollInterval, Peers: true, DiscoveryName: "s"}
 	s := New(cfg, rand.New(rand.NewPCG(9, 2)), 0, NoSource, Offer{})
 	now := time.Duration(0)
 	for ; now < time.Minute; now += 100 * ms {
-		s.ConsiderPeerList(now, Offer{Service: "s", Revision: 1, Age: time.Second, Hosts: 2})
+		s.ConsiderPeerList(now, Offer{DiscoveryName: "s", Revision: 1, Age: time.Second, Hosts: 2})
 		if s.ListRequestDue(now) {
 			t.Fatal("list request sent although peers confirm the list")
 		}
@@ -177,9 +177,9 @@
 		{ID: "h2", Addr: "127.0.0.1:2", Phase: wire.Draining, Size: 2},
 	}
 	document, err := CachedList{
-		Service:   "s",
-		Confirmed: confirmed.UnixMilli(),
-		List:      wire.EndpointList{Revision: 41, Complete: true, Endpoints: endpoints},
+		DiscoveryName: "s",
+		Confirmed:     confirmed.UnixMilli(),
+		List:          wire.EndpointList{Revision: 41, Complete: true, Endpoints: endpoints},
 	}.Encode()
 	if err != nil {
 		t.Fatal(err)
@@ -200,18 +200,18 @@
 		}
 	}
 	for _, c := range []struct {
-		service string
-		now     time.Time
-		err     error
-		age     time.Duration
+		discoveryName string
+		now           time.Time
+		err           error
+		age           time.Duration
 	}{
 		{"other", confirmed, ErrOtherDiscovery, 0},
 		{"s", confirmed.Add(MaxAge + time.Second), ErrTooOld, MaxAge + time.Second},
 		{"s", confirmed.Add(-time.Hour), nil, UnknownAge},
 	} {
-		_, age, err := Decode(document, c.service, c.now)
+		_, age, err := Decode(document, c.discoveryName, c.now)
 		if !errors.Is(err, c.err) || c.err != ErrOtherDiscovery && age != c.age {
-			t.Errorf("service %q at %v: age %v, error %v", c.service, c.now, age, err)
+			t.Errorf("discovery name %q at %v: age %v, error %v", c.discoveryName, c.now, age, err)
 		}
 	}
 	laterVersion := append([]byte("onyxstream-list-2"), document[len(formatVersion):]...)
--- a/internal/coldstart/config.go
+++ b/internal/coldstart/config.go
@@ -33,11 +33,11 @@
 
 // Config configures a Scheduler.
 type Config struct {
-	NodeCount    int           // number of nodes that start together, from the settings
-	Index        int           // this node's index among them, from 0
-	PollInterval time.Duration // longest time between two list requests, from the settings
-	Peers        bool          // nodes pass lists on to each other
-	Service      string        // name of the discovery service
+	NodeCount     int           // number of nodes that start together, from the settings
+	Index         int           // this node's index among them, from 0
+	PollInterval  time.Duration // longest time between two list requests, from the settings
+	Peers         bool          // nodes pass lists on to each other
+	DiscoveryName string        // name of the discovery service
 }
 
 const (
--- a/internal/coldstart/fleet_test.go
+++ b/internal/coldstart/fleet_test.go
@@ -60,7 +60,7 @@
 func runFleet(nodes int, peers bool, discovery *fakeDiscovery, until time.Duration) []time.Duration {
 	f := &fleet{peers: peers, discovery: discovery, receivedAt: make([]time.Duration, nodes)}
 	for i := range nodes {
-		cfg := Config{NodeCount: nodes, Index: i, PollInterval: pollInterval, Peers: peers, Service: "s"}
+		cfg := Config{NodeCount: nodes, Index: i, PollInterval: pollInterval, Peers: peers, DiscoveryName: "s"}
 		f.schedulers = append(f.schedulers, New(cfg, rand.New(rand.NewPCG(uint64(i), 7)), 0, NoSource, Offer{}))
 	}
 	for now := time.Duration(0); now < until; now += simulationStep {
@@ -105,7 +105,7 @@
 	if f.firstListAt == 0 || now < f.firstListAt+gossipDelay || scheduler.listReceived {
 		return
 	}
-	verdict, _ := scheduler.ConsiderPeerList(now, Offer{Service: "s", Revision: 1, Age: 50 * ms, Hosts: 5})
+	verdict, _ := scheduler.ConsiderPeerList(now, Offer{DiscoveryName: "s", Revision: 1, Age: 50 * ms, Hosts: 5})
 	if verdict == Adopt {
 		f.recordReceived(node, now)
 	}
--- a/internal/coldstart/peerlist.go
+++ b/internal/coldstart/peerlist.go
@@ -7,10 +7,10 @@
 
 // Offer describes a peer list by its properties, without its endpoints.
 type Offer struct {
-	Service  string        // name of the discovery service that the list came from
-	Revision int64         // revision at that service
-	Age      time.Duration // time since that service last sent or confirmed the list
-	Hosts    int           // number of hosts in the list
+	DiscoveryName string        // name of the discovery service that the list came from
+	Revision      int64         // revision at that service
+	Age           time.Duration // time since that service last sent or confirmed the list
+	Hosts         int           // number of hosts in the list
 }
 
 // Verdict tells the node what to do with an offered list.
@@ -48,8 +48,8 @@
 // ignoreReason returns the reason why an offer can't be used, or "" if it can.
 func (s *Scheduler) ignoreReason(offer Offer) string {
 	switch {
-	case offer.Service != s.cfg.Service:
-		return fmt.Sprintf("list is of service %q, this node uses %q", offer.Service, s.cfg.Service)
+	case offer.DiscoveryName != s.cfg.DiscoveryName:
+		return fmt.Sprintf("list is of service %q, this node uses %q", offer.DiscoveryName, s.cfg.DiscoveryName)
 	case offer.Age > MaxAge:
 		return fmt.Sprintf("list is %s old", offer.Age.Round(time.Second))
 	case offer.Hosts == 0:
--- a/internal/coldstart/stored_test.go
+++ b/internal/coldstart/stored_test.go
@@ -28,7 +28,7 @@
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Error(diff)
 	}
-	again, err := CachedList{Service: "lists", Confirmed: confirmed.UnixMilli(), List: got}.Encode()
+	again, err := CachedList{DiscoveryName: "lists", Confirmed: confirmed.UnixMilli(), List: got}.Encode()
 	if diff := cmp.Diff(string(text), string(again)); diff != "" || err != nil {
 		t.Errorf("error %v, encoded list differs from that of an earlier release: %s", err, diff)
 	}
--- a/internal/control/list.go
+++ b/internal/control/list.go
@@ -15,12 +15,12 @@
 
 // PeerList is the endpoint list that an instance sends to a peer.
 type PeerList struct {
-	Service     string             `json:"service"`   // name of the discovery service, the same on all instances
-	Age         time.Duration      `json:"age_ns"`    // since discovery last sent or confirmed it, as of the response
-	Waited      time.Duration      `json:"waited_ns"` // how long the request waited for the response
-	Revision    int64              `json:"revision"`
-	List        *wire.EndpointList `json:"list,omitempty"` // nil if the requester has this revision
-	Unreachable []UnreachableHost  `json:"dead,omitempty"` // set while the list is not confirmed
+	DiscoveryName string             `json:"service"`   // name of the discovery service, the same on all instances
+	Age           time.Duration      `json:"age_ns"`    // since discovery last sent or confirmed it, as of the response
+	Waited        time.Duration      `json:"waited_ns"` // how long the request waited for the response
+	Revision      int64              `json:"revision"`
+	List          *wire.EndpointList `json:"list,omitempty"` // nil if the requester has this revision
+	Unreachable   []UnreachableHost  `json:"dead,omitempty"` // set while the list is not confirmed
 }
 
 // UnreachableHost is a host that an instance could not connect to.
@@ -31,7 +31,7 @@
 
 // CachedList is the endpoint list that an instance has now. It is immutable.
 type CachedList struct {
-	Service       string
+	DiscoveryName string
 	List          wire.EndpointList // complete
 	Confirmed     time.Time         // when discovery last sent or confirmed the list
 	Replaced      chan struct{}     // closed when another list replaces this one
@@ -68,7 +68,7 @@
 
 // peerListQuery describes the requester's list, and how long the requester waits for a newer one.
 type peerListQuery struct {
-	service           string
+	discoveryName     string
 	revision          int64
 	age               time.Duration
 	timeout           time.Duration
@@ -99,7 +99,7 @@
 	list, err := waitForList(request.Context(), provider, query, start)
 	switch {
 	case errors.Is(err, errNoList):
-		WriteError(w, http.StatusNotFound, fmt.Errorf("this instance has no list of %q", query.service))
+		WriteError(w, http.StatusNotFound, fmt.Errorf("this instance has no list of %q", query.discoveryName))
 	case err != nil: // the requester has disconnected
 	default:
 		writePeerList(w, list, query.revision, start)
@@ -119,7 +119,7 @@
 		if list != nil {
 			changed = list.Replaced
 		}
-		usable := list != nil && list.Service == query.service
+		usable := list != nil && list.DiscoveryName == query.discoveryName
 		switch {
 		case usable && (expired || query.isOutdatedBy(list, start, now)):
 			return list, nil
@@ -154,10 +154,10 @@
 func writePeerList(w http.ResponseWriter, list *CachedList, callerRevision int64, start time.Time) {
 	now := time.Now()
 	peerList := PeerList{
-		Service:  list.Service,
-		Age:      now.Sub(list.Confirmed),
-		Waited:   now.Sub(start),
-		Revision: list.List.Revision,
+		DiscoveryName: list.DiscoveryName,
+		Age:           now.Sub(list.Confirmed),
+		Waited:        now.Sub(start),
+		Revision:      list.List.Revision,
 	}
 	if list.List.Revision != callerRevision {
 		peerList.List = &list.List
@@ -173,7 +173,7 @@
 func parsePeerListQuery(w http.ResponseWriter, request *http.Request) (peerListQuery, error) {
 	values := request.URL.Query()
 	query := peerListQuery{
-		service:           values.Get("service"),
+		discoveryName:     values.Get("service"),
 		notifyUnreachable: request.Method == http.MethodPost,
 		knownUnreachable:  map[string]bool{},
 	}
--- a/internal/control/list_test.go
+++ b/internal/control/list_test.go
@@ -28,12 +28,12 @@
 
 func (h *fakeListInstance) ListAvailable() <-chan struct{} { return h.available }
 
-func (h *fakeListInstance) setList(service string, revision int64, age time.Duration, unreachable ...string) {
+func (h *fakeListInstance) setList(discoveryName string, revision int64, age time.Duration, unreachable ...string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	previous := h.list
 	h.list = &CachedList{
-		Service:       service,
+		DiscoveryName: discoveryName,
 		List:          wire.EndpointList{Revision: revision, Endpoints: []wire.Endpoint{{ID: "h1", Addr: "127.0.0.1:1"}}},
 		Confirmed:     time.Now().Add(-age),
 		Replaced:      make(chan struct{}),
@@ -59,11 +59,11 @@
 	if !isRemoteError(err, http.StatusNotFound) {
 		t.Errorf("List without a list: %v, want status 404", err)
 	}
-	poll := func(service string, revision int64, age time.Duration, unreachable *[]string) <-chan PeerList {
+	poll := func(discoveryName string, revision int64, age time.Duration, unreachable *[]string) <-chan PeerList {
 		got := make(chan PeerList, 1)
 		go func() {
 			defer close(got)
-			if p, _, err := c.List(t.Context(), service, revision, age, 5*time.Second, unreachable); err == nil {
+			if p, _, err := c.List(t.Context(), discoveryName, revision, age, 5*time.Second, unreachable); err == nil {
 				got <- p
 			}
 		}()
@@ -98,7 +98,7 @@
 		t.Errorf("response after a confirmation: %+v, want a low age and no list", p)
 	}
 	h.setList("other", 9, 0)
-	if p := <-other; p.Service != "other" || p.Revision != 9 {
+	if p := <-other; p.DiscoveryName != "other" || p.Revision != 9 {
 		t.Errorf("list of the other discovery service: %+v, want revision 9", p)
 	}
 }
--- a/internal/control/listclient.go
+++ b/internal/control/listclient.go
@@ -16,10 +16,10 @@
 // validAt is the earliest time at which the instance can have sent the response. The age of the list counts from
 // validAt, so that a response that waited in a socket buffer is not taken to be more recent than it is.
 func (c *Client) List(
-	ctx context.Context, service string, revision int64, age, timeout time.Duration, unreachable *[]string,
+	ctx context.Context, discoveryName string, revision int64, age, timeout time.Duration, unreachable *[]string,
 ) (list PeerList, validAt time.Time, err error) {
 	start := time.Now()
-	path := fmt.Sprintf("/v1/list?service=%s&after=%d&age_ms=%d&within_ms=%d", url.QueryEscape(service), revision,
+	path := fmt.Sprintf("/v1/list?service=%s&after=%d&age_ms=%d&within_ms=%d", url.QueryEscape(discoveryName), revision,
 		min(age, maxDuration).Milliseconds(), timeout.Milliseconds())
 	method := http.MethodGet
 	var body any
--- a/internal/lifecycle/coldstart.go
+++ b/internal/lifecycle/coldstart.go
@@ -27,21 +27,21 @@
 
 // coldStart holds the parts from which a node with cold start is built.
 type coldStart struct {
-	service   string            // name of the discovery service
-	known     wire.EndpointList // the newer of the configured and the cached endpoint list
-	scheduler *coldstart.Scheduler
+	discoveryName string            // name of the discovery service
+	known         wire.EndpointList // the newer of the configured and the cached endpoint list
+	scheduler     *coldstart.Scheduler
 }
 
 // newColdStart chooses the newer of the configured and the cached endpoint list, and creates the scheduler of the list
 // requests to discovery.
 func newColdStart(options *nodeconfig.ColdStart, cfg nodeconfig.Config, log *zap.Logger) coldStart {
-	service := cmp.Or(options.Service, cfg.Discovery)
+	discoveryName := cmp.Or(options.DiscoveryName, cfg.Discovery)
 	known := cfg.KnownEndpoints
 	source := coldstart.SourceFile
 	age := coldstart.UnknownAge
 	if options.Folder != "" {
 		cache := newListCache(options.Folder)
-		cached, cachedAge, err := cache.read(service)
+		cached, cachedAge, err := cache.read(discoveryName)
 		switch {
 		case err == nil && (cached.Revision > known.Revision || len(known.Endpoints) == 0):
 			known, source, age = cached, coldstart.SourceFolder, cachedAge
@@ -54,23 +54,23 @@
 	}
 	offer := coldstart.Offer{Revision: known.Revision, Age: age, Hosts: len(known.Endpoints)}
 	return coldStart{
-		service:   service,
-		known:     known,
-		scheduler: newScheduler(options, cfg, service, source, offer),
+		discoveryName: discoveryName,
+		known:         known,
+		scheduler:     newScheduler(options, cfg, discoveryName, source, offer),
 	}
 }
 
 func newScheduler(
 	options *nodeconfig.ColdStart, cfg nodeconfig.Config,
-	service string, source coldstart.Source, known coldstart.Offer,
+	discoveryName string, source coldstart.Source, known coldstart.Offer,
 ) *coldstart.Scheduler {
 	settings := cfg.Settings
 	config := coldstart.Config{
-		NodeCount:    settings.NodeCount,
-		Index:        settings.NodeIndex,
-		PollInterval: cmp.Or(settings.PollInterval, defaultPollInterval),
-		Peers:        len(options.Peers) > 0,
-		Service:      service,
+		NodeCount:     settings.NodeCount,
+		Index:         settings.NodeIndex,
+		PollInterval:  cmp.Or(settings.PollInterval, defaultPollInterval),
+		Peers:         len(options.Peers) > 0,
+		DiscoveryName: discoveryName,
 	}
 	rng := rand.New(rand.NewPCG(settings.Seed, uint64(settings.NodeIndex)+1))
 	// The event loop's clock starts at the Unix time of node.New, which is called right after this.
--- a/internal/lifecycle/control.go
+++ b/internal/lifecycle/control.go
@@ -171,10 +171,10 @@
 		return nil
 	}
 	list := &control.CachedList{
-		Service:   cached.Service,
-		List:      cached.List,
-		Confirmed: cached.Confirmed,
-		Replaced:  cached.Replaced,
+		DiscoveryName: cached.DiscoveryName,
+		List:          cached.List,
+		Confirmed:     cached.Confirmed,
+		Replaced:      cached.Replaced,
 	}
 	for _, host := range cached.Unreachable {
 		list.Unreachable = append(list.Unreachable, host.ID)
--- a/internal/lifecycle/listcache.go
+++ b/internal/lifecycle/listcache.go
@@ -36,12 +36,12 @@
 func newListCache(folder string) *listCache { return &listCache{folder: folder, writtenRevision: -1} }
 
 // read returns the cached list of a discovery service, and how long ago the service confirmed it.
-func (c *listCache) read(service string) (list wire.EndpointList, age time.Duration, err error) {
+func (c *listCache) read(discoveryName string) (list wire.EndpointList, age time.Duration, err error) {
 	text, err := os.ReadFile(filepath.Join(c.folder, listCacheFile))
 	if err != nil {
 		return list, 0, err
 	}
-	return coldstart.Decode(text, service, time.Now())
+	return coldstart.Decode(text, discoveryName, time.Now())
 }
 
 // run calls update each time the node publishes its list, at most once per listCacheInterval, until the context ends.
@@ -87,9 +87,9 @@
 
 func (c *listCache) write(list *node.CachedList) error {
 	content := coldstart.CachedList{
-		Service:   list.Service,
-		Confirmed: list.Confirmed.UnixMilli(),
-		List:      list.List,
+		DiscoveryName: list.DiscoveryName,
+		Confirmed:     list.Confirmed.UnixMilli(),
+		List:          list.List,
 	}
 	text, err := content.Encode()
 	if err != nil {
--- a/internal/lifecycle/peerpoll.go
+++ b/internal/lifecycle/peerpoll.go
@@ -106,11 +106,11 @@
 // fetchList requests the endpoint list of a peer and passes it to the node. It returns false if the request failed or
 // the node did not use the list.
 func (p *peerPoller) fetchList(ctx context.Context, client *control.Client, address string) bool {
-	service := p.node.DiscoveryName()
-	revision, age, unreachable := p.cachedList(service)
+	discoveryName := p.node.DiscoveryName()
+	revision, age, unreachable := p.cachedList(discoveryName)
 	ctx, cancel := context.WithTimeout(ctx, peerRequestTimeout)
 	defer cancel()
-	list, receivedAt, err := client.List(ctx, service, revision, age, peerLongPoll, unreachable)
+	list, receivedAt, err := client.List(ctx, discoveryName, revision, age, peerLongPoll, unreachable)
 	var remote *control.RemoteError
 	switch {
 	case err == nil:
@@ -122,7 +122,7 @@
 		return false
 	}
 	received := node.PeerList{
-		Offer: coldstart.Offer{Service: list.Service, Revision: list.Revision, Age: list.Age},
+		Offer: coldstart.Offer{DiscoveryName: list.DiscoveryName, Revision: list.Revision, Age: list.Age},
 		List:  list.List,
 		Peer:  address,
 		At:    receivedAt,
@@ -137,9 +137,9 @@
 // cachedList describes this node's list of a discovery service for a request to a peer: the list's revision, -1 if the
 // node has none; its age; and the hosts that the node found unreachable, nil if the list was confirmed since the node
 // started.
-func (p *peerPoller) cachedList(service string) (revision int64, age time.Duration, unreachable *[]string) {
+func (p *peerPoller) cachedList(discoveryName string) (revision int64, age time.Duration, unreachable *[]string) {
 	cached := p.node.CachedList()
-	if cached == nil || cached.Service != service {
+	if cached == nil || cached.DiscoveryName != discoveryName {
 		return -1, 0, nil
 	}
 	if cached.AssumedStart {
--- a/internal/lifecycle/peerpoll_test.go
+++ b/internal/lifecycle/peerpoll_test.go
@@ -19,7 +19,7 @@
 // free descriptor.
 func TestPeerPoller_KeysUnreadableForAMoment_GoesOn(t *testing.T) {
 	_, n := blockedNode(t, t.TempDir())
-	cfg := coldstart.Config{NodeCount: 2, PollInterval: time.Second, Service: "s"}
+	cfg := coldstart.Config{NodeCount: 2, PollInterval: time.Second, DiscoveryName: "s"}
 	scheduler := coldstart.New(cfg, rand.New(rand.NewPCG(1, 2)), 0, coldstart.NoSource, coldstart.Offer{})
 	n.EnableColdStart(scheduler, "s")
 	dir := t.TempDir()
--- a/internal/lifecycle/run.go
+++ b/internal/lifecycle/run.go
@@ -108,7 +108,7 @@
 	if options.ColdStart != nil {
 		start := newColdStart(options.ColdStart, cfg, log)
 		p.newNode(start.known)
-		p.node.EnableColdStart(start.scheduler, start.service)
+		p.node.EnableColdStart(start.scheduler, start.discoveryName)
 	} else {
 		p.newNode(cfg.KnownEndpoints)
 	}
--- a/internal/node/coldstart_cache.go
+++ b/internal/node/coldstart_cache.go
@@ -12,13 +12,13 @@
 // CachedList is the endpoint list that the node holds. It is sent to peers and written to the list file. It must not be
 // modified.
 type CachedList struct {
-	Service      string // name of the discovery service that sent the list
-	Source       coldstart.Source
-	List         wire.EndpointList // a snapshot as discovery sent it, without operators' overrides
-	Confirmed    time.Time         // when discovery last sent or confirmed the list
-	Replaced     chan struct{}     // closed when a newer CachedList is published
-	AssumedStart bool              // the list has not been confirmed since the node's start
-	Unreachable  []UnreachableHost // hosts that this node or a peer recently failed to connect to
+	DiscoveryName string // name of the discovery service that sent the list
+	Source        coldstart.Source
+	List          wire.EndpointList // a snapshot as discovery sent it, without operators' overrides
+	Confirmed     time.Time         // when discovery last sent or confirmed the list
+	Replaced      chan struct{}     // closed when a newer CachedList is published
+	AssumedStart  bool              // the list has not been confirmed since the node's start
+	Unreachable   []UnreachableHost // hosts that this node or a peer recently failed to connect to
 }
 
 // CachedList returns the list that the node holds; nil if there is none or the cold start is disabled. It may be called
@@ -37,12 +37,12 @@
 	}
 	previous := n.cachedList.Load()
 	cached := &CachedList{
-		Service:      n.DiscoveryName(),
-		Source:       state.Source,
-		Confirmed:    time.Now().Add(-state.Age),
-		Replaced:     make(chan struct{}),
-		AssumedStart: n.assumedStartAt > 0,
-		Unreachable:  n.unreachableHosts(),
+		DiscoveryName: n.DiscoveryName(),
+		Source:        state.Source,
+		Confirmed:     time.Now().Add(-state.Age),
+		Replaced:      make(chan struct{}),
+		AssumedStart:  n.assumedStartAt > 0,
+		Unreachable:   n.unreachableHosts(),
 	}
 	switch {
 	case list != nil:
--- a/internal/node/coldstart_peers.go
+++ b/internal/node/coldstart_peers.go
@@ -69,7 +69,7 @@
 		return offer
 	}
 	cached := n.cachedList.Load()
-	if cached != nil && cached.Service == n.DiscoveryName() && n.revision == offer.Revision {
+	if cached != nil && cached.DiscoveryName == n.DiscoveryName() && n.revision == offer.Revision {
 		offer.Hosts = len(cached.List.Endpoints)
 	}
 	return offer
--- a/internal/node/coldstart_spread_test.go
+++ b/internal/node/coldstart_spread_test.go
@@ -52,7 +52,7 @@
 				NodeIndex:    i,
 			}}
 			n := New(set, wire.EndpointList{}, "disco", transport, zap.NewNop())
-			cfg := coldstart.Config{NodeCount: nodes, Index: i, PollInterval: set.PollInterval, Service: "s"}
+			cfg := coldstart.Config{NodeCount: nodes, Index: i, PollInterval: set.PollInterval, DiscoveryName: "s"}
 			rng := rand.New(rand.NewPCG(7, uint64(i)))
 			n.EnableColdStart(coldstart.New(cfg, rng, n.now(), coldstart.NoSource, coldstart.Offer{}), "s")
 			ended.Go(func() { _ = n.Run(ctx) })
--- a/internal/node/coldstart_test.go
+++ b/internal/node/coldstart_test.go
@@ -29,7 +29,7 @@
 	transport := &watchRecorder{make(chan ListRequest, 64)}
 	n := New(nodeSettings, wire.EndpointList{}, "disco", transport, zap.NewNop())
 	if cold {
-		cfg := coldstart.Config{NodeCount: 1, PollInterval: 2 * time.Second, Service: "s"}
+		cfg := coldstart.Config{NodeCount: 1, PollInterval: 2 * time.Second, DiscoveryName: "s"}
 		rng := rand.New(rand.NewPCG(1, 2))
 		n.EnableColdStart(coldstart.New(cfg, rng, n.now(), coldstart.NoSource, coldstart.Offer{}), "s")
 	}
@@ -52,7 +52,7 @@
 	}
 	host := wire.Endpoint{ID: "h1", Addr: "127.0.0.1:1", Size: 1}
 	offer := func(revision int64) bool {
-		return n.ReceivePeerList(PeerList{Offer: coldstart.Offer{Service: "s", Revision: revision}, At: time.Now(),
+		return n.ReceivePeerList(PeerList{Offer: coldstart.Offer{DiscoveryName: "s", Revision: revision}, At: time.Now(),
 			List: snapshotOf(revision, host)})
 	}
 	if !offer(7) || n.CachedList().List.Revision != 7 {
@@ -73,7 +73,7 @@
 	n.ListReceived(request.Sequence, snapshotOf(5, h1))
 	n.WatchFailed(request.Sequence, 0)
 	h1.Phase = wire.Serving
-	if !n.ReceivePeerList(PeerList{Offer: coldstart.Offer{Service: "s", Revision: 6}, At: time.Now(),
+	if !n.ReceivePeerList(PeerList{Offer: coldstart.Offer{DiscoveryName: "s", Revision: 6}, At: time.Now(),
 		List: snapshotOf(6, h1)}) {
 		t.Fatal("the newer peer list is not used")
 	}
--- a/internal/node/discovery.go
+++ b/internal/node/discovery.go
@@ -81,7 +81,7 @@
 	n.revision = NoRevision
 	if n.scheduler != nil {
 		n.discoveryName.Store(&e.addr)
-		n.scheduler.SetService(e.addr)
+		n.scheduler.SetDiscoveryName(e.addr)
 		n.requestListIfDue()
 		return
 	}
--- a/internal/nodeconfig/options.go
+++ b/internal/nodeconfig/options.go
@@ -33,10 +33,10 @@
 // ColdStart turns on cold start, for many nodes that start at once: list requests to discovery are paced, and a node
 // can use an endpoint list from its cache or from a peer.
 type ColdStart struct {
-	Service string     `toml:"service"` // name of the discovery service, the same on all nodes; "" to use its address
-	Folder  string     `toml:"folder"`  // persistent folder of this node for the cached list; "" for no cache
-	Peers   []Peer     `toml:"peer"`    // the nodes that are polled for a newer list
-	Keys    *pki.Files `toml:"keys"`    // client certificate; required for a peer with a TCP address
+	DiscoveryName string     `toml:"service"` // name of the discovery service, the same on all nodes; "" to use its address
+	Folder        string     `toml:"folder"`  // persistent folder of this node for the cached list; "" for no cache
+	Peers         []Peer     `toml:"peer"`    // the nodes that are polled for a newer list
+	Keys          *pki.Files `toml:"keys"`    // client certificate; required for a peer with a TCP address
 }
 
 // Peer is the control listener of another node.
--- a/internal/testcluster/coldstart_hosts_test.go
+++ b/internal/testcluster/coldstart_hosts_test.go
@@ -48,7 +48,7 @@
 		}
 	}
 	otherService := cached
-	otherService.Service = "another"
+	otherService.DiscoveryName = "another"
 	writeCache(2, otherService)
 	future := cached
 	future.Confirmed += time.Hour.Milliseconds()
