--- a/cmd/onyxstream/hot_restart_bench_test.go
+++ b/cmd/onyxstream/hot_restart_bench_test.go
@@ -102,8 +102,8 @@
 	}
 	time.Sleep(500 * time.Millisecond)
 	if migrated {
-		presenceFiles, _ := filepath.Glob(options.sharedDir() + "/*.alive")
-		blockOffers(b, presenceFiles[0])
+		livenessFiles, _ := filepath.Glob(options.sharedDir() + "/*.alive")
+		blockOffers(b, livenessFiles[0])
 	}
 	load.beginRestart()
 	startSuccessor(b, options, discovery.addr)
--- a/cmd/onyxstream/hot_restart_test.go
+++ b/cmd/onyxstream/hot_restart_test.go
@@ -142,11 +142,11 @@
 	node.waitForCleanExit(t)
 }
 
-// blockOffers keeps the process that owns presenceFile from writing an offer, by creating directories under the names
+// blockOffers keeps the process that owns livenessFile from writing an offer, by creating directories under the names
 // of its offer files.
-func blockOffers(t testing.TB, presenceFile string) {
+func blockOffers(t testing.TB, livenessFile string) {
 	t.Helper()
-	prefix := strings.TrimSuffix(presenceFile, ".alive")
+	prefix := strings.TrimSuffix(livenessFile, ".alive")
 	for i := 1; i <= 2; i++ { // the process makes two attempts
 		if err := os.Mkdir(fmt.Sprintf("%s-%d.offer", prefix, i), 0o700); err != nil {
 			t.Fatal(err)
@@ -161,11 +161,11 @@
 	options, discovery := inheritedSocketOptions(t, host)
 	node := startNode(t, options, discovery.addr)
 	clients := node.establish(t, 5, "UP")
-	presenceFiles, err := filepath.Glob(options.sharedDir() + "/*.alive")
-	if err != nil || len(presenceFiles) != 1 {
-		t.Fatalf("found presence files %v, error %v; want one file", presenceFiles, err)
+	livenessFiles, err := filepath.Glob(options.sharedDir() + "/*.alive")
+	if err != nil || len(livenessFiles) != 1 {
+		t.Fatalf("found liveness files %v, error %v; want one file", livenessFiles, err)
 	}
-	blockOffers(t, presenceFiles[0])
+	blockOffers(t, livenessFiles[0])
 	startSuccessor(t, options, discovery.addr)
 	node.terminate(t)
 	for _, client := range clients {
