--- a/internal/coldstart/stored_test.go
+++ b/internal/coldstart/stored_test.go
@@ -12,7 +12,7 @@
 
 // A node's data folder outlives a release: this release must read the cached list of an earlier release, and write the
 // same bytes. An earlier release wrote the file in testdata.
-func TestStoredList_FromEarlierRelease_ReadAndRewrittenUnchanged(t *testing.T) {
+func TestStoredList_FromEarlierRelease_RoundTripsUnchanged(t *testing.T) {
 	text, err := os.ReadFile("testdata/hosts-v1.list")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/hotrestart/stored_test.go
+++ b/internal/hotrestart/stored_test.go
@@ -24,7 +24,7 @@
 	return text
 }
 
-func TestStoredOffer_FromEarlierRelease_IsReadAndWrittenAlike(t *testing.T) {
+func TestStoredOffer_FromEarlierRelease_RoundTripsUnchanged(t *testing.T) {
 	text := readFixture(t, "handoff-v1.offer")
 	var got offer
 	if err := sealedfile.Decode(offerFormat, text, &got); err != nil {
--- a/internal/sharedstate/stored_test.go
+++ b/internal/sharedstate/stored_test.go
@@ -23,7 +23,7 @@
 	return text
 }
 
-func TestStoredState_FromEarlierRelease_IsReadAndWrittenAlike(t *testing.T) {
+func TestStoredState_FromEarlierRelease_RoundTripsUnchanged(t *testing.T) {
 	text := readFixture(t, "shared-v1.words")
 	got, err := Decode(text, "n1")
 	if err != nil {
@@ -57,7 +57,7 @@
 	}
 }
 
-func TestStoredStatus_FromEarlierRelease_IsReadAndWrittenAlike(t *testing.T) {
+func TestStoredStatus_FromEarlierRelease_RoundTripsUnchanged(t *testing.T) {
 	text := readFixture(t, "process-v1.alive")
 	want := ProcessStatus{Ready: true, Descriptors: 1234}
 	if got := parseStatus(string(text)); got != want {
