--- a/internal/coldstart/fleet_test.go
+++ b/internal/coldstart/fleet_test.go
@@ -9,10 +9,10 @@
 	ms           = time.Millisecond
 	pollInterval = 10 * time.Second
 
-	simulationStep  = 10 * ms
-	requestDuration = 10 * ms     // time that discovery takes for a list request
-	requestTimeout  = time.Second // list requests that would wait for longer are rejected
-	gossipDelay     = 100 * ms    // until a list has reached all peers
+	simulationStep     = 10 * ms
+	requestDuration    = 10 * ms     // time that discovery takes for a list request
+	listRequestTimeout = time.Second // list requests that would wait for longer are rejected
+	gossipDelay        = 100 * ms    // until a list has reached all peers
 )
 
 // fakeDiscovery is a discovery service in virtual time that answers list requests one at a time.
@@ -38,9 +38,9 @@
 	if now < s.downUntil {
 		return response{node: node, at: now + requestDuration}
 	}
-	if begin-now > requestTimeout {
+	if begin-now > listRequestTimeout {
 		s.rejected++
-		return response{node: node, at: now + requestTimeout}
+		return response{node: node, at: now + listRequestTimeout}
 	}
 	s.freeAt = begin + requestDuration
 	return response{node: node, at: s.freeAt, ok: true}
--- a/internal/coldstart/peerlist.go
+++ b/internal/coldstart/peerlist.go
@@ -49,13 +49,13 @@
 func (s *Scheduler) ignoreReason(offer Offer) string {
 	switch {
 	case offer.DiscoveryName != s.cfg.DiscoveryName:
-		return fmt.Sprintf("list is of service %q, this node uses %q", offer.DiscoveryName, s.cfg.DiscoveryName)
+		return fmt.Sprintf("list is from discovery service %q, this node uses %q", offer.DiscoveryName, s.cfg.DiscoveryName)
 	case offer.Age > MaxAge:
 		return fmt.Sprintf("list is %s old", offer.Age.Round(time.Second))
 	case offer.Hosts == 0:
 		return "list has no hosts"
 	case s.requestInFlight && s.listReceived:
-		return "list service keeps this node current"
+		return "discovery keeps this node current"
 	case s.hasList && offer.Revision < s.revision:
 		return fmt.Sprintf("revision %d is behind %d", offer.Revision, s.revision)
 	}
--- a/internal/control/list.go
+++ b/internal/control/list.go
@@ -141,8 +141,8 @@
 	if list.List.Revision != q.revision {
 		return list.List.Revision > q.revision
 	}
-	callerAge := q.age + now.Sub(start)
-	ageAdvantage := callerAge - now.Sub(list.Confirmed)
+	requesterAge := q.age + now.Sub(start)
+	ageAdvantage := requesterAge - now.Sub(list.Confirmed)
 	if ageAdvantage >= minAgeAdvantage {
 		return true
 	}
@@ -151,7 +151,7 @@
 	})
 }
 
-func writePeerList(w http.ResponseWriter, list *CachedList, callerRevision int64, start time.Time) {
+func writePeerList(w http.ResponseWriter, list *CachedList, requesterRevision int64, start time.Time) {
 	now := time.Now()
 	peerList := PeerList{
 		DiscoveryName: list.DiscoveryName,
@@ -159,7 +159,7 @@
 		Waited:        now.Sub(start),
 		Revision:      list.List.Revision,
 	}
-	if list.List.Revision != callerRevision {
+	if list.List.Revision != requesterRevision {
 		peerList.List = &list.List
 	}
 	for i, id := range list.Unreachable[:min(len(list.Unreachable), maxUnreachable)] {
--- a/internal/discovery/stream.go
+++ b/internal/discovery/stream.go
@@ -12,16 +12,16 @@
 
 // A change of the endpoint list must reach the node within notifyWithin after discovery has the change and is
 // reachable, whatever failed before. A silent watch times out after heartbeatTimeout. A list request in flight when
-// discovery recovers times out after requestTimeout. The next list request follows within balancer.MaxRepollDelay, or
-// within node.MaxRewatchDelay if polling is off. The rest of notifyWithin is left for its response.
+// discovery recovers times out after listRequestTimeout. The next list request follows within balancer.MaxRepollDelay,
+// or within node.MaxRewatchDelay if polling is off. The rest of notifyWithin is left for its response.
 //
-// requestTimeout and snapshotTimeout start with the dial. requestTimeout ends with the first list, or with the first
-// event of a watch that follows a snapshot; snapshotTimeout ends with the complete snapshot.
+// listRequestTimeout and snapshotTimeout start with the dial. listRequestTimeout ends with the first list, or with the
+// first event of a watch that follows a snapshot; snapshotTimeout ends with the complete snapshot.
 const (
-	notifyWithin     = 6 * time.Second
-	requestTimeout   = 3 * time.Second
-	snapshotTimeout  = 1500 * time.Millisecond // requestTimeout if the last snapshot timed out
-	heartbeatTimeout = 3 * time.Second         // discovery sends heartbeats every 2 s
+	notifyWithin       = 6 * time.Second
+	listRequestTimeout = 3 * time.Second
+	snapshotTimeout    = 1500 * time.Millisecond // listRequestTimeout if the last snapshot timed out
+	heartbeatTimeout   = 3 * time.Second         // discovery sends heartbeats every 2 s
 )
 
 var errStreamEnded = errors.New("discovery closed the watch")
@@ -49,7 +49,7 @@
 func (w *Watcher) fetchSnapshot(ctx context.Context, addr string) (list wire.EndpointList, err error) {
 	timeout := snapshotTimeout
 	if w.slowDiscovery.Load() {
-		timeout = requestTimeout
+		timeout = listRequestTimeout
 	}
 	defer func() { w.slowDiscovery.Store(err != nil && netio.IsDeadlineExceeded(err)) }()
 	c, closeConn, err := dial(ctx, addr, timeout)
@@ -87,7 +87,7 @@
 
 // watch follows the changes after a revision until the watch ends or fails.
 func (w *Watcher) watch(ctx context.Context, current *activeRequest, after int64) error {
-	c, closeConn, err := dial(ctx, current.Addr, requestTimeout)
+	c, closeConn, err := dial(ctx, current.Addr, listRequestTimeout)
 	if err != nil {
 		return err
 	}
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -61,11 +61,11 @@
 func TestTimeouts_WorstCase_WithinNotificationBound(t *testing.T) {
 	const answer = 400 * time.Millisecond
 	for name, longest := range map[string]time.Duration{
-		"polled, a watch falls silent": heartbeatTimeout + balancer.MaxRepollDelay,
-		"polled, a call is lost":       requestTimeout + balancer.MaxRepollDelay,
-		"polled, a call is rejected":   2 * balancer.MaxRepollDelay,
-		"pushed, a watch falls silent": heartbeatTimeout + node.MaxRewatchDelay,
-		"pushed, a call is lost":       requestTimeout + node.MaxRewatchDelay,
+		"polled, a watch falls silent":       heartbeatTimeout + balancer.MaxRepollDelay,
+		"polled, a list request is lost":     listRequestTimeout + balancer.MaxRepollDelay,
+		"polled, a list request is rejected": 2 * balancer.MaxRepollDelay,
+		"pushed, a watch falls silent":       heartbeatTimeout + node.MaxRewatchDelay,
+		"pushed, a list request is lost":     listRequestTimeout + node.MaxRewatchDelay,
 	} {
 		if longest+answer > notifyWithin {
 			t.Errorf("%s: %v until the next list request, bound %v", name, longest, notifyWithin)
