--- a/cmd/onyxstream/main_test.go
+++ b/cmd/onyxstream/main_test.go
@@ -53,7 +53,7 @@
 	t.Helper()
 	for start := time.Now(); !condition(); time.Sleep(10 * time.Millisecond) {
 		if time.Since(start) > waitLimit {
-			t.Fatalf("timed out waiting for condition: %s", what)
+			t.Fatalf("condition not met in time: %s", what)
 		}
 	}
 }
--- a/internal/agent/testfleet_test.go
+++ b/internal/agent/testfleet_test.go
@@ -204,7 +204,7 @@
 	t.Helper()
 	for begin := time.Now(); !f(); time.Sleep(10 * time.Millisecond) {
 		if time.Since(begin) > testTimeout {
-			t.Fatalf("timed out waiting until %s", what)
+			t.Fatalf("condition not met in time: %s", what)
 		}
 	}
 }
--- a/internal/fakeserver/helpers_test.go
+++ b/internal/fakeserver/helpers_test.go
@@ -109,7 +109,7 @@
 	t.Helper()
 	for begin := time.Now(); !condition(); time.Sleep(5 * time.Millisecond) {
 		if time.Since(begin) > testTimeout {
-			t.Fatalf("condition not met before the timeout: %s", what)
+			t.Fatalf("condition not met in time: %s", what)
 		}
 	}
 }
--- a/internal/multiprocess/overrides_test.go
+++ b/internal/multiprocess/overrides_test.go
@@ -46,7 +46,7 @@
 	t.Helper()
 	for begin := time.Now(); !f(); time.Sleep(5 * time.Millisecond) {
 		if time.Since(begin) > 10*time.Second {
-			t.Fatalf("timeout waiting: %s", what)
+			t.Fatalf("condition not met in time: %s", what)
 		}
 	}
 }
--- a/internal/pki/pki_test.go
+++ b/internal/pki/pki_test.go
@@ -194,7 +194,7 @@
 	t.Helper()
 	for start := time.Now(); !condition(); time.Sleep(50 * time.Millisecond) {
 		if time.Since(start) > 20*time.Second {
-			t.Fatalf("timed out waiting until %s", what)
+			t.Fatalf("condition not met in time: %s", what)
 		}
 	}
 }
--- a/internal/testcluster/helpers_test.go
+++ b/internal/testcluster/helpers_test.go
@@ -233,7 +233,7 @@
 	t.Helper()
 	for begin := time.Now(); !condition(); time.Sleep(20 * time.Millisecond) {
 		if time.Since(begin) > 30*time.Second {
-			t.Fatalf("never: %s", what)
+			t.Fatalf("condition not met in time: %s", what)
 		}
 	}
 }
