--- a/internal/loadtest/pacer.go
+++ b/internal/loadtest/pacer.go
@@ -83,7 +83,7 @@
 	e.started.Add(1) // before the client starts, so that awaitOutcomes counts the request as in flight
 	if e.open.Load() >= int64(e.scenario.Limits.MaxOpen) {
 		e.recorder.requestStarted(&r, path, e.now()-r.IntendedAt)
-		e.recordUnsent(&r, path, fmt.Errorf("%d connections are open, the maximum set by limits.open", e.scenario.Limits.MaxOpen))
+		e.recordUnsent(&r, path, fmt.Errorf("%d connections are open, as many as limits.open allows", e.scenario.Limits.MaxOpen))
 		return
 	}
 	e.open.Add(1)
--- a/internal/loadtest/receipts.go
+++ b/internal/loadtest/receipts.go
@@ -75,9 +75,9 @@
 func describe(event fakeserver.Event) string {
 	switch event.Kind {
 	case fakeserver.EventNodeHealthy:
-		return strings.TrimSpace(event.Detail + " is healthy")
+		return strings.TrimSpace(event.Detail + " is dealt clients")
 	case fakeserver.EventNodeUnhealthy:
-		return strings.TrimSpace(event.Detail + " is unhealthy")
+		return strings.TrimSpace(event.Detail + " is dealt none")
 	}
 	return strings.TrimSpace(event.Detail)
 }
--- a/internal/scaletest/measurement.go
+++ b/internal/scaletest/measurement.go
@@ -62,7 +62,7 @@
 		if err := ctx.Err(); err != nil {
 			return sample, err
 		}
-		resource := fmt.Sprintf("processor: only %d nodes watch the endpoint list after %v", m.cluster.Discovery.OpenRequests(), startupTimeout)
+		resource := fmt.Sprintf("processor: %d follow the list after %v", m.cluster.Discovery.OpenRequests(), startupTimeout)
 		return sample, &ShortageError{kind, m.nodes, resource}
 	}
 	sample.StartupTime = time.Since(begin)
@@ -73,7 +73,7 @@
 	sample.MemoryMB = m.fleet.memoryMB()
 	used := sample.MemoryMB * float64(m.nodes)
 	if used > float64(m.spec.MaxMemoryMB) {
-		resource := fmt.Sprintf("memory: %.0f MB used, %d MB allowed", used, m.spec.MaxMemoryMB)
+		resource := fmt.Sprintf("memory: %.0f MB are taken, %d may be", used, m.spec.MaxMemoryMB)
 		return sample, &ShortageError{kind, m.nodes, resource}
 	}
 	return sample, errors.Join(restartError, ctx.Err())
--- a/internal/scaletest/run.go
+++ b/internal/scaletest/run.go
@@ -76,7 +76,7 @@
 func missingResource(kind Kind, nodes int, descriptors uint64) string {
 	needed := uint64(nodes*descriptorsPerNode + baseDescriptors)
 	if kind == Simulated && needed > descriptors {
-		return fmt.Sprintf("descriptors: %d needed, %d available per process", needed, descriptors)
+		return fmt.Sprintf("descriptors: %d are needed, a process has %d", needed, descriptors)
 	}
 	return ""
 }
