--- a/internal/coldstart/fleet_test.go
+++ b/internal/coldstart/fleet_test.go
@@ -9,10 +9,10 @@
 	ms           = time.Millisecond
 	pollInterval = 10 * time.Second
 
-	simulationStep  = 10 * ms
-	requestDuration = 10 * ms     // time that discovery takes for a list request
-	requestTimeout  = time.Second // list requests that would wait for longer are rejected
-	gossipDelay     = 100 * ms    // until a list has reached all peers
+	simulationStep     = 10 * ms
+	requestDuration    = 10 * ms     // time that discovery takes for a list request
+	listRequestTimeout = time.Second // list requests that would wait for longer are rejected
+	gossipDelay        = 100 * ms    // until a list has reached all peers
 )
 
 // fakeDiscovery is a discovery service in virtual time that answers list requests one at a time.
@@ -38,9 +38,9 @@
 	if now < s.downUntil {
 		return response{node: node, at: now + requestDuration}
 	}
-	if begin-now > requestTimeout {
+	if begin-now > listRequestTimeout {
 		s.rejected++
-		return response{node: node, at: now + requestTimeout}
+		return response{node: node, at: now + listRequestTimeout}
 	}
 	s.freeAt = begin + requestDuration
 	return response{node: node, at: s.freeAt, ok: true}
@@ -60,7 +60,7 @@
 func runFleet(nodes int, peers bool, discovery *fakeDiscovery, until time.Duration) []time.Duration {
 	f := &fleet{peers: peers, discovery: discovery, receivedAt: make([]time.Duration, nodes)}
 	for i := range nodes {
-		cfg := Config{NodeCount: nodes, Index: i, PollInterval: pollInterval, Peers: peers, Service: "s"}
+		cfg := Config{NodeCount: nodes, Index: i, PollInterval: pollInterval, Peers: peers, DiscoveryName: "s"}
 		f.schedulers = append(f.schedulers, New(cfg, rand.New(rand.NewPCG(uint64(i), 7)), 0, NoSource, Offer{}))
 	}
 	for now := time.Duration(0); now < until; now += simulationStep {
@@ -105,7 +105,7 @@
 	if f.firstListAt == 0 || now < f.firstListAt+gossipDelay || scheduler.listReceived {
 		return
 	}
-	verdict, _ := scheduler.ConsiderPeerList(now, Offer{Service: "s", Revision: 1, Age: 50 * ms, Hosts: 5})
+	verdict, _ := scheduler.ConsiderPeerList(now, Offer{DiscoveryName: "s", Revision: 1, Age: 50 * ms, Hosts: 5})
 	if verdict == Adopt {
 		f.recordReceived(node, now)
 	}
--- a/internal/hotrestart/stored_test.go
+++ b/internal/hotrestart/stored_test.go
@@ -24,7 +24,7 @@
 	return text
 }
 
-func TestStoredOffer_FromEarlierRelease_IsReadAndWrittenAlike(t *testing.T) {
+func TestStoredOffer_FromEarlierRelease_RoundTripsUnchanged(t *testing.T) {
 	text := readFixture(t, "handoff-v1.offer")
 	var got offer
 	if err := sealedfile.Decode(offerFormat, text, &got); err != nil {
@@ -37,18 +37,18 @@
 		LivenessFD: 3,
 		Connections: []OfferedConn{
 			{
-				Line:    "OPEN id=c1 class=chat d=1000",
-				Host:    "host-a",
-				Client:  Socket{11, "127.0.0.1:40001"},
-				Peer:    Socket{12, "127.0.0.1:9001"},
-				Partial: []byte("half a li"),
-				Load:    2.5,
+				Line:       "OPEN id=c1 class=chat d=1000",
+				Host:       "host-a",
+				Client:     Socket{11, "127.0.0.1:40001"},
+				HostSocket: Socket{12, "127.0.0.1:9001"},
+				Partial:    []byte("half a li"),
+				Load:       2.5,
 			},
 			{
-				Line:   "OPEN id=c2 class=chat d=900",
-				Host:   "host-b",
-				Client: Socket{13, "127.0.0.1:40002"},
-				Peer:   Socket{14, "127.0.0.1:9002"},
+				Line:       "OPEN id=c2 class=chat d=900",
+				Host:       "host-b",
+				Client:     Socket{13, "127.0.0.1:40002"},
+				HostSocket: Socket{14, "127.0.0.1:9002"},
 			},
 		},
 		PingBaselines: []PingBaseline{{"host-a", 1764590400000, 350 * time.Microsecond}},
