--- a/internal/loadtest/trace_reader.go
+++ b/internal/loadtest/trace_reader.go
@@ -151,7 +151,7 @@
 }
 
 func (t *TraceReader) truncated(err error) error {
-	return t.errorAt("", fmt.Errorf("the trace is cut off here: %w", err))
+	return t.errorAt("", fmt.Errorf("truncated trace: %w", err))
 }
 
 // readLine returns the next line without its line ending, valid until the next call, or io.EOF after the last line.
@@ -162,11 +162,11 @@
 	case err == nil && len(line) <= maxRow:
 		return bytes.TrimRight(line, "\r\n"), nil
 	case err == nil || errors.Is(err, bufio.ErrBufferFull):
-		return nil, t.errorAt("", fmt.Errorf("the line is longer than %d bytes", maxRow))
+		return nil, t.errorAt("", fmt.Errorf("line exceeds %d bytes", maxRow))
 	case errors.Is(err, io.EOF) && len(line) == 0:
 		return nil, io.EOF
 	case errors.Is(err, io.EOF):
-		return nil, t.truncated(errors.New("the last line has no end"))
+		return nil, t.truncated(errors.New("missing newline after the last line"))
 	}
 	return nil, t.truncated(err)
 }
@@ -216,10 +216,10 @@
 	}
 	r.line = t.line
 	if earlier, ok := t.linesByID[r.id]; ok {
-		return t.errorAt("id", fmt.Errorf("%q stands in line %d already", r.id, earlier))
+		return t.errorAt("id", fmt.Errorf("duplicate id %q, first used in line %d", r.id, earlier))
 	}
 	if r.IntendedAt < t.lastTime {
-		return t.errorAt("at_ms", fmt.Errorf("it goes back by more than %d rows can be put in order: sort the trace", traceWindow))
+		return t.errorAt("at_ms", fmt.Errorf("row is out of order by more than %d rows; sort the trace", traceWindow))
 	}
 	delete(t.linesByID, t.recentIDs[t.ringIndex])
 	t.recentIDs[t.ringIndex] = r.id
--- a/internal/loadtest/trace_row.go
+++ b/internal/loadtest/trace_row.go
@@ -32,7 +32,7 @@
 	}
 	for _, name := range requiredColumns {
 		if values[name] == "" {
-			return r, name, errors.New("it is missing")
+			return r, name, errors.New("missing value")
 		}
 	}
 	if field, err = r.setNames(values); err != nil {
@@ -44,7 +44,7 @@
 	if text := values["load"]; text != "" {
 		r.Load, err = strconv.ParseFloat(text, 64)
 		if err != nil || !(r.Load >= 0 && r.Load <= maxLoad) {
-			return r, "load", fmt.Errorf("%.40q is no load from 0 to %d", text, maxLoad)
+			return r, "load", fmt.Errorf("%.40q is not a number from 0 to %d", text, maxLoad)
 		}
 	}
 	return r, "", nil
@@ -57,7 +57,7 @@
 	}
 	cells := strings.Split(string(line), ",")
 	if len(cells) != len(t.header) {
-		return nil, "", fmt.Errorf("%d fields, the first line names %d", len(cells), len(t.header))
+		return nil, "", fmt.Errorf("%d fields, but the header has %d", len(cells), len(t.header))
 	}
 	values = map[string]string{}
 	for i, column := range t.header {
@@ -69,12 +69,12 @@
 func jsonFields(line []byte) (values map[string]string, field string, err error) {
 	var object map[string]json.RawMessage
 	if err := json.Unmarshal(line, &object); err != nil {
-		return nil, "", fmt.Errorf("no object of JSON: %w", err)
+		return nil, "", fmt.Errorf("invalid JSON object: %w", err)
 	}
 	values = map[string]string{}
 	for key, raw := range object {
 		if !slices.Contains(columns, key) {
-			return nil, key, errors.New("no such field")
+			return nil, key, errors.New("unknown field")
 		}
 		var text string
 		if json.Unmarshal(raw, &text) != nil {
@@ -94,7 +94,7 @@
 	r.Key = values["key"]
 	r.Group = values["group"]
 	if len(r.id) > maxTraceID {
-		return "id", fmt.Errorf("it is longer than %d bytes", maxTraceID)
+		return "id", fmt.Errorf("longer than %d bytes", maxTraceID)
 	}
 	if r.Key == "" {
 		r.Key = "k" + r.id
@@ -102,7 +102,7 @@
 	for _, name := range []string{"class", "tenant", "zone", "key", "group"} {
 		v := values[name]
 		if strings.ContainsAny(v, " =\t\"") || len(v) > maxTraceField || !isPrintable(v) {
-			return name, fmt.Errorf("%.40q is no name", v)
+			return name, fmt.Errorf("invalid name %.40q", v)
 		}
 	}
 	return "", nil
@@ -123,7 +123,7 @@
 		}
 		ms, err := strconv.ParseFloat(text, 64)
 		if err != nil || !(ms >= 0 && ms <= float64(maxLength.Milliseconds())) {
-			return f.name, fmt.Errorf("%.40q is no time in milliseconds from 0 to a day", text)
+			return f.name, fmt.Errorf("%.40q is not a number of milliseconds from 0 to one day", text)
 		}
 		*f.into = time.Duration(math.Round(ms * float64(time.Millisecond)))
 	}
