--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -18,7 +18,7 @@
 	t.Parallel()
 	r := newTestFleet(t, 3)
 	c, stop := r.startAgent(t, nil)
-	eventually(t, "all are up", func() bool { return allUp(c) })
+	eventually(t, "all instances are up", func() bool { return allUp(c) })
 	request := drainRequest("d", r.names())
 	var wg sync.WaitGroup
 	for range 8 {
@@ -29,10 +29,10 @@
 		})
 	}
 	wg.Wait()
-	eventually(t, "it ends", func() bool { return operation(t, c, "d").State == fleet.Succeeded })
+	eventually(t, "the operation ends", func() bool { return operation(t, c, "d").State == fleet.Succeeded })
 	_ = stop()
 	c, _ = r.startAgent(t, nil)
-	eventually(t, "all are up", func() bool { return allUp(c) })
+	eventually(t, "all instances are up", func() bool { return allUp(c) })
 	if o, err := submit(t, c, request); err != nil || o.State != fleet.Succeeded {
 		t.Errorf("operation after a restart of the agent: %s, error %v", o.State, err)
 	}
@@ -40,12 +40,12 @@
 	other := drainRequest("d", r.names()[:1])
 	var remote *control.RemoteError
 	if _, err := submit(t, c, other); !errors.As(err, &remote) || remote.Code != http.StatusConflict {
-		t.Errorf("the same ID with other contents: %v, want status 409", err)
+		t.Errorf("same ID with other contents: %v, want status 409", err)
 	}
 	other.ID = "e"
 	other.Options.AllowEmptyZone = false
 	if _, err := submit(t, c, other); !errors.As(err, &remote) || remote.Code != http.StatusPreconditionFailed {
-		t.Errorf("a drain that exceeds its limits: %v, want status 412", err)
+		t.Errorf("drain that exceeds its limits: %v, want status 412", err)
 	}
 }
 
@@ -64,20 +64,20 @@
 		}
 		return n
 	}
-	eventually(t, "three are up", func() bool { return up() == 3 })
+	eventually(t, "three instances are up", func() bool { return up() == 3 })
 	request := drainRequest("d", r.names()[1:])
 	request.Options.MaxUnavailable = 4 // the slow instance is Unknown, which counts as unavailable
 	if _, err := submit(t, c, request); err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "the others are drained", func() bool { return operation(t, c, "d").State == fleet.Succeeded })
+	eventually(t, "the other instances are drained", func() bool { return operation(t, c, "d").State == fleet.Succeeded })
 	if up() > 3 {
 		t.Error("the slow instance has responded, so the test proves nothing")
 	}
 	x := r.instances[2]
 	x.stop()
 	x.start(t)
-	eventually(t, "the restarted one is drained again", func() bool { return x.count(control.Drain) == 2 })
+	eventually(t, "the restarted instance is drained again", func() bool { return x.count(control.Drain) == 2 })
 	time.Sleep(500 * time.Millisecond)
 	if n := x.count(control.Drain); n != 2 {
 		t.Errorf("the restarted instance was drained %d times, want 2", n)
@@ -93,7 +93,7 @@
 	t.Parallel()
 	r := newTestFleet(t, 1)
 	c, _ := r.startAgent(t, nil)
-	eventually(t, "the first is up", func() bool { return allUp(c) })
+	eventually(t, "the instance of the first agent is up", func() bool { return allUp(c) })
 	if _, err := New(r.cfg, zap.NewNop()); err == nil || !strings.Contains(err.Error(), "in use by another agent") {
 		t.Errorf("New with a store in use: %v", err)
 	}
--- a/internal/agent/disk_test.go
+++ b/internal/agent/disk_test.go
@@ -8,8 +8,8 @@
 	"onyxstream/internal/fleet"
 )
 
-// While writes to the store fail, the agent delivers no commands. After that it completes its operations and delivers
-// each command once.
+// While writes to the store fail, the agent delivers no commands. When writes succeed again, the agent completes its
+// operations and delivers each command once.
 func TestAgent_WritesFail_RetriesAndCompletes(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.ENOSPC, syscall.EIO} {
 		t.Run(errno.Error(), func(t *testing.T) {
@@ -30,11 +30,11 @@
 				}
 			})
 			defer func() { _ = stop() }()
-			eventually(t, "all are up", func() bool { return allUp(c) })
+			eventually(t, "all instances are up", func() bool { return allUp(c) })
 			if _, err := submit(t, c, drainRequest("d", r.names())); err != nil {
 				t.Fatal(err)
 			}
-			eventually(t, "it ends", func() bool { return operation(t, c, "d").State.Ended() })
+			eventually(t, "the operation ends", func() bool { return operation(t, c, "d").State.Ended() })
 			if o := operation(t, c, "d"); o.State != fleet.Succeeded {
 				t.Errorf("the operation is %s: %s", o.State, o.Reason)
 			}
--- a/internal/agent/inventory_test.go
+++ b/internal/agent/inventory_test.go
@@ -15,7 +15,7 @@
 	t.Parallel()
 	r := newTestFleet(t, 2)
 	c, _ := r.startAgent(t, nil)
-	eventually(t, "all are up", func() bool { return allUp(c) })
+	eventually(t, "all instances are up", func() bool { return allUp(c) })
 	if err := os.WriteFile(r.cfg.Inventory, []byte("[[instance]]\nname = \"i0\"\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -24,7 +24,7 @@
 		t.Errorf("%d instances after an invalid inventory, want 2", n)
 	}
 	r.writeInventory(t, r.instances[0])
-	eventually(t, "the valid one is loaded", func() bool { return len(views(c)) == 1 })
+	eventually(t, "the valid inventory is loaded", func() bool { return len(views(c)) == 1 })
 }
 
 // A changed inventory file that can't be read because of a temporary fault is read at the next check, even if the file
--- a/internal/agent/recovery_test.go
+++ b/internal/agent/recovery_test.go
@@ -66,25 +66,25 @@
 	r := newTestFleet(t, 3)
 	request := drainRequest("d", r.names())
 	c, stop := r.startAgent(t, func(a *Agent) { a.saveHook = kill.hook })
-	eventually(t, "all are up", func() bool { return allUp(c) })
+	eventually(t, "all instances are up", func() bool { return allUp(c) })
 	_, err := submit(t, c, request)
 	acknowledged := err == nil
 	if acknowledged {
-		eventually(t, "it ends or is killed", func() bool {
+		eventually(t, "the operation ends or the agent is killed", func() bool {
 			return kill.hasKilled() || operation(t, c, "d").State.Ended()
 		})
 	}
 	_ = stop()
 	c, stop = r.startAgent(t, nil)
-	eventually(t, "all are up again", func() bool { return allUp(c) })
+	eventually(t, "all instances are up again", func() bool { return allUp(c) })
 	if !acknowledged {
 		if _, err := submit(t, c, request); err != nil {
 			t.Fatal(err)
 		}
 	}
-	eventually(t, "it ends", func() bool { return operation(t, c, "d").State.Ended() })
+	eventually(t, "the operation ends", func() bool { return operation(t, c, "d").State.Ended() })
 	if o := operation(t, c, "d"); o.State != fleet.Succeeded {
-		t.Fatalf("killed at write %d (after the write: %v): operation is %s: %s", kill.n, kill.afterSave, o.State, o.Reason)
+		t.Fatalf("killed at write %d (after the write: %v): operation %s: %s", kill.n, kill.afterSave, o.State, o.Reason)
 	}
 	r.checkDrainedOnce(t)
 	if t.Failed() {
--- a/internal/agent/serve.go
+++ b/internal/agent/serve.go
@@ -22,7 +22,7 @@
 	bodyTimeout     = 10 * time.Second
 )
 
-// watchPollInterval is the longest delay of changes that are not saved, for example of a status.
+// watchPollInterval is the longest delay until a watcher sees a change that is not saved, for example a new status.
 const watchPollInterval = 200 * time.Millisecond
 
 // errShuttingDown means that the loop has ended.
@@ -136,8 +136,8 @@
 	}
 }
 
-// watchKey returns a text that differs when the views differ. It leaves out ages, uptimes and hosts, which change all the
-// time.
+// watchKey returns a text that differs when the views differ. The text leaves out ages, uptimes and hosts, which change
+// constantly.
 func watchKey(views []fleet.View) string {
 	var key strings.Builder
 	for _, view := range views {
--- a/internal/agent/store.go
+++ b/internal/agent/store.go
@@ -138,7 +138,7 @@
 	return operations, desired, fence, err
 }
 
-// readAll decodes all values of a bucket. Errors call a value by the noun what.
+// readAll decodes all values of a bucket. Errors refer to a value as what, for example "operation".
 func readAll[T any](bucket *bolt.Bucket, what string) (values []T, err error) {
 	err = bucket.ForEach(func(key, text []byte) error {
 		var value T
--- a/internal/agent/testfleet_test.go
+++ b/internal/agent/testfleet_test.go
@@ -25,11 +25,13 @@
 // testInstance is a fake instance behind a real control server.
 type testInstance struct {
 	name, path string
+
 	mu         sync.Mutex
 	draining   bool
 	statusGate chan struct{} // Status waits until it is closed; nil for no wait
 	applied    []control.Command
-	stop       func()
+
+	stop func()
 }
 
 func (x *testInstance) Status() control.Status {
--- a/internal/coldstart/coldstart.go
+++ b/internal/coldstart/coldstart.go
@@ -11,25 +11,29 @@
 	cfg Config
 	rng *rand.Rand
 
+	// The held list.
 	hasList         bool
 	source          Source
 	revision        int64
 	lastConfirmedAt time.Duration // when discovery last sent or confirmed the held list
 
+	// The list request in flight and the next one.
 	requestInFlight bool          // a list request is in flight, or its watch is active
 	listReceived    bool          // the request in flight has delivered the list
 	requestPlanned  bool          // plannedAt is set
 	plannedAt       time.Duration // time of the next list request
 	requestRequired bool          // a list request must be sent, whatever peers send
-	backoff         time.Duration // between list requests while they fail; 0 while they succeed
-	notBefore       time.Duration // end of the Retry-After of discovery
+	backoff         time.Duration // delay between list requests while they fail; 0 while they succeed
+	notBefore       time.Duration // end of the delay that discovery set with Retry-After
 
+	// Peer contact, and counters of list requests.
 	lastPeerContactAt  time.Duration // when a peer last answered
 	listRequests       int
 	failedListRequests int
 }
 
-// New returns a Scheduler. held describes the list that the node already has; with NoSource the node has none.
+// New returns a Scheduler. held describes the list that the node already has. If source is NoSource, the
+// node has no list.
 func New(cfg Config, rng *rand.Rand, now time.Duration, source Source, held Offer) *Scheduler {
 	s := &Scheduler{cfg: cfg, rng: rng, lastPeerContactAt: now}
 	if source != NoSource && held.Hosts > 0 {
@@ -99,16 +103,16 @@
 	if s.backoff > 0 {
 		return s.backoff
 	}
-	fleets := float64(s.cfg.NodeCount) / smallFleetSize
+	smallFleets := float64(s.cfg.NodeCount) / smallFleetSize
 	if s.cfg.Peers && s.listRequests == 0 && s.cfg.Index < firstRequesters {
 		return s.cfg.PollInterval / firstRequesterDivisor
 	}
 	if s.cfg.Peers && now-s.lastPeerContactAt < peerSilenceTimeout {
 		longest := maxBackoffPolls * s.cfg.PollInterval
-		return s.atLeastMinSpread(time.Duration(float64(longest) * min(1, fleets/fullSpreadFleets)))
+		return s.atLeastMinSpread(time.Duration(float64(longest) * min(1, smallFleets/fullSpreadFleets)))
 	}
 	// Half of PollInterval leaves the other half for a retry.
-	return s.atLeastMinSpread(time.Duration(float64(s.cfg.PollInterval/2) * min(1, fleets/2-0.5)))
+	return s.atLeastMinSpread(time.Duration(float64(s.cfg.PollInterval/2) * min(1, smallFleets/2-0.5)))
 }
 
 func (s *Scheduler) atLeastMinSpread(interval time.Duration) time.Duration {
@@ -172,8 +176,8 @@
 	}
 }
 
-// MarkStale makes the node send list requests of its own, whatever its peers send, until discovery has sent or
-// confirmed a list.
+// MarkStale makes the node send list requests of its own until discovery has sent or confirmed a list, even if peers
+// confirm the held list in the meantime.
 func (s *Scheduler) MarkStale(now time.Duration) {
 	if !s.requestInFlight && !s.requestRequired {
 		s.plan(max(now, s.notBefore), s.spreadInterval(now))
--- a/internal/coldstart/coldstart_test.go
+++ b/internal/coldstart/coldstart_test.go
@@ -19,17 +19,17 @@
 // with the number of nodes.
 func TestListRequests_FleetStarts_CountBounded(t *testing.T) {
 	for _, n := range []int{3, 50, 150, 300, 600} {
-		s := &fakeDiscovery{}
-		receivedAt := runFleet(n, true, s, 5*time.Second)
-		if len(s.requestedAt) > 12 || s.rejected > 0 || lastReceived(receivedAt) > 2*time.Second {
+		discovery := &fakeDiscovery{}
+		receivedAt := runFleet(n, true, discovery, 5*time.Second)
+		if len(discovery.requestedAt) > 12 || discovery.rejected > 0 || lastReceived(receivedAt) > 2*time.Second {
 			t.Errorf("%d nodes with peer lists: %d list requests, %d rejected, last node received the list after %v",
-				n, len(s.requestedAt), s.rejected, lastReceived(receivedAt))
+				n, len(discovery.requestedAt), discovery.rejected, lastReceived(receivedAt))
 		}
-		s = &fakeDiscovery{}
-		receivedAt = runFleet(n, false, s, 15*time.Second)
-		if len(s.requestedAt) > n*11/10 || lastReceived(receivedAt) > pollInterval {
+		discovery = &fakeDiscovery{}
+		receivedAt = runFleet(n, false, discovery, 15*time.Second)
+		if len(discovery.requestedAt) > n*11/10 || lastReceived(receivedAt) > pollInterval {
 			t.Errorf("%d nodes without peer lists: %d list requests, %d rejected, last node received the list after %v",
-				n, len(s.requestedAt), s.rejected, lastReceived(receivedAt))
+				n, len(discovery.requestedAt), discovery.rejected, lastReceived(receivedAt))
 		}
 	}
 }
@@ -39,10 +39,10 @@
 func TestListRequests_DiscoveryDown_BelowItsCapacity(t *testing.T) {
 	for _, down := range []time.Duration{5 * time.Second, 60 * time.Second} {
 		for _, n := range []int{50, 300, 600} {
-			s := &fakeDiscovery{downUntil: down}
-			receivedAt := runFleet(n, true, s, down+20*time.Second)
+			discovery := &fakeDiscovery{downUntil: down}
+			receivedAt := runFleet(n, true, discovery, down+20*time.Second)
 			requestsWhileDown := 0
-			for _, at := range s.requestedAt {
+			for _, at := range discovery.requestedAt {
 				if at < down {
 					requestsWhileDown++
 				}
@@ -56,8 +56,8 @@
 	}
 }
 
-// A node honours Retry-After. If it is missing the node does not retry at once, and if it is an hour or longer the node
-// still retries.
+// A node honours Retry-After. Without Retry-After, the node does not retry at once. After a Retry-After of an hour or
+// longer, it still retries.
 func TestListRequestFailed_AnyRetryAfter_RetriedInTime(t *testing.T) {
 	for _, retryAfter := range []time.Duration{0, time.Second, time.Hour, -time.Hour, 1 << 62} {
 		s := New(Config{NodeCount: 300, PollInterval: pollInterval}, rand.New(rand.NewPCG(1, 2)), 0, NoSource, Offer{})
--- a/internal/coldstart/config.go
+++ b/internal/coldstart/config.go
@@ -43,8 +43,8 @@
 const (
 	// smallFleetSize is the number of nodes whose list requests may be spread over the shortest interval.
 	smallFleetSize = 25
-	// fullSpreadFleets is the multiple of smallFleetSize at which nodes with peers start to spread their list
-	// requests over the longest interval.
+	// fullSpreadFleets is the smallest multiple of smallFleetSize at which nodes with peers spread their list requests
+	// over the longest interval.
 	fullSpreadFleets = 8
 	// minSpreadDivisor divides PollInterval to give the shortest interval over which list requests are spread.
 	minSpreadDivisor = 20
@@ -60,10 +60,10 @@
 	firstRequesters = 4
 	// peerSilenceTimeout is the time without an answer from any peer after which a node stops relying on its peers.
 	peerSilenceTimeout = 6 * time.Second
-	// suspensionThreshold is the delay of a planned list request beyond which the process is taken to have been
+	// suspensionThreshold is how late a planned list request must be for the node to assume that the process was
 	// suspended.
 	suspensionThreshold = time.Second
-	// noListRequest is the time until the next list request that is reported while none is planned.
+	// noListRequest is the result of NextListRequestIn while no list request is planned.
 	noListRequest = time.Hour
 
 	// MaxAge is the age beyond which a list is not used.
--- a/internal/coldstart/fleet_test.go
+++ b/internal/coldstart/fleet_test.go
@@ -17,8 +17,8 @@
 
 // fakeDiscovery is a discovery service in virtual time that answers list requests one at a time.
 type fakeDiscovery struct {
-	freeAt      time.Duration
-	downUntil   time.Duration // list requests are reset until then
+	freeAt      time.Duration // when it can process the next list request
+	downUntil   time.Duration // list requests fail until then
 	retryAfter  time.Duration // Retry-After of rejections
 	requestedAt []time.Duration
 	rejected    int
@@ -32,18 +32,18 @@
 }
 
 // respond returns the response to a node's list request.
-func (s *fakeDiscovery) respond(node int, now time.Duration) response {
-	s.requestedAt = append(s.requestedAt, now)
-	begin := max(s.freeAt, now)
-	if now < s.downUntil {
+func (d *fakeDiscovery) respond(node int, now time.Duration) response {
+	d.requestedAt = append(d.requestedAt, now)
+	begin := max(d.freeAt, now)
+	if now < d.downUntil {
 		return response{node: node, at: now + requestDuration}
 	}
 	if begin-now > requestTimeout {
-		s.rejected++
+		d.rejected++
 		return response{node: node, at: now + requestTimeout}
 	}
-	s.freeAt = begin + requestDuration
-	return response{node: node, at: s.freeAt, ok: true}
+	d.freeAt = begin + requestDuration
+	return response{node: node, at: d.freeAt, ok: true}
 }
 
 // fleet simulates nodes that start together.
@@ -94,7 +94,7 @@
 	f.responses = pending
 }
 
-// gossip lets a node contact its peers every 2 s, and offers it the list once a peer has it.
+// gossip lets a node contact its peers every 2 s, and offers it the list gossipDelay after the first node received it.
 func (f *fleet) gossip(node int, scheduler *Scheduler, now time.Duration) {
 	if !f.peers {
 		return
--- a/internal/coldstart/peerlist.go
+++ b/internal/coldstart/peerlist.go
@@ -55,9 +55,9 @@
 	case offer.Hosts == 0:
 		return "list has no hosts"
 	case s.requestInFlight && s.listReceived:
-		return "list service keeps this node current"
+		return "discovery keeps the held list current"
 	case s.hasList && offer.Revision < s.revision:
-		return fmt.Sprintf("revision %d is behind %d", offer.Revision, s.revision)
+		return fmt.Sprintf("revision %d is older than held revision %d", offer.Revision, s.revision)
 	}
 	return ""
 }
--- a/internal/control/accept.go
+++ b/internal/control/accept.go
@@ -18,8 +18,8 @@
 	closed chan struct{}
 }
 
-// RetryAccept wraps a listener so that Accept fails only after Close. It logs and retries all other errors, for example
-// a lack of file descriptors or memory, or a connection that was aborted before the accept.
+// RetryAccept wraps a listener so that Accept fails only after Close. After any other error, for example a lack of file
+// descriptors or memory, or a connection that was aborted before the accept, Accept logs the error and retries.
 func RetryAccept(l net.Listener, log *zap.Logger) net.Listener {
 	return &retryingListener{l, log, make(chan struct{})}
 }
@@ -40,7 +40,7 @@
 	}
 }
 
-// Close closes the listener and ends Accept. It must be called only once; http.Server does so.
+// Close closes the listener and ends Accept. It must be called only once, which http.Server ensures.
 func (l *retryingListener) Close() error {
 	close(l.closed)
 	return l.Listener.Close()
--- a/internal/control/accept_test.go
+++ b/internal/control/accept_test.go
@@ -13,7 +13,7 @@
 	"go.uber.org/zap"
 )
 
-// failingListener fails its first accepts, one with each of errors.
+// failingListener fails its first accepts, each with the next element of errors.
 type failingListener struct {
 	net.Listener
 	accepts atomic.Int64
--- a/internal/control/list.go
+++ b/internal/control/list.go
@@ -16,11 +16,11 @@
 // PeerList is the endpoint list that an instance sends to a peer.
 type PeerList struct {
 	Service     string             `json:"service"`   // name of the discovery service, the same on all instances
-	Age         time.Duration      `json:"age_ns"`    // since discovery last sent or confirmed it, as of the response
+	Age         time.Duration      `json:"age_ns"`    // since discovery last sent or confirmed the list; as of the response
 	Waited      time.Duration      `json:"waited_ns"` // how long the request waited for the response
 	Revision    int64              `json:"revision"`
 	List        *wire.EndpointList `json:"list,omitempty"` // nil if the requester has this revision
-	Unreachable []UnreachableHost  `json:"dead,omitempty"` // set while the list is not confirmed
+	Unreachable []UnreachableHost  `json:"dead,omitempty"` // set only while discovery has not confirmed the list
 }
 
 // UnreachableHost is a host that an instance could not connect to.
@@ -52,8 +52,8 @@
 	maxPeerListWait         = 10 * time.Second
 	maxUnreachable          = 4096 // hosts
 	maxPeerListRequestBytes = maxUnreachable * (maxNameLength + 4)
-	// minAgeAdvantage is how much more recently than the requester's the list must have been confirmed for a response
-	// before the timeout.
+	// minAgeAdvantage is how much later than the requester's list the instance's list must have been confirmed for the
+	// instance to respond before the timeout.
 	minAgeAdvantage = 500 * time.Millisecond
 )
 
@@ -61,7 +61,7 @@
 var errNoList = errors.New("no list")
 
 // knownUnreachable is the body of a POST: the unreachable hosts that the requester already knows. A requester that
-// sends a GET does not want to be notified of them.
+// sends a GET does not want to be notified of unreachable hosts.
 type knownUnreachable struct {
 	IDs []string `json:"dead"`
 }
@@ -141,8 +141,8 @@
 	if list.List.Revision != q.revision {
 		return list.List.Revision > q.revision
 	}
-	callerAge := q.age + now.Sub(start)
-	ageAdvantage := callerAge - now.Sub(list.Confirmed)
+	requesterAge := q.age + now.Sub(start)
+	ageAdvantage := requesterAge - now.Sub(list.Confirmed)
 	if ageAdvantage >= minAgeAdvantage {
 		return true
 	}
@@ -151,7 +151,7 @@
 	})
 }
 
-func writePeerList(w http.ResponseWriter, list *CachedList, callerRevision int64, start time.Time) {
+func writePeerList(w http.ResponseWriter, list *CachedList, requesterRevision int64, start time.Time) {
 	now := time.Now()
 	peerList := PeerList{
 		Service:  list.Service,
@@ -159,7 +159,7 @@
 		Waited:   now.Sub(start),
 		Revision: list.List.Revision,
 	}
-	if list.List.Revision != callerRevision {
+	if list.List.Revision != requesterRevision {
 		peerList.List = &list.List
 	}
 	for i, id := range list.Unreachable[:min(len(list.Unreachable), maxUnreachable)] {
--- a/internal/control/list_test.go
+++ b/internal/control/list_test.go
@@ -59,7 +59,7 @@
 	if !isRemoteError(err, http.StatusNotFound) {
 		t.Errorf("List without a list: %v, want status 404", err)
 	}
-	poll := func(service string, revision int64, age time.Duration, unreachable *[]string) <-chan PeerList {
+	requestList := func(service string, revision int64, age time.Duration, unreachable *[]string) <-chan PeerList {
 		got := make(chan PeerList, 1)
 		go func() {
 			defer close(got)
@@ -69,18 +69,18 @@
 		}()
 		return got
 	}
-	first, other := poll("s", -1, 0, nil), poll("other", -1, 0, nil)
+	first, other := requestList("s", -1, 0, nil), requestList("other", -1, 0, nil)
 	time.Sleep(50 * time.Millisecond)
 	h.setList("s", 4, time.Minute)
 	if p := <-first; p.Revision != 4 || p.List == nil || p.Age < time.Minute || p.Waited < 40*time.Millisecond {
 		t.Errorf("first list: %+v, want revision 4 after a wait", p)
 	}
-	if p := <-poll("s", 3, 0, nil); p.List == nil {
+	if p := <-requestList("s", 3, 0, nil); p.List == nil {
 		t.Errorf("no list for a requester with an older revision: %+v", p)
 	}
-	same := poll("s", 4, time.Minute, nil)
+	same := requestList("s", 4, time.Minute, nil)
 	known := []string{"h2"}
-	knowing := poll("s", 4, time.Minute, &known)
+	knowing := requestList("s", 4, time.Minute, &known)
 	time.Sleep(50 * time.Millisecond)
 	select {
 	case p := <-same:
@@ -103,8 +103,8 @@
 	}
 }
 
-// Half of a large fleet may be unreachable, with IDs of maximum length: the response has all of them, and a requester
-// that knows them waits.
+// Half of the hosts may be unreachable in a large deployment, and their IDs may have the maximum length. The response
+// contains all of them, and the request of an instance that already knows them waits.
 func TestList_ManyUnreachableHosts_SendsAll(t *testing.T) {
 	h := newFakeListInstance()
 	_, c := startServer(t, h)
@@ -129,8 +129,8 @@
 	}
 }
 
-// The number of waiting requests is limited. They leave connections for the agent's requests, and free their slots when
-// their senders disconnect.
+// The number of waiting requests is limited. Waiting requests leave connections for the agent's requests, and free their
+// slots when their senders disconnect.
 func TestList_TooManyRequests_Rejects(t *testing.T) {
 	h := newFakeListInstance()
 	path, c := startServer(t, h)
@@ -155,11 +155,11 @@
 			break
 		}
 		if time.Since(start) > 10*time.Second {
-			t.Fatalf("a request beside %d waiting ones: %v, want status 503", minConns/peerListDivisor, err)
+			t.Fatalf("request while %d requests are waiting: %v, want status 503", minConns/peerListDivisor, err)
 		}
 	}
 	if s, err := c.Status(t.Context()); err != nil || s.Name == "" {
-		t.Errorf("Status beside waiting requests: %+v, %v", s, err)
+		t.Errorf("Status while requests are waiting: %+v, %v", s, err)
 	}
 	cancel()
 	wg.Wait()
@@ -170,7 +170,7 @@
 		err = c.Call(t.Context(), http.MethodGet, "/v1/list", nil, new(PeerList))
 	}
 	if err == nil || !strings.Contains(err.Error(), "after") {
-		t.Errorf("a request without parameters after the others ended: %v, want an error that names after", err)
+		t.Errorf("request without parameters after the other requests ended: %v, want an error that names the parameter after", err)
 	}
 }
 
--- a/internal/control/listclient.go
+++ b/internal/control/listclient.go
@@ -14,7 +14,7 @@
 // in unreachable (nil ignores unreachable hosts), and after timeout at the latest.
 //
 // validAt is the earliest time at which the instance can have sent the response. The age of the list counts from
-// validAt, so that a response that waited in a socket buffer is not taken to be more recent than it is.
+// validAt. Otherwise, a list whose response waited in a socket buffer would seem more recent than it is.
 func (c *Client) List(
 	ctx context.Context, service string, revision int64, age, timeout time.Duration, unreachable *[]string,
 ) (list PeerList, validAt time.Time, err error) {
--- a/internal/control/listener.go
+++ b/internal/control/listener.go
@@ -66,8 +66,8 @@
 	return os.Remove(path)
 }
 
-// ListenTLS listens on TCP with TLS and limits it to conns concurrent connections. role derives the role of a peer from
-// its certificate.
+// ListenTLS listens on TCP with TLS and limits it to conns concurrent connections. role derives the role of a
+// request's sender from the sender's certificate.
 func ListenTLS(addr string, conns int, cfg *tls.Config, role func(*tls.ConnectionState) Role) (Listener, error) {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
--- a/internal/control/messages.go
+++ b/internal/control/messages.go
@@ -86,8 +86,8 @@
 	Rejected Verdict = "refused" // a command with a higher fence superseded it
 )
 
-// Response is an instance's response to a command. One incarnation of an instance responds to a repeated command as to
-// the first, even after later commands.
+// Response is an instance's response to a command. Within one incarnation, an instance gives a repeated command the same
+// response as the first time, even after later commands.
 type Response struct {
 	Verdict     Verdict `json:"verdict"`
 	Reason      string  `json:"why,omitempty"`
--- a/internal/control/server_test.go
+++ b/internal/control/server_test.go
@@ -28,7 +28,7 @@
 	applyErr error
 	mu       sync.Mutex
 	applied  []Command
-	gate     chan struct{} // Apply waits for it; nil for none
+	gate     chan struct{} // Apply receives from it before it applies a command; nil for no wait
 }
 
 func (f *fakeInstance) Status() Status {
@@ -137,14 +137,14 @@
 	path, c := startServer(t, f)
 	head := "POST /v1/command HTTP/1.1\r\nHost: x\r\nConnection: close\r\nContent-Length: "
 	for name, text := range map[string]string{
-		"huge":     head + "99999999\r\n\r\n{\"operation\":\"" + strings.Repeat("x", 200_000),
-		"half":     head + "100\r\n\r\n{\"operation\":",
-		"no json":  head + "5\r\n\r\nhello",
-		"two":      head + "4\r\n\r\n{}{}",
-		"unknown":  head + "9\r\n\r\n{\"x\":123}",
-		"trickle":  "POST /v1/comm",
-		"nonsense": "\x16\x03\x01\x02\x00",
-		"long":     "GET /" + strings.Repeat("y", 40_000) + " HTTP/1.1\r\n\r\n",
+		"body too large":          head + "99999999\r\n\r\n{\"operation\":\"" + strings.Repeat("x", 200_000),
+		"incomplete body":         head + "100\r\n\r\n{\"operation\":",
+		"not JSON":                head + "5\r\n\r\nhello",
+		"two values":              head + "4\r\n\r\n{}{}",
+		"unknown field":           head + "9\r\n\r\n{\"x\":123}",
+		"incomplete request line": "POST /v1/comm",
+		"not HTTP":                "\x16\x03\x01\x02\x00",
+		"path too long":           "GET /" + strings.Repeat("y", 40_000) + " HTTP/1.1\r\n\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -165,7 +165,7 @@
 			}
 		})
 		if s, err := c.Status(t.Context()); err != nil || s.Name != "n1" {
-			t.Errorf("Status beside a malformed request: %+v, %v", s, err)
+			t.Errorf("Status during a malformed request: %+v, %v", s, err)
 		}
 	}
 	if f.appliedCount() != 0 {
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -13,20 +13,29 @@
 
 // Status is the state of an instance, with its counters.
 type Status struct {
-	Name           string              `json:"name"`
-	Incarnation    string              `json:"boot"` // differs between starts of the instance
-	State          InstanceState       `json:"state"`
-	Operation      string              `json:"operation,omitempty"` // the operation in effect for the instance
-	Fence          uint64              `json:"fence"`
-	InFlight       int64               `json:"owed"` // requests without a final answer
-	Established    int64               `json:"open"` // established connections
-	UptimeSeconds  float64             `json:"up_s"`
-	Revision       int64               `json:"revision"` // of the endpoint list
-	List           *ListStatus         `json:"list,omitempty"`
-	Hosts          []HostStatus        `json:"hosts,omitempty"`
+	// Identity, state and the command in effect.
+	Name        string        `json:"name"`
+	Incarnation string        `json:"boot"` // differs between starts of the instance
+	State       InstanceState `json:"state"`
+	Operation   string        `json:"operation,omitempty"` // the operation in effect for the instance
+	Fence       uint64        `json:"fence"`
+
+	// Requests and connections.
+	InFlight    int64 `json:"owed"` // requests without a final answer
+	Established int64 `json:"open"` // established connections
+
+	UptimeSeconds float64 `json:"up_s"`
+
+	// The endpoint list and its hosts.
+	Revision int64        `json:"revision"` // of the endpoint list
+	List     *ListStatus  `json:"list,omitempty"`
+	Hosts    []HostStatus `json:"hosts,omitempty"`
+
+	// Rule violations and abandoned requests.
 	RuleViolations uint64              `json:"broken_rules,omitempty"` // violations that package invariant has counted
 	Abandoned      []AbandonedRequests `json:"given_up,omitempty"`     // rejected and failed requests, by reason
-	Serial         uint64              `json:"serial"`                 // always 0: readers of the JSON expect the key
+
+	Serial uint64 `json:"serial"` // always 0: readers of the JSON expect the key
 }
 
 // HostStatus is the state of a host as an instance sees it.
--- a/internal/control/stream.go
+++ b/internal/control/stream.go
@@ -47,7 +47,7 @@
 	}
 }
 
-// WriteLine writes and flushes one line of a stream. The write fails if the peer has not accepted it by the deadline.
+// WriteLine writes and flushes one line of a stream. The write fails if it has not completed by the deadline.
 func WriteLine(w http.ResponseWriter, line []byte, deadline time.Time) error {
 	controller := http.NewResponseController(w)
 	_ = controller.SetWriteDeadline(deadline)
--- a/internal/discovery/stream.go
+++ b/internal/discovery/stream.go
@@ -15,19 +15,19 @@
 // discovery recovers times out after requestTimeout. The next list request follows within balancer.MaxRepollDelay, or
 // within node.MaxRewatchDelay if polling is off. The rest of notifyWithin is left for its response.
 //
-// requestTimeout and snapshotTimeout start with the dial. requestTimeout ends with the first list, or with the first
-// event of a watch that follows a snapshot; snapshotTimeout ends with the complete snapshot.
+// requestTimeout and snapshotTimeout run from the start of the dial: requestTimeout until the first list, or until the
+// first event of a watch that follows a snapshot; snapshotTimeout until the complete snapshot.
 const (
 	notifyWithin     = 6 * time.Second
 	requestTimeout   = 3 * time.Second
-	snapshotTimeout  = 1500 * time.Millisecond // requestTimeout if the last snapshot timed out
+	snapshotTimeout  = 1500 * time.Millisecond // after a snapshot that timed out, requestTimeout applies instead
 	heartbeatTimeout = 3 * time.Second         // discovery sends heartbeats every 2 s
 )
 
 var errStreamEnded = errors.New("discovery closed the watch")
 
-// dial connects to discovery. The timeout covers the dial and all later I/O on the connection, which also fails when
-// ctx ends. closeConn closes the connection.
+// dial connects to discovery. The timeout covers the dial and all later I/O on the connection. When ctx ends, the dial
+// and the I/O fail too. closeConn closes the connection.
 func dial(ctx context.Context, addr string, timeout time.Duration) (c *net.TCPConn, closeConn func(), err error) {
 	deadline := time.Now().Add(timeout)
 	dialer := net.Dialer{Deadline: deadline, KeepAlive: -1}
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -57,16 +57,17 @@
 	previous  *activeRequest // stays active until delivered is set, so that no watch event is missed in between
 }
 
-// stop cancels a request and waits for its end, so that its events cannot arrive after those of the next request.
-func (c *activeRequest) stop() {
-	if c != nil {
-		c.cancel()
-		<-c.ended
+// stop cancels a request and waits for its end, so that its events cannot arrive after those of the next request. It
+// does nothing if the request is nil.
+func (r *activeRequest) stop() {
+	if r != nil {
+		r.cancel()
+		<-r.ended
 	}
 }
 
-// Run sends the queued list requests until ctx ends. A new request stops the previous one when it has delivered its
-// first list. Run notifies the node when a request ends, unless a newer request or the end of ctx ended it.
+// Run sends the queued list requests until ctx ends. When a new request has delivered its first list, the previous
+// request is stopped. Run notifies the node when a request ends, unless a newer request or the end of ctx stopped it.
 func (w *Watcher) Run(ctx context.Context) error {
 	var current *activeRequest
 	for {
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -61,17 +61,17 @@
 func TestTimeouts_WorstCase_WithinNotificationBound(t *testing.T) {
 	const answer = 400 * time.Millisecond
 	for name, longest := range map[string]time.Duration{
-		"polled, a watch falls silent": heartbeatTimeout + balancer.MaxRepollDelay,
-		"polled, a call is lost":       requestTimeout + balancer.MaxRepollDelay,
-		"polled, a call is rejected":   2 * balancer.MaxRepollDelay,
-		"pushed, a watch falls silent": heartbeatTimeout + node.MaxRewatchDelay,
-		"pushed, a call is lost":       requestTimeout + node.MaxRewatchDelay,
+		"polling on, watch falls silent":    heartbeatTimeout + balancer.MaxRepollDelay,
+		"polling on, list request lost":     requestTimeout + balancer.MaxRepollDelay,
+		"polling on, list request rejected": 2 * balancer.MaxRepollDelay,
+		"polling off, watch falls silent":   heartbeatTimeout + node.MaxRewatchDelay,
+		"polling off, list request lost":    requestTimeout + node.MaxRewatchDelay,
 	} {
 		if longest+answer > notifyWithin {
 			t.Errorf("%s: %v until the next list request, bound %v", name, longest, notifyWithin)
 		}
 	}
-	// After SIGHUP with polling off, the bound is 4 s.
+	// After a reload by SIGHUP with polling off, the bound is 4 s.
 	if longest := snapshotTimeout + node.MaxRewatchDelay; longest+answer > 4*time.Second {
 		t.Errorf("discovery reconfigured: %v until the second list request", longest)
 	}
@@ -199,7 +199,7 @@
 	}
 	netiotest.Eventually(t, "the new list is accepted", hasNewList)
 	close(hold)
-	n.MergePingBaselines(nil) // an event after any that the old request has posted
+	n.MergePingBaselines(nil) // its event follows all events that the old request has posted
 	if !hasNewList() {
 		t.Errorf("the node's hosts are %v", n.View().Hosts)
 	}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -16,12 +16,17 @@
 
 // Config has the timeouts and limits of a fleet.
 type Config struct {
-	DownAfter            time.Duration // an instance that has sent no status for this long is down
-	DeliveryTimeout      time.Duration // a step fails if its command is not delivered within this time
-	RetryInitialDelay    time.Duration // doubles with each attempt
-	RetryMaxDelay        time.Duration
-	RetryRate            float64 // retries per second, in the whole fleet
-	RetryBurst           int
+	// Timeouts.
+	DownAfter       time.Duration // an instance that has sent no status for this long is down
+	DeliveryTimeout time.Duration // a step fails if its command is not delivered within this time
+
+	// Retries of deliveries.
+	RetryInitialDelay time.Duration // doubles with each attempt
+	RetryMaxDelay     time.Duration
+	RetryRate         float64 // retries per second, in the whole fleet
+	RetryBurst        int
+
+	// Operations.
 	DefaultDeadline      time.Duration // of operations without a deadline
 	MaxEndedOperations   int           // kept for operators to inspect
 	MaxRunningOperations int
@@ -42,7 +47,8 @@
 	}
 }
 
-// rngStream is the second half of the seed of the random source. Other users of the same first half draw other numbers.
+// rngStream is the second half of the seed of the random source, so that other random sources with the same first
+// half draw other numbers.
 const rngStream = 0x666c656574
 
 // Fleet is the state of one agent. It is not safe for concurrent use.
@@ -52,20 +58,23 @@
 	retryBudget *rate.Limiter
 	now         time.Duration
 
+	// The instances of the inventory, by name.
 	instances      map[string]Instance
-	inventoryOrder []string
+	inventoryOrder []string // names
 	observations   map[string]*Observation
 
+	// The operations, by ID.
 	operations map[string]*Operation
 	running    []*Operation // in the order of their fences
 	ended      []string     // in the order in which they ended
 	fence      uint64       // of the last operation
 
+	// The desired states and the deliveries.
 	desired      map[Scope]DesiredState
 	inFlight     map[string]Delivery // at most one for each instance
 	redeliveries map[Scope]*redelivery
 
-	change Change // since the last call of Next
+	change Change // data to save that changed since the last call of Next
 }
 
 // New returns a fleet without instances and operations. The seed determines the jitter of retries.
@@ -83,8 +92,8 @@
 	}
 }
 
-// Restore loads saved data. It has the commands that were in flight when the agent ended delivered again, because an
-// instance applies a repeated command only once.
+// Restore loads saved data. Commands that were in flight when the agent ended will be delivered again, which is safe
+// because an instance applies a repeated command only once.
 func (f *Fleet) Restore(operations []Operation, desired []DesiredState, fence uint64) {
 	f.fence = fence
 	for _, state := range desired {
--- a/internal/fleet/operation.go
+++ b/internal/fleet/operation.go
@@ -60,7 +60,7 @@
 	State   State            `json:"state"`
 	Reason  string           `json:"why,omitempty"`
 	Steps   map[string]*Step `json:"steps"`    // by name of the instance
-	Elapsed time.Duration    `json:"spent_ns"` // time used up to the last save; independent of wall clocks
+	Elapsed time.Duration    `json:"spent_ns"` // part of the deadline used until the last save; independent of wall clocks
 
 	elapsedAt time.Duration // when Elapsed was computed
 }
--- a/internal/fleet/progress.go
+++ b/internal/fleet/progress.go
@@ -8,7 +8,7 @@
 	"onyxstream/internal/control"
 )
 
-// maxWakeInterval is the longest time until the next call of Next, which has to notice observations that expire.
+// maxWakeInterval is the longest time until the next call of Next, because Next has to notice expired observations.
 const maxWakeInterval = time.Second
 
 // minWakeInterval is the shortest time until the next call of Next.
@@ -21,7 +21,7 @@
 	wake       time.Duration
 }
 
-// wakeBy sets the next call of Next to the given time, unless it is earlier already.
+// wakeBy makes the next call of Next due at the given time, unless the call is already due earlier.
 func (p *plan) wakeBy(at time.Duration) { p.wake = min(p.wake, max(at, p.now+minWakeInterval)) }
 
 // Next advances all operations. It returns the data to save, the deliveries to make after that data is on disk, and the
@@ -140,7 +140,7 @@
 	f.updateStep(o, step, StepDelivering, reason)
 }
 
-// redeliver repeats those commands of an operation that got no response.
+// redeliver delivers the commands of an operation again that got no response.
 func (f *Fleet) redeliver(plan *plan, o *Operation) {
 	for _, name := range o.Targets {
 		step := o.Steps[name]
@@ -209,7 +209,7 @@
 	}
 }
 
-// skipStep ends a step whose operation has ended. A command that the instance accepted stays in effect; the desired
+// skipStep ends a step whose operation has ended. A command that the instance has accepted stays in effect. The desired
 // state of a command that is still being delivered is withdrawn.
 func (f *Fleet) skipStep(o *Operation, name string, step *Step) {
 	switch step.State {
--- a/internal/fleet/request.go
+++ b/internal/fleet/request.go
@@ -10,7 +10,7 @@
 	"onyxstream/internal/control"
 )
 
-// FailurePolicy is how an operation continues after a step has failed.
+// FailurePolicy determines how an operation continues after a step has failed.
 type FailurePolicy string
 
 // The failure policies.
@@ -22,15 +22,18 @@
 
 // Options control how an operation is executed. Zero values select the defaults.
 type Options struct {
-	WaveSize              int           `json:"at_once"`          // instances in progress at the same time; default 1
-	MaxUnavailable        int           `json:"unavailable"`      // at the same time; default half of the instances
-	MaxUnavailablePerZone int           `json:"unavailable_zone"` // default all but one
-	AllowEmptyZone        bool          `json:"empty_zone"`       // a zone may have no available instance
-	DrainTimeout          time.Duration `json:"within_ns"`        // until a draining instance closes its connections
-	RetryAfter            time.Duration `json:"retry_after_ns"`   // sent to rejected clients
-	StepTimeout           time.Duration `json:"step_within_ns"`   // from the accepted command to the desired state
-	Deadline              time.Duration `json:"deadline_ns"`      // for the whole operation
-	OnFailure             FailurePolicy `json:"on_failure"`
+	// Numbers of instances in progress or unavailable at the same time.
+	WaveSize              int  `json:"at_once"`          // instances in progress; default 1
+	MaxUnavailable        int  `json:"unavailable"`      // in the whole fleet; default half of the instances
+	MaxUnavailablePerZone int  `json:"unavailable_zone"` // in one zone; default all but one
+	AllowEmptyZone        bool `json:"empty_zone"`       // a zone may have no available instance
+
+	DrainTimeout time.Duration `json:"within_ns"`      // until a draining instance closes its connections
+	RetryAfter   time.Duration `json:"retry_after_ns"` // sent to rejected clients
+	StepTimeout  time.Duration `json:"step_within_ns"` // from the accepted command to the desired state
+	Deadline     time.Duration `json:"deadline_ns"`    // for the whole operation
+
+	OnFailure FailurePolicy `json:"on_failure"`
 }
 
 // Request is an operation as an operator submits it.
--- a/internal/fleet/simulatedinstance_test.go
+++ b/internal/fleet/simulatedinstance_test.go
@@ -7,6 +7,7 @@
 	"onyxstream/internal/control"
 )
 
+// simulatedInstance is an instance in virtual time, with a real command register.
 type simulatedInstance struct {
 	name        string
 	restarts    int
@@ -14,7 +15,7 @@
 	draining    bool
 	drainedAt   time.Duration // time at which its last connection closes
 	up          bool
-	partitioned bool // from the agent
+	partitioned bool // no message passes between the agent and the instance
 	overrides   map[string]bool
 }
 
--- a/internal/fleet/simulation_test.go
+++ b/internal/fleet/simulation_test.go
@@ -22,6 +22,7 @@
 	events   []event
 	reliable bool // inject no further faults
 
+	// The agent and its network.
 	fleet            *Fleet
 	agentIncarnation int
 	inventory        []Instance
@@ -29,12 +30,14 @@
 	inFlight         map[string]int // number of commands of the current agent, by instance
 	wake             time.Duration
 
+	// The data on the agent's disk.
 	saved struct {
 		operations map[string][]byte
 		desired    map[Scope]DesiredState
 		fence      uint64
 	}
-	maxDraining int
+
+	maxDraining int // limit of instances that drain at the same time
 }
 
 type event struct {
@@ -159,7 +162,7 @@
 	if sim.inFlight[name] > 1 {
 		sim.t.Fatalf("%v: %s has more than one command in flight", sim.now, name)
 	}
-	requestDelay, answerDelay := sim.delays()
+	requestDelay, responseDelay := sim.delays()
 	var response control.Response
 	err := errLost
 	deliver := func() {
@@ -178,11 +181,11 @@
 	if !sim.isLost() && x.up && !x.partitioned {
 		sim.schedule(requestDelay, deliver)
 		if !sim.reliable && sim.rng.IntN(15) == 0 {
-			sim.schedule(requestDelay+answerDelay/2, deliver)
+			sim.schedule(requestDelay+responseDelay/2, deliver)
 		}
 	}
 	lost := sim.isLost()
-	sim.schedule(requestDelay+answerDelay, func() {
+	sim.schedule(requestDelay+responseDelay, func() {
 		if agentIncarnation != sim.agentIncarnation {
 			return
 		}
--- a/internal/fleet/submit_test.go
+++ b/internal/fleet/submit_test.go
@@ -116,7 +116,7 @@
 	}
 }
 
-// After the loss of the store, new fences are above those that instances report.
+// After the store was lost, new fences are above the fences that instances report.
 func TestSubmit_InstancesWithHigherFence_ContinuesAbove(t *testing.T) {
 	f := newServingFleet(t, threeInstances())
 	f.Observe(2, 2, "a2", control.Status{Incarnation: "1", State: control.Serving, Fence: 41}, nil)
--- a/internal/healthcheck/pinger.go
+++ b/internal/healthcheck/pinger.go
@@ -16,7 +16,7 @@
 )
 
 const (
-	pingTimeout = 3 * time.Second  // for the dial and the answer; the connection is closed when it expires
+	pingTimeout = 3 * time.Second  // for the dial and the response; the connection is closed when it expires
 	idleTimeout = 10 * time.Second // after this time without a ping, the connection to the host is closed
 )
 
@@ -37,8 +37,8 @@
 
 // Receiver is notified of the results of pings.
 type Receiver interface {
-	// PingCompleted receives a ping's round-trip time. It is at least the timeout if no answer came in time, and
-	// FailedPing if the connection failed.
+	// PingCompleted receives a ping's round-trip time. The time is at least the timeout if no response came in time,
+	// and FailedPing if the connection failed.
 	PingCompleted(id balancer.ServerID, took time.Duration)
 }
 
@@ -73,7 +73,7 @@
 func (p *Pinger) Attach(receiver Receiver) { p.receiver = receiver }
 
 // Ping starts a ping of a host. It returns false if no descriptor is available or the pinger is closed. It does not
-// block. If a ping of the host is already waiting to be sent, the result of that one counts for this one too.
+// block. If a ping of the host is already waiting to be sent, its result counts for this call too.
 func (p *Pinger) Ping(id balancer.ServerID, addr string) bool {
 	p.budget.Lock()
 	defer p.budget.Unlock()
@@ -212,7 +212,7 @@
 	return true
 }
 
-// ping dials the host if there is no connection, sends a ping and waits for the answer.
+// ping dials the host if there is no connection, sends a ping and waits for the response.
 func (c *connection) ping(addr string, deadline time.Time) error {
 	if c.conn == nil {
 		dialer := net.Dialer{Timeout: pingTimeout, KeepAlive: -1}
@@ -225,8 +225,8 @@
 	return c.exchange(deadline)
 }
 
-// exchange sends a ping and waits for one line. Any line counts as an answer, as a host that rejects requests answers
-// pings too.
+// exchange sends a ping and waits for one line. Any line counts as a response, because even a host that rejects requests
+// responds to pings.
 func (c *connection) exchange(deadline time.Time) error {
 	_ = c.conn.SetDeadline(deadline)
 	if _, err := io.WriteString(c.conn, wire.Ping); err != nil {
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -24,7 +24,7 @@
 	Unanswered                      // a connection ended without a final answer to its request
 	AnsweredTwice                   // a request got a second final answer
 	AnsweredLate                    // a final answer was given too long after the client's deadline
-	SlowStartExceeded               // this node alone sent a host that is warming up more than all nodes together may
+	SlowStartExceeded               // this node alone sent more requests to a host that is warming up than all nodes may
 	ruleCount
 )
 
@@ -54,7 +54,7 @@
 const (
 	// disconnectSlack is how long after the client has disconnected an opening line may still be started.
 	disconnectSlack = 100 * time.Millisecond
-	// answerSlack is how long after the client's deadline a final answer does not yet count as late.
+	// answerSlack is how long after the client's deadline a final answer does not count as late.
 	answerSlack = 500 * time.Millisecond
 )
 
@@ -73,12 +73,16 @@
 
 // Send describes an opening line written to a host, and the state when its first byte was written.
 type Send struct {
-	Request            string
-	Host               string
-	At                 time.Time
-	Draining           bool      // the host is draining or removed
-	NotifiedAt         time.Time // when the node was notified that the host is draining or removed
-	Grace              time.Duration
+	Request string
+	Host    string
+	At      time.Time // when the first byte was written
+
+	// The state of the host.
+	Draining   bool          // the host is draining or removed
+	NotifiedAt time.Time     // when the node was notified that the host is draining or removed
+	Grace      time.Duration // drain grace
+
+	// The request's class and its other attempts.
 	Effect             balancer.Effect
 	Window             time.Duration // idempotency window
 	MayHaveExecutedAt  time.Time     // start of the first attempt that may have been executed; zero if there is none
@@ -118,7 +122,8 @@
 	return violation, !disconnectedAt.IsZero() && excess > 0
 }
 
-// smallSlowStartBudget is the budget, in requests, below which the margin is wider, as small numbers vary more.
+// smallSlowStartBudget is the budget, in requests, below which the margin is wider, because small numbers
+// vary more.
 const smallSlowStartBudget = 30
 
 // SlowStartLimit returns the number of requests that a host that is warming up may get in the window in which it can
@@ -132,8 +137,8 @@
 
 // CheckSlowStart compares the number of requests that this node alone has sent to a host that is warming up with the
 // number that all nodes together may send. The budget is an estimate, because the settings do not contain the capacity
-// of the host. The requests of the other nodes are unknown, so that a host may be overloaded although each node passes
-// the check.
+// of the host. The number of requests from the other nodes is unknown, so a host may be overloaded although each node
+// passes the check.
 func CheckSlowStart(request, host string, sent int, budget float64) (violation Violation, found bool) {
 	violation = Violation{Rule: SlowStartExceeded, Request: request, Host: host}
 	return violation, float64(sent) > SlowStartLimit(budget)
--- a/internal/management/call.go
+++ b/internal/management/call.go
@@ -9,7 +9,7 @@
 	"strings"
 )
 
-// Kind is what a call asks for.
+// Kind is the kind of a management call.
 type Kind uint8
 
 // The kinds of calls.
@@ -22,7 +22,7 @@
 	Resume                 // end the drain of this node
 )
 
-// kinds maps the names of calls in the line protocol.
+// kinds maps the name of a call in the line protocol to its kind.
 var kinds = map[string]Kind{
 	"ready":          Ready,
 	"show-stat":      ShowStat,
--- a/internal/management/server.go
+++ b/internal/management/server.go
@@ -85,7 +85,7 @@
 	}
 }
 
-// closeCallers disconnects all callers except those whose call is being executed: they still get their reply.
+// closeCallers disconnects all callers except those whose call is being executed, which still get their reply.
 func (s *Server) closeCallers() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -97,8 +97,8 @@
 	}
 }
 
-// start starts to serve a caller. At the limit of callers it evicts an idle one, and returns false if none can be
-// evicted now.
+// start starts to serve a caller. At the limit of concurrent callers, it evicts an idle caller first, or returns false
+// if no caller can be evicted yet.
 func (s *Server) start(ctx context.Context, conn net.Conn) bool {
 	now := time.Now()
 	s.mu.Lock()
@@ -116,8 +116,8 @@
 	return true
 }
 
-// evictIdle disconnects the oldest caller whose call is not being executed. It returns false if there is none, or if
-// that caller is younger than minCallerAge. s.mu must be held.
+// evictIdle disconnects the oldest caller whose call is not being executed. It returns false if there is no such
+// caller, or if that caller is younger than minCallerAge. s.mu must be held.
 func (s *Server) evictIdle(now time.Time) bool {
 	for element := s.callers.Front(); element != nil; element = element.Next() {
 		c := element.Value.(*caller)
--- a/internal/management/server_test.go
+++ b/internal/management/server_test.go
@@ -15,7 +15,7 @@
 	"go.uber.org/zap"
 )
 
-// fakeNode implements Operations and records the executed ones.
+// fakeNode implements Operations and records the executed operations.
 type fakeNode struct {
 	mu       sync.Mutex
 	executed []string
@@ -135,7 +135,7 @@
 		_, _ = io.WriteString(dial(t, addr), "re")
 	}
 	if got := call(t, addr, "show-stat\r\n"); !strings.HasSuffix(got, "END\r\n") {
-		t.Errorf("reply beside idle callers: %q", got)
+		t.Errorf("reply while idle callers are connected: %q", got)
 	}
 	close(f.gate)
 	if line, err := bufio.NewReader(executing).ReadString('\n'); line != "YES\r\n" {
--- a/internal/management/stats.go
+++ b/internal/management/stats.go
@@ -13,7 +13,7 @@
 	FinalAnswers      []FinalAnswers
 	Dispatches        uint64 // attempts that were completely written to a host
 	Concurrent        int64  // client connections
-	Targets, Disabled int64  // hosts in the endpoint list, and those of them that the node avoids
+	Targets, Disabled int64  // hosts in the endpoint list, and how many of these hosts the node avoids
 }
 
 // Text formats the reply to show-stat: YES, one line for each counter or gauge, and END.
--- a/internal/settings/convert.go
+++ b/internal/settings/convert.go
@@ -81,11 +81,11 @@
 	c := d.Classes[i]
 	effect, known := effects[c.Effect]
 	if !known {
-		return balancer.Class{}, fieldError(classPath(i)+"semantics", "unknown word %q", c.Effect)
+		return balancer.Class{}, fieldError(classPath(i)+"semantics", "unknown value %q", c.Effect)
 	}
 	scope, known := scopes[c.Scope]
 	if !known {
-		return balancer.Class{}, fieldError(classPath(i)+"group", "unknown word %q", c.Scope)
+		return balancer.Class{}, fieldError(classPath(i)+"group", "unknown value %q", c.Scope)
 	}
 	converted := balancer.Class{
 		SetupLatencyObjective: c.LatencyObjective.duration(),
--- a/internal/settings/document.go
+++ b/internal/settings/document.go
@@ -5,20 +5,24 @@
 	"time"
 )
 
-// document is the part of the settings object that a node uses. Only the tags hold the JSON keys.
+// document is the part of the settings object that a node uses. The JSON keys appear in the tags only.
 type document struct {
-	NodeIndex       int      `json:"index"`
-	NodeCount       int      `json:"groupSize"`
-	Zone            int      `json:"zone"`
-	Zones           []string `json:"zones"`
-	OverQuotaWeight float64  `json:"overShareWorth"`
-	DiscoveryMode   string   `json:"registryMode"`
-	Classes         []class  `json:"lanes"`
-	Tenants         []tenant `json:"customers"`
-	Costs           costs    `json:"prices"`
-	Service         service  `json:"domain"`
-	Limits          limits   `json:"limits"`
-	Rules           rules    `json:"rules"`
+	// The node's place among the nodes and zones.
+	NodeIndex int      `json:"index"`
+	NodeCount int      `json:"groupSize"`
+	Zone      int      `json:"zone"`
+	Zones     []string `json:"zones"`
+
+	OverQuotaWeight float64 `json:"overShareWorth"`
+	DiscoveryMode   string  `json:"registryMode"`
+
+	// Nested objects.
+	Classes []class  `json:"lanes"`
+	Tenants []tenant `json:"customers"`
+	Costs   costs    `json:"prices"`
+	Service service  `json:"domain"`
+	Limits  limits   `json:"limits"`
+	Rules   rules    `json:"rules"`
 }
 
 type class struct {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -20,7 +20,7 @@
 	ClassNames, TenantNames, ZoneNames []string
 
 	ConnectionGroups bool          // connections of a group share work on a host
-	ReportsLatency   bool          // nodes are to know the latency of messages at a host
+	ReportsLatency   bool          // nodes measure the message latency of hosts and report slow hosts to the balancer
 	ConnectTimeout   time.Duration // for a connection to a host; 0 for no limit
 	AnswerSlack      time.Duration // how long after the deadline a final answer still counts as in time
 }
@@ -65,7 +65,7 @@
 	var wrongType *json.UnmarshalTypeError
 	switch {
 	case errors.As(err, &wrongType):
-		return doc, fieldError(wrongType.Field, "a %s does not fit", wrongType.Value)
+		return doc, fieldError(wrongType.Field, "unexpected %s", wrongType.Value)
 	case err != nil:
 		return doc, &FieldError{Err: err}
 	}
--- a/internal/settings/validate.go
+++ b/internal/settings/validate.go
@@ -33,10 +33,10 @@
 		}
 	}
 	if d.Rules.SlowStartFraction > 1 {
-		return fieldError("rules.coldShare", "%g is over 1", d.Rules.SlowStartFraction)
+		return fieldError("rules.coldShare", "%g is greater than 1", d.Rules.SlowStartFraction)
 	}
 	if len(d.Classes) == 0 {
-		return fieldError("lanes", "no class is set")
+		return fieldError("lanes", "no classes")
 	}
 	return nil
 }
@@ -44,7 +44,7 @@
 // validateMode checks that a mode is empty or one of two values.
 func validateMode(field, mode, one, other string) error {
 	if mode != "" && mode != one && mode != other {
-		return fieldError(field, "unknown word %q", mode)
+		return fieldError(field, "unknown value %q", mode)
 	}
 	return nil
 }
--- a/internal/wire/opening.go
+++ b/internal/wire/opening.go
@@ -34,13 +34,16 @@
 
 // Opening is a client's request for a connection.
 type Opening struct {
-	ID, Key                   string // id of the connection and key of the flow
+	ID, Key string // id of the connection and key of the flow
+
+	// The optional fields of the line.
 	Class, Tenant, Group      string
 	Timeout                   time.Duration // counted from the last byte of the line; 0 if the line has none
 	Load                      float64       // expected load; 0 if the line has none
 	Retry, Reconnect, MidFlow bool
 	CurrentHost               string // host that already had the connection before the node started, or ""
 
+	// The line, and where Forward replaces the timeout.
 	line                     string // the line as received, without its line end
 	timeoutStart, timeoutEnd int    // position of the timeout value in line; both 0 if there is none
 }
--- a/internal/wire/relay.go
+++ b/internal/wire/relay.go
@@ -20,9 +20,9 @@
 	midLine bool     // the bytes returned last end within a line
 }
 
-// CompleteLines removes and returns the bytes up to the end of the last complete line; there may be none. It returns a
-// line that fills the whole buffer in pieces, because waiting for its end would block the connection. The bytes are
-// valid until Space is called.
+// CompleteLines removes and returns the bytes up to the end of the last complete line, or no bytes if no line is
+// complete. It returns a line that fills the whole buffer in pieces, because waiting for its end would block the
+// connection. The bytes are valid until Space is called.
 func (r *Relay) CompleteLines() ([]byte, RelayStats) {
 	unread := r.Buffered()
 	end := bytes.LastIndexByte(unread, '\n') + 1
@@ -63,7 +63,7 @@
 // Last returns the meaning of the last complete line, which tells why a connection ended.
 func (r *Relay) Last() Response { return r.last }
 
-// parseLoadReport parses a load report. It does not allocate, as the string that it converts to does not escape.
+// parseLoadReport parses a load report. It does not allocate, because the converted string does not escape.
 func parseLoadReport(line []byte) (float64, bool) {
 	const prefix = "LOAD "
 	if !bytes.HasPrefix(line, []byte(prefix)) {
--- a/internal/wire/watchstream_test.go
+++ b/internal/wire/watchstream_test.go
@@ -10,6 +10,7 @@
 
 const responseHead = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n"
 
+// feedStream feeds text in pieces of size bytes and returns the results of Next.
 func feedStream(text string, size int) (s WatchStream, lines []string, err error) {
 	for len(text) > 0 {
 		n := min(size, len(text))
@@ -32,10 +33,10 @@
 	}{
 		{"chunks", responseHead + "Transfer-Encoding: chunked\r\n\r\n5\r\n{\"a\":\r\n3;x=y\r\n1}\n\r\n1\r\n\n\r\nA\r\n{\"b\":\"cd\"}\r\n1\r\n\n\r\n",
 			[]string{`{"a":1}`, "", `{"b":"cd"}`}, false},
-		{"the last chunk", responseHead + "transfer-encoding: Chunked\r\n\r\n2\r\n{}\r\n0\r\nTrailer: x\r\n\r\n", []string{"{}"}, true},
-		{"a stated length", responseHead + "Content-Length: 3\r\n\r\n{}\nmore", []string{"{}"}, true},
+		{"last chunk and trailer", responseHead + "transfer-encoding: Chunked\r\n\r\n2\r\n{}\r\n0\r\nTrailer: x\r\n\r\n", []string{"{}"}, true},
+		{"Content-Length", responseHead + "Content-Length: 3\r\n\r\n{}\nmore", []string{"{}"}, true},
 		{"no body", responseHead + "Content-Length: 0\r\n\r\n", nil, true},
-		{"until the end", responseHead + "\r\n{}\n[", []string{"{}"}, false},
+		{"body ends with the connection", responseHead + "\r\n{}\n[", []string{"{}"}, false},
 	} {
 		for _, size := range []int{1, 7, 10000} {
 			s, lines, err := feedStream(c.text, size)
@@ -49,17 +50,17 @@
 func TestWatchStream_Malformed_IsAnError(t *testing.T) {
 	chunked := responseHead + "Transfer-Encoding: chunked\r\n\r\n"
 	for _, c := range []struct{ name, text string }{
-		{"another protocol", "SSH-2.0\r\n"},
-		{"no status", "HTTP/1.1 fine\r\n"},
-		{"no length", responseHead + "Content-Length: some\r\n\r\n"},
-		{"a negative length", responseHead + "Content-Length: -1\r\n\r\n"},
-		{"an unknown encoding", responseHead + "Transfer-Encoding: gzip\r\n\r\n"},
-		{"no size", chunked + "zz\r\n"},
-		{"a negative size", chunked + "-1\r\n"},
-		{"a chunk longer than it said", chunked + "2\r\n{}}\r\n"},
-		{"a head with no end", responseHead + strings.Repeat("X: y\r\n", maxHead)},
-		{"a line with no end", strings.Repeat("x", maxHead+1)},
-		{"a body with no end", chunked + fmt.Sprintf("%x\r\n", maxBody+1) + strings.Repeat("x", maxBody+1)},
+		{"not HTTP", "SSH-2.0\r\n"},
+		{"invalid status code", "HTTP/1.1 fine\r\n"},
+		{"invalid Content-Length", responseHead + "Content-Length: some\r\n\r\n"},
+		{"negative Content-Length", responseHead + "Content-Length: -1\r\n\r\n"},
+		{"unknown Transfer-Encoding", responseHead + "Transfer-Encoding: gzip\r\n\r\n"},
+		{"invalid chunk size", chunked + "zz\r\n"},
+		{"negative chunk size", chunked + "-1\r\n"},
+		{"chunk longer than its chunk size", chunked + "2\r\n{}}\r\n"},
+		{"header too long", responseHead + strings.Repeat("X: y\r\n", maxHead)},
+		{"line too long", strings.Repeat("x", maxHead+1)},
+		{"body too long", chunked + fmt.Sprintf("%x\r\n", maxBody+1) + strings.Repeat("x", maxBody+1)},
 	} {
 		if _, _, err := feedStream(c.text, 64<<10); err == nil {
 			t.Errorf("%s: no error", c.name)
@@ -77,12 +78,12 @@
 		name, text      string
 		ended, complete bool
 	}{
-		{"a stated length", responseHead + "Content-Length: 4\r\n\r\n{\n}\n", true, true},
-		{"half of a stated length", responseHead + "Content-Length: 9\r\n\r\n{\n}\n", false, false},
+		{"Content-Length", responseHead + "Content-Length: 4\r\n\r\n{\n}\n", true, true},
+		{"body shorter than Content-Length", responseHead + "Content-Length: 9\r\n\r\n{\n}\n", false, false},
 		{"chunks", responseHead + "Transfer-Encoding: chunked\r\n\r\n2\r\n{\n\r\n2\r\n}\n\r\n0\r\n\r\n", true, true},
-		{"chunks that break off", responseHead + "Transfer-Encoding: chunked\r\n\r\n4\r\n{\n}\n\r\n", false, false},
-		{"until the end", responseHead + "\r\n{\n}\n", false, true},
-		{"half a head", responseHead, false, false},
+		{"no last chunk", responseHead + "Transfer-Encoding: chunked\r\n\r\n4\r\n{\n}\n\r\n", false, false},
+		{"body ends with the connection", responseHead + "\r\n{\n}\n", false, true},
+		{"incomplete header", responseHead, false, false},
 	} {
 		var s WatchStream
 		if err := s.Feed([]byte(c.text)); err != nil || s.Ended() != c.ended || s.Closed() != c.complete {
@@ -106,8 +107,8 @@
 	})
 }
 
-// Whatever the size of the pieces of a response, its objects are returned complete, on one line or several, and so are
-// the heartbeats between them.
+// For pieces of any size, Next returns complete objects, whether they span one line or several, and the heartbeats
+// between them.
 func TestWatchStream_AnyPieces_GiveCompleteObjects(t *testing.T) {
 	const head = "HTTP/1.1 200 OK\r\n\r\n"
 	body := "{\"a\":\"}\\\"{\"}\r\n\r\n{\n \"b\": [1,\n\n  {\"c\":2}]\n}\n\n\nnonsense }\n{\"d\":[}"
