--- a/internal/agent/bench_test.go
+++ b/internal/agent/bench_test.go
@@ -13,8 +13,8 @@
 )
 
 // BenchmarkFleet measures an agent with fake instances: the time to list them, the time to drain a tenth of them while a
-// tenth of those is unreachable, and the CPU and memory use when idle. The instances run in the same process, so CPU and
-// memory include them.
+// tenth of the drained instances is unreachable, and the CPU and memory use when idle. The fake instances run in the same
+// process, so CPU and memory include them.
 //
 //	go test -run '^$' -bench Fleet -benchtime 1x ./internal/agent
 func BenchmarkFleet(b *testing.B) {
--- a/internal/coldstart/coldstart.go
+++ b/internal/coldstart/coldstart.go
@@ -19,7 +19,7 @@
 
 	// The list request in flight and the next one.
 	requestInFlight bool          // a list request is in flight, or its watch is active
-	listReceived    bool          // the request in flight has delivered the list
+	listReceived    bool          // the request in flight has delivered a list
 	requestPlanned  bool          // plannedAt is set
 	plannedAt       time.Duration // time of the next list request
 	requestRequired bool          // a list request must be sent, whatever peers send
--- a/internal/control/register_test.go
+++ b/internal/control/register_test.go
@@ -26,19 +26,19 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			a := decision.Response
+			response := decision.Response
 			id := c.Operation + c.Host
 			previous, repeated := first[id]
 			switch {
-			case repeated && (a != previous || decision.MustRun):
+			case repeated && (response != previous || decision.MustRun):
 				t.Fatalf("repeated command %+v: %+v, previous response %+v", c, decision, previous)
-			case !repeated && (a.Verdict == Done) != (fence > inEffect[c.Host]):
-				t.Fatalf("command %+v after fence %d: %+v", c, inEffect[c.Host], a)
-			case decision.MustRun && a.Verdict != Done:
+			case !repeated && (response.Verdict == Done) != (fence > inEffect[c.Host]):
+				t.Fatalf("command %+v after fence %d: %+v", c, inEffect[c.Host], response)
+			case decision.MustRun && response.Verdict != Done:
 				t.Fatalf("command %+v is rejected and must run", c)
 			}
-			first[id] = a
-			if a.Verdict == Done && !repeated {
+			first[id] = response
+			if response.Verdict == Done && !repeated {
 				inEffect[c.Host] = fence
 			}
 		}
--- a/internal/control/server_test.go
+++ b/internal/control/server_test.go
@@ -96,31 +96,31 @@
 	responses := make(chan Response, 20)
 	for range 20 {
 		wg.Go(func() {
-			a, err := c.Do(t.Context(), cmd)
+			response, err := c.Do(t.Context(), cmd)
 			if err != nil {
 				t.Error(err)
 			}
-			responses <- a
+			responses <- response
 		})
 	}
 	wg.Wait()
 	close(responses)
-	for a := range responses {
-		if a != (Response{Verdict: Done, Fence: 1, Incarnation: "boot"}) {
-			t.Errorf("response %+v", a)
+	for response := range responses {
+		if response != (Response{Verdict: Done, Fence: 1, Incarnation: "boot"}) {
+			t.Errorf("response %+v", response)
 		}
 	}
 	if f.appliedCount() != 1 {
 		t.Errorf("the command was applied %d times, want 1", f.appliedCount())
 	}
-	if a, err := c.Do(t.Context(), Command{Operation: "p", Fence: 9, Kind: Resume}); err != nil || a.Verdict != Done {
-		t.Errorf("command with a higher fence: %+v, %v", a, err)
+	if response, err := c.Do(t.Context(), Command{Operation: "p", Fence: 9, Kind: Resume}); err != nil || response.Verdict != Done {
+		t.Errorf("command with a higher fence: %+v, %v", response, err)
 	}
-	if a, err := c.Do(t.Context(), Command{Operation: "q", Fence: 3, Kind: Drain}); err != nil || a.Verdict != Rejected || a.Fence != 9 {
-		t.Errorf("command with a lower fence: %+v, %v", a, err)
+	if response, err := c.Do(t.Context(), Command{Operation: "q", Fence: 3, Kind: Drain}); err != nil || response.Verdict != Rejected || response.Fence != 9 {
+		t.Errorf("command with a lower fence: %+v, %v", response, err)
 	}
-	if a, err := c.Do(t.Context(), cmd); err != nil || a.Verdict != Done || f.appliedCount() != 2 {
-		t.Errorf("repeated first command: %+v, %v; %d commands applied", a, err, f.appliedCount())
+	if response, err := c.Do(t.Context(), cmd); err != nil || response.Verdict != Done || f.appliedCount() != 2 {
+		t.Errorf("repeated first command: %+v, %v; %d commands applied", response, err, f.appliedCount())
 	}
 	_, err := c.Do(t.Context(), Command{Operation: "o", Fence: 1, Kind: Resume})
 	if !isRemoteError(err, http.StatusConflict) {
@@ -217,8 +217,8 @@
 	s := NewServer(f, "boot", minConns, zap.NewNop())
 	apply := func(op string, fence uint64, kind CommandKind, verdict Verdict) {
 		t.Helper()
-		if a, err := s.Apply(Command{Operation: op, Fence: fence, Kind: kind}); err != nil || a.Verdict != verdict {
-			t.Errorf("operation %s: %+v, %v", op, a, err)
+		if response, err := s.Apply(Command{Operation: op, Fence: fence, Kind: kind}); err != nil || response.Verdict != verdict {
+			t.Errorf("operation %s: %+v, %v", op, response, err)
 		}
 	}
 	apply("first", 5, Drain, Done)
@@ -226,7 +226,7 @@
 		t.Errorf("manual command: %v, %d commands applied", err, f.appliedCount())
 	}
 	apply("older", 4, Drain, Rejected)
-	apply("first", 5, Drain, Done) // a repetition, which is not applied again
+	apply("first", 5, Drain, Done) // a repeated command, which is not applied again
 	apply("next", 6, Drain, Done)
 	if f.appliedCount() != 3 {
 		t.Errorf("%d commands were applied, want 3", f.appliedCount())
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -84,8 +84,8 @@
 	}
 }
 
-// supersede starts a request. If the current request has delivered a list, it continues in parallel; otherwise it is
-// stopped, and the request before it continues.
+// supersede starts a request. If the current request has delivered a list, it continues in parallel. Otherwise it is
+// stopped, and the request before the current one continues.
 func (w *Watcher) supersede(ctx context.Context, current *activeRequest, request node.ListRequest) *activeRequest {
 	previous := current
 	if current != nil && !current.delivered.Load() {
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -33,10 +33,10 @@
 // returns the deliveries as "instance kind".
 func deliverAll(f *Fleet, now time.Duration, state control.InstanceState) (delivered []string) {
 	_, deliveries, _ := f.Next(now)
-	for _, t := range deliveries {
-		delivered = append(delivered, t.Instance.Name+" "+string(t.Command.Kind))
-		f.RecordResponse(now, t, control.Response{Verdict: control.Done, Fence: t.Command.Fence, Incarnation: "1"}, nil)
-		f.Observe(now+1, now+1, t.Instance.Name, control.Status{Incarnation: "1", State: state, Fence: t.Command.Fence}, nil)
+	for _, delivery := range deliveries {
+		delivered = append(delivered, delivery.Instance.Name+" "+string(delivery.Command.Kind))
+		f.RecordResponse(now, delivery, control.Response{Verdict: control.Done, Fence: delivery.Command.Fence, Incarnation: "1"}, nil)
+		f.Observe(now+1, now+1, delivery.Instance.Name, control.Status{Incarnation: "1", State: state, Fence: delivery.Command.Fence}, nil)
 	}
 	return delivered
 }
--- a/internal/fleet/progress_test.go
+++ b/internal/fleet/progress_test.go
@@ -53,8 +53,8 @@
 	}
 }
 
-// A drain is delivered again, once, to an instance that restarts, even after the operation ended, until a newer command
-// replaces it.
+// An instance that restarts gets its drain command again, exactly once after each restart and even if the operation has
+// ended, until a newer command replaces the drain.
 func TestNext_InstanceRestarts_DeliversDesiredStateOnce(t *testing.T) {
 	f := newServingFleet(t, threeInstances())
 	if _, err := f.Submit(2, Request{ID: "d", Kind: control.Drain, Targets: []string{"a1"}}); err != nil {
--- a/internal/fleet/simulation_test.go
+++ b/internal/fleet/simulation_test.go
@@ -142,13 +142,13 @@
 
 // delays returns the delays of a request and its response: mostly short, sometimes seconds.
 func (sim *simulation) delays() (request, response time.Duration) {
-	one := func() time.Duration {
+	delay := func() time.Duration {
 		if !sim.reliable && sim.rng.IntN(20) == 0 {
 			return time.Duration(sim.rng.Int64N(4e9))
 		}
 		return time.Duration(sim.rng.Int64N(2e7))
 	}
-	return one(), one()
+	return delay(), delay()
 }
 
 func (sim *simulation) isLost() bool { return !sim.reliable && sim.rng.IntN(10) == 0 }
--- a/internal/management/call_test.go
+++ b/internal/management/call_test.go
@@ -46,8 +46,8 @@
 		if (c.Host != "") != (err == nil && (c.Kind == DrainHost || c.Kind == ResumeHost)) {
 			t.Errorf("Parse(%q) = %+v, %v", line, c, err)
 		}
-		if a := formatReply(err); strings.Count(a, "\n") != 1 || strings.Count(a, "\r") != 1 || !strings.HasPrefix(a, "YES") && !strings.HasPrefix(a, "NO ") {
-			t.Errorf("reply to %q: %q", line, a)
+		if reply := formatReply(err); strings.Count(reply, "\n") != 1 || strings.Count(reply, "\r") != 1 || !strings.HasPrefix(reply, "YES") && !strings.HasPrefix(reply, "NO ") {
+			t.Errorf("reply to %q: %q", line, reply)
 		}
 	})
 }
