--- a/internal/control/list_test.go
+++ b/internal/control/list_test.go
@@ -20,19 +20,19 @@
 	available chan struct{}
 }
 
-func (h *fakeListInstance) CachedList() *CachedList {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.list
+func (instance *fakeListInstance) CachedList() *CachedList {
+	instance.mu.Lock()
+	defer instance.mu.Unlock()
+	return instance.list
 }
 
-func (h *fakeListInstance) ListAvailable() <-chan struct{} { return h.available }
+func (instance *fakeListInstance) ListAvailable() <-chan struct{} { return instance.available }
 
-func (h *fakeListInstance) setList(service string, revision int64, age time.Duration, unreachable ...string) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	previous := h.list
-	h.list = &CachedList{
+func (instance *fakeListInstance) setList(service string, revision int64, age time.Duration, unreachable ...string) {
+	instance.mu.Lock()
+	defer instance.mu.Unlock()
+	previous := instance.list
+	instance.list = &CachedList{
 		Service:       service,
 		List:          wire.EndpointList{Revision: revision, Endpoints: []wire.Endpoint{{ID: "h1", Addr: "127.0.0.1:1"}}},
 		Confirmed:     time.Now().Add(-age),
@@ -43,7 +43,7 @@
 	if previous != nil {
 		close(previous.Replaced)
 	} else {
-		close(h.available)
+		close(instance.available)
 	}
 }
 
@@ -53,8 +53,8 @@
 
 // A request for the peer list waits until the instance has a newer list, and never longer than its timeout.
 func TestList_NothingNewer_Waits(t *testing.T) {
-	h := newFakeListInstance()
-	_, c := startServer(t, h)
+	instance := newFakeListInstance()
+	_, c := startServer(t, instance)
 	_, _, err := c.List(t.Context(), "s", -1, 0, 50*time.Millisecond, nil)
 	if !isRemoteError(err, http.StatusNotFound) {
 		t.Errorf("List without a list: %v, want status 404", err)
@@ -71,7 +71,7 @@
 	}
 	first, other := requestList("s", -1, 0, nil), requestList("other", -1, 0, nil)
 	time.Sleep(50 * time.Millisecond)
-	h.setList("s", 4, time.Minute)
+	instance.setList("s", 4, time.Minute)
 	if p := <-first; p.Revision != 4 || p.List == nil || p.Age < time.Minute || p.Waited < 40*time.Millisecond {
 		t.Errorf("first list: %+v, want revision 4 after a wait", p)
 	}
@@ -89,15 +89,15 @@
 		t.Errorf("response with the list of another discovery service: %+v", p)
 	default:
 	}
-	h.setList("s", 4, time.Minute, "h1", "h2")
+	instance.setList("s", 4, time.Minute, "h1", "h2")
 	if p := <-knowing; len(p.Unreachable) != 2 || p.List != nil {
 		t.Errorf("response to a new unreachable host: %+v, want 2 hosts and no list", p)
 	}
-	h.setList("s", 4, 0)
+	instance.setList("s", 4, 0)
 	if p := <-same; p.Age > 10*time.Second || p.List != nil {
 		t.Errorf("response after a confirmation: %+v, want a low age and no list", p)
 	}
-	h.setList("other", 9, 0)
+	instance.setList("other", 9, 0)
 	if p := <-other; p.Service != "other" || p.Revision != 9 {
 		t.Errorf("list of the other discovery service: %+v, want revision 9", p)
 	}
@@ -106,13 +106,13 @@
 // Half of the hosts may be unreachable in a large deployment, and their IDs may have the maximum length. The response
 // contains all of them, and the request of an instance that already knows them waits.
 func TestList_ManyUnreachableHosts_SendsAll(t *testing.T) {
-	h := newFakeListInstance()
-	_, c := startServer(t, h)
+	instance := newFakeListInstance()
+	_, c := startServer(t, instance)
 	var all []string
 	for i := range maxUnreachable {
 		all = append(all, strings.Repeat("h", maxNameLength-6)+fmt.Sprintf("%06d", i))
 	}
-	h.setList("s", 4, time.Minute, all...)
+	instance.setList("s", 4, time.Minute, all...)
 	none := []string{}
 	list, _, err := c.List(t.Context(), "s", 4, time.Minute, 5*time.Second, &none)
 	if err != nil || len(list.Unreachable) != maxUnreachable {
@@ -121,7 +121,7 @@
 	for i := range all {
 		all[i] = fmt.Sprintf("%0*d", maxNameLength, i)
 	}
-	h.setList("s", 4, time.Minute, all...)
+	instance.setList("s", 4, time.Minute, all...)
 	const timeout = 100 * time.Millisecond
 	list, _, err = c.List(t.Context(), "s", 4, time.Minute, timeout, &all)
 	if err != nil || list.Waited < timeout {
@@ -132,8 +132,8 @@
 // The number of waiting requests is limited. Waiting requests leave connections for the agent's requests, and free their
 // slots when their senders disconnect.
 func TestList_TooManyRequests_Rejects(t *testing.T) {
-	h := newFakeListInstance()
-	path, c := startServer(t, h)
+	instance := newFakeListInstance()
+	path, c := startServer(t, instance)
 	ctx, cancel := context.WithCancel(t.Context())
 	var wg sync.WaitGroup
 	for range minConns / peerListDivisor {
