--- a/internal/control/list_test.go
+++ b/internal/control/list_test.go
@@ -20,19 +20,19 @@
 	available chan struct{}
 }
 
-func (h *fakeListInstance) CachedList() *CachedList {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.list
+func (instance *fakeListInstance) CachedList() *CachedList {
+	instance.mu.Lock()
+	defer instance.mu.Unlock()
+	return instance.list
 }
 
-func (h *fakeListInstance) ListAvailable() <-chan struct{} { return h.available }
+func (instance *fakeListInstance) ListAvailable() <-chan struct{} { return instance.available }
 
-func (h *fakeListInstance) setList(discoveryName string, revision int64, age time.Duration, unreachable ...string) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	previous := h.list
-	h.list = &CachedList{
+func (instance *fakeListInstance) setList(discoveryName string, revision int64, age time.Duration, unreachable ...string) {
+	instance.mu.Lock()
+	defer instance.mu.Unlock()
+	previous := instance.list
+	instance.list = &CachedList{
 		DiscoveryName: discoveryName,
 		List:          wire.EndpointList{Revision: revision, Endpoints: []wire.Endpoint{{ID: "h1", Addr: "127.0.0.1:1"}}},
 		Confirmed:     time.Now().Add(-age),
@@ -43,7 +43,7 @@
 	if previous != nil {
 		close(previous.Replaced)
 	} else {
-		close(h.available)
+		close(instance.available)
 	}
 }
 
@@ -53,13 +53,13 @@
 
 // A request for the peer list waits until the instance has a newer list, and never longer than its timeout.
 func TestList_NothingNewer_Waits(t *testing.T) {
-	h := newFakeListInstance()
-	_, c := startServer(t, h)
+	instance := newFakeListInstance()
+	_, c := startServer(t, instance)
 	_, _, err := c.List(t.Context(), "s", -1, 0, 50*time.Millisecond, nil)
 	if !isRemoteError(err, http.StatusNotFound) {
 		t.Errorf("List without a list: %v, want status 404", err)
 	}
-	poll := func(discoveryName string, revision int64, age time.Duration, unreachable *[]string) <-chan PeerList {
+	requestList := func(discoveryName string, revision int64, age time.Duration, unreachable *[]string) <-chan PeerList {
 		got := make(chan PeerList, 1)
 		go func() {
 			defer close(got)
@@ -69,18 +69,18 @@
 		}()
 		return got
 	}
-	first, other := poll("s", -1, 0, nil), poll("other", -1, 0, nil)
+	first, other := requestList("s", -1, 0, nil), requestList("other", -1, 0, nil)
 	time.Sleep(50 * time.Millisecond)
-	h.setList("s", 4, time.Minute)
+	instance.setList("s", 4, time.Minute)
 	if p := <-first; p.Revision != 4 || p.List == nil || p.Age < time.Minute || p.Waited < 40*time.Millisecond {
 		t.Errorf("first list: %+v, want revision 4 after a wait", p)
 	}
-	if p := <-poll("s", 3, 0, nil); p.List == nil {
+	if p := <-requestList("s", 3, 0, nil); p.List == nil {
 		t.Errorf("no list for a requester with an older revision: %+v", p)
 	}
-	same := poll("s", 4, time.Minute, nil)
+	same := requestList("s", 4, time.Minute, nil)
 	known := []string{"h2"}
-	knowing := poll("s", 4, time.Minute, &known)
+	knowing := requestList("s", 4, time.Minute, &known)
 	time.Sleep(50 * time.Millisecond)
 	select {
 	case p := <-same:
@@ -89,30 +89,30 @@
 		t.Errorf("response with the list of another discovery service: %+v", p)
 	default:
 	}
-	h.setList("s", 4, time.Minute, "h1", "h2")
+	instance.setList("s", 4, time.Minute, "h1", "h2")
 	if p := <-knowing; len(p.Unreachable) != 2 || p.List != nil {
 		t.Errorf("response to a new unreachable host: %+v, want 2 hosts and no list", p)
 	}
-	h.setList("s", 4, 0)
+	instance.setList("s", 4, 0)
 	if p := <-same; p.Age > 10*time.Second || p.List != nil {
 		t.Errorf("response after a confirmation: %+v, want a low age and no list", p)
 	}
-	h.setList("other", 9, 0)
+	instance.setList("other", 9, 0)
 	if p := <-other; p.DiscoveryName != "other" || p.Revision != 9 {
 		t.Errorf("list of the other discovery service: %+v, want revision 9", p)
 	}
 }
 
-// Half of a large fleet may be unreachable, with IDs of maximum length: the response has all of them, and a requester
-// that knows them waits.
+// Half of the hosts may be unreachable in a large deployment, and their IDs may have the maximum length. The response
+// contains all of them, and the request of an instance that already knows them waits.
 func TestList_ManyUnreachableHosts_SendsAll(t *testing.T) {
-	h := newFakeListInstance()
-	_, c := startServer(t, h)
+	instance := newFakeListInstance()
+	_, c := startServer(t, instance)
 	var all []string
 	for i := range maxUnreachable {
 		all = append(all, strings.Repeat("h", maxNameLength-6)+fmt.Sprintf("%06d", i))
 	}
-	h.setList("s", 4, time.Minute, all...)
+	instance.setList("s", 4, time.Minute, all...)
 	none := []string{}
 	list, _, err := c.List(t.Context(), "s", 4, time.Minute, 5*time.Second, &none)
 	if err != nil || len(list.Unreachable) != maxUnreachable {
@@ -121,7 +121,7 @@
 	for i := range all {
 		all[i] = fmt.Sprintf("%0*d", maxNameLength, i)
 	}
-	h.setList("s", 4, time.Minute, all...)
+	instance.setList("s", 4, time.Minute, all...)
 	const timeout = 100 * time.Millisecond
 	list, _, err = c.List(t.Context(), "s", 4, time.Minute, timeout, &all)
 	if err != nil || list.Waited < timeout {
@@ -129,11 +129,11 @@
 	}
 }
 
-// The number of waiting requests is limited. They leave connections for the agent's requests, and free their slots when
-// their senders disconnect.
+// The number of waiting requests is limited. Waiting requests leave connections for the agent's requests, and free their
+// slots when their senders disconnect.
 func TestList_TooManyRequests_Rejects(t *testing.T) {
-	h := newFakeListInstance()
-	path, c := startServer(t, h)
+	instance := newFakeListInstance()
+	path, c := startServer(t, instance)
 	ctx, cancel := context.WithCancel(t.Context())
 	var wg sync.WaitGroup
 	for range minConns / peerListDivisor {
@@ -155,11 +155,11 @@
 			break
 		}
 		if time.Since(start) > 10*time.Second {
-			t.Fatalf("a request beside %d waiting ones: %v, want status 503", minConns/peerListDivisor, err)
+			t.Fatalf("request while %d requests are waiting: %v, want status 503", minConns/peerListDivisor, err)
 		}
 	}
 	if s, err := c.Status(t.Context()); err != nil || s.Name == "" {
-		t.Errorf("Status beside waiting requests: %+v, %v", s, err)
+		t.Errorf("Status while requests are waiting: %+v, %v", s, err)
 	}
 	cancel()
 	wg.Wait()
@@ -170,7 +170,7 @@
 		err = c.Call(t.Context(), http.MethodGet, "/v1/list", nil, new(PeerList))
 	}
 	if err == nil || !strings.Contains(err.Error(), "after") {
-		t.Errorf("a request without parameters after the others ended: %v, want an error that names after", err)
+		t.Errorf("request without parameters after the other requests ended: %v, want an error that names the parameter after", err)
 	}
 }
 
--- a/internal/control/server_test.go
+++ b/internal/control/server_test.go
@@ -28,7 +28,7 @@
 	applyErr error
 	mu       sync.Mutex
 	applied  []Command
-	gate     chan struct{} // Apply waits for it; nil for none
+	gate     chan struct{} // Apply receives from it before it applies a command; nil for no wait
 }
 
 func (f *fakeInstance) Status() Status {
@@ -96,31 +96,31 @@
 	responses := make(chan Response, 20)
 	for range 20 {
 		wg.Go(func() {
-			a, err := c.Do(t.Context(), cmd)
+			response, err := c.Do(t.Context(), cmd)
 			if err != nil {
 				t.Error(err)
 			}
-			responses <- a
+			responses <- response
 		})
 	}
 	wg.Wait()
 	close(responses)
-	for a := range responses {
-		if a != (Response{Verdict: Done, Fence: 1, Incarnation: "boot"}) {
-			t.Errorf("response %+v", a)
+	for response := range responses {
+		if response != (Response{Verdict: Done, Fence: 1, Incarnation: "boot"}) {
+			t.Errorf("response %+v", response)
 		}
 	}
 	if f.appliedCount() != 1 {
 		t.Errorf("the command was applied %d times, want 1", f.appliedCount())
 	}
-	if a, err := c.Do(t.Context(), Command{Operation: "p", Fence: 9, Kind: Resume}); err != nil || a.Verdict != Done {
-		t.Errorf("command with a higher fence: %+v, %v", a, err)
+	if response, err := c.Do(t.Context(), Command{Operation: "p", Fence: 9, Kind: Resume}); err != nil || response.Verdict != Done {
+		t.Errorf("command with a higher fence: %+v, %v", response, err)
 	}
-	if a, err := c.Do(t.Context(), Command{Operation: "q", Fence: 3, Kind: Drain}); err != nil || a.Verdict != Rejected || a.Fence != 9 {
-		t.Errorf("command with a lower fence: %+v, %v", a, err)
+	if response, err := c.Do(t.Context(), Command{Operation: "q", Fence: 3, Kind: Drain}); err != nil || response.Verdict != Rejected || response.Fence != 9 {
+		t.Errorf("command with a lower fence: %+v, %v", response, err)
 	}
-	if a, err := c.Do(t.Context(), cmd); err != nil || a.Verdict != Done || f.appliedCount() != 2 {
-		t.Errorf("repeated first command: %+v, %v; %d commands applied", a, err, f.appliedCount())
+	if response, err := c.Do(t.Context(), cmd); err != nil || response.Verdict != Done || f.appliedCount() != 2 {
+		t.Errorf("repeated first command: %+v, %v; %d commands applied", response, err, f.appliedCount())
 	}
 	_, err := c.Do(t.Context(), Command{Operation: "o", Fence: 1, Kind: Resume})
 	if !isRemoteError(err, http.StatusConflict) {
@@ -137,14 +137,14 @@
 	path, c := startServer(t, f)
 	head := "POST /v1/command HTTP/1.1\r\nHost: x\r\nConnection: close\r\nContent-Length: "
 	for name, text := range map[string]string{
-		"huge":     head + "99999999\r\n\r\n{\"operation\":\"" + strings.Repeat("x", 200_000),
-		"half":     head + "100\r\n\r\n{\"operation\":",
-		"no json":  head + "5\r\n\r\nhello",
-		"two":      head + "4\r\n\r\n{}{}",
-		"unknown":  head + "9\r\n\r\n{\"x\":123}",
-		"trickle":  "POST /v1/comm",
-		"nonsense": "\x16\x03\x01\x02\x00",
-		"long":     "GET /" + strings.Repeat("y", 40_000) + " HTTP/1.1\r\n\r\n",
+		"body too large":          head + "99999999\r\n\r\n{\"operation\":\"" + strings.Repeat("x", 200_000),
+		"incomplete body":         head + "100\r\n\r\n{\"operation\":",
+		"not JSON":                head + "5\r\n\r\nhello",
+		"two values":              head + "4\r\n\r\n{}{}",
+		"unknown field":           head + "9\r\n\r\n{\"x\":123}",
+		"incomplete request line": "POST /v1/comm",
+		"not HTTP":                "\x16\x03\x01\x02\x00",
+		"path too long":           "GET /" + strings.Repeat("y", 40_000) + " HTTP/1.1\r\n\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -165,7 +165,7 @@
 			}
 		})
 		if s, err := c.Status(t.Context()); err != nil || s.Name != "n1" {
-			t.Errorf("Status beside a malformed request: %+v, %v", s, err)
+			t.Errorf("Status during a malformed request: %+v, %v", s, err)
 		}
 	}
 	if f.appliedCount() != 0 {
@@ -217,8 +217,8 @@
 	s := NewServer(f, "boot", minConns, zap.NewNop())
 	apply := func(op string, fence uint64, kind CommandKind, verdict Verdict) {
 		t.Helper()
-		if a, err := s.Apply(Command{Operation: op, Fence: fence, Kind: kind}); err != nil || a.Verdict != verdict {
-			t.Errorf("operation %s: %+v, %v", op, a, err)
+		if response, err := s.Apply(Command{Operation: op, Fence: fence, Kind: kind}); err != nil || response.Verdict != verdict {
+			t.Errorf("operation %s: %+v, %v", op, response, err)
 		}
 	}
 	apply("first", 5, Drain, Done)
@@ -226,7 +226,7 @@
 		t.Errorf("manual command: %v, %d commands applied", err, f.appliedCount())
 	}
 	apply("older", 4, Drain, Rejected)
-	apply("first", 5, Drain, Done) // a repetition, which is not applied again
+	apply("first", 5, Drain, Done) // a repeated command, which is not applied again
 	apply("next", 6, Drain, Done)
 	if f.appliedCount() != 3 {
 		t.Errorf("%d commands were applied, want 3", f.appliedCount())
