--- a/internal/cli/agentclient.go
+++ b/internal/cli/agentclient.go
@@ -61,7 +61,7 @@
 	return o, err
 }
 
-// explain sets the exit status of an error that the agent returned. If no agent runs, the error says what to do.
+// explain gives an error that the agent returned its exit status. If no agent runs, the returned error says what to do.
 func (a *agentClient) explain(err error) error {
 	var remote *control.RemoteError
 	if errors.As(err, &remote) {
@@ -74,7 +74,7 @@
 		return err
 	}
 	if errors.Is(err, os.ErrNotExist) || errors.Is(err, syscall.ECONNREFUSED) {
-		return fmt.Errorf("no agent answers at %s: start one with 'onyxstream agent', or name its socket with --agent", a.socket)
+		return fmt.Errorf("no agent answers at %s: start one with 'onyxstream agent', or set its socket with --agent", a.socket)
 	}
 	return err
 }
--- a/internal/cli/config_migrate.go
+++ b/internal/cli/config_migrate.go
@@ -45,9 +45,9 @@
 	c := &cobra.Command{
 		Use:   "migrate OLD --to SHAPE -o NEW",
 		Short: "Convert a node's configuration for another deployment",
-		Long: "migrate converts OLD, the JSON configuration of a node, for the deployment that SHAPE describes, a TOML file such as\n" +
-			"examples/shape.toml. It writes the result to NEW and reports what happened to each field. OLD is never changed.\n" +
-			"NEW is validated as a node would validate it, and written atomically.",
+		Long: "migrate converts OLD, a node's JSON configuration, for another deployment. SHAPE is a TOML file that describes this\n" +
+			"deployment, such as examples/shape.toml. migrate writes the result to NEW and reports what happened to each field.\n" +
+			"OLD is never changed. NEW is written atomically, after it has passed the validation of a node.",
 		Example: "  onyxstream config migrate n1.json --to shape.toml --dry-run\n" +
 			"  onyxstream config migrate n1.json --to shape.toml -o n1-new.json",
 		Args: cobra.ExactArgs(1),
@@ -151,7 +151,7 @@
 	}
 	oldInfo, err := os.Stat(m.oldPath)
 	if err == nil && os.SameFile(oldInfo, newInfo) {
-		return usageError(fmt.Errorf("%s: is the old configuration, which must not be changed", m.newPath))
+		return usageError(fmt.Errorf("%s: same file as the old configuration, which must not be changed", m.newPath))
 	}
 	if !m.force {
 		return usageError(fmt.Errorf("%s: file exists; use --force to overwrite it", m.newPath))
--- a/internal/cli/exit.go
+++ b/internal/cli/exit.go
@@ -12,11 +12,11 @@
 	ExitOK            = 0
 	ExitFailed        = 1
 	ExitUsage         = 2 // the command line, or a file that it names, is invalid
-	ExitGeneratorLate = 3 // load: requests were sent late, so the results are not those of the nodes alone
-	ExitPartial       = 4 // load: stopped early with a partial result
+	ExitGeneratorLate = 3 // load: the generator sent requests late, so the results do not describe the nodes alone
+	ExitPartial       = 4 // load, scale: stopped early with a partial result
 	ExitRegression    = 5 // load compare --check: a figure is significantly worse
 	ExitLimitExceeded = 6 // a drain would make more instances unavailable than its limits allow
-	ExitUnhealthy     = 7 // an operation that was waited for failed, or a check found unhealthy instances
+	ExitUnhealthy     = 7 // --wait: the operation did not succeed; instances check: unhealthy instances
 )
 
 // exitStatusHelp is the part of help texts that explains the exit statuses.
@@ -24,11 +24,11 @@
   0  success
   1  failure
   2  the command line, or a file that it names, is invalid
-  3  load: the generator sent requests late, so the results are not those of the nodes alone
-  4  load: stopped early; the result that was written is partial
+  3  load: the generator sent requests late, so the results do not describe the nodes alone
+  4  load, scale: stopped early with a partial result
   5  load compare --check: a figure is significantly worse
   6  a drain would make more instances unavailable than its limits allow
-  7  an operation that was waited for did not succeed, or a check found unhealthy instances`
+  7  --wait: the operation did not succeed; instances check: there are unhealthy instances`
 
 // exitError is an error with an exit status other than ExitFailed.
 type exitError struct {
--- a/internal/cli/hosts.go
+++ b/internal/cli/hosts.go
@@ -10,7 +10,7 @@
 func hostsCommand() *cobra.Command {
 	client := &agentClient{}
 	c := group("hosts", "Override the state of hosts on instances", "",
-		hostsOperationCommand(client, control.HostDrain, "drain", "Stop sending new requests to a host, whatever the endpoint list says"),
+		hostsOperationCommand(client, control.HostDrain, "drain", "Stop sending new requests to a host, regardless of its state in the endpoint list"),
 		hostsOperationCommand(client, control.HostResume, "resume", "Remove the drain override from a host"))
 	client.addFlags(c)
 	return c
--- a/internal/cli/load_compare.go
+++ b/internal/cli/load_compare.go
@@ -25,7 +25,7 @@
 		Use:   "compare --base RESULT... --new RESULT...",
 		Short: "Compare results and show significant differences",
 		Long: "compare compares runs of the same load. With fewer than three runs on either side it shows the figures without a\n" +
-			"verdict. A difference is significant if it is over twice its standard error and the ranges of the two sides don't\n" +
+			"verdict. A difference is significant if it exceeds twice its standard error and the ranges of the two sides don't\n" +
 			"overlap.\n\n" + exitStatusHelp,
 		Example: "  onyxstream load run steady.toml -o before.json --repeat 5\n" +
 			"  onyxstream load compare --base before-1.json,before-2.json,before-3.json --new after-1.json,after-2.json,after-3.json",
--- a/internal/cli/load_flags.go
+++ b/internal/cli/load_flags.go
@@ -22,17 +22,22 @@
 
 // loadFlags are the flags of load run and load replay.
 type loadFlags struct {
-	targets     []string
+	targets []string // addresses of running nodes
+
+	// Paths of output files; "" for none.
 	resultPath  string
 	pagePath    string
 	hdrPath     string
 	ledgerPath  string
 	nodeLogPath string
 	tracePath   string
-	seed        uint64
-	repeat      int
-	json        bool
-	quiet       bool
+
+	seed   uint64 // 0 for the scenario's
+	repeat int
+
+	// Output on the terminal.
+	json  bool
+	quiet bool
 }
 
 func (f *loadFlags) addFlags(c *cobra.Command) {
@@ -43,8 +48,8 @@
 	flags.StringVar(&f.hdrPath, "hdr", "", "file for the latencies of served requests in HdrHistogram's text format")
 	flags.StringVar(&f.ledgerPath, "ledger", "", "file for the events that the fake servers recorded, as JSON Lines")
 	flags.StringVar(&f.nodeLogPath, "node-log", "", "file for the nodes' logs")
-	flags.StringVar(&f.tracePath, "record", "", "file for the requests as a trace; compressed if it ends in .gz")
-	flags.Uint64Var(&f.seed, "seed", 0, "seed of the load, instead of the scenario's")
+	flags.StringVar(&f.tracePath, "record", "", "file for the requests as a trace; compressed if its name ends in .gz")
+	flags.Uint64Var(&f.seed, "seed", 0, "seed of the load (default: the scenario's)")
 	flags.IntVar(&f.repeat, "repeat", 1, "number of runs; the names of result files are numbered")
 	flags.BoolVar(&f.json, "json", false, "print the result as JSON instead of a table")
 	flags.BoolVarP(&f.quiet, "quiet", "q", false, "print no progress")
--- a/internal/cli/load_record.go
+++ b/internal/cli/load_record.go
@@ -14,8 +14,8 @@
 	c := &cobra.Command{
 		Use:   "record",
 		Short: "Record requests of real clients as a trace",
-		Long: "record relays clients to a node and writes a trace of their requests: time, class, tenant, key, and duration of the\n" +
-			"connection. It records nothing that follows the opening line. SIGINT or SIGTERM stops it.",
+		Long: "record relays clients to a node and writes a trace of their requests: time, class, tenant, key, group, and the lifetime\n" +
+			"and mean message interval of the connection. It doesn't record messages. SIGINT or SIGTERM stops it.",
 		Example: "  onyxstream load record --listen 127.0.0.1:9001 --target 127.0.0.1:8081 -o evening.csv.gz",
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
@@ -34,6 +34,6 @@
 	flags := c.Flags()
 	flags.StringVar(&listen, "listen", "", "address to accept clients on")
 	flags.StringVar(&target, "target", "", "address of the node to relay to")
-	flags.StringVarP(&out, "out", "o", "", "file for the trace; compressed if it ends in .gz")
+	flags.StringVarP(&out, "out", "o", "", "file for the trace; compressed if its name ends in .gz")
 	return c
 }
--- a/internal/cli/node.go
+++ b/internal/cli/node.go
@@ -13,7 +13,7 @@
 		Use:   "node",
 		Short: "Run a node",
 		Long: "node runs a node until SIGTERM. PROXY_CONFIG names its JSON configuration, which it reloads on SIGHUP. --config names\n" +
-			"a file of onyxstream's own settings, such as deploy/own.toml. Features that it doesn't configure are off.",
+			"a file of onyxstream's own settings, such as deploy/own.toml. Features that this file doesn't configure are off.",
 		Example: "  PROXY_CONFIG=config.json onyxstream node\n" +
 			"  PROXY_CONFIG=config.json onyxstream node --config own.toml",
 		Args: cobra.NoArgs,
--- a/internal/cli/operation.go
+++ b/internal/cli/operation.go
@@ -22,9 +22,10 @@
 
 // operationFlags are the flags that say how to carry out an operation.
 type operationFlags struct {
-	id          string
-	options     fleet.Options
-	dryRun      bool
+	id      string
+	options fleet.Options
+	dryRun  bool
+
 	wait        bool
 	waitTimeout time.Duration
 }
--- a/internal/cli/scale.go
+++ b/internal/cli/scale.go
@@ -16,9 +16,9 @@
 const scaleJSONIndent = "  "
 
 func scaleCommand() *cobra.Command {
-	return group("scale", "Measure what watching the endpoint list costs fleets of many sizes",
-		"scale runs fleets of simulated nodes, many in one process and without clients, and fleets of real node processes. From\n"+
-			"these samples it estimates the cost of a fleet of a target size.\n\n"+exitStatusHelp,
+	return group("scale", "Measure the cost of watching the endpoint list in fleets of several sizes",
+		"scale runs fleets of simulated nodes, which share one process and have no clients, and fleets of real nodes, each in its\n"+
+			"own process. From these samples it estimates the cost of a fleet of a target size.\n\n"+exitStatusHelp,
 		scaleRunCommand(), scaleSimulatedNodesCommand())
 }
 
@@ -28,8 +28,8 @@
 		Use:   "run FILE",
 		Short: "Run the fleets in a file",
 		Long: "run measures the fleets in a file such as examples/scale.toml: bytes and messages to and from discovery, CPU time,\n" +
-			"memory, and the time from a change of the list until the last node has it. If the machine is too small for a fleet,\n" +
-			"run stops, prints the reason and the samples so far, and exits with 4.\n\n" + exitStatusHelp,
+			"memory, and the time from a change of the endpoint list until the last node receives it. If the machine is too small\n" +
+			"for a fleet, run stops, prints the reason and the samples so far, and exits with 4.\n\n" + exitStatusHelp,
 		Example: "  onyxstream scale run examples/scale.toml\n  onyxstream scale run examples/scale.toml --json > scale.json",
 		Args:    cobra.ExactArgs(1),
 		RunE:    func(c *cobra.Command, args []string) error { return runScale(c, args[0], asJSON) },
--- a/internal/cli/scale_test.go
+++ b/internal/cli/scale_test.go
@@ -17,7 +17,7 @@
 		t.Fatal(err)
 	}
 	status, out, errs := runMain("scale", "run", path)
-	if want := path + ":3: hosts: 1 is not from 2"; status != ExitUsage || !strings.Contains(errs, want) || out != "" {
+	if want := path + ":3: hosts: 1 is not between 2"; status != ExitUsage || !strings.Contains(errs, want) || out != "" {
 		t.Errorf("status %d, stderr %q, stdout %q; want status %d, stderr with %q and no stdout", status, errs, out, ExitUsage, want)
 	}
 	if status, _, errs = runMain("scale", "hollow", "none"); status != ExitUsage {
--- a/internal/migrate/migrate.go
+++ b/internal/migrate/migrate.go
@@ -1,5 +1,5 @@
 // Package migrate converts a node's configuration for use in another deployment. Its input is the text of the old file
-// and the Shape of the new deployment, its output the text of the new file and a report on each field. It does no I/O.
+// and the Shape of the new deployment. Its output is the text of the new file and a report on each field. It does no I/O.
 package migrate
 
 import (
@@ -34,7 +34,7 @@
 // migration is one conversion in progress.
 type migration struct {
 	shape       Shape
-	root        *value                // the configuration, converted in place
+	root        *value                // the configuration, which is converted in place
 	changes     map[string]ReportLine // by path
 	changeOrder []string              // paths of the changes made by set, in order
 	dropped     []ReportLine
--- a/internal/migrate/settings.go
+++ b/internal/migrate/settings.go
@@ -52,7 +52,7 @@
 }
 
 // migrateClassesAndTenants sets classes and tenants. A class or tenant that exists under the same name keeps the fields
-// that the shape doesn't set, unknown ones included. An old one that the shape doesn't have is reported as dropped.
+// that the shape doesn't set, unknown ones included. An old class or tenant that is not in the shape is reported as dropped.
 func (m *migration) migrateClassesAndTenants() {
 	var classes, tenants []string
 	var messageObjectives, quotas []float64
@@ -80,8 +80,8 @@
 	}
 }
 
-// matchByName returns an entry for each name: that of the old list at path, or a new one with only the name. It reports
-// the entries of the old list that have none of the names as dropped.
+// matchByName returns one entry for each name: the entry with this name in the old list at path, or else a new entry that
+// has only the name. It reports the other entries of the old list as dropped.
 func (m *migration) matchByName(path string, names []string) []*value {
 	if len(names) == 0 {
 		return nil
--- a/internal/migrate/shape.go
+++ b/internal/migrate/shape.go
@@ -6,8 +6,8 @@
 	"onyxstream/internal/tomlfile"
 )
 
-// Shape describes the deployment that a node moves to, as far as the node's old configuration doesn't say. Fields that
-// are left out keep their old values. Times are in milliseconds, as in the configuration.
+// Shape describes the deployment that a node moves to. It has the settings that cannot be derived from the node's old
+// configuration. Fields that are left out keep their old values. Times are in milliseconds, as in the configuration.
 type Shape struct {
 	DiscoveryMode string   `toml:"list"`      // "push" (discovery pushes the endpoint list) or "ask" (nodes poll it)
 	Discovery     string   `toml:"discovery"` // host:port of the new discovery; "" keeps the old one
@@ -69,7 +69,7 @@
 		return tomlfile.NewFieldError("list", "%q is neither \"push\" nor \"ask\"", s.DiscoveryMode)
 	}
 	if s.NodeCount < 0 {
-		return tomlfile.NewFieldError("nodes", "%d is out of range", s.NodeCount)
+		return tomlfile.NewFieldError("nodes", "%d is negative", s.NodeCount)
 	}
 	for _, check := range []func() error{s.checkZones, s.checkClasses, s.checkTenants} {
 		if err := check(); err != nil {
@@ -98,7 +98,7 @@
 		names[zone.Name] = true
 		for _, old := range zone.From {
 			if mapped[old] {
-				return tomlfile.NewFieldError(path+"from", "zone %q is mapped more than once, or also removed", old)
+				return tomlfile.NewFieldError(path+"from", "zone %q is mapped twice, or both mapped and removed", old)
 			}
 			mapped[old] = true
 		}
@@ -114,7 +114,7 @@
 		case class.Name == "":
 			return tomlfile.NewFieldError(path+"name", "missing")
 		case !timesValid || !(class.PriorityWeight > 0):
-			return tomlfile.NewFieldError(path+"deadline_ms", "times and worth must be positive, and deadline_ms at least setup_ms")
+			return tomlfile.NewFieldError(path+"deadline_ms", "setup_ms and worth must be positive, message_ms must not be negative, and deadline_ms must be at least setup_ms")
 		case class.Effect != "safe" && class.Effect != "keyed" && class.Effect != "unsafe":
 			return tomlfile.NewFieldError(path+"repeat", "unknown value %q: want \"safe\", \"keyed\" or \"unsafe\"", class.Effect)
 		}
--- a/internal/migrate/value.go
+++ b/internal/migrate/value.go
@@ -13,7 +13,8 @@
 // maxDepth bounds the nesting of objects and arrays, and so the stack of the parser.
 const maxDepth = 64
 
-// value is a JSON value that preserves the order of object keys and the spelling of numbers, and records its line.
+// value is a JSON value. It preserves the order of object keys and the spelling of numbers, and has the line number of
+// the value in the file.
 type value struct {
 	line   int
 	kind   byte // '{', '[' or 0 for a scalar
@@ -52,7 +53,7 @@
 	line          int
 }
 
-// parse parses a text that is a single JSON value. Errors are *Error.
+// parse parses text, which must be a single JSON value. Errors are *Error.
 func parse(text []byte) (*value, error) {
 	if !utf8.Valid(text) { // encoding/json would replace invalid bytes
 		return nil, &Error{Err: errors.New("not valid UTF-8")}
--- a/internal/migrate/zones.go
+++ b/internal/migrate/zones.go
@@ -46,7 +46,7 @@
 	return nil
 }
 
-// checkMapping checks that the shape maps or removes each old zone, and that it maps no zone that doesn't exist.
+// checkMapping checks that the shape maps or removes each old zone, and that it maps no unknown zone.
 func (m *migration) checkMapping(oldNames []string, line int) error {
 	for i, zone := range m.shape.Zones {
 		for _, from := range zone.From {
@@ -97,16 +97,16 @@
 	return nil
 }
 
-// setLocality sets a host's zone and records the change for the report.
-func (m *migration) setLocality(host *value, path, x, newName string) {
-	if newName == x {
+// setLocality sets a host's zone and records the change for the report. path is the path of the host's locality field.
+func (m *migration) setLocality(host *value, path, oldName, newName string) {
+	if newName == oldName {
 		return
 	}
 	host.put("locality", newValue(newName))
 	m.changes[path] = ReportLine{
 		Field:  path,
 		Status: Changed,
-		Old:    newValue(x).text(),
+		Old:    newValue(oldName).text(),
 		New:    newValue(newName).text(),
 		Reason: "host " + host.get("id").text(),
 	}
--- a/internal/pki/authority.go
+++ b/internal/pki/authority.go
@@ -66,7 +66,8 @@
 	return KeyPair{t.Leaf, key}, nil
 }
 
-// Issue issues a certificate and writes it to the authority's directory. It replaces an existing one of the same holder.
+// Issue issues a certificate and writes it to the authority's directory. It replaces an existing certificate of the same
+// holder.
 func Issue(dir, name, role string, validity time.Duration) (*x509.Certificate, error) {
 	authority, err := readPair(dir, authorityName)
 	if err != nil {
@@ -91,7 +92,7 @@
 	return Issue(dir, name, RoleOf(old.Cert), validity)
 }
 
-// Revoke adds a holder's certificate to the authority's revocation list.
+// Revoke adds a holder's current certificate to the authority's revocation list.
 func Revoke(dir, name string) error {
 	revoked, err := readPair(dir, name)
 	if err != nil {
@@ -113,11 +114,11 @@
 		return nil, nil, err
 	}
 	for _, path := range paths {
-		inFile, err := readCert(path)
+		fileCerts, err := readCert(path)
 		if err != nil {
 			return nil, nil, err
 		}
-		certs = append(certs, inFile...)
+		certs = append(certs, fileCerts...)
 	}
 	revoked, err = readRevoked(filepath.Join(dir, revokedName))
 	return certs, revoked, err
--- a/internal/pki/certificate.go
+++ b/internal/pki/certificate.go
@@ -23,7 +23,7 @@
 const (
 	RoleInstance = "instance" // serves a control listener
 	RoleViewer   = "look"     // may read
-	RoleOperator = "operate"  // may read and give commands
+	RoleOperator = "operate"  // may read and submit commands
 )
 
 // Roles lists all roles.
@@ -127,7 +127,7 @@
 	return units[0]
 }
 
-// RevocationList is the set of revoked serial numbers, in hexadecimal.
+// RevocationList is the set of the serial numbers of revoked certificates, in hexadecimal.
 type RevocationList map[string]bool
 
 // Serial returns a certificate's serial number in hexadecimal.
@@ -149,19 +149,19 @@
 	return x509.ExtKeyUsageClientAuth
 }
 
-// Verify checks the certificate chain that the other end of a TLS connection presented. The certificate must be issued
-// by the authority, valid at now and not revoked, and its role must belong to that end's side.
-func Verify(chain []*x509.Certificate, authority *x509.CertPool, revoked RevocationList, peer Side, now time.Time) error {
+// Verify checks the certificate chain that the other end of a TLS connection presented. The first certificate must be
+// issued by the authority, valid at now and not revoked, and its role must belong to presenter, the side of that end.
+func Verify(chain []*x509.Certificate, authority *x509.CertPool, revoked RevocationList, presenter Side, now time.Time) error {
 	if len(chain) == 0 {
-		return errors.New("peer presented no certificate")
+		return errors.New("no certificate presented")
 	}
 	leaf := chain[0]
-	options := x509.VerifyOptions{Roots: authority, CurrentTime: now, KeyUsages: []x509.ExtKeyUsage{peer.keyUsage()}}
+	options := x509.VerifyOptions{Roots: authority, CurrentTime: now, KeyUsages: []x509.ExtKeyUsage{presenter.keyUsage()}}
 	if _, err := leaf.Verify(options); err != nil {
 		return err
 	}
 	holder, role := leaf.Subject.CommonName, RoleOf(leaf)
-	isServer := peer == ServerSide
+	isServer := presenter == ServerSide
 	switch {
 	case revoked[Serial(leaf)]:
 		return fmt.Errorf("certificate of %q: revoked", holder)
--- a/internal/pki/keystore.go
+++ b/internal/pki/keystore.go
@@ -28,9 +28,10 @@
 	files         Files
 	onReloadError func(error)
 
+	// mu guards the fields below.
 	mu        sync.Mutex
-	checkedAt time.Time
-	stamp     string // fileStamp of the files as last loaded
+	checkedAt time.Time // time of the last check for changes
+	stamp     string    // fileStamp of the files as last loaded
 	cert      *tls.Certificate
 	pool      *x509.CertPool
 	revoked   RevocationList
@@ -85,7 +86,8 @@
 	return nil
 }
 
-// current returns the keys in use. It first reloads changed files if their last check is at least recheckInterval ago.
+// current returns the keys in use. If the last check is at least recheckInterval ago, it first reloads the files that
+// have changed.
 func (k *KeyStore) current() (*tls.Certificate, *x509.CertPool, RevocationList) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/internal/pki/stored_test.go
+++ b/internal/pki/stored_test.go
@@ -6,8 +6,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// The list in testdata was written by an earlier release, which spelled names in the code differently. The stored format
-// must remain readable.
+// An earlier release, whose code used other names, wrote the list in testdata. The stored format must remain readable.
 func TestStoredRevocations_FromEarlierRelease_AreRead(t *testing.T) {
 	got, err := readRevoked("testdata/revoked-v1")
 	if diff := cmp.Diff(RevocationList{"0a1b2c": true, "ff00": true}, got); diff != "" || err != nil {
--- a/internal/scaletest/fleet.go
+++ b/internal/scaletest/fleet.go
@@ -18,7 +18,7 @@
 	close()
 }
 
-// fleetFor returns the configuration of a fleet of n nodes whose hosts get no requests.
+// fleetFor returns the configuration of a fleet of n nodes without clients, so that its hosts get no requests.
 func fleetFor(s Spec, n int) (testcluster.Config, testcluster.Options, error) {
 	fleet := testcluster.Config{Nodes: n, Hosts: s.Hosts, Discovery: testcluster.DiscoveryConfig{Push: true}}
 	options := testcluster.Options{
@@ -30,8 +30,8 @@
 	return fleet, options, fleet.Check(options.Classes, options.Tenants)
 }
 
-// startFleet starts a fleet of n nodes. The caller must close both the cluster and the fleet unless they are nil, also
-// after an error.
+// startFleet starts a fleet of n nodes. The caller must close the cluster and the fleet unless they are nil, even after an
+// error.
 func startFleet(s Spec, kind Kind, n int, opt Options, log io.Writer) (*testcluster.Cluster, measuredFleet, error) {
 	configured := n
 	if kind == Simulated {
--- a/internal/scaletest/measurement.go
+++ b/internal/scaletest/measurement.go
@@ -100,7 +100,7 @@
 	return false
 }
 
-// measurePhase runs f and measures the fleet meanwhile.
+// measurePhase measures the fleet while f runs.
 func (m *measurement) measurePhase(f func()) Phase {
 	begin := time.Now()
 	trafficBefore := m.cluster.Discovery.Traffic()
@@ -119,7 +119,7 @@
 }
 
 // applyChanges makes n changes to the endpoint list at the spec's rate, each to one host. It then waits until all nodes
-// have received them, or until a timeout.
+// have received them, for at most propagationTimeout.
 func (m *measurement) applyChanges(ctx context.Context, n int) {
 	ticker := time.NewTicker(m.spec.changeInterval())
 	defer ticker.Stop()
@@ -137,7 +137,8 @@
 	}
 }
 
-// applyChange marks the next host as draining. Once all hosts drain, it marks them as serving again, one per call.
+// applyChange marks the next host as draining. When all hosts are draining, the following calls mark one host after the
+// other as serving again.
 func (m *measurement) applyChange() {
 	hosts := m.cluster.Hosts()
 	phase := wire.Draining
--- a/internal/scaletest/propagation.go
+++ b/internal/scaletest/propagation.go
@@ -27,7 +27,7 @@
 // logTimeFormat is the time format of log lines.
 const logTimeFormat = "2006-01-02T15:04:05.000Z0700"
 
-// Write processes complete log lines.
+// Write records the receipt of revisions that complete log lines report.
 func (r *propagationRecorder) Write(text []byte) (int, error) {
 	for line := range bytes.Lines(text) {
 		match := watchEventLine.FindSubmatch(line)
@@ -43,8 +43,8 @@
 	return len(text), nil
 }
 
-// recordReceived records that a node has received a revision, and with it all earlier ones. It ignores a time from before
-// the change, such as that of an earlier line.
+// recordReceived records that a node has received a revision, and with it all earlier ones. It skips changes
+// that are later than at, because the node cannot have received them yet.
 func (r *propagationRecorder) recordReceived(node string, revision int64, at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/scaletest/run.go
+++ b/internal/scaletest/run.go
@@ -22,7 +22,7 @@
 }
 
 // Run measures all fleets of a spec in order of size. If the machine lacks a resource for a fleet, Run stops there and
-// names the resource in the result. In this case and after an error, the result has the samples taken until then.
+// names the resource in the result. In this case and after an error, the result has the samples taken so far.
 func Run(ctx context.Context, s Spec, opt Options) (Result, error) {
 	result := Result{Spec: s}
 	var runError error
--- a/internal/scaletest/scale_test.go
+++ b/internal/scaletest/scale_test.go
@@ -17,8 +17,8 @@
 
 func TestMain(m *testing.M) {
 	code := m.Run()
-	if dir, err := buildProgram(); err == nil {
-		_ = os.RemoveAll(filepath.Dir(dir))
+	if path, err := buildProgram(); err == nil {
+		_ = os.RemoveAll(filepath.Dir(path))
 	}
 	os.Exit(code)
 }
@@ -72,14 +72,14 @@
 			t.Errorf("%d %s nodes: %.0f bytes/s with changes, %.0f bytes/s at rest, %.1f MB of memory", s.Nodes, s.Kind, s.Changes.BytesPerS, s.Idle.BytesPerS, s.MemoryMB)
 		}
 	}
-	moved := map[Kind]float64{}
+	transferred := map[Kind]float64{}
 	for _, s := range result.Samples {
 		if s.Nodes == 3 { // total bytes, because the duration depends on the machine
-			moved[s.Kind] = s.Changes.BytesPerS * s.Changes.Duration.Seconds()
+			transferred[s.Kind] = s.Changes.BytesPerS * s.Changes.Duration.Seconds()
 		}
 	}
-	if len(result.Ratios) != 1 || math.Abs(moved[Simulated]/moved[Real]-1) > 0.2 {
-		t.Errorf("simulated and real nodes differ by over 20 %% in traffic: %v bytes, ratios %+v", moved, result.Ratios)
+	if len(result.Ratios) != 1 || math.Abs(transferred[Simulated]/transferred[Real]-1) > 0.2 {
+		t.Errorf("traffic of simulated and real nodes differs by more than 20 %%: %v bytes, ratios %+v", transferred, result.Ratios)
 	}
 	if len(result.Fits) == 0 || result.Fits[0].Samples != 2 {
 		t.Errorf("fits are %+v, want each from 2 samples", result.Fits)
@@ -87,11 +87,11 @@
 }
 
 func TestRun_InsufficientDescriptors_KeepsSamplesAndNamesResource(t *testing.T) {
-	if what := missingResource(Simulated, 2600, 1024); !strings.Contains(what, "descriptors") {
-		t.Errorf("2,600 nodes with 1,024 descriptors: missing resource is %q, want descriptors", what)
+	if resource := missingResource(Simulated, 2600, 1024); !strings.Contains(resource, "descriptors") {
+		t.Errorf("2,600 nodes with 1,024 descriptors: missing resource is %q, want descriptors", resource)
 	}
-	if what := missingResource(Simulated, 2600, 20_000); what != "" {
-		t.Errorf("2,600 nodes with 20,000 descriptors: missing resource is %q, want none", what)
+	if resource := missingResource(Simulated, 2600, 20_000); resource != "" {
+		t.Errorf("2,600 nodes with 20,000 descriptors: missing resource is %q, want none", resource)
 	}
 	path, err := buildProgram()
 	if err != nil {
@@ -133,7 +133,7 @@
 		{"hollow = [3, 10, 20, 100, 400, 1300, 2600]", "hollow = [3]", "scale.toml:7: hollow: 1 sizes"},
 		{"hollow = [3, 10, 20, 100, 400, 1300, 2600]", "hollow = [30, 10]", "scale.toml:7: hollow: sizes must ascend"},
 		{"real = [3, 10, 20]", "real = [300]", "scale.toml:8: real: sizes must ascend"},
-		{"hosts = 100", "hosts = 1", "scale.toml:9: hosts: 1 is not from"},
+		{"hosts = 100", "hosts = 1", "scale.toml:9: hosts: 1 is not between"},
 		{`rest = "5s"`, `rest = "5ms"`, "scale.toml:10: rest:"},
 		{"changes = 30", "changes = 0", "scale.toml:11: changes:"},
 		{"per_day = 1600", "per_day = -1", "scale.toml:12: per_day:"},
@@ -188,7 +188,7 @@
 	}
 }
 
-// A read of a process's output can end anywhere in a line. Each line must still be forwarded once, and whole.
+// A read of a process's output can end anywhere in a line. Each line must still be forwarded exactly once and unsplit.
 func TestLineWriter_SplitAnywhere_ForwardsWholeLines(t *testing.T) {
 	r := newPropagationRecorder()
 	r.recordChange(2)
--- a/internal/scaletest/spec.go
+++ b/internal/scaletest/spec.go
@@ -9,7 +9,7 @@
 	"onyxstream/internal/tomlfile"
 )
 
-// Spec describes a measurement. It is the decoded form of a spec file. Results contain it under its JSON keys.
+// Spec describes a measurement. It is the decoded form of a spec file, and part of the result under its JSON keys.
 type Spec struct {
 	Name           string `toml:"name" json:"Name"`
 	Seed           uint64 `toml:"seed" json:"Seed"`
@@ -20,9 +20,9 @@
 	IdleDuration  tomlfile.Duration `toml:"rest" json:"Rest"`          // duration of the phase without changes
 	Changes       int               `toml:"changes" json:"Changes"`    // number of endpoint list changes, each to one host
 	ChangesPerDay float64           `toml:"per_day" json:"PerDay"`     // rate of changes in production
-	Speedup       float64           `toml:"factor" json:"Factor"`      // of the rate of changes, relative to production
+	Speedup       float64           `toml:"factor" json:"Factor"`      // factor by which changes are faster than in production
 	RestartShare  float64           `toml:"restart" json:"Restart"`    // share of the nodes that restart in the last phase
-	MaxMemoryMB   int               `toml:"memory_mb" json:"MemoryMB"` // of all nodes of a fleet together
+	MaxMemoryMB   int               `toml:"memory_mb" json:"MemoryMB"` // maximum memory of all nodes of a fleet together
 
 	Target Target `toml:"target" json:"Target"`
 }
@@ -65,11 +65,11 @@
 	case !isAscending(s.RealSizes, maxRealNodes):
 		return tomlfile.NewFieldError("real", "sizes must ascend, from 1 to %d", maxRealNodes)
 	case s.Hosts < minHosts || s.Hosts > maxHosts:
-		return tomlfile.NewFieldError("hosts", "%d is not from %d to %d", s.Hosts, minHosts, maxHosts)
+		return tomlfile.NewFieldError("hosts", "%d is not between %d and %d", s.Hosts, minHosts, maxHosts)
 	case s.IdleDuration.AsDuration() < minIdleDuration:
 		return tomlfile.NewFieldError("rest", "%v is less than 1s; processor time is counted in hundredths of a second", s.IdleDuration.AsDuration())
 	case s.Changes < 1 || s.Changes > maxChanges:
-		return tomlfile.NewFieldError("changes", "%d is not from 1 to %d", s.Changes, maxChanges)
+		return tomlfile.NewFieldError("changes", "%d is not between 1 and %d", s.Changes, maxChanges)
 	case !(s.ChangesPerDay > 0):
 		return tomlfile.NewFieldError("per_day", "%g is not above 0", s.ChangesPerDay)
 	case !(s.Speedup >= 1):
@@ -77,7 +77,7 @@
 	case s.changeInterval() < minChangeInterval:
 		return tomlfile.NewFieldError("factor", "interval between changes would be %v; the minimum is %v", s.changeInterval(), minChangeInterval)
 	case !(s.RestartShare >= 0 && s.RestartShare <= 1):
-		return tomlfile.NewFieldError("restart", "%g is not from 0 to 1", s.RestartShare)
+		return tomlfile.NewFieldError("restart", "%g is not between 0 and 1", s.RestartShare)
 	case s.MaxMemoryMB < 1:
 		return tomlfile.NewFieldError("memory_mb", "%d MB for the measured processes is less than 1 MB", s.MaxMemoryMB)
 	case s.Target.Nodes < 1:
--- a/internal/simadapter/batch.go
+++ b/internal/simadapter/batch.go
@@ -8,7 +8,7 @@
 	"github.com/go-faster/jx"
 )
 
-// batchHeader has the serial of a batch, and which of the required fields were present.
+// batchHeader has the serial of a batch, and records which of the required fields are present.
 type batchHeader struct {
 	serial                         int64
 	hasClock, hasSerial, hasGroups bool
@@ -68,8 +68,8 @@
 	if err := header.requireAll(); err != nil {
 		return err
 	}
-	rest := a.decoder.Skip()
-	if !errors.Is(rest, io.EOF) && !errors.Is(rest, io.ErrUnexpectedEOF) {
+	endErr := a.decoder.Skip()
+	if !errors.Is(endErr, io.EOF) && !errors.Is(endErr, io.ErrUnexpectedEOF) {
 		return errors.New("unexpected text after the batch")
 	}
 	return nil
--- a/internal/simadapter/decode.go
+++ b/internal/simadapter/decode.go
@@ -32,36 +32,48 @@
 	"unavailable": balancer.ListFailed,
 }
 
-// event is a decoded event. It has the fields of all kinds of events; present says which were set.
+// event is a decoded event. It has the fields of all kinds of events; present is the set of those that the event has.
 type event struct {
 	present fieldSet
 
-	id         string
-	class      int
-	tenant     int
-	key        string
-	group      string
-	timeLeft   time.Duration
-	load       float64
-	retry      bool
-	midFlow    bool
-	reconnect  bool
-	server     balancer.ServerID
-	attempt    int
-	outcome    balancer.Outcome
-	took       time.Duration
-	final      bool
+	// Requests.
+	id        string
+	class     int
+	tenant    int
+	key       string
+	group     string
+	timeLeft  time.Duration
+	load      float64
+	retry     bool
+	midFlow   bool
+	reconnect bool
+
+	// Attempts.
+	server  balancer.ServerID
+	attempt int
+	outcome balancer.Outcome
+	took    time.Duration
+	final   bool
+
+	// Reports on established connections.
 	reportKind int
 	report     float64
+
 	timerToken string
+
+	// Server lists.
 	revision   int64
 	listNumber int
 	listMode   string
 	servers    []balancer.Server
-	seed       uint64
-	settings   jx.Raw
-	peer       int
-	message    []byte
+
+	// Start of an instance.
+	seed     uint64
+	settings jx.Raw
+
+	// Messages of other instances.
+	peer    int
+	message []byte
 }
 
 // eventField numbers the fields of an event. If several are missing, the first in this order is reported.
--- a/internal/simadapter/dispatch.go
+++ b/internal/simadapter/dispatch.go
@@ -21,12 +21,12 @@
 	latencyReport = 2 // milliseconds
 )
 
-// eventKind says how to process the events of one name. Either handle is set and the adapter handles them itself, or
-// translate is set and the instance handles the translated event.
+// eventKind describes how events with one name are processed. If handle is set, the adapter itself handles the event. If
+// translate is set, the instance handles the translated event. Exactly one of the two is set.
 type eventKind struct {
 	required  fieldSet
 	handle    func(a *adapter, instance int, e *event) error
-	translate func(a *adapter, e *event) (balancer.Event, error) // returns a nil event if the balancer has no use for it
+	translate func(a *adapter, e *event) (balancer.Event, error) // may return a nil event, which is ignored
 }
 
 var eventKinds = map[string]eventKind{
@@ -209,7 +209,7 @@
 	return balancer.ClientDisconnected{ID: balancer.RequestID(e.id)}, nil
 }
 
-// ignore translates events that the balancer has no use for.
+// ignore translates an event that the balancer doesn't handle into no event.
 func ignore(*adapter, *event) (balancer.Event, error) { return nil, nil }
 
 // run passes an event to an instance and writes its actions, or a fault if it panics.
--- a/internal/simadapter/encode.go
+++ b/internal/simadapter/encode.go
@@ -45,7 +45,7 @@
 	w.ObjEnd()
 }
 
-// encodeFault writes, in place of actions, that the balancer panicked.
+// encodeFault writes a fault, which reports in place of actions that the balancer panicked.
 func encodeFault(w *jx.Encoder, text string) {
 	w.ObjStart()
 	beginAction(w, "fault")
--- a/internal/simadapter/object.go
+++ b/internal/simadapter/object.go
@@ -26,7 +26,7 @@
 func (e *fieldError) Error() string { return "field " + strconv.Quote(e.field) + ": " + e.err.Error() }
 func (e *fieldError) Unwrap() error { return e.err }
 
-// inField adds the name of a field to an error, unless an inner field already added its own.
+// inField adds the name of a field to an error, unless the error already names an inner field.
 func inField(field string, err error) error {
 	var inner *fieldError
 	if err == nil || errors.As(err, &inner) {
@@ -35,7 +35,7 @@
 	return &fieldError{field, err}
 }
 
-// serverNames interns the names of servers, so that a name is allocated only once.
+// serverNames interns the names of servers, so that each name is allocated only once.
 type serverNames map[string]balancer.ServerID
 
 // decode reads the name of a server.
--- a/internal/simadapter/serve.go
+++ b/internal/simadapter/serve.go
@@ -23,18 +23,20 @@
 
 // adapter holds the balancer instances of the process and the numbered lists of servers that they share.
 type adapter struct {
-	instances    map[int]*balancer.Balancer
-	names        serverNames
-	lists        [listCount][]balancer.Server
+	instances map[int]*balancer.Balancer
+	names     serverNames
+	lists     [listCount][]balancer.Server
+
+	// State of the current batch.
 	decoder      jx.Decoder
 	reply        jx.Encoder
-	now          time.Duration // clock of the current batch
+	now          time.Duration // clock of the batch
 	event        event         // the current event
 	groupStarted bool          // the reply contains the start of the current instance's group
 }
 
-// Serve reads one batch a line and writes one reply a line until the end of the input. An invalid line gets no reply:
-// Serve returns an error that gives the line number, the serial, the field and the reason.
+// Serve reads one batch per line and writes one reply per line until the end of the input. If a line is invalid, Serve
+// writes no reply to it and returns an error with the line number, the serial, the field and the reason.
 func Serve(in io.Reader, out io.Writer) error {
 	a := &adapter{
 		instances: map[int]*balancer.Balancer{},
--- a/internal/tomlfile/decode.go
+++ b/internal/tomlfile/decode.go
@@ -27,7 +27,7 @@
 		return nil, &Error{File: path, Err: withoutPath(err)}
 	}
 	if info.IsDir() || info.Size() > maxFileBytes {
-		return nil, &Error{File: path, Err: fmt.Errorf("not a file of at most %d bytes", maxFileBytes)}
+		return nil, &Error{File: path, Err: fmt.Errorf("is a directory or larger than %d bytes", maxFileBytes)}
 	}
 	text, err = os.ReadFile(path)
 	if err != nil {
--- a/internal/tomlfile/errors.go
+++ b/internal/tomlfile/errors.go
@@ -7,8 +7,8 @@
 	"strconv"
 )
 
-// Error is an error in a file, or an error in reading it. Line is 0 if it is unknown, Key is "" if the error is about the
-// whole file.
+// Error is an error in the content of a file, or an error in reading the file. Line is 0 if it is unknown, Key is "" if
+// the error is about the whole file.
 type Error struct {
 	File string
 	Line int
--- a/internal/tomlfile/line.go
+++ b/internal/tomlfile/line.go
@@ -12,8 +12,8 @@
 	arrayIndex  = regexp.MustCompile(`\[(\d+)\]`)
 )
 
-// findLine returns the number of the line that sets the field at path, counted from 1. If no line sets the field it
-// returns the line of the table's header, and 0 if there is no such table.
+// findLine returns the number of the line that sets the field at path, counted from 1. If no line sets the field, it
+// returns the line of the table's header, or 0 if there is no such table.
 func findLine(text []byte, path string) int {
 	table, key := splitPath(path)
 	headerLine := 0
--- a/tools/testgate/main.go
+++ b/tools/testgate/main.go
@@ -1,5 +1,5 @@
-// Command testgate runs "go test" with its arguments and a list of tests that are known to fail, KNOWN-RED.txt. It
-// accepts and prints the failures of listed tests. It exits with status 1 if any other test fails, or if a listed test
+// Command testgate runs "go test" with its arguments. KNOWN-RED.txt lists the tests that are known to fail. testgate
+// prints and accepts the failures of listed tests. It exits with status 1 if any other test fails, or if a listed test
 // doesn't fail.
 package main
 
--- a/tools/testgate/results.go
+++ b/tools/testgate/results.go
@@ -100,7 +100,7 @@
 	}
 }
 
-// recordEnd records the end of a package, a test or a subtest.
+// recordEnd records the result of a package, a test or a subtest when it ends.
 func (r *testResults) recordEnd(event testEvent, id testID, out io.Writer) {
 	if event.Test == "" {
 		r.packages[event.Package] = event.Action
