--- a/internal/cli/agentclient.go
+++ b/internal/cli/agentclient.go
@@ -61,7 +61,8 @@
 	return o, err
 }
 
-// explain gives an error that the agent returned its exit status. If no agent runs, the returned error says what to do.
+// explain sets the exit status for an error that the agent returned. If no agent is running, explain returns an error that
+// says what to do.
 func (a *agentClient) explain(err error) error {
 	var remote *control.RemoteError
 	if errors.As(err, &remote) {
--- a/internal/cli/config_migrate.go
+++ b/internal/cli/config_migrate.go
@@ -130,8 +130,8 @@
 	return text, info.Mode().Perm(), usageError(err)
 }
 
-// writeNew writes the new configuration atomically, with the permissions of the old one because it contains the same
-// secrets.
+// writeNew writes the new configuration atomically, with the permissions of the old configuration because both
+// contain the same secrets.
 func (m *migration) writeNew(text []byte, mode os.FileMode) error {
 	if err := m.checkTarget(); err != nil {
 		return err
@@ -143,7 +143,7 @@
 	return nil
 }
 
-// checkTarget returns an error if the new file is the old one, or exists without --force.
+// checkTarget returns an error if the new file is the old file, or if it exists and --force is not set.
 func (m *migration) checkTarget() error {
 	newInfo, err := os.Stat(m.newPath)
 	if err != nil {
--- a/internal/cli/operation.go
+++ b/internal/cli/operation.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	operationPollInterval = 200 * time.Millisecond
-	randomIDLength        = 10 // characters of the random suffix of a generated operation id
+	operationCheckInterval = 200 * time.Millisecond
+	randomIDLength         = 10 // characters of the random suffix of a generated operation id
 )
 
 // operationFlags are the flags that say how to carry out an operation.
@@ -101,7 +101,7 @@
 		select {
 		case <-ctx.Done():
 			return &exitError{ExitUnhealthy, fmt.Errorf("operation %s: still in progress", id)}
-		case <-time.After(operationPollInterval):
+		case <-time.After(operationCheckInterval):
 		}
 	}
 }
--- a/internal/loadtest/attempt.go
+++ b/internal/loadtest/attempt.go
@@ -35,11 +35,11 @@
 	fieldEstablishedAt = "at=" // followed by the name of the host that has the connection already
 )
 
-// attemptResult is the outcome of one attempt. If the attempt was served, it includes the established connection.
+// attemptResult is the outcome of one attempt. If the attempt was served, the result has the established connection.
 type attemptResult struct {
 	outcome     Outcome
 	retryAfter  time.Duration // from a rejection; 0 for none
-	localError  error         // why the generator could not send an Unsent attempt; nil for other outcomes
+	localError  error         // why the generator could not send the attempt; nil unless the outcome is Unsent
 	id          string
 	conn        *net.TCPConn
 	reader      *bufio.Reader
@@ -55,6 +55,7 @@
 	}
 }
 
+// runID distinguishes the connection ids of this process from those of other generators.
 var runID = strconv.FormatUint(rand.Uint64(), 36)
 
 // newID returns a connection id that is unique across all generators.
@@ -90,14 +91,14 @@
 	}
 	_ = conn.SetDeadline(time.Time{})
 	if _, terminated := result.connection.terminatedBy(); terminated {
-		// Clearing the deadline above may have undone the one that terminate set to unblock the reader.
+		// Clearing the deadline above may have removed the deadline that terminate set to unblock the reader.
 		_ = conn.SetReadDeadline(time.Now())
 	}
 	return result
 }
 
-// dial connects to the address for the request. If it fails, conn is nil and outcome tells why. If outcome is Unsent,
-// localError is the cause.
+// dial connects to the address for the request. If it fails, conn is nil and outcome is the outcome of the attempt. If
+// outcome is Unsent, localError is the cause.
 func (c *client) dial(expiry time.Time) (conn *net.TCPConn, outcome Outcome, localError error) {
 	address, err := c.cfg.Address(c.request.Zone, c.request.Direct)
 	if err != nil {
@@ -122,7 +123,7 @@
 }
 
 // bindPortAtConnect makes the kernel choose the port of a bound socket at connect instead of at bind. A port that is
-// chosen at bind has to be unused for all remote addresses, so that ports run out sooner.
+// chosen at bind must be unused for all remote addresses, so that ports run out sooner.
 func bindPortAtConnect(_, _ string, c syscall.RawConn) error {
 	const bindAddressNoPort = 24 // IP_BIND_ADDRESS_NO_PORT on Linux
 	return c.Control(func(fd uintptr) {
--- a/internal/loadtest/client.go
+++ b/internal/loadtest/client.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// maxRetryWait bounds the wait before a retry, both with exponential backoff and after a Retry-After.
+// maxRetryWait bounds the wait before a retry, both for exponential backoff and for Retry-After.
 const maxRetryWait = time.Minute
 
 // client performs one request: its attempts, its connection and its reconnects. Only one goroutine uses it.
@@ -19,8 +19,8 @@
 // updateStats calls f with the statistics of the client's class while the recorder's lock is held.
 func (c *client) updateStats(f func(*classStats)) { c.recorder.updateClass(c.path, c.request.Class, f) }
 
-// run performs the request and then holds its connection until it ends. It calls onOutcome once or twice after recording
-// the outcome.
+// run performs the request. If the request is served, run then holds its connection until the connection ends. After
+// recording the outcome of the request, run calls onOutcome once or twice.
 func (c *client) run(intended time.Duration, onOutcome func()) {
 	defer onOutcome()
 	result := c.requestWithRetries("")
@@ -36,7 +36,7 @@
 	}
 }
 
-// requestWithRetries makes attempts until one is served, no further retry is allowed, or the run ends.
+// requestWithRetries makes attempts until an attempt is served, no further retry is allowed, or the run ends.
 func (c *client) requestWithRetries(fields string) *attemptResult {
 	behavior := &c.scenario.Clients
 	rng := requestRand(c.scenario.Seed^retryStream, c.request.Number)
--- a/internal/loadtest/client_observer.go
+++ b/internal/loadtest/client_observer.go
@@ -32,8 +32,8 @@
 type clientObserver struct {
 	recorder    *TraceRecorder
 	opening     []byte
-	openingDone bool             // the opening line is complete, or is too long
-	request     *recordedRequest // nil until the opening line is complete, and if it is invalid
+	openingDone bool             // the opening line is complete or too long
+	request     *recordedRequest // nil if the opening line is incomplete or invalid
 }
 
 // Write processes bytes from the client. It never returns an error, so that recording cannot break a connection.
--- a/internal/loadtest/client_test.go
+++ b/internal/loadtest/client_test.go
@@ -65,10 +65,10 @@
 	addr := startServer(t, func(line string, c *net.TCPConn, r *bufio.Reader) {
 		key := strings.Fields(line)[2]
 		mu.Lock()
-		began, again := first[key]
+		began, isRetry := first[key]
 		first[key] = time.Now()
 		mu.Unlock()
-		if !again {
+		if !isRetry {
 			_, _ = io.WriteString(c, "BUSY 200\r\n")
 			return
 		}
--- a/internal/loadtest/compare.go
+++ b/internal/loadtest/compare.go
@@ -9,7 +9,7 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Difference compares one metric of two builds or settings, each measured in one or more runs.
+// Difference compares one metric between two sides, such as builds or settings. Each side has one or more runs.
 type Difference struct {
 	Path      string     `json:"path"`
 	Class     string     `json:"class"` // class name, or "all"
@@ -26,7 +26,7 @@
 	WithinNoise  = "within noise"
 	Better       = "better"
 	Worse        = "worse"
-	Differs      = "differs" // for a metric of which neither more nor less is better
+	Differs      = "differs" // for a metric without a better direction
 	NoiseUnknown = "noise unknown"
 )
 
@@ -177,8 +177,8 @@
 	return c, found, nil
 }
 
-// setVerdict decides whether the difference exceeds the noise. For that, the difference must exceed twice its standard
-// error, and the values of the two sides must not overlap, because a few runs give a poor estimate of the variance.
+// setVerdict decides whether the difference exceeds the noise: it must be over twice its standard error, and the ranges of
+// the two sides must not overlap, because a few runs give a poor estimate of the variance.
 func (d *Difference) setVerdict(sign float64) {
 	d.Medians = [2]float64{median(d.Base), median(d.Candidate)}
 	d.Noise = -1
--- a/internal/loadtest/connection.go
+++ b/internal/loadtest/connection.go
@@ -17,8 +17,8 @@
 	endAborted                    // the run ended
 )
 
-// clientConnection is an open connection. A reconnect surge or the end of the run can terminate it from another goroutine
-// than the one that reads it.
+// clientConnection is an open connection. A reconnect surge or the end of the run can terminate it from a goroutine other
+// than its reader.
 type clientConnection struct {
 	request        int64 // number of the request
 	conn           *net.TCPConn
@@ -40,7 +40,7 @@
 	return endReason(stored - 1), stored != 0
 }
 
-// track registers an open connection. It returns false once the run has ended.
+// track registers an open connection. It returns false if the run has ended.
 func (e *engine) track(c *clientConnection) bool {
 	e.connectionsMu.Lock()
 	defer e.connectionsMu.Unlock()
--- a/internal/loadtest/engine.go
+++ b/internal/loadtest/engine.go
@@ -15,8 +15,8 @@
 	Scenario *Scenario // deadlines, client behavior, surges and limits
 	Source   Source
 	Length   time.Duration // at least the intended time of the last request; bounds the timeline and a closed loop
-	// Address returns the address that a client of a zone connects to at this moment: that of a host if direct is set, or
-	// else that of a node. It is called from many goroutines.
+	// Address returns the address that a client of a zone connects to at this moment: the address of a host if direct is
+	// set, and that of a node otherwise. It is called from many goroutines.
 	Address func(zone string, direct bool) (string, error)
 	// Hosts are the names of the hosts over which the scenario's initial connections are spread.
 	Hosts []string
@@ -37,23 +37,26 @@
 	recorder  *statsRecorder
 	begin     time.Time
 	deadlines map[string]time.Duration // by class
+
 	clients   sync.WaitGroup
 	open      atomic.Int64 // connections that are established or being set up
 	started   atomic.Int64 // requests, including unsent ones
 	dialCount atomic.Uint64
 
+	// Start and end of the run.
 	requestsBegin chan struct{}   // closed when the first request may be sent
 	stop          chan struct{}   // closed when the run ends
 	dialContext   context.Context // canceled when the run ends
 	cancelDials   context.CancelFunc
 	ended         atomic.Bool
 
-	connectionsMu   sync.Mutex
-	connections     map[*clientConnection]struct{}
+	connectionsMu sync.Mutex // guards connections, and the change of ended
+	connections   map[*clientConnection]struct{}
+
 	sourceAddresses []net.Addr // connections are bound to them in turn; if nil, the system chooses
 
 	localErrorOnce sync.Once
-	localError     atomic.Pointer[error] // why the generator could not send the first of the unsent requests
+	localError     atomic.Pointer[error] // why the generator could not send the first unsent request
 }
 
 // Run sends the requests of the source until its end or until ctx ends, and returns the result. If the source cannot be
@@ -128,11 +131,11 @@
 	return ctxtime.Sleep(ctx, at-e.now())
 }
 
-// outcomePollInterval is the interval at which awaitOutcomes checks whether all requests have an outcome.
-const outcomePollInterval = 10 * time.Millisecond
+// outcomeCheckInterval is the interval at which awaitOutcomes checks whether all requests have an outcome.
+const outcomeCheckInterval = 10 * time.Millisecond
 
-// awaitOutcomes waits until all requests have an outcome, and then until no connection is open. It does not wait for open
-// connections once Limits.Linger has passed since the call.
+// awaitOutcomes waits until all requests have an outcome, and then until no connection is open. It stops
+// waiting for open connections when Limits.Linger has passed since the call.
 func (e *engine) awaitOutcomes(ctx context.Context) {
 	lingerEnd := time.Now().Add(e.scenario.Limits.Linger.AsDuration())
 	for ctx.Err() == nil {
@@ -142,6 +145,6 @@
 		if inFlight == 0 && (time.Now().After(lingerEnd) || e.open.Load() == 0) {
 			return
 		}
-		time.Sleep(outcomePollInterval)
+		time.Sleep(outcomeCheckInterval)
 	}
 }
--- a/internal/loadtest/engine_test.go
+++ b/internal/loadtest/engine_test.go
@@ -18,8 +18,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// The server stalls for 2 s of 4 s, which affects half of the requests. A closed loop sends few requests during the stall
-// and hides it by coordinated omission.
+// The server stalls for 2 s of a run of 4 s, which affects half of the requests of an open loop. A closed loop sends few
+// requests during the stall and hides the stall by coordinated omission.
 func TestRun_ServerStalls_OnlyOpenLoopSeesIt(t *testing.T) {
 	measure := func(loop string) *Result {
 		var stall sync.RWMutex
@@ -52,8 +52,8 @@
 	if share := slowShare(t, closed, 100*time.Millisecond); share > 0.1 {
 		t.Errorf("the closed loop shows the stall for a share of %g of the requests, want it hidden", share)
 	}
-	// The open loop's latencies include the stall. Its service time, that of the served attempt alone, is measured
-	// correctly too, and is what a closed loop would report.
+	// The open loop's latencies include the stall. The service time, which is measured for the served attempt alone, is
+	// correct too, and is the figure that a closed loop would report.
 	if open.Classes[0].Latency["served"].Max < 1500 {
 		t.Errorf("the slowest request of the open loop took %g ms, want at least 1500 ms", open.Classes[0].Latency["served"].Max)
 	}
--- a/internal/loadtest/established.go
+++ b/internal/loadtest/established.go
@@ -13,11 +13,11 @@
 // lifetimeGrace is how long the client waits after a connection's lifetime for the host to close it.
 const lifetimeGrace = time.Second
 
-// messagePrefix starts a line that the host is to echo. The line's intended time follows, as nanoseconds in base 36.
+// messagePrefix starts a line that the host echoes. The line's intended time follows, as nanoseconds in base 36.
 const messagePrefix = "M "
 
-// holdConnection keeps an established connection until it ends. It reconnects at most MaxReconnects times, whenever the
-// connection is migrated, broken or dropped.
+// holdConnection keeps an established connection until it ends. If the connection is migrated, broken or dropped, the
+// client reconnects, at most MaxReconnects times.
 func (c *client) holdConnection(result *attemptResult) {
 	for reconnects := 0; ; {
 		established := time.Now()
@@ -58,8 +58,8 @@
 	}
 }
 
-// readUntilEnd reads an established connection until it ends. It returns the reason and, if the client is to reconnect,
-// the delay before that.
+// readUntilEnd reads an established connection until it ends. It returns the reason for the end, and
+// the delay before the client reconnects if it does.
 func (c *client) readUntilEnd(result *attemptResult) (reason endReason, delay time.Duration) {
 	c.addEstablished(1)
 	defer c.addEstablished(-1)
@@ -122,7 +122,7 @@
 // sendLines sends lines at their intended times until stop is called. A line that falls due while the previous one is
 // still being written is sent late, but contains its intended time.
 func (c *client) sendLines(result *attemptResult) (stop func()) {
-	conn := result.conn // a copy, as close may clear the field while a line is being sent
+	conn := result.conn // a copy, because close may clear the field while a line is being sent
 	interval := c.request.MessageInterval
 	phase := requestRand(c.scenario.Seed^messageStream, c.request.Number).Float64()
 	due := c.now() + time.Duration(phase*float64(interval))
--- a/internal/loadtest/helpers_test.go
+++ b/internal/loadtest/helpers_test.go
@@ -20,7 +20,9 @@
 	}
 	var wg sync.WaitGroup
 	var mu sync.Mutex
-	conns := map[net.Conn]bool{} // a dial canceled as it completes can leave one whose end only keep-alive would detect
+	// conns are the open connections, which the cleanup closes. A dial that is canceled as it completes can leave a
+	// connection whose end only keep-alive would detect.
+	conns := map[net.Conn]bool{}
 	t.Cleanup(func() {
 		_ = l.Close()
 		mu.Lock()
@@ -111,7 +113,7 @@
 	t.Helper()
 	for begin := time.Now(); !done(); time.Sleep(5 * time.Millisecond) {
 		if time.Since(begin) > 20*time.Second {
-			t.Fatalf("not within 20 s: %s", what)
+			t.Fatalf("timed out after 20 s waiting until %s", what)
 		}
 	}
 }
--- a/internal/loadtest/initial.go
+++ b/internal/loadtest/initial.go
@@ -15,7 +15,7 @@
 	maxInitialDials = 64
 )
 
-// openInitialConnections establishes the connections that the hosts have from before the run. If one of them cannot be
+// openInitialConnections establishes the connections that exist at the hosts before the run. If one of them cannot be
 // established in time, it closes all others and returns an error.
 func (e *engine) openInitialConnections(ctx context.Context) error {
 	n := e.scenario.InitialConnections.Count
@@ -50,8 +50,8 @@
 	return nil
 }
 
-// runInitialConnection establishes one connection, reports that to established, waits for the requests to begin, and then
-// holds the connection.
+// runInitialConnection establishes one connection and sends nil to established. It then waits for the requests to begin,
+// and holds the connection. If it cannot establish the connection in time, it sends an error to established.
 func (e *engine) runInitialConnection(ctx context.Context, c *client, established chan<- error, releaseSlot func()) {
 	for {
 		result := c.attempt(e.newID(), fieldEstablishedAt+c.request.Host)
--- a/internal/loadtest/latency_bounds_test.go
+++ b/internal/loadtest/latency_bounds_test.go
@@ -9,7 +9,7 @@
 )
 
 // latencyBounds bounds the latency of each request from outside the generator. The lower bound ends just before the
-// server writes the answer, the upper bound when it sees the client close. Both are measured from the intended time.
+// server writes the answer, the upper bound when the server sees the client close the connection. Both are measured from the intended time.
 type latencyBounds struct {
 	mu            sync.Mutex
 	intendedByKey map[string]time.Duration // intended times by key
@@ -19,7 +19,7 @@
 	upper         []observation            // ends of the upper bounds
 }
 
-// observation is the time at which the server observed an event of the request with a key.
+// observation is the time at which the server observed an event of a request, and the key of the request.
 type observation struct {
 	key string
 	t   time.Time
@@ -32,7 +32,8 @@
 	*list = append(*list, observation{strings.Fields(line)[2], now})
 }
 
-// requestSent records a request. As no request is sent before its intended time, it also bounds the start of the run.
+// requestSent records a request. Because no request is sent before its intended time, the record also bounds the start of
+// the run.
 func (b *latencyBounds) requestSent(r Request) {
 	began := time.Now().Add(-r.IntendedAt)
 	b.mu.Lock()
--- a/internal/loadtest/pacer.go
+++ b/internal/loadtest/pacer.go
@@ -25,7 +25,7 @@
 const (
 	// maxPacerSleep bounds the time until the pacer notices that the run is canceled.
 	maxPacerSleep = 50 * time.Millisecond
-	// spinThreshold is how late a timer of the Go runtime may fire. For waits that are shorter the pacer yields in a
+	// spinThreshold is how late a timer of the Go runtime may fire. For shorter waits, the pacer yields in a
 	// loop. A sleep would also delay the goroutines that the pacer has just started on its processor.
 	spinThreshold = 1200 * time.Microsecond
 )
@@ -137,7 +137,7 @@
 	return sourceError
 }
 
-// sendAndWait sends a request now and returns when its outcome is known. The connection may stay established.
+// sendAndWait sends a request now and returns when its outcome is known. The connection may remain established.
 func (e *engine) sendAndWait(r Request) {
 	r.IntendedAt = e.now()
 	finished := make(chan struct{})
--- a/internal/loadtest/play.go
+++ b/internal/loadtest/play.go
@@ -14,18 +14,23 @@
 
 // PlayOptions are the options of Play. All are optional unless noted.
 type PlayOptions struct {
-	Program    string    // path of the node's executable; required for a scenario with a fleet
-	Targets    []string  // addresses of running nodes; if there are any, no fleet is started
+	// Nodes.
+	Program string   // path of the node's executable; required for a scenario with a fleet
+	Targets []string // addresses of running nodes; if there are any, no fleet is started
+
+	// Outputs during the run.
 	NodeLog    io.Writer // receives the logs of the fleet's nodes
 	Record     string    // path of a trace file that the requests are recorded in
 	Ledger     io.Writer // receives the events of the fake servers as JSON Lines
 	OnProgress func(Progress)
-	Trace      string  // path of a trace that is replayed instead of the scenario's schedule
-	Speed      float64 // speed of the replay; required with Trace
+
+	// Replay.
+	Trace string  // path of a trace that is replayed instead of the scenario's schedule
+	Speed float64 // speed of the replay; required with Trace
 }
 
 // Play starts the fleet of a scenario, runs its load and stops the fleet. text is the scenario's text, which becomes part
-// of the result. If an error occurs once the run has started, Play returns a result as well.
+// of the result. If an error occurs after the run has started, Play also returns a result.
 func Play(ctx context.Context, s *Scenario, text []byte, o PlayOptions) (result *Result, err error) {
 	cfg := Config{Scenario: s, Source: NewSchedule(s), Length: s.Length(), OnProgress: o.OnProgress}
 	if o.Trace != "" {
@@ -73,7 +78,7 @@
 	return result, err
 }
 
-// useTrace configures a run to replay the trace in the options. The caller must close the returned reader.
+// useTrace configures a run to replay the trace that the options name. The caller must close the returned reader.
 func useTrace(cfg *Config, o PlayOptions) (*TraceReader, error) {
 	summary, err := CheckTrace(o.Trace)
 	if err != nil {
--- a/internal/loadtest/receipts.go
+++ b/internal/loadtest/receipts.go
@@ -8,7 +8,7 @@
 	"onyxstream/internal/fakeserver"
 )
 
-// maxReceipts bounds how many receipts are kept.
+// maxReceipts is the maximum number of receipts that are kept.
 const maxReceipts = 1 << 20
 
 // receipts holds the receipts that clients received, by connection id. They are verified against the hosts' events.
--- a/internal/loadtest/replay.go
+++ b/internal/loadtest/replay.go
@@ -18,7 +18,7 @@
 	}
 	for _, class := range trace.Classes {
 		if !known[class] {
-			return fmt.Errorf("class %q of the trace is missing in the scenario, which sets its deadline", class)
+			return fmt.Errorf("class %q of the trace has no deadline: it is missing in the scenario", class)
 		}
 	}
 	known = map[string]bool{}
@@ -33,8 +33,8 @@
 	return nil
 }
 
-// replayLifetime is the lifetime of the classes in ReplayScenario. It has no effect, as each request of a trace has its
-// own lifetime.
+// replayLifetime is the lifetime of the classes in ReplayScenario. It has no effect, because each request of a trace has
+// its own lifetime.
 const replayLifetime = time.Minute
 
 // ReplayScenario returns a scenario for replaying a trace without a scenario file. All classes have the same deadline.
@@ -66,7 +66,8 @@
 const recordQueueSize = 1 << 16
 
 // recordTo records the requests of a run in a trace. A separate goroutine writes the trace, because OnRequest must not
-// block. finish completes the trace after the run and returns an error if requests are missing in it.
+// block. The caller must call finish after the run, which completes the trace and returns an error if the trace lacks
+// requests.
 func recordTo(cfg *Config, path string) (finish func() error, err error) {
 	w, err := CreateTrace(path)
 	if err != nil {
--- a/internal/loadtest/result.go
+++ b/internal/loadtest/result.go
@@ -15,6 +15,7 @@
 
 // Result is the result of a run, with everything needed to repeat the run and to compare it with others.
 type Result struct {
+	// The run.
 	Format   int       `json:"format"`
 	Tool     string    `json:"tool"`
 	Go       string    `json:"go"`
@@ -31,19 +32,23 @@
 	BehindReason  string `json:"behind,omitempty"`
 	PartialReason string `json:"why,omitempty"` // "" unless Partial
 
+	// Measurements of the load.
 	Lateness    Summary       `json:"lateness"` // of the generator: from a request's intended time to its first connect
 	WakeupDelay Summary       `json:"wake"`     // of the generator's sleeping goroutines; every latency includes it
 	Classes     []ClassResult `json:"classes"`
 	Timeline    []Interval    `json:"line"`
 	FleetEvents []FleetEvent  `json:"marks,omitempty"`
-	// WrongReceipts is the number of receipts that no host issued for their connection. It is above 0 only if something
-	// between client and host is faulty.
-	WrongReceipts int64                          `json:"wrong_receipts"`
-	Nodes         *testcluster.Usage             `json:"nodes,omitempty"`
-	Hosts         []HostCount                    `json:"hosts,omitempty"`
-	Discovery     *testcluster.DiscoveryRequests `json:"list,omitempty"`  // list requests to discovery
-	Startup       []testcluster.StartStep        `json:"start,omitempty"` // startup of the fleet, before the first request
-	Generator     testcluster.Usage              `json:"self"`            // of the generator's process, fake servers included
+
+	// WrongReceipts is the number of receipts that no host issued for their connection. It is above 0 only if there is a
+	// fault between client and host.
+	WrongReceipts int64 `json:"wrong_receipts"`
+
+	// The fleet and the generator.
+	Nodes     *testcluster.Usage             `json:"nodes,omitempty"`
+	Hosts     []HostCount                    `json:"hosts,omitempty"`
+	Discovery *testcluster.DiscoveryRequests `json:"list,omitempty"`  // list requests to discovery
+	Startup   []testcluster.StartStep        `json:"start,omitempty"` // startup of the fleet, before the first request
+	Generator testcluster.Usage              `json:"self"`            // of the generator's process, fake servers included
 }
 
 // ownUsage returns the resources that this process has used so far.
@@ -62,27 +67,33 @@
 // ClassResult has the figures of one class on one path: "node" for requests sent to nodes, or "direct" for requests sent
 // to hosts.
 type ClassResult struct {
-	Path          string             `json:"path"`
-	Class         string             `json:"class"`
-	Requests      int64              `json:"asked"`
-	Outcomes      map[string]int64   `json:"outcomes"` // requests by outcome name
-	Attempts      map[string]int64   `json:"tries"`    // attempts by outcome name
-	Late          int64              `json:"late"`     // served requests whose latency exceeded the deadline
-	Latency       map[string]Summary `json:"latency"`  // by outcome name, from the intended time
-	Service       Summary            `json:"service"`  // service time of the served attempt alone
-	Reconnect     Summary            `json:"back"`     // from the intended reconnect until it is served
-	Message       Summary            `json:"message"`
-	LinesSent     int64              `json:"lines_sent"`
-	LinesAnswered int64              `json:"lines_answered"`
-	Completed     int64              `json:"ended"` // established connections that ended as intended
-	Migrated      int64              `json:"moved"`
-	Broken        int64              `json:"broken"`
-	Dropped       int64              `json:"dropped"` // dropped by the client in a reconnect surge
-	Aborted       int64              `json:"cut"`     // still open when the run ended
-	Reconnects    int64              `json:"returns"`
+	Path     string           `json:"path"`
+	Class    string           `json:"class"`
+	Requests int64            `json:"asked"`
+	Outcomes map[string]int64 `json:"outcomes"` // requests by outcome name
+	Attempts map[string]int64 `json:"tries"`    // attempts by outcome name
+	Late     int64            `json:"late"`     // served requests whose latency exceeded the deadline
+
+	// Times.
+	Latency   map[string]Summary `json:"latency"` // by outcome name, from the intended time
+	Service   Summary            `json:"service"` // service time of the served attempt alone
+	Reconnect Summary            `json:"back"`    // from the intended time of a reconnect until it is served
+	Message   Summary            `json:"message"` // from a line's intended time to its echo
+
+	// Lines from clients, and their echoes.
+	LinesSent     int64 `json:"lines_sent"`
+	LinesAnswered int64 `json:"lines_answered"`
+
+	// Established connections by the reason for their end, and reconnects.
+	Completed  int64 `json:"ended"` // ended as intended
+	Migrated   int64 `json:"moved"`
+	Broken     int64 `json:"broken"`
+	Dropped    int64 `json:"dropped"` // dropped by the client in a reconnect surge
+	Aborted    int64 `json:"cut"`     // still open when the run ended
+	Reconnects int64 `json:"returns"`
 }
 
-// Interval is one interval of the timeline. Requests are assigned by their intended time.
+// Interval is one interval of the timeline. A request belongs to the interval of its intended time.
 type Interval struct {
 	At         float64          `json:"at_s"`
 	Width      float64          `json:"width_s"`
@@ -107,7 +118,7 @@
 	Records map[string]int64 `json:"records"`
 }
 
-// Version returns the program's name with the revision it was built from, if known.
+// Version returns the name of the program, with the revision that it was built from if the revision is known.
 func Version() string {
 	version := "onyxstream"
 	if b, ok := debug.ReadBuildInfo(); ok {
--- a/internal/loadtest/scenario.go
+++ b/internal/loadtest/scenario.go
@@ -13,21 +13,27 @@
 
 // Scenario describes a load and, optionally, the fleet to start for it. It is the decoded form of a scenario file.
 type Scenario struct {
-	Name               string                  `toml:"name"`
-	Seed               uint64                  `toml:"seed"`
-	Requests           Requests                `toml:"requests"`
-	Phases             []Phase                 `toml:"phase"`
-	Classes            []Class                 `toml:"class"`
-	Tenants            []WeightedName          `toml:"tenant"`
-	Zones              []WeightedName          `toml:"zone"`
-	Keys               Distribution            `toml:"keys"`
-	Groups             Distribution            `toml:"groups"`
-	Clients            ClientBehavior          `toml:"clients"`
-	Surges             []ReconnectSurge        `toml:"wave"`
-	InitialConnections InitialConnections      `toml:"standing"`
-	Limits             Limits                  `toml:"limits"`
-	Fleet              *testcluster.Config     `toml:"fleet"`
-	Faults             []testcluster.FaultSpec `toml:"fault"`
+	Name string `toml:"name"`
+	Seed uint64 `toml:"seed"`
+
+	// Requests.
+	Requests Requests       `toml:"requests"`
+	Phases   []Phase        `toml:"phase"`
+	Classes  []Class        `toml:"class"`
+	Tenants  []WeightedName `toml:"tenant"`
+	Zones    []WeightedName `toml:"zone"`
+	Keys     Distribution   `toml:"keys"`
+	Groups   Distribution   `toml:"groups"`
+
+	// Clients and their connections.
+	Clients            ClientBehavior     `toml:"clients"`
+	Surges             []ReconnectSurge   `toml:"wave"`
+	InitialConnections InitialConnections `toml:"standing"`
+	Limits             Limits             `toml:"limits"`
+
+	// The fleet to start, and the faults to inject into it.
+	Fleet  *testcluster.Config     `toml:"fleet"`
+	Faults []testcluster.FaultSpec `toml:"fault"`
 }
 
 // Requests describes how requests arrive and are sent.
@@ -108,9 +114,9 @@
 	Retries         int                 `toml:"retries"`   // maximum per request
 	RetryWait       tomlfile.Duration   `toml:"wait"`      // mean wait before a retry without Retry-After
 	Backoff         string              `toml:"backoff"`   // backoffFixed or backoffExponential, both with jitter
-	HonorRetryAfter *bool               `toml:"honour"`    // wait for the Retry-After of a rejection; nil means true
+	HonorRetryAfter *bool               `toml:"honour"`    // wait for the Retry-After delay of a rejection; nil means true
 	MarkRetries     bool                `toml:"marks"`     // mark each retry in its opening line
-	MidFlow         bool                `toml:"mid_flow"`  // try to resume a broken connection mid-flow first
+	MidFlow         bool                `toml:"mid_flow"`  // before a reconnect, try to resume a broken connection mid-flow
 	ReconnectDelay  []tomlfile.Duration `toml:"come_back"` // shortest and longest, after a migration or a broken connection
 	MaxReconnects   int                 `toml:"returns"`   // maximum per client
 }
@@ -129,10 +135,10 @@
 
 // Limits bound the resources of the generator, and the lateness up to which a run is valid.
 type Limits struct {
-	MaxLateness     tomlfile.Duration `toml:"lateness"` // at the 99th percentile; the run is invalid if the generator is later
-	MaxOpen         int               `toml:"open"`     // concurrent connections; requests beyond it are recorded as unsent
+	MaxLateness     tomlfile.Duration `toml:"lateness"` // at the 99th percentile; if the generator is later, the run is invalid
+	MaxOpen         int               `toml:"open"`     // maximum number of concurrent connections; requests beyond it are recorded as unsent
 	SourceAddresses int               `toml:"sources"`  // number of loopback addresses, each with its own port range
-	Linger          tomlfile.Duration `toml:"linger"`   // how long established connections are kept once all requests are sent
+	Linger          tomlfile.Duration `toml:"linger"`   // how long established connections are kept after all requests are sent
 }
 
 // Defaults and bounds of a scenario.
--- a/internal/loadtest/scenario_check.go
+++ b/internal/loadtest/scenario_check.go
@@ -41,7 +41,7 @@
 	return out
 }
 
-// checkOneOf returns the value, or the default if it is empty. It returns an error if the value is not a known one.
+// checkOneOf returns the value, or defaultValue if the value is empty. It returns an error if the value is not in known.
 func checkOneOf(path, value, defaultValue string, known ...string) (string, error) {
 	if value == "" {
 		return defaultValue, nil
@@ -202,7 +202,7 @@
 		return tomlfile.NewFieldError("standing.count", "initial connections require a fleet in the scenario")
 	}
 	if s.Requests.Direct > 0 && s.Fleet == nil {
-		return tomlfile.NewFieldError("requests.direct", "direct requests require a fleet in the scenario, whose hosts are known")
+		return tomlfile.NewFieldError("requests.direct", "direct requests require a fleet in the scenario, because other hosts are unknown")
 	}
 	return firstError(
 		checkSeconds("limits.lateness", l.MaxLateness, 1e-6, time.Minute.Seconds()),
--- a/internal/loadtest/schedule.go
+++ b/internal/loadtest/schedule.go
@@ -83,8 +83,8 @@
 	return c
 }
 
-// interarrival returns the distance to the next request as an expected number of requests: 1 for even arrivals, or a draw
-// from the exponential distribution with mean 1.
+// interarrival returns the distance to the next request, as an expected number of requests: 1 for even arrivals, or a
+// sample of the exponential distribution with mean 1 for Poisson arrivals.
 func (c *Schedule) interarrival() float64 {
 	if c.scenario.Requests.Arrivals == arrivalsEven {
 		return 1
@@ -247,8 +247,8 @@
 	return len(p) - 1
 }
 
-// DropsInSurge reports whether the client of request n drops its connection in a reconnect surge, and the delay until it
-// reconnects.
+// DropsInSurge reports whether the client of request n drops its connection in a reconnect surge. It also returns the
+// delay until the client reconnects.
 func (s *Scenario) DropsInSurge(surge int, n int64) (drops bool, delay time.Duration) {
 	rng := requestRand(s.Seed^surgeStream, n*1009+int64(surge))
 	w := s.Surges[surge]
--- a/internal/loadtest/stats.go
+++ b/internal/loadtest/stats.go
@@ -43,6 +43,7 @@
 
 // classStats are the counters and histograms of one class on one path.
 type classStats struct {
+	// Requests.
 	requests  int64
 	late      int64 // served requests whose latency from the intended time exceeded the deadline
 	outcomes  [outcomeCount]int64
@@ -52,10 +53,11 @@
 	reconnect *hdr.Histogram               // from the intended reconnect until it is served
 	message   *hdr.Histogram               // from a line's intended time to its echo
 
-	completed, migrated, broken, dropped, aborted int64 // established connections by endReason
+	// Established connections by endReason.
+	completed, migrated, broken, dropped, aborted int64
 
 	reconnects               int64
-	linesSent, linesAnswered int64
+	linesSent, linesAnswered int64 // lines from clients, and their echoes
 }
 
 func newClassStats() *classStats {
@@ -70,25 +72,25 @@
 	return s
 }
 
-// bucket has the counters of one interval of the timeline. Requests are assigned by their intended time.
+// bucket has the counters of one interval of the timeline. A request belongs to the interval of its intended time.
 type bucket struct {
 	intended, established, reconnects int64
 	outcomes                          [outcomeCount]int64
 	latency                           *hdr.Histogram // of served requests; nil for none
 }
 
-// maxBuckets bounds the number of buckets: longer runs have wider ones.
+// maxBuckets bounds the number of buckets. Longer runs have wider buckets.
 const maxBuckets = 600
 
 // statsRecorder collects the statistics of a run. Its methods may be called from any goroutine.
 type statsRecorder struct {
-	mu          sync.Mutex
+	mu          sync.Mutex // guards the fields below
 	classes     map[classKey]*classStats
 	lateness    *hdr.Histogram // of the generator: from the intended time to the start of the dial
 	wakeupDelay *hdr.Histogram // how late sleeping goroutines wake up
 	bucketWidth time.Duration
 	timeline    []bucket
-	established int64 // connections at present
+	established int64 // established connections at present
 	started     int64 // requests
 	finished    int64 // requests with an outcome
 }
--- a/internal/loadtest/summary.go
+++ b/internal/loadtest/summary.go
@@ -11,7 +11,7 @@
 const (
 	maxMicros       = int64(10 * time.Minute / time.Microsecond)
 	histogramDigits = 3 // significant decimal digits
-	bucketDigits    = 2 // the same in the timeline, which has many histograms
+	bucketDigits    = 2 // significant decimal digits in the timeline, which has many histograms
 )
 
 func newHistogram(digits int) *hdr.Histogram { return hdr.New(1, maxMicros, digits) }
--- a/internal/loadtest/trace_reader.go
+++ b/internal/loadtest/trace_reader.go
@@ -14,9 +14,9 @@
 	"time"
 )
 
-// columns are the columns of a trace. A trace is a list of requests, one per line, in order of time. It is CSV with a
-// header of column names, or JSON Lines with the same names, and may be compressed with gzip. The columns zone, key,
-// group, message_ms and load are optional.
+// columns are the columns of a trace. A trace is a list of requests, one per line, in order of their intended times. It is
+// CSV with a header of column names, or JSON Lines with the same names, and may be compressed with gzip. The columns zone,
+// key, group, message_ms and load are optional.
 var columns = []string{"id", "at_ms", "class", "tenant", "zone", "key", "group", "life_ms", "message_ms", "load"}
 
 var requiredColumns = []string{"id", "at_ms", "class", "tenant", "life_ms"}
@@ -54,13 +54,15 @@
 
 // TraceReader is a Source that reads a trace in bounded memory. It sorts rows that are slightly out of order.
 type TraceReader struct {
+	// Input.
 	name   string
 	input  *bufio.Reader
 	close  func() error
-	line   int
+	line   int      // number of the current line
 	header []string // column names of CSV; nil for JSON Lines
 	speed  float64
 
+	// State of the sorting and of the detection of duplicate ids.
 	window    rowHeap
 	linesByID map[string]int // line numbers of the last traceWindow rows
 	recentIDs []string       // ring buffer of the keys of linesByID
@@ -229,7 +231,7 @@
 	return nil
 }
 
-// rowHeap is a heap of rows in order of time, and of line for equal times.
+// rowHeap is a heap of rows in order of their intended times, and of their line numbers for equal times.
 type rowHeap []traceRow
 
 func (h rowHeap) Len() int { return len(h) }
--- a/internal/loadtest/trace_recorder.go
+++ b/internal/loadtest/trace_recorder.go
@@ -14,15 +14,16 @@
 	"onyxstream/internal/wire"
 )
 
-// TraceRecorder relays the connections of clients to a node, and records their requests with arrival time, class, key and
-// lifetime as a trace.
+// TraceRecorder relays the connections of clients to a node, and records their requests as a trace: arrival time, class,
+// tenant, key, group, lifetime and mean message interval.
 type TraceRecorder struct {
 	target string
 	out    *TraceWriter
 
+	// mu guards the fields below, and the fields of pending requests.
 	mu          sync.Mutex
 	begin       time.Time          // arrival of the first request
-	pending     []*recordedRequest // in order of time; each is written once it and all earlier ones are complete
+	pending     []*recordedRequest // in order of arrival; a request is written when it and all earlier requests are complete
 	writeError  error
 	connections map[net.Conn]bool
 	closed      bool
@@ -32,7 +33,7 @@
 
 const (
 	// maxPendingRequests bounds the number of requests that wait for an earlier request to complete. If there are more,
-	// the earlier request is written with its lifetime so far.
+	// the recorder writes the earlier request with its lifetime so far.
 	maxPendingRequests = 1 << 18
 
 	acceptRetryWait = 5 * time.Millisecond
@@ -44,7 +45,7 @@
 }
 
 // RecordLive listens on an address, relays the connections of clients to target and records their requests in a file,
-// until ctx ends. It calls ready with the address it listens on, and returns the number of recorded requests.
+// until ctx ends. It calls ready with the address that it listens on, and returns the number of recorded requests.
 func RecordLive(ctx context.Context, listen, target, path string, ready func(addr string)) (int64, error) {
 	l, err := net.Listen("tcp", listen)
 	if err != nil {
@@ -112,7 +113,7 @@
 	}
 }
 
-// track registers a connection. It returns false once the recorder is closed.
+// track registers a connection. It returns false if the recorder is closed.
 func (t *TraceRecorder) track(c net.Conn) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -179,8 +180,8 @@
 	return request
 }
 
-// flush writes pending requests from the first on, up to the first incomplete one. While more than maxPending are
-// pending, it completes and writes incomplete ones too. The caller must hold the lock.
+// flush writes the pending requests in order, up to the first incomplete request. While more than maxPending requests are
+// pending, it also completes and writes incomplete requests. The caller must hold the lock.
 func (t *TraceRecorder) flush(maxPending int) {
 	written := 0
 	for written < len(t.pending) && (t.pending[written].ended || len(t.pending)-written > maxPending) {
--- a/internal/loadtest/trace_row.go
+++ b/internal/loadtest/trace_row.go
@@ -23,8 +23,8 @@
 	line int
 }
 
-// parseRow parses a row. With an error, it returns the name of the invalid field, or "" if the error does not concern a
-// single field.
+// parseRow parses a row. If the row is invalid, parseRow returns an error and the name of the invalid field, which is ""
+// if the error does not concern a single field.
 func (t *TraceReader) parseRow(line []byte) (r traceRow, field string, err error) {
 	values, field, err := t.fieldValues(line)
 	if err != nil {
--- a/internal/loadtest/trace_test.go
+++ b/internal/loadtest/trace_test.go
@@ -25,7 +25,7 @@
 const csvHeader = "id,at_ms,class,tenant,life_ms\n"
 
 func TestTraceReader_Invalid_ErrorNamesLineAndField(t *testing.T) {
-	var far strings.Builder // more rows than the window, so that a row at 1 ms after them is too late to be sorted
+	var far strings.Builder // more rows than the window, so that a following row at 1 ms is too late to be sorted
 	for i := range traceWindow + 10 {
 		fmt.Fprintf(&far, "%d,%d,a,b,1\n", i, 1000+i)
 	}
--- a/internal/loadtest/trace_writer.go
+++ b/internal/loadtest/trace_writer.go
@@ -35,7 +35,7 @@
 	return t, err
 }
 
-// Write appends a request. Requests have to be written in order of their intended times.
+// Write appends a request. Requests must be written in order of their intended times.
 func (t *TraceWriter) Write(r Request) error {
 	t.rows++
 	_, err := fmt.Fprintf(t.buffer, "%d,%s,%s,%s,%s,%s,%s,%s,%s,%s\n",
--- a/internal/pki/pki_test.go
+++ b/internal/pki/pki_test.go
@@ -42,7 +42,8 @@
 	return k
 }
 
-// serveRoles starts a TLS server that answers each byte from a client with the client's role. It returns its address.
+// serveRoles starts a TLS server that answers each byte from a client with the client's role. It returns the address of
+// the server.
 func serveRoles(t *testing.T, k *KeyStore) string {
 	t.Helper()
 	l, err := tls.Listen("tcp", "127.0.0.1:0", k.ServerConfig())
--- a/internal/scaletest/measurement.go
+++ b/internal/scaletest/measurement.go
@@ -13,7 +13,7 @@
 const (
 	startupTimeout     = 60 * time.Second
 	propagationTimeout = 10 * time.Second
-	pollInterval       = 10 * time.Millisecond
+	checkInterval      = 10 * time.Millisecond
 
 	// firstRevision is the revision of the endpoint list that nodes start with.
 	firstRevision = 1
@@ -26,7 +26,7 @@
 	fleet       measuredFleet
 	nodes       int
 	propagation *propagationRecorder
-	nextHost    int   // number of changes so far; modulo the number of hosts, the index of the next one's host
+	nextHost    int   // number of changes so far; modulo the number of hosts, the index of the host that changes next
 	revision    int64 // revision of the last change; 0 before the first
 }
 
@@ -92,7 +92,7 @@
 // awaitWatches waits until all nodes watch the endpoint list. It returns false after a timeout or if ctx ends.
 func (m *measurement) awaitWatches(ctx context.Context, timeout time.Duration) bool {
 	deadline := time.Now().Add(timeout)
-	for ; time.Now().Before(deadline) && ctx.Err() == nil; sleep(ctx, pollInterval) {
+	for ; time.Now().Before(deadline) && ctx.Err() == nil; sleep(ctx, checkInterval) {
 		if m.cluster.Discovery.OpenRequests() >= m.nodes {
 			return true
 		}
@@ -133,7 +133,7 @@
 	}
 	deadline := time.Now().Add(propagationTimeout)
 	for !m.propagation.isComplete(m.nodes) && time.Now().Before(deadline) && ctx.Err() == nil {
-		sleep(ctx, pollInterval)
+		sleep(ctx, checkInterval)
 	}
 }
 
--- a/internal/scaletest/propagation.go
+++ b/internal/scaletest/propagation.go
@@ -12,7 +12,7 @@
 // propagationRecorder measures how long changes of the endpoint list take to reach the nodes, based on the nodes' log
 // lines. It is an io.Writer that accepts complete lines of several processes; see lineWriter.
 type propagationRecorder struct {
-	mu        sync.Mutex
+	mu        sync.Mutex                         // guards the fields below
 	changedAt map[int64]time.Time                // by revision
 	latencies map[int64]map[string]time.Duration // by revision and node
 }
--- a/internal/scaletest/run.go
+++ b/internal/scaletest/run.go
@@ -47,8 +47,8 @@
 	return result, runError
 }
 
-// fleetSizes returns the fleets in ascending order of size, with the real one of each size first. Each size of a real
-// fleet is measured with simulated nodes too.
+// fleetSizes returns the fleets in ascending order of size, with the real fleet of a size before the simulated one. Each
+// size of a real fleet is measured with simulated nodes too.
 func (s *Spec) fleetSizes() (sizes []fleetSize) {
 	for _, n := range s.RealSizes {
 		sizes = append(sizes, fleetSize{Real, n})
--- a/internal/scaletest/simulated_node.go
+++ b/internal/scaletest/simulated_node.go
@@ -28,7 +28,7 @@
 // Ping sends no ping and returns false.
 func (discoverySockets) Ping(balancer.ServerID, string) bool { return false }
 
-// simulatedNode is a simulated node from one start to its stop.
+// simulatedNode is one run of a simulated node, from its start to its stop.
 type simulatedNode struct {
 	cancel context.CancelFunc
 	done   chan struct{} // closed when the node has stopped
--- a/tools/testgate/known_failures.go
+++ b/tools/testgate/known_failures.go
@@ -21,7 +21,7 @@
 }
 
 // parseKnownFailures parses lines of the form "package test | cause | issue". It ignores blank lines and lines that begin
-// with #. Errors in a line give its number.
+// with #. An error in a line gives the line number.
 func parseKnownFailures(text string) ([]knownFailure, error) {
 	var known []knownFailure
 	for i, line := range strings.Split(text, "\n") {
