--- a/internal/cli/config_migrate.go
+++ b/internal/cli/config_migrate.go
@@ -45,9 +45,9 @@
 	c := &cobra.Command{
 		Use:   "migrate OLD --to SHAPE -o NEW",
 		Short: "Convert a node's configuration for another deployment",
-		Long: "migrate converts OLD, the JSON configuration of a node, for the deployment that SHAPE describes, a TOML file such as\n" +
-			"examples/shape.toml. It writes the result to NEW and reports what happened to each field. OLD is never changed.\n" +
-			"NEW is validated as a node would validate it, and written atomically.",
+		Long: "migrate converts OLD, a node's JSON configuration, for another deployment. SHAPE is a TOML file that describes this\n" +
+			"deployment, such as examples/shape.toml. migrate writes the result to NEW and reports what happened to each field.\n" +
+			"OLD is never changed. NEW is written atomically, after it has passed the validation of a node.",
 		Example: "  onyxstream config migrate n1.json --to shape.toml --dry-run\n" +
 			"  onyxstream config migrate n1.json --to shape.toml -o n1-new.json",
 		Args: cobra.ExactArgs(1),
@@ -130,8 +130,8 @@
 	return text, info.Mode().Perm(), usageError(err)
 }
 
-// writeNew writes the new configuration atomically, with the permissions of the old one because it contains the same
-// secrets.
+// writeNew writes the new configuration atomically, with the permissions of the old configuration because both
+// contain the same secrets.
 func (m *migration) writeNew(text []byte, mode os.FileMode) error {
 	if err := m.checkTarget(); err != nil {
 		return err
@@ -143,7 +143,7 @@
 	return nil
 }
 
-// checkTarget returns an error if the new file is the old one, or exists without --force.
+// checkTarget returns an error if the new file is the old file, or if it exists and --force is not set.
 func (m *migration) checkTarget() error {
 	newInfo, err := os.Stat(m.newPath)
 	if err != nil {
@@ -151,7 +151,7 @@
 	}
 	oldInfo, err := os.Stat(m.oldPath)
 	if err == nil && os.SameFile(oldInfo, newInfo) {
-		return usageError(fmt.Errorf("%s: is the old configuration, which must not be changed", m.newPath))
+		return usageError(fmt.Errorf("%s: same file as the old configuration, which must not be changed", m.newPath))
 	}
 	if !m.force {
 		return usageError(fmt.Errorf("%s: file exists; use --force to overwrite it", m.newPath))
--- a/internal/scaletest/measurement.go
+++ b/internal/scaletest/measurement.go
@@ -13,7 +13,7 @@
 const (
 	startupTimeout     = 60 * time.Second
 	propagationTimeout = 10 * time.Second
-	pollInterval       = 10 * time.Millisecond
+	checkInterval      = 10 * time.Millisecond
 
 	// firstRevision is the revision of the endpoint list that nodes start with.
 	firstRevision = 1
@@ -26,7 +26,7 @@
 	fleet       measuredFleet
 	nodes       int
 	propagation *propagationRecorder
-	nextHost    int   // number of changes so far; modulo the number of hosts, the index of the next one's host
+	nextHost    int   // number of changes so far; modulo the number of hosts, the index of the host that changes next
 	revision    int64 // revision of the last change; 0 before the first
 }
 
@@ -92,7 +92,7 @@
 // awaitWatches waits until all nodes watch the endpoint list. It returns false after a timeout or if ctx ends.
 func (m *measurement) awaitWatches(ctx context.Context, timeout time.Duration) bool {
 	deadline := time.Now().Add(timeout)
-	for ; time.Now().Before(deadline) && ctx.Err() == nil; sleep(ctx, pollInterval) {
+	for ; time.Now().Before(deadline) && ctx.Err() == nil; sleep(ctx, checkInterval) {
 		if m.cluster.Discovery.OpenRequests() >= m.nodes {
 			return true
 		}
@@ -100,7 +100,7 @@
 	return false
 }
 
-// measurePhase runs f and measures the fleet meanwhile.
+// measurePhase measures the fleet while f runs.
 func (m *measurement) measurePhase(f func()) Phase {
 	begin := time.Now()
 	trafficBefore := m.cluster.Discovery.Traffic()
@@ -119,7 +119,7 @@
 }
 
 // applyChanges makes n changes to the endpoint list at the spec's rate, each to one host. It then waits until all nodes
-// have received them, or until a timeout.
+// have received them, for at most propagationTimeout.
 func (m *measurement) applyChanges(ctx context.Context, n int) {
 	ticker := time.NewTicker(m.spec.changeInterval())
 	defer ticker.Stop()
@@ -133,11 +133,12 @@
 	}
 	deadline := time.Now().Add(propagationTimeout)
 	for !m.propagation.isComplete(m.nodes) && time.Now().Before(deadline) && ctx.Err() == nil {
-		sleep(ctx, pollInterval)
+		sleep(ctx, checkInterval)
 	}
 }
 
-// applyChange marks the next host as draining. Once all hosts drain, it marks them as serving again, one per call.
+// applyChange marks the next host as draining. When all hosts are draining, the following calls mark one host after the
+// other as serving again.
 func (m *measurement) applyChange() {
 	hosts := m.cluster.Hosts()
 	phase := wire.Draining
--- a/internal/scaletest/run.go
+++ b/internal/scaletest/run.go
@@ -22,7 +22,7 @@
 }
 
 // Run measures all fleets of a spec in order of size. If the machine lacks a resource for a fleet, Run stops there and
-// names the resource in the result. In this case and after an error, the result has the samples taken until then.
+// names the resource in the result. In this case and after an error, the result has the samples taken so far.
 func Run(ctx context.Context, s Spec, opt Options) (Result, error) {
 	result := Result{Spec: s}
 	var runError error
@@ -47,8 +47,8 @@
 	return result, runError
 }
 
-// fleetSizes returns the fleets in ascending order of size, with the real one of each size first. Each size of a real
-// fleet is measured with simulated nodes too.
+// fleetSizes returns the fleets in ascending order of size, with the real fleet of a size before the simulated one. Each
+// size of a real fleet is measured with simulated nodes too.
 func (s *Spec) fleetSizes() (sizes []fleetSize) {
 	for _, n := range s.RealSizes {
 		sizes = append(sizes, fleetSize{Real, n})
