--- a/balancer/actions.go
+++ b/balancer/actions.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Reason says why a request was rejected or failed. Logs and metrics contain its text.
+// Reason says why a request was rejected or failed. Its text appears in logs and metrics.
 type Reason string
 
 // The reasons for a rejection or a failure.
@@ -26,13 +26,13 @@
 		Server  ServerID
 		Timeout time.Duration
 	}
-	// Reject is a final answer which tells the client that a retry is harmless.
+	// Reject is a final answer that tells the client that a retry is harmless.
 	Reject struct {
 		ID         RequestID
 		RetryAfter time.Duration // 0 for none
 		Reason     Reason
 	}
-	// Fail is a final answer which does not tell the client whether a retry is harmless.
+	// Fail is a final answer that does not tell the client whether a retry is harmless.
 	Fail struct {
 		ID     RequestID
 		Reason Reason
--- a/balancer/api.go
+++ b/balancer/api.go
@@ -14,14 +14,14 @@
 	RequestID string
 )
 
-// MaxRepollDelay bounds the time from the end of a failed list request, or of a watch, to the next WatchList action.
-// If the request failed in less than MaxRepollDelay, the bound is 2*MaxRepollDelay minus the duration of the request.
-// A node must know a change within 6 s after discovery becomes reachable, and a request that is lost at that moment
-// may take up 3 s of that time.
+// MaxRepollDelay bounds the time from the end of a failed list request, or of a watch, to the next WatchList action. If
+// the request failed in less than MaxRepollDelay, the bound is 2*MaxRepollDelay minus the duration of the request. A
+// node must know of a change within 6 s after discovery becomes reachable. A request that is lost at that moment may
+// take 3 of these 6 s.
 const MaxRepollDelay = 2500 * time.Millisecond
 
-// MaxSchedulingDelay is the longest scheduling delay, between a node's reading of its clock and the write that follows,
-// that the drain grace covers.
+// MaxSchedulingDelay is the longest scheduling delay that the drain grace covers. Such a delay lies between a node's
+// reading of its clock and the write that follows.
 const MaxSchedulingDelay = 150 * time.Millisecond
 
 // Effect says how safely a request of a class may be retried.
@@ -62,22 +62,27 @@
 
 // Settings configures a node. The flags whose names begin with May say what the deployment allows.
 type Settings struct {
-	Seed            uint64
-	NodeIndex       int // index of this node in the fleet
-	NodeCount       int
-	Zone            int
+	// The node and its fleet.
+	Seed      uint64
+	NodeIndex int // index of this node in the fleet
+	NodeCount int
+	Zone      int
+
+	// Requests, and where they and the endpoint list come from.
 	Classes         []Class
 	Tenants         []Tenant
-	OverQuotaWeight float64 // fraction of the priority weight that requests of a tenant over its quota have
+	OverQuotaWeight float64 // factor on the priority weight of requests whose tenant is over its quota
 	PassThrough     bool    // pass-through mode: arrivals may be mid-flow
 	PollList        bool    // discovery doesn't push the endpoint list: the node polls it
 
+	// What the deployment and its clients allow.
 	MaxAttempts   int // 0 for no limit
 	MayCancel     bool
 	MayProbe      bool
 	MayNotify     bool
 	MaxRetryAfter time.Duration // longest Retry-After; 0 if clients don't honor it
 
+	// Servers, discovery and zones.
 	DrainGrace        time.Duration // time after which a draining server gets nothing more
 	SlowStartFraction float64       // fraction of its capacity that a server has when it starts
 	SlowStartDuration time.Duration // time from its start until a server has its full capacity
@@ -107,5 +112,5 @@
 	Weight       float64       // capacity in relation to other servers
 	StartedAt    time.Duration // clock time of its last start; 0 if long ago
 	AssumedStart bool          // StartedAt is an assumption because the list may be stale; a later list confirms it
-	EjectFor     time.Duration // how long to eject it because other nodes could not connect to it; 0 for not at all
+	EjectFor     time.Duration // time for which to eject it because other nodes could not connect to it; 0 for no ejection
 }
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -11,24 +11,27 @@
 	sweepInterval  = 200 * time.Millisecond
 	sweepToken     = "sweep"
 	pacingToken    = "wait"
-	timerTolerance = time.Microsecond // timers are truncated to the microsecond, so one may fire that much early
+	timerTolerance = time.Microsecond // timers are truncated to the microsecond, so a timer may fire that much early
 )
 
 // Balancer makes the decisions of one node.
 type Balancer struct {
+	// Settings and the event that is being handled.
 	settings Settings
 	derived  derivedSettings
 	now      time.Duration
 	actions  []Action // actions of the current event
 	rng      *rand.Rand
-	started  bool // the first event has been handled
+	started  bool // the first event has arrived
 
+	// Servers and requests.
 	table      table
 	servers    map[ServerID]*server
 	requests   map[RequestID]*request
 	scans      uint64    // number of the current table scan; marks the servers that the scan has visited
 	reinstated []*server // servers that operators reinstated and that got no request since, in order of reinstatement
 
+	// State that the decisions are based on.
 	fleet   fleetTotals
 	loads   loadEstimates
 	counts  connectionCounts
@@ -40,7 +43,7 @@
 
 // derivedSettings holds minima and sums over all classes and tenants.
 type derivedSettings struct {
-	minMessageObjective time.Duration // 0 if no class has one
+	minMessageObjective time.Duration // 0 if no class has a message latency objective
 	minSetupObjective   time.Duration
 	minDeadline         time.Duration
 	limitRecovery       time.Duration // time in which a reduced load limit recovers
@@ -102,7 +105,7 @@
 	}
 	b.table.finishTransitions(now, b.drainGrace(), b.settings.DrainGrace*9/10, len(b.requests) == 0)
 	b.dispatch(event)
-	if len(b.pacing.queue) > 0 && b.pacing.interval <= 0 { // a setup that ended may make room for queued ones
+	if len(b.pacing.queue) > 0 && b.pacing.interval <= 0 { // a setup that ended may make room for a queued request
 		b.resumeQueue()
 	}
 	b.armPacingTimer()
--- a/balancer/events.go
+++ b/balancer/events.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Event is one thing that happened to the node.
+// Event is an input of Handle: something that happened at the node.
 type Event interface{ event() }
 
 // ListKind says what a ListEvent contains.
@@ -35,9 +35,9 @@
 		Group     string // connections of a group share work if they are on the same server; "" for none
 		TimeLeft  time.Duration
 		Load      float64 // expected load; 0 if unknown
-		Retry     bool
-		MidFlow   bool // packets of a connection that is already established, through another node
-		Reconnect bool // the client reconnects after a reset or a migration
+		Retry     bool    // the client repeats a request
+		MidFlow   bool    // the connection was established through another node; its packets now arrive here
+		Reconnect bool    // the client reconnects after a reset or a migration
 	}
 	// Inherited is a connection that is already established through this node when the balancer starts.
 	Inherited struct {
@@ -83,7 +83,7 @@
 		Deadline        time.Duration // clock time by which all connections must be migrated
 		AdmissionCutoff time.Duration // clock time from which new requests are rejected
 		RetryAfter      time.Duration // Retry-After of those rejections
-		KeepConnections bool          // established connections stay; their packets will pass through other nodes
+		KeepConnections bool          // connections are not migrated; other nodes will take over their packets
 	}
 	// ClientDisconnected reports that a client disconnected. Its request gets no final answer.
 	ClientDisconnected struct{ ID RequestID }
@@ -106,14 +106,14 @@
 
 // The outcomes.
 const (
-	Served Outcome = iota
-	Errored
-	Rejected        // rejected by the server before it did any work
-	ResponseTimeout // the server did not respond in time
-	ConnectFailed   // the node could not connect to the server in time
-	ConnectionReset // the connection to the server broke
-	Cancelled       // the node cancelled the attempt, or the client disconnected
-	NotSent         // nothing was sent to the server
+	Served          Outcome = iota
+	Errored                 // the server responded with an error
+	Rejected                // rejected by the server before it did any work
+	ResponseTimeout         // the server did not respond in time
+	ConnectFailed           // the node could not connect to the server in time
+	ConnectionReset         // the connection to the server broke
+	Cancelled               // the node cancelled the attempt, or the client disconnected
+	NotSent                 // nothing was sent to the server
 )
 
 // ProvesNotExecuted reports whether the outcome proves that the server did not execute the request.
--- a/balancer/eviction.go
+++ b/balancer/eviction.go
@@ -12,8 +12,8 @@
 	return max(min(b.settings.DrainGrace*9/10, b.settings.DrainGrace-MaxSchedulingDelay), 0)
 }
 
-// evictConnections migrates established connections during the graceful shutdown of this node: at an even rate until
-// the deadline, and those of least value first.
+// evictConnections migrates established connections during the graceful shutdown of this node. It spreads the
+// migrations evenly over the time until the deadline and begins with the connections of least value.
 func (b *Balancer) evictConnections() {
 	open := b.connectionsByValue(nil)
 	steps := int(max((b.drain.Deadline-b.now)/sweepInterval, 1))
@@ -24,8 +24,9 @@
 	}
 }
 
-// shedLoad migrates connections off a server until its load has fallen by excess, those of least value first. Whether
-// the last one migrates is random: if many nodes have one connection each on the server, some of these migrate.
+// shedLoad migrates connections off a server, those of least value first, until its load has fallen by excess. Whether
+// the last of them migrates is random, so that if many nodes have one connection each on the server, some of the nodes
+// migrate theirs.
 func (b *Balancer) shedLoad(srv *server, excess float64) {
 	for _, req := range b.connectionsByValue(srv) {
 		if excess < req.load*b.rng.Float64() {
@@ -37,8 +38,8 @@
 	}
 }
 
-// connectionsByValue returns the established connections of a server, or of all servers if srv is nil. Those with the
-// least priority weight per load come first.
+// connectionsByValue returns the established connections of a server, or of all servers if srv is nil, in ascending
+// order of their priority weight per load.
 func (b *Balancer) connectionsByValue(srv *server) []*request {
 	var open []*request
 	for _, req := range b.requests {
--- a/balancer/eviction_test.go
+++ b/balancer/eviction_test.go
@@ -13,7 +13,7 @@
 	s.Classes[1] = Class{SetupLatencyObjective: 300 * ms, Deadline: 2 * time.Second, PriorityWeight: 50}
 	b, _ := nodeWithConnections(t, s, 20)
 	for i := range 10 {
-		b.Handle(0, Inherited{Arrival: Arrival{ID: RequestID(fmt.Sprint("dear", i)), Class: 1, TimeLeft: time.Hour}, Server: "a"})
+		b.Handle(0, Inherited{Arrival: Arrival{ID: RequestID(fmt.Sprint("high", i)), Class: 1, TimeLeft: time.Hour}, Server: "a"})
 	}
 	out := b.Handle(ms, Arrival{ID: "early", TimeLeft: 2 * time.Second})
 	if len(sends(out)) != 1 {
@@ -45,7 +45,7 @@
 			t.Fatalf("fraction %g of the connections migrated after fraction %g of the time", fraction, elapsed)
 		}
 	}
-	if len(migrated) != 50 || migrated[49][:4] != "dear" || migrated[0][:4] == "dear" {
+	if len(migrated) != 50 || migrated[49][:4] != "high" || migrated[0][:4] == "high" {
 		t.Errorf("%d of 50 connections migrated, first %s, last %s", len(migrated), migrated[0], migrated[len(migrated)-1])
 	}
 	b.Handle(11*time.Second, Drain{})
@@ -55,17 +55,17 @@
 		AdmissionCutoff: 11*time.Second + 5*ms,
 		KeepConnections: true,
 	})
-	if out = b.Handle(11*time.Second+ms, Arrival{ID: "unaware", TimeLeft: 2 * time.Second}); len(sends(out)) != 1 {
+	if out = b.Handle(11*time.Second+ms, Arrival{ID: "before-cutoff", TimeLeft: 2 * time.Second}); len(sends(out)) != 1 {
 		t.Errorf("actions for a request before the admission cutoff: %v, want a send", out)
 	}
-	b.Handle(11*time.Second+2*ms, Established{ID: "unaware", Server: sends(out)[0].Server})
+	b.Handle(11*time.Second+2*ms, Established{ID: "before-cutoff", Server: sends(out)[0].Server})
 	for now := 12 * time.Second; now < 20*time.Second; now += sweepInterval {
 		if out = b.Handle(now, Timer{Token: sweepToken}); len(migrations(out)) > 0 {
 			t.Fatalf("migrated %v, want all connections kept", migrations(out))
 		}
 	}
 	b.Handle(20*time.Second, Drain{})
-	if out = b.Handle(21*time.Second, Arrival{ID: "back", TimeLeft: 2 * time.Second}); len(sends(out)) != 1 {
+	if out = b.Handle(21*time.Second, Arrival{ID: "after-drain", TimeLeft: 2 * time.Second}); len(sends(out)) != 1 {
 		t.Errorf("actions for a request after the drain was cancelled: %v, want a send", out)
 	}
 }
--- a/balancer/helpers_test.go
+++ b/balancer/helpers_test.go
@@ -116,7 +116,7 @@
 	return out
 }
 
-// newFleetNode returns a node of a fleet of nodes, with servers none of which is in slow start.
+// newFleetNode returns a node of a fleet with the given numbers of nodes and servers. No server is in slow start.
 func newFleetNode(t *testing.T, index, nodes, servers int) *Balancer {
 	s := testSettings()
 	s.Seed, s.NodeIndex, s.NodeCount = uint64(index)+1, index, nodes
@@ -155,7 +155,7 @@
 	return out
 }
 
-// listDelta returns a delta that follows the first list.
+// listDelta returns the delta after the first list.
 func listDelta(servers ...Server) ListEvent {
 	return ListEvent{Kind: ListDelta, Revision: 2, Servers: servers}
 }
--- a/balancer/housekeeping.go
+++ b/balancer/housekeeping.go
@@ -18,7 +18,7 @@
 	arrivalsThisSecond float64
 }
 
-// sweep does the periodic work that no event triggers.
+// sweep does the periodic work, which depends on time rather than on events.
 func (b *Balancer) sweep() {
 	b.emit(SetTimer{b.now + sweepInterval, sweepToken})
 	b.updateTotals()
@@ -33,8 +33,8 @@
 	b.requestListIfDue()
 }
 
-// updateRates updates the rates at the end of a second. A reconnect surge counts only in part, and the usual rate does
-// not fall while setups are paced.
+// updateRates updates the rates at the end of a second. A reconnect surge counts only in part, and the moving average
+// does not fall while setups are paced.
 func (b *Balancer) updateRates() {
 	setups := min(b.rates.setupsThisSecond, 2*b.rates.setups+1)
 	if b.pacing.interval == 0 || setups > b.rates.setups {
--- a/balancer/load.go
+++ b/balancer/load.go
@@ -3,12 +3,12 @@
 import "cmp"
 
 const (
-	// A server is overloaded if it has at least minOverloadConnections and its load exceeds overloadFactor times its
-	// share of the fleet's load. Both values are those of the design (docs/design.md).
+	// A server is overloaded if it has at least minOverloadConnections connections and its load exceeds overloadFactor
+	// times its share of the fleet's load. Both values are those of the design (docs/design.md).
 	overloadFactor         = 1.5
 	minOverloadConnections = 2
 
-	overloadedFraction          = 0.5    // the fleet is overloaded if more of the known weight was recently limited
+	overloadedFraction          = 0.5    // if more of the known weight was recently limited, the fleet is overloaded
 	lowSampleOverloadedFraction = 1. / 3 // overloadedFraction at a node with a low sample
 
 	loadSmoothing = 0.05 // weight of one load report in the mean loads
@@ -48,7 +48,7 @@
 	b.fleet.load += float64(change) * req.load
 	b.counts.connections += change
 	if srv.connections == 0 {
-		srv.load = 0 // rounding errors must not add up
+		srv.load = 0 // rounding errors must not accumulate
 	}
 	b.counts.byTenant[req.Tenant] += change
 	adjustGroup(b.counts.byGroup, req.Group, change)
@@ -79,7 +79,7 @@
 	*classMean += loadSmoothing * (load - *classMean)
 	b.loads.mean += loadSmoothing * (load - b.loads.mean)
 	if req.Group != "" {
-		b.loads.groupCost = b.loads.mean // the settings don't give the cost of a group
+		b.loads.groupCost = b.loads.mean // an assumption, because the settings don't give the cost of a group
 	}
 }
 
--- a/balancer/midflow_test.go
+++ b/balancer/midflow_test.go
@@ -33,7 +33,7 @@
 		t.Errorf("mid-flow arrival within the drain grace went to %s, want s02", got)
 	}
 	// A node learns of the drain at the start of one event loop turn and sends at the end of another, so a send that is
-	// decided in the last moment of the grace would come after it.
+	// decided in the last moment of the grace would leave the node after the grace.
 	if got := send("late", 1000*ms+b.settings.DrainGrace*19/20, true); got == "s02" {
 		t.Error("mid-flow arrival at the very end of the drain grace was sent to the draining server")
 	}
--- a/balancer/overload.go
+++ b/balancer/overload.go
@@ -37,8 +37,8 @@
 	return srv.loadLimit > 0 && b.now < srv.limitedAt+b.derived.limitRecovery/4
 }
 
-// observeLatency applies a latency report. The message latency of an overloaded server rises at a rate in proportion
-// to the excess load and falls in proportion to the spare capacity, so its slope tells how far to reduce the limit.
+// observeLatency applies a latency report. The message latency of an overloaded server rises at a rate in proportion to
+// the excess load and falls in proportion to the spare capacity, so its slope shows how far to reduce the limit.
 func (b *Balancer) observeLatency(req *request, latency time.Duration) {
 	if req == nil || req.establishedOn == nil {
 		return
@@ -67,8 +67,8 @@
 }
 
 // recordReset counts an established connection that a server reset. A server that resets most of its connections was
-// overloaded before late messages could show it. Its limit becomes half of its earlier load; otherwise all clients
-// would reconnect to it at once.
+// overloaded before late messages could show the overload. Its limit becomes about half of its load before the resets;
+// otherwise all clients would reconnect to it at once.
 func (b *Balancer) recordReset(srv *server) {
 	if b.now > srv.lastResetAt+sweepInterval {
 		srv.resets = 0
--- a/balancer/overload_sim_test.go
+++ b/balancer/overload_sim_test.go
@@ -22,19 +22,21 @@
 	setupCost     time.Duration // time that the backend takes for one setup
 	meanLifetime  time.Duration // mean lifetime of a connection
 
-	deadlines                     []time.Duration // by class
-	times                         []clientTime    // by class
+	deadlines []time.Duration // by class
+	times     []clientTime    // by class
+	// times is complete up to accountedUntil. Later calls of accountTime add no time before accountedFrom.
 	accountedUntil, accountedFrom time.Duration
 }
 
-// clientTime sums up, for a class, the time in which clients wanted a connection and the time in which they had one.
+// clientTime sums up, for a class, the time in which clients wanted a connection and the time in which they had a
+// connection. A client that has a connection also counts as wanting it.
 type clientTime struct {
-	established, wanted         int // present number of clients
+	established, wanted         int // present number of clients with a connection, and of those that want one
 	establishedTime, wantedTime time.Duration
 	attempted, succeeded        int // clients that made a request, and those that got a connection
 }
 
-// served returns the fraction of the wanted time in which clients had a connection.
+// served returns the fraction of wantedTime in which clients had a connection.
 func (c clientTime) served() float64 { return float64(c.establishedTime) / float64(c.wantedTime) }
 
 func newOverloadSim(seed uint64, deadlines []time.Duration) *overloadSim {
@@ -172,8 +174,8 @@
 	})
 }
 
-// accountTime adds the client time since its last call, then adds up and want to the numbers of established and wanted
-// clients of a class.
+// accountTime adds the client time since the last call. It then adds up to the number of clients of a class that have a
+// connection, and want to the number of clients that want one.
 func (sim *overloadSim) accountTime(class, up, want int) {
 	if span := sim.now - max(sim.accountedUntil, sim.accountedFrom); span > 0 {
 		for i := range sim.times {
--- a/balancer/overload_surge_test.go
+++ b/balancer/overload_surge_test.go
@@ -18,7 +18,8 @@
 	early           bool    // the surge is 6 s after the start; in the first 3 s all clients connect at no cost
 }
 
-// simulate returns the served fraction of the wanted client time in the 30 s after the surge.
+// simulate returns the served fraction of the client time (see clientTime) from the start of the simulation until 30 s
+// after the surge.
 func (p reconnectSurge) simulate(seed uint64) float64 {
 	sim := newOverloadSim(seed, []time.Duration{700 * ms, 900 * ms, time.Second, 1200 * ms})
 	sim.setupCost = time.Duration(float64(time.Second) / (p.rate * p.backendCapacity))
@@ -86,8 +87,8 @@
 	deadlines       []time.Duration
 }
 
-// simulate returns the served fraction of the wanted client time in the 30 s after the rollout begins and, by class,
-// the fraction of the clients that got a connection during the rollout.
+// simulate returns the served fraction of the client time from the start of the simulation until 30 s after the rollout
+// begins and, by class, the fraction of the clients that got a connection during the rollout.
 func (p rollingRestart) simulate(seed uint64) (served float64, established []float64) {
 	const (
 		begin, length  = 10 * time.Second, 12 * time.Second
@@ -138,7 +139,7 @@
 func TestPacing_RollingRestart_ServesEveryClass(t *testing.T) {
 	for _, c := range []struct {
 		rollingRestart
-		least float64 // served fraction of the wanted time of all classes
+		least float64 // served fraction of the client time of all classes
 	}{
 		{rollingRestart{nodes: 300, rate: 40, backendCapacity: 6, firstFraction: 0.35, stepFraction: 0.05,
 			deadlines: []time.Duration{700 * ms, 3 * time.Second, 4800 * ms}}, 0.85},
--- a/balancer/overload_test.go
+++ b/balancer/overload_test.go
@@ -51,7 +51,7 @@
 	settings := testSettings()
 	settings.Classes[1].PriorityWeight = 1
 	b, _ := nodeWithConnections(t, settings, 20)
-	b.loads.byClass[0], b.loads.byClass[1] = 100, 1000 // the second class costs ten times as much for the same weight
+	b.loads.byClass[0], b.loads.byClass[1] = 100, 1000 // class 1: ten times the load, same weight
 	for _, id := range []RequestID{"open0", "open1"} {
 		b.Handle(time.Second, LatencyReport{ID: id, Latency: 400 * ms})
 	}
@@ -136,7 +136,8 @@
 	if b.now = 3*time.Second + b.derived.limitRecovery; b.isEjected(s) || b.exceedsLimit(s, &request{}, 100) {
 		t.Error("the server is ejected or its limit has not recovered after limitRecovery")
 	}
-	// The reset of both of two connections is hardly a coincidence; the reset of a single connection may be one.
+	// If a server resets both of its two connections, that is hardly a coincidence. The reset of its only connection
+	// may be one.
 	b, s = nodeWithConnections(t, testSettings(), 1)
 	if reset(time.Second, 0, 1); s.loadLimit != 0 {
 		t.Error("the reset of the only connection limits the server")
--- a/balancer/pacing.go
+++ b/balancer/pacing.go
@@ -2,15 +2,16 @@
 
 import "time"
 
-// All servers may depend on one backend to set up connections, such as a session store. The nodes cannot observe it.
-// If setups fail or are slow at several servers, each node paces its setups and adapts the interval to their outcomes.
+// All servers may depend on one backend to set up connections, such as a session store. No node can observe this
+// backend. If setups fail or are slow at several servers, each node paces its setups and adapts the interval to their
+// outcomes.
 
 const (
 	pacingReleaseFactor    = 16              // multiple of the baseline rate above which pacing ends
 	maxSendInterval        = 3 * time.Second // must be under 4 s: a node that sends to no server for 4 s counts as down
 	initialSetupLimit      = 1               // setups in flight until the first one succeeds
-	maxAwaitingSetup       = 64              // queued requests that wait for one of those setups
-	minConsecutiveFailures = 2               // of different servers in a row; starts pacing at a node with a low sample
+	maxAwaitingSetup       = 64              // queued requests that wait until one of these setups ends
+	minConsecutiveFailures = 2               // failures in a row, at different servers, that start pacing at a low sample
 )
 
 // pacingState is the state of connection setup pacing.
@@ -65,7 +66,7 @@
 		b.rejectOrFail(req, b.derived.minSetupObjective, ReasonSlowStart)
 		return
 	}
-	if b.pacing.nextSendAt <= b.now+timerTolerance { // retry even if no setup ends
+	if b.pacing.nextSendAt <= b.now+timerTolerance { // try again then, even if no setup has ended
 		b.pacing.nextSendAt = b.now + b.derived.minSetupObjective
 	}
 	b.pacing.queue = append(b.pacing.queue, req)
--- a/balancer/pacing_lowsample_test.go
+++ b/balancer/pacing_lowsample_test.go
@@ -152,10 +152,10 @@
 func TestPacing_TimeoutsShorterThanAnySetup_DoNotStartPacing(t *testing.T) {
 	b := lowSampleNode(t)
 	at := time.Second
-	establishConnection(t, b, "well", at, 20*ms, false)
+	establishConnection(t, b, "first", at, 20*ms, false)
 	for i := range 6 {
 		at += 50 * ms
-		id := RequestID(fmt.Sprint("hasty", i))
+		id := RequestID(fmt.Sprint("short", i))
 		sent := false
 		for _, a := range b.Handle(at, Arrival{ID: id, Key: string(id), TimeLeft: 5 * ms}) {
 			if s, ok := a.(Send); ok {
--- a/balancer/pacing_test.go
+++ b/balancer/pacing_test.go
@@ -159,7 +159,7 @@
 		b.Handle(0, Arrival{ID: id, Key: fmt.Sprint(i), TimeLeft: 2 * time.Second})
 		b.Handle(ms, Established{ID: id, Took: 600 * ms})
 	}
-	if b.pacing.interval <= 0 || b.pacing.interval > time.Second/10 { // it was set at the twelfth setup
+	if b.pacing.interval <= 0 || b.pacing.interval > time.Second/10 { // the twelfth setup set the interval
 		t.Errorf("interval %v after 30 setups in the first second, want 0 to 100ms", b.pacing.interval)
 	}
 	b.now = time.Minute
@@ -220,26 +220,26 @@
 	}
 }
 
-// While the backend of all connection setups is overloaded, pacing keeps to the baseline rate, however long that lasts.
-// Afterwards, fast setups soon end pacing.
+// While the backend of all connection setups is overloaded, pacing keeps to the baseline rate, however long the
+// overload lasts. Afterwards, fast setups soon end pacing.
 func TestPacing_SustainedOverload_KeepsBaselineRate(t *testing.T) {
 	s := testSettings()
 	s.NodeCount = 300
 	s.Tenants = []Tenant{{ConnectionQuota: 600}}
 	b := newWarmNode(t, s, 40)
-	type out struct {
+	type sentAttempt struct {
 		id      RequestID
 		attempt int
 		to      ServerID
 		at      time.Duration
 	}
-	var pending []out
+	var pending []sentAttempt
 	n := 0
 	sentCount := 0
 	sent := func(now time.Duration, actions []Action) {
 		for _, q := range sends(actions) {
 			sentCount++
-			pending = append(pending, out{q.ID, len(b.requests[q.ID].attempts) - 1, q.Server, now})
+			pending = append(pending, sentAttempt{q.ID, len(b.requests[q.ID].attempts) - 1, q.Server, now})
 		}
 	}
 	run := func(from, to, every, takes time.Duration, fails bool) {
--- a/balancer/placement.go
+++ b/balancer/placement.go
@@ -15,7 +15,7 @@
 	maxGroupProbes       = 4 // servers on which a group may open its first connection in an overloaded fleet
 	lowSampleGroupProbes = 2 // maxGroupProbes at a node with a low sample
 	lowSampleReplicas    = 4 // replicas of each group at a node with a low sample
-	minReconnectReplicas = 3 // replicas among which a reconnecting client gets another one than its first
+	minReconnectReplicas = 3 // replicas among which a reconnecting client gets a replica other than its usual one
 
 	minZoneLocalCost = 0.05 // lowest cross-zone cost at which clients are kept in this node's zone
 )
@@ -68,9 +68,9 @@
 	return int((hash%size + uint64(offset)) % size)
 }
 
-// replicaCount returns the number of replicas of a group, which grows with the group's share of this node's
-// connections and with the number of servers. A node with a low sample can detect neither the size of a group nor a hot
-// spot. There each group has the same small number of replicas, and fewer while much of the fleet's weight is missing,
+// replicaCount returns the number of replicas of a group, which grows with the group's share of this node's connections
+// and with the number of servers. A node with a low sample can detect neither the size of a group nor a hot spot. At
+// such a node each group has the same small number of replicas, and fewer while much of the fleet's weight is missing,
 // because each replica costs load.
 func (b *Balancer) replicaCount(group string) int {
 	servers := float64(len(b.table.members))
@@ -94,8 +94,9 @@
 	return quota > 0 && quota < minOverloadConnections*float64(len(b.table.members))
 }
 
-// isZoneLocal reports whether clients with this preferred entry are kept in this node's zone. All are, or a fraction
-// that the zone's servers have capacity for if every zone gets the same number of clients. The hash decides which ones.
+// isZoneLocal reports whether clients with this preferred entry are kept in this node's zone. All clients are kept if
+// the zone's servers have the capacity, on the assumption that every zone gets the same number of clients. Otherwise
+// only the fraction that these servers have capacity for is kept. The hash decides which clients belong to it.
 func (b *Balancer) isZoneLocal(hash uint64) bool {
 	if b.settings.CrossZoneCost < minZoneLocalCost {
 		return false
@@ -172,7 +173,7 @@
 type tableScan struct {
 	*Balancer
 	request       *request
-	zoneLocal     bool
+	zoneLocal     bool // only servers in this node's zone are preferred
 	pastPreferred bool // the scan has visited the preferred server
 	probesLeft    int  // servers on which the group may still open its first connection in an overloaded fleet
 
--- a/balancer/placement_test.go
+++ b/balancer/placement_test.go
@@ -114,8 +114,8 @@
 	}
 }
 
-// A server that operators reinstated soon gets a request, even if no client hashes to it: one request only, and none if
-// it drains again before.
+// A server that operators reinstated soon gets a request, even if no client hashes to it. It gets only one such
+// request, and none if it drains again before that.
 func TestOverride_ReinstatedServer_IsUsedSoon(t *testing.T) {
 	s := testSettings()
 	b, _ := nodeWithConnections(t, s, 4)
@@ -151,7 +151,7 @@
 	}
 	override(at+6*time.Second, Live)
 	override(at+7*time.Second, Draining)
-	if arrive(at+10*time.Second, "out again"); on["b"] != 1 || len(b.reinstated) > 0 {
+	if arrive(at+10*time.Second, "drained again"); on["b"] != 1 || len(b.reinstated) > 0 {
 		t.Errorf("requests by server after b drained again: %v, want b:1", on)
 	}
 }
--- a/balancer/polling_test.go
+++ b/balancer/polling_test.go
@@ -45,15 +45,15 @@
 	}
 }
 
-// Whatever list requests have failed before, and however many nodes there are, the next one follows within
-// MaxRepollDelay, or within twice that minus the duration of the failed request. The first one of a node follows within
-// 4 s.
+// However many list requests have failed, and however many nodes there are, the next list request follows within
+// MaxRepollDelay, or within 2*MaxRepollDelay minus the duration of the failed request. The first list request of a node
+// follows within 4 s.
 func TestPolling_AnyFailures_NextRequestInTime(t *testing.T) {
 	for _, nodes := range []int{1, 3, 25, 40, 300, 3000} {
-		for _, within := range []time.Duration{time.Second, 10 * time.Second, time.Minute} {
+		for _, interval := range []time.Duration{time.Second, 10 * time.Second, time.Minute} {
 			for _, took := range []time.Duration{0, time.Second, 3 * time.Second} {
 				s := testSettings()
-				s.NodeCount, s.PollInterval = nodes, max(within, 4*time.Second)
+				s.NodeCount, s.PollInterval = nodes, max(interval, 4*time.Second)
 				worst := time.Duration(0)
 				for seed := range uint64(10) {
 					s.Seed = seed
@@ -64,16 +64,16 @@
 							b.Handle(now, ListEvent{Kind: ListFailed})
 							since, failsAt = now, time.Hour
 						}
-						polled := false
+						requested := false
 						for _, a := range b.Handle(now, Timer{Token: sweepToken}) {
 							_, watch := a.(WatchList)
-							polled = polled || watch
+							requested = requested || watch
 						}
-						if !polled {
+						if !requested {
 							continue
 						}
 						if limit := 4*time.Second + sweepInterval; fails == 0 && now-since > limit {
-							t.Fatalf("%d nodes, poll interval %v: first list request after %v", nodes, within, now-since)
+							t.Fatalf("%d nodes, poll interval %v: first list request after %v", nodes, interval, now-since)
 						}
 						if fails > 0 {
 							worst = max(worst, now-since)
@@ -83,7 +83,7 @@
 					}
 				}
 				if limit := max(MaxRepollDelay, 2*MaxRepollDelay-took); worst > limit {
-					t.Errorf("%d nodes, poll interval %v, requests that take %v: next list request after %v, want at most %v", nodes, within, took, worst, limit)
+					t.Errorf("%d nodes, poll interval %v, requests that take %v: next list request after %v, want at most %v", nodes, interval, took, worst, limit)
 				}
 			}
 		}
@@ -139,10 +139,10 @@
 // listSim simulates a discovery service that processes the list requests of many nodes one after the other, including
 // those that have timed out.
 type listSim struct {
-	t        *testing.T
-	nodes    []*Balancer
-	lastPoll []time.Duration
-	queue    []*listRequest
+	t           *testing.T
+	nodes       []*Balancer
+	lastRequest []time.Duration
+	queue       []*listRequest
 }
 
 func (l *listSim) start(i int) {
@@ -174,12 +174,12 @@
 		for _, a := range n.Handle(now, Timer{Token: sweepToken}) {
 			if _, ok := a.(WatchList); ok {
 				l.queue = append(l.queue, &listRequest{from: i, at: now})
-				l.lastPoll[i] = now
+				l.lastRequest[i] = now
 			}
 		}
 		interval := n.settings.PollInterval
-		if !n.polling.watching && now-l.lastPoll[i] > interval && now-from > interval {
-			l.t.Fatalf("node %d sent its last list request at %v; it is %v", i, l.lastPoll[i], now)
+		if !n.polling.watching && now-l.lastRequest[i] > interval && now-from > interval {
+			l.t.Fatalf("node %d sent its last list request at %v; it is %v", i, l.lastRequest[i], now)
 		}
 	}
 }
@@ -208,7 +208,7 @@
 // Nodes that start at the same time must not keep discovery busy with list requests that have timed out.
 func TestPolling_ManyStarts_AllGetTheList(t *testing.T) {
 	const nodes = 80
-	list := &listSim{t: t, nodes: make([]*Balancer, nodes), lastPoll: make([]time.Duration, nodes)}
+	list := &listSim{t: t, nodes: make([]*Balancer, nodes), lastRequest: make([]time.Duration, nodes)}
 	for i := range nodes {
 		list.start(i)
 	}
--- a/balancer/replicas_test.go
+++ b/balancer/replicas_test.go
@@ -30,8 +30,8 @@
 	}
 }
 
-// Eighty nodes with one or two connections each cannot detect that a group is a quarter of the traffic. Each group has
-// the same small number of replicas, so that no server becomes a hot spot.
+// Eighty nodes with one or two connections each cannot detect that a group makes up a quarter of the traffic. Each
+// group has the same small number of replicas, so that no server becomes a hot spot.
 func TestReplicas_LowSample_AvoidHotSpots(t *testing.T) {
 	const nodes, quota = 80, 350.0
 	var all []*Balancer
@@ -74,14 +74,14 @@
 	s := testSettings()
 	s.NodeCount, s.Tenants = 80, []Tenant{{ConnectionQuota: 350}}
 	n := newWarmNode(t, s, 12)
-	gone := func(id ServerID) bool { return id >= "s06" }
-	count := func(tried bool) (replicas int) {
+	lost := func(id ServerID) bool { return id >= "s06" }
+	count := func(withRetries bool) (replicas int) {
 		for g := range 20 {
 			on := map[ServerID]bool{}
 			for k := range 20 {
 				r := &request{Arrival: Arrival{Group: fmt.Sprint("g", g), Key: fmt.Sprint("k", k)}, load: 1}
 				to := n.selectServer(r)
-				for tried && gone(to.id) && len(r.attempts) < 3 { // connection refused: the server is down
+				for withRetries && lost(to.id) && len(r.attempts) < 3 { // connection refused: the server is down
 					r.attempts = append(r.attempts, attempt{server: to, notExecuted: true})
 					to = n.selectServer(r)
 				}
@@ -94,14 +94,14 @@
 	if got := count(true); got > 50 {
 		t.Errorf("20 groups use %d replicas before the list changes, want at most 50", got)
 	}
-	var lost []Server
+	var removals []Server
 	for _, s := range testFleet(12) {
-		if gone(s.ID) {
+		if lost(s.ID) {
 			s.State = Removed
-			lost = append(lost, s)
+			removals = append(removals, s)
 		}
 	}
-	n.Handle(time.Second, ListEvent{Kind: ListDelta, Revision: 2, Servers: lost})
+	n.Handle(time.Second, ListEvent{Kind: ListDelta, Revision: 2, Servers: removals})
 	if got := count(false); got > 20*2 {
 		t.Errorf("20 groups use %d replicas after the list changed, want at most 40", got)
 	}
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -24,7 +24,7 @@
 }
 
 // isSetup reports whether the last attempt sets up a connection. The first attempt of a mid-flow arrival continues an
-// established one.
+// established connection.
 func (r *request) isSetup() bool { return !r.MidFlow || len(r.attempts) > 1 }
 
 // handleArrival registers and admits a new request.
@@ -240,7 +240,8 @@
 	switch {
 	case e.Outcome == Served:
 		b.recordSuccess(srv)
-	case e.Outcome == ConnectionReset && req.establishedOn != nil: // if the server is down, failed connects eject it
+	case e.Outcome == ConnectionReset && req.establishedOn != nil:
+		// No call of recordFailure: if the server is down, failed connects will eject it.
 		b.recordReset(srv)
 	case e.Outcome == ConnectFailed:
 		b.recordFailure(srv, 4*objective)
--- a/balancer/server.go
+++ b/balancer/server.go
@@ -18,6 +18,7 @@
 
 // server is what this node knows of one listed server, from the endpoint list and from its own traffic.
 type server struct {
+	// Identity, capacity and state in the table.
 	id         ServerID
 	hash       uint64 // hash of the id
 	zone, cell int
@@ -27,31 +28,38 @@
 	changedAt  time.Duration // when it began to drain or fill
 	lastScan   uint64        // number of the last table scan that visited it
 
+	// Last start.
 	startedAt    time.Duration // clock time of its last start; 0 if long ago
 	assumedStart bool          // startedAt is an assumption
 
+	// Entries in the forwarding table.
 	entryCount    int     // number of first-hop entries that it holds
 	entryIndexes  []int32 // indexes of these entries; may include entries that other servers hold by now
 	entriesSorted bool    // entryIndexes is sorted and includes no entries of other servers
 
-	connections int            // established connections and attempts in flight
-	load        float64        // sum of their loads
-	groups      map[string]int // number of them by group
+	// Load by this node.
+	connections int            // number of established connections and attempts in flight
+	load        float64        // sum of the loads of these connections and attempts
+	groups      map[string]int // number of these connections and attempts by group
 
+	// Host overrides.
 	reinstatedAt time.Duration // when operators reinstated it; 0 if never, or if it was used or drained since
 
+	// Outlier ejection.
 	consecutiveFailures int
 	ejectedUntil        time.Duration
 
-	loadLimit        float64       // limit at limitedAt, which recovers in proportion to peakLoad; 0 for no limit
+	// Overload.
+	loadLimit        float64       // load limit as of limitedAt; recovers in proportion to peakLoad; 0 for no limit
 	peakLoad         float64       // highest recent load
 	limitedAt        time.Duration // when loadLimit was last reduced
 	resets           int           // number of connections that it reset in quick succession
 	lastResetAt      time.Duration
-	loadBeforeResets float64
+	loadBeforeResets float64       // load before the first of these resets
 	messageLatency   time.Duration // last reported message latency
 	latencyAt        time.Duration // when messageLatency was reported
 
+	// Slow start.
 	tokens          float64 // connections left in the slow-start budget
 	refilledAt      time.Duration
 	maxPerWindow    int             // bound on sends within any CollapseWindow; 0 for no bound
@@ -82,8 +90,8 @@
 	return int(s.entryIndexes[0])
 }
 
-// sortEntries sorts entryIndexes and removes the entries that other servers hold by now. The list exists because a
-// search of the whole table for a server's entries does not scale.
+// sortEntries sorts entryIndexes and removes the entries that other servers hold by now. Each server has this list
+// because a search of the whole table for the entries of one server does not scale.
 func (s *server) sortEntries(first []*server) {
 	if s.entriesSorted {
 		return
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -42,7 +42,7 @@
 }
 
 // refillByQuota refills the budget for one window. The budget is CollapseMultiple times the connections that, at an
-// even rate over the slow start, fill the server to its share of the tenants' quotas in the largest fleet so far. Once
+// even rate over the slow start, fill the server to its share of the tenants' quotas in the largest fleet so far. When
 // the server has more than half of its capacity, the budget grows with that capacity. A budget below one connection
 // becomes one connection in randomly chosen windows; if it accumulated instead, many nodes would send at the same time.
 func (b *Balancer) refillByQuota(srv *server, factor float64) {
--- a/balancer/slowstart_fleet_test.go
+++ b/balancer/slowstart_fleet_test.go
@@ -13,8 +13,8 @@
 	nodes, servers int
 	seed           uint64
 	rate           float64 // arrivals per second at each node
-	burst          float64 // factor of the rate from 3 s after the server's start on
-	quotaFactor    float64 // factor of the quotas in the nodes' settings, to check that the test detects budgets that are too large
+	burst          float64 // factor on the rate from 3 s after the server's start
+	quotaFactor    float64 // factor on the quotas in the nodes' settings; above 1, the budgets are too large
 }
 
 // slowStartResult is the result of a slowStartRun.
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -69,7 +69,7 @@
 	}
 }
 
-// The budget grows with the server's capacity once the server has more than half of it, and all nodes together keep to
+// When a server has more than half of its capacity, its budget grows with the capacity, and all nodes together keep to
 // the budget.
 func TestSlowStart_Warming_BudgetGrows(t *testing.T) {
 	const nodes, servers, quota = 80, 10, 300.0
--- a/balancer/statelists.go
+++ b/balancer/statelists.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// stateLists holds the servers of a table by state. It is updated incrementally, because an endpoint list that replaces
-// half of a large fleet reads it thousands of times.
+// stateLists holds the servers of a table by state. It is updated incrementally because it is read thousands of times
+// when an endpoint list replaces half of a large fleet.
 type stateLists struct {
 	active   []*server    // active servers, sorted by id
 	byParity [2][]*server // active servers of each parity, sorted by id
--- a/balancer/table.go
+++ b/balancer/table.go
@@ -6,15 +6,16 @@
 )
 
 const (
-	// minTableSize is four times the size in the design, so that the servers' shares stay even when servers are added.
+	// minTableSize is four times the minimum in the design (docs/design.md). In a smaller table, the shares of the
+	// servers become uneven when servers are added.
 	minTableSize = 4096
 	// Above largeTableSize entries, the table size grows by minServerEntries per server instead of with the square of
 	// the number of servers. The load of a draining server then goes to at least minServerEntries other servers.
 	largeTableSize   = 1 << 16
 	minServerEntries = 16
 
-	// Estimated memory in bytes. An entry has two hops of one pointer each and is in the entryIndexes of servers, in the
-	// worst case twice. serverMemory covers everything else that is stored for a server.
+	// Estimated memory in bytes. An entry has two hops of one pointer each, and its index is in the entryIndexes of
+	// servers, in the worst case twice. serverMemory covers everything else that is stored for a server.
 	entryMemory  = 2*8 + 2*4
 	serverMemory = 2 << 10
 )
--- a/balancer/table_agreement_test.go
+++ b/balancer/table_agreement_test.go
@@ -63,7 +63,7 @@
 }
 
 // A node whose first list is empty builds the same table from its next list as a node that starts with that list.
-func TestTable_FirstListAfterEmptyOne_IsEven(t *testing.T) {
+func TestTable_ListAfterEmptyList_BuildsSameTable(t *testing.T) {
 	b := newWarmNode(t, testSettings(), 0)
 	b.Handle(time.Second, ListEvent{Kind: ListSnapshot, Revision: 2, Servers: testFleet(4)})
 	same := newWarmNode(t, testSettings(), 4)
--- a/balancer/table_test.go
+++ b/balancer/table_test.go
@@ -47,8 +47,8 @@
 
 var threeEntriesEach = []int{0, 0, 0, 1, 1, 1, 2, 2, 2, 3, 3, 3, 4, 4, 4, 5, 5, 5, 6, 6, 6}
 
-// The drain example of the paper, except that the entries go to the other servers in turn, sorted by id, as
-// docs/design.md specifies.
+// The drain example of the paper behind the design, except that the entries go to the other servers in turn, sorted by
+// id, as docs/design.md specifies.
 func TestTable_Drain_GoesToOtherParity(t *testing.T) {
 	tab, s := newTestTable("0123456", threeEntriesEach)
 	tab.drain(s[4], 0)
@@ -76,8 +76,8 @@
 	}
 }
 
-// The fill example of the paper, with the rule of docs/design.md: entries are taken from the active server that holds
-// the most, by lowest id on a tie.
+// The fill example of the paper behind the design, with the rule of docs/design.md: entries are taken from the active
+// server that holds the most, by lowest id on a tie.
 func TestTable_Fill_TakesTwoThirdsFromMostFrequent(t *testing.T) {
 	tab, all := newTestTable("0123456", []int{0, 0, 0, 1, 1, 1, 1, 3, 5, 3, 3, 3, 1, 3, 5, 5, 5, 5, 6, 6, 6})
 	tab.remove(all[2])
@@ -125,7 +125,7 @@
 }
 
 // Servers keep track of their entries without a search of the table. After any changes a drain moves all entries of a
-// server in order, and a fill takes the lowest one of the server that holds the most.
+// server in order, and a fill takes the lowest entry of the server that holds the most.
 func TestTable_AnyChanges_ServersTrackOwnEntries(t *testing.T) {
 	for seed := range uint64(20) {
 		b, now := newWarmNode(t, testSettings(), 12), time.Duration(0)
--- a/balancer/transition.go
+++ b/balancer/transition.go
@@ -59,7 +59,7 @@
 	}
 }
 
-// fill adds a server and gives it two thirds of an even share of the entries. Each entry is the lowest one of the
+// fill adds a server and gives it two thirds of an even share of the entries. Each of them is the lowest entry of the
 // active server that holds the most entries, by lowest id on a tie. That server becomes the second hop of the entry.
 func (t *table) fill(srv *server, now time.Duration) {
 	if srv.state != inactive {
@@ -109,7 +109,8 @@
 // fillCount returns the number of entries that a new server gets: ceil(floor(entries/servers) * 2/3).
 func fillCount(entries, servers int) int { return (entries/max(servers, 1)*2 + 2) / 3 }
 
-// finishTransitions ends the drains and fills whose time has passed. Fills also end if this node has no requests.
+// finishTransitions ends the drains and fills whose time has passed. If this node has no requests (idle), it ends all
+// fills.
 func (t *table) finishTransitions(now, drainTime, fillTime time.Duration, idle bool) {
 	if !t.changing {
 		return
--- a/internal/node/attempts.go
+++ b/internal/node/attempts.go
@@ -8,7 +8,7 @@
 )
 
 // startAttempt starts an attempt. An attempt that cannot be started ends at once with the outcome NotSent, because the
-// balancer expects exactly one outcome for each.
+// balancer expects exactly one outcome for each attempt.
 func (n *Node) startAttempt(action balancer.Send) {
 	r := n.requests[action.ID]
 	if r == nil || r.answered {
@@ -35,7 +35,8 @@
 	r.conn.Send(Attempt{Number: attempt, Host: host.id, Addr: host.addr, Timeout: action.Timeout})
 }
 
-// endUnsent queues the outcome NotSent for an attempt; final is set if its request is concluded.
+// endUnsent queues the outcome NotSent for an attempt. final is set if the request has its final answer or no longer
+// exists.
 func (n *Node) endUnsent(action balancer.Send, attempt int, final bool) {
 	n.pendingEvents = append(n.pendingEvents, balancer.AttemptEnded{
 		ID:      action.ID,
--- a/internal/node/coldstart.go
+++ b/internal/node/coldstart.go
@@ -12,7 +12,7 @@
 
 // The node's configuration enables the cold start. Package coldstart decides when the node sends list requests and
 // which peer lists it uses; this file and coldstart_*.go carry out these decisions. If the cold start is disabled,
-// scheduler is nil and the node sends a list request whenever the balancer's action WatchList demands it.
+// scheduler is nil and the node sends a list request whenever the balancer returns the action WatchList.
 
 // coldStartState is the state of the cold start.
 type coldStartState struct {
@@ -23,10 +23,10 @@
 	// changes since that list's revision would not show whether the drain is over.
 	needsSnapshot bool
 	// assumedStartAt is the assumed start time of all hosts, by the node's clock, while neither discovery nor a peer
-	// has confirmed the cached list: all hosts may have restarted after a power failure. It is 0 once the list is
+	// has confirmed the cached list, because all hosts may have restarted after a power failure. It is 0 if the list is
 	// confirmed.
 	assumedStartAt time.Duration
-	unreachable    map[string]time.Time // when each unreachable host was found; empty once the list is confirmed
+	unreachable    map[string]time.Time // when each unreachable host was found; empty if the list is confirmed
 	cachedList     atomic.Pointer[CachedList]
 	listAvailable  chan struct{} // closed when the first list is published
 }
@@ -123,7 +123,7 @@
 	n.logPhaseChange()
 }
 
-// confirmList ends the assumption that all hosts have just started, and forgets the unreachable hosts.
+// confirmList ends the assumption that all hosts have just started, and clears the unreachable hosts.
 func (n *Node) confirmList() {
 	if n.assumedStartAt > 0 {
 		n.assumedStartAt = 0
--- a/internal/node/coldstart_peers.go
+++ b/internal/node/coldstart_peers.go
@@ -60,7 +60,8 @@
 }
 
 // completeOffer returns a peer's offer with its present age and its number of hosts. A peer that holds the same list
-// has as many hosts as this node, unless this node has switched to another discovery or revision since its request.
+// has as many hosts as this node, unless this node has switched to another discovery service or revision since its
+// request.
 func (n *Node) completeOffer(peerList PeerList) coldstart.Offer {
 	offer := peerList.Offer
 	offer.Age += time.Since(peerList.At)
@@ -76,7 +77,7 @@
 }
 
 // adoptPeerList replaces the held list with a peer list, but keeps drains that the peer list would lift. Such a drain
-// is this node's own decision, so the published list is as the peer sent it, and the node requests a snapshot from
+// is this node's own decision, so the node publishes the list as the peer sent it. It then requests a snapshot from
 // discovery to learn whether the drain is over.
 func (n *Node) adoptPeerList(peerList PeerList, offer coldstart.Offer, now time.Duration) {
 	published := *peerList.List
--- a/internal/node/coldstart_spread_test.go
+++ b/internal/node/coldstart_spread_test.go
@@ -64,10 +64,10 @@
 			t.Fatalf("%d of %d nodes have sent a list request", len(firstRequests), nodes)
 		}
 		slices.Sort(firstRequests)
-		const together, most = 5 * time.Millisecond, 6
+		const burstWindow, maxBurst = 5 * time.Millisecond, 6
 		for i := range firstRequests {
-			if i >= most && firstRequests[i]-firstRequests[i-most] < together {
-				t.Fatalf("more than %d of %d nodes send a list request within %v: %v", most, nodes, together, firstRequests)
+			if i >= maxBurst && firstRequests[i]-firstRequests[i-maxBurst] < burstWindow {
+				t.Fatalf("more than %d of %d nodes send a list request within %v: %v", maxBurst, nodes, burstWindow, firstRequests)
 			}
 		}
 	})
--- a/internal/node/coldstart_unreachable.go
+++ b/internal/node/coldstart_unreachable.go
@@ -10,8 +10,7 @@
 )
 
 // While the list is unconfirmed, nodes tell each other which hosts they could not connect to, so that a node need not
-// try each of them itself. Once the list is confirmed, it is the better source, and the unreachable hosts are
-// forgotten.
+// try each of these hosts itself. A confirmed list is a better source, so the node then clears its unreachable hosts.
 
 // UnreachableHost is a host of an unconfirmed list that a node could not connect to.
 type UnreachableHost struct {
@@ -87,7 +86,7 @@
 	return max(n.ejectionDuration()-time.Since(foundAt), 0)
 }
 
-// unreachableHosts returns the unreachable hosts, sorted by id, and forgets those whose ejection has ended.
+// unreachableHosts returns the unreachable hosts, sorted by id, and deletes those whose ejection has ended.
 func (n *Node) unreachableHosts() (hosts []UnreachableHost) {
 	duration := n.ejectionDuration()
 	for id, foundAt := range n.unreachable {
--- a/internal/node/discovery.go
+++ b/internal/node/discovery.go
@@ -6,8 +6,8 @@
 	"onyxstream/balancer"
 )
 
-// Delays before the node restarts a broken watch. They apply where discovery pushes changes. Where the node polls
-// discovery instead, the balancer decides when to repeat the list request.
+// Delays before the node restarts a broken watch. They apply if discovery pushes changes. If the node polls discovery
+// instead, the balancer decides when to repeat the list request.
 const (
 	minRewatchDelay  = 300 * time.Millisecond
 	rewatchDelayStep = 50 * time.Millisecond // difference between nodes with consecutive indexes
@@ -17,7 +17,7 @@
 // MaxRewatchDelay is the longest time between the end of a watch and the next list request, without polling.
 const MaxRewatchDelay = minRewatchDelay + (rewatchSlots-1)*rewatchDelayStep + tickInterval
 
-// rewatchDelay returns the delay before a node restarts a broken watch; waiting for the next tick adds up to
+// rewatchDelay returns the delay before a node restarts a broken watch. The wait for the next tick adds up to
 // tickInterval. The delay depends on the node's index, so that nodes that lose their watches together do not all retry
 // together.
 func rewatchDelay(nodeIndex int) time.Duration {
--- a/internal/node/discovery_test.go
+++ b/internal/node/discovery_test.go
@@ -61,7 +61,7 @@
 func TestDiscoveryAddr_Changed_RequestsSnapshot(t *testing.T) {
 	n, transport, _ := newTestNode(t, endpoint("s1", wire.Serving), endpoint("s2", wire.Serving))
 	n.watch()
-	serves := func(when string) {
+	expectAttempt := func(when string) {
 		t.Helper()
 		if conn := arrive(t, n, when); !strings.HasPrefix(conn.recorded(), "send 0 ") {
 			t.Errorf("%s: calls %q, want an attempt", when, conn.recorded())
@@ -74,7 +74,7 @@
 	}
 	n.handle(watchFailed{sequence: 1})
 	n.handle(watchFailed{sequence: 2})
-	serves("after-the-old-watch")
+	expectAttempt("after-the-old-watch")
 	// A late watch event of the old discovery still updates the hosts, but not the revision.
 	n.handle(listReceived{sequence: 1, list: changesOf(900, endpoint("s1", wire.Draining))})
 	if n.revision != NoRevision || n.hosts["s1"].state != balancer.Draining {
@@ -93,7 +93,7 @@
 	if n.hosts["s2"].state != balancer.Removed || n.hosts["s1"].state != balancer.Live {
 		t.Error("the snapshot was not applied")
 	}
-	serves("with-the-new-list")
+	expectAttempt("with-the-new-list")
 }
 
 // Without polling, the node itself must restart a broken watch, after a delay.
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -16,8 +16,8 @@
 
 // DrainPlan describes a drain of the node.
 type DrainPlan struct {
-	Deadline        time.Time     // when all established connections have been migrated
-	AdmissionCutoff time.Time     // requests are admitted until then, as the front may not have noticed the drain yet
+	Deadline        time.Time     // when all established connections must have been migrated
+	AdmissionCutoff time.Time     // requests are admitted until then, because the front may not have noticed the drain
 	RetryAfter      time.Duration // Retry-After for rejected requests
 	KeepConnections bool          // don't migrate established connections; only applies in pass-through mode
 }
--- a/internal/node/hosts.go
+++ b/internal/node/hosts.go
@@ -18,6 +18,7 @@
 
 // hostRecord is the state of a host in the event loop.
 type hostRecord struct {
+	// The host according to the endpoint list and to operators.
 	id          balancer.ServerID
 	addr        string
 	startedAtMS int64         // last start as listed, Unix time in ms
@@ -41,8 +42,8 @@
 	host.state = state
 }
 
-// applyList updates the hosts from a list and passes the list to the balancer. superseded is set if the list belongs to
-// an earlier list request than the last one.
+// applyList updates the hosts from a list and passes the list to the balancer. superseded is set if a later list
+// request has been sent since the request for this list.
 func (n *Node) applyList(list *wire.EndpointList, kind balancer.ListKind, superseded bool) {
 	now := time.Now()
 	n.observeClock(now)
@@ -103,7 +104,7 @@
 	return server
 }
 
-// removeHosts marks hosts that are missing from a complete list as removed, and forgets hosts that were removed more
+// removeHosts marks hosts that are missing from a complete list as removed, and deletes hosts that were removed more
 // than removedHostTTL ago.
 func (n *Node) removeHosts(isComplete bool, listed map[balancer.ServerID]bool, now time.Time) {
 	for id, host := range n.hosts {
--- a/internal/node/latency.go
+++ b/internal/node/latency.go
@@ -7,10 +7,10 @@
 	"onyxstream/balancer"
 )
 
-// Once a second the node measures the message latency of each host that has connections. Where the settings allow it,
-// the node pings the host: a host replies to lines on established connections at once, however long its queue is, so
-// the latency of messages reveals less than a ping. Elsewhere the node takes the median latency of the messages within
-// the second, as this machine may be the cause of a single slow message.
+// Once a second the node measures the message latency of each host that has connections. If the settings allow it, the
+// node pings the host. A ping reveals more than the latency of messages, because a host replies to lines on established
+// connections at once, however long its queue is. Otherwise the node takes the median latency of the messages within
+// the second, because this machine may be the cause of a single slow message.
 
 // hostLatency is the state of a host's latency measurement.
 type hostLatency struct {
@@ -122,7 +122,7 @@
 }
 
 // handlePingResult evaluates a ping. The first slow ping of a healthy host is repeated at once and counts only if the
-// second one confirms it, as this machine may be the cause of a single slow ping.
+// second one confirms it, because this machine may be the cause of a single slow ping.
 func (n *Node) handlePingResult(host *hostRecord, took time.Duration) {
 	host.pingSentAt = time.Time{}
 	if took < 0 {
@@ -160,7 +160,7 @@
 }
 
 // updateBacklog estimates the work queued at a slow host; a ping does not wait in this queue. The estimate assumes that
-// the host was at half of its capacity at its best ping, so that its backlog grows once it is more than twice as slow.
+// the host was at half of its capacity at its best ping, so that its backlog grows while it is more than twice as slow.
 func (n *Node) updateBacklog(host *hostRecord, latency time.Duration, slowdown float64) {
 	if latency <= n.slowMessageThreshold {
 		host.backlog = 0
--- a/internal/node/latency_test.go
+++ b/internal/node/latency_test.go
@@ -105,8 +105,8 @@
 	p.node.handle(pingCompleted{host: p.host.id, took: took})
 }
 
-// A host replies to lines at once, however long its queue is. Where the settings allow it, latency must be measured by
-// pings instead, and by the waiting time of a ping without a response.
+// A host replies to lines at once, however long its queue is. If the settings allow it, the node must therefore measure
+// latency by pings, and by the waiting time of a ping without a response.
 func TestPing_SlowHost_ReportedWhenConfirmed(t *testing.T) {
 	p := newPingTest(t)
 	if len(p.transport.pings) != 1 || p.transport.pings[0] != p.host.id {
@@ -148,7 +148,7 @@
 		{7 * time.Millisecond, 6 * time.Millisecond, true},   // three times its best ping
 		{5 * time.Millisecond, 0, true},                      // still slow
 		{3 * time.Millisecond, 0, false},                     // recovered
-		{30 * time.Millisecond, 30 * time.Millisecond, true}, // slow even without the best ping
+		{30 * time.Millisecond, 30 * time.Millisecond, true}, // slow even if the best ping is subtracted
 	} {
 		p.advanceSecond()
 		p.advanceSecond()
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,7 +1,7 @@
-// Package node runs the event loop of a balancer node. One goroutine, Run, owns the balancer, the requests, the hosts
-// and the timers. Connections and discovery post events to the loop, and the loop calls them through ClientConn and
-// Transport. The methods of these two interfaces never block, so the two sides cannot deadlock. Package balancer makes
-// all placement decisions.
+// Package node runs the event loop of a node, which is one load balancer process. One goroutine, Run, owns the
+// balancer, the requests, the hosts and the timers. Connections and discovery post events to the loop, and the loop
+// calls them through ClientConn and Transport. The methods of these two interfaces never block, so the two sides cannot
+// deadlock. Package balancer makes all placement decisions.
 package node
 
 import (
@@ -19,9 +19,10 @@
 // eventQueueSize is the capacity of the event queue.
 const eventQueueSize = 1024
 
-// Node is the in-memory state of one balancer node. Only the event loop's goroutine may use its fields, except for
-// atomics, channels, and fields that do not change after Run has started.
+// Node is the in-memory state of one node. Only the event loop's goroutine may use its fields, except for atomics,
+// channels, and fields that do not change after Run has started.
 type Node struct {
+	// Fixed by New.
 	settings  settings.Settings
 	balancer  *balancer.Balancer
 	transport Transport
@@ -31,19 +32,22 @@
 	events    chan event
 	done      chan struct{} // closed when Run returns
 
-	pendingEvents []balancer.Event // not yet handled by the balancer
+	// Requests and hosts.
+	pendingEvents []balancer.Event // events that the balancer has not handled yet
 	requests      map[balancer.RequestID]*request
 	hosts         map[balancer.ServerID]*hostRecord
 	classIndex    map[string]int
 	tenantIndex   map[string]int
 	zoneIndex     map[string]int
 
+	// List requests to discovery.
 	discoveryAddr string
 	watchSequence uint64    // sequence number of the last list request
-	revision      int64     // of the endpoint list at discoveryAddr; NoRevision until that address has sent a list
+	revision      int64     // revision of the list from discoveryAddr; NoRevision until that address has sent a list
 	watching      bool      // a watch is active or being started; only used without polling
 	nextWatchAt   time.Time // when to start the next watch; only used without polling
 
+	// Clocks, limits and periodic work.
 	wallClock            wallClock // converts the hosts' listed start times to the node's clock
 	memoryLimitMB        int       // memory available to the node; 0 for no limit on the hosts
 	slowMessageThreshold time.Duration
@@ -51,11 +55,13 @@
 	tickCount            int
 	migrateAllBy         time.Time // deadline for migrating all clients; zero without MigrateAll
 
+	// The node's drain, host overrides, the cold start and the shutdown; each has a file of its own.
 	drainState
 	overrideState
 	coldStartState
 	shutdownState
 
+	// Counters.
 	inFlight        atomic.Int64 // requests without a final answer
 	established     atomic.Int64 // established connections
 	listedHosts     atomic.Int64
--- a/internal/node/notify.go
+++ b/internal/node/notify.go
@@ -61,7 +61,8 @@
 }
 
 // ClientDisconnected reports that the client has disconnected and needs no final answer. attemptsTaken is the number of
-// attempts that its connection has received. The connection never handles a later attempt, so the loop ends it.
+// attempts that its connection has received. The connection never handles a later attempt, so the loop ends such an
+// attempt.
 func (n *Node) ClientDisconnected(id balancer.RequestID, conn ClientConn, attemptsTaken int) {
 	n.post(clientDisconnected{requestRef: requestRef{id: id, conn: conn}, attemptsTaken: attemptsTaken})
 }
--- a/internal/node/overrides.go
+++ b/internal/node/overrides.go
@@ -34,11 +34,11 @@
 }
 
 // SetHostOverride makes a host drain regardless of the endpoint list if drain is set, or lifts this override otherwise.
-// An override of an unlisted host takes effect when the host is listed; with mustExist it returns ErrUnknownHost
-// instead. When an override is lifted, the host counts as restarted at reenabledAt, because the endpoint list may show
-// the restart later; zero means that it was not restarted. SetHostOverride returns nil after the loop has applied the
-// override, or otherwise ErrLoopBusy, ErrStopped, ErrUnknownHost or ErrOverrideLimit. It may be called from any
-// goroutine.
+// An override of an unlisted host takes effect when the host is listed, but if mustExist is set, SetHostOverride
+// returns ErrUnknownHost for such a host instead. When an override is lifted, the host counts as restarted at
+// reenabledAt, because the endpoint list may show the restart later; zero means that the host was not restarted.
+// SetHostOverride returns nil after the loop has applied the override, or otherwise ErrLoopBusy, ErrStopped,
+// ErrUnknownHost or ErrOverrideLimit. It may be called from any goroutine.
 func (n *Node) SetHostOverride(id balancer.ServerID, drain, mustExist bool, reenabledAt time.Time) error {
 	reply := make(chan error, 1)
 	return n.postAndWait(hostOverrideReceived{
--- a/internal/node/pingbaselines.go
+++ b/internal/node/pingbaselines.go
@@ -8,8 +8,8 @@
 	"onyxstream/balancer"
 )
 
-// PingBaseline is the best ping of a host. A process passes it on to another process of the same node, which cannot
-// measure it when it starts under load.
+// PingBaseline is the best ping of a host. During a hot restart, one process of a node passes it on to the other,
+// because a process that starts under load cannot measure it.
 type PingBaseline struct {
 	Host        balancer.ServerID
 	StartedAtMS int64 // the host's last start as listed, Unix time in ms
--- a/internal/node/requests.go
+++ b/internal/node/requests.go
@@ -19,6 +19,7 @@
 
 // request is a client's request, from its opening line to the end of its connection.
 type request struct {
+	// Connection and progress.
 	conn          ClientConn
 	host          *hostRecord // host of the last attempt
 	attempts      int         // number of attempts so far
@@ -28,9 +29,11 @@
 	migrating     bool // the client has been asked to reconnect
 	midFlow       bool // the connection was established through another node, so it is no new work
 
+	// Latency measurement.
 	unresponsive    bool   // at the last tick a message had waited longer than unresponsiveAfter
 	sampledMessages uint64 // MessageStats.Answered when latency was last sampled
 
+	// Data for the check of writes.
 	class             int
 	lastSentAt        time.Time // start of the last attempt
 	mayHaveExecutedAt time.Time // start of the first attempt that the host may have executed; zero if there is none
@@ -225,7 +228,7 @@
 	}
 }
 
-// releaseRequest forgets a request that needs no final answer and has no active attempt.
+// releaseRequest deletes a request that needs no final answer and has no active attempt.
 func (n *Node) releaseRequest(id balancer.RequestID, r *request) {
 	if r.answered && !r.attemptActive && n.requests[id] == r {
 		delete(n.requests, id)
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -8,8 +8,9 @@
 	"onyxstream/balancer"
 )
 
-// The platform sets the time at which a stopped node exits, which may be before the deadlines of its clients. At
-// shutdownAt the balancer gives each request in flight its final answer, because it knows whether a retry is safe.
+// The platform sets the time at which a stopped node exits. This time may be before the deadlines of its clients. At
+// shutdownAt each request in flight therefore gets its final answer from the balancer, which knows whether a retry is
+// safe.
 
 // shutdownState is the state of a graceful shutdown.
 type shutdownState struct {
--- a/internal/node/slowstartcheck.go
+++ b/internal/node/slowstartcheck.go
@@ -38,7 +38,7 @@
 // slowStartBudget returns how many requests all nodes together may send within CollapseWindow to a host that started
 // the given age ago. The host's capacity is estimated as its share, by size among the listed hosts, of all tenants'
 // connection quotas. The budget is CollapseMultiple times the rate that fills this capacity over SlowStartDuration, and
-// it grows once the host is more than half warmed up.
+// it grows while the host is more than half warmed up.
 func (n *Node) slowStartBudget(host *hostRecord, age time.Duration) float64 {
 	totalQuota := 0.0
 	for _, tenant := range n.settings.Tenants {
--- a/internal/node/tick.go
+++ b/internal/node/tick.go
@@ -18,8 +18,8 @@
 	// once a second.
 	maxHostsCountedEachTick = 512
 	// unresponsiveAfter is how long a message may wait for its reply before the host counts as unresponsive. The client
-	// is migrated if this holds at two ticks in a row: after the node itself was suspended, all messages seem to have
-	// waited that long at the first tick.
+	// is migrated if its host is unresponsive at two ticks in a row. One tick is not enough: at the first tick after
+	// the node itself was suspended, all messages seem to have waited that long.
 	unresponsiveAfter = 750 * time.Millisecond
 )
 
--- a/internal/node/timers.go
+++ b/internal/node/timers.go
@@ -10,7 +10,7 @@
 
 type timer struct {
 	at    time.Duration
-	order uint64 // sequence number; timers with the same time fall due in the order they were set
+	order uint64 // sequence number; timers with the same time expire in the order in which they were set
 	token string
 }
 
--- a/internal/node/view.go
+++ b/internal/node/view.go
@@ -18,8 +18,8 @@
 
 // View describes the node's state.
 type View struct {
-	Revision  int64                   // of the endpoint list
-	Hosts     []HostView              // by id
+	Revision  int64                   // revision of the endpoint list
+	Hosts     []HostView              // sorted by id
 	Abandoned map[balancer.Reason]int // rejected and failed requests, by reason
 }
 
--- a/internal/node/wallclock.go
+++ b/internal/node/wallclock.go
@@ -3,7 +3,7 @@
 import "time"
 
 // wallClock converts times by the machine's wall clock, such as the hosts' listed start times, to the node's clock,
-// which does not follow steps of the wall clock. It reads no clock itself: readings of both clocks are passed as
+// which does not follow steps of the wall clock. It reads no clock itself: callers pass readings of both clocks as
 // durations since 1970.
 type wallClock struct {
 	offsets []time.Duration // wall clock minus node's clock, the latest first
@@ -34,8 +34,8 @@
 }
 
 // startTime converts a host's listed start to the node's clock; 0 for long ago. It is not known whether the start was
-// read before or after a step of the wall clock, so the latest possible start is used: no host is taken to be warmer
-// than it is. A start in the future counts as now.
+// read before or after a step of the wall clock, so the latest possible start is used: no host may appear to have
+// warmed up further than it has. A start in the future counts as now.
 func (c *wallClock) startTime(startedAtMS int64, now time.Duration) time.Duration {
 	if startedAtMS == 0 {
 		return 0
