--- a/balancer/outlier_test.go
+++ b/balancer/outlier_test.go
@@ -43,7 +43,8 @@
 	}
 }
 
-func TestOutlier_MostEjected_IsIgnored(t *testing.T) {
+// If more than maxEjectedFraction of the fleet is ejected, ejections are ignored.
+func TestOutlier_MostServersEjected_EjectionsIgnored(t *testing.T) {
 	b := newWarmNode(t, testSettings(), 6)
 	for _, s := range b.servers {
 		b.recordFailure(s, time.Second)
--- a/balancer/overload_test.go
+++ b/balancer/overload_test.go
@@ -80,7 +80,7 @@
 	}
 }
 
-func TestValue_TenantOverQuota_CountsLess(t *testing.T) {
+func TestRelativeValue_TenantOverQuota_IsReduced(t *testing.T) {
 	settings := testSettings()
 	settings.Tenants = []Tenant{{ConnectionQuota: 9}, {ConnectionQuota: 0}}
 	settings.OverQuotaWeight = 0.1
--- a/balancer/pacing_test.go
+++ b/balancer/pacing_test.go
@@ -53,7 +53,7 @@
 		}
 	}
 	if len(answered) != 100 || len(b.requests) != 0 {
-		t.Errorf("%d of 100 requests rejected, %d retained", len(answered), len(b.requests))
+		t.Errorf("%d of 100 requests rejected, %d retained; want 100 and 0", len(answered), len(b.requests))
 	}
 }
 
@@ -111,7 +111,7 @@
 	for i := range 40 { // fast setups, all sent since and at the same time
 		b.observeSetup(&request{}, &attempt{server: b.servers["a"], sentAt: at}, ms, false)
 		if handle(Timer{Token: pacingToken}); b.pacing.interval > 0 && b.pacing.interval <= timerTolerance {
-			t.Fatalf("interval after %d fast setups: %v", i+1, b.pacing.interval)
+			t.Fatalf("interval after %d fast setups: %v, want 0 or more than timerTolerance", i+1, b.pacing.interval)
 		}
 	}
 	if b.pacing.interval != 0 || len(b.pacing.queue) > 0 || sent != 30 {
--- a/balancer/request_test.go
+++ b/balancer/request_test.go
@@ -52,7 +52,7 @@
 			out := b.Handle(c.took, AttemptEnded{ID: "r", Server: first.Server, Took: c.took, Outcome: c.outcome})
 			retries := sends(out)
 			if c.retry != (len(retries) == 1) {
-				t.Fatalf("attempts after the first: %v", retries)
+				t.Fatalf("attempts after the first: %v, want one only if a retry is safe", retries)
 			}
 			now := c.took
 			for i := 1; len(retries) == 1; i++ {
@@ -126,14 +126,14 @@
 		n, objective := newWarmNode(t, s, 10), s.Classes[0].SetupLatencyObjective
 		sent := sends(n.Handle(time.Second, Arrival{ID: "a", Key: "k", TimeLeft: 10 * objective, Retry: c.retry}))
 		if len(sent) != 1 || (sent[0].Timeout > 2*objective) != c.retry {
-			t.Fatalf("%s: first attempt: %v", c.name, sent)
+			t.Fatalf("%s: first attempt: %v, want one, with a long timeout only for a client's retry", c.name, sent)
 		}
 		if c.retry {
 			continue
 		}
 		sent = sends(n.Handle(time.Second+objective, AttemptEnded{ID: "a", Server: sent[0].Server, Took: objective, Outcome: ResponseTimeout}))
 		if len(sent) != 1 || (sent[0].Timeout > 5*objective) != c.longTimeout || sent[0].Timeout > 9*objective {
-			t.Errorf("%s: second attempt: %v", c.name, sent)
+			t.Errorf("%s: second attempt: %v, want one, with a long timeout only at a low sample", c.name, sent)
 		}
 	}
 }
--- a/balancer/slowstart_fleet_test.go
+++ b/balancer/slowstart_fleet_test.go
@@ -149,12 +149,12 @@
 // The budget applies to every window of its length, including those that overlap two refill windows of a node.
 func TestSlowStart_BurstsAroundWindowEnd_KeepBudget(t *testing.T) {
 	for _, nodes := range []int{1, 2, 3, 8} {
-		const hosts = 4
+		const serverCount = 4
 		s := testSettings()
 		s.NodeCount, s.PollList = nodes, false
 		s.Classes = s.Classes[:1]
-		s.Tenants = []Tenant{{ConnectionQuota: 240 * hosts}}
-		servers := testFleet(hosts)
+		s.Tenants = []Tenant{{ConnectionQuota: 240 * serverCount}}
+		servers := testFleet(serverCount)
 		at := time.Hour + 5*time.Second
 		fleet := make([]*Balancer, nodes)
 		for i := range fleet {
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -145,7 +145,8 @@
 	for w := 2; w < 10; w++ {
 		factor := capacityFraction(settings, time.Duration(w)*time.Second)
 		if arrived := float64(nodes * perSecond); sent[w] < arrived*factor/2 || sent[w] > arrived*factor*1.7 {
-			t.Errorf("second %d: %.0f of %.0f requests sent at a slow start factor of %.2f", w, sent[w], arrived, factor)
+			t.Errorf("second %d: %.0f of %.0f requests sent, want half to 1.7 times the slow start factor of %.2f",
+				w, sent[w], arrived, factor)
 		}
 	}
 	for id, times := range on { // the budget follows from the even share of the arrivals
--- a/balancer/table_test.go
+++ b/balancer/table_test.go
@@ -78,7 +78,7 @@
 
 // The fill example of the paper behind the design, with the rule of docs/design.md: entries are taken from the active
 // server that holds the most, by lowest id on a tie.
-func TestTable_Fill_TakesTwoThirdsFromMostFrequent(t *testing.T) {
+func TestTable_Fill_TakesEntriesFromLargestHolders(t *testing.T) {
 	tab, all := newTestTable("0123456", []int{0, 0, 0, 1, 1, 1, 1, 3, 5, 3, 3, 3, 1, 3, 5, 5, 5, 5, 6, 6, 6})
 	tab.remove(all[2])
 	tab.remove(all[4])
@@ -114,7 +114,7 @@
 	}
 }
 
-func TestTable_LastServerDrains_NextFillsEntries(t *testing.T) {
+func TestTable_LastServerDrains_NextServerGetsAllEntries(t *testing.T) {
 	tab, s := newTestTable("0", []int{0, 0, 0})
 	tab.drain(s[0], 0)
 	tab.remove(s[0])
--- a/internal/node/latency.go
+++ b/internal/node/latency.go
@@ -34,7 +34,8 @@
 const (
 	// healthyLatencyFraction is the assumed message latency of a host whose ping equals its best ping, as a fraction of
 	// the shortest message latency objective. It follows that a host counts as slow when its ping is a third above its
-	// best ping, and reaches half of the objective, where the balancer acts, when its ping is twice the best.
+	// best ping, and reaches half of the objective when its ping is twice the best. The balancer reduces the load limit
+	// of a host above 3/8 of the objective.
 	healthyLatencyFraction = 1.0 / 4
 	// pingJitterDivisor determines the largest difference between pings that counts as jitter: slowMessageThreshold
 	// divided by it.
--- a/internal/node/latency_test.go
+++ b/internal/node/latency_test.go
@@ -33,7 +33,8 @@
 	n.handleTick(time.Now())
 	if strings.Count(unresponsive.recorded(), "migrate") != 1 || strings.Contains(healthy.recorded(), "migrate") ||
 		logs.FilterMessageSnippet("host unresponsive").Len() != 1 {
-		t.Errorf("unresponsive: %s; healthy: %s", unresponsive.recorded(), healthy.recorded())
+		t.Errorf("unresponsive: calls %q; healthy: calls %q; want one migration and one log message for the first",
+			unresponsive.recorded(), healthy.recorded())
 	}
 }
 
--- a/internal/node/migrate_test.go
+++ b/internal/node/migrate_test.go
@@ -26,7 +26,7 @@
 	for i := range 4 {
 		n.handleTick(now.Add(time.Duration(i) * tickInterval))
 		if i == 0 && (migrated() == 0 || migrated() > 6) {
-			t.Errorf("%d of 20 migrated at the first of four ticks", migrated())
+			t.Errorf("%d of 20 migrated at the first of four ticks, want 1 to 6", migrated())
 		}
 	}
 	if migrated() != 20 {
--- a/internal/node/requests_test.go
+++ b/internal/node/requests_test.go
@@ -14,17 +14,18 @@
 	n, _, _ := newTestNode(t, endpoint("s1", wire.Serving))
 	conn := arrive(t, n, "r")
 	if conn.recorded() != "send 0 s1:1" || n.InFlightRequests() != 1 {
-		t.Fatalf("calls %q, %d in flight", conn.recorded(), n.InFlightRequests())
+		t.Fatalf("calls %q, %d in flight; want one attempt and 1", conn.recorded(), n.InFlightRequests())
 	}
 	n.handle(attemptConnected{requestRef: requestRef{id: "r"}})
 	n.handle(establishedEvent("r", 0))
 	if conn.recorded() != "send 0 s1:1, proceed 0 true" || n.InFlightRequests() != 0 || n.EstablishedConnections() != 1 {
-		t.Fatalf("calls %q, %d in flight, %d established", conn.recorded(), n.InFlightRequests(), n.EstablishedConnections())
+		t.Fatalf("calls %q, %d in flight, %d established; want the write allowed, 0, 1",
+			conn.recorded(), n.InFlightRequests(), n.EstablishedConnections())
 	}
 	n.handle(&loadReported{requestRef: requestRef{id: "r"}, load: 5})
 	n.handle(endAttemptEvent("r", 0, balancer.Served))
 	if n.EstablishedConnections() != 0 || len(n.requests) != 0 {
-		t.Errorf("%d established, %d requests kept", n.EstablishedConnections(), len(n.requests))
+		t.Errorf("%d established, %d requests kept; want none", n.EstablishedConnections(), len(n.requests))
 	}
 }
 
@@ -82,7 +83,7 @@
 	arrive(t, n, "q")
 	n.handle(clientDisconnected{requestRef: requestRef{id: "q"}, attemptsTaken: 0})
 	if len(n.requests) != 0 || n.InFlightRequests() != 0 {
-		t.Errorf("%d requests kept, %d in flight", len(n.requests), n.InFlightRequests())
+		t.Errorf("%d requests kept, %d in flight; want none", len(n.requests), n.InFlightRequests())
 	}
 }
 
@@ -116,7 +117,7 @@
 	}
 	n.settings.ConnectionGroups = false
 	if a := n.toArrival(parseOpening(t, "OPEN r key c=chat,g=client"), 0); a.Group != "" || a.Tenant != -1 {
-		t.Errorf("without connection groups and tenant: %+v", a)
+		t.Errorf("without connection groups and tenant: %+v, want neither in the arrival", a)
 	}
 }
 
@@ -129,15 +130,16 @@
 		reply := make(chan resumePoint, 1)
 		n.handle(connectionResumed{requestRef: ref, opening: line, reply: reply})
 		if got := <-reply; !got.available || (got.addr != "") != (host == "s1") {
-			t.Errorf("connection to %s resumes at %+v", host, got)
+			t.Errorf("connection to %s resumes at %+v, want it available, with an address only for s1", host, got)
 		}
 		n.handle(connectionInherited{requestRef: ref, opening: line})
 		if n.EstablishedConnections() != 1 || n.InFlightRequests() != 0 {
-			t.Errorf("at %s: %d established, %d in flight", host, n.EstablishedConnections(), n.InFlightRequests())
+			t.Errorf("at %s: %d established, %d in flight; want 1, 0", host, n.EstablishedConnections(), n.InFlightRequests())
 		}
 		n.handle(endAttemptEvent(string(id), 0, balancer.Served))
 		if n.EstablishedConnections() != 0 || len(n.requests) != 0 {
-			t.Errorf("at %s: %d established, %d requests kept after the end", host, n.EstablishedConnections(), len(n.requests))
+			t.Errorf("at %s: %d established, %d requests kept after the end; want none",
+				host, n.EstablishedConnections(), len(n.requests))
 		}
 	}
 }
@@ -178,11 +180,11 @@
 	n.handle(connectionEstablished{requestRef: requestRef{id: "r", conn: first}, took: time.Millisecond})
 	sendDuplicate()
 	if n.InFlightRequests() != 0 || n.EstablishedConnections() != 1 {
-		t.Errorf("%d in flight, %d established", n.InFlightRequests(), n.EstablishedConnections())
+		t.Errorf("%d in flight, %d established; want 0, 1", n.InFlightRequests(), n.EstablishedConnections())
 	}
 	n.handle(attemptEnded{requestRef: requestRef{id: "r", conn: first}, outcome: balancer.Served})
 	if n.EstablishedConnections() != 0 || len(n.requests) != 0 {
-		t.Errorf("%d established, %d requests kept after the end", n.EstablishedConnections(), len(n.requests))
+		t.Errorf("%d established, %d requests kept after the end; want none", n.EstablishedConnections(), len(n.requests))
 	}
 }
 
@@ -199,7 +201,7 @@
 	n.handle(resume) // repeated by the same connection
 	n.handle(clientDisconnected{requestRef: ref})
 	if len(n.requests) != 0 || n.InFlightRequests() != 0 || n.EstablishedConnections() != 0 {
-		t.Errorf("%d requests kept, %d in flight, %d established",
+		t.Errorf("%d requests kept, %d in flight, %d established; want none",
 			len(n.requests), n.InFlightRequests(), n.EstablishedConnections())
 	}
 }
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -27,7 +27,7 @@
 	})
 	n.handle(shutdownRequested{deadline: time.Now().Add(time.Hour)})
 	if n.timeToShutdown(time.Now()) == 0 || n.InFlightRequests() != 3 {
-		t.Fatalf("shutdown in %v, %d in flight", n.timeToShutdown(time.Now()), n.InFlightRequests())
+		t.Fatalf("shutdown in %v, %d in flight; want it later, 3", n.timeToShutdown(time.Now()), n.InFlightRequests())
 	}
 	n.answerInFlight()
 	n.handle(attemptConnected{requestRef: requestRef{id: "dials"}})
--- a/internal/node/wallclock_test.go
+++ b/internal/node/wallclock_test.go
@@ -32,11 +32,11 @@
 }
 
 // A listed start in the future must count as now.
-func TestWallClock_StartAhead_IsNow(t *testing.T) {
+func TestWallClock_StartInFuture_CountsAsNow(t *testing.T) {
 	var c wallClock
 	c.observe(time.Hour, time.Hour)
 	if got := c.startTime((2 * time.Hour).Milliseconds(), time.Hour); got != time.Hour {
-		t.Errorf("start one hour ahead is converted to %v, want 1h", got)
+		t.Errorf("start one hour in the future is converted to %v, want 1h", got)
 	}
 }
 
