--- a/balancer/slowstart_fleet_test.go
+++ b/balancer/slowstart_fleet_test.go
@@ -14,7 +14,7 @@
 	seed           uint64
 	rate           float64 // arrivals per second at each node
 	burst          float64 // factor on the rate from 3 s after the server's start
-	quotaFactor    float64 // factor on the quotas in the nodes' settings; above 1, the budgets are too large
+	quotaFactor    float64 // factor on the nodes' quotas; above 1, budgets are too large, and the test must detect that
 }
 
 // slowStartResult is the result of a slowStartRun.
