--- a/balancer/slowstart_fleet_test.go
+++ b/balancer/slowstart_fleet_test.go
@@ -13,8 +13,8 @@
 	nodes, servers int
 	seed           uint64
 	rate           float64 // arrivals per second at each node
-	burst          float64 // factor of the rate from 3 s after the server's start on
-	quotaFactor    float64 // factor of the quotas in the nodes' settings, to check that the test detects budgets that are too large
+	burst          float64 // factor on the rate from 3 s after the server's start
+	quotaFactor    float64 // factor on the nodes' quotas; above 1, budgets are too large, and the test must detect that
 }
 
 // slowStartResult is the result of a slowStartRun.
@@ -149,12 +149,12 @@
 // The budget applies to every window of its length, including those that overlap two refill windows of a node.
 func TestSlowStart_BurstsAroundWindowEnd_KeepBudget(t *testing.T) {
 	for _, nodes := range []int{1, 2, 3, 8} {
-		const hosts = 4
+		const serverCount = 4
 		s := testSettings()
 		s.NodeCount, s.PollList = nodes, false
 		s.Classes = s.Classes[:1]
-		s.Tenants = []Tenant{{ConnectionQuota: 240 * hosts}}
-		servers := testFleet(hosts)
+		s.Tenants = []Tenant{{ConnectionQuota: 240 * serverCount}}
+		servers := testFleet(serverCount)
 		at := time.Hour + 5*time.Second
 		fleet := make([]*Balancer, nodes)
 		for i := range fleet {
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -69,7 +69,7 @@
 	}
 }
 
-// The budget grows with the server's capacity once the server has more than half of it, and all nodes together keep to
+// When a server has more than half of its capacity, its budget grows with the capacity, and all nodes together keep to
 // the budget.
 func TestSlowStart_Warming_BudgetGrows(t *testing.T) {
 	const nodes, servers, quota = 80, 10, 300.0
@@ -145,7 +145,8 @@
 	for w := 2; w < 10; w++ {
 		factor := capacityFraction(settings, time.Duration(w)*time.Second)
 		if arrived := float64(nodes * perSecond); sent[w] < arrived*factor/2 || sent[w] > arrived*factor*1.7 {
-			t.Errorf("second %d: %.0f of %.0f requests sent at a slow start factor of %.2f", w, sent[w], arrived, factor)
+			t.Errorf("second %d: %.0f of %.0f requests sent, want half to 1.7 times the slow start factor of %.2f",
+				w, sent[w], arrived, factor)
 		}
 	}
 	for id, times := range on { // the budget follows from the even share of the arrivals
