--- a/internal/fakeserver/discovery_admission.go
+++ b/internal/fakeserver/discovery_admission.go
@@ -7,10 +7,10 @@
 
 // DiscoveryLimits is the capacity of a discovery service. The zero value serves any number of calls at once.
 type DiscoveryLimits struct {
-	CallDuration time.Duration // time to serve a list or the start of a watch; requests are served one at a time
-	MaxWait      time.Duration // a request that would wait longer is rejected after this time; 0 for no limit
-	MaxQueue     int           // while this many requests wait, further ones are rejected at once; 0 for no limit
-	RetryAfter   string        // Retry-After header of rejected requests, verbatim; "" for none
+	RequestDuration time.Duration // time to serve a list or the start of a watch; requests are served one at a time
+	MaxWait         time.Duration // a request that would wait longer is rejected after this time; 0 for no limit
+	MaxQueue        int           // while this many requests wait, further ones are rejected at once; 0 for no limit
+	RetryAfter      string        // Retry-After header of rejected requests, verbatim; "" for none
 }
 
 // SetLimits sets the capacity for requests that arrive from now on.
@@ -25,7 +25,7 @@
 func (d *Discovery) admit(w http.ResponseWriter) bool {
 	d.mu.Lock()
 	limits, now := d.limits, d.clock.Now()
-	if limits.CallDuration <= 0 {
+	if limits.RequestDuration <= 0 {
 		d.mu.Unlock()
 		return true
 	}
@@ -33,7 +33,7 @@
 	queueFull := limits.MaxQueue > 0 && d.queued >= limits.MaxQueue
 	tooLate := limits.MaxWait > 0 && start-now > limits.MaxWait
 	if !queueFull && !tooLate {
-		d.idleAt = start + limits.CallDuration
+		d.idleAt = start + limits.RequestDuration
 	}
 	d.queued++
 	d.mu.Unlock()
@@ -47,7 +47,7 @@
 		d.reject(w, "it waited too long")
 		return false
 	}
-	time.Sleep(start + limits.CallDuration - now)
+	time.Sleep(start + limits.RequestDuration - now)
 	return true
 }
 
--- a/internal/soaktest/run.go
+++ b/internal/soaktest/run.go
@@ -70,10 +70,10 @@
 		TenantQuota:     float64(o.Nodes * 20),
 		FrontEjectDelay: tomlfile.Duration(300 * time.Millisecond),
 		Discovery: testcluster.DiscoveryConfig{
-			CallDuration: tomlfile.Duration(time.Millisecond),
-			Push:         p.Push,
-			NodeLinks:    true,
-			PollInterval: tomlfile.Duration(3 * time.Second),
+			RequestDuration: tomlfile.Duration(time.Millisecond),
+			Push:            p.Push,
+			NodeLinks:       true,
+			PollInterval:    tomlfile.Duration(3 * time.Second),
 		},
 	}
 }
--- a/internal/testcluster/cluster.go
+++ b/internal/testcluster/cluster.go
@@ -139,10 +139,10 @@
 		return nil, err
 	}
 	c.Discovery.SetLimits(fakeserver.DiscoveryLimits{
-		CallDuration: c.config.Discovery.CallDuration.AsDuration(),
-		MaxWait:      c.config.Discovery.MaxWait.AsDuration(),
-		MaxQueue:     c.config.Discovery.MaxQueue,
-		RetryAfter:   c.config.Discovery.RetryAfter,
+		RequestDuration: c.config.Discovery.RequestDuration.AsDuration(),
+		MaxWait:         c.config.Discovery.MaxWait.AsDuration(),
+		MaxQueue:        c.config.Discovery.MaxQueue,
+		RetryAfter:      c.config.Discovery.RetryAfter,
 	})
 	return endpoints, nil
 }
--- a/internal/testcluster/config.go
+++ b/internal/testcluster/config.go
@@ -33,15 +33,15 @@
 // DiscoveryConfig describes the discovery service, how nodes use it, and what they know of the endpoint list when they
 // start.
 type DiscoveryConfig struct {
-	CallDuration  tomlfile.Duration `toml:"cost"`        // time to serve a request; requests are served one by one
-	MaxWait       tomlfile.Duration `toml:"wait"`        // a request that would wait longer is rejected; 0 for no limit
-	MaxQueue      int               `toml:"queue"`       // waiting requests; 0 for no limit
-	RetryAfter    string            `toml:"retry_after"` // the header of rejections; "" for none
-	Push          bool              `toml:"push"`        // the nodes' settings say that discovery pushes updates
-	StartsUnknown bool              `toml:"unknown"`     // nodes start without an endpoint list
-	NodeLinks     bool              `toml:"links"`       // each node connects to discovery over a link that can have faults
-	PollInterval  tomlfile.Duration `toml:"ask_within"`  // of the nodes
-	DownAtStart   tomlfile.Duration `toml:"down"`        // how long after the launch requests are reset
+	RequestDuration tomlfile.Duration `toml:"cost"`        // time to serve a request; requests are served one by one
+	MaxWait         tomlfile.Duration `toml:"wait"`        // a request that would wait longer is rejected; 0 for no limit
+	MaxQueue        int               `toml:"queue"`       // waiting requests; 0 for no limit
+	RetryAfter      string            `toml:"retry_after"` // the header of rejections; "" for none
+	Push            bool              `toml:"push"`        // the nodes' settings say that discovery pushes updates
+	StartsUnknown   bool              `toml:"unknown"`     // nodes start without an endpoint list
+	NodeLinks       bool              `toml:"links"`       // each node connects to discovery over a link that can have faults
+	PollInterval    tomlfile.Duration `toml:"ask_within"`  // of the nodes
+	DownAtStart     tomlfile.Duration `toml:"down"`        // how long after the launch requests are reset
 }
 
 // ColdStartConfig describes the table "coldstart" of the nodes' configuration files.
--- a/internal/testcluster/config_check.go
+++ b/internal/testcluster/config_check.go
@@ -108,7 +108,7 @@
 		{"store.latency", c.Store.Latency.AsDuration().Seconds(), 0, 600},
 		{"store.rate", c.Store.CallsPerSecond, 0, 1e9},
 		{"agents", float64(c.Agents), 0, maxAgents},
-		{"list.cost", c.Discovery.CallDuration.AsDuration().Seconds(), 0, 60},
+		{"list.cost", c.Discovery.RequestDuration.AsDuration().Seconds(), 0, 60},
 		{"list.wait", c.Discovery.MaxWait.AsDuration().Seconds(), 0, 600},
 		{"list.queue", float64(c.Discovery.MaxQueue), 0, 1e6},
 		{"list.down", c.Discovery.DownAtStart.AsDuration().Seconds(), 0, 600},
--- a/internal/testcluster/helpers_test.go
+++ b/internal/testcluster/helpers_test.go
@@ -42,10 +42,10 @@
 			SetupWork:      tomlfile.Duration(time.Millisecond),
 		},
 		Discovery: DiscoveryConfig{
-			CallDuration:  tomlfile.Duration(10 * time.Millisecond),
-			MaxWait:       tomlfile.Duration(time.Second),
-			StartsUnknown: true,
-			NodeLinks:     true,
+			RequestDuration: tomlfile.Duration(10 * time.Millisecond),
+			MaxWait:         tomlfile.Duration(time.Second),
+			StartsUnknown:   true,
+			NodeLinks:       true,
 		},
 		ColdStart: &ColdStartConfig{Peers: 4},
 	}
