--- a/cmd/onyxstream/agent_cluster_test.go
+++ b/cmd/onyxstream/agent_cluster_test.go
@@ -55,7 +55,7 @@
 // path returns the path of a file in the cluster's directory.
 func (c *agentCluster) path(name string) string { return filepath.Join(c.dir, name) }
 
-// startNode starts the node with this number and the node's host. It returns the node's entry for the agent's
+// startNode starts the node with the given number and the node's host. It returns the node's entry for the agent's
 // inventory.
 func (c *agentCluster) startNode(t *testing.T, number int) (inventoryEntry string) {
 	t.Helper()
@@ -130,7 +130,7 @@
 	return runProgram(t, append(args, "--agent", c.agentSocket)...)
 }
 
-// mustRun is like runCommand, but the command must exit with status 0.
+// mustRun is like runCommand, but fails the test unless the command exits with status 0.
 func (c *agentCluster) mustRun(t *testing.T, args ...string) {
 	t.Helper()
 	status, stdout, stderr := c.runCommand(t, args...)
--- a/cmd/onyxstream/agent_test.go
+++ b/cmd/onyxstream/agent_test.go
@@ -73,8 +73,9 @@
 	})
 }
 
-// drainDelays returns for each node the time between its applying a drain and its last new request. The test fails if a
-// node exceeded the drain grace, which leaves it out of the result, or did not apply the command exactly once.
+// drainDelays returns, for each node, the time from the moment when the node applied a drain to its last new request. A
+// node that exceeded the drain grace fails the test and is left out of the result. A node that did not apply the
+// command exactly once fails the test.
 func (c *agentCluster) drainDelays(t *testing.T, operation string) (delays []time.Duration) {
 	t.Helper()
 	for i := range clusterSize {
@@ -92,8 +93,8 @@
 	return delays
 }
 
-// The agent is killed halfway through a drain of all nodes. Nodes that have applied the command must stay drained, the
-// others must keep serving. After a restart, the agent must complete the operation.
+// The agent is killed halfway through a drain of all nodes. Nodes that have applied the command must stay drained, and
+// the others must keep serving. After a restart, the agent must complete the operation.
 func TestAgentDrain_AgentKilled_ResumesOperation(t *testing.T) {
 	t.Parallel()
 	cluster := newAgentCluster(t)
@@ -108,7 +109,7 @@
 	eventually(t, "the first node applies the drain", func() bool { return len(cluster.appliedAt(t, 0, "halfway")) == 1 })
 	cluster.killAgent()
 	applied := cluster.appliedAt(t, 0, "halfway")[0]
-	eventually(t, "the grace is over", func() bool { return cluster.clock.Now() > applied+2*time.Second })
+	eventually(t, "the drain grace has passed", func() bool { return cluster.clock.Now() > applied+2*time.Second })
 	if last, _ := cluster.lastNewRequest(0); last > applied+drainGrace {
 		t.Errorf("n1 sent a new request %v after it applied the drain, while no agent ran", last-applied)
 	}
@@ -116,7 +117,7 @@
 		t.Fatal("test is inconclusive: all nodes had applied the drain before the agent was killed")
 	}
 	_, before := cluster.lastNewRequest(2)
-	eventually(t, "the third node goes on serving", func() bool {
+	eventually(t, "the third node keeps serving", func() bool {
 		_, n := cluster.lastNewRequest(2)
 		return n > before+10
 	})
@@ -136,8 +137,7 @@
 func TestAgentCommands_HostsAndOperations_ReportOutcome(t *testing.T) {
 	t.Parallel()
 	cluster := newAgentCluster(t)
-	// A host override takes precedence over the endpoint list. It drains the only host of n2, which leaves n2 without
-	// one.
+	// A host override takes precedence over the endpoint list. This override drains the only host of n2.
 	cluster.mustRun(t, "hosts", "drain", "h2", "--wait", "--operation", "word")
 	eventually(t, "n2 sends nothing to h2", func() bool {
 		return strings.HasPrefix(cluster.nodes[1].openRequest(t, "").expectLine(""), "BUSY")
@@ -183,7 +183,7 @@
 	cluster := newAgentCluster(t)
 	cluster.mustRun(t, "instances", "drain", "n1", "--wait", "--operation", "mid")
 	applied := cluster.appliedAt(t, 0, "mid")[0]
-	eventually(t, "the grace is over", func() bool { return cluster.clock.Now() > applied+2*drainGrace })
+	eventually(t, "the drain grace has passed", func() bool { return cluster.clock.Now() > applied+2*drainGrace })
 	cluster.nodes[0].openRequest(t, "").expectLine("BUSY ")
 	_, before := cluster.lastNewRequest(0)
 	cluster.nodes[0].openRequest(t, ",mid=1")
--- a/cmd/onyxstream/connection_load_test.go
+++ b/cmd/onyxstream/connection_load_test.go
@@ -16,7 +16,7 @@
 
 	mu    sync.Mutex
 	total int
-	lost  []string // one entry for each request that host hb did not serve: its id, the line received, the error
+	lost  []string // for each request that host hb did not serve: its ID, the line received and the error
 }
 
 func startConnectionLoad(addr string) *connectionLoad {
--- a/cmd/onyxstream/connection_surge_test.go
+++ b/cmd/onyxstream/connection_surge_test.go
@@ -48,7 +48,7 @@
 }
 
 // Hundreds of clients connect and send nothing, and others reconnect as soon as they are rejected. Regular clients must
-// be served all the same, and the node must stay within its descriptor limit.
+// still be served, and the node must stay within its descriptor limit.
 func TestConnectionSurge_RegularClients_Served(t *testing.T) {
 	t.Parallel()
 	host := newFakeHost(t, "h1")
--- a/cmd/onyxstream/discovery_test.go
+++ b/cmd/onyxstream/discovery_test.go
@@ -22,7 +22,7 @@
 	discovery.sendEvent(endpointListJSON(2, false, hostA.endpoint(wire.Draining)))
 	// After the drain grace the host must receive no new request. The test does not check how soon the node applies the
 	// watch event.
-	eventually(t, "a run of connections with none on ha", func() bool {
+	eventually(t, "eight connections with none on ha", func() bool {
 		before := len(hostA.openingLines())
 		for range 8 {
 			node.openRequest(t, "").expectLine("UP ")
@@ -66,15 +66,15 @@
 	node.openRequest(t, "").expectLine("UP ")
 }
 
-// A watch counts as lost if it sends nothing, not even a heartbeat, although its connection is open. The node must open
-// a new one.
+// A watch counts as lost if no bytes arrive on it, not even a heartbeat, although its connection is open. The node must
+// open a new watch.
 func TestWatch_Silent_Resumed(t *testing.T) {
 	t.Parallel()
 	host := newFakeHost(t, "h1")
 	node, discovery := startNodeWithHosts(t, nodeOptions{}, host)
 	eventually(t, "the first watch request", func() bool { return len(discovery.requestPaths()) == 1 })
 	discovery.SetMode(fakeserver.ModeSilent)
-	eventually(t, "the node requests again", func() bool { return len(discovery.requestPaths()) > 1 })
+	eventually(t, "the node sends another request", func() bool { return len(discovery.requestPaths()) > 1 })
 	node.openRequest(t, "").expectLine("UP ")
 }
 
@@ -95,7 +95,7 @@
 		all = append(all, endpoint)
 	}
 	discovery.sendEvent(endpointListJSON(2, false, all...))
-	eventually(t, "the new half serves", func() bool {
+	eventually(t, "the added hosts serve", func() bool {
 		line, _ := node.openRequest(t, "").reader.ReadString('\n')
 		return strings.HasPrefix(line, "UP from-hb")
 	})
--- a/cmd/onyxstream/drain_test.go
+++ b/cmd/onyxstream/drain_test.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// drainNoticeDuration is longer than the time for which a draining node still accepts new requests because the front
-// may not have noticed the drain yet.
+// drainNoticeDuration is longer than the first phase of a drain, in which the node still accepts new requests because
+// the front may not have noticed the drain yet.
 const drainNoticeDuration = 1200 * time.Millisecond
 
 // A draining node answers the front's PING with BUSY, even on a connection that the front opened before the drain. For
-// a while it still serves new requests. In pass-through mode it keeps its established connections. The process keeps
-// running, and serves again after a resume.
+// a while the node still serves new requests. In pass-through mode it keeps its established connections. The process
+// keeps running, and serves new requests again after a resume.
 func TestDrain_PassMode_KeepsConnectionsAndResumes(t *testing.T) {
 	t.Parallel()
 	host := newFakeHost(t, "ha")
@@ -52,7 +52,7 @@
 	node, _ := startNodeWithHosts(t, nodeOptions{mode: "proxy", managementAddr: freeAddr(t)}, host)
 	clients := node.establish(t, 12, "UP")
 	node.mustSucceed(t, "drain")
-	eventually(t, "some are migrated", func() bool { return node.stats(t)["concurrent"] < len(clients) })
+	eventually(t, "some connections are migrated", func() bool { return node.stats(t)["concurrent"] < len(clients) })
 	node.mustSucceed(t, "resume")
 	remaining := node.stats(t)["concurrent"]
 	time.Sleep(time.Second)
--- a/cmd/onyxstream/fake_discovery_test.go
+++ b/cmd/onyxstream/fake_discovery_test.go
@@ -8,8 +8,8 @@
 	"onyxstream/internal/wire"
 )
 
-// fakeDiscovery is a fake discovery service. It sends the text that the test sets, even if that is no valid endpoint
-// list.
+// fakeDiscovery is a fake discovery service. It sends the text that the test sets, even if the text is not a valid
+// endpoint list.
 type fakeDiscovery struct {
 	*fakeserver.Discovery
 	addr string
@@ -30,7 +30,7 @@
 // sendEvent sends text to each open watch.
 func (d *fakeDiscovery) sendEvent(text string) { d.SendRaw(text) }
 
-// setUnavailable makes the service respond with status 503, or ends that.
+// setUnavailable makes the service respond with status 503, or normally again.
 func (d *fakeDiscovery) setUnavailable(unavailable bool) {
 	mode := fakeserver.ModeNormal
 	if unavailable {
@@ -39,11 +39,11 @@
 	d.SetMode(mode)
 }
 
-// requestPaths returns the path and query of each request received so far, watches included.
+// requestPaths returns the path and query of each request received so far, including watches.
 func (d *fakeDiscovery) requestPaths() []string { return d.Requests() }
 
 // endpointListJSON returns an endpoint list as JSON, as discovery sends it: a snapshot if complete is true, otherwise a
-// delta, which a watch event holds.
+// delta, as in a watch event.
 func endpointListJSON(revision int64, complete bool, endpoints ...wire.Endpoint) string {
 	if endpoints == nil {
 		endpoints = []wire.Endpoint{}
--- a/cmd/onyxstream/fake_host_test.go
+++ b/cmd/onyxstream/fake_host_test.go
@@ -60,7 +60,7 @@
 // openConnections returns the number of the host's open connections.
 func (h *fakeHost) openConnections() int { return h.State().Connections }
 
-// kill ends the host as in a crash: its connections are reset, and further connection attempts are refused.
+// kill crashes the host: its connections are reset, and further connection attempts are refused.
 func (h *fakeHost) kill() { h.Crash() }
 
 // endpoint returns the host's entry in an endpoint list.
--- a/cmd/onyxstream/final_answers_test.go
+++ b/cmd/onyxstream/final_answers_test.go
@@ -12,7 +12,7 @@
 )
 
 // The tests in this file check that each admitted request gets exactly one complete final answer within its deadline,
-// whatever its client, the node's machine and other clients do.
+// whatever its client, other clients or the node's machine do.
 
 // A client that half-closes its connection after the opening line can still read, so it must get a final answer.
 func TestRequest_ClientHalfCloses_IsAnswered(t *testing.T) {
@@ -31,16 +31,16 @@
 }
 
 // A request's deadline runs from the arrival of the last byte of its opening line, not from the moment at which the
-// node reads the line. The two differ if the node is stopped in between. The deadline that the node sends to the host
-// shows which of them the node used, however slow the machine is. The balancer rejects the request at its deadline; the
-// long answer slack keeps the node's fallback timer from answering first.
+// node reads the line. The two moments differ if the node is stopped in between. The deadline that the node sends to
+// the host shows which moment the node used, even on a slow machine. The balancer rejects the request at its deadline;
+// the long answer slack keeps the node's fallback timer from answering first.
 func TestDeadline_NodeStopped_CountsUnreadTime(t *testing.T) {
 	t.Parallel()
 	host := newFakeHost(t, "h1")
 	host.setResponse("")
 	node, _ := startNodeWithHosts(t, nodeOptions{latencyObjectiveMS: 9000, answerSlackMS: 5000}, host)
 	node.sendSignal(t, syscall.SIGSTOP)
-	eventually(t, "all of its threads are stopped", func() bool { return node.allThreadsStopped(t) })
+	eventually(t, "all threads of the node are stopped", func() bool { return node.allThreadsStopped(t) })
 	client := node.dial(t)
 	const deadlineMS, unreadMS = 4500, 1800
 	client.send(fmt.Sprintf("OPEN a key c=chat,t=acme,d=%d\r\n", deadlineMS))
@@ -58,7 +58,8 @@
 // clockTickMS is the largest error of the kernel's receive timestamps, whose resolution is a clock tick.
 const clockTickMS = 20
 
-// advertisedDeadlineMS returns the deadline in the opening line that the host received. It must have received only one.
+// advertisedDeadlineMS returns the deadline in the only opening line that the host received. It fails the test if the
+// host received another number of opening lines.
 func advertisedDeadlineMS(t *testing.T, host *fakeHost) int {
 	t.Helper()
 	lines := host.openingLines()
@@ -74,15 +75,15 @@
 	return milliseconds
 }
 
-// When a node evicts clients to make room for new connections, it first evicts those that have had their final answer.
-// A client that is evicted after it sent a part of its opening line must get a rejection.
+// When a node evicts clients to make room for new connections, it first evicts clients that already got their final
+// answer. A client that is evicted after it sent a part of its opening line must get a rejection.
 func TestEviction_PartialOpening_ServedOrRejected(t *testing.T) {
 	t.Parallel()
 	host := newFakeHost(t, "h1")
 	node, _ := startNodeWithHosts(t, nodeOptions{socketLimit: 128}, host)
 	first := node.dial(t)
 	first.send("OPEN half key c=chat,")
-	time.Sleep(100 * time.Millisecond) // the node reads it
+	time.Sleep(100 * time.Millisecond) // time for the node to read the partial line
 	// More clients than can be pending at one time connect, and stay connected after their answer.
 	for range 60 {
 		client := node.dial(t)
--- a/cmd/onyxstream/handoff_races_test.go
+++ b/cmd/onyxstream/handoff_races_test.go
@@ -60,8 +60,8 @@
 }
 
 // A successor begins its shutdown after it has accepted only some connections of a predecessor that is shutting down.
-// From then on neither process may hand off connections to the other. Each connection is handed off at most once, and
-// then migrated.
+// From this moment on, neither process may hand off connections to the other. Each connection is handed off at most
+// once, and then migrated.
 func TestHandoff_BothProcessesStop_EachHandedOffOnce(t *testing.T) {
 	t.Parallel()
 	host := newFakeHost(t, "ha")
@@ -118,7 +118,7 @@
 	handoff := stopDuringOffer(t, host, "pass", 5)
 	node, successor, clients := handoff.node, handoff.successor, handoff.clients
 	successor.sendSignal(t, syscall.SIGCONT)
-	for _, client := range clients { // the predecessor is stopped, so the successor relays the line
+	for _, client := range clients { // the successor must relay the line, because the predecessor is stopped
 		client.send("M 1\r\n")
 		client.expectLine("M 1")
 	}
--- a/cmd/onyxstream/hot_restart_bench_test.go
+++ b/cmd/onyxstream/hot_restart_bench_test.go
@@ -10,8 +10,8 @@
 )
 
 // BenchmarkHotRestart measures the effect of a hot restart on clients. In the variant "handed" the predecessor hands
-// off its connections. The variant "moved" is the baseline: offers cannot be written, so that the predecessor migrates
-// its connections. Each client repeatedly sends a line, waits for its echo, and pauses for 50 ms. The metrics are:
+// off its connections. The variant "moved" is the baseline: offers cannot be written, and the predecessor migrates its
+// connections. Each client repeatedly sends a line, waits for its echo, and pauses for 50 ms. The metrics are:
 //
 //   - calm-ms: the longest wait for an echo before the hot restart
 //   - longest-ms: the longest wait for an echo during the hot restart
@@ -66,7 +66,7 @@
 	}
 }
 
-// record records the wait for an echo if echoed is true, and otherwise counts a connection that ended. It returns
+// record records the wait for an echo if echoed is true. Otherwise it counts a connection that ended. It returns
 // echoed.
 func (l *echoLoad) record(took time.Duration, echoed bool) bool {
 	l.mu.Lock()
--- a/cmd/onyxstream/load_command_test.go
+++ b/cmd/onyxstream/load_command_test.go
@@ -36,7 +36,7 @@
 retries = 3
 wait = "50ms"
 [limits]
-lateness = "5s"  # high, as other tests use the machine too
+lateness = "5s"  # high, because other tests use the machine too
 linger = "5s"
 `
 
@@ -52,7 +52,7 @@
 `
 
 // A run starts its own nodes and hosts, and one of the hosts crashes and restarts. The run must write its result in
-// each format, and the other load commands must read it.
+// each format, and the other load commands must be able to read it.
 func TestLoadRun_OwnFleet_WritesAllResults(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
@@ -120,7 +120,7 @@
 	}
 }
 
-// readLedger returns the records of a ledger file. It skips the header before them.
+// readLedger returns the records of a ledger file, without the header.
 func readLedger(t *testing.T, path string) (records []fakeserver.Event) {
 	t.Helper()
 	file, err := os.Open(path)
@@ -206,7 +206,7 @@
 	}
 }
 
-// A signal must end the run at once. The result file must be complete, and its result marked as partial.
+// A signal must end the run at once. The result file must be complete and marked as partial.
 func TestLoadRun_Signalled_WritesPartialResult(t *testing.T) {
 	t.Parallel()
 	for _, signal := range []syscall.Signal{syscall.SIGINT, syscall.SIGTERM} {
--- a/cmd/onyxstream/log_test.go
+++ b/cmd/onyxstream/log_test.go
@@ -21,8 +21,8 @@
 	return read, write
 }
 
-// serveAndShutDown opens one request per client, each of which must be served, and terminates the node, which must
-// exit.
+// serveAndShutDown opens one request per client and then terminates the node. Each request must be served, and the node
+// must exit with status 0.
 func (p *nodeProcess) serveAndShutDown(t *testing.T, clients int) {
 	t.Helper()
 	p.establish(t, clients, "UP ")
--- a/cmd/onyxstream/main_test.go
+++ b/cmd/onyxstream/main_test.go
@@ -44,8 +44,8 @@
 	os.Exit(code)
 }
 
-// waitLimit is the time after which a test gives up waiting for an event. It is generous: no test uses it to check how
-// long something takes.
+// waitLimit is the time after which a test gives up waiting for an event. It is generous, because no test uses it to
+// check a duration.
 const waitLimit = 20 * time.Second
 
 // eventually waits until condition returns true, and fails the test after waitLimit. what describes the condition.
--- a/cmd/onyxstream/management_test.go
+++ b/cmd/onyxstream/management_test.go
@@ -44,7 +44,8 @@
 	}
 }
 
-// stats returns the node's statistics by name. The names lack the prefix "svc." of the management call's reply.
+// stats returns the node's statistics by name. The names are without the prefix "svc." that they have in the reply to
+// the management call.
 func (p *nodeProcess) stats(t testing.TB) map[string]int {
 	t.Helper()
 	stats := map[string]int{}
@@ -63,8 +64,8 @@
 	return stats
 }
 
-// Once the node has replied to the call that disables a host, the host must receive no new request, whatever the
-// endpoint list says. It must be used again once it is enabled.
+// After the node has replied to the call that disables a host, the host must receive no new request, whatever the
+// endpoint list says. After the host is enabled, the node must use it again.
 func TestHostOverride_Disabled_IgnoresListUntilEnabled(t *testing.T) {
 	t.Parallel()
 	hostA, hostB := newFakeHost(t, "ha"), newFakeHost(t, "hb")
@@ -130,7 +131,7 @@
 	hostA.setResponse("UP r\r\n")
 	hostB.setResponse("UP r\r\n")
 	time.Sleep(2 * time.Second) // after their errors the balancer avoids both hosts for a while
-	answers.open(t, 40)         // more than the node has descriptors for
+	answers.open(t, 40)         // more requests than the node has descriptors for
 	invalid := node.dial(t)
 	invalid.send("OPEN x y c=nonsense,t=acme,d=2000\r\n")
 	invalid.expectLine("ERR")
--- a/cmd/onyxstream/node_options_test.go
+++ b/cmd/onyxstream/node_options_test.go
@@ -13,13 +13,13 @@
 )
 
 // nodeOptions holds the parts of a node's configuration and environment that differ between tests. The zero value of a
-// field stands for the default in writeConfig or startProcessWith.
+// field means the default of writeConfig or startProcessWith.
 type nodeOptions struct {
 	mode               string // "pass" or "proxy"
 	socketLimit        int    // the configured limit on sockets
-	addr               string // the address of listener, where that is set
+	addr               string // address of listener, if listener is set
 	latencyObjectiveMS int    // latency objective of a connection setup
-	answerSlackMS      int    // how long after the deadline a final answer still counts as in time
+	answerSlackMS      int    // how long after the deadline a final answer still counts as on time
 	descriptorLimit    int    // ulimit -n of the process, 0 for the inherited limit
 	initialList        string // the endpoint list in the configuration, as JSON
 	managementAddr     string
--- a/cmd/onyxstream/node_process_test.go
+++ b/cmd/onyxstream/node_process_test.go
@@ -115,8 +115,8 @@
 	return startNode(t, options, discovery.addr), discovery
 }
 
-// startSuccessor starts the successor of a running node process, with a management address of its own, and waits until
-// it reports that it is ready.
+// startSuccessor starts the successor of a running node process, with its own management address, and waits until the
+// successor reports that it is ready.
 func startSuccessor(t testing.TB, options nodeOptions, discoveryAddr string) *nodeProcess {
 	t.Helper()
 	options.managementAddr = freeAddr(t)
@@ -184,8 +184,8 @@
 	}
 }
 
-// allThreadsStopped reports whether SIGSTOP has stopped every thread of the node. The threads do not all stop at the
-// same moment.
+// allThreadsStopped reports whether SIGSTOP has stopped every thread of the node. The threads of a process do not all
+// stop at the same moment.
 func (p *nodeProcess) allThreadsStopped(t testing.TB) bool {
 	t.Helper()
 	tasks, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/stat", p.cmd.Process.Pid))
--- a/cmd/onyxstream/protocol_violations_test.go
+++ b/cmd/onyxstream/protocol_violations_test.go
@@ -9,7 +9,8 @@
 	"time"
 )
 
-// invalidOpeningLines returns inputs that the node must reject as an opening line. One has the id of an open request.
+// invalidOpeningLines returns inputs that the node must reject as an opening line. One of them has the ID of an open
+// request.
 func invalidOpeningLines() []string {
 	return []string{
 		"GET / HTTP/1.1\r\n\r\n",
@@ -77,8 +78,8 @@
 	eventually(t, "the host's connection is closed", func() bool { return host.openConnections() == 0 })
 }
 
-// sendEndlessly connects and repeatedly sends text, with a pause after each time. The channel that it returns receives
-// whether the node closed the connection within the client's read deadline, waitLimit.
+// sendEndlessly connects and repeatedly sends text, with a pause after each time. The returned channel receives true if
+// the node closed the connection within waitLimit, and false otherwise.
 func sendEndlessly(t *testing.T, node *nodeProcess, text string, pause time.Duration) (closed chan bool) {
 	t.Helper()
 	client := node.dial(t)
--- a/cmd/onyxstream/relay_test.go
+++ b/cmd/onyxstream/relay_test.go
@@ -36,7 +36,7 @@
 	client.expectClose(false)
 }
 
-func TestRelay_OneSideCloses_OtherSideClosesAlike(t *testing.T) {
+func TestRelay_OneSideCloses_OtherSideClosesSameWay(t *testing.T) {
 	t.Parallel()
 	host := newFakeHost(t, "h1")
 	node, _ := startNodeWithHosts(t, nodeOptions{}, host)
--- a/cmd/onyxstream/reload_test.go
+++ b/cmd/onyxstream/reload_test.go
@@ -43,7 +43,7 @@
 		t.Errorf("old discovery received %d requests, want 1", n)
 	}
 	discovery.sendEvent(endpointListJSON(4, false, hostA.endpoint(wire.Serving), hostB.endpoint(wire.Draining)))
-	eventually(t, "changes are followed", func() bool {
+	eventually(t, "a watch event of the new discovery is applied", func() bool {
 		return strings.Contains(node.openRequest(t, "").expectLine("UP "), "from-ha")
 	})
 	established.send("M still here\r\n")
@@ -65,7 +65,7 @@
 	eventually(t, "the new discovery receives a second request", func() bool { return len(discovery.requestPaths()) >= 2 })
 	node.openRequest(t, "").expectLine("UP from-ha")
 	discovery.setUnavailable(false)
-	eventually(t, "its list is in use", func() bool {
+	eventually(t, "the new list is in use", func() bool {
 		return strings.Contains(node.openRequest(t, "").expectLine("UP "), "from-hb")
 	})
 	for _, path := range discovery.requestPaths() {
@@ -138,9 +138,9 @@
 	}
 }
 
-// After a reload the node keeps its watch at the old discovery service as long as list requests to the new one fail.
-// The old watch delivers events after such a failure and then ends. The node must still repeat its list request to the
-// new service: it must not mistake events of the old watch for a working watch at the new service.
+// After a reload the node keeps its watch at the old discovery service as long as list requests to the new one fail. In
+// this test the old watch delivers events after such a failure and then ends. The node must still repeat its list
+// request to the new service: it must not mistake events of the old watch for a working watch at the new service.
 func TestReload_OldWatchEventAfterNewFails_NewStillPolled(t *testing.T) {
 	t.Parallel()
 	hostA, hostB, hostC := newFakeHost(t, "ha"), newFakeHost(t, "hb"), newFakeHost(t, "hc")
@@ -183,7 +183,7 @@
 
 // If the configuration file is incomplete when SIGHUP arrives, the node must retry the reload until the file is
 // complete.
-func TestReload_FileHalfWritten_ReadOnceComplete(t *testing.T) {
+func TestReload_FileHalfWritten_ReadWhenComplete(t *testing.T) {
 	t.Parallel()
 	hostA, hostB := newFakeHost(t, "ha"), newFakeHost(t, "hb")
 	node, oldDiscovery := startNodeWithHosts(t, nodeOptions{}, hostA)
--- a/cmd/onyxstream/shared_state_test.go
+++ b/cmd/onyxstream/shared_state_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// While two processes of a node run, a host override or a drain that one of them is given must apply to both.
+// While a node has two processes, a host override or a drain that one process receives must apply to both.
 func TestHostOverride_TwoProcesses_AppliesToBoth(t *testing.T) {
 	t.Parallel()
 	hostA, hostB := newFakeHost(t, "ha"), newFakeHost(t, "hb")
@@ -36,7 +36,8 @@
 	node.waitForPingAnswer(t, "PONG\r\n")
 }
 
-// startNodeSharing starts a node with one host and its discovery service. dir is the shared directory of its processes.
+// startNodeSharing starts a node with one host and its discovery service. dir is the directory that the node's
+// processes share.
 func startNodeSharing(t *testing.T, dir string, host *fakeHost) *nodeProcess {
 	t.Helper()
 	node, _ := startNodeWithHosts(t, nodeOptions{managementAddr: freeAddr(t), env: []string{"TMPDIR=" + dir}}, host)
@@ -44,7 +45,7 @@
 }
 
 // A node without a usable shared directory must start, serve and log the reason. A host override then applies only to
-// the process that is given it.
+// the process that receives it.
 func TestSharedState_DirectoryUnusable_NodeServes(t *testing.T) {
 	t.Parallel()
 	host := newFakeHost(t, "ha")
@@ -100,8 +101,8 @@
 	}
 }
 
-// A node whose file of host overrides is corrupt or cannot be written must keep the overrides that it was given. A node
-// that starts with a corrupt file must serve without overrides.
+// A node whose file of host overrides is corrupt or cannot be written must keep the overrides that it has received. A
+// node that starts with a corrupt file must serve without overrides.
 func TestSharedState_FileDamaged_NodeServes(t *testing.T) {
 	t.Parallel()
 	host := newFakeHost(t, "ha")
--- a/cmd/onyxstream/shutdown_test.go
+++ b/cmd/onyxstream/shutdown_test.go
@@ -15,8 +15,8 @@
 	node.terminate(t)
 	late := node.openRequest(t, "") // accepted, because the front may not have noticed the shutdown yet
 	late.expectLine("UP ")
-	// The node serves established connections until its shutdown ends, because other nodes take them over only once the
-	// process has exited.
+	// The node serves established connections until its shutdown ends, because other nodes take the connections over
+	// only after the process has exited.
 	for range 10 {
 		time.Sleep(200 * time.Millisecond)
 		established.send("M\r\n")
--- a/cmd/onyxstream/startup_test.go
+++ b/cmd/onyxstream/startup_test.go
@@ -48,7 +48,7 @@
 	}
 }
 
-// A node that cannot open its listening socket must retry, and start once that succeeds.
+// A node that cannot open its listening socket must retry until it succeeds, and then start.
 func TestStartup_SocketFailsBriefly_NodeStarts(t *testing.T) {
 	t.Parallel()
 	host := newFakeHost(t, "h1")
--- a/cmd/onyxstream/system_faults_test.go
+++ b/cmd/onyxstream/system_faults_test.go
@@ -18,7 +18,7 @@
 }
 
 func systemFaultCases() []systemFaultCase {
-	const probability = 0.3 // of a failure, for system calls where most connections survive one
+	const probability = 0.3 // for system calls whose failure most connections survive
 	acceptErrors := []unix.Errno{
 		unix.ECONNABORTED, unix.ENFILE, unix.EMFILE, unix.ENOBUFS, unix.ENOMEM, unix.EPROTO, unix.EPERM, unix.EINTR,
 	}
@@ -56,8 +56,8 @@
 	}
 }
 
-// While some system calls fail, each request must still get its final answer. Once they succeed again, requests must be
-// served.
+// While some system calls fail, each request must still get its final answer. When the system calls succeed again,
+// requests must be served.
 func TestSystemCalls_FailBriefly_RequestsAreAnswered(t *testing.T) {
 	for _, test := range systemFaultCases() {
 		t.Run(test.name, func(t *testing.T) {
@@ -68,7 +68,7 @@
 }
 
 // expectAnswersDuringFaults runs load on a node while the rules apply. It checks that each request gets a final answer
-// and that requests are served afterwards. A rule that made no call fail also fails the test.
+// and that requests are served afterwards. The test also fails if a rule did not apply to any system call.
 func expectAnswersDuringFaults(t *testing.T, rules []faultinject.Rule) {
 	t.Helper()
 	hosts := []*fakeHost{newFakeHost(t, "h1"), newFakeHost(t, "h2")}
@@ -94,7 +94,7 @@
 	})
 }
 
-// clockSteps lists offsets of the wall clock. The test sets them one after another, every clockStepInterval.
+// clockSteps lists offsets of the wall clock. The test sets them in this order, one every clockStepInterval.
 var clockSteps = []time.Duration{time.Hour, -time.Hour, 0, 5 * time.Second, -5 * time.Second, 24 * time.Hour, 0}
 
 const clockStepInterval = 300 * time.Millisecond
--- a/cmd/onyxstream/test_client_test.go
+++ b/cmd/onyxstream/test_client_test.go
@@ -69,7 +69,8 @@
 	return line
 }
 
-// expectClose checks that the node closes the connection without sending another byte, by a reset or else by a FIN.
+// expectClose checks that the node closes the connection without sending another byte: by a reset if byReset is true,
+// otherwise by a FIN.
 func (c *testClient) expectClose(byReset bool) {
 	c.t.Helper()
 	rest, err := io.ReadAll(c.reader)
@@ -78,7 +79,7 @@
 	}
 }
 
-// waitUntilUsed opens requests until the host has received more than before opening lines.
+// waitUntilUsed opens requests until the host has received more opening lines than the given number.
 func (p *nodeProcess) waitUntilUsed(t testing.TB, host *fakeHost, before int) {
 	t.Helper()
 	eventually(t, "the host is used again", func() bool {
@@ -100,8 +101,8 @@
 	})
 }
 
-// waitForPingAnswer waits until eight consecutive PINGs, each on a new connection, get the answer want. One is not
-// enough: where two processes share the listening socket, either of them may accept a connection.
+// waitForPingAnswer waits until eight consecutive PINGs, each on a new connection, get the answer want. One PING is not
+// enough: when two processes share the listening socket, either process may accept a connection.
 func (p *nodeProcess) waitForPingAnswer(t testing.TB, want string) {
 	t.Helper()
 	eventually(t, "PING is answered "+want, func() bool {
@@ -118,15 +119,16 @@
 	})
 }
 
-// missingAnswer describes a request that got no final answer, or one that the protocol does not define.
+// missingAnswer describes a request that got no final answer, or an answer that the protocol does not define.
 type missingAnswer struct {
 	request  int
 	received string
 	err      error
 }
 
-// request sends one request and returns the first word of its final answer, or a missingAnswer if there is none. If the
-// connection cannot be established it returns neither, because the node has not received the request.
+// request sends one request. It returns the first word of the final answer, or a missingAnswer if there is no valid
+// final answer. If the connection cannot be established, it returns neither, because the node has not received the
+// request.
 func (p *nodeProcess) request(id int) (answer string, missing *missingAnswer) {
 	conn, err := net.DialTimeout("tcp", p.addr, waitLimit)
 	if err != nil {
@@ -147,7 +149,7 @@
 }
 
 // runLoad sends requests from several concurrent clients for the duration. It returns the number of requests per final
-// answer, and the requests without one. Requests without an answer and failed connection attempts count under "".
+// answer, and the requests without a final answer. These requests, and failed connection attempts, count under "".
 func (p *nodeProcess) runLoad(clients int, duration time.Duration) (answers map[string]int, missing []missingAnswer) {
 	answers = map[string]int{}
 	var mu sync.Mutex
--- a/internal/fakeserver/capacity/advance.go
+++ b/internal/fakeserver/capacity/advance.go
@@ -8,8 +8,7 @@
 // collapseChecks is the number of overload checks within Spec.CollapseAfter.
 const collapseChecks = 8
 
-// Next returns the time of the next state change if no other method is called before. ok is false if no state change is
-// due.
+// Next returns the time of the next state change if no other method is called before. ok is false if there is none.
 func (h *Host) Next() (at time.Duration, ok bool) {
 	if h.collapsed {
 		return 0, false
@@ -78,7 +77,8 @@
 	return events
 }
 
-// activeSetups returns the setups that the host works on now, at most one per core, and the work per second on each.
+// activeSetups returns the setups that the host works on now, at most one per core, and the rate of work on each setup,
+// in seconds of a reference core per second.
 func (h *Host) activeSetups() (active []*connection, rate float64) {
 	cores := int(math.Ceil(h.spec.Cores))
 	for _, c := range h.setups {
--- a/internal/fakeserver/capacity/capacity_test.go
+++ b/internal/fakeserver/capacity/capacity_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// A fixed seed makes the tests deterministic; -rapid.seed sets another one.
+// A fixed seed makes the tests deterministic. The flag -rapid.seed sets another seed.
 func init() { _ = flag.Set("rapid.seed", "1") }
 
 var baseSpec = Spec{
@@ -41,17 +41,17 @@
 		t.Errorf("established before the work is done: %v", got)
 	}
 	if got := establishedIDs(host.Advance(101 * time.Millisecond)); len(got) != 2 {
-		t.Errorf("two cores complete %v in the time of one setup, want two setups", got)
+		t.Errorf("two cores completed %v in the time of one setup, want two setups", got)
 	}
 	// Established connections reduce the capacity that is left for setups.
 	for i := range 19 {
 		host.AddEstablished(fmt.Sprint("s", i), "", 1)
 	}
 	if got := establishedIDs(host.Advance(250 * time.Millisecond)); len(got) != 0 {
-		t.Errorf("an overloaded host completes setups at full speed: %v", got)
+		t.Errorf("an overloaded host completed setups at full speed: %v", got)
 	}
 	if got := establishedIDs(host.Advance(10 * time.Second)); len(got) != 2 {
-		t.Errorf("an overloaded host completes %v, want two setups", got)
+		t.Errorf("an overloaded host completed %v, want two setups", got)
 	}
 }
 
@@ -165,7 +165,7 @@
 	}
 }
 
-// Under random operations: the same seed gives the same events, the times of events never decrease, every setup of a
+// Under random operations, the same seed gives the same events, the times of events never decrease, every setup of a
 // host that does not collapse ends, and a host without connections has no demand.
 func TestHost_RandomEvents_InvariantsHold(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/fakeserver/capacity/host.go
+++ b/internal/fakeserver/capacity/host.go
@@ -62,10 +62,10 @@
 
 const (
 	driftInterval    = time.Second
-	driftOneIn       = 4    // on average, one connection in this many changes its load at a drift
-	minSetupFraction = 0.05 // fraction of the capacity that setups get at any demand, because schedulers are fair
-	negligibleWork   = 1e-9 // remaining work up to this amount counts as done
-	rngStream        = 0x686f7374
+	driftOneIn       = 4          // on average, one connection in this many changes its load at a drift
+	minSetupFraction = 0.05       // fraction of the capacity that setups get at any demand, because schedulers are fair
+	negligibleWork   = 1e-9       // remaining work up to this amount counts as done
+	rngStream        = 0x686f7374 // second half of the random seed; the first half is the seed passed to New
 )
 
 // New returns a host that starts at now, with a slow start if cold is set and the spec has one. Hosts with the same
--- a/internal/fakeserver/capacity/load.go
+++ b/internal/fakeserver/capacity/load.go
@@ -47,11 +47,11 @@
 	return h.establishedLoad + float64(len(h.groupSizes))*h.spec.GroupCost*h.spec.ConnectionLoad
 }
 
-// Utilization returns the demand divided by the capacity. The host is overloaded when it is above 1.
+// Utilization returns the demand divided by the capacity. The host is overloaded when the utilization is above 1.
 func (h *Host) Utilization() float64 { return h.Demand() / max(h.Capacity(), negligibleWork) }
 
-// LineLatency returns the current time to answer a line, as in an M/M/1 queue at this utilization: the work of the line
-// plus the queueing delay, together at most fifty times the work.
+// LineLatency returns the current time to answer a line: the work of the line plus the queueing delay of an M/M/1 queue
+// at the current utilization. The sum is at most fifty times the work.
 func (h *Host) LineLatency() time.Duration {
 	work := h.spec.LineWork / h.spec.Speed * h.slowFactor / (1 - h.stolenFraction)
 	return seconds(work / max(1-h.Utilization(), minIdleFraction))
--- a/internal/fakeserver/capacity/spec.go
+++ b/internal/fakeserver/capacity/spec.go
@@ -28,8 +28,8 @@
 	CollapseAfter     time.Duration // time above CollapseMultiple until the collapse; 0 for a host that never collapses
 }
 
-// Check validates the spec. It returns an error for the first field that is out of range, and the field's configuration
-// key.
+// Check validates the spec. If a field is out of range, it returns an error for the first such field, and the
+// configuration key of that field.
 func (s Spec) Check() (field string, err error) {
 	for _, f := range []struct {
 		name            string
--- a/internal/fakeserver/discovery.go
+++ b/internal/fakeserver/discovery.go
@@ -27,25 +27,33 @@
 	addr   string
 	meter  meter
 
-	mu           sync.Mutex
-	notifyDelay  time.Duration
-	frozen       bool
-	mode         DiscoveryMode
-	revision     int64          // of the last change, published or not
-	changes      []change       // in order of revision, which is also the order of publication
-	published    *publishedList // replaced on each restart
-	changed      chan struct{}  // closed and replaced to wake the watches
-	requests     []string       // URIs
+	mu sync.Mutex // guards the fields below
+
+	// Injected faults.
+	notifyDelay time.Duration
+	frozen      bool
+	mode        DiscoveryMode
+
+	// The endpoint list.
+	revision  int64          // revision of the last change, published or not
+	changes   []change       // in order of revision, which is also the order of publication
+	published *publishedList // replaced on each restart
+	changed   chan struct{}  // closed and replaced to wake the watches
+
+	// Requests and their admission.
+	requests     []string // URIs of all requests, in order of arrival
 	openRequests int
 	limits       DiscoveryLimits
-	idleAt       time.Duration        // when the last admitted request will have been served
-	queued       int                  // requests that wait to be served
-	rawBody      string               // replaces each list and the first object of each watch; "" for none
-	rawRequests  map[chan string]bool // channels on which the open requests get the texts of SendRaw
+	idleAt       time.Duration // time at which the last admitted request will have been served
+	queued       int           // requests that wait to be served
+
+	// Raw texts set by a test.
+	rawBody     string               // replaces each list and the first object of each watch; "" for none
+	rawRequests map[chan string]bool // channels on which the open requests get the texts of SendRaw
 }
 
 // NewDiscovery starts a discovery service whose list holds the given endpoints at the given revision. An empty listen
-// address stands for any free port of 127.0.0.1.
+// address means any free port of 127.0.0.1.
 func NewDiscovery(
 	listen string, clock *Clock, events *EventLog, revision int64, endpoints ...wire.Endpoint,
 ) (*Discovery, error) {
--- a/internal/fakeserver/discovery_admission.go
+++ b/internal/fakeserver/discovery_admission.go
@@ -5,9 +5,10 @@
 	"time"
 )
 
-// DiscoveryLimits is the capacity of a discovery service. The zero value serves any number of calls at once.
+// DiscoveryLimits is the capacity of a discovery service. The zero value serves any number of requests concurrently and
+// without delay.
 type DiscoveryLimits struct {
-	RequestDuration time.Duration // time to serve a list or the start of a watch; requests are served one at a time
+	RequestDuration time.Duration // time to serve a list request or to start a watch; requests are served one at a time
 	MaxWait         time.Duration // a request that would wait longer is rejected after this time; 0 for no limit
 	MaxQueue        int           // while this many requests wait, further ones are rejected at once; 0 for no limit
 	RetryAfter      string        // Retry-After header of rejected requests, verbatim; "" for none
@@ -21,7 +22,8 @@
 }
 
 // admit waits until a request has been served and returns true, or rejects the request and returns false. A request
-// whose client has disconnected takes its time too, because a service notices the disconnect only when it responds.
+// whose client has disconnected also takes RequestDuration, because a service notices the disconnect only when it
+// responds.
 func (d *Discovery) admit(w http.ResponseWriter) bool {
 	d.mu.Lock()
 	limits, now := d.limits, d.clock.Now()
--- a/internal/fakeserver/discovery_faults.go
+++ b/internal/fakeserver/discovery_faults.go
@@ -57,7 +57,7 @@
 }
 
 // Restore resets all watches and replaces the list and its revision, like a service that was restored from an older
-// backup or has lost its state.
+// backup or that has lost its state.
 func (d *Discovery) Restore(revision int64, endpoints ...wire.Endpoint) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/fakeserver/discovery_list.go
+++ b/internal/fakeserver/discovery_list.go
@@ -6,7 +6,8 @@
 	"onyxstream/internal/wire"
 )
 
-// maxChanges bounds the history of changes. A watch that asks for a revision before the history gets the complete list.
+// maxChanges bounds the history of changes. A watch that starts at a revision before the history gets the complete
+// list.
 const maxChanges = 4096
 
 // change is one revision of the list.
@@ -104,9 +105,9 @@
 	return d.published.snapshot()
 }
 
-// updateSince returns the update to send to a watch that has received the list up to a revision: the later changes, or
-// the complete list if the watch asks for it or the history does not reach back to the revision. ok is false if there
-// is nothing to send. The caller must hold mu.
+// updateSince returns the update to send to a watch that has received the list up to a revision. The update holds the
+// later changes, or the complete list if complete is set or the history does not reach back to the revision. ok is
+// false if there is nothing to send. The caller must hold mu.
 func (d *Discovery) updateSince(revision int64, complete bool) (update wire.EndpointList, ok bool) {
 	d.publishDue()
 	if revision == d.published.revision && !complete {
--- a/internal/fakeserver/discovery_test.go
+++ b/internal/fakeserver/discovery_test.go
@@ -109,7 +109,7 @@
 	if _, ended := nextList(t, watch); !ended {
 		t.Error("the watch stays open after the restart")
 	}
-	watch, _ = client.get("?watch=1&after=44") // an unknown revision from before the restart gets the complete list
+	watch, _ = client.get("?watch=1&after=44") // a revision from before the restart gets the complete list
 	expectList(t, watch, 7, true, 1)
 	discovery.SetMode(ModeUnavailable)
 	if _, ended := nextList(t, watch); !ended {
--- a/internal/fakeserver/discovery_watch.go
+++ b/internal/fakeserver/discovery_watch.go
@@ -44,7 +44,7 @@
 		if !d.followMode(request, mode) {
 			return
 		}
-		if !ok && !started { // a watch starts with an update, if need be an empty one
+		if !ok && !started { // a watch starts with an update, which is empty if nothing has changed
 			update = wire.EndpointList{Revision: after, Endpoints: []wire.Endpoint{}}
 		}
 		if ok || !started {
@@ -68,7 +68,7 @@
 }
 
 // followMode applies the mode to an open watch. In ModeNormal it returns true. In ModeSilent it waits until the client
-// has disconnected and returns false. In the other modes it resets the connection by a panic.
+// has disconnected and returns false. In the other modes it panics with http.ErrAbortHandler to reset the connection.
 func (d *Discovery) followMode(request *http.Request, mode DiscoveryMode) bool {
 	switch mode {
 	case ModeUnavailable, ModeReset:
--- a/internal/fakeserver/eventlog.go
+++ b/internal/fakeserver/eventlog.go
@@ -15,7 +15,7 @@
 	EventOpened            = "opened"  // host: received a complete opening line
 	EventEstablished       = "up"      // host: the connection is established; the detail is the receipt
 	EventRejected          = "refused" // host: responded with BUSY
-	EventFailed            = "failed"  // host: responded with ERR or SYNTAX; the detail is the reason
+	EventFailed            = "failed"  // host: sent ERR or SYNTAX; client: got ERR or nothing; the detail is the reason
 	EventEnded             = "ended"   // host: ended the connection with BYE
 	EventMigrated          = "moved"   // host: sent MOVE; client: received it
 	EventDisconnected      = "left"    // host: the client ended the connection; client: the connection ended
@@ -24,7 +24,7 @@
 	EventFault             = "fault"   // any source: a fault began or ended
 	EventListSent          = "told"    // discovery: sent a list or an update; the detail is the revision
 	EventDiscoveryRejected = "turned"  // discovery: rejected or reset a request; the detail is the reason
-	EventRequested         = "asked"   // discovery: received a request, the detail is its URI; client: sent a request
+	EventRequested         = "asked"   // discovery: received a request; the detail is its URI; client: sent a request
 	EventReceived          = "heard"   // client: received a line; the detail is the line
 	EventDialed            = "dialled" // link: accepted a connection; the detail is "refused" if the link reset it
 	EventNodeHealthy       = "in"      // front: sends clients to the node
@@ -71,7 +71,7 @@
 	dropped int
 }
 
-// NewEventLog returns an empty log that takes the times of its events from a clock.
+// NewEventLog returns an empty log whose events get their times from a clock.
 func NewEventLog(clock *Clock) *EventLog { return &EventLog{clock: clock} }
 
 // Add appends an event with the current time.
@@ -126,7 +126,8 @@
 	return all
 }
 
-// eventFileVersion is the version of the file format. It increases with each change that older readers can't read.
+// eventFileVersion is the version of the file format. It increases with each change that makes files unreadable to
+// older readers.
 const eventFileVersion = 1
 
 // eventFileHeader is the first line of an event file.
--- a/internal/fakeserver/frontend.go
+++ b/internal/fakeserver/frontend.go
@@ -29,8 +29,8 @@
 	picks   uint64
 }
 
-// NewFrontendBalancer starts a front and its health checks; Close ends them. A failed check ejects a node if its last
-// passed check is at least ejectAfter ago; with 0, the first failed check ejects it.
+// NewFrontendBalancer starts a front and its health checks; Close ends them. A failed check ejects a node if the node
+// last passed a check at least ejectAfter ago. If ejectAfter is 0, the first failed check ejects the node.
 func NewFrontendBalancer(events *EventLog, ejectAfter time.Duration, nodes ...Node) *FrontendBalancer {
 	ctx, cancel := context.WithCancel(context.Background())
 	f := &FrontendBalancer{
@@ -86,8 +86,8 @@
 	f.events.Add(Event{Source: SourceFrontend, Kind: kind, Detail: f.nodes[index].Name})
 }
 
-// Pick returns a healthy node of a zone, round robin. If the zone has no healthy node or is "", Pick returns a healthy
-// node of any zone. ok is false while no node is healthy.
+// Pick returns the next healthy node of a zone in round-robin order. If the zone has no healthy node or is "", Pick
+// returns a healthy node of any zone. ok is false while no node is healthy.
 func (f *FrontendBalancer) Pick(zone string) (node Node, ok bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/fakeserver/helpers_test.go
+++ b/internal/fakeserver/helpers_test.go
@@ -15,7 +15,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// testTimeout bounds the life of each connection and each wait.
+// testTimeout bounds the lifetime of each connection and the duration of each wait.
 const testTimeout = 20 * time.Second
 
 // fixture holds the clock and the event log of a test.
@@ -94,7 +94,7 @@
 	return strings.TrimSpace(line)
 }
 
-// expectEnd waits for the end of the connection and checks that no further byte arrives.
+// expectEnd waits for the end of the connection and checks that no further bytes arrive.
 func (c *testClient) expectEnd() {
 	c.t.Helper()
 	rest, err := io.ReadAll(c.reader)
--- a/internal/fakeserver/host.go
+++ b/internal/fakeserver/host.go
@@ -21,7 +21,7 @@
 	Seed              uint64
 	StartsCold        bool          // the first start is a slow start
 	ReportsLoad       bool          // the host reports the load of its connections in LOAD lines
-	AnswersStats      bool          // the host responds to STATS with a load report, otherwise with NO
+	AnswersStats      bool          // the host responds to STATS with its utilization, otherwise with NO
 	ResumeTimeout     time.Duration // time in which a connection that its node reset can be resumed mid-flow; 0 for none
 	ObeysTestCommands bool          // the host executes lines that begin with testCommandPrefix
 }
@@ -30,7 +30,7 @@
 	maxQueuedTasks = 256
 	// microUnits converts loads and utilization to the integers in which they are stored and reported.
 	microUnits = 1e6
-	// idleWait is the timeout of the loop while no change of the model is due.
+	// idleWait is how long the loop waits for a task while no change of the model is due.
 	idleWait = time.Hour
 )
 
@@ -44,12 +44,12 @@
 	tasks       chan func() // run by the loop
 	quit        chan struct{}
 	wg          sync.WaitGroup
-	lineLatency atomic.Int64                  // of the capacity model, in ns
-	utilization atomic.Uint64                 // of the capacity model, in millionths
+	lineLatency atomic.Int64                  // LineLatency of the capacity model, in ns
+	utilization atomic.Uint64                 // Utilization of the capacity model, in millionths
 	hangGate    atomic.Pointer[chan struct{}] // closed when the hang ends; nil while the host does not hang
 	addr        string
 
-	// Owned by the loop.
+	// The fields below are owned by the loop.
 	model            *capacity.Host
 	connections      map[*hostConnection]bool
 	sessions         map[string]*session
@@ -155,7 +155,7 @@
 	return state
 }
 
-// runInLoop runs a task in the loop and waits until it is done. Once the host is closed, runInLoop does nothing.
+// runInLoop runs a task in the loop and waits until it is done. After the host is closed, runInLoop does nothing.
 func (h *Host) runInLoop(task func()) {
 	done := make(chan struct{})
 	posted := h.post(func() {
@@ -171,7 +171,7 @@
 	}
 }
 
-// post queues a task for the loop. It returns false once the host is closed.
+// post queues a task for the loop. It returns false if the host is closed.
 func (h *Host) post(task func()) bool {
 	select {
 	case h.tasks <- task:
--- a/internal/fakeserver/host_commands.go
+++ b/internal/fakeserver/host_commands.go
@@ -10,8 +10,8 @@
 // testCommandPrefix is the prefix of a line that holds a test command, on hosts with HostConfig.ObeysTestCommands.
 const testCommandPrefix = "DO "
 
-// FloodLines is the number of lines that the test command "flood" writes: more than fit into the socket buffers on the
-// path.
+// FloodLines is the number of lines that the test command "flood" writes. The lines do not fit into the socket buffers
+// on the path.
 const FloodLines = 20000
 
 // maxFloodPadding bounds the padding of a flood line, in bytes.
--- a/internal/fakeserver/host_connection.go
+++ b/internal/fakeserver/host_connection.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	// maxOutgoing bounds the lines that wait to be written to a connection. The host resets a connection whose remote
-	// side does not read and whose queue is full, because the loop must not block.
+	// maxOutgoing bounds the lines that wait to be written to a connection. If the remote side does not read and the
+	// queue is full, the host resets the connection, because the loop must not block.
 	maxOutgoing = 64
 	// maxLineBytes is the protocol's maximum length of a line, including the line end.
 	maxLineBytes = wire.MaxLine + 2
@@ -30,7 +30,7 @@
 	outgoing  chan outgoingLine
 	closed    chan struct{}
 	closeOnce sync.Once
-	responded chan struct{} // closed once the response to the opening line is written; later lines wait for it
+	responded chan struct{} // closed when the response to the opening line is written; later lines wait for it
 	session   *session      // owned by the host's loop
 }
 
@@ -152,7 +152,7 @@
 }
 
 // serve responds to health checks until an opening line arrives, and then serves the client. It returns the error that
-// ended the connection, if any.
+// ended the connection, or nil if the host ended it.
 func (c *hostConnection) serve() error {
 	reader := bufio.NewReaderSize(c.tcp, readBuffer)
 	for {
@@ -205,7 +205,8 @@
 	}
 }
 
-// echoLines echoes each line that follows the opening line, once the response to the opening line is written.
+// echoLines echoes each line that follows the opening line. It starts after the response to the opening line is
+// written.
 func (c *hostConnection) echoLines(reader *bufio.Reader) error {
 	for {
 		line, err := readLine(reader)
--- a/internal/fakeserver/host_faults.go
+++ b/internal/fakeserver/host_faults.go
@@ -51,9 +51,9 @@
 	})
 }
 
-// Drain rejects new connections and sends MOVE to the established ones, one by one and evenly spread over a period, in
-// a random order that depends on the seed. With a negative period the established connections stay. The discovery
-// service is not notified.
+// Drain rejects new connections and sends MOVE to the established connections. It sends the MOVE lines one at a time,
+// evenly spread over the period, in a random order that depends on the seed. If the period is negative, the established
+// connections stay. The discovery service is not notified.
 func (h *Host) Drain(period time.Duration) {
 	h.runInLoop(func() {
 		if h.draining || h.crashed {
@@ -86,7 +86,8 @@
 	}
 }
 
-// CancelDrain accepts new connections again. MOVE lines that are already scheduled are still sent.
+// CancelDrain ends a drain: the host accepts new connections again. MOVE lines that are already scheduled are still
+// sent.
 func (h *Host) CancelDrain() {
 	h.runInLoop(func() {
 		h.draining = false
@@ -150,9 +151,9 @@
 	return nil
 }
 
-// SetResponse replaces the responses of the capacity model. For each opening line, the host sends what the function
-// returns: a response that ends with CRLF, or "" to send nothing. A nil function restores the model. The function runs
-// in the host's loop.
+// SetResponse replaces the responses of the capacity model. For each opening line, the host sends the response that the
+// function returns, which must end with CRLF. If the function returns "", the host sends nothing. A nil function
+// restores the model. The function runs in the host's loop.
 func (h *Host) SetResponse(response func(line string) string) {
 	h.runInLoop(func() { h.scriptedResponse = response })
 }
--- a/internal/fakeserver/host_session.go
+++ b/internal/fakeserver/host_session.go
@@ -10,8 +10,8 @@
 	"onyxstream/internal/wire"
 )
 
-// session is the connection of a client, from its setup on. While it can be resumed mid-flow, it outlives its TCP
-// connection.
+// session is the connection of a client, starting with its setup. A session that can be resumed mid-flow outlives its
+// TCP connection.
 type session struct {
 	opening     wire.Opening
 	receipt     string
@@ -143,7 +143,8 @@
 const maxConnectionDuration = 30 * 24 * time.Hour
 
 // connectionDuration returns the duration of a connection that its opening line requests with the parameter "life", in
-// milliseconds, or 0 without a valid one. Nodes don't know the parameter and forward it like other unknown parameters.
+// milliseconds, or 0 if the line has no valid duration. Nodes don't know the parameter and forward it like other
+// unknown parameters.
 func connectionDuration(line string) time.Duration {
 	_, list, _ := strings.Cut(line, "life=")
 	value, _, _ := strings.Cut(list, ",")
@@ -154,8 +155,8 @@
 	return time.Duration(ms) * time.Millisecond
 }
 
-// endSession sends a last line to a session and ends it. If the host hangs, that happens after the hang. It runs in the
-// loop.
+// endSession sends a last line on a session and ends the session. If the host hangs, it does both when the hang ends.
+// It runs in the loop.
 func (h *Host) endSession(s *session, kind, line string) {
 	if h.sessions[s.opening.ID] != s {
 		return
--- a/internal/fakeserver/host_test.go
+++ b/internal/fakeserver/host_test.go
@@ -115,8 +115,8 @@
 	dial(t, host.Addr(), "OPEN a key c=chat,t=acme,d=2000").expect("UP ")
 }
 
-// A connection that its node reset is resumed with the same receipt. A mid-flow reconnect is reset if no session waits
-// to be resumed.
+// A session whose connection was reset is resumed by a mid-flow reconnect, with the same receipt. A mid-flow reconnect
+// is reset if no session waits to be resumed.
 func TestHost_MidFlowReconnect_ResumesSession(t *testing.T) {
 	env := newFixture(t)
 	host := env.host("h1", func(config *HostConfig) { config.ResumeTimeout = time.Hour })
--- a/internal/fakeserver/link.go
+++ b/internal/fakeserver/link.go
@@ -33,8 +33,8 @@
 }
 
 // Link is a relay in front of one target that injects network faults. When a blackhole ends, the link resets each
-// connection that lost bytes in it, like a machine that has restarted and does not know the connection. It is safe for
-// concurrent use.
+// connection that lost bytes in the blackhole, like a machine that has restarted and does not know the connection. A
+// Link is safe for concurrent use.
 type Link struct {
 	target   string // "unix:PATH", or host and port
 	listener net.Listener
@@ -171,7 +171,7 @@
 	k.wg.Wait()
 }
 
-// resetConnection closes a TCP connection with a RST, and a Unix socket in the ordinary way.
+// resetConnection closes a TCP connection with a RST. It closes a Unix socket normally.
 func resetConnection(connection net.Conn) {
 	if tcp, ok := connection.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
@@ -179,8 +179,8 @@
 	_ = connection.Close()
 }
 
-// register adds a connection to those that faults apply to. It returns false if the link rejects connections or is
-// closed.
+// register adds a connection to the set of connections that faults apply to. It returns false if the link rejects
+// connections or is closed.
 func (k *Link) register(connection net.Conn) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -209,7 +209,8 @@
 	}
 }
 
-// awaitStallEnd waits while a direction is stalled, and returns its faults. closed reports that the link is closed.
+// awaitStallEnd waits while a direction is stalled, and returns the faults of the direction. closed reports that the
+// link is closed.
 func (k *Link) awaitStallEnd(direction int) (fault LinkFault, closed bool) {
 	return k.awaitFault(direction, func(f LinkFault) bool { return !f.Stall })
 }
--- a/internal/fakeserver/link_relay.go
+++ b/internal/fakeserver/link_relay.go
@@ -71,14 +71,14 @@
 	direction int
 	from, to  net.Conn
 	chunks    chan chunk // closed by read
-	readErr   error      // valid once chunks is closed
+	readErr   error      // valid after chunks is closed
 }
 
 func newStream(link *Link, direction int, from, to net.Conn) *stream {
 	return &stream{link: link, direction: direction, from: from, to: to, chunks: make(chan chunk, maxChunks)}
 }
 
-// run forwards the bytes of a direction and then the way in which it ended: a FIN as a FIN, a reset as a reset.
+// run forwards the bytes of a direction, and then the end of the connection: a FIN as a FIN and a reset as a reset.
 func (s *stream) run() {
 	go s.read()
 	lossy, writeErr := s.write()
--- a/internal/fakeserver/traffic.go
+++ b/internal/fakeserver/traffic.go
@@ -8,7 +8,7 @@
 // Traffic is the amount of TCP payload on a server's connections, without packet headers.
 type Traffic struct {
 	BytesIn, BytesOut       int64
-	MessagesIn, MessagesOut int64 // number of reads that returned data, and of writes
+	MessagesIn, MessagesOut int64 // numbers of reads and writes that transferred data
 }
 
 // Sub returns the traffic since an earlier measurement.
--- a/internal/faultinject/faultinject.go
+++ b/internal/faultinject/faultinject.go
@@ -48,12 +48,12 @@
 // onSocketsOnly reports whether the rule is restricted to sockets.
 func (r *Rule) onSocketsOnly() bool { return r.OnSockets || r.MaxBytes > 0 }
 
-// Options selects the faults that can be injected into a program. System calls that it does not name run at full speed.
+// Options selects the faults that can be injected into a program. System calls that are not in Calls run at full speed.
 type Options struct {
 	Calls      []Call // system calls that rules can make fail
 	StepsClock bool   // enables Process.StepClock
-	Seed       uint64 // of the random choices
-	Rules      []Rule // in force until Process.SetRules replaces them
+	Seed       uint64 // seed of the random choices
+	Rules      []Rule // in force from the first system call until Process.SetRules replaces them
 }
 
 // Process is a program under fault injection. Its methods are safe for concurrent use.
@@ -65,9 +65,10 @@
 	rng         *rand.Rand
 	rules       []Rule
 	clockOffset time.Duration
-	injected    map[Call]int // number of calls that a rule was applied to
+	injected    map[Call]int // number of system calls that a rule was applied to
 }
 
+// rngStream is the second half of the random seed of a process; the first half is Options.Seed.
 const rngStream = 0x73797366
 
 // Start starts a command under fault injection. It replaces the command's path and arguments with those of the
@@ -117,7 +118,7 @@
 	p.clockOffset = offset
 }
 
-// Injected returns the number of calls that a rule has been applied to so far.
+// Injected returns how many system calls of one kind a rule has been applied to so far.
 func (p *Process) Injected(call Call) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/faultinject/faultinject_test.go
+++ b/internal/faultinject/faultinject_test.go
@@ -26,7 +26,8 @@
 	os.Exit(m.Run())
 }
 
-// child dials addr once for each line of its input, and prints its wall-clock time and the error of the dial.
+// child dials addr once for each line of its input. For each dial it prints its wall-clock time and the error of the
+// dial.
 func child(addr string) {
 	lines := bufio.NewScanner(os.Stdin)
 	for lines.Scan() {
--- a/internal/faultinject/filter.go
+++ b/internal/faultinject/filter.go
@@ -30,8 +30,8 @@
 	return unix.SockFilter{Code: jumpIfEqual, Jf: statements, K: operand}
 }
 
-// filterProgram returns a BPF program that reports the given system calls to the listener and allows all others. The
-// calls are decimal numbers.
+// filterProgram returns a BPF program that reports the given system calls to the listener and allows all others. calls
+// holds the numbers of the system calls in decimal.
 func filterProgram(calls []string, reportsClock bool) ([]unix.SockFilter, error) {
 	program := []unix.SockFilter{statement(loadWord, callNumberOffset)}
 	for _, text := range calls {
--- a/internal/faultinject/launcher.go
+++ b/internal/faultinject/launcher.go
@@ -53,8 +53,8 @@
 	return nil
 }
 
-// RunLauncher executes the program that was passed to Start if this process is a launcher. Otherwise it returns at
-// once.
+// RunLauncher executes the program that was passed to Start if this process is a launcher. Otherwise it returns
+// immediately.
 func RunLauncher() {
 	if os.Getenv(listenerVar) == "" {
 		return
@@ -84,8 +84,8 @@
 	return syscall.Exec(os.Args[1], os.Args[1:], programEnvironment())
 }
 
-// programEnvironment returns the program's environment: the launcher's without its own variables, and with LD_PRELOAD if
-// the clock can be stepped.
+// programEnvironment returns the program's environment: the environment of the launcher without the launcher's
+// variables, and with LD_PRELOAD if the clock can be stepped.
 func programEnvironment() []string {
 	preload := os.Getenv(preloadVar)
 	env := slices.DeleteFunc(os.Environ(), func(variable string) bool { return strings.HasPrefix(variable, listenerVar) })
--- a/internal/faultinject/notify.go
+++ b/internal/faultinject/notify.go
@@ -54,8 +54,8 @@
 	}
 }
 
-// decide returns the response to a system call: the stepped time for clock_gettime, otherwise the effect of the first
-// rule that applies. A call that no rule applies to proceeds.
+// decide returns the response to a system call. It answers clock_gettime with the stepped time. Any other system call
+// gets the effect of the first rule that applies to it, or proceeds if no rule applies.
 func (p *Process) decide(request *notification) response {
 	proceed := response{flags: unix.SECCOMP_USER_NOTIF_FLAG_CONTINUE}
 	call := Call(request.call)
@@ -83,7 +83,8 @@
 	return proceed
 }
 
-// writeClock writes the stepped wall-clock time into the program's memory, where clock_gettime would write it.
+// writeClock writes the stepped wall-clock time into the program's memory, to the address that the program passed to
+// clock_gettime.
 func (p *Process) writeClock(request *notification) error {
 	p.mu.Lock()
 	now := time.Now().Add(p.clockOffset)
@@ -102,7 +103,7 @@
 	return err == nil && strings.HasPrefix(name, "socket:")
 }
 
-// ioctl calls ioctl(2) again whenever a signal interrupts it.
+// ioctl calls ioctl(2), and repeats the call if a signal interrupts it.
 func ioctl(fd int, request uintptr, argument unsafe.Pointer) error {
 	for {
 		_, _, errno := unix.Syscall(unix.SYS_IOCTL, uintptr(fd), request, uintptr(argument))
--- a/internal/faultinject/transfer.go
+++ b/internal/faultinject/transfer.go
@@ -6,7 +6,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// transferAtMost performs a read or write of at most maxBytes on behalf of the program, on a duplicate of its socket.
+// transferAtMost performs a read or write of at most maxBytes bytes on behalf of the program, on a duplicate of the
+// program's socket.
 func transferAtMost(request *notification, call Call, maxBytes int) response {
 	n, err := transfer(request, call, maxBytes)
 	if err == nil {
@@ -19,6 +20,7 @@
 	return failWith(unix.EIO)
 }
 
+// transfer performs the read or write of transferAtMost and returns the number of bytes transferred.
 func transfer(request *notification, call Call, maxBytes int) (n int, err error) {
 	pid := int(request.pid)
 	fd, err := copyDescriptor(pid, int(request.args[0]))
--- a/internal/soaktest/behavior.go
+++ b/internal/soaktest/behavior.go
@@ -11,7 +11,7 @@
 	"onyxstream/internal/fakeserver"
 )
 
-// behavior is how a client opens its connection, and whether it follows the protocol.
+// behavior states how a client opens its connection, and whether the client follows the protocol.
 type behavior uint8
 
 const (
@@ -100,7 +100,7 @@
 	return true
 }
 
-// misbehave follows a behavior for which the protocol requires no final answer.
+// misbehave executes a behavior for which the protocol requires no final answer.
 func (c *connection) misbehave(ctx context.Context, line string) {
 	switch c.behavior {
 	case behaviorIdle:
--- a/internal/soaktest/client.go
+++ b/internal/soaktest/client.go
@@ -20,7 +20,7 @@
 type client struct {
 	id, class    string
 	behavior     behavior
-	deadline     time.Duration // of its request
+	deadline     time.Duration // deadline of its request
 	connectedFor time.Duration // how long it holds an established connection
 	pause        time.Duration // before it continues, disconnects or completes the opening line
 	reconnect    bool          // the opening line is marked as a reconnect
@@ -34,7 +34,7 @@
 	closedCheckTime = time.Millisecond
 	// maxMidFlowReconnects limits how often a client resumes mid-flow at another node.
 	maxMidFlowReconnects = 3
-	// finCrossingTime is how long after it sends a request a client may read a FIN that the node sent before the request
+	// finCrossingTime is how long after sending a request a client may read a FIN that the node sent before the request
 	// arrived.
 	finCrossingTime = 5 * time.Millisecond
 )
@@ -44,11 +44,11 @@
 	client
 	cluster  *testcluster.Cluster
 	pickNode func() (fakeserver.Node, bool) // false if the front has no healthy node
-	newKey   func() string                  // returns a unique key for a connection
+	newKey   func() string                  // returns a unique event key for a connection
 }
 
-// run runs a client to its end. In pass-through mode, when the node breaks the connection, the client resumes mid-flow
-// at another node.
+// run runs a client to its end. If the node breaks the connection in pass-through mode, the client resumes mid-flow at
+// another node.
 func (s *session) run(ctx context.Context, passThrough bool) {
 	midFlow := false
 	for range maxMidFlowReconnects + 1 {
@@ -114,7 +114,7 @@
 	return line + "\r\n"
 }
 
-// disconnect closes the connection and then records that.
+// disconnect closes the connection and then records the disconnect.
 func (c *connection) disconnect() {
 	if t, ok := c.Conn.(*net.TCPConn); ok && c.behavior == behaviorReset {
 		_ = t.SetLinger(0)
@@ -123,7 +123,7 @@
 	c.record(fakeserver.EventDisconnected, "")
 }
 
-// readPong reads exactly the answer to PING.
+// readPong reads the answer to PING and nothing after it. It returns false if the answer is not PONG.
 func (c *connection) readPong() bool {
 	_ = c.SetReadDeadline(time.Now().Add(pongTimeout))
 	var buf [len("PONG\r\n")]byte
@@ -170,8 +170,8 @@
 	return c.hold(ctx, reader)
 }
 
-// hold sends lines on an established connection until connectedFor has passed. It reports whether the connection was
-// broken other than by an orderly close.
+// hold sends lines on an established connection until connectedFor has passed. It reports whether the node broke the
+// connection without an orderly close.
 func (c *connection) hold(ctx context.Context, reader *bufio.Reader) (broken bool) {
 	until := time.Now().Add(c.connectedFor)
 	for ctx.Err() == nil && time.Now().Before(until) {
--- a/internal/soaktest/conditions.go
+++ b/internal/soaktest/conditions.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// Conditions are the effects of a plan on the cluster that change what the rules allow. Times are those of the events.
+// Conditions are the effects of a plan on the cluster that change what the rules allow. Times are by the clock of the
+// events.
 type Conditions struct {
 	NonIdempotent map[string]bool // by class
 	// DiscoveryUnreachable are the intervals in which at least one node could not reach discovery.
@@ -19,12 +20,12 @@
 	DescriptorsExhausted map[string][]Interval
 }
 
-// Interval is the time between two moments, both included.
+// Interval is the time between two moments, both inclusive.
 type Interval struct{ From, To time.Duration }
 
 func (i Interval) contains(at time.Duration) bool { return i.From <= at && at <= i.To }
 
-// exhaustionMargin is how long before and after the times of idle clients a node may lack descriptors.
+// exhaustionMargin is how long before idle clients connect, and after they disconnect, a node may lack descriptors.
 const exhaustionMargin = time.Second
 
 // startupTime is how long a restarted node takes to reach discovery.
@@ -62,8 +63,8 @@
 	return c
 }
 
-// PropagatedBy returns when a change counts as known to all nodes: at the end of the first interval of the given length
-// after the change in which discovery was reachable throughout.
+// PropagatedBy returns the time at which a change counts as known to all nodes. It is the end of the first interval
+// after the change that has the given length and throughout which discovery was reachable.
 func PropagatedBy(change, length time.Duration, unreachable []Interval) time.Duration {
 	from := change
 	intervals := slices.Clone(unreachable)
--- a/internal/soaktest/node_log.go
+++ b/internal/soaktest/node_log.go
@@ -34,8 +34,7 @@
 	return bytes.Clone(l.buf.Bytes())
 }
 
-// findErrors returns the lines of a log that report invariant violations, and those of the other lines that report
-// crashes.
+// findErrors returns the lines of a log that report invariant violations, and the other lines that report crashes.
 func findErrors(log []byte) (violations, crashes []string) {
 	for line := range strings.Lines(string(log)) {
 		line = strings.TrimRight(line, "\n")
--- a/internal/soaktest/plan.go
+++ b/internal/soaktest/plan.go
@@ -1,7 +1,7 @@
-// Package soaktest runs a test cluster of real processes under random faults, two or three at a time, which it draws
-// from a seed. From the events of clients, hosts and discovery, and from the nodes' own invariant checks, it determines
-// whether the nodes kept the rules. Plans are generated and events are checked by pure functions; the runner starts
-// processes and opens connections with package testcluster.
+// Package soaktest runs a test cluster of real processes under random faults. The faults are drawn from a seed, and two
+// or three of them start together. From the events of clients, hosts and discovery, and from the nodes' own invariant
+// checks, it determines whether the nodes kept the rules. Plans are generated and events are checked by pure functions;
+// the runner starts processes and opens connections with package testcluster.
 package soaktest
 
 import (
@@ -11,10 +11,10 @@
 	"onyxstream/internal/testcluster"
 )
 
-// PlanOptions are the size of the cluster and the duration of a plan.
+// PlanOptions holds the size of the cluster and the duration of a plan.
 type PlanOptions struct {
 	Nodes, Hosts int
-	Duration     time.Duration // the time in which clients connect and faults begin
+	Duration     time.Duration // clients connect and faults begin during this time
 }
 
 // Plan is the set of faults of a run. Times are relative to the start of the plan.
@@ -39,7 +39,7 @@
 type Reload struct {
 	At      time.Duration
 	Node    int  // index
-	Invalid bool // the file is invalid for invalidConfigTime, then valid again for a last reload
+	Invalid bool // the file is invalid for at least invalidConfigTime, then valid again for a last reload
 	Repeats int  // further reload signals in quick succession
 }
 
--- a/internal/soaktest/plan_faults.go
+++ b/internal/soaktest/plan_faults.go
@@ -6,7 +6,8 @@
 )
 
 const (
-	// restartReservation is how long a node that is stopped is reserved; it has started again by the end.
+	// restartReservation is how long a node is reserved for a stop or a kill. By the end of this time the node has
+	// started again.
 	restartReservation = 8 * time.Second
 	// shutdownTime is the longest graceful shutdown of a node.
 	shutdownTime = 4 * time.Second
--- a/internal/soaktest/plan_generator.go
+++ b/internal/soaktest/plan_generator.go
@@ -14,8 +14,8 @@
 const (
 	nodePrefix         = "n"
 	hostPrefix         = "h"
-	nodeLinkPrefix     = "link-n" // of the links between nodes and discovery
-	hostLinkPrefix     = "link-h" // of the links between nodes and hosts
+	nodeLinkPrefix     = "link-n" // links between nodes and discovery
+	hostLinkPrefix     = "link-h" // links between nodes and hosts
 	syscallFaultPrefix = "calls-"
 	clockPrefix        = "clock-"
 	idleClientsPrefix  = "idle-"
@@ -53,8 +53,8 @@
 	return shortest + time.Duration(g.Float64()*float64(longest-shortest))
 }
 
-// reserve draws one of the n targets of a prefix that is not reserved at the time at, and reserves it until the time
-// until. ok is false if all targets are reserved.
+// reserve draws one of the n targets of a prefix. It leaves out targets that are reserved at the time at, and reserves
+// the drawn target until the time until. ok is false if all targets are reserved.
 func (g *planGenerator) reserve(prefix string, n int, at, until time.Duration) (index int, name string, ok bool) {
 	first := g.IntN(n)
 	for k := range n {
@@ -77,7 +77,7 @@
 	return name, ok
 }
 
-// addFault adds a fault. A length of 0 is for a fault that does not end; period becomes FaultSpec.Period.
+// addFault adds a fault. A fault with a length of 0 does not end. period becomes FaultSpec.Period.
 func (g *planGenerator) addFault(at, length time.Duration, kind, target string, period time.Duration) {
 	g.plan.Faults = append(g.plan.Faults, testcluster.FaultSpec{
 		At:       tomlfile.Duration(at),
--- a/internal/soaktest/rule_checker.go
+++ b/internal/soaktest/rule_checker.go
@@ -12,10 +12,10 @@
 // Limits are the time limits of the rules, and the tolerances of their measurement.
 type Limits struct {
 	AnswerGrace      time.Duration // how long after the client's deadline the final answer may arrive
-	DrainGrace       time.Duration // how long nodes that know that a host is draining may still connect to it
-	Propagation      time.Duration // how long a change of the list takes to reach all nodes while discovery is reachable
-	DisconnectNotice time.Duration // how long after a client has disconnected a node may connect to a host for it
-	RecordDelay      time.Duration // how late an event may be recorded on a busy machine
+	DrainGrace       time.Duration // how long nodes may connect to a host that they know to be draining
+	Propagation      time.Duration // time for a list change to reach all nodes while discovery is reachable
+	DisconnectNotice time.Duration // how long nodes may connect to hosts for a client that has disconnected
+	RecordDelay      time.Duration // delay with which an event may be recorded on a busy machine
 }
 
 // DefaultLimits are the limits that operators require.
@@ -131,7 +131,7 @@
 		return
 	}
 	if r.answeredAt > latest {
-		c.addViolation("%s at %s, sent at %v with a deadline of %v: %q only at %v",
+		c.addViolation("%s at %s, sent at %v with a deadline of %v: late answer %q at %v",
 			r.id, r.node, r.sentAt, r.deadline, r.answers[0], r.answeredAt)
 	}
 	word, receipt, _ := strings.Cut(r.answers[0], " ")
@@ -163,13 +163,13 @@
 	case killed, exhausted && r.brokenAt > 0:
 		c.verdict.Exempt++
 	default:
-		c.addViolation("%s at %s, sent at %v with a deadline of %v: no complete answer, broken at %v",
+		c.addViolation("%s at %s, sent at %v with a deadline of %v: no complete answer, connection broken at %v",
 			r.id, r.node, r.sentAt, r.deadline, r.brokenAt)
 	}
 }
 
-// checkDisconnects checks that nodes do not connect to hosts for clients that have disconnected. It leaves out clients
-// that have sent a later request with the same ID.
+// checkDisconnects checks that nodes do not connect to hosts for clients that have disconnected. It ignores a client
+// that has sent a later request with the same ID.
 func (c *checker) checkDisconnects() {
 	disconnected := map[string]time.Duration{} // by id, of clients without a final answer
 	lastSent := map[string]time.Duration{}     // by id
@@ -199,8 +199,8 @@
 	}
 }
 
-// checkDrains checks that nodes do not connect to a draining host later than the drain grace after all nodes know of the
-// drain.
+// checkDrains checks that nodes do not connect to a draining host after the drain grace, which begins when all nodes
+// know of the drain.
 func (c *checker) checkDrains() {
 	knownAt := map[string]time.Duration{} // by host
 	for _, event := range c.events {
@@ -213,7 +213,7 @@
 			continue
 		}
 		if event.At > at+c.limits.DrainGrace+c.limits.RecordDelay {
-			c.addViolation("%s: connected to %s at %v, which drains, propagated by %v",
+			c.addViolation("%s: connected to draining host %s at %v, drain propagated by %v",
 				event.ID, event.Source, event.At, at)
 		}
 	}
--- a/internal/soaktest/rule_checker_test.go
+++ b/internal/soaktest/rule_checker_test.go
@@ -22,7 +22,7 @@
 // lateAnswer is just after the latest time of a final answer to a request with a deadline of 1 s.
 var lateAnswer = time.Second + DefaultLimits.AnswerGrace + DefaultLimits.RecordDelay + ms
 
-// drainedLate is just after the latest time at which nodes may connect to a host that drains from time 0 on.
+// drainedLate is just after the latest time at which nodes may connect to a host whose drain began at time 0.
 var drainedLate = DefaultLimits.Propagation + DefaultLimits.DrainGrace + DefaultLimits.RecordDelay + ms
 
 var (
@@ -61,7 +61,7 @@
 		b.add(ms, "c-n1", fakeserver.EventReset, "a", "reset")
 	}, ""},
 	{"silent while descriptors are exhausted", exhausted, func(b *testLedger) { b.request("a") }, "no complete answer"},
-	{"late", Conditions{}, func(b *testLedger) { b.request("a"); b.add(lateAnswer, "c-n1", fakeserver.EventReceived, "a", "ERR") }, "only at"},
+	{"late", Conditions{}, func(b *testLedger) { b.request("a"); b.add(lateAnswer, "c-n1", fakeserver.EventReceived, "a", "ERR") }, "late answer"},
 	{"two answers", Conditions{}, func(b *testLedger) {
 		b.request("a")
 		b.add(ms, "c-n1", fakeserver.EventReceived, "a", "BUSY")
@@ -86,7 +86,7 @@
 	{"connected to a draining host", Conditions{}, func(b *testLedger) {
 		b.add(0, "h1", fakeserver.EventFault, "", fakeserver.DetailDrain)
 		b.add(drainedLate, "h1", fakeserver.EventOpened, "a", "")
-	}, "which drains"},
+	}, "draining host"},
 	{"connected before the drain has propagated", Conditions{DiscoveryUnreachable: []Interval{{time.Second, 2 * time.Second}}}, func(b *testLedger) {
 		b.add(0, "h1", fakeserver.EventFault, "", fakeserver.DetailDrain)
 		b.add(drainedLate, "h1", fakeserver.EventOpened, "a", "")
@@ -107,7 +107,7 @@
 	}, ""},
 }
 
-// CheckRules reports a violation of each rule, and does not report what the rules allow.
+// CheckRules reports a violation of each rule, and reports no violation for events that the rules allow.
 func TestCheckRules_EachRule_FindsViolation(t *testing.T) {
 	for _, c := range checkerCases {
 		var b testLedger
--- a/internal/soaktest/run.go
+++ b/internal/soaktest/run.go
@@ -26,8 +26,8 @@
 	Verdict
 	InvariantViolations []string // log lines of the nodes' invariant checks
 	Crashes             []string // log lines of panics and data races
-	FailedSyscalls      int      // system calls that fault injection made fail, in the last process of each node
-	ClockSteps          int      // steps of the wall clock that nodes logged
+	FailedSyscalls      int      // number of injected system call failures in the last process of each node
+	ClockSteps          int      // number of steps of the wall clock that nodes logged
 	Log                 []byte   // the logs of all nodes
 	RecordedEvents      []fakeserver.Event
 }
--- a/internal/soaktest/runner.go
+++ b/internal/soaktest/runner.go
@@ -40,7 +40,7 @@
 	return r.errs
 }
 
-// invalidConfigTime is how long a configuration file stays invalid.
+// invalidConfigTime is the minimum time for which a configuration file stays invalid.
 const invalidConfigTime = 60 * time.Millisecond
 
 // startReloads starts the plan's reloads.
@@ -118,8 +118,8 @@
 	maxPicks = 64
 )
 
-// pickNode picks a node for a client as the platform's front does, the load balancer before the nodes. It ejects a
-// stopping node sooner than the fake front does.
+// pickNode picks a node for a client like the platform's front (the load balancer in front of the nodes), which ejects
+// a stopping node sooner than the fake front does.
 func (r *runner) pickNode() (node fakeserver.Node, ok bool) {
 	at := r.cluster.Clock.Now() - r.startedAt
 	for range maxPicks {
@@ -131,8 +131,8 @@
 	return node, false
 }
 
-// isStopping reports whether at is in the time after a stop of the node in which the platform's front sends it no
-// clients: from frontEjectDelay to half of restartReservation after the stop.
+// isStopping reports whether the platform's front sends no clients to the node at a time because of a stop. That is the
+// case from frontEjectDelay to half of restartReservation after the stop.
 func (p Plan) isStopping(node string, at time.Duration) bool {
 	for _, fault := range p.Faults {
 		if fault.Target != node || fault.Kind != "stop" {
@@ -148,7 +148,8 @@
 // clientStream is the second half of the random seed of a plan's clients; the first half is the seed of the plan.
 const clientStream = 0x636c69656e74
 
-// startClients starts clients as a Poisson process with a rate per second, and returns after the plan's duration.
+// startClients starts clients as a Poisson process with the given rate per second, and returns after the plan's
+// duration.
 func (r *runner) startClients(rate float64) {
 	rng := rand.New(rand.NewPCG(r.plan.Seed, clientStream))
 	var connections atomic.Int64
--- a/internal/soaktest/soak_test.go
+++ b/internal/soaktest/soak_test.go
@@ -99,7 +99,7 @@
 	for _, fault := range plan.Faults {
 		fmt.Fprintf(&planText, "%v for %v: %s on %s by %g over %v\n", fault.At.AsDuration(), fault.Duration.AsDuration(), fault.Kind, fault.Target, fault.Amount, fault.Period.AsDuration())
 	}
-	fmt.Fprintf(&planText, "reloads %+v\nidle clients %+v\ncall faults %+v\n", plan.Reloads, plan.IdleClients, plan.SyscallFaults)
+	fmt.Fprintf(&planText, "reloads %+v\nidle clients %+v\nsystem call faults %+v\n", plan.Reloads, plan.IdleClients, plan.SyscallFaults)
 	for name, text := range map[string]string{"log": string(report.Log), "ledger": ledger.String(), "plan": planText.String()} {
 		if err := os.WriteFile(filepath.Join(folder, fmt.Sprintf("seed%d.%s", seed, name)), []byte(text), 0o600); err != nil {
 			t.Fatal(err)
--- a/internal/soaktest/syscall_faults.go
+++ b/internal/soaktest/syscall_faults.go
@@ -20,7 +20,8 @@
 	ClockStep    time.Duration      // offset of the node's wall clock from the machine's, from At on
 }
 
-// syscallFaultRules are failures of system calls that can occur in production. A fault uses the rules of one element.
+// syscallFaultRules are failures of system calls that can occur in production. A SyscallFault uses the rules of one
+// element.
 var syscallFaultRules = [][]faultinject.Rule{
 	{{
 		Call:        faultinject.Accept,
@@ -45,7 +46,8 @@
 // clockSteps are the possible offsets of a node's wall clock from the machine's.
 var clockSteps = []time.Duration{time.Hour, -time.Hour, 5 * time.Second, -5 * time.Second, 0}
 
-// tracedSyscalls are the system calls that are traced in the processes of all nodes, so that rules can make them fail.
+// tracedSyscalls are the system calls that fault injection intercepts in the processes of all nodes, so that rules can
+// make them fail.
 var tracedSyscalls = []faultinject.Call{
 	faultinject.Accept, faultinject.Socket, faultinject.Connect, faultinject.Read, faultinject.Write,
 }
--- a/internal/testcluster/admission_probe.go
+++ b/internal/testcluster/admission_probe.go
@@ -25,7 +25,7 @@
 // AdmissionProbe is the result of one client that sent requests to one node until the node established its connection.
 // Times are those of the cluster's clock.
 type AdmissionProbe struct {
-	Node              int           // index
+	Node              int           // index of the node
 	FirstSentAt       time.Duration // when the first request was sent
 	ServedAt          time.Duration // when the connection was established; 0 for never
 	Rejected          int           // BUSY answers
@@ -37,7 +37,7 @@
 
 // ProbeAdmission runs clients against one node and returns when all of them have ended. Their starts are spaced evenly
 // over spread. Each client retries until its connection is established or its timeout has passed; deadline is the
-// deadline of one request. Final answers are recorded with the client's name as the source.
+// deadline of each request. Final answers are recorded with the client's name as the source.
 func (c *Cluster) ProbeAdmission(
 	ctx context.Context, node, clients int, spread, deadline, timeout time.Duration,
 ) []AdmissionProbe {
@@ -75,7 +75,7 @@
 	deadline time.Duration
 }
 
-// run sends requests until a connection is established or the context ends.
+// run sends requests until a connection is established or the context is done.
 func (p *probeClient) run(ctx context.Context) {
 	retryField := ""
 	addr := p.cluster.nodes[p.result.Node].addr
@@ -115,8 +115,8 @@
 	return strings.TrimRight(line, "\r\n"), err
 }
 
-// handleAnswer records a final answer, or the read error if there is none. It reports whether the connection is
-// established, and if not, how long to wait before the retry.
+// handleAnswer records a final answer, or the read error if there is no final answer. It reports whether the connection
+// is established. If it is not, wait is the time until the retry.
 func (p *probeClient) handleAnswer(ctx context.Context, answer string, err error) (served bool, wait time.Duration) {
 	p.record(fakeserver.EventReceived, answer)
 	p.result.LastAnswer = answer
--- a/internal/testcluster/cluster.go
+++ b/internal/testcluster/cluster.go
@@ -30,34 +30,37 @@
 	Starter func(name string, cmd *exec.Cmd) error
 }
 
-// Cluster is a test cluster. After Launch its methods are safe for concurrent use, except for Close.
+// Cluster is a test cluster. After Launch, its methods other than Close are safe for concurrent use.
 type Cluster struct {
 	Clock     *fakeserver.Clock
 	EventLog  *fakeserver.EventLog
 	Discovery *fakeserver.Discovery
 	Front     *fakeserver.FrontendBalancer // nil before the launch
 
-	number         int           // among the clusters of this process, from 1
-	launchedAt     time.Duration // by Clock
-	config         Config
-	options        Options
+	// Configuration and launch.
+	number     int           // number of the cluster in this process, from 1
+	launchedAt time.Duration // time by Clock
+	config     Config
+	options    Options
+
+	// Processes, fake servers and links.
 	store          *fakeserver.SharedSessionStore
-	dir            string // the files of the processes
+	dir            string // directory for the files of the processes
 	nodes          []*process
 	agents         []*process
-	discoveryLinks []*fakeserver.Link // by node
+	discoveryLinks []*fakeserver.Link // index is that of the node
 	controlLinks   []*fakeserver.Link // from a node or agent to a node's control listener, named "n1>n2" or "a1>n2"
 	timeline       timeline
 
-	mu          sync.Mutex
+	mu          sync.Mutex // guards the fields below
 	hosts       []*fakeserver.Host
-	hostLinks   []*fakeserver.Link // by host
+	hostLinks   []*fakeserver.Link // index is that of the host
 	directPicks int
 	closed      bool
 }
 
-// clusterCount is the number of clusters that this process has made. Each has its own number, so that the addresses of
-// its nodes are its own.
+// clusterCount is the number of clusters that this process has created. It gives each cluster its own number, so that
+// nodes of different clusters do not share an address.
 var clusterCount atomic.Int64
 
 const (
@@ -85,8 +88,8 @@
 	return c, nil
 }
 
-// Prepare starts the fake servers and links and writes the files of the processes, but does not start the processes, so
-// that faults can begin before the processes start. On an error it closes the cluster.
+// Prepare starts the fake servers and links and writes the files of the processes. It does not start the processes, so
+// that the caller can start faults first. On an error it closes the cluster.
 func Prepare(config Config, options Options) (*Cluster, error) {
 	clock := fakeserver.NewClock()
 	store := capacity.SessionStore{Latency: config.Store.Latency.AsDuration(), Rate: config.Store.CallsPerSecond}
@@ -220,7 +223,8 @@
 // processes returns the nodes and agents.
 func (c *Cluster) processes() []*process { return slices.Concat(c.nodes, c.agents) }
 
-// unexpectedExits returns an error that names the processes that exited without being stopped, or nil.
+// unexpectedExits returns an error that names the processes that exited without being stopped, or nil if there are
+// none.
 func (c *Cluster) unexpectedExits() (err error) {
 	for _, p := range c.processes() {
 		err = errors.Join(err, p.unexpectedExit())
--- a/internal/testcluster/coldstart_discovery_test.go
+++ b/internal/testcluster/coldstart_discovery_test.go
@@ -12,8 +12,8 @@
 
 const startNodeCount = 12
 
-// Half of the nodes can't reach discovery, because of one kind of link fault in each case. They get the endpoint list
-// from their peers.
+// Half of the nodes can't reach discovery, because of a link fault of a different kind in each subtest. These nodes get
+// the endpoint list from their peers.
 func TestColdStart_HalfCutOffFromDiscovery_AllServed(t *testing.T) {
 	for _, kind := range []string{faultRejectConnections, faultBlackhole, faultDeaf, faultMute, faultStall} {
 		t.Run(kind, func(t *testing.T) {
@@ -29,8 +29,8 @@
 	}
 }
 
-// Discovery rejects all requests, with a Retry-After that is absent, long, a date or invalid. Nodes send few requests
-// meanwhile, and all of them get the endpoint list soon after discovery recovers.
+// Discovery rejects all requests, with a Retry-After that is absent, long, a date or invalid. During this time the
+// nodes send few requests. Soon after discovery recovers, all nodes have the endpoint list.
 func TestColdStart_DiscoveryRejectsWithRetryAfter_FewRequests(t *testing.T) {
 	for name, retryAfter := range map[string]string{
 		"none":        "",
@@ -44,7 +44,7 @@
 			t.Parallel()
 			cluster := prepare(t, startConfig(startNodeCount, func(config *Config) {
 				config.Discovery.RetryAfter = retryAfter
-				config.Discovery.PollInterval = tomlfile.Duration(2 * time.Second) // the backoff is at most four times that
+				config.Discovery.PollInterval = tomlfile.Duration(2 * time.Second) // the backoff is at most four times this
 			}))
 			cluster.Discovery.SetMode(fakeserver.ModeUnavailable)
 			launch(t, cluster)
@@ -57,7 +57,7 @@
 	}
 }
 
-// While discovery is down, a third of the nodes is killed and the others stall. When discovery recovers and all nodes
+// While discovery is down, a third of the nodes are killed and the others stall. When discovery recovers and all nodes
 // resume at once, they spread their requests to discovery over time, and all clients are served.
 func TestColdStart_NodesKilledAndStalled_RequestsSpread(t *testing.T) {
 	t.Parallel()
@@ -74,15 +74,15 @@
 	restart()
 	expectAllServed(t, cluster, startNodeCount, 2)
 	events, _ := cluster.EventLog.Events()
-	calls := EventTimes(events, fakeserver.SourceDiscovery, fakeserver.EventRequested)
-	if early := CountBetween(calls, start, start+100*time.Millisecond); early > startNodeCount/2 {
+	requests := EventTimes(events, fakeserver.SourceDiscovery, fakeserver.EventRequested)
+	if early := CountBetween(requests, start, start+100*time.Millisecond); early > startNodeCount/2 {
 		t.Errorf("%d requests by %d nodes in the first 100 ms after they resume", early, startNodeCount)
 	}
 }
 
 // Discovery is restored with an older endpoint list that is shorter or empty. Nodes use that list even if peers gossip
-// the newer one: hosts that discovery does not list get no clients. When the complete list is back, all clients are
-// served.
+// the newer one: hosts that discovery does not list get no clients. When discovery has the complete list again, all
+// clients are served.
 func TestColdStart_DiscoveryRestoredWithOlderList_Followed(t *testing.T) {
 	for name, listed := range map[string]int{"shorter": 2, "empty": 0} {
 		t.Run(name, func(t *testing.T) {
@@ -102,7 +102,8 @@
 			for _, endpoint := range all[:listed] {
 				isListed[endpoint.ID] = true
 			}
-			// Nodes that got the list from peers send a list request to discovery once no peer confirms the list any more.
+			// Nodes that got the list from peers send a list request to discovery when no peer confirms the list any
+			// longer.
 			time.Sleep(8 * time.Second)
 			from := cluster.Clock.Now()
 			if listed > 0 {
@@ -170,8 +171,8 @@
 	}
 }
 
-// Two hundred clients connect to a node that has no endpoint list. Each is rejected with a Retry-After, and served once
-// the node has a list.
+// Two hundred clients connect to a node that has no endpoint list. Each client is rejected with a Retry-After, and
+// served when the node has a list.
 func TestColdStart_ManyClientsNoList_RejectedThenServed(t *testing.T) {
 	t.Parallel()
 	cluster := prepare(t, startConfig(3, func(config *Config) { config.ColdStart.Peers = 2 }))
--- a/internal/testcluster/coldstart_hosts_test.go
+++ b/internal/testcluster/coldstart_hosts_test.go
@@ -120,7 +120,7 @@
 	cluster.Discovery.SetMode(fakeserver.ModeReset)
 	startFault(t, cluster, FaultSpec{Kind: faultRejectConnections, Target: "link-h5..h6"})
 	launch(t, cluster)
-	time.Sleep(time.Second) // for all nodes to start and to watch their peers
+	time.Sleep(time.Second) // time for all nodes to start and to watch their peers
 	from := cluster.Clock.Now()
 	all := probeAllNodes(t.Context(), cluster, nodes, 30, 3*time.Second, 10*time.Second)
 	for _, probe := range all {
--- a/internal/testcluster/coldstart_measurement_test.go
+++ b/internal/testcluster/coldstart_measurement_test.go
@@ -55,9 +55,9 @@
 		logColdHosts(t, cluster, servedAfter, down, len(probes))
 	}
 	events, _ := cluster.EventLog.Events()
-	calls := EventTimes(events, fakeserver.SourceDiscovery, fakeserver.EventRequested)
+	requests := EventTimes(events, fakeserver.SourceDiscovery, fakeserver.EventRequested)
 	t.Logf("%d nodes launched in %v: requests to discovery %+v, in the first second %d, while down %d", n, launched-start,
-		CountDiscoveryRequests(events), CountBetween(calls, start, start+time.Second), CountBetween(calls, start, start+down))
+		CountDiscoveryRequests(events), CountBetween(requests, start, start+time.Second), CountBetween(requests, start, start+down))
 	logProbes(t, probes, servedAfter)
 	usage := cluster.Usage()
 	t.Logf("usage %+v; CPU time per node %v", usage, usage.CPU/time.Duration(n))
--- a/internal/testcluster/coldstart_peers_test.go
+++ b/internal/testcluster/coldstart_peers_test.go
@@ -12,8 +12,8 @@
 	"onyxstream/internal/wire"
 )
 
-// No link between one node and its peers works. This node sends its own list requests to discovery; the other nodes
-// still gossip the list.
+// All links between one node and its peers fail. This node sends its own list requests to discovery, while the other
+// nodes still gossip the list.
 func TestColdStart_NodeUnreachableByPeers_SendsListRequest(t *testing.T) {
 	t.Parallel()
 	cluster := prepare(t, startConfig(startNodeCount, nil))
@@ -26,7 +26,7 @@
 }
 
 // One node can't reach discovery, and gossips the old endpoint list with which it started. Nodes with a newer list keep
-// theirs, and send no clients to the host that has been removed since.
+// it, and send no clients to a host that is removed in the newer list.
 func TestColdStart_PeerGossipsOldList_NewerListKept(t *testing.T) {
 	t.Parallel()
 	cluster := prepare(t, startConfig(startNodeCount, func(config *Config) { config.ColdStart.Peers = 8 }))
@@ -51,7 +51,7 @@
 	}
 }
 
-// A node knows that a host is draining. It sends this host no clients even after it gets a peer's list of a later
+// A node knows that a host is draining. It sends no clients to this host, even after a peer sends it a list of a later
 // revision in which the host is serving.
 func TestColdStart_PeerListSaysServing_DrainKept(t *testing.T) {
 	t.Parallel()
--- a/internal/testcluster/config.go
+++ b/internal/testcluster/config.go
@@ -9,25 +9,34 @@
 
 // Config describes a test cluster. Its TOML form is the table "fleet" of a scenario file.
 type Config struct {
-	Nodes           int               `toml:"nodes"` // 0 for hosts only, to which clients connect directly
-	Hosts           int               `toml:"hosts"`
-	Zones           []string          `toml:"zones"` // assigned to nodes and to hosts round-robin
-	Mode            string            `toml:"mode"`  // modePassThrough or modeProxy
+	// Size and mode.
+	Nodes int      `toml:"nodes"` // 0 for hosts only, to which clients connect directly
+	Hosts int      `toml:"hosts"`
+	Zones []string `toml:"zones"` // assigned to nodes and to hosts round-robin
+	Mode  string   `toml:"mode"`  // modePassThrough or modeProxy
+
+	// Health checks, load reports, links and delays.
 	HealthChecks    bool              `toml:"probes"`
 	ReportsLoad     bool              `toml:"loads"`        // hosts report the load of connections
 	HostLinks       bool              `toml:"links"`        // nodes connect to each host over a link that can have faults
-	DiscoveryDelay  tomlfile.Duration `toml:"notice"`       // until discovery lists the crash or restart of a host
-	FrontEjectDelay tomlfile.Duration `toml:"front_notice"` // until the front ejects a failed node
-	ResumeTimeout   tomlfile.Duration `toml:"park"`         // for how long a connection that its node reset can be resumed
-	Cores           float64           `toml:"cores"`        // of a node
-	MemoryMB        int               `toml:"memory_mb"`    // of a node
-	Sockets         int               `toml:"sockets"`      // of a node
-	Host            HostConfig        `toml:"host"`
-	Store           StoreConfig       `toml:"store"`
-	Discovery       DiscoveryConfig   `toml:"list"`
-	ColdStart       *ColdStartConfig  `toml:"coldstart"` // nil for nodes without cold start
-	TenantQuota     float64           `toml:"quota"`     // of open connections of each tenant, over all nodes; 0 for none
-	Agents          int               `toml:"agents"`    // each has all nodes in its inventory, and its own links to them
+	DiscoveryDelay  tomlfile.Duration `toml:"notice"`       // time until discovery lists the crash or restart of a host
+	FrontEjectDelay tomlfile.Duration `toml:"front_notice"` // time until the front ejects a failed node
+	ResumeTimeout   tomlfile.Duration `toml:"park"`         // time in which a connection that its node reset can be resumed
+
+	// Resources of each node.
+	Cores    float64 `toml:"cores"`
+	MemoryMB int     `toml:"memory_mb"`
+	Sockets  int     `toml:"sockets"`
+
+	// Capacity of the hosts and of the services, and cold start.
+	Host      HostConfig       `toml:"host"`
+	Store     StoreConfig      `toml:"store"`
+	Discovery DiscoveryConfig  `toml:"list"`
+	ColdStart *ColdStartConfig `toml:"coldstart"` // nil for nodes without cold start
+
+	// Quota and agents.
+	TenantQuota float64 `toml:"quota"`  // open connections of each tenant over all nodes; 0 for no quota
+	Agents      int     `toml:"agents"` // each has all nodes in its inventory, and its own links to them
 }
 
 // DiscoveryConfig describes the discovery service, how nodes use it, and what they know of the endpoint list when they
@@ -35,23 +44,23 @@
 type DiscoveryConfig struct {
 	RequestDuration tomlfile.Duration `toml:"cost"`        // time to serve a request; requests are served one by one
 	MaxWait         tomlfile.Duration `toml:"wait"`        // a request that would wait longer is rejected; 0 for no limit
-	MaxQueue        int               `toml:"queue"`       // waiting requests; 0 for no limit
-	RetryAfter      string            `toml:"retry_after"` // the header of rejections; "" for none
+	MaxQueue        int               `toml:"queue"`       // limit of waiting requests; 0 for no limit
+	RetryAfter      string            `toml:"retry_after"` // Retry-After header of rejections; "" for none
 	Push            bool              `toml:"push"`        // the nodes' settings say that discovery pushes updates
 	StartsUnknown   bool              `toml:"unknown"`     // nodes start without an endpoint list
 	NodeLinks       bool              `toml:"links"`       // each node connects to discovery over a link that can have faults
-	PollInterval    tomlfile.Duration `toml:"ask_within"`  // of the nodes
-	DownAtStart     tomlfile.Duration `toml:"down"`        // how long after the launch requests are reset
+	PollInterval    tomlfile.Duration `toml:"ask_within"`  // poll interval in the nodes' settings
+	DownAtStart     tomlfile.Duration `toml:"down"`        // requests are reset for this time after the launch
 }
 
 // ColdStartConfig describes the table "coldstart" of the nodes' configuration files.
 type ColdStartConfig struct {
 	CacheFolder bool `toml:"folder"` // each node caches the endpoint list in a folder that outlasts restarts
-	Peers       int  `toml:"peers"`  // of each node, over links that can have faults
-	TLS         bool `toml:"keys"`   // peers connect over TLS, with certificates of the cluster; else over Unix sockets
+	Peers       int  `toml:"peers"`  // number of peers of each node, over links that can have faults
+	TLS         bool `toml:"keys"`   // peers connect over TLS with certificates of the cluster, or else over Unix sockets
 }
 
-// HostConfig describes the capacity of every host; capacity.Spec explains the fields of the same name.
+// HostConfig describes the capacity of every host. capacity.Spec documents the fields of the same name.
 type HostConfig struct {
 	Cores             float64           `toml:"cores"`
 	Speed             float64           `toml:"speed"`
@@ -82,7 +91,7 @@
 	Deadline time.Duration
 	// Semantics is "safe" (idempotent), "keyed" (idempotent by key) or "unsafe" (non-idempotent); "" for "safe".
 	Semantics         string
-	IdempotencyWindow time.Duration // of a class that is idempotent by key; 0 for defaultIdempotencyWindow
+	IdempotencyWindow time.Duration // for a class that is idempotent by key; 0 for defaultIdempotencyWindow
 }
 
 // usesTLS reports whether peers connect over TLS.
--- a/internal/testcluster/config_check.go
+++ b/internal/testcluster/config_check.go
@@ -69,7 +69,7 @@
 	setDefault(&c.Discovery.PollInterval, defaultPollInterval)
 }
 
-// setDefault replaces a zero value by a default.
+// setDefault replaces a zero value with a default.
 func setDefault[T comparable](field *T, value T) {
 	var zero T
 	if *field == zero {
@@ -88,7 +88,7 @@
 	return nil
 }
 
-// checkRanges validates the ranges of numbers and durations, the latter in seconds.
+// checkRanges checks that numbers, and durations in seconds, are in their ranges.
 func (c *Config) checkRanges() error {
 	for _, field := range []struct {
 		key             string
--- a/internal/testcluster/event_counts.go
+++ b/internal/testcluster/event_counts.go
@@ -7,8 +7,8 @@
 	"onyxstream/internal/fakeserver"
 )
 
-// The functions of this file count events that fake servers and links recorded, by the cluster's clock. They use nothing
-// that nodes and agents report themselves.
+// The functions of this file count events that fake servers and links recorded, by the cluster's clock. They do not use
+// reports of nodes or agents.
 
 // EventTimes returns the times of the events of one kind from one source, in ascending order.
 func EventTimes(events []fakeserver.Event, source, kind string) []time.Duration {
@@ -57,12 +57,12 @@
 
 // CountDiscoveryRequests counts the recorded requests to the discovery service.
 func CountDiscoveryRequests(events []fakeserver.Event) DiscoveryRequests {
-	calls := EventTimes(events, fakeserver.SourceDiscovery, fakeserver.EventRequested)
+	requests := EventTimes(events, fakeserver.SourceDiscovery, fakeserver.EventRequested)
 	return DiscoveryRequests{
-		Requests:   len(calls),
+		Requests:   len(requests),
 		ListsSent:  len(EventTimes(events, fakeserver.SourceDiscovery, fakeserver.EventListSent)),
 		Rejected:   len(EventTimes(events, fakeserver.SourceDiscovery, fakeserver.EventDiscoveryRejected)),
-		MaxIn100ms: MaxInWindow(calls, requestWindow),
+		MaxIn100ms: MaxInWindow(requests, requestWindow),
 	}
 }
 
--- a/internal/testcluster/event_counts_test.go
+++ b/internal/testcluster/event_counts_test.go
@@ -8,7 +8,7 @@
 	"onyxstream/internal/fakeserver"
 )
 
-// Each function gets events that it must count and events that it must ignore.
+// Each function of event_counts.go gets events that it must count and events that it must ignore.
 func TestEventCounts_KnownEvents_CountsMatch(t *testing.T) {
 	const ms = time.Millisecond
 	at := func(source, kind string, times ...time.Duration) (out []fakeserver.Event) {
@@ -28,8 +28,8 @@
 	if n, _ := MaxSetupBurst(events, []string{"h1"}, 100*ms); n != 2 {
 		t.Errorf("largest burst at h1: %d, want 2", n)
 	}
-	if calls := CountDiscoveryRequests(events); calls != (DiscoveryRequests{Requests: 3, Rejected: 1, MaxIn100ms: 2}) {
-		t.Errorf("requests to discovery: %+v, want 3, 1 rejected, at most 2 in 100 ms", calls)
+	if got := CountDiscoveryRequests(events); got != (DiscoveryRequests{Requests: 3, Rejected: 1, MaxIn100ms: 2}) {
+		t.Errorf("requests to discovery: %+v, want 3, 1 rejected, at most 2 in 100 ms", got)
 	}
 	if n := CountBetween(EventTimes(events, "h10", fakeserver.EventOpened), 20*ms, 100*ms); n != 2 {
 		t.Errorf("%d openings from 20 ms to 100 ms, want 2", n)
--- a/internal/testcluster/fault_spec.go
+++ b/internal/testcluster/fault_spec.go
@@ -13,35 +13,35 @@
 	Target   string            `toml:"on"`   // "h1", "n1", "discovery", "store", "link-h1", or a range such as "n3..n40"
 	Duration tomlfile.Duration `toml:"for"`  // 0 for a fault that does not end
 	Amount   float64           `toml:"by"`   // a factor, a fraction, or bytes per second
-	Period   tomlfile.Duration `toml:"over"` // drain: time over which MOVE is sent; lag and delay: the delay
+	Period   tomlfile.Duration `toml:"over"` // drain: time over which MOVE lines are spread; lag and delay: the delay
 }
 
 // The kinds of faults, as in scenario files.
 const (
 	faultHang              = "hang"
 	faultSlow              = "slow"
-	faultSteal             = "steal" // a fraction of the host's CPU time is lost
+	faultSteal             = "steal" // host: a fraction of the CPU time is lost
 	faultDrain             = "drain"
 	faultCrash             = "die"
-	faultAdd               = "add" // a host is added
+	faultAdd               = "add" // host: a new host is added
 	faultKill              = "kill"
-	faultStop              = "stop"    // graceful shutdown
+	faultStop              = "stop"    // process: graceful shutdown
 	faultStall             = "stall"   // process: SIGSTOP; link: no bytes are forwarded
-	faultLose              = "lose"    // kill, and loss of the folder
-	faultLag               = "lag"     // discovery publishes changes late
-	faultFreeze            = "freeze"  // discovery publishes no changes
-	faultRejectRequests    = "busy"    // discovery answers with status 503
-	faultReset             = "reset"   // connections are reset
+	faultLose              = "lose"    // process: kill, and loss of the folder
+	faultLag               = "lag"     // discovery: changes are published late
+	faultFreeze            = "freeze"  // discovery: no changes are published
+	faultRejectRequests    = "busy"    // discovery: requests get status 503
+	faultReset             = "reset"   // discovery, link: connections are reset
 	faultMute              = "mute"    // link: bytes to the target are dropped; discovery: sends nothing
-	faultRestart           = "restart" // of discovery
+	faultRestart           = "restart" // discovery: restart
 	faultBlackhole         = "silence" // link: bytes in both directions are dropped
 	faultDelay             = "delay"
-	faultRate              = "limit" // of bytes per second
+	faultRate              = "limit" // link: limit of bytes per second
 	faultDeaf              = "deaf"  // link: bytes from the target are dropped
 	faultRejectConnections = "refuse"
 )
 
-// faultParameters tells which optional fields of a FaultSpec a kind of fault uses.
+// faultParameters states which optional fields of a FaultSpec a kind of fault uses.
 type faultParameters struct{ amount, period bool }
 
 var processFaults = map[string]faultParameters{faultKill: {}, faultStop: {}, faultStall: {}, faultLose: {}}
@@ -123,7 +123,7 @@
 	return nil
 }
 
-// missingLinkKey returns the key that must be set for the links of an owner to exist; "" if the links exist.
+// missingLinkKey returns the configuration key without which the links of an owner do not exist, or "" if they exist.
 func (c *Config) missingLinkKey(owner linkOwner) string {
 	switch {
 	case owner == linkOfHost && !c.HostLinks:
@@ -136,7 +136,7 @@
 	return ""
 }
 
-// checkHostExists checks that a host exists when its fault starts. It adds hosts that faults add to the count.
+// checkHostExists checks that a host exists when its fault starts. A fault that adds a host increments hosts.
 func checkHostExists(key string, fault FaultSpec, t target, hosts *int) error {
 	switch {
 	case t.kind != targetHost:
--- a/internal/testcluster/faults.go
+++ b/internal/testcluster/faults.go
@@ -12,7 +12,8 @@
 // stopTimeout is how long a graceful shutdown may take before the process is killed.
 const stopTimeout = 4 * time.Second
 
-// startFaultOn starts a fault on one target and returns a function that ends it; nil for a fault that can't be ended.
+// startFaultOn starts a fault on one target and returns a function that ends the fault, or nil if the fault can't be
+// ended.
 func (c *Cluster) startFaultOn(fault FaultSpec, t target) (end func() error, err error) {
 	switch t.kind {
 	case targetHost:
@@ -70,7 +71,7 @@
 	}
 }
 
-// addColdHost adds a host in slow start, and adds it to the endpoint list at once.
+// addColdHost starts a host in slow start and adds it to the endpoint list immediately.
 func (c *Cluster) addColdHost() error {
 	host, err := c.addHost(true)
 	if err != nil {
@@ -86,8 +87,8 @@
 	c.Discovery.Set(c.HostEndpoint(host, phase))
 }
 
-// drainHost drains a host and returns a function that cancels the drain. The host sends MOVE to its connections over the
-// period; with a period of 0 it keeps them.
+// drainHost drains a host and returns a function that cancels the drain. The host sends MOVE to its connections over
+// the period. If the period is 0, it keeps its connections.
 func (c *Cluster) drainHost(host *fakeserver.Host, period time.Duration) (cancel func()) {
 	c.listHost(host, wire.Draining)
 	if period == 0 {
@@ -103,8 +104,8 @@
 	}
 }
 
-// crashHost crashes a host and returns a function that restarts it. Discovery lists the crash and the restart after
-// Config.DiscoveryDelay each.
+// crashHost crashes a host and returns a function that restarts it. Discovery lists the crash, and later the restart,
+// with a delay of Config.DiscoveryDelay.
 func (c *Cluster) crashHost(host *fakeserver.Host) (restart func() error) {
 	host.Crash()
 	c.runAfter(c.config.DiscoveryDelay.AsDuration(), func() { c.listHost(host, wire.Removed) })
--- a/internal/testcluster/helpers_test.go
+++ b/internal/testcluster/helpers_test.go
@@ -51,7 +51,8 @@
 	}
 }
 
-// startConfig returns the configuration of a cluster with cold start and few hosts, modified by change unless it is nil.
+// startConfig returns the configuration of a cluster with cold start and few hosts. change, if not nil, modifies the
+// configuration.
 func startConfig(nodes int, change func(*Config)) Config {
 	config := coldStartConfig(nodes)
 	config.Hosts = 4
@@ -130,7 +131,7 @@
 	}
 }
 
-// recoverDiscoveryAfter makes discovery answer normally after a delay.
+// recoverDiscoveryAfter makes discovery respond normally after a delay.
 func recoverDiscoveryAfter(cluster *Cluster, delay time.Duration) {
 	go func() {
 		time.Sleep(delay)
--- a/internal/testcluster/hosts.go
+++ b/internal/testcluster/hosts.go
@@ -11,7 +11,7 @@
 
 const anyLoopbackPort = "127.0.0.1:0"
 
-// ErrNoNode reports that the front, the load balancer before the nodes, has no healthy node.
+// ErrNoNode reports that the front (the load balancer in front of the nodes) has no healthy node.
 var ErrNoNode = errors.New("no healthy node")
 
 // Hosts returns the hosts in the order in which they were added.
--- a/internal/testcluster/link_faults.go
+++ b/internal/testcluster/link_faults.go
@@ -32,7 +32,7 @@
 // linkChange starts or ends a fault on a link.
 type linkChange func(*fakeserver.Link)
 
-// linkFaultChanges returns the changes that start and end a fault; end is nil for a reset, which happens once.
+// linkFaultChanges returns the changes that start and end a fault. end is nil for a reset, which has no end.
 func linkFaultChanges(fault FaultSpec) (start, end linkChange) {
 	endBlackhole := setBlackhole(fakeserver.BothDirections, false)
 	switch fault.Kind {
@@ -61,7 +61,7 @@
 	return (*fakeserver.Link).ResetConnections, nil // faultReset
 }
 
-// setBlackhole returns a change that starts or ends the drop of all bytes in a direction.
+// setBlackhole returns a change that starts or stops dropping all bytes in a direction.
 func setBlackhole(direction fakeserver.Direction, on bool) linkChange {
 	return func(link *fakeserver.Link) {
 		link.SetFault(direction, func(fault *fakeserver.LinkFault) { fault.Blackhole = on })
--- a/internal/testcluster/node_settings.go
+++ b/internal/testcluster/node_settings.go
@@ -12,12 +12,13 @@
 	"onyxstream/internal/wire"
 )
 
-// defaultIdempotencyWindow is how long repeats are dropped in a class that is idempotent by key and sets no window.
+// defaultIdempotencyWindow is the idempotency window of a class that is idempotent by key and sets no window. Repeats
+// of a request are dropped during the window.
 const defaultIdempotencyWindow = 5 * time.Second
 
 // Settings that are the same in all clusters.
 const (
-	objectiveDivisor           = 4 // the latency objective is the deadline divided by this
+	objectiveDivisor           = 4 // the latency objective is the deadline divided by this number
 	messageObjectiveMS         = 1000
 	connectTimeoutMS           = 250
 	maxAttempts                = 5
--- a/internal/testcluster/nodes.go
+++ b/internal/testcluster/nodes.go
@@ -16,7 +16,7 @@
 	privateFolder = 0o700
 	nodeCommand   = "node"
 	agentCommand  = "agent"
-	serviceName   = "rig" // in the cold start configuration
+	serviceName   = "rig" // name of the service in the cold start configuration
 	// listReaderName is the subject of the certificate with which nodes read each other's endpoint lists.
 	listReaderName = "looker"
 )
@@ -66,8 +66,8 @@
 	return c.writeNodeConfig(p, "")
 }
 
-// freeNodeAddress returns an address for a node. Each node of this machine has its own IP address, so that neither
-// another cluster nor an outgoing connection takes the port while the node restarts.
+// freeNodeAddress returns an address for a node. Each node on this machine has its own IP address, so that neither
+// another cluster nor an outgoing connection can take the node's port during a restart.
 func (c *Cluster) freeNodeAddress(index int) (string, error) {
 	const (
 		firstNetwork     = 64 // 127.64.0.0 to 127.127.0.0
@@ -92,7 +92,8 @@
 	return listener.Addr().String(), nil
 }
 
-// processConfigPath returns the path of a process's configuration file, which it reads besides the platform's.
+// processConfigPath returns the path of the configuration file that a process reads in addition to the configuration
+// from the platform.
 func (c *Cluster) processConfigPath(p *process) string { return filepath.Join(c.dir, p.name+".toml") }
 
 // controlSocketPath returns the path of the control socket of a node or agent.
@@ -101,8 +102,8 @@
 // keyFolder returns the folder of the cluster's certificate authority.
 func (c *Cluster) keyFolder() string { return filepath.Join(c.dir, "keys") }
 
-// keyFileFields returns the fields of a TOML table that name the certificate, the key and the authority's files of a
-// certificate holder.
+// keyFileFields returns the fields of a TOML table that name the certificate and the key of a holder, the certificate
+// of the authority, and the list of revoked certificates.
 func (c *Cluster) keyFileFields(holder string) string {
 	path := func(name string) string { return filepath.Join(c.keyFolder(), name) }
 	return fmt.Sprintf("cert = %q\nkey = %q\nauthority = %q\nrevoked = %q\n",
--- a/internal/testcluster/process.go
+++ b/internal/testcluster/process.go
@@ -13,7 +13,7 @@
 // processKillTimeout is how long kill waits before it sends SIGKILL a second time.
 const processKillTimeout = 10 * time.Second
 
-// process is a node or an agent, through all of its starts. Its methods are safe for concurrent use.
+// process is a node or an agent, across all of its starts. Its methods are safe for concurrent use.
 type process struct {
 	name, zone, addr string
 	config           string // path of the platform's configuration; "" for an agent
@@ -25,12 +25,12 @@
 	log              io.Writer
 	starter          func(name string, cmd *exec.Cmd) error // called instead of cmd.Start; may be nil
 
-	mu            sync.Mutex
+	mu            sync.Mutex // guards the fields below
 	cmd           *exec.Cmd
 	done          chan struct{} // closed when cmd has exited
 	stopRequested bool
 	exitErr       error
-	pastUsage     Usage // of earlier starts
+	pastUsage     Usage // usage of earlier starts
 }
 
 // start starts the process.
@@ -40,7 +40,7 @@
 	cmd := exec.Command(p.program, p.args...)
 	cmd.Env = append(append(os.Environ(), "PROXY_CONFIG="+p.config), p.env...)
 	cmd.Stdout, cmd.Stderr = p.log, p.log
-	// The kernel kills the process when this one ends for any reason.
+	// The kernel kills the process when the current process ends for any reason.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := p.startCommand(cmd); err != nil {
 		return fmt.Errorf("%s %s: %w", p.args[0], p.name, err)
--- a/internal/testcluster/request_outcomes.go
+++ b/internal/testcluster/request_outcomes.go
@@ -8,8 +8,8 @@
 	"onyxstream/internal/fakeserver"
 )
 
-// RequestOutcomes counts the outcomes of the requests that clients sent completely to nodes, as the events of clients
-// and hosts show them.
+// RequestOutcomes counts the outcomes of the requests that clients sent completely to nodes. The events of clients and
+// hosts show the outcomes.
 type RequestOutcomes struct {
 	Requests int `json:"asked"`
 	Served   int `json:"served"`
@@ -46,7 +46,7 @@
 // without MOVE is a violation.
 //
 // A client's events have the ID of its request: EventRequested with the timeout as the detail, EventReceived with each
-// complete line, and at the end one of EventDisconnected, EventMigrated and EventReset.
+// complete line, and finally EventDisconnected, EventMigrated or EventReset.
 func CheckRequests(events []fakeserver.Event, resetIsViolation bool) RequestOutcomes {
 	log := groupByRequest(events)
 	outcomes := RequestOutcomes{Requests: len(log.order)}
--- a/internal/testcluster/rolling_client.go
+++ b/internal/testcluster/rolling_client.go
@@ -29,7 +29,7 @@
 // rollingClient is one client of a rolling restart.
 type rollingClient struct {
 	id           string
-	timeout      time.Duration // of its request
+	timeout      time.Duration // timeout of its request
 	connectedFor time.Duration // how long it keeps an established connection
 	splitOpening bool          // the opening line is sent in two parts
 	retry        bool          // the opening line is marked as a retry
@@ -86,7 +86,7 @@
 	return err == nil
 }
 
-// readAnswers records each complete line, and how the connection ends: by MOVE, by the client when its time is up, or by
+// readAnswers records each complete line, and how the connection ends: by MOVE, by the client after connectedFor, or by
 // the node.
 func (client rollingClient) readAnswers(connection net.Conn, record func(kind, detail string)) {
 	reader := bufio.NewReader(connection)
--- a/internal/testcluster/rolling_restart.go
+++ b/internal/testcluster/rolling_restart.go
@@ -24,8 +24,8 @@
 }
 
 const (
-	// pickableAfterStop is how long clients still connect to a node that is stopping: the longest time that the platform's
-	// front takes to notice.
+	// pickableAfterStop is how long clients still connect to a node that is stopping: the maximum time until the
+	// platform's front notices.
 	pickableAfterStop = 400 * time.Millisecond
 	// nodeKillTimeout is how long a graceful shutdown may take before the node is killed: the longest deadline, capped at
 	// 3 s, plus 0.7 s.
@@ -33,7 +33,8 @@
 	// restartPollInterval is the pause between health checks of a restarted node.
 	restartPollInterval = 20 * time.Millisecond
 	pingTimeout         = time.Second
-	rollingStream       = 0x726f6c6c
+	// rollingStream is the second half of the random seed of a rolling restart; the first half is RollingRestart.Seed.
+	rollingStream = 0x726f6c6c
 	// batchDivisor sets how many nodes restart at a time: the number of all nodes divided by it.
 	batchDivisor = 10
 )
@@ -50,7 +51,7 @@
 	p.excluded[node] = excluded
 }
 
-// pick returns the first node that is not excluded, in the order of the indexes from start on, with wraparound.
+// pick returns the first node that is not excluded. It tries the nodes by ascending index from start, with wraparound.
 func (p *nodePicker) pick(start, nodes int) (node int, ok bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -62,7 +63,7 @@
 	return 0, false
 }
 
-// RunRollingRestart runs a rolling restart of a ready cluster. It returns once all clients have ended.
+// RunRollingRestart runs a rolling restart of a ready cluster. It returns when all clients have ended.
 func (c *Cluster) RunRollingRestart(ctx context.Context, plan RollingRestart) error {
 	rng := rand.New(rand.NewPCG(plan.Seed, rollingStream))
 	picker := &nodePicker{excluded: map[int]bool{}}
@@ -113,7 +114,8 @@
 	}
 }
 
-// drawHostFaults draws the faults of hosts: a third of the hosts hang, and another half are drained and replaced.
+// drawHostFaults draws the faults of hosts: a third of the hosts hang, and half of the hosts, chosen among the others,
+// are drained and replaced.
 func (c *Cluster) drawHostFaults(rng *rand.Rand, length time.Duration) (faults []FaultSpec) {
 	hosts := len(c.Hosts())
 	order := rng.Perm(hosts)
@@ -140,7 +142,7 @@
 	return faults
 }
 
-// restartNode stops a node with SIGTERM, as the platform does, or kills it, and then starts it again.
+// restartNode stops a node with SIGTERM, as the platform does, or kills it with SIGKILL. It then starts the node again.
 func (c *Cluster) restartNode(ctx context.Context, picker *nodePicker, node int, kill bool) error {
 	p := c.nodes[node]
 	c.recordFault(p.name, faultStop)
--- a/internal/testcluster/rolling_restart_test.go
+++ b/internal/testcluster/rolling_restart_test.go
@@ -17,7 +17,7 @@
 	config.Discovery.StartsUnknown = false
 	config.Mode = mode
 	config.Hosts = 12
-	config.TenantQuota = float64(nodes) // as in a large cluster, a node has too few connections to find outliers by
+	config.TenantQuota = float64(nodes) // as in a large cluster, each node has too few connections to detect outliers
 	config.Discovery.RequestDuration = tomlfile.Duration(time.Millisecond)
 	config.Discovery.PollInterval = tomlfile.Duration(3 * time.Second)
 	cluster := prepare(t, config)
--- a/internal/testcluster/target.go
+++ b/internal/testcluster/target.go
@@ -18,7 +18,7 @@
 	targetStore     targetKind = "store"
 )
 
-// linkOwner tells which links a link target names.
+// linkOwner states which links a target of kind targetLink names.
 type linkOwner uint8
 
 // The owners of links.
@@ -35,7 +35,7 @@
 	name   string
 	kind   targetKind
 	linkOf linkOwner // notALink unless the kind is targetLink
-	index  int       // of the host, node or agent
+	index  int       // index of the host, node or agent
 }
 
 const digits = "0123456789"
--- a/internal/testcluster/timeline.go
+++ b/internal/testcluster/timeline.go
@@ -37,8 +37,8 @@
 	}
 }
 
-// ScheduleFaults starts a timeline of faults now, in a goroutine. Faults with the same time start in the given order.
-// Added hosts must have ascending numbers in the order in which their faults start.
+// ScheduleFaults starts a timeline of faults in a goroutine. Faults with the same time start in the given order. Added
+// hosts must have ascending numbers in the order in which their faults start.
 func (c *Cluster) ScheduleFaults(ctx context.Context, faults []FaultSpec) {
 	ctx, c.timeline.cancel = context.WithCancel(ctx)
 	faults = slices.Clone(faults)
@@ -72,8 +72,8 @@
 	}
 }
 
-// Err returns the error of the first fault of the timeline that could not be started or ended, or else an error that
-// names the processes that exited unexpectedly, or nil.
+// Err returns the error of the first fault of the timeline that could not be started or ended, or an error that names
+// the processes that exited unexpectedly, or nil.
 func (c *Cluster) Err() error {
 	c.timeline.mu.Lock()
 	defer c.timeline.mu.Unlock()
@@ -107,8 +107,8 @@
 type activeFault struct {
 	fault   FaultSpec
 	targets []target
-	ends    []func() error // by target; nil for a fault that can't be ended
-	errs    []error        // by target, the last error
+	ends    []func() error // one per target; nil for a fault that can't be ended
+	errs    []error        // the last error of each target
 }
 
 // end ends the fault on all targets. Its error includes the errors of the start.
@@ -140,7 +140,7 @@
 	detailSlow  = "slow"
 	detailEnd   = "well" // the fault has ended
 	detailAdd   = "added"
-	detailStart = "starts" // of a process
+	detailStart = "starts" // a process starts again
 )
 
 // recordFault records that a fault began or ended.
