--- a/internal/fakeserver/capacity/capacity_test.go
+++ b/internal/fakeserver/capacity/capacity_test.go
@@ -191,7 +191,7 @@
 			host.Remove(fmt.Sprint(i))
 		}
 		if demand := host.Demand(); demand > 1e-6 {
-			t.Fatalf("demand %g after all of %d connections were removed", demand, established)
+			t.Fatalf("demand %g after all %d connections were removed", demand, established)
 		}
 	})
 }
--- a/internal/soaktest/rule_checker.go
+++ b/internal/soaktest/rule_checker.go
@@ -139,7 +139,7 @@
 	case "UP":
 		c.verdict.Served++
 		if !c.receipts[r.id+" "+receipt] {
-			c.addViolation("%s: %q was issued by no host", r.id, r.answers[0])
+			c.addViolation("%s: no host issued the receipt in %q", r.id, r.answers[0])
 		}
 		return // further lines are sent by the host
 	case "BUSY":
@@ -185,7 +185,7 @@
 			continue
 		}
 		if event.At > at+c.limits.DisconnectNotice+c.limits.RecordDelay {
-			c.addViolation("%s: connected to %s at %v, its client disconnected at %v", event.ID, event.Source, event.At, at)
+			c.addViolation("%s: connected to %s at %v, although its client disconnected at %v", event.ID, event.Source, event.At, at)
 		}
 	}
 }
@@ -232,7 +232,7 @@
 		case event.Kind == fakeserver.EventOpened && !strings.Contains(event.Detail, "mid"):
 			earlier, isRetry := lastHost[event.ID]
 			if isRetry && !rejected[attempt{earlier, event.ID}] {
-				c.addViolation("%s: sent to %s, may have run, and retried at %s", event.ID, earlier, event.Source)
+				c.addViolation("%s: non-idempotent request sent to %s, where it may have run, and retried at %s", event.ID, earlier, event.Source)
 			}
 			lastHost[event.ID] = event.Source
 		}
--- a/internal/soaktest/rule_checker_test.go
+++ b/internal/soaktest/rule_checker_test.go
@@ -67,7 +67,7 @@
 		b.add(ms, "c-n1", fakeserver.EventReceived, "a", "BUSY")
 		b.add(ms, "c-n1", fakeserver.EventReceived, "a", "ERR")
 	}, "more than one answer"},
-	{"unknown receipt", Conditions{}, func(b *testLedger) { b.request("a"); b.add(ms, "c-n1", fakeserver.EventReceived, "a", "UP h1-1") }, "issued by no host"},
+	{"unknown receipt", Conditions{}, func(b *testLedger) { b.request("a"); b.add(ms, "c-n1", fakeserver.EventReceived, "a", "UP h1-1") }, "no host issued the receipt"},
 	{"connected after the client disconnected", Conditions{}, func(b *testLedger) {
 		b.request("a")
 		b.add(ms, "c-n1", fakeserver.EventDisconnected, "a", "")
--- a/internal/testcluster/fault_spec.go
+++ b/internal/testcluster/fault_spec.go
@@ -141,11 +141,11 @@
 	switch {
 	case t.kind != targetHost:
 	case fault.Kind == faultAdd && t.index != *hosts:
-		return tomlfile.NewFieldError(key+"on", "the next host that can be added is h%d", *hosts+1)
+		return tomlfile.NewFieldError(key+"on", "invalid new host: the next host that can be added is h%d", *hosts+1)
 	case fault.Kind == faultAdd:
 		*hosts++
 	case t.index >= *hosts:
-		return tomlfile.NewFieldError(key+"on", "there is no h%d at that time", t.index+1)
+		return tomlfile.NewFieldError(key+"on", "host h%d does not exist at that time", t.index+1)
 	}
 	return nil
 }
