--- a/internal/proxy/adopt.go
+++ b/internal/proxy/adopt.go
@@ -15,8 +15,9 @@
 	errShutDown       = errors.New("proxy is shut down")
 )
 
-// Adopt resumes a connection that another process of the node has handed off. If the connection cannot be resumed, its
-// client is told to migrate: the client is between two lines, and no other process holds its connection any more.
+// Adopt resumes a connection that another process of the node has handed off. If the connection cannot be resumed, it
+// tells the client to migrate and closes both sides, because no other process holds the connection any more. The client
+// has received complete lines only, so a further line does not get mixed with the host's lines.
 func (p *Proxy) Adopt(handedOff EstablishedConn) error {
 	err := p.adopt(handedOff)
 	if err != nil {
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -131,7 +131,7 @@
 	if err := ctx.Err(); err != nil {
 		return nil, Authorizing, err
 	}
-	// The deadline wakes a blocked read or write.
+	// If ctx ends, the expired deadline wakes a blocked read or write.
 	stop := context.AfterFunc(ctx, func() { _ = host.SetDeadline(netio.Expired) })
 	began := time.Now()
 	request := opening.Forward(deadline.Sub(began))
@@ -141,7 +141,7 @@
 	}
 	hooks.written(began)
 	line, stage, err = awaitResponse(host, in)
-	if err == nil && !stop() { // canceled, or its deadline passed, just now
+	if err == nil && !stop() { // ctx has just been canceled, or its deadline has just passed
 		return nil, Awaiting, context.Cause(ctx)
 	}
 	return line, stage, err
--- a/internal/proxy/attempt_test.go
+++ b/internal/proxy/attempt_test.go
@@ -55,13 +55,13 @@
 	}{
 		{"connection refused", netiotest.RefusedAddr(t), Dialing, balancer.ConnectFailed},
 		{"rejected", respondingHost(t, "BUSY\r\n"), Answering, balancer.Rejected},
-		{"an error", respondingHost(t, "ERR\r\n"), Answering, balancer.Errored},
+		{"error", respondingHost(t, "ERR\r\n"), Answering, balancer.Errored},
 		{"migrated", respondingHost(t, "MOVE\r\n"), Answering, balancer.Cancelled},
-		{"closed before it was established", respondingHost(t, "BYE\r\n"), Answering, balancer.Errored},
+		{"closed before the connection is established", respondingHost(t, "BYE\r\n"), Answering, balancer.Errored},
 		{"established without a receipt", respondingHost(t, "UP\r\n"), Answering, balancer.Errored},
 		{"garbage", respondingHost(t, "HTTP/1.1 400 Bad Request\r\n"), Answering, balancer.Errored},
-		{"an endless line", respondingHost(t, long), Answering, balancer.Errored},
-		{"a part of a response", respondingHost(t, "UP r-1"), Awaiting, balancer.ResponseTimeout},
+		{"line without an end", respondingHost(t, long), Answering, balancer.Errored},
+		{"part of a response", respondingHost(t, "UP r-1"), Awaiting, balancer.ResponseTimeout},
 		{"no response", respondingHost(t, ""), Awaiting, balancer.ResponseTimeout},
 		{"closed without a response", netiotest.Serve(t, func(c *net.TCPConn) {
 			_, _ = bufio.NewReader(c).ReadString('\n')
--- a/internal/proxy/budget.go
+++ b/internal/proxy/budget.go
@@ -7,13 +7,13 @@
 	"go.uber.org/zap"
 )
 
-// The descriptor budget. An unadmitted client holds one descriptor: its opening line is not complete, or it has had its
-// final answer. It may be evicted for a newer client. In between the client is admitted and holds two descriptors, its
-// own and its host's. The budget also reserves descriptors for the process itself, and enough of them to read further
-// clients and reject them.
+// The descriptor budget. A client is unadmitted until its opening line is complete, and again after its final answer.
+// An unadmitted client holds one descriptor, and may be evicted for a newer client. An admitted client holds two
+// descriptors: its own and its host's. The budget also reserves descriptors for the process itself, and for further
+// clients that are read and rejected.
 const (
 	descriptorsPerClient = 2  // held by an admitted client
-	processDescriptors   = 40 // standard streams, poller, listener, one just accepted, watches, reserved pings
+	processDescriptors   = 40 // standard streams, poller, listener, an accepted connection, watches, reserved pings
 	minUnadmitted        = 16 // number of unadmitted clients that always have a descriptor
 	unadmittedDivisor    = 8  // unadmitted clients may hold 1/unadmittedDivisor of all descriptors
 	baseDescriptors      = 16 // held by a process apart from those for clients, hosts and pings
@@ -62,8 +62,8 @@
 	return p.admitted*descriptorsPerClient + p.unadmitted.Len() + p.pings.Count() + baseDescriptors
 }
 
-// fits reports whether the budget has room for more descriptors and still for those that it needs to read further
-// clients and reject them. The caller holds mu.
+// fits reports whether the budget has room for the given number of further descriptors, in addition to those that it
+// reserves for the process and for minUnadmitted clients that are read and rejected. The caller holds mu.
 func (p *Proxy) fits(descriptors int) bool {
 	held := p.admitted*descriptorsPerClient + processDescriptors + p.pings.Unreserved() + minUnadmitted
 	return held+descriptors <= p.cfg.MaxDescriptors
@@ -78,8 +78,8 @@
 	return max(min(share, left), minUnadmitted)
 }
 
-// admit reserves two descriptors for a client whose opening line is complete. If necessary it releases those of pings
-// and evicts unadmitted clients.
+// admit reserves two descriptors for a client whose opening line is complete. If necessary it releases descriptors of
+// pings and evicts unadmitted clients.
 func (p *Proxy) admit(c *conn) admission {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -143,7 +143,8 @@
 	return true
 }
 
-// markAnswered makes a client unadmitted once it has had its final answer and has no host connection any more.
+// markAnswered makes a client unadmitted again, after its final answer and without a connection to a host. It does
+// nothing if the client was evicted.
 func (p *Proxy) markAnswered(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -156,9 +157,10 @@
 	c.unadmitted = p.unadmitted.PushBack(c)
 }
 
-// evictable returns the client to evict next, or nil if none may be evicted: the first client that has had its final
-// answer and evictionGrace to read it, or else the first one that was read and is past evictionGrace. The caller holds
-// mu.
+// evictable returns the client to evict next, or nil if none may be evicted. Clients that have had their final answer
+// come first: the longest inactive of them is returned, or nil while it has evictionGrace to read the answer. If there
+// is no such client, evictable returns the longest inactive client that is past evictionGrace and whose opening line is
+// being read. The caller holds mu.
 func (p *Proxy) evictable(now time.Time) *conn {
 	var first *conn
 	for element := p.unadmitted.Front(); element != nil; element = element.Next() {
--- a/internal/proxy/budget_test.go
+++ b/internal/proxy/budget_test.go
@@ -27,8 +27,8 @@
 	c.unadmitted = r.proxy.unadmitted.PushBack(c)
 	r.proxy.evict(c)
 	r.proxy.mu.Unlock()
-	if reply, err := io.ReadAll(client); err != nil || !strings.HasPrefix(string(reply), rejectionPrefix) {
-		t.Errorf("client read %q, error %v; want a rejection", reply, err)
+	if answer, err := io.ReadAll(client); err != nil || !strings.HasPrefix(string(answer), rejectionPrefix) {
+		t.Errorf("client read %q, error %v; want a rejection", answer, err)
 	}
 }
 
--- a/internal/proxy/clientconn.go
+++ b/internal/proxy/clientconn.go
@@ -17,7 +17,7 @@
 // decision is what the node has decided for a connection that is not established yet: an attempt or the final answer.
 type decision struct {
 	attempt *node.Attempt
-	answer  string // used if attempt is nil
+	answer  string // the line of the final answer; used if attempt is nil
 }
 
 func (c *conn) enqueue(d decision) {
--- a/internal/proxy/conn.go
+++ b/internal/proxy/conn.go
@@ -17,46 +17,66 @@
 )
 
 // conn is a client's connection. It has two goroutines: serve reads the opening line, makes the attempts and then
-// copies from the host to the client; forwardClient reads the client from the end of the opening line on. conn
+// copies from the host to the client; forwardClient reads everything that the client sends after its opening line. conn
 // implements node.ClientConn, whose methods the node calls.
 type conn struct {
+	// Embedded parts. The comments of their types say how they are synchronized.
 	budgetSlot
 	messageLatency
 
+	// The client and its request. They are set before forwardClient starts, and not modified after that.
 	proxy     *Proxy
 	client    *net.TCPConn
 	opening   wire.Opening
 	requestID balancer.RequestID
 
+	// What the node tells the goroutine of serve.
 	decisions     chan decision
-	authorization chan bool     // the node's answer to AttemptConnected
-	disconnected  chan struct{} // closed when the client disconnects before the connection is established
-	established   chan struct{} // closed when a host establishes the connection
-	finished      chan struct{} // closed when serve is done with the client
-
-	mu               sync.Mutex
-	cancelAttempt    context.CancelFunc // cancels the attempt in flight; nil if there is none
-	attemptNumber    int                // number of the attempt in flight
-	host             *net.TCPConn       // nil until a host establishes the connection
-	aborted          bool               // this node has reset both sides
-	shuttingDown     bool               // no attempt may establish the connection any more
-	evicted          bool               // the opening line must not be read any further
-	readingStopped   bool               // the client must not be read any further for its host
-	quiescing        *quiescence        // set while the connection is quiesced for a hand-off, otherwise nil
-	failedHandOffs   int
+	authorization chan bool // the node's answer to AttemptConnected
+
+	// Events in the life of the connection. Each channel is closed when its event happens.
+	disconnected chan struct{} // the client disconnects before the connection is established
+	established  chan struct{} // a host establishes the connection
+	finished     chan struct{} // serve is done with the client
+
+	// mu guards the fields from here to disconnectedAt, and hostID while attempts are made.
+	mu sync.Mutex
+
+	// The attempt in flight, and its result.
+	cancelAttempt context.CancelFunc // cancels the attempt in flight; nil if there is none
+	attemptNumber int                // number of the attempt in flight
+	host          *net.TCPConn       // nil until a host establishes the connection; not modified after that
+
+	// What this node has decided about the end of the connection.
+	aborted        bool // this node has reset both sides
+	shuttingDown   bool // no attempt may establish the connection any more
+	evicted        bool // the opening line must not be read any further
+	readingStopped bool // the client must not be read any further for its host
+
+	// The hand-off to another process of the node.
+	quiescing      *quiescence // set while the connection is quiesced for a hand-off, otherwise nil
+	failedHandOffs int         // how often the connection was quiesced without being handed off
+
+	// Facts for the final answer and for the checks of the invariants.
 	violatedProtocol bool         // the client sent more than its opening line before the connection was established
 	answers          answerRecord // the final answers that the client was given
 	disconnectedAt   time.Time    // when disconnected was closed
 
-	openingRead    atomic.Bool // the client has been read once, so whatever it sent before that is known
+	// Progress of the opening line, which evictions and the shutdown read.
+	openingRead    atomic.Bool // the reading of the opening line has begun; evictable skips the client before that
 	openingStarted atomic.Bool // part of the opening line has been received
 	idle           atomic.Bool // a health check was answered, and nothing has been received since
-	answerCounted  atomic.Bool // the metrics include the final answer
-	migrating      atomic.Bool // the node is migrating the client
-	halfClosed     atomic.Bool // the client closed its side before the connection was established
-	clientClosed   atomic.Bool // the client closed its side after the connection was established
-	clientReset    atomic.Bool // the client's side broke after the connection was established
 
+	// Progress of the request and of the migration.
+	answerCounted atomic.Bool // the metrics include the final answer
+	migrating     atomic.Bool // the node is migrating the client
+
+	// How the client's side ended.
+	halfClosed   atomic.Bool // the client closed its side before the connection was established
+	clientClosed atomic.Bool // the client closed its side after the connection was established
+	clientReset  atomic.Bool // the client's side broke after the connection was established
+
+	// The host, as the node knows it.
 	hostID string  // host of the attempt in flight, or the host that established the connection
 	load   float64 // load in the host's last load report; owned by the relay's goroutine
 }
@@ -191,7 +211,8 @@
 	return true
 }
 
-// messageLatency measures how long a client waits for the host's response to a message.
+// messageLatency measures how long a client waits for the host's response to a message. All fields except maxLatency are
+// safe for concurrent use.
 type messageLatency struct {
 	waitingSince     atomic.Int64  // monotonicNanos of the oldest message without a response; 0 if there is none
 	lastLatency      atomic.Int64  // in nanoseconds
--- a/internal/proxy/disconnect.go
+++ b/internal/proxy/disconnect.go
@@ -18,8 +18,8 @@
 // beginAttempt checks this under the mutex, and the attempt checks it again before the first byte.
 
 const (
-	// disconnectPollInterval is how often a client that is not being read is checked for a disconnect. No attempt may
-	// begin more than 100 ms after its client has disconnected.
+	// disconnectPollInterval is how often a client that is not being read is checked for a disconnect. An attempt must
+	// not begin more than 100 ms after its client has disconnected.
 	disconnectPollInterval = 20 * time.Millisecond
 	// maxUnreadBytes bounds what a client may have sent, beyond the bytes in the line buffer, before the connection is
 	// established. If a client sent more than the kernel's receive buffer holds, its close could not be detected.
@@ -39,8 +39,8 @@
 }
 
 // forwardClient reads the client: to detect a disconnect before the connection is established, and to forward messages
-// to the host after that. Messages that a mid-flow client sends early are held back, and reading goes on while the
-// buffer has space.
+// to the host after that. Messages that a mid-flow client sends early are held back, and forwardClient continues to
+// read while the buffer has space.
 func (c *conn) forwardClient(in *wire.LineBuffer) {
 	for {
 		var readOn bool
@@ -123,8 +123,8 @@
 	}
 }
 
-// disconnectOnViolation disconnects a client that sends too much before the connection is established. It reports false
-// if the connection has been established meanwhile.
+// disconnectOnViolation disconnects a client that has sent more than it may before the connection is established. It
+// reports false if the connection has been established meanwhile.
 func (c *conn) disconnectOnViolation() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/proxy/disconnect_test.go
+++ b/internal/proxy/disconnect_test.go
@@ -95,8 +95,8 @@
 	}
 }
 
-// The early messages of a mid-flow client that closes its side while the connection is being established are forwarded:
-// the unread messages precede the close.
+// If a mid-flow client closes its side while the connection is being established, the messages that it sent early are
+// still forwarded, because they precede the close.
 func TestMidFlowClient_ClosesAsEstablished_LinesForwarded(t *testing.T) {
 	r := startNode(t, zap.NewNop(), false)
 	client, server := connect(t)
@@ -106,7 +106,7 @@
 		t.Fatal(err)
 	}
 	_ = client.CloseWrite()
-	netiotest.Eventually(t, "its close is received", func() bool { return sendingEnded(server) != nil })
+	netiotest.Eventually(t, "the client's close is received", func() bool { return sendingEnded(server) != nil })
 	if !c.establish(host) {
 		t.Fatal("connection not established")
 	}
--- a/internal/proxy/endpointlist_test.go
+++ b/internal/proxy/endpointlist_test.go
@@ -21,7 +21,7 @@
 // drainGrace is the drain grace of a watchTest's node.
 const drainGrace = 50 * time.Millisecond
 
-// watchTest is a node that watches the endpoint list, and does not poll it, of a fake discovery with two hosts.
+// watchTest is a node, and a fake discovery with two hosts. The node does not poll the endpoint list, but watches it.
 type watchTest struct {
 	node      *testNode
 	discovery *fakeserver.Discovery
@@ -69,9 +69,9 @@
 	return [2]int64{p.forwarded[0].Load() - before[0], p.forwarded[1].Load() - before[1]}
 }
 
-// expectAllForwardedTo waits until the node knows that the other host is draining, and for the drain grace. Then it
-// opens connections, and fails the test unless all of them are forwarded to liveHost. what describes the expected
-// state.
+// expectAllForwardedTo waits until the node knows that the other host is draining, and until the drain grace is over.
+// Then it opens connections, and fails the test unless all of them are forwarded to liveHost. what describes the
+// expected state.
 func (p *watchTest) expectAllForwardedTo(t *testing.T, what string, liveHost int) {
 	t.Helper()
 	netiotest.Eventually(t, what, func() bool {
--- a/internal/proxy/harness_test.go
+++ b/internal/proxy/harness_test.go
@@ -34,7 +34,7 @@
 	return startNodeWith(t, log, runNode, netiotest.RefusedAddr(t), func(*settings.Settings) {}, hosts...)
 }
 
-// startNodeWith is startNode with the address of a discovery, and with configure to change the settings.
+// startNodeWith is startNode with the address of the discovery service, and with a function that changes the settings.
 func startNodeWith(t *testing.T, log *zap.Logger, runNode bool, discoveryAddr string,
 	configure func(*settings.Settings), hosts ...string,
 ) *testNode {
--- a/internal/proxy/hosts_test.go
+++ b/internal/proxy/hosts_test.go
@@ -49,14 +49,14 @@
 // countingHost is a host that counts connections and opening lines.
 type countingHost struct {
 	addr          string
-	lines, closed atomic.Int64
+	lines, closed atomic.Int64 // opening lines that were read, and connections that have ended
 
 	mu    sync.Mutex
 	peers []string // remote addresses of the accepted connections, in order
 }
 
-// startCountingHost starts a host that responds to an opening line with reply.
-func startCountingHost(t *testing.T, reply string) *countingHost {
+// startCountingHost starts a host that responds to an opening line with response.
+func startCountingHost(t *testing.T, response string) *countingHost {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -81,7 +81,7 @@
 					return
 				}
 				h.lines.Add(1)
-				_, _ = io.WriteString(c, reply)
+				_, _ = io.WriteString(c, response)
 				_, _ = io.Copy(io.Discard, in)
 			}()
 		}
--- a/internal/proxy/invariants.go
+++ b/internal/proxy/invariants.go
@@ -24,8 +24,8 @@
 	}
 }
 
-// recordDispatch counts an opening line that was written to a host from began on, and checks that the client had not
-// disconnected before.
+// recordDispatch counts an opening line that was written to a host, and checks that the client had not disconnected
+// when the write began.
 func (c *conn) recordDispatch(hostID string, began time.Time) {
 	c.proxy.metrics.dispatches.Add(1)
 	c.mu.Lock()
--- a/internal/proxy/invariants_test.go
+++ b/internal/proxy/invariants_test.go
@@ -23,7 +23,7 @@
 		want map[invariant.Rule]uint64
 	}{
 		{"answered once", func(c *conn) { c.countAnswer(rejected) }, nil},
-		{"the client disconnected", func(c *conn) { c.disconnect() }, nil},
+		{"client disconnected", func(c *conn) { c.disconnect() }, nil},
 		{"resumed at its current host", func(c *conn) { c.opening.CurrentHost = "h0" }, nil},
 		{"never answered", func(*conn) {}, violationOf(invariant.Unanswered)},
 		{"aborted by this node", func(c *conn) {
--- a/internal/proxy/metrics.go
+++ b/internal/proxy/metrics.go
@@ -32,7 +32,7 @@
 	return m
 }
 
-// FinalAnswers returns the counts of final answers for each class, in the order of the settings.
+// FinalAnswers returns the counts of final answers for each class, in the order of Config.Classes.
 func (p *Proxy) FinalAnswers() []FinalAnswers {
 	all := make([]FinalAnswers, 0, len(p.metrics.classes))
 	for _, class := range p.metrics.classes {
@@ -79,7 +79,7 @@
 	}
 }
 
-// countAnswerLine counts a final answer of this node by its line. It is not for the answers of hosts.
+// countAnswerLine calls countAnswer for a line with a final answer of this node: a failure or a rejection.
 func (c *conn) countAnswerLine(line string) {
 	if line == wire.Failure {
 		c.countAnswer(errored)
--- a/internal/proxy/opening.go
+++ b/internal/proxy/opening.go
@@ -101,11 +101,11 @@
 // answerHealthCheck tells a front whether the node accepts clients, and restarts the timeout for its next line. It
 // reports false if the connection has ended.
 func (r *openingReader) answerHealthCheck() bool {
-	reply := wire.Pong
+	response := wire.Pong
 	if r.proxy.node.IsDraining() {
-		reply = wire.Rejection(0)
+		response = wire.Rejection(0)
 	}
-	_, err := netio.WriteAll(r.client, []byte(reply))
+	_, err := netio.WriteAll(r.client, []byte(response))
 	if err != nil || !r.proxy.renew(r.conn) {
 		return false
 	}
@@ -117,10 +117,10 @@
 	return true
 }
 
-// receive reads more of the opening line. It reports false if the connection has ended. On the timeout or a shutdown it
-// reads once more what has been received by then: a close would lose a request that has just arrived, without an
-// answer. On a shutdown it rejects a client whose line is incomplete. In all other cases the connection is closed
-// without an answer.
+// receive reads more of the opening line. It reports false if the connection has ended. When the timeout or a shutdown
+// ends the wait, receive reads once more what has been received by then, because a close would lose a request that has
+// just arrived, without an answer. If nothing more has been received, receive rejects a client whose line is incomplete
+// during a shutdown, and otherwise closes the connection without an answer.
 func (r *openingReader) receive() bool {
 	r.openingRead.Store(true)
 	n, err := r.awaitBytes(r.in.Space())
--- a/internal/proxy/panic_test.go
+++ b/internal/proxy/panic_test.go
@@ -30,7 +30,7 @@
 }
 
 // A panic fails its own request only, and the node keeps no state of the request.
-func TestRequest_Panics_FailsAlone(t *testing.T) {
+func TestRequest_Panics_OnlyThisRequestFails(t *testing.T) {
 	log := zap.New(panickingCore{zapcore.NewNopCore(), attemptFailedMessage})
 	r := startNode(t, log, true, respondingHost(t, "ERR\r\n"))
 	for i := range 3 {
@@ -59,9 +59,9 @@
 	netiotest.Eventually(t, "no connection is established", func() bool { return r.node.EstablishedConnections() == 0 })
 }
 
-// A goroutine that panics before its opening line is complete ends its own connection only, and releases the
-// descriptor.
-func TestStart_GoroutinePanics_EndsAlone(t *testing.T) {
+// If a connection's goroutine panics before the opening line is complete, only that connection ends, and its descriptor
+// is released.
+func TestStart_GoroutinePanics_OnlyItsConnectionEnds(t *testing.T) {
 	r := startNode(t, zap.NewNop(), false)
 	_, server := connect(t)
 	c := r.proxy.newConn(server, time.Now())
@@ -77,9 +77,9 @@
 	}
 }
 
-// A client whose opening line was read gets a final answer even if its goroutine panics. This proxy has no node, so the
-// lookup of the request's class panics.
-func TestServe_PanicsAfterOpening_Replied(t *testing.T) {
+// A client whose opening line was read gets a final answer even if the goroutine of its connection panics. This proxy
+// has no node, so the lookup of the request's class panics.
+func TestServe_PanicsAfterOpening_ClientAnswered(t *testing.T) {
 	p := New(Config{MaxDescriptors: 256}, zap.NewNop())
 	client, server := connect(t)
 	if !p.accept(server) {
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -41,15 +41,17 @@
 	log     *zap.Logger
 	node    *node.Node
 	metrics *metrics
-	pings   *healthcheck.Pinger // draws on the descriptor budget, under mu
+	pings   *healthcheck.Pinger // counts its descriptors in the budget, and locks mu for that
 
+	// mu guards the descriptor budget and the set of connections: the fields below, and cfg.MaxDescriptors. The
+	// shutdown channel and the wait group may be used without it.
 	mu         sync.Mutex
-	conns      map[*conn]struct{}
-	admitted   int           // number of clients that hold two descriptors
-	unadmitted *list.List    // clients that hold one descriptor, as *conn in ascending order of lastActive
-	closed     bool          // set when the shutdown begins
-	shutdown   chan struct{} // closed when the shutdown begins: waiting clients then get their final answer
-	clients    sync.WaitGroup
+	conns      map[*conn]struct{} // all connections that have not ended
+	admitted   int                // number of clients that hold two descriptors
+	unadmitted *list.List         // clients that hold one descriptor, as *conn in ascending order of lastActive
+	closed     bool               // set when the shutdown begins
+	shutdown   chan struct{}      // closed when the shutdown begins: waiting clients then get their final answer
+	clients    sync.WaitGroup     // the goroutines of the connections
 }
 
 // New returns a proxy. The caller must call Attach before Serve.
--- a/internal/proxy/quiesce.go
+++ b/internal/proxy/quiesce.go
@@ -8,9 +8,9 @@
 	"onyxstream/internal/netio"
 )
 
-// This file quiesces established connections so that a hot restart can hand them off to the node's next process: both
-// goroutines of the connection stop between two lines of the client, and then the connection is either handed off or
-// resumed here. Package hotrestart passes the sockets.
+// This file quiesces established connections so that a hot restart can hand them off to the node's next process. Both
+// goroutines of a connection stop at a point where the client has received complete lines only. Then the connection is
+// either handed off or resumed here. Package hotrestart passes the sockets.
 
 // EstablishedConn is a quiesced connection, with all that another process needs to resume it.
 type EstablishedConn struct {
@@ -41,14 +41,14 @@
 	handedOff     bool // set before decided is closed
 
 	// The relay sets these before it closes hostStopped.
-	partial []byte
-	midLine bool // the client has received part of a line, or the connection is about to end
-	load    float64
+	partial []byte  // the incomplete line that the host has sent
+	midLine bool    // the client has received part of a line, or the connection is about to end
+	load    float64 // load in the host's last load report
 }
 
 // Quiesce quiesces up to n established connections. It returns those that stopped in time, and for each of them a
-// function that ends its wait: true means that another process has the connection, false that it is resumed here. The
-// caller must call every function, because the clients wait.
+// function that ends its wait. The caller passes true if another process has the connection, and false if the
+// connection is to be resumed here. The caller must call every function, because the clients wait.
 func (p *Proxy) Quiesce(n int) (conns []EstablishedConn, decide []func(handedOff bool)) {
 	pending := p.beginQuiesce(n)
 	timeout := time.NewTimer(quiesceTimeout)
@@ -118,7 +118,7 @@
 	return true
 }
 
-// complete reports whether both goroutines have stopped between two lines.
+// complete reports whether both goroutines have stopped, and the client has received complete lines only.
 func (q *quiescence) complete() bool {
 	for _, stopped := range []chan struct{}{q.hostStopped, q.clientStopped} {
 		select {
@@ -189,8 +189,8 @@
 	}
 }
 
-// releaseHandedOff ends a connection in this process that another process has. The sockets are closed here but stay
-// open in the other process, so nothing may be written to them and no option of theirs may be set.
+// releaseHandedOff ends a handed-off connection in this process. The sockets are closed here but stay open in the other
+// process, so this process must neither write to them nor set their options.
 func (c *conn) releaseHandedOff(host *net.TCPConn, attempt int, start time.Time) {
 	_ = host.Close()
 	c.proxy.node.AttemptEnded(c.requestID, c, attempt, time.Since(start), balancer.Cancelled)
--- a/internal/proxy/quiesce_test.go
+++ b/internal/proxy/quiesce_test.go
@@ -40,7 +40,7 @@
 	expectLine(t, in, establishedLine)
 	expectLine(t, in, "LOAD 3\r\n")
 	texts <- "half "
-	netiotest.Eventually(t, "it is quiesced within a line", func() bool {
+	netiotest.Eventually(t, "the connection is quiesced within a line", func() bool {
 		quiesced, decide := old.proxy.Quiesce(4)
 		if len(quiesced) != 1 {
 			return false
@@ -87,8 +87,8 @@
 	netiotest.Eventually(t, "no connection is left", next.hasNoClients)
 }
 
-// A connection that is not handed off is resumed in its process. A connection that ends while it is quiesced ends as
-// usual.
+// A connection that is not handed off is resumed in its process. If the client closes its side while the connection is
+// quiesced, the connection ends when it is resumed.
 func TestQuiesce_NotHandedOff_ResumedHere(t *testing.T) {
 	r := startNode(t, zap.NewNop(), true, echoHost(t, nil))
 	c, in := r.open(t, openRequest)
@@ -98,7 +98,7 @@
 	if len(quiesced) != 1 {
 		t.Fatalf("quiesced %d connections, want 1", len(quiesced))
 	}
-	_, _ = io.WriteString(c, "M 1\r\n") // while it is quiesced
+	_, _ = io.WriteString(c, "M 1\r\n") // while the connection is quiesced
 	decide[0](false)
 	expectLine(t, in, "M 1\r\n")
 	for range maxFailedHandOffs - 1 {
--- a/internal/proxy/requeststate.go
+++ b/internal/proxy/requeststate.go
@@ -32,8 +32,8 @@
 	s.attempts = number + 1
 }
 
-// attemptReported records that the node knows the attempt's outcome. isConcluded tells that the client needs no further
-// attempt.
+// attemptReported records that the node knows the attempt's outcome. isConcluded tells whether the client needs no
+// further attempt.
 func (s *requestState) attemptReported(isConcluded bool) {
 	s.phase = awaitingNode
 	if isConcluded {
--- a/internal/proxy/resume.go
+++ b/internal/proxy/resume.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	resumeTimeout = 30 * time.Second
-	resumeBackoff = 250 * time.Millisecond
+	resumeTimeout = 30 * time.Second       // limit of the retries
+	resumeBackoff = 250 * time.Millisecond // pause between two attempts
 )
 
 // resume re-establishes a connection whose client names its current host: only that host gets the opening line. The
--- a/internal/proxy/shutdown.go
+++ b/internal/proxy/shutdown.go
@@ -11,9 +11,9 @@
 const shutdownPollInterval = time.Millisecond
 
 // Shutdown closes all connections and waits until they have ended. The caller must have stopped accepting clients. A
-// client without a final answer gets one first, which a reset would deny it. With passThrough, established connections
-// stay open until the process ends: in pass-through mode another node takes them over then, while a reset would make
-// all clients reconnect at once.
+// client without a final answer gets one before the close, because a reset would leave it without any. With
+// passThrough, established connections stay open until the process ends: in pass-through mode another node takes them
+// over then, while a reset would make all clients reconnect at once.
 func (p *Proxy) Shutdown(passThrough bool) {
 	p.mu.Lock()
 	p.beginShutdown(passThrough)
--- a/internal/proxy/shutdown_test.go
+++ b/internal/proxy/shutdown_test.go
@@ -34,10 +34,10 @@
 
 // A request, complete or not, that arrives on an idle connection while the shutdown begins is rejected. A connection on
 // which nothing arrives is closed with FIN. No client is reset.
-func TestShutdown_OpeningPartlyRead_Replied(t *testing.T) {
+func TestShutdown_OpeningPartlyRead_NoClientReset(t *testing.T) {
 	for _, c := range []struct{ name, text, want string }{
-		{"a complete line on an idle connection", openRequest + "\r\n", rejectionPrefix},
-		{"a part of a line", "OPEN a key c=ch", rejectionPrefix},
+		{"complete line on an idle connection", openRequest + "\r\n", rejectionPrefix},
+		{"part of a line", "OPEN a key c=ch", rejectionPrefix},
 		{"a health check", healthCheck + "\r\n", wire.Pong},
 		{"nothing", "", ""},
 	} {
--- a/internal/proxy/teardown.go
+++ b/internal/proxy/teardown.go
@@ -16,12 +16,12 @@
 //   - lingerClose does the same without a line.
 //   - closeWithLine writes a line, sends FIN, reads what has been received and closes at once. It is for callers that
 //     must not wait for the client. Bytes that arrive later reach a closed socket.
-//   - reset gives no guarantee about data written before. It passes on a reset from the other side, or closes a broken
-//     connection.
+//   - reset gives no guarantee about data written before. It passes on a reset from the other side, closes a broken
+//     connection, or aborts an established one.
 
 const (
-	lingerTimeout  = 500 * time.Millisecond
-	maxLingerBytes = 64 << 10
+	lingerTimeout  = 500 * time.Millisecond // limit of the wait until the client closes its side
+	maxLingerBytes = 64 << 10               // limit of the bytes that are read and dropped
 	// closeWriteTimeout bounds the write of closeWithLine.
 	closeWriteTimeout = 20 * time.Millisecond
 )
--- a/internal/proxy/teardown_test.go
+++ b/internal/proxy/teardown_test.go
@@ -36,7 +36,7 @@
 func TestCloseWithLine_UnreadBytes_NoReset(t *testing.T) {
 	client, server := connect(t)
 	_, _ = io.WriteString(client, strings.Repeat("x", 20000))
-	netiotest.Eventually(t, "bytes lie unread", func() bool { return netiotest.UnreadBytes(t, server) > 0 })
+	netiotest.Eventually(t, "bytes are unread", func() bool { return netiotest.UnreadBytes(t, server) > 0 })
 	closeWithLine(server, "BUSY\r\n")
 	if state := tcpState(t, client); state != closeWait { // a reset would have closed the client's side
 		t.Errorf("client's side: TCP state %d, want CLOSE_WAIT", state)
@@ -103,7 +103,7 @@
 		t.Fatal(err)
 	}
 	defer adopted.Close()
-	for name, c := range map[string]*net.TCPConn{"dialled": client, "accepted": accepted, "adopted": adopted.(*net.TCPConn)} {
+	for name, c := range map[string]*net.TCPConn{"dialed": client, "accepted": accepted, "adopted": adopted.(*net.TCPConn)} {
 		raw, err := c.SyscallConn()
 		if err != nil {
 			t.Fatal(err)
