--- a/internal/hotrestart/offer.go
+++ b/internal/hotrestart/offer.go
@@ -43,8 +43,8 @@
 // ErrNotAccepted is returned by Offer if no process accepted the offer in time.
 var ErrNotAccepted = errors.New("no process accepted the offered connections")
 
-// OfferedConn is an established connection in an offer. Client is its socket to the client, and HostSocket that to the
-// host.
+// OfferedConn is an established connection in an offer. Client is the socket to the client, and HostSocket the socket
+// to the host.
 type OfferedConn struct {
 	Line       string  `json:"line"` // the client's opening line
 	Host       string  `json:"host"`
@@ -66,7 +66,7 @@
 type offer struct {
 	Node          string         `json:"node"`
 	PID           int            `json:"pid"`
-	Number        uint64         `json:"n"` // counts the offers of the process
+	Number        uint64         `json:"n"` // number of the offer, counted from 1 in each process
 	LivenessFD    int            `json:"mark"`
 	Connections   []OfferedConn  `json:"connections"`
 	PingBaselines []PingBaseline `json:"facts"`
@@ -82,8 +82,8 @@
 // NewExchange returns an exchange with the processes that share the store.
 func NewExchange(store *sharedstate.Store) *Exchange { return &Exchange{store: store} }
 
-// offerPath returns the path of an offer file. The path is unique to the offer. Otherwise a slow process that has read
-// an earlier offer could rename, and so accept, the next one.
+// offerPath returns the path of an offer file. Each offer has a path of its own: otherwise a slow process that has read
+// an earlier offer could rename the file of the next offer, and so accept it.
 func (e *Exchange) offerPath(pid int, number uint64) string {
 	return e.store.ProcessFile(pid, fmt.Sprintf("-%d%s", number, offerSuffix))
 }
@@ -123,7 +123,7 @@
 
 // withdraw withdraws an offer. It returns false if the offer was accepted before. While the folder can't be changed, it
 // retries for up to offerTimeout. After that it returns false, too: another process can still accept the offer, so this
-// process must give up its connections.
+// process must release the offered connections.
 func withdraw(path string) bool {
 	for deadline := time.Now().Add(offerTimeout); ; time.Sleep(offerPollInterval) {
 		err := os.Rename(path, path+withdrawnSuffix)
@@ -137,9 +137,9 @@
 	}
 }
 
-// readAccepted sets accepted for the connections of an accepted offer that the successor accepted. If their list can't
-// be read, for example for lack of a descriptor, all count as accepted: a connection that two processes use is worse
-// than one that is closed.
+// readAccepted reads which connections of an offer the successor accepted, and sets their elements of accepted. If the
+// list can't be read, for example for lack of a descriptor, all connections count as accepted: a connection that two
+// processes use is worse than a connection that is closed.
 func readAccepted(path string, accepted []bool) {
 	defer func() { _ = os.Remove(path + acceptedSuffix) }()
 	text, err := sealedfile.Read(path + acceptedSuffix)
--- a/internal/hotrestart/offer_test.go
+++ b/internal/hotrestart/offer_test.go
@@ -35,7 +35,7 @@
 	if names, _ := filepath.Glob(filepath.Join(dir, "*.offer*")); len(names) > 0 {
 		t.Errorf("files left after the withdrawal: %v", names)
 	}
-	// A slow process that has read this offer must not accept the next one by the name of this one.
+	// A slow process that has read the first offer must not accept the next one by renaming the file of the first.
 	first := e.offerPath(os.Getpid(), e.offerCount)
 	next := make(chan error, 1)
 	go func() {
--- a/internal/hotrestart/stored_test.go
+++ b/internal/hotrestart/stored_test.go
@@ -11,9 +11,9 @@
 	"onyxstream/internal/sealedfile"
 )
 
-// The file in testdata was written by an earlier release, whose code has other names than the JSON keys suggest. It
-// must stay readable, and be written the same, because another process of the node, or its successor, may be of that
-// release.
+// The file in testdata was written by an earlier release. The fields in the code have been renamed since, but the JSON
+// keys must not be: this release must read such files and write equal ones, because another process of the node, or its
+// successor, may be of the earlier release.
 
 func readFixture(t *testing.T, name string) []byte {
 	t.Helper()
--- a/internal/lifecycle/coldstart.go
+++ b/internal/lifecycle/coldstart.go
@@ -28,12 +28,12 @@
 // coldStart holds the parts from which a node with cold start is built.
 type coldStart struct {
 	discoveryName string            // name of the discovery service
-	known         wire.EndpointList // the newer of the configured and the cached endpoint list
+	known         wire.EndpointList // the configured or the cached endpoint list
 	scheduler     *coldstart.Scheduler
 }
 
-// newColdStart chooses the newer of the configured and the cached endpoint list, and creates the scheduler of the list
-// requests to discovery.
+// newColdStart chooses the newer of the configured and the cached endpoint list, or the cached list if the configured
+// one is empty. It also creates the scheduler of the list requests to discovery.
 func newColdStart(options *nodeconfig.ColdStart, cfg nodeconfig.Config, log *zap.Logger) coldStart {
 	discoveryName := cmp.Or(options.DiscoveryName, cfg.Discovery)
 	known := cfg.KnownEndpoints
--- a/internal/lifecycle/control.go
+++ b/internal/lifecycle/control.go
@@ -84,10 +84,11 @@
 	name      string
 	node      *node.Node
 	startedAt time.Time
-	stop      context.Context // done once the process is signalled to stop
+	stop      context.Context // done as soon as the process gets a stop signal
 }
 
-// The control server checks for control.ListProvider at run time, so the compiler has to check it here.
+// The control server checks at run time whether an instance is a control.ListProvider. This line makes the compiler
+// check it, too.
 var _ control.ListProvider = (*controlInstance)(nil)
 
 // newIncarnation returns a random identifier for this start of the process.
@@ -152,8 +153,8 @@
 	return statuses
 }
 
-// abandonedRequests returns the number of abandoned requests for each reason. It is sorted by reason, so that an
-// unchanged status compares equal to the last one.
+// abandonedRequests returns the number of abandoned requests for each reason, sorted by reason, so that a status that
+// has not changed is equal to the last one.
 func abandonedRequests(view node.View) (abandoned []control.AbandonedRequests) {
 	for _, reason := range slices.Sorted(maps.Keys(view.Abandoned)) {
 		abandoned = append(abandoned, control.AbandonedRequests{
@@ -186,7 +187,7 @@
 // ListAvailable returns a channel that is closed as soon as the node has an endpoint list.
 func (c *controlInstance) ListAvailable() <-chan struct{} { return c.node.ListAvailable() }
 
-// Apply executes a command. It panics if the command's kind is none of those that the control server accepts.
+// Apply executes a command. It panics if the command is of a kind that the control server does not accept.
 func (c *controlInstance) Apply(command control.Command) error {
 	now := time.Now()
 	switch command.Kind {
--- a/internal/lifecycle/listcache.go
+++ b/internal/lifecycle/listcache.go
@@ -19,8 +19,8 @@
 	listCacheFile = "hosts.list"
 	// listCacheInterval is the minimum time between two writes.
 	listCacheInterval = time.Second
-	// listCacheRefresh limits how often an unchanged list is rewritten: only if discovery confirmed it again more than
-	// this long after the confirmation in the file.
+	// listCacheRefresh limits how often an unchanged list is written again: its last confirmation by discovery must be
+	// more than this time after the confirmation in the file.
 	listCacheRefresh = time.Minute
 )
 
@@ -67,8 +67,8 @@
 	}
 }
 
-// update writes a list if it came from discovery or a peer, and if it has another revision than the last list written
-// or was confirmed more than listCacheRefresh later.
+// update writes a list that came from discovery or a peer, if the revision differs from that of the last list written
+// or if the list was confirmed more than listCacheRefresh after it.
 func (c *listCache) update(list *node.CachedList, log *zap.Logger) {
 	fromOthers := list.Source == coldstart.SourceDiscovery || list.Source == coldstart.SourcePeer
 	changed := list.List.Revision != c.writtenRevision || list.Confirmed.Sub(c.writtenConfirmedAt) > listCacheRefresh
--- a/internal/lifecycle/listener.go
+++ b/internal/lifecycle/listener.go
@@ -13,15 +13,15 @@
 )
 
 // listenerVariable names the environment variable with the descriptor of an inherited client listener. The platform
-// sets it if it keeps the listening socket open across the processes of the node. All of them then accept from the
-// same queue, and a hot restart loses no client in it.
+// sets the variable if it keeps the listening socket open across the processes of the node. All of them then accept
+// from the same queue, and a hot restart loses no client in the queue.
 const listenerVariable = "PROXY_ACCEPT_FD"
 
 // firstInheritedDescriptor is the lowest descriptor after standard input, output and error.
 const firstInheritedDescriptor = 3
 
 const (
-	// acceptTimeout limits the wait for an accept that blocks.
+	// acceptTimeout limits the wait for an accept that blocks, and for a close that waits for such an accept.
 	acceptTimeout = 100 * time.Millisecond
 	// queueDrainTime is how long queued clients are still accepted before the listener is closed.
 	queueDrainTime = 20 * time.Millisecond
@@ -85,9 +85,9 @@
 	return tcp, nil
 }
 
-// setNonblocking sets an inherited listener to non-blocking mode, so that an accept can't block a thread. All processes
-// that hold the socket share the flag, and a process may clear it when it starts another program. A blocked accept
-// would delay Close and take a client that the successor should get.
+// setNonblocking sets an inherited listener to non-blocking mode, so that an accept can't block a thread. A blocked
+// accept would delay Close, and would accept a client that the successor should get. The mode must be set repeatedly:
+// all processes that hold the socket share the flag, and a process may clear it when it starts another program.
 func (l *clientListener) setNonblocking() {
 	if !l.inherited {
 		return
@@ -137,9 +137,9 @@
 	}
 }
 
-// drainQueue accepts the clients that are still in the queue, because the system would reset their connections, and
-// then closes the listener: later clients get a refused connection. It leaves an inherited listener open and returns
-// false, because other processes accept from its queue.
+// drainQueue accepts the clients that are still in the queue, because a close would reset their connections, and then
+// closes the listener, after which the system refuses connections. drainQueue leaves an inherited listener open and
+// returns false, because other processes accept from its queue.
 func (l *clientListener) drainQueue() bool {
 	if l.inherited {
 		return false
--- a/internal/lifecycle/listener_test.go
+++ b/internal/lifecycle/listener_test.go
@@ -20,10 +20,10 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(l.Close)
-	d := proxy.New(proxy.Config{MaxDescriptors: 256}, zap.NewNop())
-	go func() { _ = l.serve(t.Context(), d) }()
+	p := proxy.New(proxy.Config{MaxDescriptors: 256}, zap.NewNop())
+	go func() { _ = l.serve(t.Context(), p) }()
 	if !l.drainQueue() {
-		t.Fatal("drainQueue left a listener open that is not inherited")
+		t.Fatal("drainQueue: got false for a listener that is not inherited, want true")
 	}
 	c, err := net.DialTimeout("tcp", l.Addr().String(), 5*time.Second)
 	if err == nil {
--- a/internal/lifecycle/logger.go
+++ b/internal/lifecycle/logger.go
@@ -10,11 +10,11 @@
 	"onyxstream/internal/logging"
 )
 
-// debugVariable names the environment variable that turns on debug lines, and turns off the sampling of log lines.
+// debugVariable names the environment variable that turns on debug lines and turns off log sampling.
 const debugVariable = "PROXY_DEBUG"
 
-// Log sampling: of the lines with the same message, the log keeps the first logSampleFirst in each interval and then
-// one in logSampleOneIn. Errors can come in thousands and must not make the log a bottleneck.
+// Log sampling: in each interval the log keeps the first logSampleFirst lines with the same message, and one in
+// logSampleOneIn of the others. Thousands of errors may be logged at once, and must not make the log a bottleneck.
 const (
 	logSampleInterval = time.Second
 	logSampleFirst    = 5
--- a/internal/lifecycle/management.go
+++ b/internal/lifecycle/management.go
@@ -13,14 +13,14 @@
 )
 
 const (
-	// managementAdmitFor is how long a node still admits new clients after a drain command: time enough for the load
-	// balancer in front of the nodes to notice the drain.
+	// managementAdmitFor is how long a node still admits new clients after a management call drains it. By then the
+	// load balancer in front of the nodes has noticed the drain.
 	managementAdmitFor = time.Second
-	// managementDrainTimeout is how long after the command a draining node has migrated its connections.
+	// managementDrainTimeout is the time after that call by which the node has migrated its connections.
 	managementDrainTimeout = 3 * time.Second
 )
 
-// errShuttingDown has a fixed text: the reply to a management call contains it.
+// errShuttingDown has a text that must not change, because the reply to a management call contains it.
 var errShuttingDown = errors.New("this process stops")
 
 // managementOperations executes management calls. An override or a drain applies to all processes of the node. The
@@ -29,7 +29,7 @@
 	node        *node.Node
 	proxy       *proxy.Proxy
 	coordinator *multiprocess.Coordinator
-	stop        context.Context // done once the process is signalled to stop
+	stop        context.Context // done as soon as the process gets a stop signal
 }
 
 // Ready returns nil if this process can serve clients. A draining node is ready, too: the load balancer in front of the
--- a/internal/lifecycle/management_test.go
+++ b/internal/lifecycle/management_test.go
@@ -63,8 +63,8 @@
 	return state.Overrides
 }
 
-// While the event loop is blocked, the node must still return its counters. It must reject a host override and not
-// write it to the shared state either, where other processes would apply it.
+// While the event loop is blocked, the node must still return its counters. It must reject a host override, and must
+// not write the override to the shared state, because other processes would apply it.
 func TestManagement_LoopBlocked_RejectsOverrides(t *testing.T) {
 	folder := t.TempDir()
 	operations, n := blockedNode(t, folder)
--- a/internal/lifecycle/peerpoll.go
+++ b/internal/lifecycle/peerpoll.go
@@ -20,12 +20,13 @@
 )
 
 const (
-	// peerLongPoll is how long a peer without a newer list may delay its response; peerRequestTimeout is when the
-	// request fails.
+	// peerLongPoll is how long a peer without a newer list may delay its response. peerRequestTimeout is the timeout of
+	// the whole request to the peer.
 	peerLongPoll       = 2 * time.Second
 	peerRequestTimeout = 4 * time.Second
 
-	// The backoff, with jitter, after a request that failed or brought no newer list. It doubles each time.
+	// Limits of the backoff, with jitter, after a request to a peer that failed or returned no newer list. The backoff
+	// doubles each time.
 	minPeerBackoff = 50 * time.Millisecond
 	maxPeerBackoff = 2 * time.Second
 	// maxPeerBackoffUnconfirmed limits the backoff while neither discovery nor a peer has confirmed the node's list.
@@ -40,8 +41,8 @@
 	log     *zap.Logger
 }
 
-// run polls until the context ends. It polls a peer again as long as the peer returns newer lists. When the peer has
-// none or fails, run picks the next peer at random after a backoff.
+// run polls peers until the context ends. It polls a peer again as long as the peer returns newer lists. When a request
+// fails or returns no newer list, run picks the next peer at random after a backoff.
 func (p *peerPoller) run(ctx context.Context) error {
 	keys, err := p.openKeys(ctx)
 	if ctx.Err() != nil {
@@ -86,7 +87,7 @@
 	return maxPeerBackoff
 }
 
-// pollPeer polls a peer as long as each request brings a newer list. succeeded reports whether any request did.
+// pollPeer polls a peer as long as each request returns a newer list. succeeded reports whether any request did.
 func (p *peerPoller) pollPeer(ctx context.Context, peer nodeconfig.Peer, keys *pki.KeyStore) (succeeded bool, err error) {
 	var tlsConfig *tls.Config
 	if keys != nil {
--- a/internal/lifecycle/peerpoll_test.go
+++ b/internal/lifecycle/peerpoll_test.go
@@ -15,9 +15,9 @@
 	"onyxstream/internal/pki"
 )
 
-// A peer poller must keep running when the certificate files can't be opened for a moment, because the process has no
+// A peer poller must keep running when the certificate files can't be opened temporarily, because the process has no
 // free descriptor.
-func TestPeerPoller_KeysUnreadableForAMoment_GoesOn(t *testing.T) {
+func TestPeerPoller_KeysTemporarilyUnreadable_KeepsRunning(t *testing.T) {
 	_, n := blockedNode(t, t.TempDir())
 	cfg := coldstart.Config{NodeCount: 2, PollInterval: time.Second, DiscoveryName: "s"}
 	scheduler := coldstart.New(cfg, rand.New(rand.NewPCG(1, 2)), 0, coldstart.NoSource, coldstart.Offer{})
--- a/internal/lifecycle/reload.go
+++ b/internal/lifecycle/reload.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	// reloadRetryInterval is the wait before a failed reload is retried: the file may be half written, or the system
-	// may lack descriptors.
+	// reloadRetryInterval is the wait before a failed reload is retried. A reload may fail because the file is half
+	// written, or because the system lacks descriptors.
 	reloadRetryInterval = 100 * time.Millisecond
 	// reloadRetryTimeout limits the retries after a signal. The node must use a new discovery address within 4 s of the
 	// signal.
@@ -22,12 +22,12 @@
 
 // reloader reloads the configuration on a signal, also while the node is draining. Connections are not affected.
 type reloader struct {
-	cfg  nodeconfig.Config
+	cfg  nodeconfig.Config // the current configuration
 	node *node.Node
 	log  *zap.Logger
 
-	retryUntil  time.Time
-	loggedError string // the last error logged since the signal
+	retryUntil  time.Time // no failed reload is retried after this time
+	loggedError string    // the last error logged since the signal
 }
 
 // run reloads on each signal until the context ends. Signals that arrive during a reload cause one further reload.
@@ -76,5 +76,5 @@
 		return
 	}
 	r.loggedError = err.Error()
-	r.log.Error("configuration reload failed, keeping the current one", zap.Error(err))
+	r.log.Error("configuration reload failed, keeping the current configuration", zap.Error(err))
 }
--- a/internal/lifecycle/run.go
+++ b/internal/lifecycle/run.go
@@ -27,8 +27,8 @@
 	"onyxstream/internal/wire"
 )
 
-// managementSpareDescriptors is one descriptor for the management listener, and one for a connection that was accepted
-// but is not counted as a caller yet.
+// managementSpareDescriptors is the number of descriptors for the management listener itself (1), and for a connection
+// that was accepted but is not counted as a caller yet (1).
 const managementSpareDescriptors = 2
 
 // sharedFolderVariable names the environment variable with the folder that the processes of a node share.
@@ -36,17 +36,20 @@
 
 // process is one process of the node. During a hot restart a node has two.
 type process struct {
+	// What Run passes to newProcess.
 	cfg     nodeconfig.Config
 	options nodeconfig.Options
 	log     *zap.Logger
-	stop    context.Context // done once the process is signalled to stop
+	stop    context.Context // done as soon as the process gets a stop signal
 
+	// The parts that run as long as the process.
 	node        *node.Node
 	proxy       *proxy.Proxy
 	discovery   *discovery.Watcher
 	coordinator *multiprocess.Coordinator
 
-	maxControlConnections int
+	// The listeners, set by openListeners.
+	maxControlConnections int             // limit of each control listener
 	listener              *clientListener // accepts the clients
 	controlListeners      []control.Listener
 	management            net.Listener // nil if none is configured
@@ -275,6 +278,6 @@
 	case <-ctx.Done():
 	}
 	p.listener.Close()
-	p.listener.awaitServeEnd() // then the proxy knows even a client that was accepted just now
+	p.listener.awaitServeEnd() // so that the proxy also knows a client that has just been accepted
 	p.proxy.Shutdown(p.cfg.Settings.PassThrough)
 }
--- a/internal/lifecycle/shutdown.go
+++ b/internal/lifecycle/shutdown.go
@@ -24,8 +24,8 @@
 	drainPollInterval = 20 * time.Millisecond
 )
 
-// The steps of the shutdown, each as the time before the shutdown deadline by which it is done. The deadline is
-// exitMargin before the kill.
+// The steps of the shutdown. Each margin is the time before the shutdown deadline at which the step must be complete.
+// The shutdown deadline is exitMargin before the kill.
 const (
 	exitMargin            = 200 * time.Millisecond
 	answerMargin          = exitMargin     // requests in flight get their final answer
@@ -34,7 +34,7 @@
 	handOffFallbackMargin = 2 * exitMargin // connections not accepted by the successor are migrated
 )
 
-// shutdownDeadline returns when a process that gets the stop signal now must have ended its service to clients.
+// shutdownDeadline returns the time by which a process that gets the stop signal now must have stopped serving clients.
 func shutdownDeadline(settings balancer.Settings) time.Time {
 	longest := time.Duration(0)
 	for _, class := range settings.Classes {
@@ -55,8 +55,8 @@
 	successorReady func() bool
 }
 
-// shutDownGracefully ends the service to clients before the termination grace period is over: it drains the node, and
-// hands off the connections if a successor is ready.
+// shutDownGracefully stops serving clients before the termination grace period is over: it drains the node, and hands
+// off the connections if a successor is ready.
 func (p *process) shutDownGracefully() {
 	p.log.Info("shutting down gracefully",
 		zap.Int64("in_flight", p.node.InFlightRequests()), zap.Int64("established", p.node.EstablishedConnections()))
@@ -75,7 +75,7 @@
 		p.listener.Close() // the successor accepts the clients in the queue
 		shutdown.handOff(p.coordinator)
 	} else if p.listener.drainQueue() {
-		shutdown.drain() // once more, for the clients that were in the queue
+		shutdown.drain() // again, for the clients that were in the queue
 	}
 	p.log.Info("stopped",
 		zap.Int64("in_flight", p.node.InFlightRequests()), zap.Int64("established", p.node.EstablishedConnections()),
--- a/internal/logging/writer.go
+++ b/internal/logging/writer.go
@@ -22,9 +22,9 @@
 	wake chan struct{}
 
 	mu      sync.Mutex
-	queued  []byte
-	writing bool
-	dropped int // number of dropped lines that have not been reported in the log yet
+	queued  []byte // lines that have not been passed to out yet
+	writing bool   // the goroutine is writing lines to out
+	dropped int    // number of dropped lines that have not been reported in the log yet
 }
 
 // New returns a Writer to out and starts its goroutine, which runs until the process ends.
@@ -54,7 +54,7 @@
 	w.queued = append(w.queued, line...)
 }
 
-// Sync waits until all queued lines are written. It returns an error after a tenth of a second, because a log that
+// Sync waits until all queued lines are written. It returns an error after syncTimeout (100 ms), because a log that
 // can't be written must not delay the end of the process.
 func (w *Writer) Sync() error {
 	for deadline := time.Now().Add(syncTimeout); time.Now().Before(deadline); time.Sleep(syncPollInterval) {
@@ -88,7 +88,8 @@
 	}
 }
 
-// dequeue takes all lines out of the queue. It also returns how many lines were dropped.
+// dequeue removes all lines from the queue and returns them. It also returns how many dropped lines have not been
+// reported yet.
 func (w *Writer) dequeue() (lines []byte, dropped int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/logging/writer_test.go
+++ b/internal/logging/writer_test.go
@@ -55,7 +55,7 @@
 	w := New(s)
 	for i := range lines { // if a write blocked, the test would not end
 		if n, err := w.Write([]byte(line(i))); n != len(line(i)) || err != nil {
-			t.Fatalf("line %d: %d bytes accepted, error %v", i, n, err)
+			t.Fatalf("line %d: %d bytes accepted, error %v; want the whole line", i, n, err)
 		}
 	}
 	if w.Sync() == nil {
@@ -67,7 +67,7 @@
 	}
 	text := s.String()
 	if !strings.HasPrefix(text, line(0)+line(1)) {
-		t.Errorf("the log begins with %q", text[:100])
+		t.Errorf("the log begins with %q, want the first two lines", text[:100])
 	}
 	written := strings.Count(text, "line ")
 	report := fmt.Sprintf("\n%d log lines dropped", lines-written)
@@ -89,7 +89,7 @@
 	s.setError(nil)
 	_, _ = w.Write([]byte(line(2)))
 	if err := w.Sync(); err != nil || s.String() != line(2) {
-		t.Errorf("wrote %q, error %v", s, err)
+		t.Errorf("wrote %q, error %v; want only the second line", s, err)
 	}
 }
 
--- a/internal/multiprocess/coordinator.go
+++ b/internal/multiprocess/coordinator.go
@@ -1,7 +1,7 @@
 // Package multiprocess coordinates the processes of one node during a hot restart. An override that an operator sets in
 // one process applies to all of them, the processes divide the node's limits between them, and a process hands off its
-// connections to its successor. The processes communicate through a shared folder. Without a folder, or while it can't
-// be used, an override applies only to the process where it was set.
+// connections to its successor. The processes communicate through a shared folder. Without a shared folder, or while
+// the folder can't be used, an override applies only to the process where it was set.
 package multiprocess
 
 import (
@@ -36,23 +36,28 @@
 // Coordinator coordinates this process with the node's other processes. Its methods may be called from any goroutine,
 // but Run, HandOff and AcceptConnections must each be called from only one goroutine.
 type Coordinator struct {
+	// Set by NewCoordinator and Start, and not modified after that.
 	cfg           Config
 	node          *node.Node
 	proxy         *proxy.Proxy
 	log           *zap.Logger
 	controlServer *control.Server
 
-	exchange   atomic.Pointer[hotrestart.Exchange] // set before store, so it is not nil if store is not
+	// The shared folder.
+	exchange   atomic.Pointer[hotrestart.Exchange] // set before store, and so not nil whenever store is not nil
 	store      atomic.Pointer[sharedstate.Store]   // nil while the folder can't be used
 	openFailed bool                                // used only by openStore, which has one caller at a time
 
+	// The processes of the node.
 	soleProcess  atomic.Bool // no other process ran at the last check
 	shuttingDown atomic.Bool // this process no longer accepts connections from other processes
 
-	mu            sync.Mutex // serializes setting an override here with applying overrides of other processes
-	appliedSerial uint64     // serial of the last change of the shared state that was applied here
-	stateLoaded   bool       // the shared state was read at least once
-	storeFailed   bool       // the last use of the folder failed
+	// mu guards the fields below. It also serializes setting an override here with applying overrides of other
+	// processes.
+	mu            sync.Mutex
+	appliedSerial uint64 // serial of the last change of the shared state that was applied here
+	stateLoaded   bool   // the shared state was read at least once
+	storeFailed   bool   // the last use of the folder failed
 	pending       pendingWrites
 }
 
@@ -64,7 +69,7 @@
 	return c
 }
 
-// openStore opens the shared folder unless it is open already. It is called until it succeeds.
+// openStore opens the shared folder unless it is open already. Run calls it again until it succeeds.
 func (c *Coordinator) openStore() {
 	if c.cfg.Folder == "" || c.store.Load() != nil {
 		return
--- a/internal/multiprocess/overrides.go
+++ b/internal/multiprocess/overrides.go
@@ -42,10 +42,10 @@
 	})
 }
 
-// executeAndPublish executes a command on a target and writes the change to the shared state, in one step. It first
-// applies earlier changes of other processes, so that all processes see the changes in the same order. A command that
-// fails in this process is not written. If only the write fails, the command stays in force in this process, and the
-// write is retried later.
+// executeAndPublish executes a command on a target and writes the change to the shared state, as one update of that
+// state. It first applies earlier changes of other processes, so that all processes apply the changes in the same
+// order. A command that fails in this process is not written. If only the write fails, the command stays in force in
+// this process, and the write is retried later.
 func (c *Coordinator) executeAndPublish(
 	command control.Command, target string, change func(*sharedstate.State) error,
 ) error {
--- a/internal/multiprocess/overrides_test.go
+++ b/internal/multiprocess/overrides_test.go
@@ -17,12 +17,12 @@
 	if err != nil || len(locks) != 1 {
 		t.Fatalf("lock files: got %v, error %v, want one", locks, err)
 	}
-	at := locks[0][:len(locks[0])-len(".lock")] + ".words.new" // the state is written here, then renamed
-	if err := os.MkdirAll(filepath.Join(at, "full"), 0o700); err != nil {
+	temporary := locks[0][:len(locks[0])-len(".lock")] + ".words.new" // the state is written here, then renamed
+	if err := os.MkdirAll(filepath.Join(temporary, "full"), 0o700); err != nil {
 		t.Fatal(err)
 	}
 	return func() {
-		if err := os.RemoveAll(at); err != nil {
+		if err := os.RemoveAll(temporary); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -42,6 +42,8 @@
 	return state, err
 }
 
+// eventually waits until a condition holds, and fails the test if it does not hold within 10 s. what describes the
+// condition.
 func eventually(t *testing.T, what string, f func() bool) {
 	t.Helper()
 	for begin := time.Now(); !f(); time.Sleep(5 * time.Millisecond) {
@@ -51,7 +53,7 @@
 	}
 }
 
-// An override that is set while the folder can't be written must be written as soon as the folder can be.
+// An override that is set while the folder is not writable must be written to it later, as soon as that is possible.
 func TestOverride_FolderFails_IsWrittenLater(t *testing.T) {
 	folder := t.TempDir()
 	coordinator, _ := startTestCoordinator(t, folder)
@@ -93,7 +95,7 @@
 }
 
 // After a failed write, the override of another process must still be applied. The failed change never reached the
-// shared state, so the other process's change has the serial that it would have had.
+// shared state, so the change of the other process has the serial that the failed change would have had.
 func TestOverride_FolderFails_OthersAreApplied(t *testing.T) {
 	folder := t.TempDir()
 	coordinator, n := startTestCoordinator(t, folder)
@@ -165,7 +167,7 @@
 				written := err == nil && len(coordinator.pending) == 0
 				return written && len(state.Overrides) == 1 && state.Overrides[0].Draining == c.wantDraining
 			})
-			eventually(t, "it is in force in the process", func() bool {
+			eventually(t, "the process applies the override in the shared state", func() bool {
 				_, avoided := n.HostCounts()
 				return avoided == c.avoided
 			})
--- a/internal/multiprocess/pending.go
+++ b/internal/multiprocess/pending.go
@@ -15,13 +15,13 @@
 // pendingWrite is a change that is in force in this process, but could not be written to the shared state yet, for
 // example because the disk is full.
 type pendingWrite struct {
-	target string
-	change func(*sharedstate.State) error
+	target string                         // the host's id, or nodeTarget
+	change func(*sharedstate.State) error // makes the change in a state
 
 	// afterSerial is the serial of the last change of the shared state that was applied before this one. A change of
 	// the same target with a higher serial supersedes this one.
 	afterSerial uint64
-	// beforeFirstLoad reports that this change was made before the shared state was first read, so that afterSerial is
+	// beforeFirstLoad is true if this change was made before the shared state was first read, so that afterSerial is
 	// unknown. resolveAgainst sets afterSerial and clears beforeFirstLoad.
 	beforeFirstLoad bool
 	givenAt         time.Time // when this change was made; set whenever beforeFirstLoad is
@@ -40,8 +40,8 @@
 	*p = slices.DeleteFunc(*p, func(w pendingWrite) bool { return w.target == target })
 }
 
-// writeTo makes the changes in the state, except those of targets that another process changed later. A change that the
-// state rejects stays in force in this process only.
+// writeTo makes the pending changes in the state, except for targets that another process changed later. A change that
+// the state rejects stays in force in this process only.
 func (p pendingWrites) writeTo(state *sharedstate.State) {
 	for _, write := range p {
 		if lastSerial(state, write.target) <= write.afterSerial {
@@ -51,8 +51,8 @@
 }
 
 // resolveAgainst orders the writes that were made before the state was first read. A write supersedes the state's
-// change of the same target if that change is older. The state does not record when a drain was set, so a drain that
-// was set in this process supersedes the state's.
+// change of the same target if the latter is older. The state does not record when a drain was set, so a drain that was
+// set in this process always supersedes the drain in the state.
 func (p pendingWrites) resolveAgainst(state *sharedstate.State) {
 	for i, write := range p {
 		if !write.beforeFirstLoad {
--- a/internal/netio/netio.go
+++ b/internal/netio/netio.go
@@ -20,8 +20,8 @@
 	return errors.Is(err, os.ErrDeadlineExceeded) || errors.Is(err, context.DeadlineExceeded)
 }
 
-// IsReset reports whether err is any system error that means that the connection broke. It is false if the remote side
-// was closed, if this process closed the connection, or if a deadline has passed.
+// IsReset reports whether err means that the connection broke. Any error of the system does. A close of the remote side
+// (io.EOF), a close by this process and a passed deadline do not.
 func IsReset(err error) bool {
 	return err != nil && !errors.Is(err, io.EOF) && !errors.Is(err, net.ErrClosed) && !IsDeadlineExceeded(err)
 }
--- a/internal/nodeconfig/config.go
+++ b/internal/nodeconfig/config.go
@@ -24,7 +24,7 @@
 )
 
 // ErrNoPath is returned if the environment does not name a configuration file.
-var ErrNoPath = errors.New(pathVariable + " is not set: it names the configuration file")
+var ErrNoPath = errors.New(pathVariable + " is not set: want the path of the configuration file")
 
 // Config is a node's configuration as the platform gives it.
 type Config struct {
@@ -33,11 +33,11 @@
 	Discovery  string // address of discovery
 	Management string // address of the management listener; "" for none
 
-	Cores    float64
-	MemoryMB int
-	Sockets  int // maximum number of descriptors
+	Cores    float64 // limit of the CPU cores that the node may use
+	MemoryMB int     // limit of the node's memory
+	Sockets  int     // maximum number of descriptors
 
-	KnownEndpoints wire.EndpointList
+	KnownEndpoints wire.EndpointList // the endpoint list in the file
 	Settings       settings.Settings
 }
 
--- a/internal/nodeconfig/parse.go
+++ b/internal/nodeconfig/parse.go
@@ -33,7 +33,7 @@
 	Sockets  int     `json:"sockets"`
 }
 
-// parse decodes and checks the content of a configuration file. defaults has values for the fields that it lacks.
+// parse decodes and checks the content of a configuration file. defaults has values for the fields that the file lacks.
 func parse(text []byte, defaults configFile) (Config, error) {
 	f := defaults
 	if err := json.Unmarshal(text, &f); err != nil {
@@ -69,7 +69,7 @@
 	}, nil
 }
 
-// decodeError converts an error of the JSON decoder, to a *FieldError if the error has a field.
+// decodeError converts an error of the JSON decoder. The result is a *FieldError if the error names a field.
 func decodeError(err error) error {
 	var mismatch *json.UnmarshalTypeError
 	if errors.As(err, &mismatch) {
--- a/internal/proxy/conn.go
+++ b/internal/proxy/conn.go
@@ -211,8 +211,8 @@
 	return true
 }
 
-// messageLatency measures how long a client waits for the host's response to a message. All fields except maxLatency are
-// safe for concurrent use.
+// messageLatency measures how long a client waits for the host's response to a message. All fields except maxLatency
+// are safe for concurrent use.
 type messageLatency struct {
 	waitingSince     atomic.Int64  // monotonicNanos of the oldest message without a response; 0 if there is none
 	lastLatency      atomic.Int64  // in nanoseconds
--- a/internal/sharedstate/drain.go
+++ b/internal/sharedstate/drain.go
@@ -6,8 +6,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// Drain is a drain of the node itself. It has its deadline and its admission cutoff on two clocks of the machine. A
-// reader uses the time since boot, which does not change when the wall clock is stepped, if writer and reader have it.
+// Drain is a drain of the node itself. Its deadline and its admission cutoff are stored as times of two clocks of the
+// machine: the wall clock, and the time since boot. If both the writer and the reader have the time since boot, the
+// reader uses it, because a step of the wall clock does not change it.
 type Drain struct {
 	Active bool `json:"on"`
 	// Deadline is when all established connections must be gone.
@@ -17,7 +18,8 @@
 	RetryAfter      time.Duration `json:"retry_after_ns"`
 	KeepConnections bool          `json:"keep"`
 	// Serial is the state's serial for the change that set the drain.
-	Serial              uint64        `json:"serial"`
+	Serial uint64 `json:"serial"`
+	// DeadlineBoot and AdmissionCutoffBoot are the same two times since boot, or 0 if the writer had no such clock.
 	DeadlineBoot        time.Duration `json:"by_boot_ns,omitempty"`
 	AdmissionCutoffBoot time.Duration `json:"shut_boot_ns,omitempty"`
 }
--- a/internal/sharedstate/processes.go
+++ b/internal/sharedstate/processes.go
@@ -28,7 +28,7 @@
 	Descriptors int  // number of descriptors that it holds or reserves
 }
 
-// Publish writes this process's status to its liveness file.
+// Publish writes the status of this process to its liveness file.
 func (s *Store) Publish(status ProcessStatus) error {
 	ready := 0
 	if status.Ready {
--- a/internal/sharedstate/state.go
+++ b/internal/sharedstate/state.go
@@ -1,5 +1,5 @@
-// Package sharedstate stores the state that all processes of one node share, as files in a folder. It consists of the
-// operators' overrides, which apply to the whole node, and of a liveness file for each process.
+// Package sharedstate stores the state that all processes of one node share, as files in a folder. The state consists
+// of the operators' overrides, which apply to the whole node, and of a liveness file for each process.
 package sharedstate
 
 import (
@@ -21,8 +21,9 @@
 	resumeRetention = 2 * time.Minute
 )
 
-// State applies to all processes of a node. Serial counts its changes. Each override and the drain have the serial of
-// their own last change, from which a process knows which of them it has not applied yet.
+// State holds the overrides and the drain that apply to all processes of a node. Serial counts the changes of the
+// state. Each override and the drain record the serial of their own last change, so that a process knows which of them
+// it has not applied yet.
 type State struct {
 	Node      string         `json:"node"`
 	Serial    uint64         `json:"serial"`
@@ -41,8 +42,8 @@
 // ErrOverrideLimit is returned if a state would have more than maxOverrides overrides.
 var ErrOverrideLimit = fmt.Errorf("host override limit of %d reached", maxOverrides)
 
-// SetOverride sets the override of a host that an operator gave at a time. It also removes overrides that resume other
-// hosts, if they are older than resumeRetention.
+// SetOverride sets the override of a host. at is when an operator gave the override. SetOverride also removes overrides
+// that resume other hosts, if they are older than resumeRetention.
 func (s *State) SetOverride(host string, draining bool, at time.Time) error {
 	s.dropExpiredResumptions(host, at)
 	i := slices.IndexFunc(s.Overrides, func(o HostOverride) bool { return o.Host == host })
--- a/internal/sharedstate/store.go
+++ b/internal/sharedstate/store.go
@@ -30,6 +30,7 @@
 	filePrefix string // begins the names of all files of this node
 	node       string
 
+	// mu guards the two fields below.
 	mu       sync.Mutex
 	last     State       // state that was read or written last
 	lastInfo os.FileInfo // file info of the state file that was read or written last
@@ -133,6 +134,7 @@
 	return s.load()
 }
 
+// load is Load for callers that hold mu.
 func (s *Store) load() (state State, changed bool, err error) {
 	info, err := os.Stat(s.statePath())
 	switch {
--- a/internal/sharedstate/store_faults_test.go
+++ b/internal/sharedstate/store_faults_test.go
@@ -22,7 +22,7 @@
 		t.Fatal(err)
 	}
 	reader := openStore(t, t.TempDir(), "n1")
-	reader.folder = dir // its liveness file is in another folder, as two stores of one process would use the same file
+	reader.folder = dir // its liveness file is in another folder, because two stores of one process would share it
 	withDescriptors(t, 0, func() {
 		if _, _, err := reader.Load(); err == nil {
 			t.Error("Load succeeded without a free descriptor")
--- a/internal/sharedstate/stored_test.go
+++ b/internal/sharedstate/stored_test.go
@@ -10,9 +10,9 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// The files in testdata were written by an earlier release, whose code has other names than the JSON keys suggest. They
-// must stay readable, and be written the same, because another process of the node, or its successor, may be of that
-// release.
+// The files in testdata were written by an earlier release. The fields in the code have been renamed since, but the
+// JSON keys must not be: this release must read such files and write equal ones, because another process of the node,
+// or its successor, may be of the earlier release.
 
 func readFixture(t *testing.T, name string) []byte {
 	t.Helper()
