--- a/internal/lifecycle/listcache.go
+++ b/internal/lifecycle/listcache.go
@@ -28,6 +28,7 @@
 type listCache struct {
 	folder string // "" disables the cache: run returns at once
 
+	// The last write. Only the goroutine of run uses these fields.
 	writtenRevision    int64     // revision of the last list written, -1 for none
 	writtenConfirmedAt time.Time // when discovery last confirmed that list
 	writeFailed        bool      // whether the last write failed
--- a/internal/lifecycle/run.go
+++ b/internal/lifecycle/run.go
@@ -48,7 +48,7 @@
 	discovery   *discovery.Watcher
 	coordinator *multiprocess.Coordinator
 
-	// The listeners, set by openListeners.
+	// The listeners, which openListeners opens.
 	maxControlConnections int             // limit of each control listener
 	listener              *clientListener // accepts the clients
 	controlListeners      []control.Listener
--- a/internal/logging/writer.go
+++ b/internal/logging/writer.go
@@ -19,8 +19,9 @@
 // goroutine.
 type Writer struct {
 	out  io.Writer
-	wake chan struct{}
+	wake chan struct{} // wakes the goroutine that writes to out
 
+	// mu guards the fields below.
 	mu      sync.Mutex
 	queued  []byte // lines that have not been passed to out yet
 	writing bool   // the goroutine is writing lines to out
--- a/internal/proxy/conn.go
+++ b/internal/proxy/conn.go
@@ -30,12 +30,12 @@
 	opening   wire.Opening
 	requestID balancer.RequestID
 
-	// What the node tells the goroutine of serve.
+	// Messages of the node to the goroutine of serve.
 	decisions     chan decision
 	authorization chan bool // the node's answer to AttemptConnected
 
 	// Events in the life of the connection. Each channel is closed when its event happens.
-	disconnected chan struct{} // the client disconnects before the connection is established
+	disconnected chan struct{} // the client disconnects before the connection is established, or this node aborts it
 	established  chan struct{} // a host establishes the connection
 	finished     chan struct{} // serve is done with the client
 
@@ -57,7 +57,7 @@
 	quiescing      *quiescence // set while the connection is quiesced for a hand-off, otherwise nil
 	failedHandOffs int         // how often the connection was quiesced without being handed off
 
-	// Facts for the final answer and for the checks of the invariants.
+	// Records for the final answer and for the invariant checks.
 	violatedProtocol bool         // the client sent more than its opening line before the connection was established
 	answers          answerRecord // the final answers that the client was given
 	disconnectedAt   time.Time    // when disconnected was closed
@@ -127,7 +127,7 @@
 	f()
 }
 
-// releaseClient stops the goroutine that reads the client once serve is done with the client.
+// releaseClient stops the goroutine that reads the client, when serve is done with the client.
 func (c *conn) releaseClient() {
 	close(c.finished)
 	c.stopReading()
--- a/internal/proxy/disconnect.go
+++ b/internal/proxy/disconnect.go
@@ -182,7 +182,8 @@
 	}
 }
 
-// isDisconnected reports whether the client disconnected before the connection was established.
+// isDisconnected reports whether the client disconnected before the connection was established, or this node aborted
+// the connection.
 func (c *conn) isDisconnected() bool {
 	select {
 	case <-c.disconnected:
--- a/internal/proxy/relay.go
+++ b/internal/proxy/relay.go
@@ -20,7 +20,7 @@
 	lines   wire.Relay
 	attempt int // number of the attempt that established the connection
 	start   time.Time
-	// clientBlocked tells that the last write to the client failed.
+	// clientBlocked is true if the last write to the client failed.
 	clientBlocked bool
 }
 
--- a/internal/proxy/requeststate.go
+++ b/internal/proxy/requeststate.go
@@ -32,7 +32,7 @@
 	s.attempts = number + 1
 }
 
-// attemptReported records that the node knows the attempt's outcome. isConcluded tells whether the client needs no
+// attemptReported records that the node knows the attempt's outcome. If isConcluded is true, the client needs no
 // further attempt.
 func (s *requestState) attemptReported(isConcluded bool) {
 	s.phase = awaitingNode
--- a/internal/sharedstate/store.go
+++ b/internal/sharedstate/store.go
@@ -90,7 +90,7 @@
 }
 
 // ProcessFiles returns the paths of the files with a suffix that belong to any process of the node. The suffix may be a
-// pattern, as for filepath.Match.
+// pattern in the syntax of filepath.Match.
 func (s *Store) ProcessFiles(suffix string) ([]string, error) {
 	return filepath.Glob(filepath.Join(s.folder, s.filePrefix+"-*"+suffix))
 }
@@ -168,8 +168,8 @@
 }
 
 // Update changes the state atomically, in the same order for all processes. It replaces a damaged file by the last
-// state known. If the file can't be read at the moment, it may have changes of other processes: Update then leaves it
-// as it is and returns the error.
+// state known. If the file can't be read at the moment, it may have changes of other processes. Update then does not
+// write the file, and returns the error.
 func (s *Store) Update(change func(*State) error) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
