--- a/internal/sharedstate/store.go
+++ b/internal/sharedstate/store.go
@@ -30,6 +30,7 @@
 	filePrefix string // begins the names of all files of this node
 	node       string
 
+	// mu guards the two fields below.
 	mu       sync.Mutex
 	last     State       // state that was read or written last
 	lastInfo os.FileInfo // file info of the state file that was read or written last
@@ -89,7 +90,7 @@
 }
 
 // ProcessFiles returns the paths of the files with a suffix that belong to any process of the node. The suffix may be a
-// pattern, as for filepath.Match.
+// pattern in the syntax of filepath.Match.
 func (s *Store) ProcessFiles(suffix string) ([]string, error) {
 	return filepath.Glob(filepath.Join(s.folder, s.filePrefix+"-*"+suffix))
 }
@@ -133,6 +134,7 @@
 	return s.load()
 }
 
+// load is Load for callers that hold mu.
 func (s *Store) load() (state State, changed bool, err error) {
 	info, err := os.Stat(s.statePath())
 	switch {
@@ -166,8 +168,8 @@
 }
 
 // Update changes the state atomically, in the same order for all processes. It replaces a damaged file by the last
-// state known. If the file can't be read at the moment, it may have changes of other processes: Update then leaves it
-// as it is and returns the error.
+// state known. If the file can't be read at the moment, it may have changes of other processes. Update then does not
+// write the file, and returns the error.
 func (s *Store) Update(change func(*State) error) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
