--- a/balancer/api.go
+++ b/balancer/api.go
@@ -14,14 +14,14 @@
 	RequestID string
 )
 
-// MaxRepollDelay bounds the time from the end of a failed list request, or of a watch, to the next WatchList action. If
-// the request failed in less than MaxRepollDelay, the bound is 2*MaxRepollDelay minus the duration of the request. A
-// node must know of a change within 6 s after discovery becomes reachable. A request that is lost at that moment may
-// take 3 of these 6 s.
+// MaxRepollDelay bounds the time from the end of a failed list request, or of a watch, to the next WatchList action.
+// After a request that failed in less than MaxRepollDelay, the bound is larger: 2*MaxRepollDelay minus the duration of
+// the request. A node must know of a change of the endpoint list within 6 s after discovery becomes reachable, and a
+// list request that is lost just before may take 3 of these 6 s.
 const MaxRepollDelay = 2500 * time.Millisecond
 
-// MaxSchedulingDelay is the longest scheduling delay that the drain grace covers. Such a delay lies between a node's
-// reading of its clock and the write that follows.
+// MaxSchedulingDelay is the longest scheduling delay that the drain grace covers: the time for which a node may be
+// suspended after it has read its clock and before it writes.
 const MaxSchedulingDelay = 150 * time.Millisecond
 
 // Effect says how safely a request of a class may be retried.
@@ -49,7 +49,7 @@
 	SetupLatencyObjective   time.Duration // latency objective of connection setup
 	Deadline                time.Duration // longest time that a client waits for its final answer
 	MessageLatencyObjective time.Duration // latency objective of messages on an established connection; 0 if unknown
-	PriorityWeight          float64
+	PriorityWeight          float64       // value of a request in relation to other classes
 	Effect                  Effect
 	Scope                   Scope         // IdempotentByKey only
 	IdempotencyWindow       time.Duration // IdempotentByKey only: time in which repeats are dropped
@@ -76,10 +76,10 @@
 	PollList        bool    // discovery doesn't push the endpoint list: the node polls it
 
 	// What the deployment and its clients allow.
-	MaxAttempts   int // 0 for no limit
-	MayCancel     bool
-	MayProbe      bool
-	MayNotify     bool
+	MaxAttempts   int           // attempts of a request; 0 for no limit
+	MayCancel     bool          // pending attempts may be cancelled
+	MayProbe      bool          // servers may be pinged
+	MayNotify     bool          // not used by the balancer
 	MaxRetryAfter time.Duration // longest Retry-After; 0 if clients don't honor it
 
 	// Servers, discovery and zones.
--- a/balancer/bench_test.go
+++ b/balancer/bench_test.go
@@ -27,6 +27,7 @@
 	}
 }
 
+// BenchmarkArrival measures a request from its arrival to the end of its connection, for fleets of different sizes.
 func BenchmarkArrival(b *testing.B) {
 	for _, n := range []int{10, 100, 1000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -44,6 +45,7 @@
 	}
 }
 
+// BenchmarkSweep measures the periodic work of an idle node, for fleets of different sizes.
 func BenchmarkSweep(b *testing.B) {
 	for _, n := range []int{10, 100, 1000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/balancer/events.go
+++ b/balancer/events.go
@@ -72,7 +72,7 @@
 		ID      RequestID
 		Latency time.Duration
 	}
-	// PeerMessage is a message from a peer.
+	// PeerMessage is a message from a peer. The balancer ignores it.
 	PeerMessage struct {
 		From int
 		Data []byte
@@ -106,14 +106,14 @@
 
 // The outcomes.
 const (
-	Served          Outcome = iota
-	Errored                 // the server responded with an error
-	Rejected                // rejected by the server before it did any work
-	ResponseTimeout         // the server did not respond in time
-	ConnectFailed           // the node could not connect to the server in time
-	ConnectionReset         // the connection to the server broke
-	Cancelled               // the node cancelled the attempt, or the client disconnected
-	NotSent                 // nothing was sent to the server
+	Served          Outcome = iota // the server served the request
+	Errored                        // the server responded with an error
+	Rejected                       // rejected by the server before it did any work
+	ResponseTimeout                // the server did not respond in time
+	ConnectFailed                  // the node could not connect to the server in time
+	ConnectionReset                // the connection to the server broke
+	Cancelled                      // the node cancelled the attempt, or the client disconnected
+	NotSent                        // nothing was sent to the server
 )
 
 // ProvesNotExecuted reports whether the outcome proves that the server did not execute the request.
--- a/balancer/eviction_test.go
+++ b/balancer/eviction_test.go
@@ -46,7 +46,7 @@
 		}
 	}
 	if len(migrated) != 50 || migrated[49][:4] != "high" || migrated[0][:4] == "high" {
-		t.Errorf("%d of 50 connections migrated, first %s, last %s", len(migrated), migrated[0], migrated[len(migrated)-1])
+		t.Errorf("%d of 50 connections migrated, first %s, last %s; want 50, and those with the prefix high last", len(migrated), migrated[0], migrated[len(migrated)-1])
 	}
 	b.Handle(11*time.Second, Drain{})
 	b.Handle(11*time.Second, Drain{
--- a/balancer/helpers_test.go
+++ b/balancer/helpers_test.go
@@ -8,6 +8,8 @@
 
 const ms = time.Millisecond
 
+// testSettings returns the settings of a node in pass-through mode with five classes: 0 is idempotent, 2 is
+// non-idempotent, and 1, 3 and 4 are idempotent by key within a zone, everywhere and within a cell.
 func testSettings() Settings {
 	idempotent := Class{
 		SetupLatencyObjective:   300 * ms,
@@ -40,6 +42,7 @@
 	}
 }
 
+// keyedClass returns a class that is idempotent by key within the scope.
 func keyedClass(scope Scope) Class {
 	return Class{
 		SetupLatencyObjective: 300 * ms,
@@ -63,6 +66,7 @@
 	return b.candidateEntry(b.preferredEntry(r), 0)
 }
 
+// sends returns the Send actions in order.
 func sends(actions []Action) (out []Send) {
 	for _, a := range actions {
 		if s, ok := a.(Send); ok {
@@ -107,6 +111,7 @@
 	return b, b.servers["a"]
 }
 
+// migrations returns the requests of the Migrate actions in order.
 func migrations(actions []Action) (out []RequestID) {
 	for _, a := range actions {
 		if m, ok := a.(Migrate); ok {
@@ -133,7 +138,7 @@
 	}
 	b := newWarmNode(t, s, 10)
 	if !b.lowSample() {
-		t.Fatal("lowSample is false for the node")
+		t.Fatal("lowSample is false, want true for a quota of 350 over 80 nodes and 10 servers")
 	}
 	return b
 }
@@ -148,6 +153,7 @@
 	b.Handle(at+took, Established{ID: id, Server: sent[0].Server, Took: took})
 }
 
+// testFleet returns n live servers, s00 and up, with the weights 1, 2 and 3 in turn.
 func testFleet(n int) (out []Server) {
 	for i := range n {
 		out = append(out, Server{ID: ServerID(fmt.Sprintf("s%02d", i)), Weight: 1 + float64(i%3)})
--- a/balancer/housekeeping.go
+++ b/balancer/housekeeping.go
@@ -33,8 +33,9 @@
 	b.requestListIfDue()
 }
 
-// updateRates updates the rates at the end of a second. A reconnect surge counts only in part, and the moving average
-// does not fall while setups are paced.
+// updateRates updates the rates at the end of a second. The setups of a second are limited to twice the moving average
+// plus one, so that a reconnect surge counts only in part. The average does not fall while setups are paced, because an
+// overload must not lower the usual rate.
 func (b *Balancer) updateRates() {
 	setups := min(b.rates.setupsThisSecond, 2*b.rates.setups+1)
 	if b.pacing.interval == 0 || setups > b.rates.setups {
--- a/balancer/overload_sim_test.go
+++ b/balancer/overload_sim_test.go
@@ -174,8 +174,8 @@
 	})
 }
 
-// accountTime adds the client time since the last call. It then adds up to the number of clients of a class that have a
-// connection, and want to the number of clients that want one.
+// accountTime adds the client time since the last call. It then changes two counts of a class: that of the clients with
+// a connection by up, and that of the clients that want one by want.
 func (sim *overloadSim) accountTime(class, up, want int) {
 	if span := sim.now - max(sim.accountedUntil, sim.accountedFrom); span > 0 {
 		for i := range sim.times {
--- a/balancer/overload_test.go
+++ b/balancer/overload_test.go
@@ -80,6 +80,8 @@
 	}
 }
 
+// The share of a tenant's quota at one node is the quota divided by the number of nodes. Requests of a tenant over this
+// share must count for less, so that an overloaded fleet rejects them before the requests of other tenants.
 func TestRelativeValue_TenantOverQuota_IsReduced(t *testing.T) {
 	settings := testSettings()
 	settings.Tenants = []Tenant{{ConnectionQuota: 9}, {ConnectionQuota: 0}}
@@ -144,7 +146,8 @@
 	}
 }
 
-// Of many nodes with one connection each on an overloaded server, some migrate it, but not all of them.
+// If many nodes have one connection each on an overloaded server, some of the nodes must migrate theirs. If none did,
+// the overload would last; if all did, the server would lose every connection.
 func TestLatency_ManyNodes_MigrateTheirShare(t *testing.T) {
 	const nodes = 400
 	moved := 0
@@ -159,6 +162,6 @@
 		}
 	}
 	if moved < nodes/20 || moved > nodes*2/3 {
-		t.Errorf("%d of %d nodes migrated their only connection, want some", moved, nodes)
+		t.Errorf("%d of %d nodes migrated their only connection, want 20 to 266", moved, nodes)
 	}
 }
--- a/balancer/pacing.go
+++ b/balancer/pacing.go
@@ -10,8 +10,8 @@
 	pacingReleaseFactor    = 16              // multiple of the baseline rate above which pacing ends
 	maxSendInterval        = 3 * time.Second // must be under 4 s: a node that sends to no server for 4 s counts as down
 	initialSetupLimit      = 1               // setups in flight until the first one succeeds
-	maxAwaitingSetup       = 64              // queued requests that wait until one of these setups ends
-	minConsecutiveFailures = 2               // failures in a row, at different servers, that start pacing at a low sample
+	maxAwaitingSetup       = 64              // requests that may be queued until a setup in flight ends
+	minConsecutiveFailures = 2               // failures in a row that start pacing; see failuresShowOverload
 )
 
 // pacingState is the state of connection setup pacing.
@@ -94,7 +94,7 @@
 // observeSetup adapts the interval to the duration of a setup, or to its failure. If setups are slow on average, the
 // backend behind all servers is overloaded. Setups that were sent before the last change of the interval don't count,
 // nor do repeated failures of a single server. At a node with a low sample, and at a new node without a successful
-// setup, two servers that fail in a row are enough.
+// setup, pacing starts as soon as two servers fail in a row.
 func (b *Balancer) observeSetup(req *request, attempt *attempt, took time.Duration, failed bool) {
 	if failed && attempt.server == b.pacing.lastFailed || !req.isSetup() {
 		return
@@ -119,7 +119,7 @@
 }
 
 // failuresShowOverload reports whether failures of several servers in a row show an overload before the average setup
-// time does.
+// time does. That is so at a node with a low sample, and at a new node without a successful setup.
 func (b *Balancer) failuresShowOverload() bool {
 	if b.pacing.consecutiveFailures < minConsecutiveFailures {
 		return false
--- a/balancer/pacing_test.go
+++ b/balancer/pacing_test.go
@@ -216,7 +216,7 @@
 		}
 	}
 	if b.Handle(13*time.Second, Timer{Token: sweepToken}); b.pacing.interval >= time.Second {
-		t.Error("the interval was not shortened after 3 s")
+		t.Error("the interval was not shortened 3 s after its last change, want less than 1 s")
 	}
 }
 
@@ -274,7 +274,7 @@
 	sentCount = 0
 	run(calm+overload/2, calm+overload, 250*ms, 600*ms, true)
 	if maxSent := 2 * float64(overload/2) / float64(baseline); float64(sentCount) > maxSent {
-		t.Errorf("%d setups sent within %v of the overload, more than twice the baseline of one per %v", sentCount, overload/2, baseline)
+		t.Errorf("%d setups sent within %v of the overload, want at most twice the baseline of one per %v", sentCount, overload/2, baseline)
 	}
 	pending = nil
 	run(calm+overload, calm+overload+recovery, 500*ms, 20*ms, false)
--- a/balancer/placement.go
+++ b/balancer/placement.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	reinstateDelay = 2 * time.Second // time after which a reinstated server gets the next request, whatever its entries
+	reinstateDelay = 2 * time.Second // time after which a reinstated server gets the next request, whatever its key
 
 	maxGroupProbes       = 4 // servers on which a group may open its first connection in an overloaded fleet
 	lowSampleGroupProbes = 2 // maxGroupProbes at a node with a low sample
@@ -105,7 +105,8 @@
 	return float64(mix(hash, uint64(b.settings.Zone)+1)) < zoneShare*math.MaxUint64
 }
 
-// isEligible reports whether a server may get a request: the attempt must be safe and within its slow-start budget.
+// isEligible reports whether a server may get a request: the attempt must be safe and within the server's slow-start
+// budget.
 func (b *Balancer) isEligible(srv *server, req *request) bool {
 	return b.mayAttempt(req, srv) && b.hasSlowStartBudget(srv)
 }
--- a/balancer/placement_test.go
+++ b/balancer/placement_test.go
@@ -6,6 +6,8 @@
 	"time"
 )
 
+// All nodes must send requests with the same client key to the same server, whatever their seeds: to the first hop of
+// the key's entry, unless that server is overloaded.
 func TestPlacement_SameKey_GetsSameServer(t *testing.T) {
 	b := newWarmNode(t, testSettings(), 12)
 	other := testSettings()
--- a/balancer/polling_test.go
+++ b/balancer/polling_test.go
@@ -5,6 +5,8 @@
 	"time"
 )
 
+// A node that polls must repeat a failed list request, and send the next one after its watch breaks. It must send none
+// while a watch is open, and never if discovery pushes the list.
 func TestPolling_Failures_BackOffAndRecover(t *testing.T) {
 	b := New(testSettings())
 	watches := 0
--- a/balancer/replicas_test.go
+++ b/balancer/replicas_test.go
@@ -68,8 +68,8 @@
 	}
 }
 
-// When a zone fails, groups move to their other replicas. While half of the fleet is gone, a group has only two
-// replicas, because each replica costs load.
+// When half of the fleet fails, groups move to their other replicas. As long as these servers are missing, a group has
+// only two replicas, because each replica costs load.
 func TestReplicas_LostZone_Shrink(t *testing.T) {
 	s := testSettings()
 	s.NodeCount, s.Tenants = 80, []Tenant{{ConnectionQuota: 350}}
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -241,7 +241,7 @@
 	case e.Outcome == Served:
 		b.recordSuccess(srv)
 	case e.Outcome == ConnectionReset && req.establishedOn != nil:
-		// No call of recordFailure: if the server is down, failed connects will eject it.
+		// This does not count as a failed attempt: if the server is down, failed connects will eject it.
 		b.recordReset(srv)
 	case e.Outcome == ConnectFailed:
 		b.recordFailure(srv, 4*objective)
--- a/balancer/request_test.go
+++ b/balancer/request_test.go
@@ -5,6 +5,8 @@
 	"time"
 )
 
+// While there is no endpoint list, or an empty one, no server can take a request. The request must get its final answer
+// at once, instead of waiting for its deadline, and must not be retained.
 func TestArrival_NoServers_IsRejected(t *testing.T) {
 	b := New(testSettings())
 	if n, rejected := finalAnswers(b.Handle(0, Arrival{ID: "r", TimeLeft: time.Second}), "r"); n != 1 || !rejected {
@@ -21,6 +23,8 @@
 	}
 }
 
+// A retry of a request that a server may have executed could execute it twice. The class and the outcome of the attempt
+// decide whether another attempt is sent, to which servers, and whether the final answer invites the client to retry.
 func TestRetry_Effects_BoundAttempts(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -79,6 +83,8 @@
 	}
 }
 
+// A request whose attempts have all failed to connect must be rejected at once after the last of its MaxAttempts, which
+// is 4 in testSettings.
 func TestRetry_AttemptsExhausted_IsRejected(t *testing.T) {
 	b := newWarmNode(t, testSettings(), 12)
 	out := b.Handle(0, Arrival{ID: "r", Key: "k", TimeLeft: 2 * time.Second})
@@ -93,6 +99,8 @@
 	}
 }
 
+// When a client disconnects, its pending attempt must be cancelled. Events that arrive after the end of the request
+// must have no effect.
 func TestClientDisconnect_PendingAttempt_IsCancelled(t *testing.T) {
 	b := newWarmNode(t, testSettings(), 3)
 	b.Handle(0, Arrival{ID: "r", Key: "k", TimeLeft: time.Second})
--- a/balancer/settings_test.go
+++ b/balancer/settings_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// A balancer serves requests with unusual settings too.
+// A balancer must also serve requests with unusual settings, such as limits and objectives that are absent.
 func TestSettings_Unusual_StillServe(t *testing.T) {
 	bare := Settings{Classes: []Class{{}}}
 	for _, c := range []struct {
@@ -47,7 +47,7 @@
 				b.Handle(now, Timer{Token: sweepToken})
 			}
 			if served < c.served {
-				t.Errorf("%d of 60 requests were sent, want %d", served, c.served)
+				t.Errorf("%d of 60 requests were sent, want at least %d", served, c.served)
 			}
 		})
 	}
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -5,7 +5,8 @@
 	"slices"
 )
 
-// slowStartFactor returns the fraction of its capacity that a server has for certain. It is 1 after slow start.
+// slowStartFactor returns the fraction of its capacity that a server is certain to have at the moment. The fraction
+// rises linearly from SlowStartFraction to 1 during slow start.
 func (b *Balancer) slowStartFactor(srv *server) float64 {
 	age := b.now - srv.startedAt
 	if srv.startedAt <= 0 || age >= b.settings.SlowStartDuration {
--- a/balancer/slowstart_fleet_test.go
+++ b/balancer/slowstart_fleet_test.go
@@ -136,7 +136,7 @@
 			result := run.simulate()
 			t.Logf("%+v: %.2f square roots over the budget, %.2f of the even share", run, result.worstExcess, result.shareReceived)
 			if result.worstExcess > 2 || result.shareReceived < c.least {
-				t.Error("the run logged above exceeds the budget or is below the least share")
+				t.Error("the run logged above: want at most 2 square roots over the budget and at least the required fraction of the even share")
 			}
 		}
 	}
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -6,6 +6,8 @@
 	"time"
 )
 
+// A server that has just started must not get more than its slow-start budget from a reconnect surge, here of 200
+// requests per second.
 func TestSlowStart_ReconnectSurge_KeepsBudget(t *testing.T) {
 	b := newWarmNode(t, testSettings(), 5)
 	b.rates.setups = 2 // connections per second on the five servers that have warmed up
@@ -19,12 +21,13 @@
 			}
 		}
 	}
-	// CollapseMultiple times its share of the rate for 2 s, and the first token.
+	// The limit is CollapseMultiple times the server's share of the rate, for 2 s, plus its first token.
 	if n > 2 {
 		t.Errorf("a starting server got %d connections of a surge in 2 s, want at most 2", n)
 	}
 }
 
+// A later start time in the endpoint list means that the server has restarted, so it must be in slow start again.
 func TestSlowStart_RestartedServer_StartsAgain(t *testing.T) {
 	b := newWarmNode(t, testSettings(), 4)
 	b.Handle(30*time.Second, ListEvent{Kind: ListDelta, Servers: []Server{{ID: "s01", Weight: 1, StartedAt: 29 * time.Second}}})
@@ -102,7 +105,7 @@
 	}
 	early := spent(time.Minute, time.Minute)
 	late := spent(time.Minute, time.Minute+settings.SlowStartDuration-3*settings.CollapseWindow)
-	// The connections per window that fill the server over its slow start.
+	// The limit is based on the connections per window that fill the server during its slow start.
 	fills := quota * 4 / all[0].fleet.weight / settings.SlowStartDuration.Seconds() * settings.CollapseWindow.Seconds()
 	if limit := 3 * settings.CollapseMultiple * fills * 2; late < early*3/2 || late > limit {
 		t.Errorf("%.0f connections in three windows at the start, %.0f near the end of slow start; want 1.5 times as many, and at most %.0f", early, late, limit)
--- a/balancer/table_test.go
+++ b/balancer/table_test.go
@@ -23,6 +23,7 @@
 	return t, all
 }
 
+// render returns a row of the table as the one-letter ids of its servers, with a dash for an entry without a server.
 func render(row []*server) string {
 	out := ""
 	for _, s := range row {
@@ -35,6 +36,7 @@
 	return out
 }
 
+// expectHops compares the first and the second hops of all entries with rows as render returns them.
 func expectHops(t *testing.T, tab *table, first, second string) {
 	t.Helper()
 	if got := render(tab.first); got != first {
@@ -60,10 +62,12 @@
 	tab.syncSecondHops()
 	expectHops(t, tab, "000111135333135555666", "000111135333135555666")
 	if s[2].state != inactive || s[4].state != inactive || len(tab.members) != 5 {
-		t.Error("the removed servers are not inactive or still members")
+		t.Error("the removed servers are still in the table: want both inactive and 5 members")
 	}
 }
 
+// If a server drains while one of the other parity is draining, the servers of neither parity may take over all of its
+// entries. They must go in turn to all active servers, and no draining server may keep a first-hop entry.
 func TestTable_DrainOfBothParities_SpreadsOverAll(t *testing.T) {
 	tab, s := newTestTable("0123456", threeEntriesEach)
 	tab.drain(s[4], 0)
@@ -101,6 +105,7 @@
 	}
 }
 
+// A server may start to drain while it is filling and another server drains. Neither may keep a first-hop entry.
 func TestTable_DrainDuringFill_LeavesNoEntry(t *testing.T) {
 	tab, s := newTestTable("0123", []int{0, 0, 1, 1, 2, 2, 3, 3})
 	x := &server{id: "9", weight: 1}
@@ -114,6 +119,7 @@
 	}
 }
 
+// After the only server has been drained and removed, no entry has a server. The next server must get all entries.
 func TestTable_LastServerDrains_NextServerGetsAllEntries(t *testing.T) {
 	tab, s := newTestTable("0", []int{0, 0, 0})
 	tab.drain(s[0], 0)
@@ -163,6 +169,7 @@
 	}
 }
 
+// In a new table, each server must hold entries in proportion to its weight, or its load would not match its capacity.
 func TestTable_Build_FollowsWeights(t *testing.T) {
 	b := newWarmNode(t, testSettings(), 12)
 	held := map[ServerID]float64{}
--- a/internal/node/coldstart_test.go
+++ b/internal/node/coldstart_test.go
@@ -56,11 +56,11 @@
 			List: snapshotOf(revision, host)})
 	}
 	if !offer(7) || n.CachedList().List.Revision != 7 {
-		t.Error("a peer list is not used before discovery responds")
+		t.Error("the list of a peer was not used before discovery responded, want revision 7 adopted")
 	}
 	n.ListReceived(request.Sequence, snapshotOf(5, host))
 	if offer(8) || n.CachedList().List.Revision != 5 {
-		t.Errorf("a peer list replaces the list of discovery: %+v", n.CachedList().List)
+		t.Errorf("cached list %+v after a newer list of a peer, want revision 5 of discovery", n.CachedList().List)
 	}
 }
 
--- a/internal/node/discovery_test.go
+++ b/internal/node/discovery_test.go
@@ -12,6 +12,8 @@
 	"onyxstream/internal/wire"
 )
 
+// A snapshot contains every host, so a host that is missing from it must count as removed. The node must delete the
+// host after removedHostTTL.
 func TestList_SnapshotLacksHost_HostRemoved(t *testing.T) {
 	n, _, _ := newTestNode(t, endpoint("s1", wire.Serving), endpoint("s2", wire.Serving))
 	n.handle(listReceived{list: snapshotOf(8, endpoint("s2", wire.Serving))})
@@ -22,7 +24,7 @@
 	n.hosts["s1"].notifiedAt = time.Now().Add(-2 * removedHostTTL)
 	n.applyList(&wire.EndpointList{Revision: 9}, balancer.ListDelta, false)
 	if n.hosts["s1"] != nil {
-		t.Error("a host is kept longer than removedHostTTL after its removal")
+		t.Error("the host is kept longer than removedHostTTL after its removal, want it deleted")
 	}
 }
 
@@ -40,6 +42,8 @@
 	}
 }
 
+// A node that polls must request the changes since the revision that it holds, and take over the revision of the
+// response.
 func TestWatch_PollDue_RequestsFromHeldRevision(t *testing.T) {
 	set := testSettings()
 	set.PollInterval = time.Millisecond // the first poll is due within a twentieth of it
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -11,7 +11,7 @@
 // event loop ensures that no opening line is written after the drain grace.
 type drainState struct {
 	draining        atomic.Bool
-	admissionCutoff time.Time // zero if the node is not draining
+	admissionCutoff time.Time // from then on new requests are rejected; zero if the node is not draining
 }
 
 // DrainPlan describes a drain of the node.
@@ -65,8 +65,8 @@
 	return nil
 }
 
-// drainGraceExpired reports whether the node is draining and its drain grace is over, so that no opening line of a new
-// connection may be written.
+// drainGraceExpired reports whether the node is draining and at most graceMargin is left of the drain grace, which
+// starts at the admission cutoff. No opening line of a new connection may be written then.
 func (n *Node) drainGraceExpired() bool {
 	return !n.admissionCutoff.IsZero() && time.Since(n.admissionCutoff) >= n.settings.DrainGrace-graceMargin
 }
--- a/internal/node/latency_test.go
+++ b/internal/node/latency_test.go
@@ -65,7 +65,7 @@
 		{[]time.Duration{1e6, 2e6, 90e6}, false},
 	} {
 		if measureSecond(c.took...); host.reportedSlow != c.slow || len(host.latencySamples) != 0 {
-			t.Errorf("second %d: slow %v, want %v; %d samples kept", i, host.reportedSlow, c.slow, len(host.latencySamples))
+			t.Errorf("second %d: slow %v, want %v; %d samples kept, want none", i, host.reportedSlow, c.slow, len(host.latencySamples))
 		}
 	}
 	for _, conn := range conns { // all three: the balancer may have migrated some of them
@@ -156,19 +156,19 @@
 		before := len(p.transport.pings)
 		p.completePing(c.first)
 		if (len(p.transport.pings) > before) != (c.again > 0) {
-			t.Errorf("after a ping of %v: pinged again %v", c.first, len(p.transport.pings) > before)
+			t.Errorf("after a ping of %v: pinged again %v, want the opposite", c.first, len(p.transport.pings) > before)
 		}
 		if c.again > 0 {
 			p.completePing(c.again)
 		}
 		if p.host.reportedSlow != c.slow {
-			t.Errorf("after pings of %v and %v: slow %v", c.first, c.again, p.host.reportedSlow)
+			t.Errorf("after pings of %v and %v: slow %v, want the opposite", c.first, c.again, p.host.reportedSlow)
 		}
 	}
 }
 
-// checkRecovery checks that a slow host is pinged each second, and that a host without a response to a ping counts as
-// slow.
+// checkRecovery checks that a slow host is pinged each second, that a host that could not be pinged does not count as
+// slow, and that a host without a response to a ping does.
 func checkRecovery(t *testing.T, p *pingTest) {
 	t.Helper()
 	p.node.requests["r"].migrating = false // undo the balancer's migration
@@ -232,7 +232,7 @@
 		migrated += strings.Count(conn.recorded(), "migrate")
 	}
 	if migrated < 15 || migrated > 17 {
-		t.Errorf("%d of 20 migrated, want four fifths", migrated)
+		t.Errorf("%d of 20 clients migrated, want 15 to 17, about four fifths", migrated)
 	}
 }
 
@@ -249,7 +249,7 @@
 		slow   bool
 	}{{1000, false}, {2100, false}, {2500, false}, {2500, true}, {2100, false}} {
 		if n.handlePingResult(host, c.micros*time.Microsecond); host.reportedSlow != c.slow {
-			t.Errorf("after a ping of %v: slow %v", c.micros*time.Microsecond, host.reportedSlow)
+			t.Errorf("after a ping of %v: slow %v, want the opposite", c.micros*time.Microsecond, host.reportedSlow)
 		}
 	}
 }
--- a/internal/node/migrate_test.go
+++ b/internal/node/migrate_test.go
@@ -9,6 +9,7 @@
 	"onyxstream/internal/wire"
 )
 
+// MigrateAll must spread the migrations evenly over the ticks until its deadline, and migrate each client once.
 func TestMigrateAll_ManyClients_SpreadOverTime(t *testing.T) {
 	n, _, _ := newTestNode(t, endpoint("s1", wire.Serving))
 	var conns []*fakeConn
@@ -30,6 +31,6 @@
 		}
 	}
 	if migrated() != 20 {
-		t.Errorf("%d migrations of 20 clients, want each once", migrated())
+		t.Errorf("%d migrations, want one for each of 20 clients", migrated())
 	}
 }
--- a/internal/node/overrides_test.go
+++ b/internal/node/overrides_test.go
@@ -47,7 +47,7 @@
 		}
 	}
 	if n.overrides["a"] || n.hosts["a"].state != balancer.Live {
-		t.Error("an override that was set twice was not lifted")
+		t.Error("an override that was set twice is still in place after it was lifted once")
 	}
 	if err := n.overrideHost("unknown", false, true, at); err != ErrUnknownHost {
 		t.Errorf("override of an unknown host: %v, want ErrUnknownHost", err)
--- a/internal/node/requests.go
+++ b/internal/node/requests.go
@@ -34,7 +34,7 @@
 	sampledMessages uint64 // MessageStats.Answered when latency was last sampled
 
 	// Data for the check of writes.
-	class             int
+	class             int       // index in the settings, or noClass
 	lastSentAt        time.Time // start of the last attempt
 	mayHaveExecutedAt time.Time // start of the first attempt that the host may have executed; zero if there is none
 }
--- a/internal/node/requests_test.go
+++ b/internal/node/requests_test.go
@@ -10,6 +10,7 @@
 	"onyxstream/internal/wire"
 )
 
+// The counters must follow a request from its arrival to the end of its connection. The node must then retain nothing.
 func TestRequest_ServedAndEnded_IsReleased(t *testing.T) {
 	n, _, _ := newTestNode(t, endpoint("s1", wire.Serving))
 	conn := arrive(t, n, "r")
@@ -29,6 +30,7 @@
 	}
 }
 
+// After an attempt has failed at every host, the request must be rejected at once instead of at its deadline.
 func TestRequest_AllHostsFail_RejectedAtOnce(t *testing.T) {
 	n, _, _ := newTestNode(t, endpoint("s1", wire.Serving), endpoint("s2", wire.Serving))
 	conn := arrive(t, n, "r")
@@ -55,7 +57,7 @@
 	n.handle(endAttemptEvent("other", 0, balancer.Rejected))
 	n.handle(&loadReported{requestRef: requestRef{id: "r"}, load: 1})
 	if conn.recorded() != calls {
-		t.Errorf("ignored events caused calls: %q in total", conn.recorded())
+		t.Errorf("calls %q after events that must be ignored, want no further call", conn.recorded())
 	}
 	n.handle(attemptConnected{requestRef: requestRef{id: "r"}, attempt: 0})
 	if !strings.HasSuffix(conn.recorded(), "proceed 0 false") {
@@ -67,6 +69,8 @@
 	}
 }
 
+// If a client disconnects during an attempt, the attempt must be cancelled, and the request must be released without a
+// final answer when the attempt has ended. Otherwise the node would retain it forever.
 func TestClientDisconnected_AttemptInFlight_Released(t *testing.T) {
 	n, _, _ := newTestNode(t, endpoint("s1", wire.Serving))
 	conn := arrive(t, n, "r")
@@ -87,6 +91,8 @@
 	}
 }
 
+// A request of a class that the settings don't contain must fail at once. The balancer ignores such a request and would
+// never return a final answer.
 func TestArrival_UnknownClass_Failed(t *testing.T) {
 	n, _, logs := newTestNode(t, endpoint("s1", wire.Serving))
 	conn := &fakeConn{}
@@ -100,6 +106,7 @@
 	}
 }
 
+// Every field of an opening line must reach the balancer. The exception is the group if connection groups are off.
 func TestArrival_OpeningFields_ReachBalancer(t *testing.T) {
 	n, _, _ := newTestNode(t)
 	a := n.toArrival(parseOpening(t, "OPEN r key c=chat,t=acme,g=grp,mid=1,again=1,r=1"), time.Second)
@@ -113,7 +120,7 @@
 		Retry:     true,
 	}
 	if a != want {
-		t.Errorf("%+v, want %+v", a, want)
+		t.Errorf("arrival %+v, want %+v", a, want)
 	}
 	n.settings.ConnectionGroups = false
 	if a := n.toArrival(parseOpening(t, "OPEN r key c=chat,g=client"), 0); a.Group != "" || a.Tenant != -1 {
@@ -121,6 +128,8 @@
 	}
 }
 
+// A connection of an earlier process must count as established until it ends and then be released, even if the endpoint
+// list no longer contains its host.
 func TestInherited_ConnectionEnds_IsReleased(t *testing.T) {
 	n, _, _ := newTestNode(t, endpoint("s1", wire.Serving))
 	for i, host := range []string{"s1", "unlisted"} {
@@ -206,6 +215,7 @@
 	}
 }
 
+// If the settings contain tenants, an opening line must name a class and a tenant of the settings.
 func TestHasClassAndTenant_NamesInSettings_Reported(t *testing.T) {
 	n, _, _ := newTestNode(t)
 	for fields, want := range map[string]bool{
--- a/internal/node/timers_test.go
+++ b/internal/node/timers_test.go
@@ -7,6 +7,7 @@
 	"time"
 )
 
+// Timers must expire in the order of their times, and timers with the same time in the order in which they were set.
 func TestTimers_SameAndDifferentTimes_DueInOrder(t *testing.T) {
 	var ts timers
 	for i, at := range []time.Duration{5, 3, 5, 1} {
--- a/internal/node/wallclock_test.go
+++ b/internal/node/wallclock_test.go
@@ -19,14 +19,14 @@
 		c.observe(now+step, now)
 		fresh := (now + step - age).Milliseconds()
 		if got := now - c.startTime(fresh, now); got != age {
-			t.Errorf("step %v: host started %v ago, after the step, has the age %v", step, age, got)
+			t.Errorf("step %v: want age %v for a host that started after the step, got %v", step, age, got)
 		}
 		before := (now - age).Milliseconds()
 		if got := now - c.startTime(before, now); got < 0 || got > age {
-			t.Errorf("step %v: host started %v ago, before the step, has the age %v", step, age, got)
+			t.Errorf("step %v: want an age from 0 to %v for a host that started before the step, got %v", step, age, got)
 		}
 		if c.startTime(0, now) != 0 {
-			t.Errorf("step %v: the start time 0, long ago, is not kept", step)
+			t.Errorf("step %v: the listed start 0, which means long ago, is not converted to 0", step)
 		}
 	}
 }
--- a/internal/node/writecheck.go
+++ b/internal/node/writecheck.go
@@ -65,8 +65,8 @@
 	r.conn.Proceed(e.attempt, denial == "")
 }
 
-// hostAcceptsWrites reports whether opening lines may be written to a host: it is live, or its drain grace has not
-// expired.
+// hostAcceptsWrites reports whether opening lines may be written to a host: it is live, or more than graceMargin is
+// left of its drain grace.
 func (n *Node) hostAcceptsWrites(host *hostRecord) bool {
 	return host.state == balancer.Live || time.Since(host.notifiedAt) < n.settings.DrainGrace-graceMargin
 }
--- a/internal/node/writecheck_test.go
+++ b/internal/node/writecheck_test.go
@@ -83,7 +83,7 @@
 	for _, c := range []struct {
 		name  string
 		age   time.Duration
-		apart time.Duration // between two lines
+		apart time.Duration // time between the writes of two opening lines
 		want  bool
 	}{{"at once", 0, 0, true}, {"spread", 0, 200 * time.Millisecond, false}, {"warm", time.Hour, 0, false}} {
 		n, _, _ := newTestNode(t, endpoint("a", wire.Serving))
@@ -101,7 +101,7 @@
 			}, r)
 		}
 		if got := n.Monitor().Count(invariant.SlowStartExceeded) > 0; got != c.want {
-			t.Errorf("%s: %d lines with a budget of %.1f: violation reported %v", c.name, lines, budget, got)
+			t.Errorf("%s: %d lines with a budget of %.1f: violation reported %v, want the opposite", c.name, lines, budget, got)
 		}
 	}
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -21,6 +21,7 @@
 	"rules":{"answerSlack":16,"askWithin":10000,"coldShare":0.3,"fallMultiple":4,"overloadFor":1000,
 	"stopSendingWithin":400,"warmWithin":8600}}`
 
+// Each value of a complete document must reach its setting, in the unit of that setting. Unknown keys are ignored.
 func TestParse_CompleteDocument_ConvertsAll(t *testing.T) {
 	s, err := Parse(7, []byte(completeDocument))
 	if err != nil {
@@ -37,20 +38,20 @@
 	}
 	switch {
 	case s.Seed != 7 || s.NodeIndex != 1 || s.NodeCount != 3 || s.Zone != 2 || s.OverQuotaWeight != 0.1:
-		t.Errorf("identity: %+v", s)
+		t.Errorf("node settings differ from the document: %+v", s)
 	case !s.PassThrough || !s.PollList || !s.MayCancel || !s.MayProbe || s.MayNotify || !s.ConnectionGroups || !s.ReportsLatency:
-		t.Errorf("permissions: %+v", s)
+		t.Errorf("modes and permissions differ from the document: %+v", s)
 	case len(s.Classes) != 1 || s.Classes[0] != class:
-		t.Errorf("classes %+v", s.Classes)
+		t.Errorf("classes differ from the document: %+v", s.Classes)
 	case !slices.Equal(s.Tenants, []balancer.Tenant{{ConnectionQuota: 48}, {}}):
-		t.Errorf("tenants %+v", s.Tenants)
+		t.Errorf("tenants differ from the document: %+v", s.Tenants)
 	case !slices.Equal(s.ClassNames, []string{"chat"}) || !slices.Equal(s.TenantNames, []string{"acme", "other"}) ||
 		!slices.Equal(s.ZoneNames, []string{"a", "b", "c"}):
-		t.Errorf("names %v %v %v", s.ClassNames, s.TenantNames, s.ZoneNames)
+		t.Errorf("names of classes %v, of tenants %v and of zones %v; want [chat], [acme other] and [a b c]", s.ClassNames, s.TenantNames, s.ZoneNames)
 	case s.ConnectTimeout != 250*time.Millisecond || s.AnswerSlack != 16*time.Millisecond || s.MaxRetryAfter != 2*time.Second ||
 		s.MaxAttempts != 5 || s.DrainGrace != 400*time.Millisecond || s.SlowStartFraction != 0.3 || s.SlowStartDuration != 8600*time.Millisecond ||
 		s.CollapseMultiple != 4 || s.CollapseWindow != time.Second || s.PollInterval != 10*time.Second:
-		t.Errorf("limits and rules: %+v", s)
+		t.Errorf("limits and rules differ from the document: %+v", s)
 	}
 }
 
@@ -62,7 +63,7 @@
 	}
 	s, err := Parse(7, []byte(strings.Replace(completeDocument, `"registryMode":"ask"`, `"registryMode":"push","prices":{"crossZone":0.1}`, 1)))
 	if err != nil || s.PollList || s.CrossZoneCost != 0.1 {
-		t.Errorf("polling %v, cross-zone cost %g, error %v", s.PollList, s.CrossZoneCost, err)
+		t.Errorf("polling %v, cross-zone cost %g, error %v; want false, 0.1 and no error", s.PollList, s.CrossZoneCost, err)
 	}
 	s.PollList, s.CrossZoneCost = true, 0
 	if diff := cmp.Diff(old, s); diff != "" {
@@ -70,10 +71,11 @@
 	}
 }
 
+// If Retry-After is turned off, the value of maxRetryAfter must not apply.
 func TestParse_RetryAfterOff_IsZero(t *testing.T) {
 	s, err := Parse(1, []byte(strings.Replace(completeDocument, `"retryAfter":true`, `"retryAfter":false`, 1)))
 	if err != nil || s.MaxRetryAfter != 0 {
-		t.Errorf("MaxRetryAfter %v, error %v", s.MaxRetryAfter, err)
+		t.Errorf("MaxRetryAfter %v, error %v; want 0 and no error", s.MaxRetryAfter, err)
 	}
 }
 
@@ -99,11 +101,12 @@
 		text := strings.Replace(completeDocument, c.from, c.to, 1)
 		s, err := Parse(1, []byte(text))
 		if text == completeDocument || err != nil || !c.holds(s) {
-			t.Errorf("%s changed: error %v, settings %+v", c.from, err, s.Settings)
+			t.Errorf("%s changed or removed: error %v, settings %+v; want no error and the default value", c.from, err, s.Settings)
 		}
 	}
 }
 
+// An error must name the invalid field by its path of JSON keys, so that operators find it in a large document.
 func TestParse_Errors_NameField(t *testing.T) {
 	for _, c := range []struct{ from, to, field string }{
 		{`"worth":3`, `"worth":"much"`, "lanes.worth"},
@@ -137,6 +140,6 @@
 		}
 	}
 	if _, err := Parse(1, []byte(`{}`)); err == nil || !strings.Contains(err.Error(), `"lanes"`) {
-		t.Errorf("no classes: error %v", err)
+		t.Errorf("document without classes: error %v, want one that names \"lanes\"", err)
 	}
 }
--- a/internal/settings/validate.go
+++ b/internal/settings/validate.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// The modes of the settings object.
+// The values of the fields registryMode and domain.mode.
 const (
 	discoveryPush   = "push"
 	discoveryPoll   = "ask"
--- a/internal/simadapter/dispatch.go
+++ b/internal/simadapter/dispatch.go
@@ -17,12 +17,12 @@
 
 // Kinds of reports on an established connection.
 const (
-	loadReport    = 1 // work per second
-	latencyReport = 2 // milliseconds
+	loadReport    = 1 // the value is the load in units of work per second
+	latencyReport = 2 // the value is the message latency in milliseconds
 )
 
-// eventKind describes how events with one name are processed. If handle is set, the adapter itself handles the event. If
-// translate is set, the instance handles the translated event. Exactly one of the two is set.
+// eventKind describes how events with one name are processed: by the adapter itself, with handle, or by the instance,
+// which gets the event that translate returns. Exactly one of the two functions is set.
 type eventKind struct {
 	required  fieldSet
 	handle    func(a *adapter, instance int, e *event) error
@@ -235,6 +235,7 @@
 	}
 }
 
+// decide returns the actions of an instance for an event, or a fault if the instance panics.
 func (a *adapter) decide(b *balancer.Balancer, e balancer.Event) (actions []balancer.Action, fault string) {
 	defer func() {
 		if cause := recover(); cause != nil {
--- a/internal/simadapter/serve_test.go
+++ b/internal/simadapter/serve_test.go
@@ -25,6 +25,7 @@
 	return out.String(), err
 }
 
+// Each valid batch must get one reply with its serial and the actions of its events, whatever the order of the keys.
 func TestServe_ValidBatches_GetReplies(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -60,7 +61,7 @@
 			}
 			replies := strings.Split(strings.TrimSpace(out), "\n")
 			if len(replies) != len(c.lines) {
-				t.Fatalf("%d replies to %d lines", len(replies), len(c.lines))
+				t.Fatalf("%d replies to %d lines, want one for each", len(replies), len(c.lines))
 			}
 			last := replies[len(replies)-1]
 			for _, w := range c.want {
@@ -77,6 +78,7 @@
 	}
 }
 
+// A client that disconnects from one instance must not affect a request with the same id at another instance.
 func TestServe_Instances_AreIsolated(t *testing.T) {
 	two := strings.ReplaceAll(startBatch, `"i":0`, `"i":1`)
 	out, err := serveLines(startBatch, two, strings.ReplaceAll(arrivalBatch, `"i":0`, `"i":1`),
@@ -89,6 +91,8 @@
 	}
 }
 
+// A malformed line must end Serve with an error that names the line, the serial, the field and the reason. The line
+// must get no reply, and the valid line before it must keep its reply.
 func TestServe_MalformedLines_NameSerialFieldAndReason(t *testing.T) {
 	one := func(events string) string { return `{"t":101,"serial":9,"groups":[{"i":0,"in":[` + events + `]}]}` }
 	for _, c := range []struct {
@@ -131,20 +135,21 @@
 				}
 			}
 			if strings.Count(out, "\n") != 1 || strings.Contains(err.Error(), "goroutine") {
-				t.Errorf("replies %q", out)
+				t.Errorf("replies %q, want one reply, to the valid line, and an error without a stack trace", out)
 			}
 		})
 	}
 }
 
+// The last line must get a reply even if no newline follows it.
 func TestServe_InputWithoutNewline_IsAnswered(t *testing.T) {
 	var out bytes.Buffer
 	if err := Serve(strings.NewReader(`{"t":1,"serial":1,"groups":[]}`), &out); err != nil || out.Len() == 0 {
-		t.Errorf("reply %q, error %v", out.String(), err)
+		t.Errorf("reply %q, error %v; want a reply and no error", out.String(), err)
 	}
 }
 
-// FuzzServe serves arbitrary lines after a valid start. Each must get a reply or an error, and must not make the balancer
+// FuzzServe serves arbitrary lines after a valid start. Each must get a reply or an error. None may make the balancer
 // panic, which the reply would report as a fault.
 func FuzzServe(f *testing.F) {
 	f.Add(arrivalBatch)
