--- a/balancer/invariants_test.go
+++ b/balancer/invariants_test.go
@@ -51,7 +51,7 @@
 func (r *invariantRun) handle(e Event) {
 	actions := r.nodes[0].Handle(r.now, e)
 	if twin := r.nodes[1].Handle(r.now, e); fmt.Sprint(twin) != fmt.Sprint(actions) {
-		r.t.Fatalf("seed %d: the same event resulted in %v and %v", r.seed, actions, twin)
+		r.t.Fatalf("seed %d: the same event resulted in %v at one balancer and %v at the other", r.seed, actions, twin)
 	}
 	for _, action := range actions {
 		switch a := action.(type) {
@@ -67,6 +67,7 @@
 	}
 }
 
+// checkSend checks a send against the rules for final answers, drains and the number of attempts.
 func (r *invariantRun) checkSend(a Send) {
 	if r.done[a.ID] {
 		r.t.Fatalf("seed %d: send after the final answer", r.seed)
@@ -78,10 +79,11 @@
 		r.t.Fatalf("seed %d: two concurrent attempts of a request", r.seed)
 	}
 	if r.sent[a.ID]++; r.sent[a.ID] > r.settings.MaxAttempts {
-		r.t.Fatalf("seed %d: too many attempts", r.seed)
+		r.t.Fatalf("seed %d: more than MaxAttempts attempts of a request", r.seed)
 	}
 }
 
+// checkFinalAnswer checks that a request gets no second final answer.
 func (r *invariantRun) checkFinalAnswer(id RequestID) {
 	if r.done[id] {
 		r.t.Fatalf("seed %d: two final answers", r.seed)
--- a/balancer/outlier_test.go
+++ b/balancer/outlier_test.go
@@ -43,7 +43,8 @@
 	}
 }
 
-// If more than maxEjectedFraction of the fleet is ejected, ejections are ignored.
+// If more than maxEjectedFraction of the fleet is ejected, the cause is not in the servers, and requests must be sent
+// in spite of the ejections.
 func TestOutlier_MostServersEjected_EjectionsIgnored(t *testing.T) {
 	b := newWarmNode(t, testSettings(), 6)
 	for _, s := range b.servers {
--- a/balancer/overload_test.go
+++ b/balancer/overload_test.go
@@ -27,7 +27,7 @@
 	// After the recovery time, the limit has recovered.
 	b.now = 2*time.Second + b.derived.limitRecovery
 	if b.exceedsLimit(s, &request{}, 100) {
-		t.Error("the limit has not recovered after limitRecovery")
+		t.Error("one more connection exceeds the limit after limitRecovery, want the limit recovered")
 	}
 }
 
@@ -37,7 +37,7 @@
 	objective := testSettings().Classes[0].MessageLatencyObjective
 	b, s := nodeWithConnections(t, testSettings(), 20)
 	if out := b.Handle(time.Second, LatencyReport{ID: "open0", Latency: objective / 3}); len(migrations(out)) != 0 {
-		t.Errorf("%d of 20 connections migrated well below the objective", len(migrations(out)))
+		t.Errorf("%d of 20 connections migrated at a third of the objective, want none", len(migrations(out)))
 	}
 	out := b.Handle(2*time.Second, LatencyReport{ID: "open0", Latency: objective * 9 / 20})
 	if n := len(migrations(out)); n < 2 || n > 6 || s.loadLimit == 0 {
--- a/balancer/pacing_lowsample_test.go
+++ b/balancer/pacing_lowsample_test.go
@@ -105,7 +105,7 @@
 		}
 	}
 	if answered != 1 || len(b.pacing.queue) != 0 {
-		t.Errorf("the queued request got %d final answers, %d requests are still queued", answered, len(b.pacing.queue))
+		t.Errorf("the queued request got %d final answers, %d requests are still queued; want 1 and 0", answered, len(b.pacing.queue))
 	}
 	for i := range 2 * maxAwaitingSetup {
 		arrive(4*time.Second, RequestID(fmt.Sprint("more", i)))
--- a/balancer/pacing_test.go
+++ b/balancer/pacing_test.go
@@ -57,7 +57,7 @@
 	}
 }
 
-// If there are few arrivals, and so few successful setups that could end pacing, pacing ends with time.
+// If there are few arrivals, there are few successful setups that could end pacing. Pacing must then end with time.
 func TestPacing_QuietPeriod_EndsPacing(t *testing.T) {
 	b := newWarmNode(t, testSettings(), 6)
 	for i, id := range []RequestID{"a", "b", "r"} {
--- a/balancer/placement_test.go
+++ b/balancer/placement_test.go
@@ -93,7 +93,7 @@
 	}
 }
 
-// At a node with a low sample, a group may use fewer servers in an overloaded fleet.
+// At a node with a low sample, a group may use only lowSampleGroupProbes servers in an overloaded fleet.
 func TestPlacement_LowSample_BoundsGroupProbesFurther(t *testing.T) {
 	s := testSettings()
 	s.NodeCount, s.Tenants = 80, []Tenant{{ConnectionQuota: 350}}
@@ -158,7 +158,8 @@
 	}
 }
 
-// A client that was migrated off an overloaded server and reconnects through another node gets another server.
+// A client that was migrated off an overloaded server must get another server when it reconnects through another node.
+// A node with a low sample cannot detect the overload, so it uses the Reconnect flag of the request.
 func TestReconnect_LowSample_GetsAnotherServer(t *testing.T) {
 	s := testSettings()
 	s.NodeCount, s.Tenants = 80, []Tenant{{ConnectionQuota: 350}}
--- a/balancer/polling_test.go
+++ b/balancer/polling_test.go
@@ -75,7 +75,7 @@
 							continue
 						}
 						if limit := 4*time.Second + sweepInterval; fails == 0 && now-since > limit {
-							t.Fatalf("%d nodes, poll interval %v: first list request after %v", nodes, interval, now-since)
+							t.Fatalf("%d nodes, poll interval %v: first list request after %v, want at most 4.2s", nodes, interval, now-since)
 						}
 						if fails > 0 {
 							worst = max(worst, now-since)
@@ -122,7 +122,7 @@
 	}
 	run(20*ms, 20*time.Second)
 	if highest := run(20*time.Second, 60*time.Second); highest > nodes/4 {
-		t.Errorf("%d of %d nodes send list requests within the same 100 ms after failures", highest, nodes)
+		t.Errorf("%d of %d nodes send list requests within the same 100 ms after failures, want at most a quarter", highest, nodes)
 	}
 }
 
@@ -181,7 +181,7 @@
 		}
 		interval := n.settings.PollInterval
 		if !n.polling.watching && now-l.lastRequest[i] > interval && now-from > interval {
-			l.t.Fatalf("node %d sent its last list request at %v; it is %v", i, l.lastRequest[i], now)
+			l.t.Fatalf("node %d without a watch: last list request at %v, none until %v; want at most PollInterval between requests", i, l.lastRequest[i], now)
 		}
 	}
 }
--- a/balancer/statelists_test.go
+++ b/balancer/statelists_test.go
@@ -41,6 +41,7 @@
 	})
 }
 
+// checkStateLists compares the lists and the entry counts with a scan of all servers and entries.
 func checkStateLists(t *rapid.T, tab *table) {
 	l := tab.states
 	if got := tab.inState(active); !slices.Equal(l.active, got) {
--- a/balancer/table_agreement_test.go
+++ b/balancer/table_agreement_test.go
@@ -96,7 +96,7 @@
 		for j, was := range before {
 			now := a.table.first[j]
 			if was != now && was.id != c.ID && now.id != c.ID {
-				t.Fatalf("change %d moved an entry of %s to %s", i, was.id, now.id)
+				t.Fatalf("change %d moved an entry of %s to %s, but is a change of neither", i, was.id, now.id)
 			}
 		}
 	}
--- a/balancer/table_test.go
+++ b/balancer/table_test.go
@@ -101,7 +101,7 @@
 	}
 	tab.finishTransitions(time.Second, time.Second, time.Second, false)
 	if second := tab.hops(3)[0]; x.state != active || second != nil {
-		t.Error("the fill did not end after its time")
+		t.Error("the fill did not end after its time: want the new server active and no second hop")
 	}
 }
 
@@ -114,7 +114,7 @@
 	tab.drain(x, 0)
 	for i, f := range tab.first {
 		if f == nil || f == x || f == s[0] {
-			t.Errorf("entry %d is held by a draining server", i)
+			t.Errorf("entry %d is held by a draining server or by none, want an active server", i)
 		}
 	}
 }
--- a/internal/node/coldstart_test.go
+++ b/internal/node/coldstart_test.go
@@ -103,6 +103,6 @@
 		t.Fatal("no list request is sent to discovery")
 	}
 	if _, ok := n.ColdStartState(); ok || n.CachedList() != nil {
-		t.Error("a cold start state is returned or a list is published")
+		t.Error("a cold start state is returned or a list is published, want neither")
 	}
 }
--- a/internal/node/latency.go
+++ b/internal/node/latency.go
@@ -8,9 +8,9 @@
 )
 
 // Once a second the node measures the message latency of each host that has connections. If the settings allow it, the
-// node pings the host. A ping reveals more than the latency of messages, because a host replies to lines on established
-// connections at once, however long its queue is. Otherwise the node takes the median latency of the messages within
-// the second, because this machine may be the cause of a single slow message.
+// node pings the host. A ping reveals more than the latency of messages, because a host responds to lines on
+// established connections at once, however long its queue is. Otherwise the node takes the median latency of the
+// messages within the second, because this machine may be the cause of a single slow message.
 
 // hostLatency is the state of a host's latency measurement.
 type hostLatency struct {
@@ -62,7 +62,7 @@
 		r.sampledMessages = stats.Answered
 		host.latencySamples = append(host.latencySamples, stats.LastLatency)
 	}
-	if stats.OldestWait > n.slowMessageThreshold { // counts like a reply with this latency
+	if stats.OldestWait > n.slowMessageThreshold { // counts like a response with this latency
 		host.latencySamples = append(host.latencySamples, stats.OldestWait)
 	}
 }
--- a/internal/node/latency_test.go
+++ b/internal/node/latency_test.go
@@ -27,7 +27,7 @@
 	unresponsive.stats = MessageStats{OldestWait: unresponsiveAfter + time.Millisecond}
 	n.handleTick(time.Now())
 	if strings.Contains(unresponsive.recorded(), "migrate") {
-		t.Error("migrated although the host replied between the ticks")
+		t.Error("migrated although the host responded between the ticks")
 	}
 	n.handleTick(time.Now())
 	n.handleTick(time.Now())
@@ -72,7 +72,7 @@
 		conn.stats.OldestWait = 40 * time.Millisecond
 	}
 	if measureSecond(0, 0, 0); !host.reportedSlow {
-		t.Error("the wait of messages without a reply is not reported")
+		t.Error("the host is not reported as slow although messages have waited 40 ms for a response")
 	}
 }
 
@@ -106,8 +106,8 @@
 	p.node.handle(pingCompleted{host: p.host.id, took: took})
 }
 
-// A host replies to lines at once, however long its queue is. If the settings allow it, the node must therefore measure
-// latency by pings, and by the waiting time of a ping without a response.
+// A host responds to lines at once, however long its queue is. If the settings allow it, the node must therefore
+// measure latency by pings, and by the waiting time of a ping without a response.
 func TestPing_SlowHost_ReportedWhenConfirmed(t *testing.T) {
 	p := newPingTest(t)
 	if len(p.transport.pings) != 1 || p.transport.pings[0] != p.host.id {
--- a/internal/node/overrides_test.go
+++ b/internal/node/overrides_test.go
@@ -96,7 +96,7 @@
 		list.Complete = c.kind == balancer.ListSnapshot
 		n.applyList(list, c.kind, false)
 		if n.hosts["a"].state == balancer.Live {
-			t.Errorf("the host is live with the endpoint %+v", c.endpoint)
+			t.Errorf("the host is live after a list with the endpoint %+v, want it draining or removed", c.endpoint)
 		}
 	}
 	second := arrive(t, n, "s")
--- a/internal/node/tick.go
+++ b/internal/node/tick.go
@@ -17,9 +17,9 @@
 	// maxHostsCountedEachTick is the largest number of hosts that are counted at every tick. Larger fleets are counted
 	// once a second.
 	maxHostsCountedEachTick = 512
-	// unresponsiveAfter is how long a message may wait for its reply before the host counts as unresponsive. The client
-	// is migrated if its host is unresponsive at two ticks in a row. One tick is not enough: at the first tick after
-	// the node itself was suspended, all messages seem to have waited that long.
+	// unresponsiveAfter is how long a message may wait for its response before the host counts as unresponsive. The
+	// client is migrated if its host is unresponsive at two ticks in a row. One tick is not enough: at the first tick
+	// after the node itself was suspended, all messages seem to have waited that long.
 	unresponsiveAfter = 750 * time.Millisecond
 )
 
