--- a/balancer/overload_test.go
+++ b/balancer/overload_test.go
@@ -27,7 +27,7 @@
 	// After the recovery time, the limit has recovered.
 	b.now = 2*time.Second + b.derived.limitRecovery
 	if b.exceedsLimit(s, &request{}, 100) {
-		t.Error("the limit has not recovered after limitRecovery")
+		t.Error("one more connection exceeds the limit after limitRecovery, want the limit recovered")
 	}
 }
 
@@ -37,7 +37,7 @@
 	objective := testSettings().Classes[0].MessageLatencyObjective
 	b, s := nodeWithConnections(t, testSettings(), 20)
 	if out := b.Handle(time.Second, LatencyReport{ID: "open0", Latency: objective / 3}); len(migrations(out)) != 0 {
-		t.Errorf("%d of 20 connections migrated well below the objective", len(migrations(out)))
+		t.Errorf("%d of 20 connections migrated at a third of the objective, want none", len(migrations(out)))
 	}
 	out := b.Handle(2*time.Second, LatencyReport{ID: "open0", Latency: objective * 9 / 20})
 	if n := len(migrations(out)); n < 2 || n > 6 || s.loadLimit == 0 {
@@ -80,6 +80,8 @@
 	}
 }
 
+// The share of a tenant's quota at one node is the quota divided by the number of nodes. Requests of a tenant over this
+// share must count for less, so that an overloaded fleet rejects them before the requests of other tenants.
 func TestRelativeValue_TenantOverQuota_IsReduced(t *testing.T) {
 	settings := testSettings()
 	settings.Tenants = []Tenant{{ConnectionQuota: 9}, {ConnectionQuota: 0}}
@@ -144,7 +146,8 @@
 	}
 }
 
-// Of many nodes with one connection each on an overloaded server, some migrate it, but not all of them.
+// If many nodes have one connection each on an overloaded server, some of the nodes must migrate theirs. If none did,
+// the overload would last; if all did, the server would lose every connection.
 func TestLatency_ManyNodes_MigrateTheirShare(t *testing.T) {
 	const nodes = 400
 	moved := 0
@@ -159,6 +162,6 @@
 		}
 	}
 	if moved < nodes/20 || moved > nodes*2/3 {
-		t.Errorf("%d of %d nodes migrated their only connection, want some", moved, nodes)
+		t.Errorf("%d of %d nodes migrated their only connection, want 20 to 266", moved, nodes)
 	}
 }
--- a/balancer/polling_test.go
+++ b/balancer/polling_test.go
@@ -5,6 +5,8 @@
 	"time"
 )
 
+// A node that polls must repeat a failed list request, and send the next one after its watch breaks. It must send none
+// while a watch is open, and never if discovery pushes the list.
 func TestPolling_Failures_BackOffAndRecover(t *testing.T) {
 	b := New(testSettings())
 	watches := 0
@@ -73,7 +75,7 @@
 							continue
 						}
 						if limit := 4*time.Second + sweepInterval; fails == 0 && now-since > limit {
-							t.Fatalf("%d nodes, poll interval %v: first list request after %v", nodes, interval, now-since)
+							t.Fatalf("%d nodes, poll interval %v: first list request after %v, want at most 4.2s", nodes, interval, now-since)
 						}
 						if fails > 0 {
 							worst = max(worst, now-since)
@@ -120,7 +122,7 @@
 	}
 	run(20*ms, 20*time.Second)
 	if highest := run(20*time.Second, 60*time.Second); highest > nodes/4 {
-		t.Errorf("%d of %d nodes send list requests within the same 100 ms after failures", highest, nodes)
+		t.Errorf("%d of %d nodes send list requests within the same 100 ms after failures, want at most a quarter", highest, nodes)
 	}
 }
 
@@ -179,7 +181,7 @@
 		}
 		interval := n.settings.PollInterval
 		if !n.polling.watching && now-l.lastRequest[i] > interval && now-from > interval {
-			l.t.Fatalf("node %d sent its last list request at %v; it is %v", i, l.lastRequest[i], now)
+			l.t.Fatalf("node %d without a watch: last list request at %v, none until %v; want at most PollInterval between requests", i, l.lastRequest[i], now)
 		}
 	}
 }
