--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -14,6 +14,8 @@
 	"onyxstream/internal/fleet"
 )
 
+// A command line repeats its request if it got no response. Repeated requests, concurrent or after a restart of the
+// agent, must not start a second operation.
 func TestSubmit_RepeatedRequest_IsOneOperation(t *testing.T) {
 	t.Parallel()
 	r := newTestFleet(t, 3)
@@ -34,7 +36,7 @@
 	c, _ = r.startAgent(t, nil)
 	eventually(t, "all instances are up", func() bool { return allUp(c) })
 	if o, err := submit(t, c, request); err != nil || o.State != fleet.Succeeded {
-		t.Errorf("operation after a restart of the agent: %s, error %v", o.State, err)
+		t.Errorf("operation after a restart of the agent: %s, error %v, want done", o.State, err)
 	}
 	r.checkDrainedOnce(t)
 	other := drainRequest("d", r.names()[:1])
@@ -72,7 +74,7 @@
 	}
 	eventually(t, "the other instances are drained", func() bool { return operation(t, c, "d").State == fleet.Succeeded })
 	if up() > 3 {
-		t.Error("the slow instance has responded, so the test proves nothing")
+		t.Error("the slow instance has responded, want it blocked until the test ends")
 	}
 	x := r.instances[2]
 	x.stop()
@@ -89,12 +91,13 @@
 	}
 }
 
+// Two agents with one store would overwrite each other's operations.
 func TestNew_StoreInUse_Fails(t *testing.T) {
 	t.Parallel()
 	r := newTestFleet(t, 1)
 	c, _ := r.startAgent(t, nil)
 	eventually(t, "the instance of the first agent is up", func() bool { return allUp(c) })
 	if _, err := New(r.cfg, zap.NewNop()); err == nil || !strings.Contains(err.Error(), "in use by another agent") {
-		t.Errorf("New with a store in use: %v", err)
+		t.Errorf("New with a store in use: error %v, want in use by another agent", err)
 	}
 }
--- a/internal/agent/config_test.go
+++ b/internal/agent/config_test.go
@@ -7,6 +7,7 @@
 	"onyxstream/internal/tomlfile"
 )
 
+// Errors of the configuration and the inventory name the file, the line if the field has one, and the field.
 func TestConfig_InvalidFile_NamesField(t *testing.T) {
 	for text, want := range map[string]string{
 		"inventory = \"a\"\nstore = \"b\"\n":                                 "a.toml: socket: missing",
@@ -21,6 +22,6 @@
 		"[[instance]]\naddr = \"y\"\nname = \"a\"\nzone = \"z\"\n"
 	err := tomlfile.Decode("i.toml", []byte(sameName), &Inventory{})
 	if err == nil || !strings.HasPrefix(err.Error(), "i.toml:7: instance[1].name") {
-		t.Errorf("inventory with a duplicate name: %v", err)
+		t.Errorf("inventory with a duplicate name: error %v, want one at i.toml:7: instance[1].name", err)
 	}
 }
--- a/internal/agent/inventory_test.go
+++ b/internal/agent/inventory_test.go
@@ -11,6 +11,8 @@
 	"onyxstream/internal/faultinject"
 )
 
+// An invalid inventory, for example a partly written file, must not stop the agent or remove instances. The next valid
+// file is loaded.
 func TestReloadInventory_InvalidFile_KeepsPrevious(t *testing.T) {
 	t.Parallel()
 	r := newTestFleet(t, 2)
--- a/internal/agent/stored_test.go
+++ b/internal/agent/stored_test.go
@@ -14,8 +14,6 @@
 	"onyxstream/internal/fleet"
 )
 
-// An earlier release wrote the store in testdata. It guards the stored format, because operations outlive an upgrade.
-
 // openFixture opens a copy of the store in testdata, because opening a store writes to it.
 func openFixture(t *testing.T) *Store {
 	t.Helper()
@@ -53,6 +51,8 @@
 	return all
 }
 
+// An earlier release wrote the store in testdata. Operations outlive a change of the agent's release in either direction:
+// this release must read that store, and write the same bytes.
 func TestStoredOperations_FromEarlierRelease_RoundTripUnchanged(t *testing.T) {
 	s := openFixture(t)
 	operations, desired, fence, err := s.Load()
@@ -70,7 +70,7 @@
 		t.Error(diff)
 	}
 	if diff := cmp.Diff([]fleet.DesiredState{wantDesired}, desired); diff != "" || fence != 7 {
-		t.Errorf("fence %d, %s", fence, diff)
+		t.Errorf("fence %d, want 7; desired states (-want +got): %s", fence, diff)
 	}
 	again, err := OpenStore(filepath.Join(t.TempDir(), "again.db"))
 	if err != nil {
--- a/internal/agent/testfleet_test.go
+++ b/internal/agent/testfleet_test.go
@@ -202,6 +202,7 @@
 	}
 }
 
+// eventually waits until f returns true. It fails the test after testTimeout; what names the condition in the failure.
 func eventually(t testing.TB, what string, f func() bool) {
 	t.Helper()
 	for begin := time.Now(); !f(); time.Sleep(10 * time.Millisecond) {
@@ -211,17 +212,20 @@
 	}
 }
 
+// operation requests an operation from the agent. It returns the zero Operation if the request fails.
 func operation(t testing.TB, c *control.Client, id string) (o fleet.Operation) {
 	t.Helper()
 	_ = c.Call(t.Context(), http.MethodGet, "/v1/operations/"+id, nil, &o)
 	return o
 }
 
+// views requests the instances from the agent. It returns nil if the request fails.
 func views(c *control.Client) (out []fleet.View) {
 	_ = c.Call(context.Background(), http.MethodGet, "/v1/instances", nil, &out)
 	return out
 }
 
+// allUp reports whether the agent has a status of each instance.
 func allUp(c *control.Client) bool {
 	v := views(c)
 	for _, x := range v {
--- a/internal/control/list.go
+++ b/internal/control/list.go
@@ -52,8 +52,8 @@
 	maxPeerListWait         = 10 * time.Second
 	maxUnreachable          = 4096 // hosts
 	maxPeerListRequestBytes = maxUnreachable * (maxNameLength + 4)
-	// minAgeAdvantage is how much later than the requester's list the instance's list must have been confirmed for the
-	// instance to respond before the timeout.
+	// minAgeAdvantage decides whether a list of the same revision is worth a response before the timeout: it must have
+	// been confirmed at least this much later than the requester's list.
 	minAgeAdvantage = 500 * time.Millisecond
 )
 
@@ -135,8 +135,9 @@
 	}
 }
 
-// isOutdatedBy reports whether a list has a higher revision than the requester's, was confirmed later, or comes with an
-// unreachable host that the requester doesn't know. The requester's list has aged since start.
+// isOutdatedBy reports whether a list is newer than the requester's: it has a higher revision, or it has the same
+// revision and either was confirmed at least minAgeAdvantage later or comes with an unreachable host that the requester
+// doesn't know. The requester's list has aged since start.
 func (q *peerListQuery) isOutdatedBy(list *CachedList, start, now time.Time) bool {
 	if list.List.Revision != q.revision {
 		return list.List.Revision > q.revision
--- a/internal/control/list_test.go
+++ b/internal/control/list_test.go
@@ -125,7 +125,7 @@
 	const timeout = 100 * time.Millisecond
 	list, _, err = c.List(t.Context(), "s", 4, time.Minute, timeout, &all)
 	if err != nil || list.Waited < timeout {
-		t.Errorf("a requester that knows all hosts waited %v, error %v", list.Waited, err)
+		t.Errorf("the request of an instance that knows all hosts waited %v, error %v, want at least 100ms", list.Waited, err)
 	}
 }
 
@@ -159,7 +159,7 @@
 		}
 	}
 	if s, err := c.Status(t.Context()); err != nil || s.Name == "" {
-		t.Errorf("Status while requests are waiting: %+v, %v", s, err)
+		t.Errorf("Status while list requests are waiting: %+v, error %v, want a name", s, err)
 	}
 	cancel()
 	wg.Wait()
@@ -174,6 +174,7 @@
 	}
 }
 
+// A missing, malformed or negative parameter, or a timeout above the limit, is rejected with an error that names it.
 func TestList_InvalidQuery_NamesParameter(t *testing.T) {
 	_, c := startServer(t, newFakeListInstance())
 	for query, want := range map[string]string{
--- a/internal/control/listclient.go
+++ b/internal/control/listclient.go
@@ -10,8 +10,9 @@
 )
 
 // List requests an instance's endpoint list of a discovery service. The instance responds when its list has a higher
-// revision than the given one, was confirmed more recently than age ago, or comes with an unreachable host that is not
-// in unreachable (nil ignores unreachable hosts), and after timeout at the latest.
+// revision than the given one, or after timeout at the latest. If the revisions are the same, it responds earlier if its
+// list was confirmed more recently than age ago, or comes with an unreachable host that is not in unreachable (nil
+// ignores unreachable hosts).
 //
 // validAt is the earliest time at which the instance can have sent the response. The age of the list counts from
 // validAt. Otherwise, a list whose response waited in a socket buffer would seem more recent than it is.
--- a/internal/control/register.go
+++ b/internal/control/register.go
@@ -39,7 +39,7 @@
 type Decision struct {
 	Response Response
 	MustRun  bool   // the instance must apply the command now
-	Rollback func() // undoes Accept if MustRun is set; valid until the next call of the register
+	Rollback func() // undoes Accept; set whenever MustRun is, and valid until the register's next method call
 }
 
 // NewRegister returns an empty register for one incarnation of an instance.
@@ -108,8 +108,9 @@
 }
 
 // AcceptManual puts a command without operation and fence in effect, after all earlier commands. It returns the command
-// with an operation of its own and the fence in effect, so that it neither causes the rejection of later commands with
-// fences nor conflicts with their fences. rollback undoes AcceptManual if the instance fails to apply the command.
+// with a generated operation. The fence in effect stays the same, so that later commands with fences are neither
+// rejected nor in conflict because of the manual command. rollback undoes AcceptManual if the instance fails to apply
+// the command.
 func (r *Register) AcceptManual(c Command) (full Command, rollback func(), err error) {
 	current, known := r.scopes[c.Host]
 	r.manualCommands++
--- a/internal/control/register_test.go
+++ b/internal/control/register_test.go
@@ -45,6 +45,8 @@
 	})
 }
 
+// An invalid command, or one that reuses an operation or a fence with other contents, must not run, and its error names
+// the field. However many commands arrive, the memory of the register is bounded.
 func TestRegister_InvalidCommand_ReturnsError(t *testing.T) {
 	r := NewRegister("b")
 	good := Command{Operation: "o", Fence: 5, Kind: Drain, DrainTimeout: time.Second}
@@ -76,7 +78,7 @@
 	for i := range maxScopes + 5 {
 		c := Command{Operation: fmt.Sprint("h", i), Fence: 1, Kind: HostDrain, Host: fmt.Sprint(i)}
 		if _, err := r.Accept(c); i > maxScopes && err == nil {
-			t.Fatal("the number of hosts with an override is not bounded")
+			t.Fatal("Accept allowed more hosts with an override than maxScopes")
 		}
 	}
 	if len(r.responses) > maxResponses || len(r.scopes) > maxScopes {
--- a/internal/control/server_test.go
+++ b/internal/control/server_test.go
@@ -107,27 +107,27 @@
 	close(responses)
 	for response := range responses {
 		if response != (Response{Verdict: Done, Fence: 1, Incarnation: "boot"}) {
-			t.Errorf("response %+v", response)
+			t.Errorf("response to a repeated command: %+v, want done with fence 1 of incarnation boot", response)
 		}
 	}
 	if f.appliedCount() != 1 {
 		t.Errorf("the command was applied %d times, want 1", f.appliedCount())
 	}
 	if response, err := c.Do(t.Context(), Command{Operation: "p", Fence: 9, Kind: Resume}); err != nil || response.Verdict != Done {
-		t.Errorf("command with a higher fence: %+v, %v", response, err)
+		t.Errorf("command with a higher fence: %+v, error %v, want done", response, err)
 	}
 	if response, err := c.Do(t.Context(), Command{Operation: "q", Fence: 3, Kind: Drain}); err != nil || response.Verdict != Rejected || response.Fence != 9 {
-		t.Errorf("command with a lower fence: %+v, %v", response, err)
+		t.Errorf("command with a lower fence: %+v, error %v, want refused with fence 9", response, err)
 	}
 	if response, err := c.Do(t.Context(), cmd); err != nil || response.Verdict != Done || f.appliedCount() != 2 {
-		t.Errorf("repeated first command: %+v, %v; %d commands applied", response, err, f.appliedCount())
+		t.Errorf("repeated first command: %+v, error %v, %d commands applied; want done and 2 commands", response, err, f.appliedCount())
 	}
 	_, err := c.Do(t.Context(), Command{Operation: "o", Fence: 1, Kind: Resume})
 	if !isRemoteError(err, http.StatusConflict) {
 		t.Errorf("the same operation with other contents: %v, want status 409", err)
 	}
 	if s, err := c.Status(t.Context()); err != nil || s.Operation != "p" || s.Fence != 9 || s.Incarnation != "boot" {
-		t.Errorf("Status: %+v, %v", s, err)
+		t.Errorf("Status: %+v, error %v, want operation p with fence 9 of incarnation boot", s, err)
 	}
 }
 
@@ -165,7 +165,7 @@
 			}
 		})
 		if s, err := c.Status(t.Context()); err != nil || s.Name != "n1" {
-			t.Errorf("Status during a malformed request: %+v, %v", s, err)
+			t.Errorf("Status during a malformed request: %+v, error %v, want name n1", s, err)
 		}
 	}
 	if f.appliedCount() != 0 {
@@ -173,6 +173,7 @@
 	}
 }
 
+// A watcher of the status gets a line at once, and another line after a command has changed the status.
 func TestWatch_StatusChanges_StreamsLine(t *testing.T) {
 	f := &fakeInstance{}
 	_, c := startServer(t, f)
@@ -188,10 +189,12 @@
 		return !strings.Contains(string(line), `"operation":"o"`)
 	})
 	if err != nil || n < 2 {
-		t.Errorf("the stream had %d lines, error %v", n, err)
+		t.Errorf("the stream had %d lines, error %v, want at least 2 lines", n, err)
 	}
 }
 
+// ListenUnix replaces only a socket on which no process listens any more. It must not take the socket of a running
+// process, nor replace a file that is not a socket. The socket is open to its owner only.
 func TestListenUnix_PathInUse_Fails(t *testing.T) {
 	path, _ := startServer(t, &fakeInstance{})
 	if l, err := ListenUnix(path, minConns); err == nil {
@@ -218,12 +221,12 @@
 	apply := func(op string, fence uint64, kind CommandKind, verdict Verdict) {
 		t.Helper()
 		if response, err := s.Apply(Command{Operation: op, Fence: fence, Kind: kind}); err != nil || response.Verdict != verdict {
-			t.Errorf("operation %s: %+v, %v", op, response, err)
+			t.Errorf("operation %s: unexpected response %+v, error %v", op, response, err)
 		}
 	}
 	apply("first", 5, Drain, Done)
 	if err := s.ApplyManual(Command{Kind: Resume}); err != nil || f.appliedCount() != 2 {
-		t.Errorf("manual command: %v, %d commands applied", err, f.appliedCount())
+		t.Errorf("manual command: error %v, %d commands applied, want no error and 2", err, f.appliedCount())
 	}
 	apply("older", 4, Drain, Rejected)
 	apply("first", 5, Drain, Done) // a repeated command, which is not applied again
@@ -233,20 +236,20 @@
 	}
 	f.applyErr = errors.New("timed out")
 	if err := s.ApplyManual(Command{Kind: Resume}); !errors.Is(err, f.applyErr) {
-		t.Errorf("failed manual command: %v", err)
+		t.Errorf("manual command that fails: error %v, want that of the instance", err)
 	}
 	if _, err := s.Apply(Command{Operation: "last", Fence: 7, Kind: Resume}); !errors.Is(err, f.applyErr) {
-		t.Errorf("failed command with a fence: %v", err)
+		t.Errorf("command with a fence that fails: error %v, want that of the instance", err)
 	}
 	if operation, fence := s.register.Current(); operation != "next" || fence != 6 {
 		t.Errorf("operation %s with fence %d is in effect, want next with 6", operation, fence)
 	}
 	if keys, responses := len(s.register.responseOrder), len(s.register.responses); keys != responses {
-		t.Errorf("the order has %d keys for %d responses", keys, responses)
+		t.Errorf("the register has %d keys in order for %d responses, want equal numbers", keys, responses)
 	}
 	f.applyErr = nil
 	apply("last", 7, Resume, Done)
 	if err := s.ApplyManual(Command{Kind: "reboot"}); err == nil || f.appliedCount() != 4 {
-		t.Errorf("command of unknown kind: %v, %d commands applied", err, f.appliedCount())
+		t.Errorf("command of unknown kind: error %v, %d commands applied, want an error and 4", err, f.appliedCount())
 	}
 }
--- a/internal/control/stored_test.go
+++ b/internal/control/stored_test.go
@@ -11,9 +11,6 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// An earlier release wrote the files in testdata, with a value in every field. They guard the JSON names: instances,
-// agents and command lines of different releases exchange these messages.
-
 // fillFields sets every exported field of a value to a distinct value that is not zero.
 func fillFields(v reflect.Value, n *int) {
 	*n++
@@ -48,6 +45,8 @@
 	}
 }
 
+// An earlier release wrote the files in testdata, with a value in every field. They guard the JSON names: instances,
+// agents and command lines of different releases exchange these messages.
 func TestMessages_FromEarlierRelease_RoundTripUnchanged(t *testing.T) {
 	for name, into := range map[string]any{"command-v1.json": new(Command), "answer-v1.json": new(Response), "status-v1.json": new(Status), "list-v1.json": new(PeerList)} {
 		path := filepath.Join("testdata", name)
--- a/internal/control/stream.go
+++ b/internal/control/stream.go
@@ -27,7 +27,7 @@
 	lastWrite := time.Now()
 	for {
 		status := s.status()
-		status.UptimeSeconds = 0 // it changes with each call
+		status.UptimeSeconds = 0 // it differs at every check, but is not a change to report
 		line, err := json.Marshal(status)
 		if err != nil {
 			return
--- a/internal/fleet/delivery.go
+++ b/internal/fleet/delivery.go
@@ -51,7 +51,7 @@
 // takeRetryToken takes a token for one retry from the fleet's retry budget, and reports whether there was one.
 func (f *Fleet) takeRetryToken() bool { return f.retryBudget.AllowN(time.Unix(0, 0).Add(f.now), 1) }
 
-// backoff returns the delay before the next attempt. It grows exponentially; its upper half is jitter.
+// backoff returns the delay before the next attempt: exponential, up to RetryMaxDelay, with jitter over its upper half.
 func (f *Fleet) backoff(attempts int) time.Duration {
 	delay := f.cfg.RetryInitialDelay << min(attempts, maxBackoffShift)
 	if delay > f.cfg.RetryMaxDelay || delay <= 0 {
--- a/internal/fleet/desired.go
+++ b/internal/fleet/desired.go
@@ -20,7 +20,7 @@
 	Command control.Command `json:"command"`
 }
 
-// Change is the data that must be saved before the deliveries that Next returns with it are made.
+// Change is data to save. Next returns it with deliveries, which must not be made before it is on disk.
 type Change struct {
 	Operations          []Operation
 	Desired             []DesiredState
@@ -112,7 +112,8 @@
 	return d.Command.Kind == control.Drain && status.Fence < d.Command.Fence
 }
 
-// redeliveryOf returns the redelivery state of a scope, and creates it if there is none.
+// redeliveryOf returns the redelivery state of a scope, and creates it if there is none. The incarnation that accepted
+// a host override in a step of the operation does not get the override again.
 func (f *Fleet) redeliveryOf(state DesiredState) *redelivery {
 	pending := f.redeliveries[state.Scope]
 	if pending != nil {
--- a/internal/fleet/operations_test.go
+++ b/internal/fleet/operations_test.go
@@ -17,7 +17,7 @@
 
 const overriddenHost = "h"
 
-// The kinds of faults. Any other number stands for no fault.
+// What injectFault may draw: the faults of an instance, and an operator's requests. Any other number stands for nothing.
 const (
 	faultRestart = iota
 	faultPartition
@@ -26,12 +26,12 @@
 	faultContinue
 )
 
-// maxFault is the largest number drawn for a fault. It is above faultContinue, so that some steps have no fault.
+// maxFault is the largest number that injectFault draws. It is above faultContinue, so that some draws do nothing.
 const maxFault = 6
 
 func noCrashes() crashPoint { return noCrash }
 
-// Messages are lost, delayed and duplicated, instances restart, and the agent crashes at any write. The limit of
+// Even if messages are lost, delayed and duplicated, instances restart, and the agent crashes at any write: the limit of
 // unavailable instances is never exceeded, no instance has two commands in flight, every operation ends, and the
 // instances reach their desired state.
 func TestOperations_RandomFaults_ReachDesiredState(t *testing.T) {
--- a/internal/fleet/progress.go
+++ b/internal/fleet/progress.go
@@ -140,7 +140,7 @@
 	f.updateStep(o, step, StepDelivering, reason)
 }
 
-// redeliver delivers the commands of an operation again that got no response.
+// redeliver retries the deliveries of an operation that got no response. It also makes Next due when a step times out.
 func (f *Fleet) redeliver(plan *plan, o *Operation) {
 	for _, name := range o.Targets {
 		step := o.Steps[name]
@@ -156,7 +156,8 @@
 	}
 }
 
-// startSteps starts as many waiting steps as the wave size and the limits allow.
+// startSteps starts as many waiting steps as the wave size and the limits allow. The wave size does not apply to host
+// overrides.
 func (f *Fleet) startSteps(plan *plan, o *Operation) {
 	counts := o.CountSteps()
 	inProgress := counts[StepDelivering] + counts[StepAccepted]
--- a/internal/fleet/select_test.go
+++ b/internal/fleet/select_test.go
@@ -5,6 +5,8 @@
 	"testing"
 )
 
+// An instance must match all kinds of criteria. A pattern that matches no instance is an error, since a typing mistake
+// would otherwise go unnoticed.
 func TestSelect_Criteria_NamesOrError(t *testing.T) {
 	for _, c := range []struct {
 		selector Selector
--- a/internal/fleet/simulation_test.go
+++ b/internal/fleet/simulation_test.go
@@ -235,7 +235,7 @@
 	sim.saved.fence = max(sim.saved.fence, change.Fence)
 }
 
-// run processes events until the given time. Each step may have a crash.
+// run processes events until the given time. crash returns the point at which the agent crashes in the next step.
 func (sim *simulation) run(until time.Duration, crash func() crashPoint) {
 	for sim.now < until {
 		next := min(until, max(sim.wake, sim.now+time.Millisecond))
--- a/internal/fleet/submit.go
+++ b/internal/fleet/submit.go
@@ -44,7 +44,8 @@
 	return o.clone(), nil
 }
 
-// nextFence returns a fence above all fences that instances report, including those of an earlier store that was lost.
+// nextFence returns a fence above all fences that instances report. They may report fences that the agent does not know,
+// if its store was lost.
 func (f *Fleet) nextFence() uint64 {
 	for _, observation := range f.observations {
 		f.fence = max(f.fence, observation.Status.Fence)
--- a/internal/fleet/submit_test.go
+++ b/internal/fleet/submit_test.go
@@ -9,6 +9,8 @@
 	"onyxstream/internal/control"
 )
 
+// A drain that would leave too few instances available is rejected as a whole: in its zone or in the fleet, by the
+// default limits or those of the request.
 func TestSubmit_DrainOverLimits_ReturnsLimitError(t *testing.T) {
 	f := newServingFleet(t, threeInstances())
 	for _, c := range []struct {
@@ -45,6 +47,8 @@
 	}
 }
 
+// An invalid request, or a known ID with other contents, is rejected with an error that names the field. An invalid
+// inventory is rejected as a whole.
 func TestSubmit_InvalidRequest_ReturnsError(t *testing.T) {
 	f := newServingFleet(t, threeInstances())
 	good := Request{ID: "x", Kind: control.Drain, Targets: []string{"a1"}}
@@ -83,10 +87,12 @@
 		}
 	}
 	if len(f.Views(4)) != 3 {
-		t.Error("an invalid inventory changed the instances")
+		t.Error("an invalid inventory changed the number of instances, want 3")
 	}
 }
 
+// A resume that is submitted during a drain ends the drain's steps. While the drain command to an instance is in flight,
+// that instance gets no other command, because the order of arrival would be undefined.
 func TestSubmit_ResumeDuringDrain_Supersedes(t *testing.T) {
 	f := newServingFleet(t, threeInstances())
 	targets := []string{"a1", "a2"}
@@ -101,18 +107,18 @@
 		t.Fatal(err)
 	}
 	if got := deliverAll(f, 5, control.Serving); strings.Join(got, ", ") != "a2 resume" {
-		t.Errorf("deliveries while a command to a1 is in flight: %v", got)
+		t.Errorf("deliveries while a command to a1 is in flight: %v, want a2 resume", got)
 	}
 	f.RecordResponse(6, deliveries[0], control.Response{Verdict: control.Done, Fence: 1, Incarnation: "1"}, nil)
 	if got := deliverAll(f, 7, control.Serving); strings.Join(got, ", ") != "a1 resume" {
-		t.Errorf("deliveries after the response of a1: %v", got)
+		t.Errorf("deliveries after the response of a1: %v, want a1 resume", got)
 	}
 	f.Next(8)
 	d, _ := f.Operation("d")
 	r, _ := f.Operation("r")
 	stepsSuperseded := d.Steps["a1"].State == StepSuperseded && d.Steps["a2"].State == StepSuperseded
 	if !stepsSuperseded || !d.State.Ended() || r.State != Succeeded {
-		t.Errorf("drain %s with step a1 %v, resume %s", d.State, d.Steps["a1"], r.State)
+		t.Errorf("drain %s with step a1 %v, resume %s; want an ended drain with superseded steps, and resume done", d.State, d.Steps["a1"], r.State)
 	}
 }
 
--- a/internal/management/call.go
+++ b/internal/management/call.go
@@ -1,6 +1,6 @@
 // Package management implements the operators' line protocol: a connection carries one management call, which is one
-// line, and its reply, which begins with YES or NO. The same operations execute these calls and the commands on the
-// control listener.
+// line, and its reply, which begins with YES or NO. Management calls and the commands on the control listener run the
+// same code of the node.
 package management
 
 import (
@@ -42,7 +42,7 @@
 }
 
 const (
-	maxLineBytes   = 512 // of a call, with its line end
+	maxLineBytes   = 512 // of one call, including its line end
 	maxHostIDBytes = 128 // as on the control listener
 )
 
--- a/internal/management/call_test.go
+++ b/internal/management/call_test.go
@@ -5,6 +5,8 @@
 	"testing"
 )
 
+// Calls are case-sensitive, and take no more and no fewer arguments than they need. Bytes outside printable ASCII are
+// rejected anywhere in the line.
 func TestParse_Lines_CallOrError(t *testing.T) {
 	for _, c := range []struct {
 		line    string
@@ -47,11 +49,12 @@
 			t.Errorf("Parse(%q) = %+v, %v", line, c, err)
 		}
 		if reply := formatReply(err); strings.Count(reply, "\n") != 1 || strings.Count(reply, "\r") != 1 || !strings.HasPrefix(reply, "YES") && !strings.HasPrefix(reply, "NO ") {
-			t.Errorf("reply to %q: %q", line, reply)
+			t.Errorf("reply to %q: %q, want one line that begins with YES or NO", line, reply)
 		}
 	})
 }
 
+// Operators' tools parse the reply to show-stat: its names, their order and the line ends must not change.
 func TestStatsText_Counters_OneLineEach(t *testing.T) {
 	f := Stats{FinalAnswers: []FinalAnswers{{"chat", 812, 3, 1}, {"push", 0, 0, 0}}, Dispatches: 820, Concurrent: 14, Targets: 9, Disabled: 2}
 	want := "YES|svc.replies.chat.success=812|svc.replies.chat.overload=3|svc.replies.chat.error=1|" +
--- a/internal/management/conn.go
+++ b/internal/management/conn.go
@@ -15,8 +15,9 @@
 	maxLingerBytes = 4 << 10
 )
 
-// lingerClose closes the write side and reads until the caller closes the connection. Closing a socket with unread
-// bytes sends a reset, which may drop the reply before the caller has read it.
+// lingerClose closes the write side and reads until the caller closes the connection, lingerTimeout expires, or
+// maxLingerBytes were read. Closing a socket with unread bytes sends a reset, which may drop the reply before the caller
+// has read it.
 func lingerClose(conn net.Conn) {
 	if c, ok := conn.(interface{ CloseWrite() error }); ok {
 		_ = c.CloseWrite()
--- a/internal/management/server_test.go
+++ b/internal/management/server_test.go
@@ -89,6 +89,8 @@
 	return string(all)
 }
 
+// Only the first line of a connection is a call. A caller that sends an invalid or too long line, or more than one line,
+// still gets a complete reply, not a reset. The error of a failed call can't add a line to the reply.
 func TestServer_Calls_ExecutesAndReplies(t *testing.T) {
 	f := &fakeNode{}
 	addr := serve(t, f)
@@ -105,23 +107,24 @@
 		}
 	}
 	if got := f.calls(); got != "drain-host h1,resume-host h1,drain,resume,drain" {
-		t.Errorf("executed operations: %s", got)
+		t.Errorf("executed operations: %s, want drain-host h1,resume-host h1,drain,resume,drain", got)
 	}
 	f.mu.Lock()
 	f.err = errors.New("no host\r\nYES")
 	f.mu.Unlock()
 	if got := call(t, addr, "disable-server x\r\n"); got != "NO no host  YES\r\n" {
-		t.Errorf("reply to a failed call: %q", got)
+		t.Errorf("reply to a failed call: %q, want one line", got)
 	}
 }
 
+// A line without a line end may be incomplete: it must not be executed.
 func TestServer_LineWithoutEnd_RepliesNo(t *testing.T) {
 	f := &fakeNode{}
 	c := dial(t, serve(t, f))
 	_, _ = io.WriteString(c, "drai")
 	_ = c.(*net.TCPConn).CloseWrite()
 	if all, _ := io.ReadAll(c); !strings.HasPrefix(string(all), "NO ") || f.calls() != "" {
-		t.Errorf("reply %q, executed operations %q", all, f.calls())
+		t.Errorf("reply %q, executed operations %q, want NO and none", all, f.calls())
 	}
 }
 
@@ -135,14 +138,15 @@
 		_, _ = io.WriteString(dial(t, addr), "re")
 	}
 	if got := call(t, addr, "show-stat\r\n"); !strings.HasSuffix(got, "END\r\n") {
-		t.Errorf("reply while idle callers are connected: %q", got)
+		t.Errorf("reply while idle callers are connected: %q, want one that ends with END", got)
 	}
 	close(f.gate)
 	if line, err := bufio.NewReader(executing).ReadString('\n'); line != "YES\r\n" {
-		t.Errorf("reply to the call that was being executed: %q, %v", line, err)
+		t.Errorf("reply to the call that was being executed: %q, error %v, want YES", line, err)
 	}
 }
 
+// When its context ends, Serve disconnects idle callers and leaves no goroutine behind.
 func TestServe_ContextEnds_ClosesAll(t *testing.T) {
 	before := goleak.IgnoreCurrent()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
