--- a/cmd/onyxstream/reload_test.go
+++ b/cmd/onyxstream/reload_test.go
@@ -153,7 +153,7 @@
 	discovery.setUnavailable(true)
 	node.reload(t, oldDiscovery.addr, discovery.addr)
 	eventually(t, "the new discovery receives a request", func() bool { return len(discovery.requestPaths()) > 0 })
-	node.waitForLog(t, "discovery answered 503")
+	node.waitForLog(t, "discovery responded with status 503")
 	for i := int64(0); i < 4; i += 2 { // one of the events arrives while no request to the new service is open
 		oldDiscovery.sendEvent(endpointListJSON(42+i, false, hostB.endpoint(wire.Serving), hostA.endpoint(wire.Draining)))
 		node.waitUntilServedBy(t, hostB.id)
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -14,7 +14,7 @@
 	"onyxstream/internal/fleet"
 )
 
-// A command line repeats its request if it got no response. Repeated requests, concurrent or after a restart of the
+// A client that got no response may submit its request again. Repeated requests, concurrent or after a restart of the
 // agent, must not start a second operation.
 func TestSubmit_RepeatedRequest_IsOneOperation(t *testing.T) {
 	t.Parallel()
--- a/internal/agent/stored_test.go
+++ b/internal/agent/stored_test.go
@@ -51,8 +51,8 @@
 	return all
 }
 
-// An earlier release wrote the store in testdata. Operations outlive a change of the agent's release in either direction:
-// this release must read that store, and write the same bytes.
+// An earlier release wrote the store in testdata. Operations outlive a change of the agent's release, in either
+// direction: this release must read that store, and write the same bytes.
 func TestStoredOperations_FromEarlierRelease_RoundTripUnchanged(t *testing.T) {
 	s := openFixture(t)
 	operations, desired, fence, err := s.Load()
--- a/internal/coldstart/cachedlist.go
+++ b/internal/coldstart/cachedlist.go
@@ -47,8 +47,8 @@
 )
 
 // Decode reads a document that must have come from the given discovery service. It returns the list and the time since
-// discovery last confirmed it. If the confirmation lies in the future, because the clock was stepped, the age is
-// UnknownAge.
+// discovery last confirmed it. If the confirmation lies in the future, for example after the clock was set back, the age
+// is UnknownAge.
 func Decode(
 	document []byte, discoveryName string, now time.Time,
 ) (list wire.EndpointList, age time.Duration, err error) {
--- a/internal/coldstart/coldstart.go
+++ b/internal/coldstart/coldstart.go
@@ -11,7 +11,7 @@
 	cfg Config
 	rng *rand.Rand
 
-	// The held list.
+	// The held list: the endpoint list that the node has now.
 	hasList         bool
 	source          Source
 	revision        int64
@@ -27,13 +27,13 @@
 	notBefore       time.Duration // end of the delay that discovery set with Retry-After
 
 	// Peer contact, and counters of list requests.
-	lastPeerContactAt  time.Duration // when a peer last answered
+	lastPeerContactAt  time.Duration // when a peer last responded
 	listRequests       int
 	failedListRequests int
 }
 
-// New returns a Scheduler. held describes the list that the node already has. If source is NoSource, the
-// node has no list.
+// New returns a Scheduler. held describes the list that the node already has. If source is NoSource or held has no
+// hosts, the node has no list.
 func New(cfg Config, rng *rand.Rand, now time.Duration, source Source, held Offer) *Scheduler {
 	s := &Scheduler{cfg: cfg, rng: rng, lastPeerContactAt: now}
 	if source != NoSource && held.Hosts > 0 {
@@ -72,13 +72,14 @@
 	if !s.requestPlanned {
 		s.plan(max(now, s.notBefore), s.spreadInterval(now))
 	}
-	// When its peers fall silent, the node can no longer rely on their list requests: the planned time may have been
-	// drawn from the longer interval of nodes with peers.
+	// A node with peers plans its list requests over a longer interval. If the peers have fallen silent since, the node
+	// can no longer rely on their list requests, and moves its own forward into the shorter interval.
 	latest := max(now, s.notBefore) + s.spreadInterval(now)
 	if s.plannedAt > latest {
 		s.plannedAt = latest - s.jitter(s.spreadInterval(now)/2)
 	}
-	// Processes that were suspended together resume at the same moment, and their list requests are spread again.
+	// A plan this late means that the process was suspended. Processes that were suspended together resume at the same
+	// moment, so their list requests are spread again.
 	if now > s.plannedAt+suspensionThreshold {
 		s.plannedAt = now + s.jitter(s.spreadInterval(now))
 	}
@@ -162,7 +163,8 @@
 	return watchActive
 }
 
-// SetDiscoveryName switches to another discovery service, which does not know the revisions of the previous one.
+// SetDiscoveryName switches to another discovery service. Its revisions can't be compared with those of the previous
+// one.
 func (s *Scheduler) SetDiscoveryName(name string) {
 	s.cfg.DiscoveryName = name
 	s.revision = -1
@@ -172,7 +174,7 @@
 	s.backoff = 0
 	s.notBefore = 0
 	if s.source != NoSource {
-		s.source = SourceFile // the held list came from the previous service, and no list of the new one confirms it
+		s.source = SourceFile // the held list came from the previous discovery service, so it counts as not confirmed
 	}
 }
 
@@ -185,7 +187,7 @@
 	s.requestRequired = true
 }
 
-// PeerContacted records that a peer has answered, with a list or without one.
+// PeerContacted records that a peer has responded, with a list or without one.
 func (s *Scheduler) PeerContacted(now time.Duration) {
 	s.lastPeerContactAt = max(s.lastPeerContactAt, now)
 }
--- a/internal/coldstart/coldstart_test.go
+++ b/internal/coldstart/coldstart_test.go
@@ -34,8 +34,8 @@
 	}
 }
 
-// While discovery is down, list requests stay below a quarter of its capacity of 100 per second. Soon after it has
-// recovered, all nodes have the list.
+// While discovery is down, the list requests of all nodes stay below a quarter of its capacity of 100 per second, so
+// that they can't overload it when it recovers. Soon after it has recovered, all nodes have the list.
 func TestListRequests_DiscoveryDown_BelowItsCapacity(t *testing.T) {
 	for _, down := range []time.Duration{5 * time.Second, 60 * time.Second} {
 		for _, n := range []int{50, 300, 600} {
@@ -56,8 +56,8 @@
 	}
 }
 
-// A node honours Retry-After. Without Retry-After, the node does not retry at once. After a Retry-After of an hour or
-// longer, it still retries.
+// A node honours Retry-After. Without a valid one, it does not retry at once. A Retry-After of an hour or longer is cut
+// to the longest backoff, so that the node still retries.
 func TestListRequestFailed_AnyRetryAfter_RetriedInTime(t *testing.T) {
 	for _, retryAfter := range []time.Duration{0, time.Second, time.Hour, -time.Hour, 1 << 62} {
 		s := New(Config{NodeCount: 300, PollInterval: pollInterval}, rand.New(rand.NewPCG(1, 2)), 0, NoSource, Offer{})
@@ -75,7 +75,7 @@
 		next()
 		s.ListRequestFailed(now, retryAfter)
 		if waited := next(); waited < min(retryAfter, maxBackoffPolls*pollInterval) || waited < 100*ms {
-			t.Errorf("Retry-After %v: list request retried after %v", retryAfter, waited)
+			t.Errorf("Retry-After %v: list request retried after %v, want at least Retry-After or the longest backoff, and 100ms", retryAfter, waited)
 		}
 	}
 }
@@ -131,7 +131,7 @@
 			state := s.State(now)
 			wrongState := held >= 0 && (state.Revision != held || state.Age != now-confirmedAt)
 			if wrongState || state.Phase == CurrentList && state.Age > pollInterval {
-				t.Fatalf("held revision %d, confirmed at %v: state %+v at %v", held, confirmedAt, state, now)
+				t.Fatalf("held revision %d, confirmed at %v: state %+v at %v, want that revision and its age", held, confirmedAt, state, now)
 			}
 		}
 	})
@@ -216,6 +216,6 @@
 	}
 	laterVersion := append([]byte("onyxstream-list-2"), document[len(formatVersion):]...)
 	if _, _, err := Decode(laterVersion, "s", confirmed); !errors.Is(err, ErrFormat) {
-		t.Errorf("document of a later version: error %v", err)
+		t.Errorf("document of a later version: error %v, want ErrFormat", err)
 	}
 }
--- a/internal/coldstart/config.go
+++ b/internal/coldstart/config.go
@@ -12,8 +12,8 @@
 // The phases.
 const (
 	NoList      Phase = iota // no list: client requests cannot be sent to a host
-	StaleList                // the held list was not confirmed within PollInterval
-	CurrentList              // the held list was confirmed within PollInterval
+	StaleList                // the held list was not confirmed within the last PollInterval
+	CurrentList              // the held list was confirmed within the last PollInterval
 )
 
 // String returns the name of the phase in output for operators.
@@ -52,13 +52,13 @@
 	// first list requests.
 	firstRequesterDivisor = 100
 	// maxBackoffPolls bounds the backoff, and the interval over which nodes with peers spread their list requests,
-	// in units of PollInterval. Discovery can answer each node once per PollInterval, so that list requests at this
-	// interval take at most a quarter of its capacity.
+	// in units of PollInterval. Discovery has the capacity for one list request of each node per PollInterval, so that
+	// list requests at this interval take at most a quarter of it.
 	maxBackoffPolls = 4
-	// firstRequesters is the number of nodes, counted by index from 0, that send a list request at once on behalf of
-	// their peers.
+	// firstRequesters is the number of nodes, counted by index from 0, that send a list request almost at once after the
+	// start, so that their peers get the list from them.
 	firstRequesters = 4
-	// peerSilenceTimeout is the time without an answer from any peer after which a node stops relying on its peers.
+	// peerSilenceTimeout is the time without a response from any peer after which a node stops relying on its peers.
 	peerSilenceTimeout = 6 * time.Second
 	// suspensionThreshold is how late a planned list request must be for the node to assume that the process was
 	// suspended.
--- a/internal/coldstart/fleet_test.go
+++ b/internal/coldstart/fleet_test.go
@@ -15,7 +15,7 @@
 	gossipDelay        = 100 * ms    // until a list has reached all peers
 )
 
-// fakeDiscovery is a discovery service in virtual time that answers list requests one at a time.
+// fakeDiscovery is a discovery service in virtual time that processes list requests one at a time.
 type fakeDiscovery struct {
 	freeAt      time.Duration // when it can process the next list request
 	downUntil   time.Duration // list requests fail until then
--- a/internal/coldstart/peerlist.go
+++ b/internal/coldstart/peerlist.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// Offer describes a peer list by its properties, without its endpoints.
+// Offer describes a list that the node has or that a peer offers, without the endpoints.
 type Offer struct {
 	DiscoveryName string        // name of the discovery service that the list came from
-	Revision      int64         // revision at that service
-	Age           time.Duration // time since that service last sent or confirmed the list
+	Revision      int64         // revision of the list at discovery
+	Age           time.Duration // time since discovery last sent or confirmed the list
 	Hosts         int           // number of hosts in the list
 }
 
@@ -19,7 +19,7 @@
 // The verdicts.
 const (
 	Ignore  Verdict = iota // don't use the offered list
-	Confirm                // keep the held list, whose revision was confirmed more recently
+	Confirm                // keep the held list: the offer has the same revision and a later confirmation
 	Adopt                  // replace the held list with the offered one
 )
 
--- a/internal/discovery/stream.go
+++ b/internal/discovery/stream.go
@@ -15,8 +15,8 @@
 // discovery recovers times out after listRequestTimeout. The next list request follows within balancer.MaxRepollDelay,
 // or within node.MaxRewatchDelay if polling is off. The rest of notifyWithin is left for its response.
 //
-// listRequestTimeout and snapshotTimeout run from the start of the dial: listRequestTimeout until the first list, or until the
-// first event of a watch that follows a snapshot; snapshotTimeout until the complete snapshot.
+// Both timeouts of a list request run from the start of the dial. snapshotTimeout covers a complete snapshot.
+// listRequestTimeout covers a watch until its first list, or until its first event if the watch follows a snapshot.
 const (
 	notifyWithin       = 6 * time.Second
 	listRequestTimeout = 3 * time.Second
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -56,10 +56,10 @@
 	return n
 }
 
-// The longest delays between a change and the next list request: a watch falls silent just after a heartbeat, or a list
-// request is lost when discovery recovers. The rest of the bound is left for the response.
+// A change must reach the node within notifyWithin in the worst cases: a watch falls silent just after a heartbeat, or a
+// list request is lost just before discovery recovers. The time until the next list request and its response must fit.
 func TestTimeouts_WorstCase_WithinNotificationBound(t *testing.T) {
-	const answer = 400 * time.Millisecond
+	const responseTime = 400 * time.Millisecond
 	for name, longest := range map[string]time.Duration{
 		"polling on, watch falls silent":    heartbeatTimeout + balancer.MaxRepollDelay,
 		"polling on, list request lost":     listRequestTimeout + balancer.MaxRepollDelay,
@@ -67,13 +67,13 @@
 		"polling off, watch falls silent":   heartbeatTimeout + node.MaxRewatchDelay,
 		"polling off, list request lost":    listRequestTimeout + node.MaxRewatchDelay,
 	} {
-		if longest+answer > notifyWithin {
-			t.Errorf("%s: %v until the next list request, bound %v", name, longest, notifyWithin)
+		if longest+responseTime > notifyWithin {
+			t.Errorf("%s: %v until the next list request, want at most %v with its response", name, longest, notifyWithin)
 		}
 	}
 	// After a reload by SIGHUP with polling off, the bound is 4 s.
-	if longest := snapshotTimeout + node.MaxRewatchDelay; longest+answer > 4*time.Second {
-		t.Errorf("discovery reconfigured: %v until the second list request", longest)
+	if longest := snapshotTimeout + node.MaxRewatchDelay; longest+responseTime > 4*time.Second {
+		t.Errorf("discovery reconfigured: %v until the second list request, want at most 4s with its response", longest)
 	}
 }
 
@@ -155,25 +155,25 @@
 	}
 }
 
-// A watch that times out with received bytes is not silent: the process may have been suspended.
+// A watch that has unread bytes when it times out is not silent: the process may have been suspended after they arrived.
 func TestReadLate_BytesUnread_NoTimeout(t *testing.T) {
 	listener, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		t.Fatal(err)
 	}
-	peer, c := netiotest.Connect(t, listener)
+	server, c := netiotest.Connect(t, listener)
 	buffer := make([]byte, 64)
 	timeout := io.ErrNoProgress
 	if n, err := readLate(c, buffer, timeout); n != 0 || err != timeout {
-		t.Errorf("silent: %d bytes, error %v", n, err)
+		t.Errorf("silent watch: %d bytes, error %v, want none and the timeout", n, err)
 	}
-	_, _ = io.WriteString(peer, "2\r\n\r\n\r\n")
+	_, _ = io.WriteString(server, "2\r\n\r\n\r\n")
 	netiotest.Eventually(t, "the bytes are received", func() bool { return netiotest.UnreadBytes(t, c) > 0 })
 	if n, err := readLate(c, buffer, timeout); n != 7 || err != nil {
-		t.Errorf("bytes unread: %d bytes, error %v", n, err)
+		t.Errorf("watch with unread bytes: %d bytes, error %v, want 7 and no error", n, err)
 	}
-	_ = peer.Close()
-	netiotest.Eventually(t, "the peer's close is received", func() bool {
+	_ = server.Close()
+	netiotest.Eventually(t, "the close by discovery is received", func() bool {
 		_, err := readLate(c, buffer, timeout)
 		return err == io.EOF
 	})
@@ -201,7 +201,7 @@
 	close(hold)
 	n.MergePingBaselines(nil) // its event follows all events that the old request has posted
 	if !hasNewList() {
-		t.Errorf("the node's hosts are %v", n.View().Hosts)
+		t.Errorf("the node's hosts are %v, want only b of the new list", n.View().Hosts)
 	}
 }
 
@@ -218,11 +218,13 @@
 		start := time.Now()
 		netiotest.Eventually(t, "the list is received", func() bool { return len(n.View().Hosts) == 1 })
 		if took := time.Since(start); took > notifyWithin {
-			t.Errorf("polling %v: list received after %v", poll, took)
+			t.Errorf("polling %v: list received after %v, want at most 6s", poll, took)
 		}
 	}
 }
 
+// The end of the context sets an expired deadline. If extendDeadline overwrites that deadline, only its error ends the
+// watch.
 func TestExtendDeadline_ContextEnded_Fails(t *testing.T) {
 	listener, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
--- a/internal/healthcheck/pinger.go
+++ b/internal/healthcheck/pinger.go
@@ -198,8 +198,9 @@
 	p.receiver.PingCompleted(id, took)
 }
 
-// retire removes a host from the set of pinged hosts, and reports whether it did. Unless force is set, it keeps a host
-// with a pending request: without a result for that request, the host would seem not to respond.
+// retire removes a host from the set of pinged hosts, unless another hostPinger has replaced it there, and reports
+// whether the host's goroutine may end. Unless force is set, it keeps a host with a pending request: without a result
+// for that request, the host would seem not to respond.
 func (p *Pinger) retire(id balancer.ServerID, host *hostPinger, force bool) bool {
 	p.budget.Lock()
 	defer p.budget.Unlock()
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -122,7 +122,7 @@
 	return violation, !disconnectedAt.IsZero() && excess > 0
 }
 
-// smallSlowStartBudget is the budget, in requests, below which the margin is wider, because small numbers
+// smallSlowStartBudget is the budget, in requests, below which SlowStartLimit has a wider margin, because small numbers
 // vary more.
 const smallSlowStartBudget = 30
 
--- a/internal/invariant/invariant_test.go
+++ b/internal/invariant/invariant_test.go
@@ -24,6 +24,7 @@
 	return out
 }
 
+// Each violation of a rule for sent opening lines is found, and a send just within a limit is not reported.
 func TestCheckSend_EachRule_Found(t *testing.T) {
 	const grace, window = 400 * time.Millisecond, 5 * time.Second
 	for _, c := range []struct {
@@ -76,6 +77,7 @@
 	}
 }
 
+// An opening line may still be started up to 100 ms after its client has disconnected.
 func TestCheckStart_ClientDisconnected_FoundPastLimit(t *testing.T) {
 	for _, c := range []struct {
 		name           string
@@ -89,11 +91,12 @@
 		{"after the slack", after(101 * time.Millisecond), begin, true},
 	} {
 		if _, got := CheckStart("r", "h", c.begunAt, c.disconnectedAt); got != c.want {
-			t.Errorf("%s: %v", c.name, got)
+			t.Errorf("%s: violation found: %v, want the opposite", c.name, got)
 		}
 	}
 }
 
+// A final answer may still be given up to 500 ms after the client's deadline. A client that has disconnected needs none.
 func TestCheckCompletion_EachRule_Found(t *testing.T) {
 	deadline := after(time.Second)
 	for _, c := range []struct {
@@ -103,13 +106,13 @@
 	}{
 		{"answered", Completion{Answers: 1, AnsweredAt: deadline, Deadline: deadline}, nil},
 		{"within the slack", Completion{Answers: 1, AnsweredAt: after(1500 * time.Millisecond), Deadline: deadline}, nil},
-		{"late", Completion{Answers: 1, AnsweredAt: after(1501 * time.Millisecond), Deadline: deadline}, []Rule{AnsweredLate}},
+		{"answered late", Completion{Answers: 1, AnsweredAt: after(1501 * time.Millisecond), Deadline: deadline}, []Rule{AnsweredLate}},
 		{"unanswered", Completion{Deadline: deadline}, []Rule{Unanswered}},
 		{"client disconnected", Completion{Deadline: deadline, Disconnected: true}, nil},
-		{"twice", Completion{Answers: 2, AnsweredAt: begin, Deadline: deadline}, []Rule{AnsweredTwice}},
+		{"answered twice", Completion{Answers: 2, AnsweredAt: begin, Deadline: deadline}, []Rule{AnsweredTwice}},
 	} {
 		if got := rulesOf(CheckCompletion(c.completion)); !slices.Equal(got, c.want) {
-			t.Errorf("%s: %v, want %v", c.name, got, c.want)
+			t.Errorf("%s: violations %v, want %v", c.name, got, c.want)
 		}
 	}
 }
@@ -120,11 +123,11 @@
 	m.Report()
 	m.Report(Violation{Rule: Unanswered, Request: "r"}, Violation{Rule: Unanswered}, Violation{Rule: ConcurrentAttempt})
 	if m.Count(Unanswered) != 2 || m.Count(ConcurrentAttempt) != 1 || m.Count(AnsweredLate) != 0 || m.Total() != 3 {
-		t.Errorf("counts %d, %d, %d, total %d",
+		t.Errorf("counts %d, %d, %d, total %d; want 2, 1, 0, total 3",
 			m.Count(Unanswered), m.Count(ConcurrentAttempt), m.Count(AnsweredLate), m.Total())
 	}
 	if lines := logs.FilterMessage(LogMessage).All(); len(lines) != 3 || lines[0].ContextMap()["request"] != "r" {
-		t.Errorf("log lines %v", lines)
+		t.Errorf("log lines %v, want 3, the first for request r", lines)
 	}
 	for _, r := range Rules() {
 		if r.String() == "" {
@@ -133,6 +136,8 @@
 	}
 }
 
+// The last count within the limit is accepted, and the next one is found, for budgets below and above
+// smallSlowStartBudget.
 func TestCheckSlowStart_AnyBudget_LimitApplied(t *testing.T) {
 	for _, c := range []struct {
 		budget float64
@@ -141,7 +146,7 @@
 	}{{1, 7, false}, {1, 8, true}, {25, 43, false}, {25, 44, true}, {100, 122, false}, {100, 123, true}} {
 		v, found := CheckSlowStart("r", "h", c.sent, c.budget)
 		if found != c.found || v.Rule != SlowStartExceeded {
-			t.Errorf("%d requests sent with a budget of %g: %v, found %v", c.sent, c.budget, v, found)
+			t.Errorf("%d requests sent with a budget of %g: violation %v, found %v, want the opposite", c.sent, c.budget, v, found)
 		}
 	}
 }
--- a/internal/wire/discovery.go
+++ b/internal/wire/discovery.go
@@ -17,7 +17,9 @@
 	RetryAfter time.Duration // 0 if there is no valid one
 }
 
-func (e *StatusError) Error() string { return "discovery answered " + strconv.Itoa(e.Code) }
+func (e *StatusError) Error() string {
+	return "discovery responded with status " + strconv.Itoa(e.Code)
+}
 
 // WatchRequest returns the HTTP request that watches the changes after a revision.
 func WatchRequest(host string, after int64) []byte {
--- a/internal/wire/endpoints.go
+++ b/internal/wire/endpoints.go
@@ -51,7 +51,7 @@
 	Zone        string  `json:"locality"`
 	Cell        int     `json:"cell"`
 	Phase       Phase   `json:"phase"`
-	Size        float64 `json:"size"`
+	Size        float64 `json:"size"`        // relative capacity of the host
 	StartedAtMS int64   `json:"up_since_ms"` // Unix time of the start of the host; 0 for a start long ago
 }
 
--- a/internal/wire/opening.go
+++ b/internal/wire/opening.go
@@ -171,7 +171,7 @@
 func (o *Opening) Line() string { return o.line }
 
 // Forward returns the line for a host: the client's line, with the value of its timeout field, if any, replaced by
-// timeout.
+// timeout in whole milliseconds, at least 1.
 func (o *Opening) Forward(timeout time.Duration) []byte {
 	out := make([]byte, 0, len(o.line)+16)
 	if o.timeoutEnd == 0 {
--- a/internal/wire/opening_test.go
+++ b/internal/wire/opening_test.go
@@ -6,6 +6,7 @@
 	"time"
 )
 
+// Fields may come in any order. Unknown and empty fields are ignored, and a flag is set by the value 1 only.
 func TestParseOpening_Fields_AreRead(t *testing.T) {
 	const id = "OPEN 9b1f 7f3a "
 	for _, c := range []struct {
@@ -31,6 +32,7 @@
 	}
 }
 
+// A line that a host could not use must not be forwarded: the host would reject it and count as an outlier.
 func TestParseOpening_Malformed_IsAnError(t *testing.T) {
 	for _, line := range []string{"", "GET / HTTP/1.1", "OPEN", "OPEN ", "OPEN a", "OPEN a ", "OPEN  b c=x", "open a b", "PING x",
 		"OPEN a b d=soon", "OPEN a b d=-1", "OPEN a b d=NaN", "OPEN a b d=1e300", "OPEN a b h=-2", "OPEN a b h=Inf",
@@ -60,7 +62,7 @@
 	}
 	_, o, _ := ParseOpening([]byte("OPEN a b d=9"))
 	if got := string(o.Forward(-time.Second)); got != "OPEN a b d=1\r\n" {
-		t.Errorf("line with an expired timeout forwarded as %q", got)
+		t.Errorf("line with an expired timeout forwarded as %q, want a timeout of 1 ms", got)
 	}
 }
 
@@ -75,11 +77,11 @@
 			return
 		}
 		if o.Timeout < 0 || o.Timeout > maxTimeout {
-			t.Errorf("timeout %v out of range", o.Timeout)
+			t.Errorf("timeout %v, want 0 to 10m", o.Timeout)
 		}
 		out := string(o.Forward(7 * time.Millisecond))
 		if want := line[:o.timeoutStart] + "7" + line[o.timeoutEnd:]; o.timeoutEnd > 0 && out != want+"\r\n" || o.timeoutEnd == 0 && out != line+"\r\n" {
-			t.Errorf("line %q forwarded as %q", line, out)
+			t.Errorf("line %q forwarded as %q, want only its timeout replaced by 7", line, out)
 		}
 	})
 }
@@ -89,7 +91,7 @@
 	for _, d := range []string{"0.0001", "0.0004", "0.001", "1"} {
 		_, o, err := ParseOpening([]byte("OPEN id key c=chat,d=" + d))
 		if err != nil || o.Timeout <= 0 {
-			t.Errorf("d=%s: timeout %v, error %v", d, o.Timeout, err)
+			t.Errorf("d=%s: timeout %v, error %v, want a timeout above 0", d, o.Timeout, err)
 		}
 	}
 }
--- a/internal/wire/relay_test.go
+++ b/internal/wire/relay_test.go
@@ -31,6 +31,8 @@
 	return out, lines, load
 }
 
+// Whatever the size of the pieces, each result ends with a complete line, so that the node can insert a line of its own
+// after it. A malformed load report counts as a response.
 func TestRelay_AnyPieces_GivesCompleteLinesUnchanged(t *testing.T) {
 	text := "M 1 abc\r\nLOAD 12.5\r\nLOAD much\r\nM 2 LOAD 9\r\nLOAD 20\nBYE\r\n"
 	for _, size := range []int{1, 3, 10, 1000} {
@@ -45,7 +47,7 @@
 			}
 		}
 		if lines != 4 || load != 20 || r.Last() != ResponseClosed || !r.AtLineBoundary() {
-			t.Errorf("pieces of %d bytes: %d lines, load %g, last %v", size, lines, load, r.Last())
+			t.Errorf("pieces of %d bytes: %d responses, load %g, last %v; want 4 responses, load 20 and the close as the last", size, lines, load, r.Last())
 		}
 		r.Release()
 	}
@@ -58,14 +60,15 @@
 	text := strings.Repeat("x", BufferSize+10)
 	out, _, _ := feedRelay(t, &r, text, 1000)
 	if len(out) != 1 || len(out[0]) != BufferSize || r.AtLineBoundary() {
-		t.Fatalf("%d chunks, at line boundary %v", len(out), r.AtLineBoundary())
+		t.Fatalf("%d chunks, at line boundary %v, want 1 chunk that fills the buffer and false", len(out), r.AtLineBoundary())
 	}
 	out, _, _ = feedRelay(t, &r, "\r\n", 2)
 	if len(out) != 1 || !r.AtLineBoundary() {
-		t.Errorf("after the line end: %q, at line boundary %v", out, r.AtLineBoundary())
+		t.Errorf("after the line end: %q, at line boundary %v, want 1 chunk and true", out, r.AtLineBoundary())
 	}
 }
 
+// A node relays many lines per second, and allocations for each of them would slow it down.
 func TestRelay_Lines_DoNotAllocate(t *testing.T) {
 	var r Relay
 	defer r.Release()
@@ -79,10 +82,11 @@
 			}
 		}
 	}); n != 0 {
-		t.Errorf("%g allocations for two lines", n)
+		t.Errorf("%g allocations for two lines, want 0", n)
 	}
 }
 
+// FuzzRelay checks that no byte is lost, added or changed.
 func FuzzRelay(f *testing.F) {
 	f.Add("M 1\r\nLOAD 5\r\nBYE\r\n", uint8(2))
 	f.Fuzz(func(t *testing.T, text string, size uint8) {
--- a/internal/wire/watchstream_test.go
+++ b/internal/wire/watchstream_test.go
@@ -25,6 +25,8 @@
 	return s, lines, nil
 }
 
+// The body is the same for all framings of HTTP/1.1 and for pieces of any size. A body without a length has not ended
+// until its connection is closed.
 func TestWatchStream_Framings_GiveBody(t *testing.T) {
 	for _, c := range []struct {
 		name, text string
@@ -47,6 +49,7 @@
 	}
 }
 
+// A malformed response, or one that would need unbounded memory, is an error.
 func TestWatchStream_Malformed_IsAnError(t *testing.T) {
 	chunked := responseHead + "Transfer-Encoding: chunked\r\n\r\n"
 	for _, c := range []struct{ name, text string }{
@@ -68,7 +71,7 @@
 	}
 	var status *StatusError
 	if _, _, err := feedStream("HTTP/1.1 503 Service Unavailable\r\n", 100); !errors.As(err, &status) || status.Code != 503 {
-		t.Errorf("status 503: error %v", err)
+		t.Errorf("status 503: error %v, want a StatusError with 503", err)
 	}
 }
 
@@ -95,6 +98,7 @@
 	}
 }
 
+// FuzzWatchStream checks that the result does not depend on the size of the pieces.
 func FuzzWatchStream(f *testing.F) {
 	f.Add(responseHead+"Transfer-Encoding: chunked\r\n\r\n3\r\n{}\n\r\n0\r\n\r\n", uint8(4))
 	f.Add("HTTP/1.1 200\r\nContent-Length: 2\r\n\r\n{}", uint8(1))
