--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -87,7 +87,7 @@
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	if x.applied[0] != x.applied[1] {
-		t.Errorf("the first drain is %+v, the second %+v", x.applied[0], x.applied[1])
+		t.Errorf("the first drain is %+v, the second %+v, want the same command", x.applied[0], x.applied[1])
 	}
 }
 
--- a/internal/agent/bench_test.go
+++ b/internal/agent/bench_test.go
@@ -13,8 +13,8 @@
 )
 
 // BenchmarkFleet measures an agent with fake instances: the time to list them, the time to drain a tenth of them while a
-// tenth of the drained instances is unreachable, and the CPU and memory use when idle. The fake instances run in the same
-// process, so CPU and memory include them.
+// tenth of the drained instances is unreachable, and the CPU and memory use when idle. The fake instances run in the
+// same process, so CPU and memory include them.
 //
 //	go test -run '^$' -bench Fleet -benchtime 1x ./internal/agent
 func BenchmarkFleet(b *testing.B) {
@@ -81,7 +81,7 @@
 	b.Helper()
 	for start := time.Now(); !condition(); time.Sleep(5 * time.Millisecond) {
 		if time.Since(start) > time.Minute {
-			b.Fatal("timed out")
+			b.Fatal("condition not met within a minute")
 		}
 	}
 }
@@ -123,6 +123,7 @@
 	}
 }
 
+// fillStore saves storedOperations operations and one desired state.
 func fillStore(b *testing.B, r *testFleet) {
 	b.Helper()
 	store, err := OpenStore(r.cfg.Store)
--- a/internal/agent/disk_test.go
+++ b/internal/agent/disk_test.go
@@ -36,11 +36,11 @@
 			}
 			eventually(t, "the operation ends", func() bool { return operation(t, c, "d").State.Ended() })
 			if o := operation(t, c, "d"); o.State != fleet.Succeeded {
-				t.Errorf("the operation is %s: %s", o.State, o.Reason)
+				t.Errorf("the operation is %s: %s, want done", o.State, o.Reason)
 			}
 			r.checkDrainedOnce(t)
 			if mu.Lock(); failed == 0 {
-				t.Error("no write failed")
+				t.Error("no write failed, want some failed writes")
 			}
 			mu.Unlock()
 		})
--- a/internal/agent/recovery_test.go
+++ b/internal/agent/recovery_test.go
@@ -84,11 +84,11 @@
 	}
 	eventually(t, "the operation ends", func() bool { return operation(t, c, "d").State.Ended() })
 	if o := operation(t, c, "d"); o.State != fleet.Succeeded {
-		t.Fatalf("killed at write %d (after the write: %v): operation %s: %s", kill.n, kill.afterSave, o.State, o.Reason)
+		t.Fatalf("killed at write %d (after the write: %v): operation %s: %s, want done", kill.n, kill.afterSave, o.State, o.Reason)
 	}
 	r.checkDrainedOnce(t)
 	if t.Failed() {
-		t.Fatalf("killed at write %d (after the write: %v)", kill.n, kill.afterSave)
+		t.Fatalf("agent killed at write %d (after the write: %v): see the errors above", kill.n, kill.afterSave)
 	}
 	for _, x := range r.instances {
 		x.stop()
--- a/internal/agent/testfleet_test.go
+++ b/internal/agent/testfleet_test.go
@@ -64,6 +64,7 @@
 	return nil
 }
 
+// count returns how many commands of a kind the instance has applied, over all its starts.
 func (x *testInstance) count(kind control.CommandKind) (n int) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -111,6 +112,7 @@
 	instances []*testInstance
 }
 
+// newTestFleet starts n instances and writes their inventory.
 func newTestFleet(t testing.TB, n int) *testFleet {
 	t.Helper()
 	dir := t.TempDir()
@@ -186,6 +188,7 @@
 	}
 }
 
+// submit submits an operation to the agent.
 func submit(t testing.TB, c *control.Client, request fleet.Request) (o fleet.Operation, err error) {
 	t.Helper()
 	err = c.Call(t.Context(), http.MethodPost, "/v1/operations", request, &o)
--- a/internal/coldstart/coldstart.go
+++ b/internal/coldstart/coldstart.go
@@ -99,7 +99,9 @@
 	return max(s.plannedAt-now, 0)
 }
 
-// spreadInterval returns the interval over which the nodes spread their list requests.
+// spreadInterval returns the interval over which the nodes spread their list requests. It is short for the first
+// requesters, longest for nodes that get lists from their peers, and in between for nodes that don't. While list
+// requests fail, it is the backoff.
 func (s *Scheduler) spreadInterval(now time.Duration) time.Duration {
 	if s.backoff > 0 {
 		return s.backoff
@@ -112,7 +114,8 @@
 		longest := maxBackoffPolls * s.cfg.PollInterval
 		return s.atLeastMinSpread(time.Duration(float64(longest) * min(1, smallFleets/fullSpreadFleets)))
 	}
-	// Half of PollInterval leaves the other half for a retry.
+	// The interval grows with the number of nodes, from the shortest for one small fleet to half of PollInterval for
+	// three. Half of PollInterval leaves the other half for a retry.
 	return s.atLeastMinSpread(time.Duration(float64(s.cfg.PollInterval/2) * min(1, smallFleets/2-0.5)))
 }
 
--- a/internal/coldstart/coldstart_test.go
+++ b/internal/coldstart/coldstart_test.go
@@ -118,7 +118,7 @@
 				switch {
 				case verdict == Adopt && (!usable || offer.Revision <= held),
 					verdict == Confirm && (!usable || offer.Revision != held || offeredAt <= confirmedAt):
-					t.Fatalf("offer %+v: verdict %d, held revision %d", offer, verdict, held)
+					t.Fatalf("offer %+v: verdict %d does not fit held revision %d", offer, verdict, held)
 				case verdict == Ignore && reason == "":
 					t.Fatal("offer ignored without a reason")
 				case verdict == Adopt:
@@ -158,7 +158,7 @@
 	for ; now < time.Minute; now += 100 * ms {
 		s.ConsiderPeerList(now, Offer{DiscoveryName: "s", Revision: 1, Age: time.Second, Hosts: 2})
 		if s.ListRequestDue(now) {
-			t.Fatal("list request sent although peers confirm the list")
+			t.Fatal("list request sent although peers confirm the list, want none")
 		}
 	}
 	for ; !s.ListRequestDue(now); now += 100 * ms {
@@ -187,7 +187,7 @@
 	list, age, err := Decode(document, "s", confirmed.Add(time.Minute))
 	if err != nil || age != time.Minute || list.Revision != 41 ||
 		len(list.Endpoints) != 2 || list.Endpoints[1] != endpoints[1] {
-		t.Fatalf("list %+v, age %v, error %v", list, age, err)
+		t.Fatalf("list %+v, age %v, error %v, want revision 41 with 2 endpoints and age 1m", list, age, err)
 	}
 	for i := range document {
 		if _, _, err := Decode(document[:i], "s", confirmed); err == nil {
--- a/internal/coldstart/fleet_test.go
+++ b/internal/coldstart/fleet_test.go
@@ -75,6 +75,7 @@
 	return f.receivedAt
 }
 
+// deliverResponses passes the responses of discovery that are due to the nodes.
 func (f *fleet) deliverResponses(now time.Duration) {
 	pending := f.responses[:0]
 	for _, r := range f.responses {
@@ -111,6 +112,7 @@
 	}
 }
 
+// recordReceived records when a node first received the list.
 func (f *fleet) recordReceived(node int, now time.Duration) {
 	if f.receivedAt[node] == 0 {
 		f.receivedAt[node] = now
--- a/internal/coldstart/stored_test.go
+++ b/internal/coldstart/stored_test.go
@@ -20,7 +20,7 @@
 	confirmed := time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC)
 	got, age, err := Decode(text, "lists", confirmed.Add(time.Minute))
 	if err != nil || age != time.Minute {
-		t.Fatalf("age %s, error %v", age, err)
+		t.Fatalf("age %s, error %v, want age 1m", age, err)
 	}
 	want := wire.EndpointList{Revision: 42, Complete: true, Endpoints: []wire.Endpoint{
 		{ID: "host-a", Addr: "127.0.0.1:9001", Zone: "z1", Cell: 2, Phase: wire.Serving, Size: 1.5, StartedAtMS: 1764590000000},
--- a/internal/control/accept_test.go
+++ b/internal/control/accept_test.go
@@ -51,15 +51,15 @@
 	callCtx, cancelCall := context.WithTimeout(ctx, 10*time.Second)
 	defer cancelCall()
 	if _, err := c.Status(callCtx); err != nil {
-		t.Errorf("Status after failed accepts: %v", err)
+		t.Errorf("Status after failed accepts: error %v, want none", err)
 	}
 	cancel()
 	select {
 	case err := <-done:
 		if err != nil {
-			t.Errorf("Serve: %v", err)
+			t.Errorf("Serve after its context ended: error %v, want none", err)
 		}
 	case <-time.After(10 * time.Second):
-		t.Error("Serve does not return after its context ends")
+		t.Error("Serve has not returned 10 s after its context ended")
 	}
 }
--- a/internal/control/list_test.go
+++ b/internal/control/list_test.go
@@ -28,6 +28,7 @@
 
 func (instance *fakeListInstance) ListAvailable() <-chan struct{} { return instance.available }
 
+// setList sets a list with one host that was confirmed age ago, and wakes the requests that wait for a list.
 func (instance *fakeListInstance) setList(discoveryName string, revision int64, age time.Duration, unreachable ...string) {
 	instance.mu.Lock()
 	defer instance.mu.Unlock()
@@ -76,7 +77,7 @@
 		t.Errorf("first list: %+v, want revision 4 after a wait", p)
 	}
 	if p := <-requestList("s", 3, 0, nil); p.List == nil {
-		t.Errorf("no list for a requester with an older revision: %+v", p)
+		t.Errorf("response to a requester with an older revision: %+v, want a list", p)
 	}
 	same := requestList("s", 4, time.Minute, nil)
 	known := []string{"h2"}
@@ -84,9 +85,9 @@
 	time.Sleep(50 * time.Millisecond)
 	select {
 	case p := <-same:
-		t.Errorf("immediate response to a requester with the same list: %+v", p)
+		t.Errorf("immediate response to a requester with the same list: %+v, want none yet", p)
 	case p := <-other:
-		t.Errorf("response with the list of another discovery service: %+v", p)
+		t.Errorf("response with the list of another discovery service: %+v, want none yet", p)
 	default:
 	}
 	instance.setList("s", 4, time.Minute, "h1", "h2")
@@ -116,7 +117,7 @@
 	none := []string{}
 	list, _, err := c.List(t.Context(), "s", 4, time.Minute, 5*time.Second, &none)
 	if err != nil || len(list.Unreachable) != maxUnreachable {
-		t.Errorf("%d of %d unreachable hosts received, error %v", len(list.Unreachable), maxUnreachable, err)
+		t.Errorf("%d of %d unreachable hosts received, error %v, want all", len(list.Unreachable), maxUnreachable, err)
 	}
 	for i := range all {
 		all[i] = fmt.Sprintf("%0*d", maxNameLength, i)
--- a/internal/control/register_test.go
+++ b/internal/control/register_test.go
@@ -31,11 +31,11 @@
 			previous, repeated := first[id]
 			switch {
 			case repeated && (response != previous || decision.MustRun):
-				t.Fatalf("repeated command %+v: %+v, previous response %+v", c, decision, previous)
+				t.Fatalf("repeated command %+v: %+v, want previous response %+v and nothing to run", c, decision, previous)
 			case !repeated && (response.Verdict == Done) != (fence > inEffect[c.Host]):
-				t.Fatalf("command %+v after fence %d: %+v", c, inEffect[c.Host], response)
+				t.Fatalf("command %+v after fence %d: %+v, want done only for a higher fence", c, inEffect[c.Host], response)
 			case decision.MustRun && response.Verdict != Done:
-				t.Fatalf("command %+v is rejected and must run", c)
+				t.Fatalf("command %+v is rejected and must run, want a rejected command not to run", c)
 			}
 			first[id] = response
 			if response.Verdict == Done && !repeated {
--- a/internal/control/server_test.go
+++ b/internal/control/server_test.go
@@ -117,7 +117,7 @@
 		t.Errorf("command with a higher fence: %+v, error %v, want done", response, err)
 	}
 	if response, err := c.Do(t.Context(), Command{Operation: "q", Fence: 3, Kind: Drain}); err != nil || response.Verdict != Rejected || response.Fence != 9 {
-		t.Errorf("command with a lower fence: %+v, error %v, want refused with fence 9", response, err)
+		t.Errorf("command with a lower fence: %+v, error %v, want a rejection with fence 9", response, err)
 	}
 	if response, err := c.Do(t.Context(), cmd); err != nil || response.Verdict != Done || f.appliedCount() != 2 {
 		t.Errorf("repeated first command: %+v, error %v, %d commands applied; want done and 2 commands", response, err, f.appliedCount())
@@ -158,7 +158,7 @@
 			got, err := io.ReadAll(p)
 			var late net.Error
 			if errors.As(err, &late) && late.Timeout() {
-				t.Error("the server does not close the connection")
+				t.Error("the server has not closed the connection within 20 s")
 			}
 			if len(got) > 0 && !strings.HasPrefix(string(got), "HTTP/1.1 4") {
 				t.Errorf("response %.60q, want an HTTP status 4xx", got)
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -233,10 +233,10 @@
 	_, c := netiotest.Connect(t, listener)
 	ctx, cancel := context.WithCancel(context.Background())
 	if err := extendDeadline(ctx, c, time.Minute); err != nil {
-		t.Errorf("before the context ended: error %v", err)
+		t.Errorf("extendDeadline before the context ended: error %v, want none", err)
 	}
 	cancel()
 	if err := extendDeadline(ctx, c, time.Minute); err == nil {
-		t.Error("no error after the context ended")
+		t.Error("extendDeadline after the context ended: no error, want that of the context")
 	}
 }
--- a/internal/fleet/limits.go
+++ b/internal/fleet/limits.go
@@ -17,7 +17,8 @@
 	return &LimitError{fmt.Sprintf(format, args...)}
 }
 
-// limits returns how many instances of the fleet and of a zone may be unavailable at the same time.
+// limits returns how many instances of the fleet and of a zone may be unavailable at the same time. Unless the options
+// allow an empty zone, at least one instance of the zone stays available.
 func (f *Fleet) limits(o *Options, zone string) (inFleet, inZone int) {
 	inFleet, inZone = o.MaxUnavailable, o.MaxUnavailablePerZone
 	zoneSize := 0
--- a/internal/fleet/operations_test.go
+++ b/internal/fleet/operations_test.go
@@ -106,7 +106,7 @@
 	}
 	repeated, err := sim.fleet.Submit(sim.now, request)
 	if err != nil || repeated.Fence != operation.Fence {
-		sim.t.Fatalf("repeated request: %+v, error %v", repeated, err)
+		sim.t.Fatalf("repeated request: %+v, error %v, want the same operation", repeated, err)
 	}
 	return true
 }
@@ -138,6 +138,7 @@
 	}
 }
 
+// checkEnded fails the test if one of the operations has not ended.
 func (sim *simulation) checkEnded(ids []string) {
 	for _, id := range ids {
 		o, err := sim.fleet.Operation(id)
@@ -147,6 +148,7 @@
 	}
 }
 
+// checkDesired fails the test if an instance does not have its desired state.
 func (sim *simulation) checkDesired() {
 	for scope, state := range sim.fleet.desired {
 		instance := sim.instances[scope.Instance]
--- a/internal/fleet/simulatedinstance_test.go
+++ b/internal/fleet/simulatedinstance_test.go
@@ -19,6 +19,7 @@
 	overrides   map[string]bool
 }
 
+// restart starts the instance anew, without the commands that it applied before.
 func (x *simulatedInstance) restart() {
 	x.restarts++
 	x.register = control.NewRegister(x.incarnation())
@@ -41,6 +42,7 @@
 	return s
 }
 
+// apply applies a command. It fails the test if more instances drain then than the limit allows.
 func (x *simulatedInstance) apply(sim *simulation, c control.Command) {
 	switch c.Kind {
 	case control.Drain:
--- a/internal/fleet/simulation_test.go
+++ b/internal/fleet/simulation_test.go
@@ -56,6 +56,7 @@
 
 var errLost = errors.New("no response")
 
+// newSimulation returns a simulation with n instances in two zones. At most limit of them may drain at the same time.
 func newSimulation(t *rapid.T, n, limit int, seed uint64) *simulation {
 	sim := &simulation{
 		t:           t,
@@ -78,10 +79,12 @@
 	return sim
 }
 
+// schedule schedules an event after a delay.
 func (sim *simulation) schedule(delay time.Duration, run func()) {
 	sim.events = append(sim.events, event{sim.now + delay, run})
 }
 
+// startAgent starts an agent from the data on disk, in place of the previous agent.
 func (sim *simulation) startAgent() {
 	sim.agentIncarnation++
 	sim.inFlight = map[string]int{}
@@ -151,6 +154,7 @@
 	return delay(), delay()
 }
 
+// isLost draws whether the network loses a message.
 func (sim *simulation) isLost() bool { return !sim.reliable && sim.rng.IntN(10) == 0 }
 
 // send sends a command to an instance. The network may lose, delay or duplicate the command, and lose or delay the
@@ -171,7 +175,7 @@
 		}
 		decision, invalid := x.register.Accept(delivery.Command)
 		if invalid != nil {
-			sim.t.Fatalf("%v: %s rejects %+v: %v", sim.now, name, delivery.Command, invalid)
+			sim.t.Fatalf("%v: %s rejects %+v as invalid: %v", sim.now, name, delivery.Command, invalid)
 		}
 		response, err = decision.Response, nil
 		if decision.MustRun {
@@ -215,6 +219,7 @@
 	}
 }
 
+// save writes a change to the simulated disk.
 func (sim *simulation) save(change Change) {
 	for _, o := range change.Operations {
 		text, err := json.Marshal(o)
--- a/internal/invariant/invariant_test.go
+++ b/internal/invariant/invariant_test.go
@@ -117,6 +117,7 @@
 	}
 }
 
+// Each reported violation is counted under its rule, and logged with its request. Each rule has a name for the log.
 func TestMonitor_Violations_CountedAndLogged(t *testing.T) {
 	core, logs := observer.New(zap.ErrorLevel)
 	m := NewMonitor(zap.New(core))
--- a/internal/management/call_test.go
+++ b/internal/management/call_test.go
@@ -33,7 +33,7 @@
 	} {
 		got, err := Parse(c.line)
 		if c.wantErr == "" && (err != nil || got != c.want) || c.wantErr != "" && (err == nil || !strings.Contains(err.Error(), c.wantErr)) {
-			t.Errorf("Parse(%q) = %+v, %v", c.line, got, err)
+			t.Errorf("Parse(%q) = %+v, %v: unexpected result", c.line, got, err)
 		}
 	}
 }
@@ -46,7 +46,7 @@
 	f.Fuzz(func(t *testing.T, line string) {
 		c, err := Parse(line)
 		if (c.Host != "") != (err == nil && (c.Kind == DrainHost || c.Kind == ResumeHost)) {
-			t.Errorf("Parse(%q) = %+v, %v", line, c, err)
+			t.Errorf("Parse(%q) = %+v, %v, want a host ID only for calls that take one", line, c, err)
 		}
 		if reply := formatReply(err); strings.Count(reply, "\n") != 1 || strings.Count(reply, "\r") != 1 || !strings.HasPrefix(reply, "YES") && !strings.HasPrefix(reply, "NO ") {
 			t.Errorf("reply to %q: %q, want one line that begins with YES or NO", line, reply)
@@ -61,6 +61,6 @@
 		"svc.replies.push.success=0|svc.replies.push.overload=0|svc.replies.push.error=0|svc.dispatches=820|" +
 		"svc.concurrent=14|svc.targets=9|svc.targets_disabled=2|END|"
 	if got := strings.ReplaceAll(string(f.Text()), "\r\n", "|"); got != want {
-		t.Errorf("got %s", got)
+		t.Errorf("unexpected reply to show-stat: %s", got)
 	}
 }
--- a/internal/management/server_test.go
+++ b/internal/management/server_test.go
@@ -48,6 +48,7 @@
 func (f *fakeNode) Drain() error               { return f.record("drain") }
 func (f *fakeNode) Resume() error              { return f.record("resume") }
 
+// serve starts a server that runs until the test ends, and returns its address.
 func serve(t *testing.T, f *fakeNode) (addr string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -66,6 +67,7 @@
 	return l.Addr().String()
 }
 
+// dial connects to a server. Reads and writes on the connection fail after 20 s.
 func dial(t *testing.T, addr string) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
@@ -84,7 +86,7 @@
 	_, _ = io.WriteString(c, text)
 	all, err := io.ReadAll(c)
 	if err != nil {
-		t.Errorf("call %.40q: %v after the reply %q", text, err, all)
+		t.Errorf("call %.40q: read error %v after the reply %q, want a closed connection", text, err, all)
 	}
 	return string(all)
 }
@@ -103,7 +105,7 @@
 		{"drain\r\nresume\r\n", "YES\r\n"}, // only the first line is a call
 	} {
 		if got := call(t, addr, c.call); !strings.HasPrefix(got, c.wantPrefix) {
-			t.Errorf("call %.40q: reply %q", c.call, got)
+			t.Errorf("call %.40q: unexpected reply %q", c.call, got)
 		}
 	}
 	if got := f.calls(); got != "drain-host h1,resume-host h1,drain,resume,drain" {
--- a/internal/wire/endpoints_test.go
+++ b/internal/wire/endpoints_test.go
@@ -16,7 +16,7 @@
 	for _, text := range []string{"", "{", "[]", `{"members":{}}`, `{"members":[{}]}`, `{"members":[{"id":"a","phase":"ODD"}]}`,
 		`{"members":[{"id":"a","size":-1}]}`, `{"members":[{"id":"a","up_since_ms":-5}]}`, `{"revision":"x"}`} {
 		if _, err := ParseEndpointList([]byte(text)); err == nil {
-			t.Errorf("%q: no error", text)
+			t.Errorf("%q: no error, want one", text)
 		}
 	}
 }
--- a/internal/wire/opening.go
+++ b/internal/wire/opening.go
@@ -36,7 +36,9 @@
 type Opening struct {
 	ID, Key string // id of the connection and key of the flow
 
-	// The optional fields of the line.
+	// The optional fields of the line. The connections of a Group share work if they are on the same host. Retry means
+	// that the client repeats a request, Reconnect that it reconnects after a reset or a migration, and MidFlow that the
+	// connection was established through another node and its packets now arrive here.
 	Class, Tenant, Group      string
 	Timeout                   time.Duration // counted from the last byte of the line; 0 if the line has none
 	Load                      float64       // expected load; 0 if the line has none
--- a/internal/wire/opening_test.go
+++ b/internal/wire/opening_test.go
@@ -20,7 +20,7 @@
 	} {
 		kind, o, err := ParseOpening([]byte(c.line))
 		if err != nil || kind != OpeningRequest || o.ID != "9b1f" || o.Key != "7f3a" {
-			t.Errorf("line %q: %+v, error %v", c.line, o, err)
+			t.Errorf("line %q: %+v, error %v, want a request with id 9b1f and key 7f3a", c.line, o, err)
 		}
 		o.ID, o.Key, o.line, o.timeoutStart, o.timeoutEnd = "", "", "", 0, 0
 		if o != c.want {
@@ -28,7 +28,7 @@
 		}
 	}
 	if kind, _, err := ParseOpening([]byte("PING")); kind != OpeningHealthCheck || err != nil {
-		t.Errorf("PING parsed as %v, error %v", kind, err)
+		t.Errorf("PING parsed as %v, error %v, want a health check", kind, err)
 	}
 }
 
@@ -41,7 +41,7 @@
 		"OPEN a b c=\x7f", "OPEN a b c=\xff", "OPEN a b h=0x1p4", "OPEN " + strings.Repeat("a", maxName+1) + " b",
 		"OPEN a " + strings.Repeat("b", maxName+1)} {
 		if _, _, err := ParseOpening([]byte(line)); err == nil {
-			t.Errorf("line %q: no error", line)
+			t.Errorf("line %q: no error, want one", line)
 		}
 	}
 }
--- a/internal/wire/relay_test.go
+++ b/internal/wire/relay_test.go
@@ -39,7 +39,7 @@
 		var r Relay
 		out, lines, load := feedRelay(t, &r, text, size)
 		if strings.Join(out, "") != text {
-			t.Errorf("pieces of %d bytes: returned as %q", size, out)
+			t.Errorf("pieces of %d bytes: returned as %q, want the text unchanged", size, out)
 		}
 		for _, chunk := range out {
 			if !strings.HasSuffix(chunk, "\n") {
@@ -94,7 +94,7 @@
 		defer r.Release()
 		out, _, _ := feedRelay(t, &r, text, int(size)+1)
 		if got := strings.Join(out, "") + string(r.Buffered()); got != text {
-			t.Errorf("text returned as %q", got)
+			t.Errorf("text returned as %q, want it unchanged", got)
 		}
 	})
 }
--- a/internal/wire/watchstream_test.go
+++ b/internal/wire/watchstream_test.go
@@ -66,7 +66,7 @@
 		{"body too long", chunked + fmt.Sprintf("%x\r\n", maxBody+1) + strings.Repeat("x", maxBody+1)},
 	} {
 		if _, _, err := feedStream(c.text, 64<<10); err == nil {
-			t.Errorf("%s: no error", c.name)
+			t.Errorf("%s: no error, want one", c.name)
 		}
 	}
 	var status *StatusError
@@ -93,7 +93,7 @@
 			t.Errorf("%s: ended %v, complete %v, error %v", c.name, s.Ended(), s.Closed(), err)
 		}
 		if body := string(s.Body()); c.complete && body != "{\n}\n" {
-			t.Errorf("%s: body %q", c.name, body)
+			t.Errorf("%s: body %q, want the object with its line ends", c.name, body)
 		}
 	}
 }
@@ -106,7 +106,7 @@
 		_, atOnce, err := feedStream(text, len(text)+1)
 		_, parts, err2 := feedStream(text, int(size)+1)
 		if (err == nil) != (err2 == nil) || err == nil && fmt.Sprint(atOnce) != fmt.Sprint(parts) {
-			t.Errorf("at once: %q, error %v; in pieces: %q, error %v", atOnce, err, parts, err2)
+			t.Errorf("at once: %q, error %v; in pieces: %q, error %v; want the same", atOnce, err, parts, err2)
 		}
 	})
 }
