--- a/internal/fleet/delivery.go
+++ b/internal/fleet/delivery.go
@@ -14,9 +14,9 @@
 
 // redelivery is the state of delivering a command again to an instance that has restarted.
 type redelivery struct {
-	attempts    int
-	notBefore   time.Duration
-	deliveredTo string // the incarnation that has responded; it does not get the command again
+	attempts    int           // failed ones since the last response
+	notBefore   time.Duration // end of the backoff
+	deliveredTo string        // the incarnation that has responded; it does not get the command again
 }
 
 // maxBackoffShift limits the doublings of the delay, to prevent an overflow.
--- a/internal/fleet/operation.go
+++ b/internal/fleet/operation.go
@@ -48,7 +48,7 @@
 	Reason      string    `json:"why,omitempty"`
 	Incarnation string    `json:"boot,omitempty"` // incarnation of the instance that accepted the command
 
-	attempts  int
+	attempts  int           // failed deliveries
 	retryAt   time.Duration // time of the next attempt
 	changedAt time.Duration // when State last changed
 }
