--- a/internal/agent/testfleet_test.go
+++ b/internal/agent/testfleet_test.go
@@ -64,6 +64,7 @@
 	return nil
 }
 
+// count returns how many commands of a kind the instance has applied, over all its starts.
 func (x *testInstance) count(kind control.CommandKind) (n int) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -111,6 +112,7 @@
 	instances []*testInstance
 }
 
+// newTestFleet starts n instances and writes their inventory.
 func newTestFleet(t testing.TB, n int) *testFleet {
 	t.Helper()
 	dir := t.TempDir()
@@ -186,6 +188,7 @@
 	}
 }
 
+// submit submits an operation to the agent.
 func submit(t testing.TB, c *control.Client, request fleet.Request) (o fleet.Operation, err error) {
 	t.Helper()
 	err = c.Call(t.Context(), http.MethodPost, "/v1/operations", request, &o)
@@ -202,6 +205,7 @@
 	}
 }
 
+// eventually waits until f returns true. It fails the test after testTimeout; what names the condition in the failure.
 func eventually(t testing.TB, what string, f func() bool) {
 	t.Helper()
 	for begin := time.Now(); !f(); time.Sleep(10 * time.Millisecond) {
@@ -211,17 +215,20 @@
 	}
 }
 
+// operation requests an operation from the agent. It returns the zero Operation if the request fails.
 func operation(t testing.TB, c *control.Client, id string) (o fleet.Operation) {
 	t.Helper()
 	_ = c.Call(t.Context(), http.MethodGet, "/v1/operations/"+id, nil, &o)
 	return o
 }
 
+// views requests the instances from the agent. It returns nil if the request fails.
 func views(c *control.Client) (out []fleet.View) {
 	_ = c.Call(context.Background(), http.MethodGet, "/v1/instances", nil, &out)
 	return out
 }
 
+// allUp reports whether the agent has a status of each instance.
 func allUp(c *control.Client) bool {
 	v := views(c)
 	for _, x := range v {
--- a/internal/coldstart/coldstart_test.go
+++ b/internal/coldstart/coldstart_test.go
@@ -34,8 +34,8 @@
 	}
 }
 
-// While discovery is down, list requests stay below a quarter of its capacity of 100 per second. Soon after it has
-// recovered, all nodes have the list.
+// While discovery is down, the list requests of all nodes stay below a quarter of its capacity of 100 per second, so
+// that they can't overload it when it recovers. Soon after it has recovered, all nodes have the list.
 func TestListRequests_DiscoveryDown_BelowItsCapacity(t *testing.T) {
 	for _, down := range []time.Duration{5 * time.Second, 60 * time.Second} {
 		for _, n := range []int{50, 300, 600} {
@@ -56,8 +56,8 @@
 	}
 }
 
-// A node honours Retry-After. Without Retry-After, the node does not retry at once. After a Retry-After of an hour or
-// longer, it still retries.
+// A node honours Retry-After. Without a valid one, it does not retry at once. A Retry-After of an hour or longer is cut
+// to the longest backoff, so that the node still retries.
 func TestListRequestFailed_AnyRetryAfter_RetriedInTime(t *testing.T) {
 	for _, retryAfter := range []time.Duration{0, time.Second, time.Hour, -time.Hour, 1 << 62} {
 		s := New(Config{NodeCount: 300, PollInterval: pollInterval}, rand.New(rand.NewPCG(1, 2)), 0, NoSource, Offer{})
@@ -75,7 +75,7 @@
 		next()
 		s.ListRequestFailed(now, retryAfter)
 		if waited := next(); waited < min(retryAfter, maxBackoffPolls*pollInterval) || waited < 100*ms {
-			t.Errorf("Retry-After %v: list request retried after %v", retryAfter, waited)
+			t.Errorf("Retry-After %v: list request retried after %v, want at least Retry-After or the longest backoff, and 100ms", retryAfter, waited)
 		}
 	}
 }
@@ -118,7 +118,7 @@
 				switch {
 				case verdict == Adopt && (!usable || offer.Revision <= held),
 					verdict == Confirm && (!usable || offer.Revision != held || offeredAt <= confirmedAt):
-					t.Fatalf("offer %+v: verdict %d, held revision %d", offer, verdict, held)
+					t.Fatalf("offer %+v: verdict %d does not fit held revision %d", offer, verdict, held)
 				case verdict == Ignore && reason == "":
 					t.Fatal("offer ignored without a reason")
 				case verdict == Adopt:
@@ -131,7 +131,7 @@
 			state := s.State(now)
 			wrongState := held >= 0 && (state.Revision != held || state.Age != now-confirmedAt)
 			if wrongState || state.Phase == CurrentList && state.Age > pollInterval {
-				t.Fatalf("held revision %d, confirmed at %v: state %+v at %v", held, confirmedAt, state, now)
+				t.Fatalf("held revision %d, confirmed at %v: state %+v at %v, want that revision and its age", held, confirmedAt, state, now)
 			}
 		}
 	})
@@ -158,7 +158,7 @@
 	for ; now < time.Minute; now += 100 * ms {
 		s.ConsiderPeerList(now, Offer{DiscoveryName: "s", Revision: 1, Age: time.Second, Hosts: 2})
 		if s.ListRequestDue(now) {
-			t.Fatal("list request sent although peers confirm the list")
+			t.Fatal("list request sent although peers confirm the list, want none")
 		}
 	}
 	for ; !s.ListRequestDue(now); now += 100 * ms {
@@ -187,7 +187,7 @@
 	list, age, err := Decode(document, "s", confirmed.Add(time.Minute))
 	if err != nil || age != time.Minute || list.Revision != 41 ||
 		len(list.Endpoints) != 2 || list.Endpoints[1] != endpoints[1] {
-		t.Fatalf("list %+v, age %v, error %v", list, age, err)
+		t.Fatalf("list %+v, age %v, error %v, want revision 41 with 2 endpoints and age 1m", list, age, err)
 	}
 	for i := range document {
 		if _, _, err := Decode(document[:i], "s", confirmed); err == nil {
@@ -216,6 +216,6 @@
 	}
 	laterVersion := append([]byte("onyxstream-list-2"), document[len(formatVersion):]...)
 	if _, _, err := Decode(laterVersion, "s", confirmed); !errors.Is(err, ErrFormat) {
-		t.Errorf("document of a later version: error %v", err)
+		t.Errorf("document of a later version: error %v, want ErrFormat", err)
 	}
 }
--- a/internal/control/register_test.go
+++ b/internal/control/register_test.go
@@ -31,11 +31,11 @@
 			previous, repeated := first[id]
 			switch {
 			case repeated && (response != previous || decision.MustRun):
-				t.Fatalf("repeated command %+v: %+v, previous response %+v", c, decision, previous)
+				t.Fatalf("repeated command %+v: %+v, want previous response %+v and nothing to run", c, decision, previous)
 			case !repeated && (response.Verdict == Done) != (fence > inEffect[c.Host]):
-				t.Fatalf("command %+v after fence %d: %+v", c, inEffect[c.Host], response)
+				t.Fatalf("command %+v after fence %d: %+v, want done only for a higher fence", c, inEffect[c.Host], response)
 			case decision.MustRun && response.Verdict != Done:
-				t.Fatalf("command %+v is rejected and must run", c)
+				t.Fatalf("command %+v is rejected and must run, want a rejected command not to run", c)
 			}
 			first[id] = response
 			if response.Verdict == Done && !repeated {
@@ -45,6 +45,8 @@
 	})
 }
 
+// An invalid command, or one that reuses an operation or a fence with other contents, must not run, and its error names
+// the field. However many commands arrive, the memory of the register is bounded.
 func TestRegister_InvalidCommand_ReturnsError(t *testing.T) {
 	r := NewRegister("b")
 	good := Command{Operation: "o", Fence: 5, Kind: Drain, DrainTimeout: time.Second}
@@ -76,7 +78,7 @@
 	for i := range maxScopes + 5 {
 		c := Command{Operation: fmt.Sprint("h", i), Fence: 1, Kind: HostDrain, Host: fmt.Sprint(i)}
 		if _, err := r.Accept(c); i > maxScopes && err == nil {
-			t.Fatal("the number of hosts with an override is not bounded")
+			t.Fatal("Accept allowed more hosts with an override than maxScopes")
 		}
 	}
 	if len(r.responses) > maxResponses || len(r.scopes) > maxScopes {
--- a/internal/fleet/operations_test.go
+++ b/internal/fleet/operations_test.go
@@ -17,7 +17,7 @@
 
 const overriddenHost = "h"
 
-// The kinds of faults. Any other number stands for no fault.
+// What injectFault may draw: the faults of an instance, and an operator's requests. Any other number stands for nothing.
 const (
 	faultRestart = iota
 	faultPartition
@@ -26,12 +26,12 @@
 	faultContinue
 )
 
-// maxFault is the largest number drawn for a fault. It is above faultContinue, so that some steps have no fault.
+// maxFault is the largest number that injectFault draws. It is above faultContinue, so that some draws do nothing.
 const maxFault = 6
 
 func noCrashes() crashPoint { return noCrash }
 
-// Messages are lost, delayed and duplicated, instances restart, and the agent crashes at any write. The limit of
+// Even if messages are lost, delayed and duplicated, instances restart, and the agent crashes at any write: the limit of
 // unavailable instances is never exceeded, no instance has two commands in flight, every operation ends, and the
 // instances reach their desired state.
 func TestOperations_RandomFaults_ReachDesiredState(t *testing.T) {
@@ -106,7 +106,7 @@
 	}
 	repeated, err := sim.fleet.Submit(sim.now, request)
 	if err != nil || repeated.Fence != operation.Fence {
-		sim.t.Fatalf("repeated request: %+v, error %v", repeated, err)
+		sim.t.Fatalf("repeated request: %+v, error %v, want the same operation", repeated, err)
 	}
 	return true
 }
@@ -138,6 +138,7 @@
 	}
 }
 
+// checkEnded fails the test if one of the operations has not ended.
 func (sim *simulation) checkEnded(ids []string) {
 	for _, id := range ids {
 		o, err := sim.fleet.Operation(id)
@@ -147,6 +148,7 @@
 	}
 }
 
+// checkDesired fails the test if an instance does not have its desired state.
 func (sim *simulation) checkDesired() {
 	for scope, state := range sim.fleet.desired {
 		instance := sim.instances[scope.Instance]
--- a/internal/management/call_test.go
+++ b/internal/management/call_test.go
@@ -5,6 +5,8 @@
 	"testing"
 )
 
+// Calls are case-sensitive, and take no more and no fewer arguments than they need. Bytes outside printable ASCII are
+// rejected anywhere in the line.
 func TestParse_Lines_CallOrError(t *testing.T) {
 	for _, c := range []struct {
 		line    string
@@ -31,7 +33,7 @@
 	} {
 		got, err := Parse(c.line)
 		if c.wantErr == "" && (err != nil || got != c.want) || c.wantErr != "" && (err == nil || !strings.Contains(err.Error(), c.wantErr)) {
-			t.Errorf("Parse(%q) = %+v, %v", c.line, got, err)
+			t.Errorf("Parse(%q) = %+v, %v: unexpected result", c.line, got, err)
 		}
 	}
 }
@@ -44,20 +46,21 @@
 	f.Fuzz(func(t *testing.T, line string) {
 		c, err := Parse(line)
 		if (c.Host != "") != (err == nil && (c.Kind == DrainHost || c.Kind == ResumeHost)) {
-			t.Errorf("Parse(%q) = %+v, %v", line, c, err)
+			t.Errorf("Parse(%q) = %+v, %v, want a host ID only for calls that take one", line, c, err)
 		}
 		if reply := formatReply(err); strings.Count(reply, "\n") != 1 || strings.Count(reply, "\r") != 1 || !strings.HasPrefix(reply, "YES") && !strings.HasPrefix(reply, "NO ") {
-			t.Errorf("reply to %q: %q", line, reply)
+			t.Errorf("reply to %q: %q, want one line that begins with YES or NO", line, reply)
 		}
 	})
 }
 
+// Operators' tools parse the reply to show-stat: its names, their order and the line ends must not change.
 func TestStatsText_Counters_OneLineEach(t *testing.T) {
 	f := Stats{FinalAnswers: []FinalAnswers{{"chat", 812, 3, 1}, {"push", 0, 0, 0}}, Dispatches: 820, Concurrent: 14, Targets: 9, Disabled: 2}
 	want := "YES|svc.replies.chat.success=812|svc.replies.chat.overload=3|svc.replies.chat.error=1|" +
 		"svc.replies.push.success=0|svc.replies.push.overload=0|svc.replies.push.error=0|svc.dispatches=820|" +
 		"svc.concurrent=14|svc.targets=9|svc.targets_disabled=2|END|"
 	if got := strings.ReplaceAll(string(f.Text()), "\r\n", "|"); got != want {
-		t.Errorf("got %s", got)
+		t.Errorf("unexpected reply to show-stat: %s", got)
 	}
 }
--- a/internal/management/server_test.go
+++ b/internal/management/server_test.go
@@ -48,6 +48,7 @@
 func (f *fakeNode) Drain() error               { return f.record("drain") }
 func (f *fakeNode) Resume() error              { return f.record("resume") }
 
+// serve starts a server that runs until the test ends, and returns its address.
 func serve(t *testing.T, f *fakeNode) (addr string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -66,6 +67,7 @@
 	return l.Addr().String()
 }
 
+// dial connects to a server. Reads and writes on the connection fail after 20 s.
 func dial(t *testing.T, addr string) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
@@ -84,11 +86,13 @@
 	_, _ = io.WriteString(c, text)
 	all, err := io.ReadAll(c)
 	if err != nil {
-		t.Errorf("call %.40q: %v after the reply %q", text, err, all)
+		t.Errorf("call %.40q: read error %v after the reply %q, want a closed connection", text, err, all)
 	}
 	return string(all)
 }
 
+// Only the first line of a connection is a call. A caller that sends an invalid or too long line, or more than one line,
+// still gets a complete reply, not a reset. The error of a failed call can't add a line to the reply.
 func TestServer_Calls_ExecutesAndReplies(t *testing.T) {
 	f := &fakeNode{}
 	addr := serve(t, f)
@@ -101,27 +105,28 @@
 		{"drain\r\nresume\r\n", "YES\r\n"}, // only the first line is a call
 	} {
 		if got := call(t, addr, c.call); !strings.HasPrefix(got, c.wantPrefix) {
-			t.Errorf("call %.40q: reply %q", c.call, got)
+			t.Errorf("call %.40q: unexpected reply %q", c.call, got)
 		}
 	}
 	if got := f.calls(); got != "drain-host h1,resume-host h1,drain,resume,drain" {
-		t.Errorf("executed operations: %s", got)
+		t.Errorf("executed operations: %s, want drain-host h1,resume-host h1,drain,resume,drain", got)
 	}
 	f.mu.Lock()
 	f.err = errors.New("no host\r\nYES")
 	f.mu.Unlock()
 	if got := call(t, addr, "disable-server x\r\n"); got != "NO no host  YES\r\n" {
-		t.Errorf("reply to a failed call: %q", got)
+		t.Errorf("reply to a failed call: %q, want one line", got)
 	}
 }
 
+// A line without a line end may be incomplete: it must not be executed.
 func TestServer_LineWithoutEnd_RepliesNo(t *testing.T) {
 	f := &fakeNode{}
 	c := dial(t, serve(t, f))
 	_, _ = io.WriteString(c, "drai")
 	_ = c.(*net.TCPConn).CloseWrite()
 	if all, _ := io.ReadAll(c); !strings.HasPrefix(string(all), "NO ") || f.calls() != "" {
-		t.Errorf("reply %q, executed operations %q", all, f.calls())
+		t.Errorf("reply %q, executed operations %q, want NO and none", all, f.calls())
 	}
 }
 
@@ -135,14 +140,15 @@
 		_, _ = io.WriteString(dial(t, addr), "re")
 	}
 	if got := call(t, addr, "show-stat\r\n"); !strings.HasSuffix(got, "END\r\n") {
-		t.Errorf("reply while idle callers are connected: %q", got)
+		t.Errorf("reply while idle callers are connected: %q, want one that ends with END", got)
 	}
 	close(f.gate)
 	if line, err := bufio.NewReader(executing).ReadString('\n'); line != "YES\r\n" {
-		t.Errorf("reply to the call that was being executed: %q, %v", line, err)
+		t.Errorf("reply to the call that was being executed: %q, error %v, want YES", line, err)
 	}
 }
 
+// When its context ends, Serve disconnects idle callers and leaves no goroutine behind.
 func TestServe_ContextEnds_ClosesAll(t *testing.T) {
 	before := goleak.IgnoreCurrent()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/wire/watchstream_test.go
+++ b/internal/wire/watchstream_test.go
@@ -25,6 +25,8 @@
 	return s, lines, nil
 }
 
+// The body is the same for all framings of HTTP/1.1 and for pieces of any size. A body without a length has not ended
+// until its connection is closed.
 func TestWatchStream_Framings_GiveBody(t *testing.T) {
 	for _, c := range []struct {
 		name, text string
@@ -47,6 +49,7 @@
 	}
 }
 
+// A malformed response, or one that would need unbounded memory, is an error.
 func TestWatchStream_Malformed_IsAnError(t *testing.T) {
 	chunked := responseHead + "Transfer-Encoding: chunked\r\n\r\n"
 	for _, c := range []struct{ name, text string }{
@@ -63,12 +66,12 @@
 		{"body too long", chunked + fmt.Sprintf("%x\r\n", maxBody+1) + strings.Repeat("x", maxBody+1)},
 	} {
 		if _, _, err := feedStream(c.text, 64<<10); err == nil {
-			t.Errorf("%s: no error", c.name)
+			t.Errorf("%s: no error, want one", c.name)
 		}
 	}
 	var status *StatusError
 	if _, _, err := feedStream("HTTP/1.1 503 Service Unavailable\r\n", 100); !errors.As(err, &status) || status.Code != 503 {
-		t.Errorf("status 503: error %v", err)
+		t.Errorf("status 503: error %v, want a StatusError with 503", err)
 	}
 }
 
@@ -90,11 +93,12 @@
 			t.Errorf("%s: ended %v, complete %v, error %v", c.name, s.Ended(), s.Closed(), err)
 		}
 		if body := string(s.Body()); c.complete && body != "{\n}\n" {
-			t.Errorf("%s: body %q", c.name, body)
+			t.Errorf("%s: body %q, want the object with its line ends", c.name, body)
 		}
 	}
 }
 
+// FuzzWatchStream checks that the result does not depend on the size of the pieces.
 func FuzzWatchStream(f *testing.F) {
 	f.Add(responseHead+"Transfer-Encoding: chunked\r\n\r\n3\r\n{}\n\r\n0\r\n\r\n", uint8(4))
 	f.Add("HTTP/1.1 200\r\nContent-Length: 2\r\n\r\n{}", uint8(1))
@@ -102,7 +106,7 @@
 		_, atOnce, err := feedStream(text, len(text)+1)
 		_, parts, err2 := feedStream(text, int(size)+1)
 		if (err == nil) != (err2 == nil) || err == nil && fmt.Sprint(atOnce) != fmt.Sprint(parts) {
-			t.Errorf("at once: %q, error %v; in pieces: %q, error %v", atOnce, err, parts, err2)
+			t.Errorf("at once: %q, error %v; in pieces: %q, error %v; want the same", atOnce, err, parts, err2)
 		}
 	})
 }
