--- a/internal/cli/config_test.go
+++ b/internal/cli/config_test.go
@@ -22,6 +22,8 @@
 	return status, out.String(), errs.String()
 }
 
+// A dry run writes nothing and prints the report of the real run. The new file has the permissions of the old one, because
+// both contain the same secrets. It is overwritten only with --force, and the old file never is.
 func TestConfigMigrate_ValidConfig_WritesAtomically(t *testing.T) {
 	dir := t.TempDir()
 	oldPath, newPath := filepath.Join(dir, "old.json"), filepath.Join(dir, "new.json")
@@ -37,11 +39,11 @@
 		return err == nil
 	}
 	if status, _, errs := runMain("config", "migrate", newPath, "--to", shape, "--dry-run"); status != ExitUsage || !strings.Contains(errs, "no such file") {
-		t.Errorf("missing old file: status %d, %s", status, errs)
+		t.Errorf("missing old file: status %d, %s; want status 2 and \"no such file\"", status, errs)
 	}
 	status, dry, errs := migrate("--dry-run", "-o", newPath)
 	if status != ExitOK || exists() || !strings.Contains(dry, "settings.registryMode") {
-		t.Fatalf("dry run: status %d, written %v, %s%s", status, exists(), dry, errs)
+		t.Fatalf("dry run: status %d, written %v, %s%s; want status 0, no file and a report", status, exists(), dry, errs)
 	}
 	status, out, errs := migrate("-o", newPath)
 	if status != ExitOK || out+"nothing was written\n" != dry {
@@ -52,10 +54,10 @@
 		t.Fatal(err)
 	}
 	if info, err := os.Stat(newPath); err != nil || info.Mode().Perm() != 0o600 {
-		t.Errorf("permissions %v, error %v", info.Mode(), err)
+		t.Errorf("permissions %v, error %v; want 0600", info.Mode(), err)
 	}
 	if status, _, errs := migrate("-o", newPath); status != ExitUsage || !strings.Contains(errs, "--force") {
-		t.Errorf("new file exists: status %d, %s", status, errs)
+		t.Errorf("new file exists: status %d, %s; want status 2 and a hint at --force", status, errs)
 	}
 	status, out, _ = migrate("-o", newPath, "--force", "--json")
 	var report struct {
@@ -63,19 +65,20 @@
 		Fields  []struct{ Field, What string }
 	}
 	if err := json.Unmarshal([]byte(out), &report); status != ExitOK || err != nil || !report.Written || len(report.Fields) < 20 {
-		t.Errorf("status %d, error %v, report %+v", status, err, report)
+		t.Errorf("status %d, error %v, report %+v; want status 0 and a report with written set and at least 20 fields", status, err, report)
 	}
 	if second, err := os.ReadFile(newPath); err != nil || !bytes.Equal(second, first) {
 		t.Errorf("the output of the second run differs, error %v", err)
 	}
 	if status, _, _ := migrate("-o", oldPath, "--force"); status != ExitUsage {
-		t.Errorf("new file is the old file: status %d", status)
+		t.Errorf("new file is the old file: status %d, want 2", status)
 	}
 	if text, _ := os.ReadFile(oldPath); string(text) != oldConfig {
 		t.Error("the old file was changed")
 	}
 }
 
+// Invalid input yields an error of one line that names the file and line or the field, and no new file.
 func TestConfigMigrate_InvalidInput_ReportsOneLine(t *testing.T) {
 	const cold = "list = \"push\"\n[[location]]\nname = \"x\"\nfrom = [\"hall-cathays\", \"hall-bute\", \"hall-llandaff\"]\n[rules]\ncold_share = 2\n"
 	for _, c := range []struct{ name, old, shape, want string }{
@@ -94,7 +97,7 @@
 		}
 		status, _, errs := runMain("config", "migrate", oldPath, "--to", shape, "-o", newPath)
 		if _, err := os.Stat(newPath); status != ExitUsage || !strings.Contains(errs, c.want) || strings.Count(errs, "\n") != 1 || err == nil {
-			t.Errorf("%s: status %d, written %v, %q; want %q", c.name, status, err == nil, errs, c.want)
+			t.Errorf("%s: status %d, written %v, stderr %q; want status 2, no file and one line with %q", c.name, status, err == nil, errs, c.want)
 		}
 	}
 }
--- a/internal/cli/keys.go
+++ b/internal/cli/keys.go
@@ -49,7 +49,7 @@
 	c := &cobra.Command{
 		Use:   "issue HOLDER",
 		Short: "Issue a certificate",
-		Long:  "issue writes HOLDER.crt and HOLDER.key. Roles: instance (a node; HOLDER is its name), operate, look (read-only).",
+		Long:  "issue writes HOLDER.crt and HOLDER.key. Roles: instance (a node; HOLDER is its name), operate (may read and submit commands), look (may only read).",
 		Example: "  onyxstream keys issue n1 --role instance --dir keys\n" +
 			"  onyxstream keys issue agent-1 --role operate --dir keys",
 		Args: cobra.ExactArgs(1),
--- a/internal/cli/operation.go
+++ b/internal/cli/operation.go
@@ -38,7 +38,7 @@
 	flags.DurationVar(&o.options.StepTimeout, "step-within", 0, "an instance fails if it does not reach the desired state within this time after it accepts the command")
 	flags.StringVar((*string)(&o.options.OnFailure), "on-failure", string(fleet.PauseOnFailure), "what to do if an instance fails: pause, abort or continue")
 	flags.BoolVar(&o.dryRun, "dry-run", false, "print the waves and submit nothing")
-	flags.BoolVar(&o.wait, "wait", false, "wait until the operation ends; exit with 7 if it did not succeed")
+	flags.BoolVar(&o.wait, "wait", false, "wait until the operation ends or pauses; exit with 7 if it did not succeed")
 	flags.DurationVar(&o.waitTimeout, "wait-within", time.Hour, "maximum time to wait with --wait")
 }
 
@@ -51,8 +51,8 @@
 	flags.BoolVar(&o.options.AllowEmptyZone, "empty-zone", false, "allow a zone without available instances")
 }
 
-// submit submits an operation to the agent. With --wait it waits until the operation ends; with --dry-run it only prints
-// the waves.
+// submit submits an operation to the agent. With --wait it waits until the operation ends or pauses; with --dry-run it only
+// prints the waves.
 func (o *operationFlags) submit(c *cobra.Command, client *agentClient, request fleet.Request) error {
 	if o.dryRun {
 		return printWaves(c.OutOrStdout(), client, fleet.Waves(request.Targets, o.options.WaveSize))
--- a/internal/cli/root.go
+++ b/internal/cli/root.go
@@ -83,8 +83,8 @@
 	}
 }
 
-// untilSignal returns a context that is canceled on SIGINT or SIGTERM. After stop is called, these signals terminate the process
-// again.
+// untilSignal returns a context that is canceled on SIGINT or SIGTERM. After stop is called, these signals terminate the
+// process again.
 func untilSignal(c *cobra.Command) (ctx context.Context, stop context.CancelFunc) {
 	return signal.NotifyContext(c.Context(), syscall.SIGINT, syscall.SIGTERM)
 }
--- a/internal/cli/scale_print.go
+++ b/internal/cli/scale_print.go
@@ -8,11 +8,11 @@
 	"onyxstream/internal/scaletest"
 )
 
-// printScale prints the samples, the differences between simulated and real nodes, and the estimates.
+// printScale prints the samples, the cost ratios of simulated to real nodes, and the estimates for the target size.
 func printScale(w io.Writer, result scaletest.Result) error {
 	table := newNumberTable(w)
 	printSamples(table, result.Samples)
-	printDifferences(table, result.Ratios)
+	printRatios(table, result.Ratios)
 	printFits(table, result)
 	if result.Shortage != "" {
 		fmt.Fprintf(table, "\nincomplete measurement: %s\n", result.Shortage)
@@ -35,10 +35,10 @@
 		toMillis(phase.Latency.Median), toMillis(phase.Latency.P99), toMillis(phase.Latency.Max), phase.Latency.Missing)
 }
 
-func printDifferences(w io.Writer, differences []scaletest.CostRatios) {
+func printRatios(w io.Writer, ratios []scaletest.CostRatios) {
 	fmt.Fprintln(w, "\nsimulated / real\t\tbytes\tmessages\tcore\tmemory\tmedian\t")
-	for _, d := range differences {
-		fmt.Fprintf(w, "%d\t\t%.2f\t%.2f\t%.2f\t%.2f\t%.2f\t\n", d.Nodes, d.Bytes, d.Messages, d.Cores, d.Memory, d.Median)
+	for _, r := range ratios {
+		fmt.Fprintf(w, "%d\t\t%.2f\t%.2f\t%.2f\t%.2f\t%.2f\t\n", r.Nodes, r.Bytes, r.Messages, r.Cores, r.Memory, r.Median)
 	}
 }
 
--- a/internal/cli/scale_test.go
+++ b/internal/cli/scale_test.go
@@ -21,7 +21,7 @@
 		t.Errorf("status %d, stderr %q, stdout %q; want status %d, stderr with %q and no stdout", status, errs, out, ExitUsage, want)
 	}
 	if status, _, errs = runMain("scale", "hollow", "none"); status != ExitUsage {
-		t.Errorf("invalid number of nodes: status %d, %s", status, errs)
+		t.Errorf("invalid number of nodes: status %d, %s; want status 2", status, errs)
 	}
 }
 
--- a/internal/loadtest/attempt.go
+++ b/internal/loadtest/attempt.go
@@ -44,9 +44,10 @@
 	conn        *net.TCPConn
 	reader      *bufio.Reader
 	connection  *clientConnection
-	serviceTime time.Duration // from the start of sending the opening line to its answer
+	serviceTime time.Duration // from the start of sending the opening line until its answer is read
 }
 
+// close closes the connection of an attempt, if it has one.
 func (e *engine) close(a *attemptResult) {
 	if a.conn != nil {
 		e.untrack(a.connection)
--- a/internal/loadtest/client.go
+++ b/internal/loadtest/client.go
@@ -19,8 +19,8 @@
 // updateStats calls f with the statistics of the client's class while the recorder's lock is held.
 func (c *client) updateStats(f func(*classStats)) { c.recorder.updateClass(c.path, c.request.Class, f) }
 
-// run performs the request. If the request is served, run then holds its connection until the connection ends. After
-// recording the outcome of the request, run calls onOutcome once or twice.
+// run performs the request. If the request is served, run then holds its connection until the connection ends. It calls
+// onOutcome when the outcome of the request is recorded and, unless the request is unsent, again when it returns.
 func (c *client) run(intended time.Duration, onOutcome func()) {
 	defer onOutcome()
 	result := c.requestWithRetries("")
@@ -36,7 +36,8 @@
 	}
 }
 
-// requestWithRetries makes attempts until an attempt is served, no further retry is allowed, or the run ends.
+// requestWithRetries makes attempts until an attempt is served, no further retry is allowed, or the run ends. Each opening
+// line gets the fields in addition to its usual ones.
 func (c *client) requestWithRetries(fields string) *attemptResult {
 	behavior := &c.scenario.Clients
 	rng := requestRand(c.scenario.Seed^retryStream, c.request.Number)
@@ -52,9 +53,9 @@
 			return result
 		}
 		c.close(result)
-		pause := time.Duration((0.5 + rng.Float64()) * float64(wait))
+		pause := time.Duration((0.5 + rng.Float64()) * float64(wait)) // jitter around the mean
 		if result.retryAfter > 0 && *behavior.HonorRetryAfter {
-			pause = result.retryAfter + time.Duration(rng.Float64()*0.1*float64(result.retryAfter))
+			pause = result.retryAfter + time.Duration(rng.Float64()*0.1*float64(result.retryAfter)) // jitter of up to 10%, never sooner
 		}
 		if behavior.Backoff == backoffExponential {
 			wait = min(wait*2, maxRetryWait)
@@ -90,7 +91,7 @@
 	}
 }
 
-// reconnect establishes a new connection after a delay. It returns nil if the client is not served.
+// reconnect establishes a new connection after a delay. It returns nil if the client is not served or the run ends.
 func (c *client) reconnect(delay time.Duration) *attemptResult {
 	if !c.pause(delay) {
 		return nil
--- a/internal/loadtest/client_observer.go
+++ b/internal/loadtest/client_observer.go
@@ -7,12 +7,12 @@
 	"onyxstream/internal/wire"
 )
 
-// recordedRequest is a request that the recorder relayed. The recorder's lock guards it.
+// recordedRequest is a request that a TraceRecorder relayed. The recorder's lock guards it.
 type recordedRequest struct {
 	Request
-	opened time.Time
-	lines  int  // number of lines from the client after the opening line
-	ended  bool // the lifetime and the message interval are set
+	opened time.Time // arrival of the opening line
+	lines  int       // number of lines from the client after the opening line
+	ended  bool      // the lifetime and the message interval are set
 }
 
 // complete sets the lifetime and the message interval. Only the first call has an effect.
--- a/internal/loadtest/client_test.go
+++ b/internal/loadtest/client_test.go
@@ -47,7 +47,7 @@
 			})
 			r := runScenario(t, t.Context(), s, addr, nil).Classes[0]
 			if r.Outcomes[c.want.String()] != 20 || r.Attempts[c.want.String()] != 20*c.tries || marked.Load() != 20*(c.tries-1) {
-				t.Errorf("outcomes %v, attempts %v, %d of them marked as retries", r.Outcomes, r.Attempts, marked.Load())
+				t.Errorf("outcomes %v, attempts %v, %d of them marked as retries; want 20 requests with this outcome, and all retries marked", r.Outcomes, r.Attempts, marked.Load())
 			}
 		})
 	}
@@ -80,7 +80,7 @@
 	s := scenario(t, "[clients]\nretries = 1\n", "rate = 100", "rate = 20", `life = "300ms"`, `life = "10ms"`)
 	r := runScenario(t, t.Context(), s, addr, nil).Classes[0]
 	if r.Outcomes["served"] != 20 || r.Attempts["refused"] != 20 || r.Latency["served"].P50 < 199 || r.Service.P50 > 100 {
-		t.Errorf("outcomes %v, attempts %v, latency %g ms, service time of the served attempt %g ms", r.Outcomes, r.Attempts, r.Latency["served"].P50, r.Service.P50)
+		t.Errorf("outcomes %v, attempts %v, latency %g ms, service time of the served attempt %g ms; want 20 served, 20 refused, at least 199 ms and at most 100 ms", r.Outcomes, r.Attempts, r.Latency["served"].P50, r.Service.P50)
 	}
 }
 
@@ -99,10 +99,12 @@
 	s := scenario(t, "[clients]\ncome_back = [\"1ms\", \"5ms\"]\n[limits]\nlinger = \"5s\"\n", "rate = 100", "rate = 30")
 	r := runScenario(t, t.Context(), s, addr, nil).Classes[0]
 	if r.Migrated != 10 || r.Broken != 10 || r.Completed != 30 || r.Reconnects != 20 || reconnects.Load() != 20 || r.Reconnect.Count != 20 {
-		t.Errorf("%d migrated, %d broken, %d completed, %d reconnects of which %d were served", r.Migrated, r.Broken, r.Completed, r.Reconnects, r.Reconnect.Count)
+		t.Errorf("%d migrated, %d broken, %d completed, %d reconnects of which %d were served; want 10, 10, 30, 20 and 20", r.Migrated, r.Broken, r.Completed, r.Reconnects, r.Reconnect.Count)
 	}
 }
 
+// With mid_flow, a client whose connection breaks first sends a mid-flow request under the same id. If this is answered, the
+// client does not reconnect.
 func TestRun_MidFlow_ResumesBrokenConnection(t *testing.T) {
 	var mu sync.Mutex
 	ids := map[string]int{}
@@ -115,7 +117,7 @@
 		switch {
 		case strings.Contains(line, ",mid=1"):
 			if seen != 2 {
-				t.Errorf("mid-flow request with a new id: %q", line)
+				t.Errorf("mid-flow request with a new id: %q, want the id of the broken connection", line)
 			}
 			_, _ = io.WriteString(c, "UP x\r\nBYE\r\n")
 		default:
@@ -124,7 +126,7 @@
 	})
 	s := scenario(t, "[clients]\nmid_flow = true\n[limits]\nlinger = \"5s\"\n", "rate = 100", "rate = 20")
 	if r := runScenario(t, t.Context(), s, addr, nil).Classes[0]; r.Broken != 20 || r.Completed != 20 || r.Reconnects != 0 {
-		t.Errorf("%d broken, %d completed, %d reconnects", r.Broken, r.Completed, r.Reconnects)
+		t.Errorf("%d broken, %d completed, %d reconnects; want 20, 20 and 0", r.Broken, r.Completed, r.Reconnects)
 	}
 }
 
@@ -170,6 +172,6 @@
 	s.Limits.Linger = 1500e6
 	r := runScenario(t, t.Context(), s, addr, nil).Classes[0]
 	if r.LinesSent < 5*19 || r.LinesAnswered < 30 || r.Message.Max < 400 {
-		t.Errorf("%d lines sent, %d answered, the slowest after %g ms; want a queueing delay of about 500 ms", r.LinesSent, r.LinesAnswered, r.Message.Max)
+		t.Errorf("%d lines sent, %d answered, the slowest after %g ms; want at least 95, 30 and 400 ms, because lines queue for about 500 ms", r.LinesSent, r.LinesAnswered, r.Message.Max)
 	}
 }
--- a/internal/loadtest/compare.go
+++ b/internal/loadtest/compare.go
@@ -40,10 +40,12 @@
 	of   func(c *ClassResult) (float64, bool)
 }
 
-// metrics are the metrics that Compare compares, in the order of its output.
+// metrics are the metrics that Compare compares, in the order of its output. Their names are part of its JSON output; they
+// use the names of outcomes in result files.
 var metrics = []metric{
 	{"served, share", 1, func(c *ClassResult) (float64, bool) { return c.share(Served) }},
 	{"refused, share", -1, func(c *ClassResult) (float64, bool) { return c.share(Rejected) }},
+	// Requests that were neither served nor rejected, without those that the generator could not send.
 	{"neither, share", -1, func(c *ClassResult) (float64, bool) {
 		served, ok := c.share(Served)
 		rejected, _ := c.share(Rejected)
@@ -60,7 +62,8 @@
 	{"moved, share of served", 0, func(c *ClassResult) (float64, bool) { return c.perServed(c.Migrated) }},
 }
 
-// share returns the share of the class's requests that have an outcome. It returns false if the class has no requests.
+// share returns the share of the class's requests that have the given outcome. It returns false if the class has no
+// requests.
 func (c *ClassResult) share(outcome Outcome) (float64, bool) {
 	return float64(c.Outcomes[outcome.String()]) / float64(max(c.Requests, 1)), c.Requests > 0
 }
--- a/internal/loadtest/compare_test.go
+++ b/internal/loadtest/compare_test.go
@@ -49,6 +49,8 @@
 	return "missing"
 }
 
+// Compare calls a difference better or worse only if it exceeds the noise, which takes three runs on each side to estimate.
+// It rejects partial runs and runs with a late generator, whose figures do not describe the nodes.
 func TestCompare_RereadResults_VerdictByNoise(t *testing.T) {
 	base := resultsWithP99(t, 10, 11, 12, 10)
 	for _, c := range []struct {
@@ -68,11 +70,11 @@
 	partial := resultsWithP99(t, 10)
 	partial[0].Partial = true
 	if _, err := Compare(base, partial); err == nil {
-		t.Error("no error for a partial run")
+		t.Error("Compare of a partial run returned no error")
 	}
 	behind := resultsWithP99(t, 10)
 	behind[0].BehindReason = "late"
 	if _, err := Compare(behind, base); err == nil {
-		t.Error("no error for a run in which the generator fell behind")
+		t.Error("Compare of a run in which the generator fell behind returned no error")
 	}
 }
--- a/internal/loadtest/connection.go
+++ b/internal/loadtest/connection.go
@@ -10,9 +10,9 @@
 type endReason uint8
 
 const (
-	endCompleted endReason = iota // the host closed it, or its lifetime had passed
+	endCompleted endReason = iota // the host announced its end, or its lifetime had passed
 	endMigrated                   // the host asked the client to migrate
-	endBroken                     // it broke before either happened
+	endBroken                     // it failed without an announcement by the host
 	endDropped                    // the client dropped it in a reconnect surge
 	endAborted                    // the run ended
 )
--- a/internal/loadtest/engine.go
+++ b/internal/loadtest/engine.go
@@ -39,7 +39,7 @@
 	deadlines map[string]time.Duration // by class
 
 	clients   sync.WaitGroup
-	open      atomic.Int64 // connections that are established or being set up
+	open      atomic.Int64 // running clients, each with at most one connection
 	started   atomic.Int64 // requests, including unsent ones
 	dialCount atomic.Uint64
 
@@ -134,8 +134,8 @@
 // outcomeCheckInterval is the interval at which awaitOutcomes checks whether all requests have an outcome.
 const outcomeCheckInterval = 10 * time.Millisecond
 
-// awaitOutcomes waits until all requests have an outcome, and then until no connection is open. It stops
-// waiting for open connections when Limits.Linger has passed since the call.
+// awaitOutcomes waits until all requests have an outcome, and then until no client is running. It stops waiting for
+// clients when Limits.Linger has passed since the call.
 func (e *engine) awaitOutcomes(ctx context.Context) {
 	lingerEnd := time.Now().Add(e.scenario.Limits.Linger.AsDuration())
 	for ctx.Err() == nil {
--- a/internal/loadtest/established.go
+++ b/internal/loadtest/established.go
@@ -58,8 +58,8 @@
 	}
 }
 
-// readUntilEnd reads an established connection until it ends. It returns the reason for the end, and
-// the delay before the client reconnects if it does.
+// readUntilEnd reads an established connection until it ends. It returns the reason for the end, and the delay before the
+// client may reconnect.
 func (c *client) readUntilEnd(result *attemptResult) (reason endReason, delay time.Duration) {
 	c.addEstablished(1)
 	defer c.addEstablished(-1)
@@ -109,7 +109,7 @@
 	e.recorder.established += delta
 }
 
-// intendedSendTime parses the intended time in an echoed line.
+// intendedSendTime parses the intended time in an echoed line. It returns false for any other line.
 func intendedSendTime(line []byte) (time.Duration, bool) {
 	text, ok := bytes.CutPrefix(line, []byte(messagePrefix))
 	if !ok {
--- a/internal/loadtest/helpers_test.go
+++ b/internal/loadtest/helpers_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// startServer starts a server that calls script for each connection with its opening line.
+// startServer starts a server that calls script for each connection with its opening line. It returns the server's address.
 func startServer(t *testing.T, script func(line string, c *net.TCPConn, r *bufio.Reader)) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -64,7 +64,8 @@
 	_, _ = io.Copy(c, r)
 }
 
-// runScenario runs a scenario against an address and checks that the counters are consistent.
+// runScenario runs a scenario against an address and checks that the counters are consistent. change modifies the
+// configuration first; it may be nil.
 func runScenario(t *testing.T, ctx context.Context, s *Scenario, addr string, change func(*Config)) *Result {
 	t.Helper()
 	cfg := Config{Scenario: s, Source: NewSchedule(s), Length: s.Length(), Address: roundRobin([]string{addr})}
--- a/internal/loadtest/initial.go
+++ b/internal/loadtest/initial.go
@@ -10,7 +10,8 @@
 const (
 	// initialConnectionsTimeout bounds the time in which all initial connections are established.
 	initialConnectionsTimeout = 20 * time.Second
-	initialConnectionRetry    = 200 * time.Millisecond
+	// initialConnectionRetry is the wait before a failed setup is tried again.
+	initialConnectionRetry = 200 * time.Millisecond
 	// maxInitialDials bounds the concurrent setups of initial connections.
 	maxInitialDials = 64
 )
@@ -29,7 +30,7 @@
 	established := make(chan error, n)
 	for i := range n {
 		dialSlots <- struct{}{}
-		r := schedule.drawRequest(-1 - int64(i))
+		r := schedule.drawRequest(-1 - int64(i)) // a negative number, because scheduled requests count from 0
 		r.Host = e.cfg.Hosts[i%len(e.cfg.Hosts)]
 		r.Direct = false
 		e.open.Add(1)
--- a/internal/loadtest/latency_bounds_test.go
+++ b/internal/loadtest/latency_bounds_test.go
@@ -8,8 +8,9 @@
 	"time"
 )
 
-// latencyBounds bounds the latency of each request from outside the generator. The lower bound ends just before the
-// server writes the answer, the upper bound when the server sees the client close the connection. Both are measured from the intended time.
+// latencyBounds bounds the latency of each request from outside the generator. The lower bound ends just before the server
+// writes the answer, the upper bound when the server sees the client close the connection. Both are measured from the
+// intended time.
 type latencyBounds struct {
 	mu            sync.Mutex
 	intendedByKey map[string]time.Duration // intended times by key
@@ -25,6 +26,7 @@
 	t   time.Time
 }
 
+// add appends the current time to list, with the key of an opening line.
 func (b *latencyBounds) add(list *[]observation, line string) {
 	now := time.Now()
 	b.mu.Lock()
--- a/internal/loadtest/pacer.go
+++ b/internal/loadtest/pacer.go
@@ -23,10 +23,10 @@
 )
 
 const (
-	// maxPacerSleep bounds the time until the pacer notices that the run is canceled.
+	// maxPacerSleep bounds the time until runOpenLoop notices that the run is canceled.
 	maxPacerSleep = 50 * time.Millisecond
-	// spinThreshold is how late a timer of the Go runtime may fire. For shorter waits, the pacer yields in a
-	// loop. A sleep would also delay the goroutines that the pacer has just started on its processor.
+	// spinThreshold is how late a timer of the Go runtime may fire. For shorter waits, runOpenLoop yields in a loop. A
+	// sleep would also delay the goroutines that runOpenLoop has just started on its processor.
 	spinThreshold = 1200 * time.Microsecond
 )
 
@@ -107,8 +107,9 @@
 	e.recorder.requestFinished(r, path, Unsent, e.now()-r.IntendedAt, e.deadlines[r.Class])
 }
 
-// runClosedLoop sends each worker's next request only after the outcome of the worker's previous one, and measures
-// latency from the time of sending. It suffers from coordinated omission and exists for comparison with the open loop.
+// runClosedLoop sends each request at its intended time or, if that is later, after the outcome of its worker's previous
+// request. It measures latency from the time of sending. It suffers from coordinated omission and exists for comparison
+// with the open loop.
 func (e *engine) runClosedLoop(ctx context.Context) error {
 	var mu sync.Mutex
 	var sourceError error
@@ -137,7 +138,7 @@
 	return sourceError
 }
 
-// sendAndWait sends a request now and returns when its outcome is known. The connection may remain established.
+// sendAndWait sends a request now and returns when its outcome is recorded. The connection may remain established.
 func (e *engine) sendAndWait(r Request) {
 	r.IntendedAt = e.now()
 	finished := make(chan struct{})
--- a/internal/loadtest/receipts.go
+++ b/internal/loadtest/receipts.go
@@ -8,10 +8,11 @@
 	"onyxstream/internal/fakeserver"
 )
 
-// maxReceipts is the maximum number of receipts that are kept.
+// maxReceipts is the maximum number of receipts that are kept. Later ones are not verified.
 const maxReceipts = 1 << 20
 
-// receipts holds the receipts that clients received, by connection id. They are verified against the hosts' events.
+// receipts holds the receipts that clients got, by connection id. A receipt is the text after "UP" in the answer of a fake
+// host, which issues a unique one for each connection. Receipts are verified against the hosts' events.
 type receipts struct {
 	mu   sync.Mutex
 	byID map[string]string
@@ -72,6 +73,7 @@
 	}
 }
 
+// describe returns the description of a fleet event. Result files contain it, so its texts must not change.
 func describe(event fakeserver.Event) string {
 	switch event.Kind {
 	case fakeserver.EventNodeHealthy:
--- a/internal/loadtest/scenario.go
+++ b/internal/loadtest/scenario.go
@@ -94,7 +94,7 @@
 	Lifetime             tomlfile.Duration `toml:"life"`     // mean lifetime of an established connection
 	LifetimeDistribution string            `toml:"spread"`   // one of the lifetime constants
 	MessageInterval      tomlfile.Duration `toml:"message"`  // between two lines from the client; 0 if it sends none
-	Load                 float64           `toml:"load"`     // of one connection, as a multiple of the host's mean; 0 means 1
+	Load                 float64           `toml:"load"`     // of one connection, as a multiple of the host's mean load per connection; 0 means 1
 }
 
 // WeightedName is a tenant or zone with its share of the requests.
@@ -116,7 +116,7 @@
 	Backoff         string              `toml:"backoff"`   // backoffFixed or backoffExponential, both with jitter
 	HonorRetryAfter *bool               `toml:"honour"`    // wait for the Retry-After delay of a rejection; nil means true
 	MarkRetries     bool                `toml:"marks"`     // mark each retry in its opening line
-	MidFlow         bool                `toml:"mid_flow"`  // before a reconnect, try to resume a broken connection mid-flow
+	MidFlow         bool                `toml:"mid_flow"`  // before a reconnect, try to resume a broken connection mid-flow, under its old id
 	ReconnectDelay  []tomlfile.Duration `toml:"come_back"` // shortest and longest, after a migration or a broken connection
 	MaxReconnects   int                 `toml:"returns"`   // maximum per client
 }
@@ -149,13 +149,13 @@
 	defaultMinReconnectDelay = 50 * time.Millisecond
 	defaultMaxReconnectDelay = time.Second
 
-	minSeconds         = 0.001 // minimum of most durations, in seconds
-	maxLength          = 24 * time.Hour
+	minSeconds         = 0.001            // minimum of most durations, in seconds
+	maxLength          = 24 * time.Hour   // maximum of the run and of lifetimes
 	maxWait            = 10 * time.Minute // maximum of deadlines and of the wait before a retry
 	maxReconnectDelay  = time.Hour
-	maxRate            = 1e6
-	maxSteps           = 1000
-	maxPeriods         = 1000
+	maxRate            = 1e6  // requests per second, and requests per burst
+	maxSteps           = 1000 // per phase
+	maxPeriods         = 1000 // per phase
 	maxWorkers         = 10000
 	maxRetries         = 100
 	maxReconnects      = 1000
--- a/internal/loadtest/schedule.go
+++ b/internal/loadtest/schedule.go
@@ -168,8 +168,8 @@
 	return min(time.Duration(t*float64(time.Second)), g.length)
 }
 
-// drawRequest draws all of request n except its intended time. The draw depends only on the seed and n, so that scenarios
-// that differ in rates or shapes have the same clients.
+// drawRequest draws all fields of request n except its intended time. Given the names and shares to draw from, the result
+// depends only on the seed and n, so that scenarios that differ in rates or shapes have the same clients.
 func (c *Schedule) drawRequest(n int64) Request {
 	rng := requestRand(c.scenario.Seed, n)
 	class := &c.scenario.Classes[c.classes.pick(rng.Float64())]
--- a/internal/loadtest/schedule_test.go
+++ b/internal/loadtest/schedule_test.go
@@ -44,6 +44,7 @@
 	return s
 }
 
+// readAll returns all requests of a source.
 func readAll(t *testing.T, s Source) (out []Request) {
 	t.Helper()
 	for {
@@ -57,6 +58,7 @@
 	}
 }
 
+// Each shape yields the expected number of requests in each interval, to within one request.
 func TestSchedule_EachShape_HasItsRate(t *testing.T) {
 	for name, c := range map[string]struct {
 		phase string
@@ -87,6 +89,8 @@
 	}
 }
 
+// The gaps between Poisson arrivals are exponentially distributed, so that their coefficient of variation is 1. For even
+// arrivals it would be 0.
 func TestSchedule_PoissonArrivals_GapsExponential(t *testing.T) {
 	got := readAll(t, NewSchedule(scenario(t, "", `"even"`, `"poisson"`, `for = "1s"`, `for = "100s"`)))
 	if d := math.Abs(float64(len(got)) - 10000); d > 400 { // 400 is four standard deviations
@@ -226,7 +230,7 @@
 	} {
 		err := tomlfile.Decode("t.toml", []byte(strings.Replace(baseScenario, c.from, c.to, 1)+c.more), &Scenario{})
 		if err == nil || !strings.HasPrefix(err.Error(), c.want) {
-			t.Errorf("%q and %q: %v, want %s", c.to, c.more, err, c.want)
+			t.Errorf("scenario with %q inserted and %q appended: got error %v, want one that begins with %s", c.to, c.more, err, c.want)
 		}
 	}
 }
--- a/internal/loadtest/stored_test.go
+++ b/internal/loadtest/stored_test.go
@@ -29,7 +29,7 @@
 	}
 	got, err := os.ReadFile(path)
 	if diff := cmp.Diff(string(want), string(got)); diff != "" || err != nil {
-		t.Errorf("error %v; keys of the result file changed: %s", err, diff)
+		t.Errorf("error %v; the result file changed (-want +got): %s", err, diff)
 	}
 }
 
@@ -77,6 +77,6 @@
 	}
 	gotText, err := os.ReadFile(path)
 	if diff := cmp.Diff(string(wantText), string(gotText)); diff != "" || err != nil {
-		t.Errorf("error %v; the trace file changed: %s", err, diff)
+		t.Errorf("error %v; the trace file changed (-want +got): %s", err, diff)
 	}
 }
--- a/internal/loadtest/trace_check.go
+++ b/internal/loadtest/trace_check.go
@@ -14,7 +14,8 @@
 	Classes, Tenants []string      // in order of appearance
 }
 
-// CheckTrace reads a trace to its end, so that errors are found before a replay starts.
+// CheckTrace reads and validates a trace to its end, so that errors are found before a replay starts. It returns a summary
+// of the trace.
 func CheckTrace(path string) (summary TraceSummary, err error) {
 	t, err := OpenTrace(path, 1)
 	if err != nil {
--- a/internal/loadtest/trace_recorder_test.go
+++ b/internal/loadtest/trace_recorder_test.go
@@ -9,6 +9,8 @@
 	"time"
 )
 
+// The recorder relays all connections of clients, and records each request with its class, tenant, group, lifetime and
+// message interval. It does not record health checks.
 func TestTraceRecorder_RelayedRequests_Recorded(t *testing.T) {
 	addr := startServer(t, func(_ string, c *net.TCPConn, r *bufio.Reader) { establishAndEcho(c, r) })
 	path := t.TempDir() + "/t.csv"
--- a/internal/loadtest/trace_test.go
+++ b/internal/loadtest/trace_test.go
@@ -13,6 +13,7 @@
 	"time"
 )
 
+// newTestTrace returns a reader of a trace with the given text.
 func newTestTrace(t *testing.T, text string, speed float64) *TraceReader {
 	t.Helper()
 	tr, err := newTraceReader("t.csv", strings.NewReader(text), speed)
@@ -61,7 +62,7 @@
 		}
 		var where *TraceError
 		if !errors.As(err, &where) || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%.60q: %v, want %s", c.text, err, c.want)
+			t.Errorf("trace %.60q: got error %v, want one with %s", c.text, err, c.want)
 		}
 	}
 }
@@ -75,17 +76,17 @@
 		text += fmt.Sprint(r.IntendedAt, " ", r.Key, "; ")
 	}
 	if text != "0s kb; 15ms kd; 30ms ka; 30ms kc; " {
-		t.Errorf("CSV read as %s", text)
+		t.Errorf("CSV read as %s, want the keys kb, kd, ka and kc in order of their times", text)
 	}
 	lines := `{"id":"b","at_ms":0,"class":"x","tenant":"t","life_ms":6}
 {"id":"d","at_ms":"15","class":"x","tenant":"t","life_ms":8}
 `
 	if got := readAll(t, newTestTrace(t, lines, 1)); len(got) != 2 || got[1] != rows[1] {
-		t.Errorf("JSON Lines read as %+v", got)
+		t.Errorf("JSON Lines read as %+v, want the rows b and d as from CSV", got)
 	}
 	for i, r := range readAll(t, newTestTrace(t, csvHeader+"a,30,x,t,5\nb,0,x,t,6\nc,30,y,t,7\nd,15,x,t,8\n", 3)) {
 		if r.IntendedAt != rows[i].IntendedAt/3 || r.Lifetime != rows[i].Lifetime || r.Key != rows[i].Key {
-			t.Errorf("at speed 3 read as %+v, at speed 1 as %+v", r, rows[i])
+			t.Errorf("at speed 3 read as %+v, at speed 1 as %+v; want only the intended time to be a third", r, rows[i])
 		}
 	}
 }
@@ -112,6 +113,7 @@
 	return n, nil
 }
 
+// A trace may be longer than the memory: the reader keeps at most traceWindow rows and their ids.
 func TestTraceReader_LongTrace_BoundedMemory(t *testing.T) {
 	tr, err := newTraceReader("long.csv", &generatedTrace{n: 100_000}, 1)
 	if err != nil {
@@ -133,6 +135,8 @@
 	}
 }
 
+// A written trace, compressed or not, is read as the same requests. Intended times may differ by 1 us, and lifetimes are not
+// compared.
 func TestTraceWriter_RoundTrip_SameRequests(t *testing.T) {
 	s := scenario(t, "[groups]\ncount = 5\n[[zone]]\nname = \"z\"\n", "life = \"300ms\"", "life = \"300ms\"\nload = 1.5\nmessage = \"20ms\"")
 	want := readAll(t, NewSchedule(s))
@@ -166,7 +170,7 @@
 			}
 		}
 		if sum, err := CheckTrace(path); err != nil || sum.Rows != int64(len(want)) || len(sum.Classes) != 1 {
-			t.Errorf("CheckTrace returns %+v, error %v", sum, err)
+			t.Errorf("CheckTrace returned %+v, error %v; want one class and all rows", sum, err)
 		}
 	}
 	if _, err := OpenTrace(filepath.Join(t.TempDir(), "none"), 1); !errors.Is(err, os.ErrNotExist) {
@@ -174,6 +178,7 @@
 	}
 }
 
+// For any input, the reader returns an error or requests in order of time, and doesn't panic.
 func FuzzTrace(f *testing.F) {
 	f.Add([]byte(csvHeader + "1,0,a,b,5\n2,1.5,a,b,5\n"))
 	f.Add([]byte(`{"id":"1","at_ms":0,"class":"a","tenant":"b","life_ms":5}` + "\n"))
@@ -189,7 +194,7 @@
 				return
 			}
 			if r.IntendedAt < last || r.Lifetime < 0 || r.Class == "" {
-				t.Fatalf("invalid request %+v after one at %v", r, last)
+				t.Fatalf("request %+v after one at %v, want ascending times, a lifetime of at least 0 and a class", r, last)
 			}
 			last = r.IntendedAt
 		}
--- a/internal/migrate/migrate_test.go
+++ b/internal/migrate/migrate_test.go
@@ -41,6 +41,7 @@
 repeat = "keyed"
 `
 
+// parseShape decodes and validates the text of a shape file.
 func parseShape(t testing.TB, text string) (s Shape) {
 	t.Helper()
 	if err := tomlfile.Decode("shape", []byte(text), &s); err != nil {
@@ -49,6 +50,8 @@
 	return s
 }
 
+// Fields that the shape doesn't set keep their values and the spelling of their numbers, even if no node reads them. Each
+// field of the old file has a line in the report.
 func TestRun_NewShape_ReportsEachField(t *testing.T) {
 	out, report, err := Run([]byte(oldConfig), parseShape(t, shapeText))
 	if err != nil {
@@ -64,7 +67,7 @@
 	}
 	if set.PollList || set.Zone != 0 || set.Zones != 2 || set.NodeCount != 95 || set.CrossZoneCost != 0.1 ||
 		set.DrainGrace.Milliseconds() != 50 || !set.PassThrough {
-		t.Errorf("the new settings are %+v", set.Settings)
+		t.Errorf("the new settings are %+v, want those of the shape", set.Settings)
 	}
 	if c := set.Classes; len(c) != 1 || c[0].IdempotencyWindow != 7*time.Millisecond || c[0].Deadline != 900*time.Millisecond || !strings.Contains(string(out), `"ours": 1`) {
 		t.Errorf("a class of the same name lost fields that the shape does not set: %+v", c)
@@ -84,11 +87,11 @@
 		{"settings.rules.stopSendingWithin changed", "400 50"}, {"settings.lanes[1] not carried", `"chat" `},
 	} {
 		if got[want.field] != want.values {
-			t.Errorf("%s: %q, want %q", want.field, got[want.field], want.values)
+			t.Errorf("report of %s: old and new value %q, want %q", want.field, got[want.field], want.values)
 		}
 	}
 	if _, _, err := Run(out, parseShape(t, shapeText)); err == nil || !strings.Contains(err.Error(), "already has the new shape") {
-		t.Errorf("second run on the output: got error %v", err)
+		t.Errorf("second run on the output: got error %v, want \"already has the new shape\"", err)
 	}
 }
 
@@ -125,7 +128,7 @@
 		err := tomlfile.Decode("shape", []byte(strings.Replace(shapeText, c[0], c[1], 1)), &s)
 		var at *tomlfile.Error
 		if !errors.As(err, &at) || at.Line == 0 || at.Key != c[2] {
-			t.Errorf("%s in place of %s: got error %v", c[1], c[0], err)
+			t.Errorf("shape with %s in place of %s: got error %v, want one with the line and the key of this field", c[1], c[0], err)
 		}
 	}
 }
--- a/internal/migrate/shape.go
+++ b/internal/migrate/shape.go
@@ -23,11 +23,11 @@
 
 // Rules are the rules of the protocol in the new deployment. A nil field keeps the old value.
 type Rules struct {
-	DrainGrace        *float64 `toml:"drain_grace_ms"`
-	SlowStartFraction *float64 `toml:"cold_share"`
-	SlowStartDuration *float64 `toml:"warm_within_ms"`
-	CollapseMultiple  *float64 `toml:"fall_multiple"`
-	CollapseWindow    *float64 `toml:"fall_window_ms"`
+	DrainGrace        *float64 `toml:"drain_grace_ms"` // time after which a draining host gets nothing more
+	SlowStartFraction *float64 `toml:"cold_share"`     // fraction of its capacity that a host has when it starts
+	SlowStartDuration *float64 `toml:"warm_within_ms"` // time from its start until a host has its full capacity
+	CollapseMultiple  *float64 `toml:"fall_multiple"`  // ratio of load to present capacity at which a host in slow start collapses
+	CollapseWindow    *float64 `toml:"fall_window_ms"` // time for which that load must last for a collapse
 }
 
 // Limits restrict what a node may do. A nil field keeps the old value.
@@ -50,9 +50,9 @@
 // Class is a class of requests.
 type Class struct {
 	Name               string  `toml:"name"`
-	SetupObjectiveMS   float64 `toml:"setup_ms"`
+	SetupObjectiveMS   float64 `toml:"setup_ms"` // latency objective of a connection setup
 	DeadlineMS         float64 `toml:"deadline_ms"`
-	MessageObjectiveMS float64 `toml:"message_ms"`
+	MessageObjectiveMS float64 `toml:"message_ms"` // latency objective of a message
 	PriorityWeight     float64 `toml:"worth"`
 	Effect             string  `toml:"repeat"` // "safe" (idempotent), "keyed" (idempotent by key) or "unsafe" (non-idempotent)
 }
--- a/internal/pki/pki_test.go
+++ b/internal/pki/pki_test.go
@@ -29,10 +29,12 @@
 	return dir
 }
 
+// holderFiles returns the paths of a holder's files in an authority's directory.
 func holderFiles(dir, name string) Files {
 	return Files{filepath.Join(dir, name+".crt"), filepath.Join(dir, name+".key"), filepath.Join(dir, authorityName+".crt"), filepath.Join(dir, revokedName)}
 }
 
+// openKeyStore opens a key store and ignores its reload errors.
 func openKeyStore(t *testing.T, f Files) *KeyStore {
 	t.Helper()
 	k, err := Open(f, func(error) {})
@@ -98,12 +100,14 @@
 	return strings.TrimSpace(string(buf[:n])), err
 }
 
+// A server accepts only TLS 1.3 clients whose certificate is issued by its authority, has a client role, and is neither
+// revoked nor expired. A client accepts only the instance whose name it asked for.
 func TestVerify_RoleRevocationAndExpiry_AreEnforced(t *testing.T) {
 	dir, other := newAuthorityDir(t), newAuthorityDir(t)
 	addr := serveRoles(t, openKeyStore(t, holderFiles(dir, "n1")))
 	for name, want := range map[string]string{"op": RoleOperator, "viewer": RoleViewer} {
 		if _, role, err := dialAndAskRole(t, addr, openKeyStore(t, holderFiles(dir, name)).ClientConfig("n1")); err != nil || role != want {
-			t.Errorf("%s: got role %q, error %v", name, role, err)
+			t.Errorf("certificate of %s: got role %q, error %v; want the role that it was issued with", name, role, err)
 		}
 	}
 	if err := Revoke(dir, "viewer"); err != nil {
@@ -132,12 +136,12 @@
 		"expired":             openKeyStore(t, late).ClientConfig("n1"),
 		"foreign authority":   openKeyStore(t, foreign).ClientConfig("n1"),
 		"instance role":       openKeyStore(t, holderFiles(dir, "n2")).ClientConfig("n1"),
-		"none":                {InsecureSkipVerify: true},
+		"no certificate":      {InsecureSkipVerify: true},
 		"TLS 1.2":             {InsecureSkipVerify: true, MaxVersion: tls.VersionTLS12},
 		"wrong instance name": openKeyStore(t, holderFiles(dir, "op")).ClientConfig("n2"),
 	} {
 		if _, role, err := dialAndAskRole(t, addr, cfg); err == nil {
-			t.Errorf("certificate %q was accepted with role %q", name, role)
+			t.Errorf("%s: connection was accepted with role %q, want an error", name, role)
 		}
 	}
 	// A server must not authenticate with a certificate that has a client role.
@@ -191,6 +195,7 @@
 	return Serial(c.ConnectionState().PeerCertificates[0])
 }
 
+// eventually waits for a condition, for at most 20 s.
 func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	for start := time.Now(); !condition(); time.Sleep(50 * time.Millisecond) {
@@ -228,7 +233,7 @@
 	eventually(t, "the renewed certificate is presented", func() bool { return f.serverSerial(t) != original })
 	c, role, err := dialAndAskRole(t, f.addr, f.client.ClientConfig("n1"))
 	if err != nil || role != RoleOperator {
-		t.Fatalf("role %q, error %v", role, err)
+		t.Fatalf("got role %q, error %v; want the operator role", role, err)
 	}
 	if err := Revoke(f.dir, "op"); err != nil {
 		t.Fatal(err)
@@ -242,6 +247,8 @@
 	}
 }
 
+// An error names the file that is invalid, and for a revocation list the line. Issue rejects invalid parameters, and Create
+// rejects a directory that has an authority.
 func TestOpen_InvalidFiles_AreNamed(t *testing.T) {
 	dir := newAuthorityDir(t)
 	mismatched := holderFiles(dir, "n1")
@@ -272,10 +279,10 @@
 		{authorityName, RoleViewer, time.Hour},
 	} {
 		if _, err := Issue(dir, c.name, c.role, c.valid); err == nil {
-			t.Errorf("Issue accepted %+v", c)
+			t.Errorf("Issue of %+v returned no error", c)
 		}
 	}
 	if err := Create(dir, "again"); err == nil {
-		t.Error("Create overwrote an existing authority")
+		t.Error("Create in a directory with an authority returned no error")
 	}
 }
--- a/internal/pki/stored_test.go
+++ b/internal/pki/stored_test.go
@@ -10,6 +10,6 @@
 func TestStoredRevocations_FromEarlierRelease_AreRead(t *testing.T) {
 	got, err := readRevoked("testdata/revoked-v1")
 	if diff := cmp.Diff(RevocationList{"0a1b2c": true, "ff00": true}, got); diff != "" || err != nil {
-		t.Errorf("%v, %s", err, diff)
+		t.Errorf("error %v; the list differs (-want +got): %s", err, diff)
 	}
 }
--- a/internal/scaletest/fit.go
+++ b/internal/scaletest/fit.go
@@ -34,13 +34,15 @@
 	return f, nil
 }
 
-// fleetMetric is a metric of a whole fleet. Its budget is for a fleet of the target size, 0 for none.
+// fleetMetric is a metric of a whole fleet. Its budget is for a fleet of the target size, 0 for none. Its name is stored in
+// results; "service" in a name stands for discovery.
 type fleetMetric struct {
 	name   string
 	budget float64
 	value  func(s Sample) float64
 }
 
+// fleetMetrics returns the metrics that are fitted, with the budgets of the target.
 func fleetMetrics(target Target) []fleetMetric {
 	n := float64(target.Nodes)
 	ofFleet := func(perNode func(s Sample) float64) func(Sample) float64 {
--- a/internal/scaletest/measurement.go
+++ b/internal/scaletest/measurement.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	startupTimeout     = 60 * time.Second
-	propagationTimeout = 10 * time.Second
-	checkInterval      = 10 * time.Millisecond
+	startupTimeout     = 60 * time.Second      // for all nodes to watch the endpoint list
+	propagationTimeout = 10 * time.Second      // for all nodes to receive the last change
+	checkInterval      = 10 * time.Millisecond // between two checks of either condition
 
 	// firstRevision is the revision of the endpoint list that nodes start with.
 	firstRevision = 1
@@ -55,6 +55,8 @@
 	return m.measurePhases(ctx, kind)
 }
 
+// measurePhases waits until all nodes watch the endpoint list. It then measures a phase without changes, a phase with
+// changes and a phase in which nodes restart.
 func (m *measurement) measurePhases(ctx context.Context, kind Kind) (Sample, error) {
 	sample := Sample{Kind: kind, Nodes: m.nodes}
 	begin := time.Now()
@@ -79,7 +81,8 @@
 	return sample, errors.Join(restartError, ctx.Err())
 }
 
-// restartNodes restarts the spec's share of the nodes and makes changes while they restart.
+// restartNodes restarts the spec's share of the nodes. While they restart, it makes a quarter of the spec's changes, but at
+// least one.
 func (m *measurement) restartNodes(ctx context.Context) error {
 	if err := m.fleet.restart(int(float64(m.nodes) * m.spec.RestartShare)); err != nil {
 		return err
--- a/internal/scaletest/propagation.go
+++ b/internal/scaletest/propagation.go
@@ -43,8 +43,9 @@
 	return len(text), nil
 }
 
-// recordReceived records that a node has received a revision, and with it all earlier ones. It skips changes
-// that are later than at, because the node cannot have received them yet.
+// recordReceived records that a node has received a revision, and with it all earlier ones. It skips changes that are
+// later than at, because the node cannot have received them yet. Changes are compared in milliseconds, the resolution of
+// the times in log lines.
 func (r *propagationRecorder) recordReceived(node string, revision int64, at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/scaletest/result.go
+++ b/internal/scaletest/result.go
@@ -43,7 +43,7 @@
 	Shortage string       `json:"short"` // the resource that the machine lacked for larger fleets; "" for none
 }
 
-// ShortageError reports that the machine lacks a resource for a fleet.
+// ShortageError reports that the machine lacks a resource for a fleet. Results contain its text.
 type ShortageError struct {
 	Kind     Kind
 	Nodes    int
--- a/internal/scaletest/scale_test.go
+++ b/internal/scaletest/scale_test.go
@@ -52,7 +52,7 @@
 	spec := smallSpec()
 	result, err := Run(t.Context(), spec, Options{Program: path})
 	if err != nil || result.Shortage != "" {
-		t.Fatalf("error %v, shortage %q", err, result.Shortage)
+		t.Fatalf("error %v, shortage %q; want neither", err, result.Shortage)
 	}
 	if len(result.Samples) != 3 {
 		t.Fatalf("%d samples, want 3: 3 real, 3 simulated and 50 simulated nodes", len(result.Samples))
@@ -63,13 +63,13 @@
 				s.Changes.Latency.Missing, s.Restart.Latency.Missing)
 		}
 		if l := s.Changes.Latency; l.Received != spec.Changes*s.Nodes || l.Max < l.P99 || l.P99 < l.Median {
-			t.Errorf("%d %s nodes: latency %+v for %d changes", s.Nodes, s.Kind, l, spec.Changes)
+			t.Errorf("%d %s nodes: latency %+v for %d changes, want each received by every node, and ascending percentiles", s.Nodes, s.Kind, l, spec.Changes)
 		}
 		if l := s.Restart.Latency; l.Received != s.Nodes {
 			t.Errorf("%d %s nodes, some restarting: latency %+v, want one change received by each", s.Nodes, s.Kind, l)
 		}
 		if s.Changes.BytesPerS <= s.Idle.BytesPerS || s.MemoryMB <= 0 {
-			t.Errorf("%d %s nodes: %.0f bytes/s with changes, %.0f bytes/s at rest, %.1f MB of memory", s.Nodes, s.Kind, s.Changes.BytesPerS, s.Idle.BytesPerS, s.MemoryMB)
+			t.Errorf("%d %s nodes: %.0f bytes/s with changes, %.0f bytes/s at rest, %.1f MB of memory; want more bytes with changes than at rest, and some memory", s.Nodes, s.Kind, s.Changes.BytesPerS, s.Idle.BytesPerS, s.MemoryMB)
 		}
 	}
 	transferred := map[Kind]float64{}
@@ -86,6 +86,8 @@
 	}
 }
 
+// If the file descriptors don't suffice for a fleet, the run ends without an error. Its result has the samples of the smaller
+// fleets and names the resource.
 func TestRun_InsufficientDescriptors_KeepsSamplesAndNamesResource(t *testing.T) {
 	if resource := missingResource(Simulated, 2600, 1024); !strings.Contains(resource, "descriptors") {
 		t.Errorf("2,600 nodes with 1,024 descriptors: missing resource is %q, want descriptors", resource)
@@ -145,7 +147,7 @@
 	} {
 		text := strings.Replace(string(good), c.old, c.new, 1)
 		if err := tomlfile.Decode("scale.toml", []byte(text), &Spec{}); err == nil || !strings.HasPrefix(err.Error(), c.want) {
-			t.Errorf("%s: %v, want %s", c.new, err, c.want)
+			t.Errorf("spec with %s: got error %v, want one that begins with %s", c.new, err, c.want)
 		}
 	}
 }
@@ -156,7 +158,7 @@
 		t.Fatal(err)
 	}
 	if math.Abs(f.Intercept-5) > 1e-6 || math.Abs(f.Slope-2) > 1e-9 || math.Abs(f.R2-1) > 1e-9 || math.Abs(f.AtTarget-5205) > 1e-6 || f.WithinBudget || f.SizeRatio != 100 {
-		t.Errorf("fit of 5 + 2 * nodes is %+v", f)
+		t.Errorf("fit of 5 + 2 * nodes is %+v, want R2 1, 5205 at the target, over budget, and a size ratio of 100", f)
 	}
 	if _, err := fitLine("bytes", []float64{10}, []float64{25}, 2600, 0); !errors.Is(err, errTooFewSizes) {
 		t.Errorf("one size: error %v, want errTooFewSizes", err)
@@ -202,7 +204,7 @@
 		_, _ = w.Write([]byte(text[:cut]))
 		_, _ = w.Write([]byte(text[cut:]))
 		if !r.isComplete(3) {
-			t.Fatalf("split at byte %d: latencies %v", cut, r.latencies)
+			t.Fatalf("split at byte %d: latencies %v, want one of each of 3 nodes", cut, r.latencies)
 		}
 	}
 	w := &lineWriter{out: r}
@@ -210,6 +212,6 @@
 		_, _ = w.Write(make([]byte, 1<<10))
 	}
 	if len(w.partial) > maxPartialLine {
-		t.Errorf("%d bytes of an incomplete line are buffered", len(w.partial))
+		t.Errorf("%d bytes of an incomplete line are buffered, want at most 64 KiB", len(w.partial))
 	}
 }
--- a/internal/scaletest/simulated_fleet.go
+++ b/internal/scaletest/simulated_fleet.go
@@ -18,7 +18,7 @@
 	nodes    int
 }
 
-// processExitTimeout is the time after which a process that has not exited is killed.
+// processExitTimeout is the time that a process has to exit after the end of its standard input. It is then killed.
 const processExitTimeout = 10 * time.Second
 
 func startSimulatedFleet(program, config string, nodes int, log io.Writer) (*simulatedFleet, error) {
--- a/internal/scaletest/spec.go
+++ b/internal/scaletest/spec.go
@@ -9,7 +9,8 @@
 	"onyxstream/internal/tomlfile"
 )
 
-// Spec describes a measurement. It is the decoded form of a spec file, and part of the result under its JSON keys.
+// Spec describes a measurement. It is the decoded form of a spec file. Results contain it as JSON, so that its JSON keys
+// must not change.
 type Spec struct {
 	Name           string `toml:"name" json:"Name"`
 	Seed           uint64 `toml:"seed" json:"Seed"`
--- a/internal/tomlfile/decode_test.go
+++ b/internal/tomlfile/decode_test.go
@@ -42,7 +42,7 @@
 		t.Fatal(err)
 	}
 	if file.Name != "n" || file.Jobs[0].Share != 2 || file.Jobs[0].Wait.AsDuration() != 1500*time.Millisecond {
-		t.Errorf("decoded %+v", file)
+		t.Errorf("decoded %+v, want name n and a job with share 2 and wait 1.5s", file)
 	}
 }
 
@@ -100,7 +100,7 @@
 func TestAddLocation_WrappedErrors_ReasonIsWrapped(t *testing.T) {
 	text := []byte("a = 1\n")
 	if err := AddLocation("f.toml", text, nil); err != nil {
-		t.Errorf("AddLocation of a nil error: got %v", err)
+		t.Errorf("AddLocation of a nil error: got %v, want nil", err)
 	}
 	if err := AddLocation("f.toml", text, NewFieldError("a", "%w", errNegative)); !errors.Is(err, errNegative) {
 		t.Errorf("%v does not wrap its reason", err)
@@ -120,7 +120,7 @@
 		_, err := Read(path, &jobFile{})
 		var got *Error
 		if !errors.As(err, &got) || got.File != path || got.Line != 0 || got.Key != "" {
-			t.Fatalf("%s: got %v", path, err)
+			t.Fatalf("%s: got error %v, want an *Error with the file and no line or key", path, err)
 		}
 		if strings.Count(err.Error(), path) != 1 {
 			t.Errorf("%q does not contain the path exactly once", err)
@@ -131,12 +131,12 @@
 func TestDuration_Text_RoundTrip(t *testing.T) {
 	var d Duration
 	if err := d.UnmarshalText([]byte("200ms")); err != nil || d.AsDuration() != 200*time.Millisecond {
-		t.Errorf("got %v, error %v", d.AsDuration(), err)
+		t.Errorf("got %v, error %v; want 200ms", d.AsDuration(), err)
 	}
 	if text, err := d.MarshalText(); err != nil || string(text) != "200ms" {
-		t.Errorf("got %q, error %v", text, err)
+		t.Errorf("got %q, error %v; want \"200ms\"", text, err)
 	}
 	if err := d.UnmarshalText([]byte("soon")); err == nil || !strings.Contains(err.Error(), `invalid duration "soon"`) {
-		t.Errorf("got error %v", err)
+		t.Errorf("got error %v, want \"invalid duration\" with the text", err)
 	}
 }
--- a/tools/testgate/results.go
+++ b/tools/testgate/results.go
@@ -28,11 +28,11 @@
 	actionSkip        = "skip"
 )
 
-// testResults collects the results of a test run.
+// testResults collects the results of a test run. The testID of a package has an empty Test.
 type testResults struct {
-	packages map[string]string // the last action of each package: pass, fail or skip
-	tests    map[testID]string // the last action of each top-level test: pass, fail, skip, or run if it did not finish
-	panicked map[testID]bool
+	packages map[string]string   // the last action of each package: pass, fail or skip
+	tests    map[testID]string   // the last action of each top-level test: pass, fail, skip, or run if it did not finish
+	panicked map[testID]bool     // tests and packages whose output has a panic
 	passed   int                 // tests and subtests
 	failed   int                 // tests and subtests
 	output   map[testID][]string // of tests and packages that have not finished
