--- a/internal/loadtest/schedule_test.go
+++ b/internal/loadtest/schedule_test.go
@@ -220,7 +220,7 @@
 		{"", "", "[[fault]]\nwhat = \"hang\"\non = \"h1\"\n", "t.toml:16: fault[0].what: faults require a fleet"},
 		{"", "", fleet + "mode = \"odd\"\n", "t.toml:19: fleet.mode"},
 		{"", "", fleet + "[fleet.host]\nspeed = -2.0\n", "t.toml:20: fleet.host.speed: -2"},
-		{"", "", fleet + "[[fault]]\non = \"h3\"\nwhat = \"hang\"\n", "t.toml:20: fault[0].on: there is no h3"},
+		{"", "", fleet + "[[fault]]\non = \"h3\"\nwhat = \"hang\"\n", "t.toml:20: fault[0].on: host h3 does not exist at that time"},
 		{"", "", fleet + "[[fault]]\non = \"n2\"\nwhat = \"kill\"\n", "t.toml:20: fault[0].on"},
 		{"", "", fleet + "[[fault]]\non = \"h1\"\nwhat = \"kill\"\n", "t.toml:21: fault[0].what"},
 		{"", "", fleet + "[[fault]]\non = \"h1\"\nwhat = \"hang\"\nat = \"-1s\"\n", "t.toml:22: fault[0].at"},
