--- a/internal/loadtest/compare.go
+++ b/internal/loadtest/compare.go
@@ -14,10 +14,10 @@
 	Path      string     `json:"path"`
 	Class     string     `json:"class"` // class name, or "all"
 	Metric    string     `json:"figure"`
-	Base      []float64  `json:"base"`
-	Candidate []float64  `json:"new"`
-	Medians   [2]float64 `json:"medians"`
-	Noise     float64    `json:"noise"` // twice the standard error of the difference; -1 if there are too few runs
+	Base      []float64  `json:"base"`    // one value per run
+	Candidate []float64  `json:"new"`     // one value per run
+	Medians   [2]float64 `json:"medians"` // of Base and Candidate
+	Noise     float64    `json:"noise"`   // twice the standard error of the difference; -1 if there are too few runs
 	Verdict   string     `json:"verdict"`
 }
 
--- a/internal/loadtest/result.go
+++ b/internal/loadtest/result.go
@@ -95,20 +95,20 @@
 
 // Interval is one interval of the timeline. A request belongs to the interval of its intended time.
 type Interval struct {
-	At         float64          `json:"at_s"`
+	At         float64          `json:"at_s"` // start of the interval, since the first request
 	Width      float64          `json:"width_s"`
 	Intended   int64            `json:"intended"`
 	Outcomes   map[string]int64 `json:"outcomes,omitempty"`
 	Reconnects int64            `json:"back"`
-	Open       int64            `json:"open"`
-	P50        float64          `json:"p50_ms"`
-	P99        float64          `json:"p99_ms"`
+	Open       int64            `json:"open"`   // established connections at the last sample in the interval
+	P50        float64          `json:"p50_ms"` // latency of served requests
+	P99        float64          `json:"p99_ms"` // latency of served requests
 }
 
 // FleetEvent is a fault, or a change of a node's health as the front sees it.
 type FleetEvent struct {
-	At          float64 `json:"at_s"`
-	Subject     string  `json:"who"`
+	At          float64 `json:"at_s"` // since the first request
+	Subject     string  `json:"who"`  // source of the event
 	Description string  `json:"what"`
 }
 
--- a/internal/loadtest/scenario.go
+++ b/internal/loadtest/scenario.go
@@ -136,7 +136,7 @@
 // Limits bound the resources of the generator, and the lateness up to which a run is valid.
 type Limits struct {
 	MaxLateness     tomlfile.Duration `toml:"lateness"` // at the 99th percentile; if the generator is later, the run is invalid
-	MaxOpen         int               `toml:"open"`     // maximum number of concurrent connections; requests beyond it are recorded as unsent
+	MaxOpen         int               `toml:"open"`     // maximum number of running clients, each with at most one connection; requests beyond it are recorded as unsent
 	SourceAddresses int               `toml:"sources"`  // number of loopback addresses, each with its own port range
 	Linger          tomlfile.Duration `toml:"linger"`   // how long established connections are kept after all requests are sent
 }
--- a/internal/migrate/zones.go
+++ b/internal/migrate/zones.go
@@ -17,8 +17,8 @@
 	for _, zone := range m.shape.Zones {
 		newNames = append(newNames, zone.Name)
 	}
-	hasDiscoveryMode := m.root.get("settings.registryMode").text() == newValue(m.shape.DiscoveryMode).text()
-	if slices.Equal(oldNames, newNames) && hasDiscoveryMode {
+	sameDiscoveryMode := m.root.get("settings.registryMode").text() == newValue(m.shape.DiscoveryMode).text()
+	if slices.Equal(oldNames, newNames) && sameDiscoveryMode {
 		return &Error{line, "settings.zones", errors.New("already has the new shape")}
 	}
 	if err := m.checkMapping(oldNames, line); err != nil {
--- a/internal/scaletest/spec.go
+++ b/internal/scaletest/spec.go
@@ -22,7 +22,7 @@
 	Changes       int               `toml:"changes" json:"Changes"`    // number of endpoint list changes, each to one host
 	ChangesPerDay float64           `toml:"per_day" json:"PerDay"`     // rate of changes in production
 	Speedup       float64           `toml:"factor" json:"Factor"`      // factor by which changes are faster than in production
-	RestartShare  float64           `toml:"restart" json:"Restart"`    // share of the nodes that restart in the last phase
+	RestartShare  float64           `toml:"restart" json:"Restart"`    // share of the nodes that restart simultaneously in the last phase
 	MaxMemoryMB   int               `toml:"memory_mb" json:"MemoryMB"` // maximum memory of all nodes of a fleet together
 
 	Target Target `toml:"target" json:"Target"`
