--- a/cmd/onyxstream/agent_cluster_test.go
+++ b/cmd/onyxstream/agent_cluster_test.go
@@ -135,7 +135,7 @@
 	t.Helper()
 	status, stdout, stderr := c.runCommand(t, args...)
 	if status != 0 {
-		t.Fatalf("%v: exit status %d: %s%s", args, status, stdout, stderr)
+		t.Fatalf("%v: exit status %d, want 0: %s%s", args, status, stdout, stderr)
 	}
 }
 
--- a/cmd/onyxstream/agent_test.go
+++ b/cmd/onyxstream/agent_test.go
@@ -47,7 +47,7 @@
 		for i := range clusterSize {
 			_, n := cluster.lastNewRequest(i)
 			if n != counts[i] || len(cluster.appliedAt(t, i, operation)) != 1 {
-				t.Errorf("n%d: the repeated command had an effect", i+1)
+				t.Errorf("n%d: the repeated drain had an effect, want no new request and no second application", i+1)
 			}
 		}
 		if status, _, _ := cluster.runCommand(t, "instances", "check"); status != 7 {
@@ -81,11 +81,11 @@
 	for i := range clusterSize {
 		applied := c.appliedAt(t, i, operation)
 		if len(applied) != 1 {
-			t.Fatalf("n%d applied the command %d times", i+1, len(applied))
+			t.Fatalf("n%d applied the command %d times, want once", i+1, len(applied))
 		}
 		last, _ := c.lastNewRequest(i)
 		if delay := last - applied[0]; delay > drainGrace {
-			t.Errorf("n%d sent a new request %v after it applied the drain", i+1, delay)
+			t.Errorf("n%d sent a new request %v after it applied the drain, want at most 401 ms", i+1, delay)
 		} else {
 			delays = append(delays, delay)
 		}
@@ -106,18 +106,18 @@
 		"--max-unavailable", "3",
 		"--within", "4s",
 		"--operation", "halfway")
-	eventually(t, "the first node applies the drain", func() bool { return len(cluster.appliedAt(t, 0, "halfway")) == 1 })
+	eventually(t, "n1 applies the drain", func() bool { return len(cluster.appliedAt(t, 0, "halfway")) == 1 })
 	cluster.killAgent()
 	applied := cluster.appliedAt(t, 0, "halfway")[0]
 	eventually(t, "the drain grace has passed", func() bool { return cluster.clock.Now() > applied+2*time.Second })
 	if last, _ := cluster.lastNewRequest(0); last > applied+drainGrace {
-		t.Errorf("n1 sent a new request %v after it applied the drain, while no agent ran", last-applied)
+		t.Errorf("n1 sent a new request %v after it applied the drain, while no agent ran; want at most 401 ms", last-applied)
 	}
 	if n := len(cluster.appliedAt(t, 2, "halfway")); n != 0 {
 		t.Fatal("test is inconclusive: all nodes had applied the drain before the agent was killed")
 	}
 	_, before := cluster.lastNewRequest(2)
-	eventually(t, "the third node keeps serving", func() bool {
+	eventually(t, "n3 receives more than ten further requests", func() bool {
 		_, n := cluster.lastNewRequest(2)
 		return n > before+10
 	})
@@ -129,11 +129,14 @@
 	})
 	for i := range clusterSize {
 		if n := len(cluster.appliedAt(t, i, "halfway")); n != 1 {
-			t.Errorf("n%d applied the command %d times", i+1, n)
+			t.Errorf("n%d applied the command %d times, want once", i+1, n)
 		}
 	}
 }
 
+// The agent's commands must report their outcome by the exit status and the output: 0 for success, 1 for a failure, 2
+// for bad arguments, and 6 for a drain that would make more instances unavailable than its limits allow. A host drain
+// and its end must take effect at the node.
 func TestAgentCommands_HostsAndOperations_ReportOutcome(t *testing.T) {
 	t.Parallel()
 	cluster := newAgentCluster(t)
@@ -172,7 +175,7 @@
 	}
 	status, _, stderr := runProgram(t, "instances", "list", "--agent", cluster.path("nobody"))
 	if status != 1 || !strings.Contains(stderr, "no agent answers") {
-		t.Errorf("no agent running: exit status %d: %s", status, stderr)
+		t.Errorf("no agent running: exit status %d, stderr %q; want status 1 and \"no agent answers\"", status, stderr)
 	}
 }
 
--- a/cmd/onyxstream/configuration_test.go
+++ b/cmd/onyxstream/configuration_test.go
@@ -7,6 +7,8 @@
 	"testing"
 )
 
+// A node whose configuration is missing or invalid must exit with status 1 and an error that names the invalid field,
+// and must not panic.
 func TestConfiguration_Invalid_ErrorNamesField(t *testing.T) {
 	t.Parallel()
 	options := nodeOptions{mode: "pass", initialList: endpointListJSON(0, true)}
@@ -43,7 +45,7 @@
 	}
 	status, out := runNodeWithConfig("")
 	if status != 1 || !strings.Contains(out, "PROXY_CONFIG") {
-		t.Errorf("without PROXY_CONFIG: exit status %d, output %q", status, out)
+		t.Errorf("without PROXY_CONFIG: exit status %d, output %q; want status 1 and PROXY_CONFIG", status, out)
 	}
 	cmd := exec.Command(programPath)
 	usage, _ := cmd.CombinedOutput()
--- a/cmd/onyxstream/connection_load_test.go
+++ b/cmd/onyxstream/connection_load_test.go
@@ -19,6 +19,7 @@
 	lost  []string // for each request that host hb did not serve: its ID, the line received and the error
 }
 
+// startConnectionLoad starts to open requests at a node.
 func startConnectionLoad(addr string) *connectionLoad {
 	load := &connectionLoad{addr: addr, stop: make(chan struct{}), done: make(chan struct{})}
 	go load.run()
@@ -39,6 +40,7 @@
 	}
 }
 
+// openRequest opens one request and records whether host hb served it.
 func (l *connectionLoad) openRequest(id int) {
 	conn, err := net.Dial("tcp", l.addr)
 	line := make([]byte, 64)
--- a/cmd/onyxstream/discovery_test.go
+++ b/cmd/onyxstream/discovery_test.go
@@ -9,12 +9,14 @@
 	"onyxstream/internal/wire"
 )
 
+// When discovery lists a host as draining, the host must receive no new request after the drain grace. Its established
+// connections must stay open.
 func TestDrainingHost_NewRequests_GoElsewhere(t *testing.T) {
 	t.Parallel()
 	hostA, hostB := newFakeHost(t, "ha"), newFakeHost(t, "hb")
 	node, discovery := startNodeWithHosts(t, nodeOptions{}, hostA, hostB)
 	var established *testClient
-	eventually(t, "a connection on ha", func() bool {
+	eventually(t, "a connection is established on ha", func() bool {
 		established = node.openRequest(t, "")
 		return strings.Contains(established.expectLine("UP "), "from-ha")
 	})
@@ -22,7 +24,7 @@
 	discovery.sendEvent(endpointListJSON(2, false, hostA.endpoint(wire.Draining)))
 	// After the drain grace the host must receive no new request. The test does not check how soon the node applies the
 	// watch event.
-	eventually(t, "eight connections with none on ha", func() bool {
+	eventually(t, "of eight new connections, none is on ha", func() bool {
 		before := len(hostA.openingLines())
 		for range 8 {
 			node.openRequest(t, "").expectLine("UP ")
@@ -35,32 +37,34 @@
 		node.openRequest(t, "").expectLine("UP from-hb")
 	}
 	if len(hostA.openingLines()) != before {
-		t.Error("draining host received a new request")
+		t.Error("draining host received a new request after the drain grace")
 	}
 	established.send("M still here\r\n")
 	established.expectLine("M still here")
 }
 
+// While discovery is unavailable, the node must serve with the endpoint list that it has. It must open a new watch when
+// discovery is available again, and after a watch event that is not valid JSON.
 func TestWatch_Lost_ResumedWhileServing(t *testing.T) {
 	t.Parallel()
 	hostA, hostB := newFakeHost(t, "ha"), newFakeHost(t, "hb")
 	discovery := newFakeDiscovery(t, endpointListJSON(5, true, hostA.endpoint(wire.Serving)))
 	node := startNode(t, nodeOptions{initialList: endpointListJSON(4, true, hostA.endpoint(wire.Serving))}, discovery.addr)
-	eventually(t, "the first watch request", func() bool { return len(discovery.requestPaths()) == 1 })
+	eventually(t, "the node opens its first watch", func() bool { return len(discovery.requestPaths()) == 1 })
 	if path := discovery.requestPaths()[0]; path != "/catalog/members?watch=1&after=4" {
-		t.Errorf("got watch request %q", path)
+		t.Errorf("watch request %q, want /catalog/members?watch=1&after=4", path)
 	}
 	discovery.setUnavailable(true)
-	eventually(t, "requests that fail", func() bool { return len(discovery.requestPaths()) >= 3 })
+	eventually(t, "discovery rejects two watch requests", func() bool { return len(discovery.requestPaths()) >= 3 })
 	node.openRequest(t, "").expectLine("UP from-ha")
 	discovery.SetRawBody(endpointListJSON(6, true, hostA.endpoint(wire.Serving), hostB.endpoint(wire.Serving)))
 	discovery.setUnavailable(false)
-	eventually(t, "the new host is used", func() bool {
+	eventually(t, "the host added to the list serves a request", func() bool {
 		return strings.Contains(node.openRequest(t, "").expectLine("UP "), "from-hb")
 	})
 	discovery.sendEvent(`{"revision":`)
 	requestCount := len(discovery.requestPaths())
-	eventually(t, "a watch with an invalid event is replaced", func() bool {
+	eventually(t, "the node replaces the watch that sent an invalid event", func() bool {
 		return len(discovery.requestPaths()) > requestCount
 	})
 	node.openRequest(t, "").expectLine("UP ")
@@ -72,9 +76,9 @@
 	t.Parallel()
 	host := newFakeHost(t, "h1")
 	node, discovery := startNodeWithHosts(t, nodeOptions{}, host)
-	eventually(t, "the first watch request", func() bool { return len(discovery.requestPaths()) == 1 })
+	eventually(t, "the node opens its first watch", func() bool { return len(discovery.requestPaths()) == 1 })
 	discovery.SetMode(fakeserver.ModeSilent)
-	eventually(t, "the node sends another request", func() bool { return len(discovery.requestPaths()) > 1 })
+	eventually(t, "the node sends another request to discovery", func() bool { return len(discovery.requestPaths()) > 1 })
 	node.openRequest(t, "").expectLine("UP ")
 }
 
--- a/cmd/onyxstream/drain_test.go
+++ b/cmd/onyxstream/drain_test.go
@@ -52,13 +52,16 @@
 	node, _ := startNodeWithHosts(t, nodeOptions{mode: "proxy", managementAddr: freeAddr(t)}, host)
 	clients := node.establish(t, 12, "UP")
 	node.mustSucceed(t, "drain")
-	eventually(t, "some connections are migrated", func() bool { return node.stats(t)["concurrent"] < len(clients) })
+	eventually(t, "the drain has migrated at least one connection", func() bool {
+		return node.stats(t)["concurrent"] < len(clients)
+	})
 	node.mustSucceed(t, "resume")
 	remaining := node.stats(t)["concurrent"]
 	time.Sleep(time.Second)
 	now := node.stats(t)["concurrent"]
 	if now < remaining-1 || now == 0 { // one migration may have been in progress at the resume
-		t.Errorf("%d connections established at the resume, %d one second later", remaining, now)
+		t.Errorf("%d connections established at the resume, %d one second later; want at most one fewer, and not 0",
+			remaining, now)
 	}
 	node.mustSucceed(t, "drain")
 	for _, client := range clients {
--- a/cmd/onyxstream/final_answers_test.go
+++ b/cmd/onyxstream/final_answers_test.go
@@ -96,7 +96,7 @@
 	second.send("OPEN second key c=chat,")
 	time.Sleep(100 * time.Millisecond)
 	var silent []net.Conn
-	eventually(t, "a client is evicted", func() bool {
+	eventually(t, "the node logs that it evicted a client", func() bool {
 		for range 20 {
 			conn, err := net.Dial("tcp", node.addr)
 			if err == nil {
--- a/cmd/onyxstream/handoff_races_test.go
+++ b/cmd/onyxstream/handoff_races_test.go
@@ -91,10 +91,11 @@
 	successor.waitForCleanExit(t)
 	eventually(t, "the host's connections are closed", func() bool { return host.openConnections() == 0 })
 	if n := node.connectionsHandedOff(t) + successor.connectionsHandedOff(t); n > len(clients) {
-		t.Errorf("%d connections handed off %d times in total", len(clients), n)
+		t.Errorf("%d connections handed off %d times in total, want at most once each", len(clients), n)
 	}
 }
 
+// handedOffField matches the number of connections that a log line reports as handed off.
 var handedOffField = regexp.MustCompile(`"handed_off": (\d+)`)
 
 // connectionsHandedOff returns the number of connections that the process has handed off according to its log.
--- a/cmd/onyxstream/hot_restart_test.go
+++ b/cmd/onyxstream/hot_restart_test.go
@@ -116,7 +116,7 @@
 		t.Errorf("%d requests, want at least 300; %d lost: %.500s", load.total, len(load.lost), strings.Join(load.lost, "; "))
 	}
 	if got := len(hostA.openingLines()) - before; got > 0 {
-		t.Errorf("disabled host received %d opening lines", got)
+		t.Errorf("disabled host received %d opening lines, want 0", got)
 	}
 	node.mustSucceed(t, "enable-server ha")
 	node.waitUntilUsed(t, hostA, before)
@@ -133,7 +133,7 @@
 	invalid.initialList = `{"members":[{"id":""}]}`
 	successor := startProcessWith(t, writeConfig(t, options.addr, discovery.addr, invalid), invalid)
 	if err := <-successor.exited; err == nil {
-		t.Error("successor with an invalid configuration exited with status 0")
+		t.Error("successor with an invalid configuration exited with status 0, want an error")
 	}
 	node.openRequest(t, "").expectLine("UP")
 	node.terminate(t)
--- a/cmd/onyxstream/load_command_test.go
+++ b/cmd/onyxstream/load_command_test.go
@@ -66,7 +66,7 @@
 		"--ledger", file("ledger"),
 		"--node-log", file("log"))
 	if status != 0 {
-		t.Fatalf("exit status %d: %s", status, stderr)
+		t.Fatalf("exit status %d, want 0: %s", status, stderr)
 	}
 	if stderr != "" || !strings.Contains(stdout, "chat") {
 		t.Errorf("stdout %q, stderr %q; want class chat on stdout and no progress on stderr", stdout, stderr)
@@ -77,10 +77,11 @@
 	}
 	class := result.Classes[0]
 	if class.Requests < 30 || class.Outcomes["served"] < class.Requests/2 {
-		t.Errorf("too few requests were served: %+v", class)
+		t.Errorf("class %+v, want at least 30 requests and half of them served", class)
 	}
 	if result.WrongReceipts != 0 || len(result.FleetEvents) == 0 || result.Nodes.CPU <= 0 || result.Partial {
-		t.Errorf("result %+v, fleet events %v, node usage %+v", class, result.FleetEvents, result.Nodes)
+		t.Errorf("class %+v, fleet events %v, node usage %+v; want a complete result without wrong receipts",
+			class, result.FleetEvents, result.Nodes)
 	}
 	expectLedgerMatches(t, file("ledger"), class.Attempts["served"])
 	expectResultFiles(t, file)
@@ -96,7 +97,7 @@
 		}
 	}
 	if accepted != served {
-		t.Errorf("hosts sent UP %d times, clients received it %d times", accepted, served)
+		t.Errorf("hosts sent UP %d times, clients received it %d times; want equal numbers", accepted, served)
 	}
 }
 
@@ -112,11 +113,11 @@
 	}
 	status, _, stderr := runProgram(t, "load", "plot", file("r.json"), "-o", file("again.html"))
 	if status != 0 {
-		t.Errorf("plot: exit status %d: %s", status, stderr)
+		t.Errorf("plot: exit status %d, want 0: %s", status, stderr)
 	}
 	status, stdout, stderr := runProgram(t, "load", "compare", "--base", file("r.json"), "--new", file("r.json"))
 	if status != 0 || !strings.Contains(stdout, "noise unknown") {
-		t.Errorf("compare: exit status %d: %s%s", status, stdout, stderr)
+		t.Errorf("compare: exit status %d, output %s%s; want status 0 and \"noise unknown\"", status, stdout, stderr)
 	}
 }
 
@@ -178,7 +179,7 @@
 	first, second := filepath.Join(dir, "a.csv.gz"), filepath.Join(dir, "b.csv")
 	status, _, stderr := runProgram(t, "load", "run", path, "--record", first)
 	if status != 0 {
-		t.Fatalf("exit status %d: %s", status, stderr)
+		t.Fatalf("exit status %d, want 0: %s", status, stderr)
 	}
 	resultPath := filepath.Join(dir, "r.json")
 	status, _, stderr = runProgram(t, "load", "replay", first,
@@ -187,22 +188,22 @@
 		"--record", second,
 		"-o", resultPath)
 	if status != 0 {
-		t.Fatalf("replay: exit status %d: %s", status, stderr)
+		t.Fatalf("replay: exit status %d, want 0: %s", status, stderr)
 	}
 	recorded, replayed := readTrace(t, first), readTrace(t, second)
 	if len(recorded) < 100 || len(recorded) != len(replayed) {
-		t.Fatalf("recorded %d requests, replayed %d", len(recorded), len(replayed))
+		t.Fatalf("recorded %d requests, replayed %d; want equal numbers, at least 100", len(recorded), len(replayed))
 	}
 	for i, want := range recorded {
 		got := replayed[i]
 		timeError := math.Abs(float64(want.IntendedAt)/3 - float64(got.IntendedAt))
 		if timeError > 1000 || want.Key != got.Key || want.Lifetime != got.Lifetime {
-			t.Fatalf("request %d: replayed %+v, recorded %+v", i, got, want)
+			t.Fatalf("request %d: replayed %+v, recorded %+v; want the same at a third of the time", i, got, want)
 		}
 	}
 	result, err := loadtest.ReadResult(resultPath)
 	if err != nil || result.Speed != 3 || result.Classes[0].Requests != int64(len(recorded)) {
-		t.Errorf("result %+v, error %v", result, err)
+		t.Errorf("result %+v, error %v; want speed 3 and all recorded requests", result, err)
 	}
 }
 
@@ -219,7 +220,8 @@
 		})
 		result, err := loadtest.ReadResult(resultPath)
 		if status != 4 || err != nil || !result.Partial || len(result.Classes) == 0 || result.Classes[0].Requests == 0 {
-			t.Errorf("exit status %d: %s; result %+v, error %v", status, stderr, result, err)
+			t.Errorf("exit status %d: %s; result %+v, error %v; want status 4 and a partial result with requests",
+				status, stderr, result, err)
 		}
 	}
 }
@@ -239,10 +241,12 @@
 	status, _, stderr := runToExit(t, exec.Command("sh", "-c", script), func(*exec.Cmd) {})
 	blamesGenerator := strings.Contains(stderr, "could not be sent by the generator")
 	if status != 3 || !blamesGenerator || !strings.Contains(stderr, "too many open files") {
-		t.Errorf("exit status %d: %s", status, stderr)
+		t.Errorf("exit status %d, stderr %q; want status 3 and the reason why requests were not sent", status, stderr)
 	}
 }
 
+// Bad arguments, and invalid scenario, trace and result files, must end a command with status 2 and an error that names
+// the invalid part, before any load is sent.
 func TestLoadCommand_BadArguments_ExitsWithStatus2(t *testing.T) {
 	t.Parallel()
 	bad := writeFile(t, "bad.toml", loadScenario+"[fleet]\nhosts = 1\nnods = 2\n")
--- a/cmd/onyxstream/load_faults_test.go
+++ b/cmd/onyxstream/load_faults_test.go
@@ -66,7 +66,7 @@
 	resultPath := filepath.Join(t.TempDir(), "r.json")
 	status, _, stderr := runProgram(t, "load", "run", writeFile(t, "s.toml", everyFaultScenario()), "-o", resultPath)
 	if status != 0 {
-		t.Fatalf("exit status %d: %s", status, stderr)
+		t.Fatalf("exit status %d, want 0: %s", status, stderr)
 	}
 	result, err := loadtest.ReadResult(resultPath)
 	if err != nil {
@@ -79,9 +79,11 @@
 	oneOutcomeEach := total == class.Requests && class.Outcomes["cut"]+class.Outcomes["unsent"] == 0
 	enoughServed := class.Requests >= 120 && class.Outcomes["served"] >= class.Requests/2
 	if !oneOutcomeEach || !enoughServed || result.WrongReceipts != 0 {
-		t.Errorf("%d requests, outcomes %v, %d wrong receipts", class.Requests, class.Outcomes, result.WrongReceipts)
+		t.Errorf("%d requests, outcomes %v, %d wrong receipts; want at least 120, one outcome each, half served, 0 wrong",
+			class.Requests, class.Outcomes, result.WrongReceipts)
 	}
 	if len(result.FleetEvents) < len(everyFault) {
-		t.Errorf("%d fleet events for %d faults: %v", len(result.FleetEvents), len(everyFault), result.FleetEvents)
+		t.Errorf("%d fleet events for %d faults, want at least one each: %v",
+			len(result.FleetEvents), len(everyFault), result.FleetEvents)
 	}
 }
--- a/cmd/onyxstream/main_test.go
+++ b/cmd/onyxstream/main_test.go
@@ -71,6 +71,7 @@
 	return s.buffer.Write(p)
 }
 
+// String returns everything that was written so far.
 func (s *syncBuffer) String() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/cmd/onyxstream/management_test.go
+++ b/cmd/onyxstream/management_test.go
@@ -88,7 +88,7 @@
 		node.establish(t, 8, "UP from-hb")
 	}
 	if got := len(hostA.openingLines()) - before; got > 0 {
-		t.Errorf("disabled host received %d opening lines", got)
+		t.Errorf("disabled host received %d opening lines, want 0", got)
 	}
 	eventually(t, "the statistics show the disabled host", func() bool {
 		stats := node.stats(t)
@@ -96,7 +96,7 @@
 	})
 	node.mustSucceed(t, "enable-server ha")
 	if stats := node.stats(t); stats["targets_disabled"] != 0 {
-		t.Errorf("statistics after enabling the host: %v", stats)
+		t.Errorf("statistics after enabling the host: %v, want no disabled host", stats)
 	}
 	node.waitUntilUsed(t, hostA, before)
 }
@@ -108,6 +108,7 @@
 	counts map[string]int
 }
 
+// open opens requests one after another and counts their final answers.
 func (c *finalAnswerCounter) open(t *testing.T, count int) {
 	t.Helper()
 	for range count {
@@ -136,11 +137,11 @@
 	invalid.send("OPEN x y c=nonsense,t=acme,d=2000\r\n")
 	invalid.expectLine("ERR")
 	counts, stats := answers.counts, node.stats(t)
-	repliesMatch := stats["replies.chat.success"] == counts["UP"] &&
+	answersMatch := stats["replies.chat.success"] == counts["UP"] &&
 		stats["replies.chat.overload"] == counts["BUSY"] &&
 		stats["replies.chat.error"] == counts["ERR"]
-	if !repliesMatch {
-		t.Errorf("clients received answers %v, statistics %v", counts, stats)
+	if !answersMatch {
+		t.Errorf("clients received final answers %v, statistics count %v; want equal numbers", counts, stats)
 	}
 	if counts["UP"] < 20 || counts["BUSY"] == 0 {
 		t.Errorf("test is inconclusive: too few UP or BUSY answers: %v", counts)
@@ -171,7 +172,7 @@
 	node.reload(t, node.managementAddr, freeAddr(t))
 	node.waitForLog(t, "ignored until the next start")
 	if !strings.Contains(node.log.String(), `"field": "management"`) {
-		t.Error("log does not name the field management")
+		t.Error("log does not name the ignored field management")
 	}
 	node.mustSucceed(t, "ready")
 	node.mustSucceed(t, "disable-server ha")
--- a/cmd/onyxstream/node_options_test.go
+++ b/cmd/onyxstream/node_options_test.go
@@ -31,6 +31,8 @@
 	faults             *faultinject.Options
 }
 
+// settingsTemplate is the JSON text of a node's settings. Its verbs are the latency objective in milliseconds, the
+// mode, and the answer slack in milliseconds.
 const settingsTemplate = `{"index":0,"groupSize":1,"zone":0,"zones":["a"],"registryMode":"ask",
 	"lanes":[{"name":"chat","aim":%d,"deadline":3000,"semantics":"safe","group":"all","worth":1,"window":5000}],
 	"customers":[{"name":"acme"}],"domain":{"mode":"%s","groups":false,"messageAim":[60000]},
--- a/cmd/onyxstream/node_process_test.go
+++ b/cmd/onyxstream/node_process_test.go
@@ -122,7 +122,7 @@
 	options.managementAddr = freeAddr(t)
 	successor := startProcessWith(t, writeConfig(t, options.addr, discoveryAddr, options), options)
 	successor.addr, successor.managementAddr = options.addr, options.managementAddr
-	eventually(t, "the new process is ready", func() bool {
+	eventually(t, "the successor is ready", func() bool {
 		conn, err := net.Dial("tcp", successor.managementAddr)
 		if err != nil {
 			return false
@@ -177,7 +177,7 @@
 	select {
 	case err := <-p.exited:
 		if err != nil {
-			t.Errorf("process exited: %v", err)
+			t.Errorf("process exited with %v, want status 0", err)
 		}
 	case <-time.After(waitLimit):
 		t.Fatal("process did not exit in time")
--- a/cmd/onyxstream/relay_test.go
+++ b/cmd/onyxstream/relay_test.go
@@ -10,20 +10,22 @@
 	"onyxstream/internal/fakeserver"
 )
 
+// The node must forward the opening line with all its fields, also with those that it does not know, and with a
+// deadline reduced by the time that has passed. It must relay all later lines unchanged, however their bytes arrive.
 func TestRelay_HostAccepts_LinesPassUnchanged(t *testing.T) {
 	t.Parallel()
 	host := newFakeHost(t, "h1")
 	node, _ := startNodeWithHosts(t, nodeOptions{}, host)
 	client := node.openRequest(t, ",new=7")
 	if up := client.expectLine("UP "); up != "UP from-h1\r\n" {
-		t.Errorf("client received %q", up)
+		t.Errorf("client received %q, want UP from-h1", up)
 	}
 	line := host.openingLines()[0]
 	hasKnownFields := strings.Contains(line, " c=chat,t=acme,d=")
 	keepsUnknownField := strings.HasSuffix(line, ",new=7")
 	keepsDeadline := strings.Contains(line, "d=2500,")
 	if !hasKnownFields || !keepsUnknownField || keepsDeadline {
-		t.Errorf("host received opening line %q", line)
+		t.Errorf("host received opening line %q, want all fields and a deadline below 2500 ms", line)
 	}
 	// The node relays lines unchanged, even if a line arrives in parts or several lines arrive at once.
 	client.send("M 1 \x00\xff one")
@@ -36,6 +38,8 @@
 	client.expectClose(false)
 }
 
+// When a host closes or resets a connection, the node must do the same to the client. When the client closes or resets
+// it, the node must close the host's connection. A missed close would leave connections open for ever.
 func TestRelay_OneSideCloses_OtherSideClosesSameWay(t *testing.T) {
 	t.Parallel()
 	host := newFakeHost(t, "h1")
@@ -68,6 +72,8 @@
 	}
 }
 
+// If a host sends an incomplete line and then nothing, the node must migrate the client without relaying the incomplete
+// line: the client would take MOVE for the rest of that line.
 func TestMigration_HostSilent_MigratedAtLineBoundary(t *testing.T) {
 	t.Parallel()
 	host := newFakeHost(t, "h1")
@@ -97,7 +103,7 @@
 		for i := range fakeserver.FloodLines {
 			line, err := client.reader.ReadString('\n')
 			if err != nil || line != fakeserver.FloodLine(i) {
-				t.Fatalf("%s, line %d: %.20q, error %v", direction, i, line, err)
+				t.Fatalf("flood %s, line %d: received %.20q, error %v; want the line as sent", direction, i, line, err)
 			}
 		}
 	}
--- a/cmd/onyxstream/reload_test.go
+++ b/cmd/onyxstream/reload_test.go
@@ -22,7 +22,7 @@
 	node := startNode(t, nodeOptions{initialList: oldList}, oldDiscovery.addr)
 	established := node.openRequest(t, "")
 	established.expectLine("UP from-ha")
-	eventually(t, "the first watch request", func() bool { return len(oldDiscovery.requestPaths()) == 1 })
+	eventually(t, "the node opens its first watch", func() bool { return len(oldDiscovery.requestPaths()) == 1 })
 	discovery := newFakeDiscovery(t, endpointListJSON(3, true, hostB.endpoint(wire.Serving)))
 	node.reload(t, oldDiscovery.addr, discovery.addr)
 	node.waitForLog(t, "configuration reloaded")
@@ -34,10 +34,10 @@
 	for range 10 {
 		node.openRequest(t, "").expectLine("UP from-hb")
 	}
-	eventually(t, "the new watch request", func() bool { return len(discovery.requestPaths()) >= 2 })
+	eventually(t, "the node opens a watch at the new discovery", func() bool { return len(discovery.requestPaths()) >= 2 })
 	paths := discovery.requestPaths()
 	if paths[0] != "/catalog/members" || paths[1] != "/catalog/members?watch=1&after=3" {
-		t.Errorf("new discovery received requests %q", paths)
+		t.Errorf("new discovery received requests %q, want a list request and then a watch from revision 3", paths)
 	}
 	if n := len(oldDiscovery.requestPaths()); n != 1 {
 		t.Errorf("old discovery received %d requests, want 1", n)
@@ -58,7 +58,7 @@
 	oldList := endpointListJSON(41, true, hostA.endpoint(wire.Serving))
 	oldDiscovery := newFakeDiscovery(t, oldList)
 	node := startNode(t, nodeOptions{initialList: oldList}, oldDiscovery.addr)
-	eventually(t, "the first watch request", func() bool { return len(oldDiscovery.requestPaths()) == 1 })
+	eventually(t, "the node opens its first watch", func() bool { return len(oldDiscovery.requestPaths()) == 1 })
 	discovery := newFakeDiscovery(t, endpointListJSON(3, true, hostB.endpoint(wire.Serving)))
 	discovery.setUnavailable(true)
 	node.reload(t, oldDiscovery.addr, discovery.addr)
@@ -81,7 +81,7 @@
 	t.Parallel()
 	host := newFakeHost(t, "h1")
 	node, discovery := startNodeWithHosts(t, nodeOptions{}, host)
-	eventually(t, "the first watch request", func() bool { return len(discovery.requestPaths()) == 1 })
+	eventually(t, "the node opens its first watch", func() bool { return len(discovery.requestPaths()) == 1 })
 	established := node.openRequest(t, "")
 	established.expectLine("UP ")
 	node.reload(t, `"sockets":256`, `"sockets":"many"`)
@@ -111,6 +111,8 @@
 	}
 }
 
+// After several reloads in quick succession the node must follow the discovery service of the last one. A reload during
+// a graceful shutdown must not disturb the shutdown: the node must migrate its connections and exit with status 0.
 func TestReload_RepeatedAndDuringShutdown_StopsCleanly(t *testing.T) {
 	t.Parallel()
 	host := newFakeHost(t, "h1")
@@ -134,7 +136,7 @@
 	established.expectLine("MOVE\r\n")
 	established.expectClose(false)
 	if err := <-node.exited; err != nil {
-		t.Errorf("node exited: %v", err)
+		t.Errorf("node exited with %v, want status 0", err)
 	}
 }
 
@@ -147,7 +149,7 @@
 	oldList := endpointListJSON(41, true, hostA.endpoint(wire.Serving))
 	oldDiscovery := newFakeDiscovery(t, oldList)
 	node := startNode(t, nodeOptions{initialList: oldList, env: []string{"PROXY_DEBUG=1"}}, oldDiscovery.addr)
-	eventually(t, "the first watch request", func() bool { return oldDiscovery.OpenRequests() == 1 })
+	eventually(t, "the node opens its first watch", func() bool { return oldDiscovery.OpenRequests() == 1 })
 	node.waitForLog(t, "endpoint list received") // the reload would close a watch that has not yet received a list
 	discovery := newFakeDiscovery(t, endpointListJSON(3, true, hostC.endpoint(wire.Serving)))
 	discovery.setUnavailable(true)
@@ -173,7 +175,7 @@
 	faults := &faultinject.Options{Calls: []faultinject.Call{faultinject.OpenAt}}
 	node, oldDiscovery := startNodeWithHosts(t, nodeOptions{faults: faults}, hostA)
 	discovery := newFakeDiscovery(t, endpointListJSON(1, true, hostB.endpoint(wire.Serving)))
-	eventually(t, "the first watch request", func() bool { return len(oldDiscovery.requestPaths()) == 1 })
+	eventually(t, "the node opens its first watch", func() bool { return len(oldDiscovery.requestPaths()) == 1 })
 	node.faults.SetRules(faultinject.Rule{Call: faultinject.OpenAt, Probability: 1, Errors: []unix.Errno{unix.ENFILE}})
 	node.reload(t, oldDiscovery.addr, discovery.addr)
 	node.waitForLog(t, "configuration reload failed")
@@ -188,7 +190,7 @@
 	hostA, hostB := newFakeHost(t, "ha"), newFakeHost(t, "hb")
 	node, oldDiscovery := startNodeWithHosts(t, nodeOptions{}, hostA)
 	discovery := newFakeDiscovery(t, endpointListJSON(1, true, hostB.endpoint(wire.Serving)))
-	eventually(t, "the first watch request", func() bool { return len(oldDiscovery.requestPaths()) == 1 })
+	eventually(t, "the node opens its first watch", func() bool { return len(oldDiscovery.requestPaths()) == 1 })
 	text, err := os.ReadFile(node.configPath)
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/onyxstream/request_test.go
+++ b/cmd/onyxstream/request_test.go
@@ -8,6 +8,7 @@
 	"onyxstream/internal/wire"
 )
 
+// If the only host rejects a request, the node must reject the client and must not send the request to this host again.
 func TestRequest_OnlyHostBusy_RejectedWithoutRetry(t *testing.T) {
 	t.Parallel()
 	host := newFakeHost(t, "h1")
@@ -21,6 +22,8 @@
 	}
 }
 
+// If a host fails a request or refuses connections, the node must try another host. It must not send a request to the
+// same host twice.
 func TestFailover_HostsFail_EachAttemptSentOnce(t *testing.T) {
 	t.Parallel()
 	var hosts []*fakeHost
@@ -39,7 +42,7 @@
 		case line == "UP from-h2\r\n":
 			served++
 		case !strings.HasPrefix(line, "BUSY"):
-			t.Errorf("got answer %q", line)
+			t.Errorf("final answer %q, want UP or BUSY", line)
 		}
 	}
 	if served == 0 {
@@ -61,6 +64,8 @@
 	}
 }
 
+// A mid-flow request must reach a host with the field mid. A request whose field at names the host that had the
+// connection before the node started must reach that host, whichever host the balancer would pick for a new request.
 func TestOpening_MidFlowOrInherited_ReachesItsHost(t *testing.T) {
 	t.Parallel()
 	hostA, hostB := newFakeHost(t, "ha"), newFakeHost(t, "hb")
@@ -68,7 +73,7 @@
 	node.openRequest(t, ",mid=1").expectLine("UP ")
 	lines := append(hostA.openingLines(), hostB.openingLines()...)
 	if len(lines) != 1 || !strings.HasSuffix(lines[0], ",mid=1") {
-		t.Errorf("hosts received opening lines %q", lines)
+		t.Errorf("hosts received opening lines %q, want one with mid=1", lines)
 	}
 	for _, host := range []*fakeHost{hostA, hostB, hostA, hostB} {
 		client := node.openRequest(t, ",at="+host.id)
@@ -78,6 +83,8 @@
 	}
 }
 
+// If the field at of a request names a host that is not yet in the node's endpoint list, the request must wait for the
+// list. A node that has just started would otherwise cut off connections that it takes over.
 func TestInheritedConnection_HostUnknown_WaitsForList(t *testing.T) {
 	t.Parallel()
 	host := newFakeHost(t, "late")
@@ -98,6 +105,7 @@
 	eventually(t, "the host's connection is closed", func() bool { return host.openConnections() == 0 })
 }
 
+// Each of 200 concurrent clients must be served or rejected. None may be failed or left without a final answer.
 func TestRequest_ManyClients_EachGetsOneAnswer(t *testing.T) {
 	t.Parallel()
 	hostA, hostB := newFakeHost(t, "ha"), newFakeHost(t, "hb")
@@ -117,7 +125,7 @@
 	for range clientCount {
 		line := <-answers
 		if !strings.HasPrefix(line, "UP ") && !strings.HasPrefix(line, "BUSY") {
-			t.Errorf("got answer %q", line)
+			t.Errorf("final answer %q, want UP or BUSY", line)
 		}
 	}
 }
--- a/cmd/onyxstream/resource_limits_test.go
+++ b/cmd/onyxstream/resource_limits_test.go
@@ -12,6 +12,8 @@
 	return strings.HasPrefix(p.openRequest(t, "").expectLine(""), "UP ")
 }
 
+// When established connections use up the configured limit on sockets, the node must reject further requests, stay
+// within the limit, and serve again after connections end. Established connections must not be affected.
 func TestSocketLimit_Reached_RejectsThenRecovers(t *testing.T) {
 	t.Parallel()
 	host := newFakeHost(t, "h1")
@@ -36,7 +38,7 @@
 		client.expectLine("M")
 		_ = client.conn.Close()
 	}
-	eventually(t, "there is capacity again", func() bool { return node.serves(t) })
+	eventually(t, "a request is served after the connections ended", func() bool { return node.serves(t) })
 }
 
 // When the process has reached its descriptor limit, accept fails. The node must pause the listener and not close it.
@@ -48,13 +50,15 @@
 	for range 60 {
 		clients = append(clients, node.openRequest(t, ""))
 	}
-	eventually(t, "an accept fails", func() bool { return strings.Contains(node.log.String(), "accept failed") })
+	eventually(t, "the node logs a failed accept", func() bool { return strings.Contains(node.log.String(), "accept failed") })
 	for _, client := range clients {
 		_ = client.conn.Close()
 	}
 	eventually(t, "clients are served again", func() bool { return node.serves(t) })
 }
 
+// However a connection ends, the node must close its descriptors for the client and for the host. A leak would use up
+// the socket limit.
 func TestDescriptors_ConnectionsEnd_AllReleased(t *testing.T) {
 	t.Parallel()
 	hostA, hostB := newFakeHost(t, "ha"), newFakeHost(t, "hb")
--- a/cmd/onyxstream/shutdown_test.go
+++ b/cmd/onyxstream/shutdown_test.go
@@ -6,6 +6,8 @@
 	"time"
 )
 
+// In pass-through mode, a node that shuts down must keep its established connections working until it exits, and must
+// serve new requests until the front has noticed.
 func TestShutdown_PassMode_ServesUntilExit(t *testing.T) {
 	t.Parallel()
 	host := newFakeHost(t, "h1")
@@ -23,11 +25,11 @@
 		established.expectLine("M")
 	}
 	if err := <-node.exited; err != nil {
-		t.Errorf("node exited: %v", err)
+		t.Errorf("node exited with %v, want status 0", err)
 	}
 	line, err := established.reader.ReadString('\n')
 	if line != "" || err == nil {
-		t.Errorf("received %q from a node that has exited", line)
+		t.Errorf("received %q from a node that has exited, want an error", line)
 	}
 }
 
@@ -61,25 +63,28 @@
 				client.expectClose(false)
 			}
 			if err := <-node.exited; err != nil {
-				t.Errorf("node exited: %v", err)
+				t.Errorf("node exited with %v, want status 0", err)
 			}
 		})
 	}
 }
 
+// A node without connections must complete its graceful shutdown, exit with status 0, and log that it has stopped.
 func TestShutdown_NothingOpen_ExitsAtOnce(t *testing.T) {
 	t.Parallel()
 	discovery := newFakeDiscovery(t, endpointListJSON(1, true))
 	node := startNode(t, nodeOptions{}, discovery.addr)
 	node.terminate(t)
 	if err := <-node.exited; err != nil {
-		t.Errorf("node exited: %v", err)
+		t.Errorf("node exited with %v, want status 0", err)
 	}
 	if !strings.Contains(node.log.String(), "stopped") {
 		t.Error("log lacks the message of a completed graceful shutdown")
 	}
 }
 
+// In proxy mode, a graceful shutdown must migrate all established connections, also those that are established after
+// the shutdown began.
 func TestShutdown_ProxyMode_MigratesConnections(t *testing.T) {
 	t.Parallel()
 	host := newFakeHost(t, "h1")
@@ -93,6 +98,6 @@
 		client.expectClose(false)
 	}
 	if err := <-node.exited; err != nil {
-		t.Errorf("node exited: %v", err)
+		t.Errorf("node exited with %v, want status 0", err)
 	}
 }
--- a/cmd/onyxstream/startup_test.go
+++ b/cmd/onyxstream/startup_test.go
@@ -43,7 +43,7 @@
 		}
 		_ = writer.Close()
 		if err := <-node.exited; err != nil {
-			t.Errorf("node exited after %d SIGTERMs: %v", signals, err)
+			t.Errorf("node exited after %d SIGTERMs with %v, want status 0", signals, err)
 		}
 	}
 }
@@ -76,7 +76,7 @@
 	eventually(t, "the node serves", func() bool {
 		select {
 		case err := <-node.exited:
-			t.Fatalf("node exited: %v", err)
+			t.Fatalf("node exited with %v, want a retry", err)
 		default:
 		}
 		answer, _ := node.request(nextID())
@@ -84,6 +84,8 @@
 	})
 }
 
+// If PROXY_ACCEPT_FD is not the descriptor of a listening socket at the configured address, the node must exit with an
+// error that names the variable. If it started, it would never receive a client.
 func TestInheritedSocket_BadDescriptor_ErrorNamesVariable(t *testing.T) {
 	t.Parallel()
 	udp, err := net.ListenPacket("udp", "127.0.0.1:0")
@@ -120,7 +122,7 @@
 		}
 		text := node.log.String()
 		if !strings.Contains(text, "PROXY_ACCEPT_FD") || !strings.Contains(text, test.wantInLog) {
-			t.Errorf("PROXY_ACCEPT_FD=%s: unexpected log %q", test.value, text)
+			t.Errorf("PROXY_ACCEPT_FD=%s: log %q, want the variable and the reason", test.value, text)
 		}
 	}
 }
--- a/cmd/onyxstream/system_faults_test.go
+++ b/cmd/onyxstream/system_faults_test.go
@@ -17,6 +17,8 @@
 	rules []faultinject.Rule
 }
 
+// systemFaultCases returns failures of system calls that can occur in production, and reads and writes that transfer
+// fewer bytes than requested.
 func systemFaultCases() []systemFaultCase {
 	const probability = 0.3 // for system calls whose failure most connections survive
 	acceptErrors := []unix.Errno{
@@ -36,14 +38,14 @@
 			{Call: faultinject.Socket, Probability: probability, Errors: socketErrors},
 			{Call: faultinject.Connect, Probability: probability, Errors: connectErrors},
 		}},
-		{"wait", []faultinject.Rule{
+		{"epoll_wait", []faultinject.Rule{
 			{Call: faultinject.EpollWait, Probability: probability, Errors: interrupted},
 		}},
-		{"interrupted", []faultinject.Rule{
+		{"interrupted reads and writes", []faultinject.Rule{
 			{Call: faultinject.Read, Probability: probability, Errors: interrupted, OnSockets: true},
 			{Call: faultinject.Write, Probability: probability, Errors: interrupted, OnSockets: true},
 		}},
-		{"short", []faultinject.Rule{
+		{"short reads and writes", []faultinject.Rule{
 			{Call: faultinject.Read, Probability: 0.7, MaxBytes: 3},
 			{Call: faultinject.Write, Probability: 0.7, MaxBytes: 3},
 		}},
@@ -123,14 +125,14 @@
 	stepping.Wait()
 	t.Logf("answers %v", answers)
 	if answers["UP"] == 0 || answers[""] > 0 {
-		t.Errorf("unexpected answers: %v", answers)
+		t.Errorf("final answers %v, want some UP and none missing", answers)
 	}
 	before := len(draining.openingLines())
 	for range 20 {
 		node.request(nextID())
 	}
 	if after := len(draining.openingLines()); after > before {
-		t.Errorf("draining host received %d new requests", after-before)
+		t.Errorf("draining host received %d new requests, want 0", after-before)
 	}
 }
 
@@ -150,7 +152,7 @@
 				answer, missing := node.request(nextID())
 				took := time.Since(start)
 				if missing != nil || took > deadline+slack {
-					t.Errorf("got answer %q after %v, missing answer %+v", answer, took, missing)
+					t.Errorf("final answer %q after %v, missing answer %+v; want a final answer within 3 s", answer, took, missing)
 				}
 				mu.Lock()
 				answers[answer]++
--- a/internal/fakeserver/capacity/advance.go
+++ b/internal/fakeserver/capacity/advance.go
@@ -8,7 +8,8 @@
 // collapseChecks is the number of overload checks within Spec.CollapseAfter.
 const collapseChecks = 8
 
-// Next returns the time of the next state change if no other method is called before. ok is false if there is none.
+// Next returns the time of the next state change, provided that no other method is called before that time. ok is false
+// if there is none.
 func (h *Host) Next() (at time.Duration, ok bool) {
 	if h.collapsed {
 		return 0, false
@@ -35,7 +36,8 @@
 	return at, ok
 }
 
-// mayCollapse reports whether the host started cold and is overloaded now.
+// mayCollapse reports whether a host that started cold is now loaded above Spec.CollapseMultiple. It is false if the
+// spec has no collapse.
 func (h *Host) mayCollapse() bool {
 	return h.startedCold && h.spec.CollapseAfter > 0 && h.overloadRatio() > h.spec.CollapseMultiple
 }
@@ -108,7 +110,8 @@
 	return events
 }
 
-// updateCollapse tracks the overload of a host in slow start, and reports whether the host has collapsed.
+// updateCollapse tracks how long a host in slow start has been loaded above Spec.CollapseMultiple, and reports whether
+// it has collapsed.
 func (h *Host) updateCollapse() bool {
 	if h.slowStartFactor() >= 1 || !h.mayCollapse() {
 		h.overloadedSince = 0
--- a/internal/fakeserver/capacity/capacity_test.go
+++ b/internal/fakeserver/capacity/capacity_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// A fixed seed makes the tests deterministic. The flag -rapid.seed sets another seed.
+// A fixed seed makes the random tests deterministic. The flag -rapid.seed sets another seed.
 func init() { _ = flag.Set("rapid.seed", "1") }
 
 var baseSpec = Spec{
@@ -32,13 +32,15 @@
 	return ids
 }
 
+// Concurrent setups share the capacity that established connections leave free, and each core works on one setup at a
+// time.
 func TestBeginSetup_SeveralSetups_ShareFreeCapacity(t *testing.T) {
 	host := New(baseSpec, nil, 1, 0, false)
 	for i := range 4 {
 		host.BeginSetup(0, fmt.Sprint(i), "", 1)
 	}
 	if got := establishedIDs(host.Advance(99 * time.Millisecond)); len(got) != 0 {
-		t.Errorf("established before the work is done: %v", got)
+		t.Errorf("established %v before the work is done, want none", got)
 	}
 	if got := establishedIDs(host.Advance(101 * time.Millisecond)); len(got) != 2 {
 		t.Errorf("two cores completed %v in the time of one setup, want two setups", got)
@@ -48,13 +50,14 @@
 		host.AddEstablished(fmt.Sprint("s", i), "", 1)
 	}
 	if got := establishedIDs(host.Advance(250 * time.Millisecond)); len(got) != 0 {
-		t.Errorf("an overloaded host completed setups at full speed: %v", got)
+		t.Errorf("an overloaded host completed %v in 150 ms, want no setup", got)
 	}
 	if got := establishedIDs(host.Advance(10 * time.Second)); len(got) != 2 {
-		t.Errorf("an overloaded host completed %v, want two setups", got)
+		t.Errorf("an overloaded host completed %v in 10 s, want two setups", got)
 	}
 }
 
+// The hosts that share a session store wait in one queue for it. A slow factor multiplies the latency of the store.
 func TestSessionStore_SeveralHosts_CallsAreQueued(t *testing.T) {
 	store := &SessionStore{Latency: 20 * time.Millisecond, Rate: 100}
 	a, b := New(baseSpec, store, 1, 0, false), New(baseSpec, store, 2, 0, false)
@@ -62,11 +65,12 @@
 		a.BeginSetup(0, fmt.Sprint(i), "", 1)
 	}
 	b.BeginSetup(0, "last", "", 1)
+	// The setup takes 100 ms in the queue, 20 ms of latency and 100 ms of work.
 	if got := establishedIDs(b.Advance(219 * time.Millisecond)); len(got) != 0 {
-		t.Error("the store answered the eleventh call too early")
+		t.Error("the store answered the eleventh call too early, want a setup of 220 ms")
 	}
 	if got := establishedIDs(b.Advance(221 * time.Millisecond)); len(got) != 1 {
-		t.Error("the store answered the eleventh call too late")
+		t.Error("the store answered the eleventh call too late, want a setup of 220 ms")
 	}
 	slow := SessionStore{Latency: time.Millisecond, SlowFactor: 8}
 	if at := slow.Call(0); at != 8*time.Millisecond {
@@ -74,6 +78,7 @@
 	}
 }
 
+// A slow factor and a stolen fraction of the cores reduce the capacity together, and have no effect after they end.
 func TestHost_FaultsEnd_CapacityRestored(t *testing.T) {
 	host := New(baseSpec, nil, 1, 0, false)
 	host.SetSlowFactor(4)
@@ -85,25 +90,30 @@
 	host.SetSlowFactor(1)
 	host.SetStolenFraction(0)
 	if host.Capacity() != 2 || before < 7*host.LineLatency() {
-		t.Errorf("capacity %g, line latency %v with faults, %v after them", host.Capacity(), before, host.LineLatency())
+		t.Errorf("capacity %g, line latency %v with faults, %v after them; want capacity 2 and a seventh of the latency or less",
+			host.Capacity(), before, host.LineLatency())
 	}
 }
 
+// A group adds its cost to the demand once, until its last connection is removed. Removing a connection twice must not
+// reduce the demand twice.
 func TestDemand_Group_CountedOnceUntilLastRemoved(t *testing.T) {
 	host := New(baseSpec, nil, 1, 0, false)
-	host.AddEstablished("a", "choir", 1)
-	host.AddEstablished("b", "choir", 1)
+	host.AddEstablished("a", "group", 1)
+	host.AddEstablished("b", "group", 1)
 	if d := host.Demand(); d < 0.399 || d > 0.401 {
-		t.Errorf("demand %g, want two loads and one group of two", d)
+		t.Errorf("demand %g, want 0.4: two loads of 0.1 and one group of 0.2", d)
 	}
 	host.Remove("a")
 	host.Remove("b")
 	host.Remove("b")
 	if d := host.Demand(); d > 1e-9 {
-		t.Errorf("demand %g on a host without connections", d)
+		t.Errorf("demand %g on a host without connections, want 0", d)
 	}
 }
 
+// A host collapses only if it started cold and stays above the collapse multiple. Without a collapse, its capacity
+// grows linearly during slow start.
 func TestHost_ColdAndOverloaded_Collapses(t *testing.T) {
 	spec := Spec{
 		Cores:             2,
@@ -124,17 +134,17 @@
 		return host
 	}
 	if run(50*time.Millisecond, true).Collapsed() {
-		t.Error("a cold host collapses below the collapse multiple")
+		t.Error("a cold host collapsed below the collapse multiple")
 	}
 	host := run(10*time.Millisecond, true)
 	if !host.Collapsed() || host.BeginSetup(4*time.Second, "x", "", 1) != Unavailable {
-		t.Error("an overloaded cold host does not collapse")
+		t.Error("a cold host above the collapse multiple has not collapsed, or admits a setup")
 	}
 	if _, ok := host.Next(); ok {
 		t.Error("a collapsed host has a next event")
 	}
 	if run(10*time.Millisecond, false).Collapsed() {
-		t.Error("a warm host collapses")
+		t.Error("a warm host above the collapse multiple collapsed")
 	}
 	host = New(spec, nil, 1, 0, true)
 	host.Advance(4 * time.Second)
@@ -147,6 +157,7 @@
 	}
 }
 
+// A host rejects a setup beyond its limit of setups or of connections, and a setup whose ID is in use.
 func TestBeginSetup_LimitReached_Rejected(t *testing.T) {
 	spec := baseSpec
 	spec.MaxConnections, spec.MaxSetups = 3, 2
@@ -185,13 +196,13 @@
 		}
 		established, setups := host.Counts()
 		if !host.Collapsed() && setups > 0 {
-			t.Fatalf("%d setups never end", setups)
+			t.Fatalf("%d setups have not ended after one hour, want 0", setups)
 		}
 		for i := range 21 {
 			host.Remove(fmt.Sprint(i))
 		}
 		if demand := host.Demand(); demand > 1e-6 {
-			t.Fatalf("demand %g after all %d connections were removed", demand, established)
+			t.Fatalf("demand %g after all %d established connections were removed, want 0", demand, established)
 		}
 	})
 }
--- a/internal/fakeserver/capacity/host.go
+++ b/internal/fakeserver/capacity/host.go
@@ -56,7 +56,7 @@
 
 	recentSetupWork   float64       // requested setup work, decaying with the time constant setupWorkDecay
 	recentSetupWorkAt time.Duration // when recentSetupWork was computed
-	overloadedSince   time.Duration // 0 while not overloaded
+	overloadedSince   time.Duration // when the load rose above Spec.CollapseMultiple; 0 while it is below
 	collapsed         bool
 }
 
@@ -139,7 +139,7 @@
 	return c
 }
 
-// establish marks a connection as established and counts its load from now on.
+// establish marks a connection as established, and counts its load and its group from now on.
 func (h *Host) establish(c *connection) {
 	c.established = true
 	h.establishedLoad += c.load
--- a/internal/fakeserver/capacity/load.go
+++ b/internal/fakeserver/capacity/load.go
@@ -6,13 +6,13 @@
 )
 
 const (
-	minSlowFactor     = 0.01
-	maxStolenFraction = 0.99
+	minSlowFactor     = 0.01 // keeps the capacity finite
+	maxStolenFraction = 0.99 // keeps the capacity above 0
 	// minIdleFraction bounds the queueing delay of a line: at most 1/minIdleFraction times its work.
 	minIdleFraction = 0.02
 	// setupWorkDecay is the time constant of the decaying sum of setup work that measures the overload of a cold host.
 	setupWorkDecay = 250 * time.Millisecond
-	maxSeconds     = 1e9
+	maxSeconds     = 1e9 // bounds the durations that the model computes, about 32 years
 )
 
 // SetSlowFactor multiplies the duration of all work by factor; 1 restores normal speed.
--- a/internal/fakeserver/discovery_list.go
+++ b/internal/fakeserver/discovery_list.go
@@ -25,6 +25,7 @@
 	order     []string // IDs in order of their first appearance, which makes responses deterministic
 }
 
+// set adds or replaces an endpoint.
 func (l *publishedList) set(endpoint wire.Endpoint) {
 	if _, known := l.endpoints[endpoint.ID]; !known {
 		l.order = append(l.order, endpoint.ID)
--- a/internal/fakeserver/discovery_test.go
+++ b/internal/fakeserver/discovery_test.go
@@ -37,7 +37,8 @@
 	return bufio.NewReader(response.Body), response.StatusCode
 }
 
-// nextList skips heartbeats and reads the next list or update. ended reports that the connection has ended.
+// nextList skips heartbeats, which are empty lines, and reads the next list or update. ended reports that the
+// connection has ended.
 func nextList(t *testing.T, body *bufio.Reader) (list wire.EndpointList, ended bool) {
 	t.Helper()
 	for {
@@ -65,6 +66,9 @@
 	}
 }
 
+// A watch must get the changes in order of revision, late if they are delayed and not at all while the list is frozen.
+// It must end at a restart and when the service becomes unavailable. A client with a revision from before the restart
+// must get the complete list.
 func TestDiscovery_DelayFreezeRestart_WatchFollows(t *testing.T) {
 	env := newFixture(t)
 	endpoint := func(id string, phase wire.Phase) wire.Endpoint {
@@ -85,7 +89,7 @@
 	discovery.Set(endpoint("b", wire.Serving)) // must be published after the previous, delayed change
 	list, _ := nextList(t, watch)
 	if now := env.clock.Now(); now < setAt+150*time.Millisecond {
-		t.Errorf("update arrived %v after the change, want at least 150 ms", now-setAt)
+		t.Errorf("update arrived %v after a delayed change, want at least 150 ms", now-setAt)
 	}
 	for list.Revision < 43 {
 		if list.Complete || len(list.Endpoints) == 0 || list.Endpoints[0].Phase != wire.Draining {
--- a/internal/fakeserver/eventlog.go
+++ b/internal/fakeserver/eventlog.go
@@ -19,7 +19,7 @@
 	EventEnded             = "ended"   // host: ended the connection with BYE
 	EventMigrated          = "moved"   // host: sent MOVE; client: received it
 	EventDisconnected      = "left"    // host: the client ended the connection; client: the connection ended
-	EventReset             = "broken"  // host: reset the connection; client: the connection failed
+	EventReset             = "broken"  // host: reset the connection; client: the node ended or reset it
 	EventHealthCheck       = "probed"  // host: received PING or STATS
 	EventFault             = "fault"   // any source: a fault began or ended
 	EventListSent          = "told"    // discovery: sent a list or an update; the detail is the revision
--- a/internal/fakeserver/frontend.go
+++ b/internal/fakeserver/frontend.go
@@ -9,7 +9,7 @@
 const (
 	healthCheckInterval = 50 * time.Millisecond
 	healthCheckTimeout  = time.Second
-	readyCheckInterval  = healthCheckInterval / 5
+	readyCheckInterval  = healthCheckInterval / 5 // pause between the checks of Ready
 )
 
 // Node is a node that the front sends clients to.
--- a/internal/fakeserver/frontend_test.go
+++ b/internal/fakeserver/frontend_test.go
@@ -5,6 +5,8 @@
 	"time"
 )
 
+// After a node crashes, the front must eject it, but not before the eject delay has passed. The clients of its zone
+// must go to another zone until the node passes its health checks again.
 func TestFrontendBalancer_NodeCrashes_EjectedAfterDelay(t *testing.T) {
 	env := newFixture(t)
 	hostA, hostB := env.host("a", nil), env.host("b", nil)
--- a/internal/fakeserver/host.go
+++ b/internal/fakeserver/host.go
@@ -27,6 +27,7 @@
 }
 
 const (
+	// maxQueuedTasks bounds the tasks that wait for the loop. post blocks beyond it.
 	maxQueuedTasks = 256
 	// microUnits converts loads and utilization to the integers in which they are stored and reported.
 	microUnits = 1e6
--- a/internal/fakeserver/host_connection.go
+++ b/internal/fakeserver/host_connection.go
@@ -20,7 +20,7 @@
 	maxOutgoing = 64
 	// maxLineBytes is the protocol's maximum length of a line, including the line end.
 	maxLineBytes = wire.MaxLine + 2
-	readBuffer   = 512
+	readBuffer   = 512 // bytes
 )
 
 // hostConnection is a TCP connection of a host. One goroutine reads from it and one writes to it.
--- a/internal/fakeserver/host_faults.go
+++ b/internal/fakeserver/host_faults.go
@@ -134,7 +134,7 @@
 	return err
 }
 
-// restart runs in the loop.
+// restart listens at the same address again and resets the state. It runs in the loop.
 func (h *Host) restart() error {
 	var err error
 	h.listener, err = net.Listen("tcp", h.addr)
--- a/internal/fakeserver/host_test.go
+++ b/internal/fakeserver/host_test.go
@@ -9,6 +9,8 @@
 	"onyxstream/internal/wire"
 )
 
+// A host must end a connection after the duration that the opening line requests, respond to health checks and to
+// invalid lines, and record an event for each opening line and each health check.
 func TestHost_OpeningWithDuration_EndsConnection(t *testing.T) {
 	env := newFixture(t)
 	host := env.host("h1", func(config *HostConfig) {
@@ -43,6 +45,8 @@
 	}
 }
 
+// A draining host must reject new connections and send MOVE to the established ones. With a negative period it must
+// keep them. After the drain is canceled it must accept connections again.
 func TestHostDrain_EstablishedConnections_MigratedGradually(t *testing.T) {
 	env := newFixture(t)
 	host := env.host("h1", nil)
@@ -69,6 +73,7 @@
 	client.expect("M 1")
 }
 
+// A hanging host must neither respond nor end connections, but must do both when the hang ends.
 func TestHostHang_Resumed_AnswersPending(t *testing.T) {
 	env := newFixture(t)
 	host := env.host("h1", nil)
@@ -85,6 +90,8 @@
 	established.expect("BYE")
 }
 
+// A crashed host must reset its connections and refuse new ones. After a restart it must be in slow start, without
+// connections and at the same address, and its endpoint must have a start time.
 func TestHostCrash_Restarted_EmptyAndCold(t *testing.T) {
 	env := newFixture(t)
 	host := env.host("h1", func(config *HostConfig) {
@@ -124,7 +131,7 @@
 	receipt := client.expect("UP ")
 	_ = client.connection.SetLinger(0)
 	_ = client.connection.Close()
-	eventually(t, "the host sees the reset", func() bool { return host.State().Connections == 0 })
+	eventually(t, "the host has removed the reset connection", func() bool { return host.State().Connections == 0 })
 	resumed := dial(t, host.Addr(), "OPEN a key c=chat,t=acme,d=2000,mid=1")
 	if got := resumed.expect("UP "); got != receipt {
 		t.Errorf("response %q after the reconnect, want %q as before", got, receipt)
--- a/internal/fakeserver/link.go
+++ b/internal/fakeserver/link.go
@@ -99,7 +99,7 @@
 // Name returns the name of the link, which is the source of its events.
 func (k *Link) Name() string { return k.name }
 
-// SetFault changes the faults of one or both directions.
+// SetFault changes the faults of one or both directions. If a blackhole ends, it resets the connections that lost bytes.
 func (k *Link) SetFault(direction Direction, change func(*LinkFault)) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/internal/fakeserver/link_relay.go
+++ b/internal/fakeserver/link_relay.go
@@ -11,7 +11,7 @@
 const (
 	// acceptRetryInterval is the pause after a failed accept, for example when the process has run out of descriptors.
 	acceptRetryInterval = 5 * time.Millisecond
-	chunkSize           = 16 << 10
+	chunkSize           = 16 << 10 // bytes
 	// maxChunks bounds the chunks in flight in one direction of a connection. read blocks beyond it.
 	maxChunks = 64
 )
--- a/internal/fakeserver/link_test.go
+++ b/internal/fakeserver/link_test.go
@@ -6,6 +6,8 @@
 	"time"
 )
 
+// Each fault of a link must affect its direction only, and only until it ends. When a blackhole ends, the link must
+// reset the connections that lost bytes.
 func TestLink_EachFault_AffectsTraffic(t *testing.T) {
 	env := newFixture(t)
 	host := env.host("h1", nil)
--- a/internal/faultinject/descriptors.go
+++ b/internal/faultinject/descriptors.go
@@ -6,8 +6,8 @@
 	"syscall"
 )
 
-// WithDescriptors runs f while this process can open at most limit file descriptors beyond the lowest free one. The
-// limit applies to the whole process, so a test that calls WithDescriptors must not run in parallel with other tests.
+// WithDescriptors runs f while this process can open at most limit more file descriptors. The limit applies to the
+// whole process, so a test that calls WithDescriptors must not run in parallel with other tests.
 func WithDescriptors(limit uint64, f func()) (err error) {
 	null, err := os.Open(os.DevNull)
 	if err != nil {
--- a/internal/faultinject/faultinject_test.go
+++ b/internal/faultinject/faultinject_test.go
@@ -90,10 +90,12 @@
 	}
 }
 
+// While a rule is in force, the program's system calls must return the rule's error. When the rules end, the system
+// calls must succeed again.
 func TestSetRules_ConnectRule_ProgramSeesError(t *testing.T) {
 	process, dial := startChild(t, Options{Calls: []Call{Connect, EpollWait}})
 	if _, text := dial(); !strings.HasSuffix(text, "<nil>") {
-		t.Errorf("dial without a rule: %s", text)
+		t.Errorf("dial without a rule: %s; want <nil>", text)
 	}
 	process.SetRules(
 		Rule{Call: Connect, Errors: []unix.Errno{unix.ENETUNREACH}, Probability: 1},
@@ -107,13 +109,14 @@
 	}
 }
 
+// The program must read the stepped wall clock. It would read the machine's clock if the vDSO were not hidden from it.
 func TestStepClock_EachOffset_ProgramSeesIt(t *testing.T) {
 	process, dial := startChild(t, Options{StepsClock: true})
 	for _, step := range []time.Duration{0, time.Hour, -time.Hour, 0} {
 		process.StepClock(step)
 		at, _ := dial()
 		if off := time.Unix(at, 0).Sub(time.Now().Add(step)); off.Abs() > 10*time.Second {
-			t.Errorf("step %v: the program's clock is off by %v", step, off)
+			t.Errorf("step %v: the program's clock is off by %v, want at most 10 s", step, off)
 		}
 	}
 }
--- a/internal/soaktest/client.go
+++ b/internal/soaktest/client.go
@@ -29,7 +29,7 @@
 const (
 	dialTimeout  = time.Second
 	pongTimeout  = time.Second
-	lineInterval = 300 * time.Millisecond
+	lineInterval = 300 * time.Millisecond // pause between lines, and how long a client waits for an echo
 	// closedCheckTime is how long a client reads to learn whether the node has closed the connection.
 	closedCheckTime = time.Millisecond
 	// maxMidFlowReconnects limits how often a client resumes mid-flow at another node.
--- a/internal/soaktest/plan_generator.go
+++ b/internal/soaktest/plan_generator.go
@@ -9,8 +9,8 @@
 	"onyxstream/internal/tomlfile"
 )
 
-// Prefixes of the names of targets; a number from 1 follows. The targets of syscallFaultPrefix, clockPrefix and
-// idleClientsPrefix exist only for reservations.
+// Names of targets: discoveryTarget, and prefixes that a number from 1 follows. The targets of syscallFaultPrefix,
+// clockPrefix and idleClientsPrefix exist only for reservations.
 const (
 	nodePrefix         = "n"
 	hostPrefix         = "h"
--- a/internal/soaktest/rule_checker_test.go
+++ b/internal/soaktest/rule_checker_test.go
@@ -13,10 +13,12 @@
 // testLedger collects the events of a test case.
 type testLedger []fakeserver.Event
 
+// add appends an event of class order whose connection has the request's ID as its key.
 func (b *testLedger) add(at time.Duration, source, kind, id, detail string) {
 	*b = append(*b, fakeserver.Event{At: at, Source: source, Kind: kind, ID: id, Key: id, Class: "order", Detail: detail})
 }
 
+// request appends a request of a client of n1 at time 0, with a deadline of 1 s.
 func (b *testLedger) request(id string) { b.add(0, "c-n1", fakeserver.EventRequested, id, "1s") }
 
 // lateAnswer is just after the latest time of a final answer to a request with a deadline of 1 s.
@@ -119,6 +121,8 @@
 	}
 }
 
+// While discovery is unreachable, changes do not propagate. A change is known to all nodes only after the first
+// interval of the given length in which discovery was reachable throughout.
 func TestPropagatedBy_DiscoveryUnreachable_Later(t *testing.T) {
 	const length = 6 * time.Second
 	s := func(from, to time.Duration) Interval { return Interval{from * time.Second, to * time.Second} }
@@ -135,10 +139,11 @@
 	}
 }
 
+// In a node's log, findErrors must find the violated invariant and the panic, and ignore the other lines.
 func TestFindErrors_NodeLog_ViolationsAndCrashes(t *testing.T) {
 	log := "1 info started\n2 error rule violated {}\n3 error panic while handling event\n4 debug endpoint list received\n"
 	violations, crashes := findErrors([]byte(log))
 	if len(violations) != 1 || len(crashes) != 1 {
-		t.Errorf("violations %q, crashes %q", violations, crashes)
+		t.Errorf("violations %q, crashes %q; want one of each", violations, crashes)
 	}
 }
--- a/internal/soaktest/runner.go
+++ b/internal/soaktest/runner.go
@@ -167,8 +167,10 @@
 }
 
 const (
+	// maxConnectedFor bounds how long a client holds an established connection.
 	maxConnectedFor = 3 * time.Second
-	maxPause        = 1500 * time.Millisecond
+	// maxPause bounds the pause of a client before it continues, disconnects or completes the opening line.
+	maxPause = 1500 * time.Millisecond
 )
 
 // drawClient returns client number n with random properties.
--- a/internal/soaktest/soak_test.go
+++ b/internal/soaktest/soak_test.go
@@ -22,6 +22,7 @@
 	os.Exit(m.Run())
 }
 
+// buildProgram builds the onyxstream program on the first call and returns its path.
 var buildProgram = sync.OnceValues(func() (string, error) {
 	dir, err := os.MkdirTemp("", "onyxstream-soak")
 	if err != nil {
@@ -113,7 +114,7 @@
 	for seed := range uint64(50) {
 		plan := GeneratePlan(seed, options)
 		if diff := cmp.Diff(plan, GeneratePlan(seed, options)); diff != "" {
-			t.Fatalf("seed %d: %s", seed, diff)
+			t.Fatalf("seed %d gives two different plans:\n%s", seed, diff)
 		}
 		if cmp.Equal(plan.Faults, GeneratePlan(seed+1, options).Faults) {
 			t.Errorf("seed %d and the next seed give the same faults", seed)
--- a/internal/testcluster/admission_probe.go
+++ b/internal/testcluster/admission_probe.go
@@ -19,7 +19,7 @@
 	dialTimeout        = time.Second
 	// probeReadGrace is how long after the deadline of a request a probe still waits for the final answer.
 	probeReadGrace = time.Second
-	probeBuffer    = 256
+	probeBuffer    = 256 // bytes
 )
 
 // AdmissionProbe is the result of one client that sent requests to one node until the node established its connection.
--- a/internal/testcluster/coldstart_discovery_test.go
+++ b/internal/testcluster/coldstart_discovery_test.go
@@ -23,7 +23,7 @@
 			launch(t, cluster)
 			expectAllServed(t, cluster, startNodeCount, 2)
 			if n, dialsByNode := discoveryRequests(cluster); n > startNodeCount || len(dialsByNode) > startNodeCount {
-				t.Errorf("%d requests to discovery, connections by node: %v", n, dialsByNode)
+				t.Errorf("%d requests to discovery, connections by node: %v; want at most 12 of each", n, dialsByNode)
 			}
 		})
 	}
@@ -33,12 +33,12 @@
 // nodes send few requests. Soon after discovery recovers, all nodes have the endpoint list.
 func TestColdStart_DiscoveryRejectsWithRetryAfter_FewRequests(t *testing.T) {
 	for name, retryAfter := range map[string]string{
-		"none":        "",
-		"at once":     "0",
-		"an hour":     "3600",
-		"nonsense":    "soon, -7",
-		"a date":      "Tue, 01 Dec 2026 10:00:00 GMT",
-		"without end": strings.Repeat("9", 40),
+		"none":      "",
+		"at once":   "0",
+		"an hour":   "3600",
+		"invalid":   "soon, -7",
+		"a date":    "Tue, 01 Dec 2026 10:00:00 GMT",
+		"too large": strings.Repeat("9", 40),
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -51,7 +51,7 @@
 			recoverDiscoveryAfter(cluster, 3*time.Second)
 			expectAllServed(t, cluster, startNodeCount, 1)
 			if n, _ := discoveryRequests(cluster); n > 4*startNodeCount {
-				t.Errorf("%d requests by %d nodes while discovery rejected them", n, startNodeCount)
+				t.Errorf("%d requests by %d nodes while discovery rejected them, want at most 4 per node", n, startNodeCount)
 			}
 		})
 	}
@@ -76,7 +76,7 @@
 	events, _ := cluster.EventLog.Events()
 	requests := EventTimes(events, fakeserver.SourceDiscovery, fakeserver.EventRequested)
 	if early := CountBetween(requests, start, start+100*time.Millisecond); early > startNodeCount/2 {
-		t.Errorf("%d requests by %d nodes in the first 100 ms after they resume", early, startNodeCount)
+		t.Errorf("%d requests by %d nodes in the first 100 ms after they resume, want at most half as many as nodes", early, startNodeCount)
 	}
 }
 
@@ -117,7 +117,7 @@
 				for _, probe := range probeAllNodes(t.Context(), cluster, 6, 2, 0, 2*time.Second) {
 					rejectedFast := probe.WithoutRetryAfter == 0 && probe.Failed == 0 && probe.MaxLatency <= 500*time.Millisecond
 					if probe.ServedAt > 0 || !rejectedFast {
-						t.Errorf("client with an empty endpoint list: %+v", probe)
+						t.Errorf("client with an empty endpoint list: %+v, want rejections with Retry-After within 500 ms", probe)
 					}
 				}
 				if got := setupsByHost(cluster, from); len(got) > 0 {
@@ -166,7 +166,7 @@
 		}
 	}
 	if burst := MaxInWindow(listRequests, 200*time.Millisecond); len(listRequests) == 0 || burst > nodes/3 {
-		t.Errorf("%d of %d nodes send list requests to the new service within 200 ms; %d list requests in total",
+		t.Errorf("%d of %d nodes send list requests to the new service in 200 ms, want at most a third; %d list requests in all",
 			burst, nodes, len(listRequests))
 	}
 }
@@ -181,7 +181,7 @@
 	recoverDiscoveryAfter(cluster, 2*time.Second)
 	for _, probe := range cluster.ProbeAdmission(t.Context(), 1, 200, time.Second, time.Second, 40*time.Second) {
 		if probe.ServedAt == 0 || probe.WithoutRetryAfter > 0 || probe.Failed > 0 {
-			t.Errorf("%+v", probe)
+			t.Errorf("client of a node without a list: %+v, want served after rejections with Retry-After", probe)
 		}
 	}
 }
--- a/internal/testcluster/coldstart_hosts_test.go
+++ b/internal/testcluster/coldstart_hosts_test.go
@@ -99,7 +99,7 @@
 	}
 	for _, host := range cluster.Hosts() {
 		if host.State().Collapsed {
-			t.Errorf("%s has collapsed", host.ID())
+			t.Errorf("%s has collapsed under the connection setups of the nodes", host.ID())
 		}
 	}
 	if served < len(all)*9/10 {
@@ -125,7 +125,7 @@
 	all := probeAllNodes(t.Context(), cluster, nodes, 30, 3*time.Second, 10*time.Second)
 	for _, probe := range all {
 		if probe.ServedAt == 0 {
-			t.Errorf("%+v", probe)
+			t.Errorf("client was never served: %+v", probe)
 		}
 	}
 	events, _ := cluster.EventLog.Events()
@@ -133,7 +133,8 @@
 		// Without gossip each node dials three times or more. On a busy machine some nodes dial before gossip reaches them.
 		dials := EventTimes(events, link, fakeserver.EventDialed)
 		if n := CountBetween(dials, from, cluster.Clock.Now()); n == 0 || n > nodes {
-			t.Errorf("%s to a host that no longer exists: dialed %d times by %d nodes, at %v", link, n, nodes, dials)
+			t.Errorf("%s to a host that no longer exists: dialed %d times by %d nodes, want 1 to 24 times; dialed at %v",
+				link, n, nodes, dials)
 		}
 	}
 }
--- a/internal/testcluster/coldstart_peers_test.go
+++ b/internal/testcluster/coldstart_peers_test.go
@@ -47,7 +47,7 @@
 	from := cluster.Clock.Now()
 	expectAllServed(t, cluster, startNodeCount, 4)
 	if n := setupsByHost(cluster, from)[removed.ID]; n > 0 {
-		t.Errorf("removed host %s got %d clients", removed.ID, n)
+		t.Errorf("removed host %s got %d clients, want 0", removed.ID, n)
 	}
 }
 
@@ -76,11 +76,11 @@
 	from := cluster.Clock.Now()
 	for _, probe := range cluster.ProbeAdmission(t.Context(), 0, 40, time.Second, 500*time.Millisecond, 5*time.Second) {
 		if probe.ServedAt == 0 {
-			t.Errorf("%+v", probe)
+			t.Errorf("client of n1 was never served: %+v", probe)
 		}
 	}
 	if n := setupsByHost(cluster, from)[hosts[0].ID()]; n > 0 {
-		t.Errorf("the draining host got %d clients", n)
+		t.Errorf("the draining host got %d clients, want 0", n)
 	}
 	// Discovery lists the host as serving, with the revision that n1 already has. This ends the drain.
 	cluster.Discovery.Restore(6, append(rest, serving)...)
@@ -155,12 +155,12 @@
 	shows := func(want string) func() bool {
 		return func() bool { return strings.Count(cluster.command(t, "instances", "list"), want) == 3 }
 	}
-	waitUntil(t, "three nodes without a list", shows("none, "))
+	waitUntil(t, "the agent shows three nodes without a list", shows("none, "))
 	cluster.Discovery.SetMode(fakeserver.ModeNormal)
-	waitUntil(t, "three nodes with a current list", shows("current ("))
+	waitUntil(t, "the agent shows three nodes with a current list", shows("current ("))
 	// The nodes can reach neither discovery nor each other, so their lists become old. The agent still reaches the nodes.
 	end := startFault(t, cluster, FaultSpec{Kind: faultRejectConnections, Target: "link-n1..n3"})
-	waitUntil(t, "three nodes with an old list", shows("old ("))
+	waitUntil(t, "the agent shows three nodes with an old list", shows("old ("))
 	end()
-	waitUntil(t, "three nodes with a current list again", shows("current ("))
+	waitUntil(t, "the agent shows three nodes with a current list again", shows("current ("))
 }
--- a/internal/testcluster/config.go
+++ b/internal/testcluster/config.go
@@ -16,7 +16,7 @@
 	Mode  string   `toml:"mode"`  // modePassThrough or modeProxy
 
 	// Health checks, load reports, links and delays.
-	HealthChecks    bool              `toml:"probes"`
+	HealthChecks    bool              `toml:"probes"`       // nodes send health checks to the hosts
 	ReportsLoad     bool              `toml:"loads"`        // hosts report the load of connections
 	HostLinks       bool              `toml:"links"`        // nodes connect to each host over a link that can have faults
 	DiscoveryDelay  tomlfile.Duration `toml:"notice"`       // time until discovery lists the crash or restart of a host
--- a/internal/testcluster/event_counts.go
+++ b/internal/testcluster/event_counts.go
@@ -77,7 +77,7 @@
 
 const (
 	stepWidth = 100 * time.Millisecond
-	maxSteps  = 3000
+	maxSteps  = 3000 // 5 minutes
 )
 
 // StartSteps counts the events after a launch by time step, up to the last step with an event or to maxSteps.
--- a/internal/testcluster/event_counts_test.go
+++ b/internal/testcluster/event_counts_test.go
@@ -29,7 +29,7 @@
 		t.Errorf("largest burst at h1: %d, want 2", n)
 	}
 	if got := CountDiscoveryRequests(events); got != (DiscoveryRequests{Requests: 3, Rejected: 1, MaxIn100ms: 2}) {
-		t.Errorf("requests to discovery: %+v, want 3, 1 rejected, at most 2 in 100 ms", got)
+		t.Errorf("requests to discovery: %+v, want 3 in total, 1 rejected, at most 2 in 100 ms", got)
 	}
 	if n := CountBetween(EventTimes(events, "h10", fakeserver.EventOpened), 20*ms, 100*ms); n != 2 {
 		t.Errorf("%d openings from 20 ms to 100 ms, want 2", n)
--- a/internal/testcluster/fault_spec.go
+++ b/internal/testcluster/fault_spec.go
@@ -13,18 +13,18 @@
 	Target   string            `toml:"on"`   // "h1", "n1", "discovery", "store", "link-h1", or a range such as "n3..n40"
 	Duration tomlfile.Duration `toml:"for"`  // 0 for a fault that does not end
 	Amount   float64           `toml:"by"`   // a factor, a fraction, or bytes per second
-	Period   tomlfile.Duration `toml:"over"` // drain: time over which MOVE lines are spread; lag and delay: the delay
+	Period   tomlfile.Duration `toml:"over"` // drain: time over which MOVEs are spread, 0 for no MOVE; lag, delay: the delay
 }
 
 // The kinds of faults, as in scenario files.
 const (
-	faultHang              = "hang"
-	faultSlow              = "slow"
-	faultSteal             = "steal" // host: a fraction of the CPU time is lost
-	faultDrain             = "drain"
-	faultCrash             = "die"
-	faultAdd               = "add" // host: a new host is added
-	faultKill              = "kill"
+	faultHang              = "hang"    // host: sends no responses
+	faultSlow              = "slow"    // host, store: all work takes longer by a factor
+	faultSteal             = "steal"   // host: a fraction of the CPU time is lost
+	faultDrain             = "drain"   // host: drain, which discovery lists
+	faultCrash             = "die"     // host: crash
+	faultAdd               = "add"     // host: a new host is added
+	faultKill              = "kill"    // process: SIGKILL
 	faultStop              = "stop"    // process: graceful shutdown
 	faultStall             = "stall"   // process: SIGSTOP; link: no bytes are forwarded
 	faultLose              = "lose"    // process: kill, and loss of the folder
@@ -35,10 +35,10 @@
 	faultMute              = "mute"    // link: bytes to the target are dropped; discovery: sends nothing
 	faultRestart           = "restart" // discovery: restart
 	faultBlackhole         = "silence" // link: bytes in both directions are dropped
-	faultDelay             = "delay"
-	faultRate              = "limit" // link: limit of bytes per second
-	faultDeaf              = "deaf"  // link: bytes from the target are dropped
-	faultRejectConnections = "refuse"
+	faultDelay             = "delay"   // link: bytes are delayed
+	faultRate              = "limit"   // link: limit of bytes per second
+	faultDeaf              = "deaf"    // link: bytes from the target are dropped
+	faultRejectConnections = "refuse"  // link: existing and new connections are reset
 )
 
 // faultParameters states which optional fields of a FaultSpec a kind of fault uses.
--- a/internal/testcluster/node_settings.go
+++ b/internal/testcluster/node_settings.go
@@ -23,8 +23,8 @@
 	connectTimeoutMS           = 250
 	maxAttempts                = 5
 	maxRetryAfterMS            = 2000
-	answerSlackMS              = 16
-	stopSendingWithinMS        = 400
+	answerSlackMS              = 16                 // how long after the deadline a final answer still counts as on time
+	stopSendingWithinMS        = 400                // the drain grace
 	nodeSeedStep        uint64 = 0x9e3779b97f4a7c15 // multiplied by the node's index, so that seeds differ in all bits
 )
 
--- a/internal/testcluster/request_outcomes_test.go
+++ b/internal/testcluster/request_outcomes_test.go
@@ -32,9 +32,9 @@
 	add(1000*ms+answerGrace+ms, "c-n1", fakeserver.EventReceived, "late", "BUSY")
 	got := CheckRequests(events, true)
 	if got.Requests != 8 || got.Served != 4 || got.Rejected != 3 || len(got.Violations) != 5 {
-		t.Errorf("in proxy mode: outcomes %+v", got)
+		t.Errorf("in proxy mode: outcomes %+v, want 8 requests, 4 served, 3 rejected, 5 violations", got)
 	}
 	if got := CheckRequests(events, false); len(got.Violations) != 4 {
-		t.Errorf("in pass-through mode: outcomes %+v", got)
+		t.Errorf("in pass-through mode: outcomes %+v, want 4 violations", got)
 	}
 }
--- a/internal/testcluster/rolling_client.go
+++ b/internal/testcluster/rolling_client.go
@@ -18,7 +18,8 @@
 
 const (
 	// clientPrefix is the prefix of the source of a client's events.
-	clientPrefix    = "c-"
+	clientPrefix = "c-"
+	// maxConnectedFor bounds how long a client keeps an established connection.
 	maxConnectedFor = 2 * time.Second
 )
 
