--- a/internal/soaktest/runner.go
+++ b/internal/soaktest/runner.go
@@ -112,14 +112,14 @@
 }
 
 const (
-	// frontEjectDelay is how long the platform's front still sends clients to a node that is stopping.
+	// frontEjectDelay is how long the front in production still sends clients to a node that is stopping.
 	frontEjectDelay = 400 * time.Millisecond
 	// maxPicks limits how often another node is picked when the picked node is stopping.
 	maxPicks = 64
 )
 
-// pickNode picks a node for a client like the platform's front (the load balancer in front of the nodes), which ejects
-// a stopping node sooner than the fake front does.
+// pickNode picks a node for a client like the front in production (the load balancer in front of the nodes), which
+// ejects a stopping node sooner than the fake front does.
 func (r *runner) pickNode() (node fakeserver.Node, ok bool) {
 	at := r.cluster.Clock.Now() - r.startedAt
 	for range maxPicks {
@@ -131,8 +131,8 @@
 	return node, false
 }
 
-// isStopping reports whether the platform's front sends no clients to the node at a time because of a stop. That is the
-// case from frontEjectDelay to half of restartReservation after the stop.
+// isStopping reports whether, at a time, the front in production sends no clients to the node because of a stop. That
+// is the case from frontEjectDelay to half of restartReservation after the stop.
 func (p Plan) isStopping(node string, at time.Duration) bool {
 	for _, fault := range p.Faults {
 		if fault.Target != node || fault.Kind != "stop" {
--- a/internal/testcluster/rolling_restart.go
+++ b/internal/testcluster/rolling_restart.go
@@ -24,8 +24,8 @@
 }
 
 const (
-	// pickableAfterStop is how long clients still connect to a node that is stopping: the maximum time until the
-	// platform's front notices.
+	// pickableAfterStop is how long clients still connect to a node that is stopping: the maximum time until the front
+	// (the load balancer in front of the nodes) notices.
 	pickableAfterStop = 400 * time.Millisecond
 	// nodeKillTimeout is how long a graceful shutdown may take before the node is killed: the longest deadline, capped at
 	// 3 s, plus 0.7 s.
@@ -142,7 +142,7 @@
 	return faults
 }
 
-// restartNode stops a node with SIGTERM, as the platform does, or kills it with SIGKILL. It then starts the node again.
+// restartNode stops a node with SIGTERM, as in production, or kills it with SIGKILL. It then starts the node again.
 func (c *Cluster) restartNode(ctx context.Context, picker *nodePicker, node int, kill bool) error {
 	p := c.nodes[node]
 	c.recordFault(p.name, faultStop)
